--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerReader.java
@@ -9,20 +9,23 @@
 import java.util.Arrays;
 
 /**
- * Reads one answer from the bytes of a connection (RFC 9112), without I/O. It is strict: what is no answer, or no chunk
- * where one is due, is a problem and never an end, since an answer that ends early must not look complete.
+ * Parses one HTTP/1.x response from the bytes of a connection (RFC 9112), without I/O. The parser is strict: bytes that
+ * are not a response, or not a chunk where a chunk is due, raise an error and never end the response, since a truncated
+ * response must not look complete. Not thread-safe.
  */
 final class AnswerReader {
-    /** Takes what was read. */
-    interface Sink {
-        void head(int status, HeaderMap headers);
+    /** Receives the parsed response. */
+    interface Listener {
+        /** The head of the final response is complete; interim responses (1xx) are skipped. */
+        void onHead(int status, HeaderMap headers);
 
-        void data(ByteBuffer bytes);
+        /** Bytes of the body, without transfer coding; they are valid during the call only. */
+        void onBody(ByteBuffer data);
     }
 
     private enum State {
         HEAD,
-        FIXED,
+        FIXED_LENGTH,
         CHUNK_SIZE,
         CHUNK_DATA,
         CHUNK_END,
@@ -31,218 +34,233 @@
         DONE
     }
 
-    private static final int MOST_HEAD = 64 * 1024;
-    private static final int MOST_LINE = 4 * 1024;
-    private static final int MOST_DIGITS = 15;
-    private static final int CONTINUE = 100;
-    private static final int SWITCHING = 101;
-    private static final int FINAL = 200;
+    private static final int MAX_HEAD_BYTES = 64 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024;
+
+    /** Most digits of a body or chunk length; 15 digits fit into a long, in decimal and in hexadecimal. */
+    private static final int MAX_LENGTH_DIGITS = 15;
+
+    private static final int MIN_STATUS = 100;
+    private static final int SWITCHING_PROTOCOLS = 101;
+    private static final int MIN_FINAL_STATUS = 200;
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
-    private static final byte[] NONE = {};
-    private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] EMPTY = {};
+    private static final byte[] STATUS_LINE_START = "HTTP/1.".getBytes(StandardCharsets.ISO_8859_1);
 
     private final boolean bodiless;
-    private final Sink sink;
+    private final Listener listener;
     private State state = State.HEAD;
-    private byte[] partial = NONE;
-    private long left;
-    private boolean closes;
+    private byte[] partial = EMPTY;
+    private long remainingBytes;
+    private boolean closesConnection;
     private boolean endedByClose;
 
     /**
-     * Makes a reader.
+     * Creates a parser for one response.
      *
-     * @param bodiless whether the request's method gets answers without a body, whatever their head says
+     * @param bodiless whether responses to the request's method have no body, whatever their head says
      */
-    AnswerReader(boolean bodiless, Sink sink) {
+    AnswerReader(boolean bodiless, Listener listener) {
         this.bodiless = bodiless;
-        this.sink = sink;
+        this.listener = listener;
     }
 
-    boolean done() {
+    boolean isDone() {
         return state == State.DONE;
     }
 
-    /** Whether the connection may carry another request once the answer is done. */
-    boolean keeps() {
-        return !closes;
+    /** Whether the connection may carry another request once the response is complete. */
+    boolean allowsReuse() {
+        return !closesConnection;
     }
 
-    /** Whether the answer had no length and has ended with its connection. */
+    /** Whether the response had no stated length and ended with its connection. */
     boolean endedByClose() {
         return endedByClose;
     }
 
-    /** The peer has ended the connection; an answer without a length ends with it. */
-    void closed() throws IOException {
+    /** Handles the close of the connection by the peer; a response without a stated length is complete then. */
+    void handleClose() throws IOException {
         endedByClose = state == State.UNTIL_CLOSE;
         if (endedByClose) state = State.DONE;
-        else if (state != State.DONE) throw new IOException("closed within the answer");
+        else if (state != State.DONE) throw new IOException("connection closed before the end of the response");
     }
 
-    /** Takes bytes up to the end of the answer; what follows that stays in the buffer. */
-    void take(ByteBuffer b) throws IOException {
-        while (state != State.DONE && b.hasRemaining()) {
+    /** Parses bytes up to the end of the response; bytes after the end stay in the buffer. */
+    void consume(ByteBuffer buffer) throws IOException {
+        while (state != State.DONE && buffer.hasRemaining()) {
             switch (state) {
-                case HEAD -> head(b);
-                case FIXED -> fixed(b);
-                case CHUNK_SIZE -> chunkSize(b);
-                case CHUNK_DATA -> chunkData(b);
-                case CHUNK_END -> chunkEnd(b);
-                case TRAILERS -> trailer(b);
-                case UNTIL_CLOSE -> untilClose(b);
+                case HEAD -> readHead(buffer);
+                case FIXED_LENGTH -> readFixedLength(buffer);
+                case CHUNK_SIZE -> readChunkSize(buffer);
+                case CHUNK_DATA -> readChunkData(buffer);
+                case CHUNK_END -> readChunkEnd(buffer);
+                case TRAILERS -> readTrailer(buffer);
+                case UNTIL_CLOSE -> readUntilClose(buffer);
                 default -> throw new IllegalStateException(state.name());
             }
         }
     }
 
-    private void head(ByteBuffer b) throws IOException {
-        var text = until(b, MOST_HEAD, true);
-        if (text == null) {
-            for (var i = 0; i < Math.min(START.length, partial.length); i++)
-                if (partial[i] != START[i]) throw new IOException("no answer");
+    private void readHead(ByteBuffer buffer) throws IOException {
+        var head = readTerminated(buffer, MAX_HEAD_BYTES, true);
+        if (head == null) {
+            for (var i = 0; i < Math.min(STATUS_LINE_START.length, partial.length); i++)
+                if (partial[i] != STATUS_LINE_START[i]) throw new IOException("response does not start with HTTP/1.");
             return;
         }
-        var lines = text.split("\r\n");
-        var status = status(lines[0]);
+        var lines = head.split("\r\n");
+        var status = parseStatus(lines[0]);
         var headers = new HeaderMap();
-        for (var i = 1; i < lines.length; i++) header(lines[i], headers);
-        if (status >= CONTINUE && status < FINAL && status != SWITCHING) return;
-        frame(lines[0], status, headers);
-        sink.head(status, headers);
+        for (var i = 1; i < lines.length; i++) addHeader(lines[i], headers);
+        if (status >= MIN_STATUS && status < MIN_FINAL_STATUS && status != SWITCHING_PROTOCOLS) return;
+        determineBodyEnd(lines[0], status, headers);
+        listener.onHead(status, headers);
     }
 
-    private static int status(String line) throws IOException {
-        var fits = line.length() >= 12 && line.startsWith("HTTP/1.") && line.charAt(8) == ' ';
-        if (!fits || line.length() > 12 && line.charAt(12) != ' ') throw new IOException("no status line");
+    private static int parseStatus(String statusLine) throws IOException {
+        var wellFormed =
+                statusLine.length() >= 12 && statusLine.startsWith("HTTP/1.") && statusLine.charAt(8) == ' ';
+        if (!wellFormed || statusLine.length() > 12 && statusLine.charAt(12) != ' ')
+            throw new IOException("malformed status line");
         var status = 0;
         for (var i = 9; i < 12; i++) {
-            var digit = line.charAt(i) - '0';
-            if (digit < 0 || digit > 9) throw new IOException("no status");
+            var digit = statusLine.charAt(i) - '0';
+            if (digit < 0 || digit > 9) throw new IOException("status code is not a number");
             status = status * 10 + digit;
         }
-        if (status < CONTINUE) throw new IOException("no status");
+        if (status < MIN_STATUS) throw new IOException("status code is below 100");
         return status;
     }
 
-    private static void header(String line, HeaderMap headers) throws IOException {
-        var at = line.indexOf(':');
-        if (at <= 0 || line.charAt(0) <= ' ' || line.charAt(at - 1) <= ' ') throw new IOException("no header");
+    private static void addHeader(String line, HeaderMap headers) throws IOException {
+        var colon = line.indexOf(':');
+        if (colon <= 0 || line.charAt(0) <= ' ' || line.charAt(colon - 1) <= ' ')
+            throw new IOException("malformed header line");
         headers.add(
-                new HttpString(line.substring(0, at)), line.substring(at + 1).trim());
+                new HttpString(line.substring(0, colon)),
+                line.substring(colon + 1).trim());
     }
 
-    /** Finds out where the body ends (RFC 9112, 6.3). */
-    private void frame(String line, int status, HeaderMap headers) throws IOException {
-        closes = ForwardedHeaders.closes(headers) || line.startsWith("HTTP/1.0");
+    /** Determines from the head where the body ends (RFC 9112, 6.3). */
+    private void determineBodyEnd(String statusLine, int status, HeaderMap headers) throws IOException {
+        closesConnection = ForwardedHeaders.hasConnectionClose(headers) || statusLine.startsWith("HTTP/1.0");
         if (bodiless || status == NO_CONTENT || status == NOT_MODIFIED) {
             state = State.DONE;
         } else if (headers.contains(Headers.TRANSFER_ENCODING)) {
             state = State.CHUNK_SIZE;
         } else if (headers.contains(Headers.CONTENT_LENGTH)) {
-            left = number(headers.getFirst(Headers.CONTENT_LENGTH), 10);
-            state = left == 0 ? State.DONE : State.FIXED;
+            remainingBytes = parseLength(headers.getFirst(Headers.CONTENT_LENGTH), 10);
+            state = remainingBytes == 0 ? State.DONE : State.FIXED_LENGTH;
         } else {
-            closes = true;
+            closesConnection = true;
             state = State.UNTIL_CLOSE;
         }
     }
 
-    private static long number(String digits, int radix) throws IOException {
-        if (digits.isEmpty() || digits.length() > MOST_DIGITS) throw new IOException("no length");
-        var n = 0L;
+    private static long parseLength(String digits, int radix) throws IOException {
+        if (digits.isEmpty() || digits.length() > MAX_LENGTH_DIGITS)
+            throw new IOException("body or chunk length is missing or too long");
+        var length = 0L;
         for (var i = 0; i < digits.length(); i++) {
             var digit = Character.digit(digits.charAt(i), radix);
-            if (digit < 0) throw new IOException("no length");
-            n = n * radix + digit;
+            if (digit < 0) throw new IOException("body or chunk length is not a number");
+            length = length * radix + digit;
         }
-        return n;
+        return length;
     }
 
-    private void fixed(ByteBuffer b) {
-        if (part(b)) state = State.DONE;
+    private void readFixedLength(ByteBuffer buffer) {
+        if (deliverRemaining(buffer)) state = State.DONE;
     }
 
-    private void untilClose(ByteBuffer b) {
-        sink.data(b);
-        b.position(b.limit());
+    private void readUntilClose(ByteBuffer buffer) {
+        listener.onBody(buffer);
+        buffer.position(buffer.limit());
     }
 
-    private void chunkData(ByteBuffer b) {
-        if (part(b)) state = State.CHUNK_END;
+    private void readChunkData(ByteBuffer buffer) {
+        if (deliverRemaining(buffer)) state = State.CHUNK_END;
     }
 
-    /** Passes on what is left to read of a known length; true once that is all. */
-    private boolean part(ByteBuffer b) {
-        var limit = b.limit();
-        var n = (int) Math.min(left, b.remaining());
-        var end = b.position() + n;
-        left -= n;
-        b.limit(end);
-        sink.data(b);
-        b.limit(limit);
-        b.position(end);
-        return left == 0;
+    /** Delivers bytes of a body or chunk of known length; returns true once it is complete. */
+    private boolean deliverRemaining(ByteBuffer buffer) {
+        var limit = buffer.limit();
+        var byteCount = (int) Math.min(remainingBytes, buffer.remaining());
+        var end = buffer.position() + byteCount;
+        remainingBytes -= byteCount;
+        buffer.limit(end);
+        listener.onBody(buffer);
+        buffer.limit(limit);
+        buffer.position(end);
+        return remainingBytes == 0;
     }
 
-    private void chunkSize(ByteBuffer b) throws IOException {
-        if (partial.length == 0 && Character.digit(b.get(b.position()), 16) < 0) throw new IOException("no chunk");
-        var line = until(b, MOST_LINE, false);
+    private void readChunkSize(ByteBuffer buffer) throws IOException {
+        if (partial.length == 0 && Character.digit(buffer.get(buffer.position()), 16) < 0)
+            throw new IOException("chunk size does not start with a hexadecimal digit");
+        var line = readTerminated(buffer, MAX_LINE_BYTES, false);
         if (line == null) return;
-        var extension = line.indexOf(';');
-        left = number((extension < 0 ? line : line.substring(0, extension)).trim(), 16);
-        state = left == 0 ? State.TRAILERS : State.CHUNK_DATA;
+        var extensionStart = line.indexOf(';');
+        remainingBytes = parseLength((extensionStart < 0 ? line : line.substring(0, extensionStart)).trim(), 16);
+        state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
     }
 
-    private void chunkEnd(ByteBuffer b) throws IOException {
-        var line = until(b, 2, false);
+    private void readChunkEnd(ByteBuffer buffer) throws IOException {
+        var line = readTerminated(buffer, 2, false);
         if (line == null) return;
         state = State.CHUNK_SIZE;
     }
 
-    private void trailer(ByteBuffer b) throws IOException {
-        var line = until(b, MOST_LINE, false);
+    private void readTrailer(ByteBuffer buffer) throws IOException {
+        var line = readTerminated(buffer, MAX_LINE_BYTES, false);
         if (line == null) return;
         if (line.isEmpty()) state = State.DONE;
-        else header(line, new HeaderMap());
-    }
-
-    /** A line without its end, or a head up to its empty line; null while it is not there yet. */
-    private String until(ByteBuffer b, int most, boolean emptyLine) throws IOException {
-        var marks = emptyLine ? 4 : 2;
-        if (partial.length > 0) return pieced(b, most, marks);
-        var length = length(b, marks);
-        if (length > most || length < 0 && b.remaining() >= most) throw new IOException("no end of a line");
-        var bytes = new byte[length < 0 ? b.remaining() : length];
-        b.get(bytes);
-        if (length >= 0) return new String(bytes, 0, length - marks, StandardCharsets.ISO_8859_1);
+        else addHeader(line, new HeaderMap());
+    }
+
+    /**
+     * Reads a line, or a head up to and including its empty line. Returns it without the terminator, or null if it is
+     * not complete yet; its bytes so far are buffered then.
+     */
+    private String readTerminated(ByteBuffer buffer, int maxBytes, boolean emptyLine) throws IOException {
+        var terminatorBytes = emptyLine ? 4 : 2;
+        if (partial.length > 0) return continuePartial(buffer, maxBytes, terminatorBytes);
+        var length = terminatedLength(buffer, terminatorBytes);
+        if (length > maxBytes || length < 0 && buffer.remaining() >= maxBytes)
+            throw new IOException("line or head is longer than its limit");
+        var bytes = new byte[length < 0 ? buffer.remaining() : length];
+        buffer.get(bytes);
+        if (length >= 0) return new String(bytes, 0, length - terminatorBytes, StandardCharsets.ISO_8859_1);
         partial = bytes;
         return null;
     }
 
-    /** A line or head whose first bytes came before. */
-    private String pieced(ByteBuffer b, int most, int marks) throws IOException {
-        var from = partial.length;
-        var all = Arrays.copyOf(partial, from + b.remaining());
-        b.get(b.position(), all, from, b.remaining());
-        var length = length(ByteBuffer.wrap(all), marks);
-        if (length > most || length < 0 && all.length >= most) throw new IOException("no end of a line");
+    /** Like {@link #readTerminated}, for a line or head whose first bytes are already buffered. */
+    private String continuePartial(ByteBuffer buffer, int maxBytes, int terminatorBytes) throws IOException {
+        var bufferedBytes = partial.length;
+        var combined = Arrays.copyOf(partial, bufferedBytes + buffer.remaining());
+        buffer.get(buffer.position(), combined, bufferedBytes, buffer.remaining());
+        var length = terminatedLength(ByteBuffer.wrap(combined), terminatorBytes);
+        if (length > maxBytes || length < 0 && combined.length >= maxBytes)
+            throw new IOException("line or head is longer than its limit");
         if (length < 0) {
-            b.position(b.limit());
-            partial = all;
+            buffer.position(buffer.limit());
+            partial = combined;
             return null;
         }
-        b.position(b.position() + length - from);
-        partial = NONE;
-        return new String(all, 0, length - marks, StandardCharsets.ISO_8859_1);
+        buffer.position(buffer.position() + length - bufferedBytes);
+        partial = EMPTY;
+        return new String(combined, 0, length - terminatorBytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** How many bytes there are up to and with the line's end, or the empty line; -1 where there is none. */
-    private static int length(ByteBuffer b, int marks) {
-        for (var i = b.position(); i + marks <= b.limit(); i++) {
-            if (b.get(i) != '\r' || b.get(i + 1) != '\n') continue;
-            if (marks == 2 || b.get(i + 2) == '\r' && b.get(i + 3) == '\n') return i + marks - b.position();
+    /** The number of bytes up to and including CRLF (2) or the empty line (4); -1 if the buffer holds no terminator. */
+    private static int terminatedLength(ByteBuffer buffer, int terminatorBytes) {
+        for (var i = buffer.position(); i + terminatorBytes <= buffer.limit(); i++) {
+            if (buffer.get(i) != '\r' || buffer.get(i + 1) != '\n') continue;
+            if (terminatorBytes == 2 || buffer.get(i + 2) == '\r' && buffer.get(i + 3) == '\n')
+                return i + terminatorBytes - buffer.position();
         }
         return -1;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
@@ -16,119 +16,127 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The clients' connections: closes one that rests for the limit, or whose head is not complete within its limit, by the
- * steady clock. A connection with a request under way is never closed here. One I/O thread.
+ * Tracks the clients' connections and closes those that are idle for longer than the limit, or whose request head is not
+ * complete within its limit, by the steady clock. A connection with a request in flight is never closed here. All methods
+ * run on the one I/O thread, except {@link #sweepCount()}. Times are microseconds.
  */
 final class ClientConnections {
     private enum State {
-        /** No byte of a request has come. */
-        RESTING,
-        /** A head has begun. */
-        HEAD,
-        /** A request is under way. */
+        /** No byte of a request has arrived. */
+        IDLE,
+        /** A request head has begun. */
+        READING_HEAD,
+        /** A request is in flight. */
         BUSY
     }
 
-    /** A look that comes this late finds the process frozen meanwhile: what came then has not been read yet. */
-    private static final long LATE = 1_500_000;
+    /**
+     * If a sweep comes this long after the previous one, the process was frozen in between: bytes that arrived meanwhile
+     * have not been read yet, so nothing is closed.
+     */
+    private static final long FREEZE_THRESHOLD_MICROS = 1_500_000;
 
-    private final LongSupplier now;
-    private final Map<StreamConnection, Watched> all = new IdentityHashMap<>();
-    private long looked;
-    private volatile long looks;
+    private final LongSupplier clock;
+    private final Map<StreamConnection, TrackedConnection> connections = new IdentityHashMap<>();
+    private long lastSweepAt;
+    private volatile long sweepCount;
 
-    ClientConnections(LongSupplier now) {
-        this.now = now;
+    ClientConnections(LongSupplier clock) {
+        this.clock = clock;
     }
 
-    /** Watches a connection that has just been accepted. */
-    void opened(StreamConnection c) {
-        var w = new Watched(now.getAsLong());
-        all.put(c, w);
-        c.getSourceChannel().setConduit(new FirstByte(c.getSourceChannel().getConduit(), w));
+    /** Starts to track a connection that has just been accepted. */
+    void track(StreamConnection connection) {
+        var tracked = new TrackedConnection(clock.getAsLong());
+        connections.put(connection, tracked);
+        connection
+                .getSourceChannel()
+                .setConduit(new FirstByteDetector(connection.getSourceChannel().getConduit(), tracked));
     }
 
-    /** A request has come whole as far as its head. */
-    void begun(HttpServerExchange x) {
-        if (!(x.getConnection() instanceof HttpServerConnection h)) return;
-        var w = all.get(h.getChannel());
-        if (w == null) return;
-        w.state = State.BUSY;
-        x.addExchangeCompleteListener(w);
+    /** Records that the head of a request is complete, so that its connection is busy until the exchange ends. */
+    void markBusy(HttpServerExchange exchange) {
+        if (!(exchange.getConnection() instanceof HttpServerConnection h)) return;
+        var tracked = connections.get(h.getChannel());
+        if (tracked == null) return;
+        tracked.state = State.BUSY;
+        exchange.addExchangeCompleteListener(tracked);
     }
 
-    /** Closes what has rested, or kept its head waiting, for as long as the limits allow. */
-    void look(Limits limits) {
-        var t = now.getAsLong();
-        var late = t - looked > LATE;
-        looked = t;
-        for (var e : new ArrayList<>(all.entrySet())) {
-            var c = e.getKey();
-            if (!c.isOpen()) all.remove(c);
-            else if (!late && limits != null && e.getValue().due(limits, t)) {
-                all.remove(c);
-                IoUtils.safeClose(c);
+    /** Closes connections that have exceeded their limit; null limits close none. */
+    void closeExpired(Limits limits) {
+        var sweepTime = clock.getAsLong();
+        var wasFrozen = sweepTime - lastSweepAt > FREEZE_THRESHOLD_MICROS;
+        lastSweepAt = sweepTime;
+        for (var entry : new ArrayList<>(connections.entrySet())) {
+            var connection = entry.getKey();
+            if (!connection.isOpen()) connections.remove(connection);
+            else if (!wasFrozen && limits != null && entry.getValue().isExpired(limits, sweepTime)) {
+                connections.remove(connection);
+                IoUtils.safeClose(connection);
             }
         }
-        looks++;
+        sweepCount++;
     }
 
-    /** How many open connections carry a request that is not answered whole. */
-    int busy() {
-        var n = 0;
-        for (var e : all.entrySet()) if (e.getKey().isOpen() && e.getValue().state == State.BUSY) n++;
-        return n;
+    /** The number of open connections with a request whose response is not complete. */
+    int countBusy() {
+        var count = 0;
+        for (var entry : connections.entrySet())
+            if (entry.getKey().isOpen() && entry.getValue().state == State.BUSY) count++;
+        return count;
     }
 
-    /** How many looks are done. */
-    long looks() {
-        return looks;
+    /** The number of completed sweeps; any thread may ask. */
+    long sweepCount() {
+        return sweepCount;
     }
 
-    /** What is known of one connection; it hears when each of its exchanges is complete. */
-    private final class Watched implements ExchangeCompletionListener {
-        private State state = State.RESTING;
-        private long since;
+    /** The state of one connection; it is notified when each of its exchanges is complete. */
+    private final class TrackedConnection implements ExchangeCompletionListener {
+        private State state = State.IDLE;
+        private long stateSince;
 
-        Watched(long since) {
-            this.since = since;
+        TrackedConnection(long stateSince) {
+            this.stateSince = stateSince;
         }
 
-        void byteCame() {
-            if (state != State.RESTING) return;
-            state = State.HEAD;
-            since = now.getAsLong();
+        void handleByte() {
+            if (state != State.IDLE) return;
+            state = State.READING_HEAD;
+            stateSince = clock.getAsLong();
         }
 
-        boolean due(Limits limits, long t) {
+        boolean isExpired(Limits limits, long now) {
             return switch (state) {
-                case RESTING -> limits.idle() > 0 && t - since >= limits.idle();
-                case HEAD -> limits.header() > 0 && t - since >= limits.header();
+                case IDLE -> limits.idle() > 0 && now - stateSince >= limits.idle();
+                case READING_HEAD -> limits.header() > 0 && now - stateSince >= limits.header();
                 case BUSY -> false;
             };
         }
 
         @Override
-        public void exchangeEvent(HttpServerExchange x, NextListener next) {
-            state = State.RESTING;
-            since = now.getAsLong();
+        public void exchangeEvent(HttpServerExchange exchange, NextListener next) {
+            state = State.IDLE;
+            stateSince = clock.getAsLong();
             next.proceed();
         }
     }
 
-    private static final class FirstByte extends AbstractStreamSourceConduit<StreamSourceConduit> {
-        private final Watched watched;
+    /** Notifies the tracked connection when bytes arrive. */
+    private static final class FirstByteDetector extends AbstractStreamSourceConduit<StreamSourceConduit> {
+        private final TrackedConnection tracked;
 
-        FirstByte(StreamSourceConduit next, Watched watched) {
+        FirstByteDetector(StreamSourceConduit next, TrackedConnection tracked) {
             super(next);
-            this.watched = watched;
+            this.tracked = tracked;
         }
 
         @Override
-        public int read(ByteBuffer b) throws IOException {
-            var n = next.read(b);
-            if (n > 0) watched.byteCame();
-            return n;
+        public int read(ByteBuffer buffer) throws IOException {
+            var byteCount = next.read(buffer);
+            if (byteCount > 0) tracked.handleByte();
+            return byteCount;
         }
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientListener.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientListener.java
@@ -18,26 +18,28 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Listens for clients. Undertow's own time-outs for heads and resting connections go by the time of day, which may jump, and
- * can't change with the configuration, so {@link ClientConnections} has them.
+ * Accepts client connections. Undertow's own timeouts for request heads and idle connections are off, since they use the
+ * time of day, which may jump, and cannot change with the configuration; {@link ClientConnections} applies these limits.
  */
 final class ClientListener implements Closeable {
-    private static final int BUFFER = 16 * 1024 - 20;
-    private static final int PER_THREAD = 4;
-    private static final int MOST_HEAD = 64 * 1024;
-    private static final int NONE = -1;
+    /** Size of an I/O buffer: 16 KiB less the space that Undertow leaves for protocol headers. */
+    private static final int BUFFER_BYTES = 16 * 1024 - 20;
 
-    private static final OptionMap HTTP = OptionMap.builder()
+    private static final int CACHED_BUFFERS_PER_THREAD = 4;
+    private static final int MAX_HEAD_BYTES = 64 * 1024;
+    private static final int UNLIMITED = -1;
+
+    private static final OptionMap HTTP_OPTIONS = OptionMap.builder()
             .set(UndertowOptions.BUFFER_PIPELINED_DATA, true)
-            .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD)
-            .set(UndertowOptions.NO_REQUEST_TIMEOUT, NONE)
-            .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, NONE)
+            .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
+            .set(UndertowOptions.NO_REQUEST_TIMEOUT, UNLIMITED)
+            .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, UNLIMITED)
             .set(UndertowOptions.DECODE_URL, false)
             .set(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
             .set(UndertowOptions.ALWAYS_SET_DATE, false)
             .getMap();
 
-    private static final OptionMap SOCKET = OptionMap.builder()
+    private static final OptionMap SOCKET_OPTIONS = OptionMap.builder()
             .set(Options.WORKER_IO_THREADS, 1)
             .set(Options.TCP_NODELAY, true)
             .set(Options.REUSE_ADDRESSES, true)
@@ -46,27 +48,29 @@
             .set(Options.BACKLOG, 1024)
             .getMap();
 
-    private final AcceptingChannel<StreamConnection> accepting;
+    private final AcceptingChannel<StreamConnection> acceptor;
 
+    /** Starts to listen at the address; the connections are tracked and their requests passed to the handler. */
     ClientListener(XnioWorker worker, InetSocketAddress address, ClientConnections connections, HttpHandler handler) {
-        var http = new HttpOpenListener(new DefaultByteBufferPool(true, BUFFER, NONE, PER_THREAD), HTTP);
-        http.setRootHandler(handler);
-        ChannelListener<StreamConnection> opened = c -> {
-            connections.opened(c);
-            http.handleEvent(c);
+        var httpListener = new HttpOpenListener(
+                new DefaultByteBufferPool(true, BUFFER_BYTES, UNLIMITED, CACHED_BUFFERS_PER_THREAD), HTTP_OPTIONS);
+        httpListener.setRootHandler(handler);
+        ChannelListener<StreamConnection> onAccept = c -> {
+            connections.track(c);
+            httpListener.handleEvent(c);
         };
         try {
-            accepting =
-                    worker.createStreamConnectionServer(address, ChannelListeners.openListenerAdapter(opened), SOCKET);
+            acceptor = worker.createStreamConnectionServer(
+                    address, ChannelListeners.openListenerAdapter(onAccept), SOCKET_OPTIONS);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        accepting.resumeAccepts();
+        acceptor.resumeAccepts();
     }
 
-    /** Takes no more connections; those that are open go on. */
+    /** Stops accepting connections; open ones continue. */
     @Override
     public void close() {
-        IoUtils.safeClose(accepting);
+        IoUtils.safeClose(acceptor);
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
@@ -5,72 +5,87 @@
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
 
-/** Takes a requester's request whole and hands it to its passage. */
+/**
+ * Receives a client request completely, checks it against the limits and routes in force, and starts its
+ * {@link RequestExchange}. All methods run on the one I/O thread. Times are microseconds.
+ */
 final class ClientRequestHandler implements HttpHandler {
-    private static final long PATIENCE = RequestExchange.STARTING;
-    private static final long AGAIN = 20_000;
+    private static final long MAX_MANIFEST_WAIT_MICROS = RequestExchange.STARTUP_WAIT_MICROS;
+    private static final long MANIFEST_CHECK_INTERVAL_MICROS = 20_000;
 
-    private final RequestContext all;
-    private boolean leaving;
-    private long told;
-    private String keptFor;
+    private final ProxyContext context;
+    private boolean draining;
+    private long advertisedIdleLimit;
+    private String keepAliveHeader;
 
-    ClientRequestHandler(RequestContext all) {
-        this.all = all;
+    ClientRequestHandler(ProxyContext context) {
+        this.context = context;
     }
 
-    void leave() {
-        leaving = true;
+    /** From now on, closes each client connection after its next response. */
+    void startDraining() {
+        draining = true;
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        all.clients().begun(x);
-        if (leaving) x.setPersistent(false);
-        x.getRequestReceiver()
+    public void handleRequest(HttpServerExchange exchange) {
+        context.clientConnections().markBusy(exchange);
+        if (draining) exchange.setPersistent(false);
+        exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (e, b) -> e.dispatch(
-                                SameThreadExecutor.INSTANCE, () -> begin(e, b, all.now(), new ClientPresence(e))),
+                        (e, body) -> e.dispatch(
+                                SameThreadExecutor.INSTANCE,
+                                () -> startExchange(e, body, context.now(), new ClientDisconnectDetector(e))),
                         (e, problem) -> e.setStatusCode(400).endExchange());
     }
 
-    /** Clients take up a connection that rested for up to four fifths of the limit. */
-    private void tellHowLongItIsKept(HttpServerExchange x, long idle) {
-        if (idle <= 0 || !x.isPersistent()) return;
-        if (idle != told) {
-            told = idle;
-            keptFor = "timeout=" + told * 4 / 5 / 1_000_000;
+    /** Advertises four fifths of the idle limit, so that clients do not reuse a connection that is about to be closed. */
+    private void advertiseKeepAlive(HttpServerExchange exchange, long idleLimit) {
+        if (idleLimit <= 0 || !exchange.isPersistent()) return;
+        if (idleLimit != advertisedIdleLimit) {
+            advertisedIdleLimit = idleLimit;
+            keepAliveHeader = "timeout=" + advertisedIdleLimit * 4 / 5 / 1_000_000;
         }
-        x.getResponseHeaders().put(Headers.KEEP_ALIVE, keptFor);
+        exchange.getResponseHeaders().put(Headers.KEEP_ALIVE, keepAliveHeader);
     }
 
-    /** A router that has just started has its manifest in a moment. */
-    private void unready(HttpServerExchange x, byte[] body, ClientAnswer answer, long since, ClientPresence client) {
-        if (client.gone()) return;
-        if (all.now() - since < PATIENCE) all.after(AGAIN, () -> begin(x, body, since, client));
-        else answer.own(503, "1.5", "{\"problem\":\"no manifest is in force here yet\"}");
+    /** Waits for the manifest, which a router that has just started receives within moments. */
+    private void waitForManifest(
+            HttpServerExchange exchange,
+            byte[] body,
+            ClientResponse response,
+            long receivedAt,
+            ClientDisconnectDetector disconnectDetector) {
+        if (disconnectDetector.checkDisconnected()) return;
+        if (context.now() - receivedAt < MAX_MANIFEST_WAIT_MICROS)
+            context.schedule(
+                    MANIFEST_CHECK_INTERVAL_MICROS,
+                    () -> startExchange(exchange, body, receivedAt, disconnectDetector));
+        else response.sendOwn(503, "1.5", "{\"problem\":\"no manifest is in force here yet\"}");
     }
 
-    private void begin(HttpServerExchange x, byte[] body, long since, ClientPresence client) {
-        all.refresh();
-        var m = all.pool().view() == null ? null : all.pool().view().manifest();
-        var answer = new ClientAnswer(x, () -> {});
-        if (m == null) {
-            unready(x, body, answer, since, client);
+    private void startExchange(
+            HttpServerExchange exchange, byte[] body, long receivedAt, ClientDisconnectDetector disconnectDetector) {
+        context.refreshRunners();
+        var manifest =
+                context.pool().view() == null ? null : context.pool().view().manifest();
+        var response = new ClientResponse(exchange, () -> {});
+        if (manifest == null) {
+            waitForManifest(exchange, body, response, receivedAt, disconnectDetector);
             return;
         }
-        tellHowLongItIsKept(x, m.limits().idle());
-        if (body.length > m.limits().bodyBytes()) {
-            answer.own(
+        advertiseKeepAlive(exchange, manifest.limits().idle());
+        if (body.length > manifest.limits().bodyBytes()) {
+            response.sendOwn(
                     413,
                     null,
-                    "{\"problem\":\"the body is longer than " + m.limits().bodyBytes() + " bytes\"}");
+                    "{\"problem\":\"the body is longer than " + manifest.limits().bodyBytes() + " bytes\"}");
             return;
         }
-        var route = m.routes().match(x.getRequestHeaders().getFirst(Headers.HOST), x.getRequestURI());
-        if (route == null) answer.own(404, null, "{\"problem\":\"no route\"}");
-        else if (x.getRequestHeaders().getFirst(all.names().tryId()) == null)
-            answer.own(400, null, "{\"problem\":\"" + all.names().tryId() + " is missing\"}");
-        else new RequestExchange(all, x, client, route, body, since).begin();
+        var route = manifest.routes().match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI());
+        if (route == null) response.sendOwn(404, null, "{\"problem\":\"no route\"}");
+        else if (exchange.getRequestHeaders().getFirst(context.names().tryId()) == null)
+            response.sendOwn(400, null, "{\"problem\":\"" + context.names().tryId() + " is missing\"}");
+        else new RequestExchange(context, exchange, disconnectDetector, route, body, receivedAt).start();
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/EventSplitter.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/EventSplitter.java
@@ -3,40 +3,42 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Cuts the bytes of an event stream into whole events (WHATWG HTML, 9.2.6) and holds back the part of one. */
+/** Splits the bytes of an event stream into complete events (WHATWG HTML, 9.2.6) and buffers an incomplete one. */
 final class EventSplitter {
-    private static final byte[] NONE = {};
+    private static final byte[] EMPTY = {};
 
-    private byte[] partial = NONE;
+    private byte[] partial = EMPTY;
 
-    /** Takes bytes; returns the whole events that they complete, null for none. */
-    ByteBuffer take(ByteBuffer bytes) {
-        var held = partial.length;
-        var all = held == 0 ? new byte[bytes.remaining()] : Arrays.copyOf(partial, held + bytes.remaining());
-        bytes.get(all, held, all.length - held);
-        var end = end(all);
-        partial = end == all.length ? NONE : Arrays.copyOfRange(all, end, all.length);
-        return end == 0 ? null : ByteBuffer.wrap(all, 0, end);
+    /** Adds bytes; returns all events that are complete now, or null if there are none. */
+    ByteBuffer addBytes(ByteBuffer bytes) {
+        var bufferedBytes = partial.length;
+        var combined = bufferedBytes == 0
+                ? new byte[bytes.remaining()]
+                : Arrays.copyOf(partial, bufferedBytes + bytes.remaining());
+        bytes.get(combined, bufferedBytes, combined.length - bufferedBytes);
+        var eventsEnd = findEventsEnd(combined);
+        partial = eventsEnd == combined.length ? EMPTY : Arrays.copyOfRange(combined, eventsEnd, combined.length);
+        return eventsEnd == 0 ? null : ByteBuffer.wrap(combined, 0, eventsEnd);
     }
 
-    /** Behind the last empty line, 0 where there is none. */
-    private static int end(byte[] all) {
-        for (var i = all.length - 1; i > 0; i--) {
-            if (all[i] != '\n') continue;
-            if (all[i - 1] == '\n' || i > 2 && all[i - 1] == '\r' && all[i - 2] == '\n') return i + 1;
+    /** The index after the last empty line, 0 if there is none. */
+    private static int findEventsEnd(byte[] bytes) {
+        for (var i = bytes.length - 1; i > 0; i--) {
+            if (bytes[i] != '\n') continue;
+            if (bytes[i - 1] == '\n' || i > 2 && bytes[i - 1] == '\r' && bytes[i - 2] == '\n') return i + 1;
         }
         return 0;
     }
 
-    /** Whether the bytes taken so far end within an event. */
-    boolean midEvent() {
+    /** Whether the bytes so far end within an event. */
+    boolean isMidEvent() {
         return partial.length > 0;
     }
 
-    /** Takes what follows the last whole event. */
-    byte[] rest() {
-        var rest = partial;
-        partial = NONE;
-        return rest;
+    /** Removes and returns the bytes after the last complete event. */
+    byte[] takeRemainder() {
+        var remainder = partial;
+        partial = EMPTY;
+        return remainder;
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ExchangeState.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ExchangeState.java
@@ -1,13 +1,13 @@
 package craneway.gateway.proxy;
 
-/** How far one request has come. */
+/** The progress of one client request. */
 enum ExchangeState {
-    /** No runner has it: one is looked for, or waited for. */
-    PLACING,
-    /** A runner has it and has not begun to answer. */
-    SENT,
-    /** A runner's answer is passed on. */
-    ANSWERING,
-    /** Its answer is given, or its client has gone. */
-    OVER
+    /** No runner has the request; a runner is being selected or waited for. */
+    SELECTING_RUNNER,
+    /** The request was sent to a runner, which has not started to respond. */
+    AWAITING_RESPONSE,
+    /** A runner's response is being relayed to the client. */
+    RELAYING_RESPONSE,
+    /** The response has ended, or the client has disconnected. */
+    FINISHED
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ForwardedHeaders.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ForwardedHeaders.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Which headers pass on: all but those that concern a single connection (RFC 9110, 7.6.1). */
+/** Forwards end-to-end headers, and reads the hop-by-hop ones that concern a single connection (RFC 9110, 7.6.1). */
 final class ForwardedHeaders {
-    private static final Set<HttpString> SINGLE = Set.of(
+    private static final Set<HttpString> HOP_BY_HOP = Set.of(
             Headers.CONNECTION,
             Headers.KEEP_ALIVE,
             Headers.TRANSFER_ENCODING,
@@ -23,38 +23,45 @@
 
     private ForwardedHeaders() {}
 
+    /** Copies all headers but the hop-by-hop ones; they replace headers of the same name. */
     static void copy(HeaderMap from, HeaderMap to) {
-        var named = named(from);
-        for (var h : from) {
-            if (SINGLE.contains(h.getHeaderName()) || named.contains(h.getHeaderName())) continue;
-            to.remove(h.getHeaderName());
-            for (var v : h) to.add(h.getHeaderName(), v);
+        var connectionOptions = connectionOptions(from);
+        for (var header : from) {
+            if (HOP_BY_HOP.contains(header.getHeaderName()) || connectionOptions.contains(header.getHeaderName()))
+                continue;
+            to.remove(header.getHeaderName());
+            for (var value : header) to.add(header.getHeaderName(), value);
         }
     }
 
-    private static Set<HttpString> named(HeaderMap from) {
-        var all = new HashSet<HttpString>();
-        var c = from.get(Headers.CONNECTION);
-        if (c != null) for (var v : c) for (var n : v.split(",")) if (!n.isBlank()) all.add(new HttpString(n.trim()));
-        return all;
+    /** The names listed in the Connection header, which makes them hop-by-hop headers. */
+    private static Set<HttpString> connectionOptions(HeaderMap headers) {
+        var options = new HashSet<HttpString>();
+        var values = headers.get(Headers.CONNECTION);
+        if (values != null)
+            for (var value : values)
+                for (var name : value.split(",")) if (!name.isBlank()) options.add(new HttpString(name.trim()));
+        return options;
     }
 
-    static boolean closes(HeaderMap h) {
-        var c = h.get(Headers.CONNECTION);
-        if (c == null) return false;
-        for (var v : c) if (v.toLowerCase(Locale.ROOT).contains("close")) return true;
+    /** Whether the Connection header says that the connection will be closed after this message. */
+    static boolean hasConnectionClose(HeaderMap headers) {
+        var values = headers.get(Headers.CONNECTION);
+        if (values == null) return false;
+        for (var value : values) if (value.toLowerCase(Locale.ROOT).contains("close")) return true;
         return false;
     }
 
-    /** Microseconds of the Keep-Alive header's timeout, {@code UNSTATED} where there is none. */
-    static long keptFor(HeaderMap h) {
-        var v = h.getFirst(Headers.KEEP_ALIVE);
-        if (v == null) return RunnerConnections.UNSTATED;
-        for (var p : v.split(",")) {
-            var kv = p.trim().split("=");
-            if (kv.length == 2 && kv[0].equalsIgnoreCase("timeout") && kv[1].matches("\\d{1,6}"))
-                return Long.parseLong(kv[1]) * 1_000_000;
+    /** The timeout in the Keep-Alive header in microseconds; {@link RunnerConnectionPool#NOT_STATED} if there is none. */
+    static long keepAliveMicros(HeaderMap headers) {
+        var value = headers.getFirst(Headers.KEEP_ALIVE);
+        if (value == null) return RunnerConnectionPool.NOT_STATED;
+        for (var parameter : value.split(",")) {
+            var keyAndValue = parameter.trim().split("=");
+            if (keyAndValue.length == 2
+                    && keyAndValue[0].equalsIgnoreCase("timeout")
+                    && keyAndValue[1].matches("\\d{1,6}")) return Long.parseLong(keyAndValue[1]) * 1_000_000;
         }
-        return RunnerConnections.UNSTATED;
+        return RunnerConnectionPool.NOT_STATED;
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -9,56 +9,62 @@
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
 
-/** A client's request as it was read, and the head it has on its way to a runner. Times are microseconds. */
+/** A complete client request, with what its headers state; builds the head that is sent to a runner. Times are microseconds. */
 final class IncomingRequest {
     final Route route;
     final String service;
     final Prompt prompt;
     final String tryId;
     final byte[] body;
-    final long begun;
-    final long deadline;
+    final long receivedAt;
+    final long deadlineAt;
     private final HttpServerExchange exchange;
     private final HeaderVocabulary names;
 
-    IncomingRequest(HttpServerExchange exchange, HeaderVocabulary names, Route route, byte[] body, long begun) {
+    IncomingRequest(HttpServerExchange exchange, HeaderVocabulary names, Route route, byte[] body, long receivedAt) {
         this.exchange = exchange;
         this.names = names;
         this.route = route;
         this.body = body;
-        this.begun = begun;
+        this.receivedAt = receivedAt;
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
         prompt = Prompt.of(headers.getFirst(names.parts()), headers.getFirst(names.tokens()));
         service = route.service(Hash.of(tryId == null ? "" : tryId));
-        deadline = begun + Math.min(route.deadline(), millis(headers.getFirst(names.deadlineMs()), route.deadline()));
+        deadlineAt = receivedAt
+                + Math.min(route.deadline(), millisToMicros(headers.getFirst(names.deadlineMs()), route.deadline()));
     }
 
-    private static long millis(String s, long otherwise) {
-        return s == null || !s.matches("\\d{1,9}") ? otherwise : Long.parseLong(s) * 1000;
+    private static long millisToMicros(String millis, long defaultMicros) {
+        return millis == null || !millis.matches("\\d{1,9}") ? defaultMicros : Long.parseLong(millis) * 1000;
     }
 
-    /** The id after which the client asks its stream to go on, null where it asks for the whole. */
+    /** The id after which the client asks its stream to continue, null if it asks for all of it. */
     String lastEventId() {
         return exchange.getRequestHeaders().getFirst(names.lastEventId());
     }
 
-    /** The head for this runner; {@code stream} is null unless another run of it is to go on. */
-    RequestHead head(Placer.Choice choice, long now, StreamRelay stream) {
+    /**
+     * Builds the head of the request to a runner.
+     *
+     * @param streamToContinue the stream that the runner must continue, null if it must start a new response
+     */
+    RequestHead headFor(Placer.Choice choice, long now, StreamRelay streamToContinue) {
         var query = exchange.getQueryString();
-        var path = query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
+        var target = query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
         var method = exchange.getRequestMethod();
-        var h = new HeaderMap();
-        ForwardedHeaders.copy(exchange.getRequestHeaders(), h);
-        h.put(names.addressee(), choice.runner().id());
-        h.put(names.deadlineMs(), Long.toString(Math.max(1, (deadline - now) / 1000)));
-        h.put(names.urgency(), Integer.toString(route.urgency()));
+        var headers = new HeaderMap();
+        ForwardedHeaders.copy(exchange.getRequestHeaders(), headers);
+        headers.put(names.addressee(), choice.runner().id());
+        headers.put(names.deadlineMs(), Long.toString(Math.max(1, (deadlineAt - now) / 1000)));
+        headers.put(names.urgency(), Integer.toString(route.urgency()));
         if (body.length > 0 || method.equals(Methods.POST) || method.equals(Methods.PUT))
-            h.put(Headers.CONTENT_LENGTH, body.length);
-        else h.remove(Headers.CONTENT_LENGTH);
-        if (stream == null) return new RequestHead(method, path, h);
-        h.put(names.lastEventId(), stream.lastId());
-        if (stream.version() != null) h.put(names.expectVersion(), stream.version());
-        return new RequestHead(method, path, h);
+            headers.put(Headers.CONTENT_LENGTH, body.length);
+        else headers.remove(Headers.CONTENT_LENGTH);
+        if (streamToContinue == null) return new RequestHead(method, target, headers);
+        headers.put(names.lastEventId(), streamToContinue.lastEventId());
+        if (streamToContinue.weightVersion() != null)
+            headers.put(names.expectVersion(), streamToContinue.weightVersion());
+        return new RequestHead(method, target, headers);
     }
 }
--- /dev/null
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -0,0 +1,264 @@
+package craneway.gateway.proxy;
+
+import craneway.control.node.Membership.View;
+import craneway.data.placement.ColdShare;
+import craneway.data.placement.Placer;
+import craneway.data.placement.Pool;
+import craneway.data.placement.Prompt;
+import craneway.data.placement.RetryBudget;
+import craneway.data.placement.RunnerView;
+import craneway.model.event.Event;
+import craneway.model.event.Log;
+import craneway.model.manifest.Manifest.Limits;
+import craneway.model.manifest.Route;
+import craneway.model.node.NodeSettings;
+import craneway.state.message.Messages.Reading;
+import craneway.state.message.Messages.Silence;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import org.xnio.XnioExecutor;
+import org.xnio.XnioIoThread;
+
+/**
+ * Holds the open requests of one router and what they share: runner state, connections, retry budget and timers. All
+ * methods run on the one I/O thread, except that any thread may add to {@link #notices()}. Times are microseconds.
+ */
+final class ProxyContext {
+    /** Interval between two checks of the open requests. */
+    private static final long CHECK_INTERVAL_MICROS = 60_000;
+
+    /** Interval between two checks while no request is open, and between two sweeps of idle connections. */
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
+
+    /** A peer's report that a runner is silent is ignored if the runner responded to this router this recently. */
+    private static final long RECENT_RESPONSE_MICROS = 250_000;
+
+    /** A prompt with fewer tokens left to prefill is not announced to the other routers. */
+    private static final int MIN_ANNOUNCED_TOKENS = 1_000;
+
+    private static final int MAX_SLOW_LOGS_PER_SECOND = 5;
+
+    private final XnioIoThread ioThread;
+    private final LongSupplier clock;
+    private final Supplier<View> currentView;
+    private final HeaderVocabulary names;
+    private final NodeSettings nodeSettings;
+    private final BiConsumer<String, Object> peerSender;
+    private final Log log;
+    private final RunnerConnectionPool runnerConnections;
+    private final ClientConnections clientConnections;
+    private final Pool pool = new Pool();
+    private final Placer placer;
+    private final RetryBudget retryBudget;
+    private final Set<RequestExchange> openExchanges = new HashSet<>();
+    private final RunnerNoticeQueue notices;
+    private XnioExecutor.Key nextCheckTimer;
+    private boolean nextCheckIsDistant;
+    private volatile boolean closed;
+    private long lastSweepAt;
+    private long slowLogSecond;
+    private int slowLogsThisSecond;
+
+    ProxyContext(
+            XnioIoThread ioThread,
+            LongSupplier clock,
+            Supplier<View> currentView,
+            NodeSettings nodeSettings,
+            HeaderVocabulary names,
+            Log log,
+            BiConsumer<String, Object> peerSender) {
+        this.nodeSettings = nodeSettings;
+        this.peerSender = peerSender;
+        this.ioThread = ioThread;
+        this.clock = clock;
+        this.currentView = currentView;
+        this.names = names;
+        this.log = log;
+        notices = new RunnerNoticeQueue(clock);
+        runnerConnections = new RunnerConnectionPool(ioThread, clock);
+        clientConnections = new ClientConnections(clock);
+        placer = new Placer(pool, new ColdShare(nodeSettings.name()), nodeSettings.zone(), nodeSettings.region());
+        var bounds = nodeSettings.bounds();
+        retryBudget = new RetryBudget(bounds.retryWindow(), bounds.retryRatio(), bounds.retrySlack());
+    }
+
+    /** Ends all open requests so that no incomplete response looks complete. */
+    void close() {
+        closed = true;
+        for (var exchange : List.copyOf(openExchanges)) exchange.stop();
+    }
+
+    /** Starts the periodic checks. */
+    void start() {
+        scheduleNextCheck();
+    }
+
+    private void scheduleNextCheck() {
+        nextCheckIsDistant = openExchanges.isEmpty();
+        nextCheckTimer =
+                schedule(nextCheckIsDistant ? SWEEP_INTERVAL_MICROS : CHECK_INTERVAL_MICROS, this::runPeriodicCheck);
+    }
+
+    private void runPeriodicCheck() {
+        try {
+            refreshRunners();
+            var checkTime = now();
+            for (var exchange : List.copyOf(openExchanges)) exchange.check(checkTime);
+            if (checkTime - lastSweepAt > SWEEP_INTERVAL_MICROS) {
+                lastSweepAt = checkTime;
+                runnerConnections.closeExpired();
+                clientConnections.closeExpired(limits());
+                if (pool.view() != null && pool.view().manifest() != null) pool.seat(checkTime);
+            }
+        } finally {
+            if (!closed) scheduleNextCheck();
+        }
+    }
+
+    /** The time by the steady clock, in microseconds. */
+    long now() {
+        return clock.getAsLong();
+    }
+
+    HeaderVocabulary names() {
+        return names;
+    }
+
+    Placer placer() {
+        return placer;
+    }
+
+    RetryBudget retryBudget() {
+        return retryBudget;
+    }
+
+    RunnerConnectionPool runnerConnections() {
+        return runnerConnections;
+    }
+
+    ClientConnections clientConnections() {
+        return clientConnections;
+    }
+
+    /** The limits in force, null before the first configuration. */
+    Limits limits() {
+        var view = pool.view();
+        return view == null || view.manifest() == null ? null : view.manifest().limits();
+    }
+
+    Pool pool() {
+        return pool;
+    }
+
+    int openCount() {
+        return openExchanges.size();
+    }
+
+    /** Runs a task on the I/O thread after a delay of at least 1 µs. */
+    XnioExecutor.Key schedule(long delayMicros, Runnable task) {
+        return ioThread.executeAfter(task, Math.max(1, delayMicros), TimeUnit.MICROSECONDS);
+    }
+
+    /** Applies the newest view and the queued notices to the runners' state; called before a runner is selected. */
+    void refreshRunners() {
+        pool.follow(currentView.get());
+        notices.drain(this::applyReading, this::applySilence);
+    }
+
+    /** The queue of what other routers report; any thread may add to it. */
+    RunnerNoticeQueue notices() {
+        return notices;
+    }
+
+    /** Adds an open request; if the next check is scheduled for an idle router, it is brought forward. */
+    void add(RequestExchange exchange) {
+        openExchanges.add(exchange);
+        if (!nextCheckIsDistant) return;
+        nextCheckTimer.remove();
+        scheduleNextCheck();
+    }
+
+    void remove(RequestExchange exchange) {
+        openExchanges.remove(exchange);
+    }
+
+    void logEvent(Event event, String detail) {
+        log.note(event, detail);
+    }
+
+    /** Records the load that a runner reported in its response header: running and waiting requests. */
+    void recordLoad(RunnerView runner, String loadHeader) {
+        if (loadHeader == null) return;
+        var fields = loadHeader.split(",");
+        if (fields.length < 2) return;
+        try {
+            runner.reported(Integer.parseInt(fields[0].trim()), Integer.parseInt(fields[1].trim()), now());
+        } catch (NumberFormatException e) {
+            log.note(Event.BAD_MESSAGE, "malformed load header from runner " + runner.id() + ": " + loadHeader);
+        }
+    }
+
+    /** Logs a slow response, at most {@link #MAX_SLOW_LOGS_PER_SECOND} times in a second. */
+    void logSlowResponse(String detail) {
+        if (now() / 1_000_000 != slowLogSecond) slowLogsThisSecond = 0;
+        slowLogSecond = now() / 1_000_000;
+        if (slowLogsThisSecond++ < MAX_SLOW_LOGS_PER_SECOND) log.note(Event.SLOW_ANSWER, detail);
+    }
+
+    /** Tells the routers that use the selected runner which tokens it has to prefill, unless they are few. */
+    void announceReading(Placer.Choice choice, Prompt prompt) {
+        if (choice.read() < MIN_ANNOUNCED_TOKENS) return;
+        var message = new Reading();
+        message.runner = choice.runner().id();
+        message.tokens = choice.read();
+        message.parts = prompt.sharedIds();
+        message.sizes = prompt.sharedSizes();
+        for (var address : pool.peers(nodeSettings.name(), choice.runner().region, nodeSettings.region()))
+            peerSender.accept(address, message);
+    }
+
+    private void applyReading(Reading message, long receivedAt) {
+        var runner = pool.named(message.runner);
+        if (runner == null || message.tokens <= 0) return;
+        pool.told(runner, message.tokens, receivedAt);
+        runner.keeps(message.parts, message.sizes);
+    }
+
+    /** Marks a runner as suspected and, if it was not yet, tells the other routers to avoid it. */
+    void reportSilent(RunnerView runner) {
+        var reportTime = now();
+        if (!runner.suspected(reportTime)) {
+            var message = new Silence();
+            message.runner = runner.id();
+            for (var address : pool.peers(nodeSettings.name(), runner.region, nodeSettings.region()))
+                peerSender.accept(address, message);
+        }
+        runner.suspect(reportTime);
+    }
+
+    private void applySilence(Silence message, long receivedAt) {
+        var runner = pool.named(message.runner);
+        if (runner != null && receivedAt - runner.heardAt() > RECENT_RESPONSE_MICROS) runner.suspect(receivedAt);
+    }
+
+    /** Records that another runner, or another incarnation of this one, now has its address. */
+    void markReplaced(RunnerView runner) {
+        runner.gone();
+    }
+
+    /** Records that a connection to this runner broke during a request. */
+    void recordBreak(RunnerView runner, String cause) {
+        runner.broke(now());
+    }
+
+    /** The value of the Retry-After header: after how many seconds a client should try again. */
+    String retryAfterSeconds(Route route, String service) {
+        return String.format(Locale.ROOT, "%.2f", 0.25);
+    }
+}
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -25,34 +25,37 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Listens for requesters and the platform's check of readiness; one I/O thread carries all requests. */
+/**
+ * The HTTP proxy of a router: listens for clients and for the platform's readiness check. One I/O thread carries all
+ * requests. The public methods may be called from any other thread.
+ */
 public final class ProxyServer implements AutoCloseable {
-    private static final long REPLY_MILLIS = 300;
+    private static final long IO_THREAD_REPLY_TIMEOUT_MILLIS = 300;
 
     private final XnioWorker worker;
-    private final RequestContext all;
-    private final ClientRequestHandler handler;
-    private final ClientListener clients;
-    private final Undertow readiness;
+    private final ProxyContext context;
+    private final ClientRequestHandler requestHandler;
+    private final ClientListener clientListener;
+    private final Undertow readinessServer;
     private final AtomicBoolean closed = new AtomicBoolean();
-    private volatile boolean leaving;
+    private volatile boolean draining;
 
     /**
-     * Makes a server and begins to listen.
+     * Creates a server and starts to listen.
      *
-     * @param now the steady clock, microseconds
-     * @param view what this node knows of the fleet
-     * @param ready whether this node may count as ready
-     * @param send sends a message to the peer address of another router
+     * @param clock the steady clock, in microseconds
+     * @param currentView returns this node's newest view of the fleet
+     * @param ready whether this node may report itself as ready
+     * @param peerSender sends a message to the peer address of another router
      */
     public ProxyServer(
-            LongSupplier now,
-            Supplier<View> view,
-            NodeSettings node,
+            LongSupplier clock,
+            Supplier<View> currentView,
+            NodeSettings nodeSettings,
             HeaderVocabulary names,
             Log log,
             BooleanSupplier ready,
-            BiConsumer<String, Object> send) {
+            BiConsumer<String, Object> peerSender) {
         try {
             worker = Xnio.getInstance()
                     .createWorker(OptionMap.builder()
@@ -64,85 +67,93 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        all = new RequestContext(worker.getIoThread(), now, view, node, names, log, send);
-        handler = new ClientRequestHandler(all);
-        clients = new ClientListener(
-                worker, address(node.clientAddress()), all.clients(), new HttpContinueReadHandler(handler));
-        readiness = listen(node.readiness(), x -> {
-            var is = !leaving && ready.getAsBoolean() && x.getRequestPath().equals(names.readyPath());
-            x.setStatusCode(is ? 200 : 503).endExchange();
+        context = new ProxyContext(worker.getIoThread(), clock, currentView, nodeSettings, names, log, peerSender);
+        requestHandler = new ClientRequestHandler(context);
+        clientListener = new ClientListener(
+                worker,
+                parseAddress(nodeSettings.clientAddress()),
+                context.clientConnections(),
+                new HttpContinueReadHandler(requestHandler));
+        readinessServer = startReadinessServer(nodeSettings.readiness(), exchange -> {
+            var isReady = !draining
+                    && ready.getAsBoolean()
+                    && exchange.getRequestPath().equals(names.readyPath());
+            exchange.setStatusCode(isReady ? 200 : 503).endExchange();
         });
-        all.start();
+        context.start();
     }
 
-    private static InetSocketAddress address(String text) {
-        var at = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, at), Integer.parseInt(text.substring(at + 1)));
+    private static InetSocketAddress parseAddress(String address) {
+        var colon = address.lastIndexOf(':');
+        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    private Undertow listen(String address, HttpHandler h) {
-        var at = address(address);
-        var u = Undertow.builder()
+    private Undertow startReadinessServer(String address, HttpHandler handler) {
+        var socketAddress = parseAddress(address);
+        var server = Undertow.builder()
                 .setWorker(worker)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 60_000)
                 .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
-                .addHttpListener(at.getPort(), at.getHostString(), h)
+                .addHttpListener(socketAddress.getPort(), socketAddress.getHostString(), handler)
                 .build();
-        u.start();
-        return u;
+        server.start();
+        return server;
     }
 
-    /** A runner that another router finds silent. */
-    public void heard(Silence m) {
-        all.notices().add(m);
+    /** Receives another router's report that a runner is silent. */
+    public void heard(Silence notice) {
+        context.notices().add(notice);
     }
 
-    /** What another router gave a runner to read. */
-    public void heard(Reading m) {
-        all.notices().add(m);
+    /** Receives another router's report of the tokens that it gave a runner to prefill. */
+    public void heard(Reading notice) {
+        context.notices().add(notice);
     }
 
-    /** How often what is open was looked after; for tests that move the clock. */
+    /** The number of completed sweeps over client connections; for tests that move the clock. */
     public long looks() {
-        return all.clients().looks();
+        return context.clientConnections().sweepCount();
     }
 
-    /** How many requests are open. */
+    /** The number of open requests. */
     public int open() {
-        return all.open();
+        return context.openCount();
     }
 
-    /** How many clients' connections carry a request whose answer has not left whole. */
+    /**
+     * The number of client connections with a request whose response was not sent completely. Waits for the I/O thread for
+     * up to {@value #IO_THREAD_REPLY_TIMEOUT_MILLIS} ms, then returns {@link Integer#MAX_VALUE}.
+     */
     public int unanswered() {
-        return onIoThread(all.clients()::busy);
+        return askIoThread(context.clientConnections()::countBusy);
     }
 
-    /** Asks on the I/O thread and waits; the most there can be where that thread does not reply in time. */
-    private int onIoThread(IntSupplier ask) {
+    /** Runs a query on the I/O thread and waits for its result; the greatest int if that thread does not reply in time. */
+    private int askIoThread(IntSupplier query) {
         var reply = new CompletableFuture<Integer>();
-        worker.getIoThread().execute(() -> reply.complete(ask.getAsInt()));
-        return reply.completeOnTimeout(Integer.MAX_VALUE, REPLY_MILLIS, TimeUnit.MILLISECONDS)
+        worker.getIoThread().execute(() -> reply.complete(query.getAsInt()));
+        return reply.completeOnTimeout(Integer.MAX_VALUE, IO_THREAD_REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .join();
     }
 
-    /** Is no longer ready, and has clients end their connections with their next answer. */
+    /** Starts to drain: the readiness check fails, and each client connection is closed after its next response. */
     public void leave() {
-        leaving = true;
-        worker.getIoThread().execute(handler::leave);
+        draining = true;
+        worker.getIoThread().execute(requestHandler::startDraining);
     }
 
-    /** Takes no more connections; answers under way go on. */
+    /** Stops accepting connections; requests in flight continue. */
     public void stopListening() {
-        clients.close();
-        readiness.stop();
+        clientListener.close();
+        readinessServer.stop();
     }
 
-    /** Ends every connection at once; a second call does nothing. */
+    /** Closes every connection at once; a second call does nothing. */
     @Override
     public void close() {
         if (closed.getAndSet(true)) return;
-        onIoThread(() -> {
-            all.close();
+        askIoThread(() -> {
+            context.close();
             return 0;
         });
         stopListening();
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -11,338 +11,376 @@
 import java.util.Set;
 import org.xnio.XnioExecutor;
 
-/** One request from its last byte to the end of its answer: sent at most once unless its route allows more. */
+/**
+ * Handles one client request from the moment its body is complete until its response has ended: selects a runner, sends
+ * the request, relays the response, and retries or fails over where the route allows it. A request is sent at most once
+ * unless its route allows more. All methods run on the one I/O thread. Times are microseconds.
+ */
 final class RequestExchange {
-    /** How long a router that has just started waits for its manifest and the runners it names. */
-    static final long STARTING = 1_200_000;
+    /** How long requests wait on a router that has just started, until its manifest and runners are known. */
+    static final long STARTUP_WAIT_MICROS = 1_200_000;
 
-    private static final long CONNECT = 400_000;
-    private static final long AGAIN = 25_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 400_000;
 
-    private final RequestContext all;
+    /** Delay before runner selection is repeated, if no runner is available or the selected one is crowded. */
+    private static final long SELECTION_RETRY_DELAY_MICROS = 25_000;
+
+    private final ProxyContext context;
     private final IncomingRequest request;
-    private final AnswerRelay answer;
-    private final ClientPresence client;
+    private final ResponseRelay response;
+    private final ClientDisconnectDetector disconnectDetector;
     private final Route route;
-    private final AnswerTiming timing = new AnswerTiming();
-    private final Set<String> tried = new HashSet<>();
-    private ExchangeState state = ExchangeState.PLACING;
+    private final ResponseTiming timing = new ResponseTiming();
+    private final Set<String> triedRunnerIds = new HashSet<>();
+    private ExchangeState state = ExchangeState.SELECTING_RUNNER;
     private Placer.Choice choice;
     private RunnerCall call;
     private long sentAt;
-    private String about = "";
-    private final Attempts attempts = new Attempts();
-    private XnioExecutor.Key timer;
-    private XnioExecutor.Key wake;
+    private String choiceDescription = "";
+    private final AttemptHistory attempts = new AttemptHistory();
+    private XnioExecutor.Key deadlineTimer;
+    private XnioExecutor.Key selectionTimer;
 
     RequestExchange(
-            RequestContext all, HttpServerExchange x, ClientPresence client, Route route, byte[] body, long begun) {
-        this.all = all;
-        request = new IncomingRequest(x, all.names(), route, body, begun);
+            ProxyContext context,
+            HttpServerExchange exchange,
+            ClientDisconnectDetector disconnectDetector,
+            Route route,
+            byte[] body,
+            long receivedAt) {
+        this.context = context;
+        request = new IncomingRequest(exchange, context.names(), route, body, receivedAt);
         this.route = route;
-        answer = new AnswerRelay(
-                new ClientAnswer(x, this::abandoned), route, all.names().weightVersions());
-        this.client = client;
+        response = new ResponseRelay(
+                new ClientResponse(exchange, this::abandon),
+                route,
+                context.names().weightVersions());
+        this.disconnectDetector = disconnectDetector;
     }
 
-    void begin() {
-        all.add(this);
-        var now = all.now();
-        all.budget().request(now);
-        timer = all.after(request.deadline - now, this::late);
-        place();
+    /** Starts the deadline timer and selects the first runner. */
+    void start() {
+        context.add(this);
+        var now = context.now();
+        context.retryBudget().request(now);
+        deadlineTimer = context.schedule(request.deadlineAt - now, this::handleDeadline);
+        selectRunner();
     }
 
-    private void place() {
-        if (state == ExchangeState.OVER) return;
-        var now = all.now();
-        all.refresh();
-        if (attempts.sent() > 0 && !mayAgain(now)) {
-            giveUp(StatusCodes.BAD_GATEWAY, "no further try is left");
+    /**
+     * Selects a runner and sends the request to it. A first attempt waits for up to 40% of the route's target while the
+     * best runner is crowded.
+     */
+    private void selectRunner() {
+        if (state == ExchangeState.FINISHED) return;
+        var now = context.now();
+        context.refreshRunners();
+        if (attempts.sentCount() > 0 && !acquireRetry(now)) {
+            fail(StatusCodes.BAD_GATEWAY, "no further try is left");
             return;
         }
-        var c = all.placer().choose(route, request.service, request.prompt, tried, now);
-        if (c == null) waitOrDecline(now);
-        else if (all.placer().crowds(c, now) && now - request.begun < route.target() * 4 / 10 && attempts.sent() == 0)
-            wake = all.after(AGAIN, this::place);
-        else send(c, now);
+        var selected = context.placer().choose(route, request.service, request.prompt, triedRunnerIds, now);
+        if (selected == null) waitOrFail(now);
+        else if (context.placer().crowds(selected, now)
+                && now - request.receivedAt < route.target() * 4 / 10
+                && attempts.sentCount() == 0)
+            selectionTimer = context.schedule(SELECTION_RETRY_DELAY_MICROS, this::selectRunner);
+        else sendTo(selected, now);
     }
 
-    private boolean mayAgain(long now) {
-        return attempts.sent() < route.tries()
-                && all.budget().take(all.placer().routers().size(), now);
+    /** Takes one retry from the route's tries and from the retry budget; returns false if none is left. */
+    private boolean acquireRetry(long now) {
+        return attempts.sentCount() < route.tries()
+                && context.retryBudget().take(context.placer().routers().size(), now);
     }
 
-    private void waitOrDecline(long now) {
-        if (answer.begun()) {
-            cut("no runner to go on with");
+    /** No runner is available: schedules another selection, or fails if the request has waited for too long. */
+    private void waitOrFail(long now) {
+        if (response.isStarted()) {
+            abortResponse("no runner to go on with");
             return;
         }
-        if (attempts.sent() > 0 || now - request.begun > patience()) {
-            giveUp(StatusCodes.BAD_GATEWAY, "no runner may take it");
+        if (attempts.sentCount() > 0 || now - request.receivedAt > maxSelectionWait()) {
+            fail(StatusCodes.BAD_GATEWAY, "no runner may take it");
             return;
         }
-        tried.clear();
-        wake = all.after(AGAIN, this::place);
+        triedRunnerIds.clear();
+        selectionTimer = context.schedule(SELECTION_RETRY_DELAY_MICROS, this::selectRunner);
     }
 
-    private long patience() {
-        return all.pool().knows(request.service) ? Math.max(100_000, route.target() / 4) : STARTING;
+    /** How long the request may wait for a runner, in microseconds. */
+    private long maxSelectionWait() {
+        return context.pool().knows(request.service) ? Math.max(100_000, route.target() / 4) : STARTUP_WAIT_MICROS;
     }
 
-    private void send(Placer.Choice c, long now) {
-        choice = c;
-        attempts.begin();
-        tried.add(c.runner().id());
-        state = ExchangeState.SENT;
+    private void sendTo(Placer.Choice selected, long now) {
+        choice = selected;
+        attempts.start();
+        triedRunnerIds.add(selected.runner().id());
+        state = ExchangeState.AWAITING_RESPONSE;
         sentAt = now;
-        all.placer().started(c, request.prompt, now);
-        all.tell(c, request.prompt);
-        about = c.about();
+        context.placer().started(selected, request.prompt, now);
+        context.announceReading(selected, request.prompt);
+        choiceDescription = selected.about();
         call = new RunnerCall(
-                all.connections(),
-                c.runner().address(),
-                request.head(c, now, answer.goesOnWith()),
+                context.runnerConnections(),
+                selected.runner().address(),
+                request.headFor(selected, now, response.streamToContinue()),
                 request.body,
-                new Heard(c));
-        call.start(route.repeatable(), CONNECT);
+                new ResponseListener(selected));
+        call.start(route.repeatable(), CONNECT_TIMEOUT_MICROS);
     }
 
-    private void release() {
+    private void releaseRunner() {
         if (choice == null) return;
-        all.placer().ended(choice, request.prompt);
+        context.placer().ended(choice, request.prompt);
         choice = null;
     }
 
-    private void heard() {
-        var now = all.now();
-        timing.heard(now);
+    private void recordDataReceived() {
+        var now = context.now();
+        timing.recordData(now);
         choice.runner().heard(now);
     }
 
-    /** Looks whether the client still waits and the runner still speaks. */
-    void look(long now) {
-        if (client.gone()) clientLeft();
-        else if (choice != null) lookAtSilence(now);
+    /** Checks whether the client is still connected and whether the runner still responds. */
+    void check(long now) {
+        if (disconnectDetector.checkDisconnected()) handleClientDisconnect();
+        else if (choice != null) checkRunnerSilence(now);
     }
 
-    /** What runs once runs to its end without its client, since its effect may be half done; all else ends at once. */
-    private void clientLeft() {
-        if (route.kind() != Route.Kind.ONCE || choice == null) abandoned();
+    /**
+     * Abandons the request, unless its route allows only one run and it was sent: such a run continues to its end without
+     * its client, since its effect may be half done.
+     */
+    private void handleClientDisconnect() {
+        if (route.kind() != Route.Kind.ONCE || choice == null) abandon();
     }
 
-    /** What may be repeated goes on elsewhere when its runner is silent, everything else waits for its end. */
-    private void lookAtSilence(long now) {
-        var waits = state == ExchangeState.SENT;
-        var silent = waits
-                ? RunnerSilence.beforeItsAnswer(choice, sentAt, now)
-                : RunnerSilence.withinItsAnswer(choice, timing.heardAt(), now);
+    /** If the runner is silent, a request that may be repeated fails over to another one; any other keeps waiting. */
+    private void checkRunnerSilence(long now) {
+        var awaitingResponse = state == ExchangeState.AWAITING_RESPONSE;
+        var silent = awaitingResponse
+                ? RunnerSilenceDetector.isSilentBeforeResponse(choice, sentAt, now)
+                : RunnerSilenceDetector.isSilentDuringResponse(choice, timing.lastDataAt(), now);
         if (!silent) return;
-        all.silent(choice.runner());
-        if (waits ? route.repeatable() : answer.resumable()) elsewhere(now);
+        context.reportSilent(choice.runner());
+        if (awaitingResponse ? route.repeatable() : response.isResumable()) failOver(now);
     }
 
-    private void elsewhere(long now) {
-        if (attempts.sent() >= route.tries()) return;
-        var c = all.placer().choose(route, request.service, request.prompt, tried, now);
-        if (c == null
-                || c.runner().suspected(now)
-                || !all.budget().take(all.placer().routers().size(), now)) return;
+    /** Moves the request to another runner, if a try, a runner that is not suspected and retry budget are available. */
+    private void failOver(long now) {
+        if (attempts.sentCount() >= route.tries()) return;
+        var selected = context.placer().choose(route, request.service, request.prompt, triedRunnerIds, now);
+        if (selected == null
+                || selected.runner().suspected(now)
+                || !context.retryBudget().take(context.placer().routers().size(), now)) return;
         call.cancel();
-        release();
-        if (answer.begun()) answer.resume();
-        send(c, now);
+        releaseRunner();
+        if (response.isStarted()) response.resume();
+        sendTo(selected, now);
     }
 
-    /** The runner says that it did not run it: another may. */
-    private void notRun() {
-        release();
-        state = ExchangeState.PLACING;
-        place();
+    /** The request is known not to have run on the selected runner: another one may run it. */
+    private void handleNotRun() {
+        releaseRunner();
+        state = ExchangeState.SELECTING_RUNNER;
+        selectRunner();
     }
 
-    private void brokenOff(String cause) {
-        release();
-        state = ExchangeState.PLACING;
-        if (answer.begun()) {
-            if (!answer.resumable()) {
-                cut(cause);
+    /** The attempt broke off and may have run: retries or resumes where the route allows it, otherwise fails. */
+    private void handleBroken(String cause) {
+        releaseRunner();
+        state = ExchangeState.SELECTING_RUNNER;
+        if (response.isStarted()) {
+            if (!response.isResumable()) {
+                abortResponse(cause);
                 return;
             }
-            answer.resume();
-            place();
+            response.resume();
+            selectRunner();
         } else if (route.repeatable()) {
-            place();
+            selectRunner();
         } else {
-            over();
-            all.note(Event.CUT_STREAM, route.name() + " " + request.tryId + " may have run: " + cause);
-            answer.own(StatusCodes.BAD_GATEWAY, null, "the runner broke off; it may have run");
+            finish();
+            context.logEvent(Event.CUT_STREAM, route.name() + " " + request.tryId + " may have run: " + cause);
+            response.sendProblem(StatusCodes.BAD_GATEWAY, null, "the runner broke off; it may have run");
         }
     }
 
-    private void late() {
-        if (state == ExchangeState.OVER) return;
+    private void handleDeadline() {
+        if (state == ExchangeState.FINISHED) return;
         if (call != null) call.cancel();
-        release();
-        giveUp(StatusCodes.GATEWAY_TIME_OUT, "the deadline passed");
+        releaseRunner();
+        fail(StatusCodes.GATEWAY_TIME_OUT, "the deadline passed");
     }
 
-    /** Ends it; {@code unknown} is the status where it may have run, else the answer promises that it has not. */
-    private void giveUp(int unknown, String cause) {
-        if (answer.begun()) {
-            cut(cause);
+    /**
+     * Ends the request as failed. A started response is aborted.
+     *
+     * @param statusIfMayHaveRun the status if some attempt may have run; otherwise the response is 503, which promises
+     *     that the request has not run
+     */
+    private void fail(int statusIfMayHaveRun, String cause) {
+        if (response.isStarted()) {
+            abortResponse(cause);
             return;
         }
-        over();
-        if (attempts.mayHaveRun()) answer.own(unknown, null, cause);
+        finish();
+        if (attempts.mayHaveRun()) response.sendProblem(statusIfMayHaveRun, null, cause);
         else
-            answer.own(
+            response.sendProblem(
                     StatusCodes.SERVICE_UNAVAILABLE,
-                    all.retryAfter(route, request.service),
+                    context.retryAfterSeconds(route, request.service),
                     cause + "; it did not run");
     }
 
-    /** This router stops: an answer under way is cut, a request without one ends with its connection. */
+    /** Ends the request because this router stops: closes the client's connection, whether a response started or not. */
     void stop() {
-        if (state == ExchangeState.OVER) return;
+        if (state == ExchangeState.FINISHED) return;
         if (call != null) call.cancel();
-        cut("this router stops");
+        abortResponse("router is stopping");
     }
 
-    private void cut(String cause) {
-        release();
-        over();
-        all.note(Event.CUT_STREAM, route.name() + " " + request.tryId + ": " + cause);
-        answer.cut();
+    private void abortResponse(String cause) {
+        releaseRunner();
+        finish();
+        context.logEvent(Event.CUT_STREAM, route.name() + " " + request.tryId + ": " + cause);
+        response.abort();
     }
 
-    /** The requester went away. */
-    private void abandoned() {
-        if (state == ExchangeState.OVER) return;
+    /** Ends the request without a response, since the client has disconnected. */
+    private void abandon() {
+        if (state == ExchangeState.FINISHED) return;
         if (call != null) call.cancel();
-        release();
-        over();
+        releaseRunner();
+        finish();
     }
 
-    private void over() {
-        state = ExchangeState.OVER;
-        if (timer != null) timer.remove();
-        if (wake != null) wake.remove();
-        all.remove(this);
+    private void finish() {
+        state = ExchangeState.FINISHED;
+        if (deadlineTimer != null) deadlineTimer.remove();
+        if (selectionTimer != null) selectionTimer.remove();
+        context.remove(this);
     }
 
-    private final class Heard implements RunnerCall.Sink {
-        private final Placer.Choice mine;
+    /** Handles the callbacks of one attempt; ignores them once the request has finished or moved to another runner. */
+    private final class ResponseListener implements RunnerCall.Listener {
+        private final Placer.Choice attemptChoice;
 
-        Heard(Placer.Choice mine) {
-            this.mine = mine;
+        ResponseListener(Placer.Choice attemptChoice) {
+            this.attemptChoice = attemptChoice;
         }
 
-        private boolean stale() {
-            return state == ExchangeState.OVER || choice != mine;
+        private boolean isStale() {
+            return state == ExchangeState.FINISHED || choice != attemptChoice;
         }
 
         @Override
-        public void refused(String cause) {
-            if (stale()) return;
-            mine.runner().suspect(all.now());
-            attempts.neverLeft();
-            notRun();
+        public void onNotSent(String cause) {
+            if (isStale()) return;
+            attemptChoice.runner().suspect(context.now());
+            attempts.markNeverSent();
+            handleNotRun();
         }
 
         @Override
-        public void head(int status, HeaderMap h) {
-            if (stale()) return;
-            var n = all.names();
-            var verdict = AnswerVerdict.of(status, h, request.tryId, call.fresh(), n);
-            if (verdict == AnswerVerdict.UNUSABLE) {
-                foreign();
+        public void onHead(int status, HeaderMap headers) {
+            if (isStale()) return;
+            var names = context.names();
+            var outcome = ResponseOutcome.of(status, headers, request.tryId, call.isFreshConnection(), names);
+            if (outcome == ResponseOutcome.UNUSABLE) {
+                handleUnusableResponse();
                 return;
             }
-            choice.runner().heard(all.now());
-            all.load(choice.runner(), h.getFirst(n.load()));
-            if (verdict == AnswerVerdict.NOT_RUN) {
-                if (status == AnswerVerdict.MISDIRECTED && !answer.expectsVersion()) all.misdirected(choice.runner());
+            choice.runner().heard(context.now());
+            context.recordLoad(choice.runner(), headers.getFirst(names.load()));
+            if (outcome == ResponseOutcome.NOT_RUN) {
+                if (status == ResponseOutcome.MISDIRECTED_STATUS && !response.expectsWeightVersion())
+                    context.markReplaced(choice.runner());
                 call.cancel();
-                attempts.turnedAway();
-                notRun();
-            } else if (verdict == AnswerVerdict.FAILURE
-                    && !answer.begun()
+                attempts.markRejected();
+                handleNotRun();
+            } else if (outcome == ResponseOutcome.FAILURE
+                    && !response.isStarted()
                     && route.repeatable()
                     && status >= StatusCodes.INTERNAL_SERVER_ERROR
-                    && attempts.sent() < route.tries()) {
+                    && attempts.sentCount() < route.tries()) {
                 call.cancel();
-                brokenOff("status " + status);
+                handleBroken("runner responded with status " + status);
             } else {
-                begin(status, h);
+                startRelaying(status, headers);
             }
         }
 
-        private void foreign() {
+        private void handleUnusableResponse() {
             call.cancel();
-            brokenOff("an answer that is not this request's own");
+            handleBroken("runner's response is malformed or belongs to another request");
         }
 
-        private void begin(int status, HeaderMap h) {
-            state = ExchangeState.ANSWERING;
-            if (answer.begin(status, h, request.lastEventId())) return;
+        private void startRelaying(int status, HeaderMap headers) {
+            state = ExchangeState.RELAYING_RESPONSE;
+            if (response.startRun(status, headers, request.lastEventId())) return;
             call.cancel();
-            cut("the next runner answered " + status + ", or with other weights");
+            abortResponse("stream cannot be resumed: next runner responded with status " + status
+                    + " or another weight version");
         }
 
         @Override
-        public void chunk(ByteBuffer b) {
-            if (stale()) return;
-            heard();
-            switch (answer.take(b)) {
-                case PASSED_ON -> {}
+        public void onData(ByteBuffer data) {
+            if (isStale()) return;
+            recordDataReceived();
+            switch (response.relay(data)) {
+                case RELAYED -> {}
                 case CLIENT_IS_SLOW -> {
                     call.pause();
-                    answer.whenDrained(call::resume);
+                    response.whenDrained(call::resume);
                 }
-                case DOES_NOT_FOLLOW -> {
+                case OUT_OF_SEQUENCE -> {
                     call.cancel();
-                    cut("the runner does not go on where the stream stands");
+                    abortResponse("runner's events do not follow the last relayed event");
                 }
             }
         }
 
         @Override
-        public void end() {
-            if (stale()) return;
-            heard();
-            if (!call.endedByClose()) whole();
-            else if (!answer.mayEnd()) broken("the connection closed within an event");
-            else all.connections().alive(mine.runner().address(), CONNECT, this::lives);
+        public void onEnd() {
+            if (isStale()) return;
+            recordDataReceived();
+            if (!call.endedByClose()) completeResponse();
+            else if (!response.mayEnd()) onBroken("connection closed within an event");
+            else
+                context.runnerConnections()
+                        .probe(attemptChoice.runner().address(), CONNECT_TIMEOUT_MICROS, this::handleProbeResult);
         }
 
-        /** The end of the connection was the end of the answer only where its runner lives on. */
-        private void lives(boolean alive) {
-            if (stale()) return;
-            if (alive) whole();
-            else broken("the connection closed and nothing listens there any more");
+        /** A closed connection counts as the end of the response only if its runner is still alive. */
+        private void handleProbeResult(boolean alive) {
+            if (isStale()) return;
+            if (alive) completeResponse();
+            else onBroken("connection closed and runner no longer accepts connections");
         }
 
-        private void whole() {
-            timing.tellSlow(all, request, sentAt, attempts.sent(), about);
-            release();
-            over();
-            answer.end();
+        private void completeResponse() {
+            timing.logIfSlow(context, request, sentAt, attempts.sentCount(), choiceDescription);
+            releaseRunner();
+            finish();
+            response.end();
         }
 
         @Override
-        public void broken(String cause) {
-            if (stale()) return;
-            all.broke(mine.runner(), cause);
-            brokenOff(cause);
+        public void onBroken(String cause) {
+            if (isStale()) return;
+            context.recordBreak(attemptChoice.runner(), cause);
+            handleBroken(cause);
         }
 
         @Override
-        public void failed(RuntimeException fault) {
-            all.note(Event.INTERNAL, route.name() + " " + request.tryId + ": " + fault);
-            if (stale()) return;
-            release();
-            giveUp(StatusCodes.BAD_GATEWAY, "an internal fault");
+        public void onInternalFault(RuntimeException fault) {
+            context.logEvent(Event.INTERNAL, route.name() + " " + request.tryId + ": " + fault);
+            if (isStale()) return;
+            releaseRunner();
+            fail(StatusCodes.BAD_GATEWAY, "an internal fault");
         }
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
@@ -11,131 +11,146 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** One request on one connection to a runner, without blocking; every call and callback is on the one I/O thread. */
+/**
+ * Sends one request over one connection to a runner and reads the response, without blocking. Every call and callback is
+ * on the one I/O thread.
+ */
 final class RunnerCall {
-    /** Takes the answer of the runner. */
-    interface Sink {
-        /** No byte of the request left this process. */
-        void refused(String cause);
+    /**
+     * Receives the runner's response. A call ends with {@link #onNotSent}, {@link #onEnd} or {@link #onBroken}, or
+     * without any of them if it is canceled. {@link #onInternalFault} may end it too, or follow a callback that threw.
+     */
+    interface Listener {
+        /** The call failed before any byte of the request left this process. */
+        void onNotSent(String cause);
 
-        void head(int status, HeaderMap headers);
+        /** The head of the final response is complete. */
+        void onHead(int status, HeaderMap headers);
 
-        void chunk(ByteBuffer b);
+        /** Bytes of the body have arrived; they are valid during the call only. */
+        void onData(ByteBuffer data);
 
-        void end();
+        /** The response is complete. */
+        void onEnd();
 
-        /** The request may have run. */
-        void broken(String cause);
+        /** The call failed after at least one byte was sent, so the request may have run. */
+        void onBroken(String cause);
 
-        /** The answer can't be passed on further: some of its bytes are lost in this process. */
-        void failed(RuntimeException fault);
+        /** A bug in this process lost some bytes of the response, so no more of it may be relayed. */
+        void onInternalFault(RuntimeException fault);
     }
 
-    private final RunnerConnections connections;
+    private final RunnerConnectionPool connections;
     private final String address;
-    private final ByteBuffer[] request;
-    private final Sink sink;
+    private final ByteBuffer[] requestBuffers;
+    private final Listener listener;
     private final AnswerReader reader;
     private StreamConnection connection;
-    private XnioExecutor.Key timer;
-    private boolean over;
-    private boolean begun;
-    private boolean fresh;
+    private XnioExecutor.Key connectTimer;
+    private boolean finished;
+    private boolean anyByteSent;
+    private boolean freshConnection;
     private boolean paused;
-    private long connectMicros;
-    private long keptFor = RunnerConnections.UNSTATED;
+    private long connectTimeoutMicros;
+    private long keepAliveMicros = RunnerConnectionPool.NOT_STATED;
 
-    RunnerCall(RunnerConnections connections, String address, RequestHead head, byte[] body, Sink sink) {
+    RunnerCall(RunnerConnectionPool connections, String address, RequestHead head, byte[] body, Listener listener) {
         this.connections = connections;
         this.address = address;
-        this.request = new ByteBuffer[] {ByteBuffer.wrap(head.bytes()), ByteBuffer.wrap(body)};
-        this.sink = sink;
-        this.reader = new AnswerReader(head.bodilessAnswer(), new AnswerReader.Sink() {
+        this.requestBuffers = new ByteBuffer[] {ByteBuffer.wrap(head.toBytes()), ByteBuffer.wrap(body)};
+        this.listener = listener;
+        this.reader = new AnswerReader(head.hasBodilessResponse(), new AnswerReader.Listener() {
             @Override
-            public void head(int status, HeaderMap headers) {
-                keptFor = ForwardedHeaders.keptFor(headers);
-                sink.head(status, headers);
+            public void onHead(int status, HeaderMap headers) {
+                keepAliveMicros = ForwardedHeaders.keepAliveMicros(headers);
+                listener.onHead(status, headers);
             }
 
             @Override
-            public void data(ByteBuffer b) {
-                if (!over) sink.chunk(b);
+            public void onBody(ByteBuffer data) {
+                if (!finished) listener.onData(data);
             }
         });
     }
 
-    /** Whether no other request was ever sent on its connection. */
-    boolean fresh() {
-        return fresh;
+    /** Whether no other request was ever sent on this call's connection. */
+    boolean isFreshConnection() {
+        return freshConnection;
     }
 
-    /** Whether the answer had no length, so that only the end of the connection ended it. */
+    /** Whether the response had no stated length, so that only the end of the connection ended it. */
     boolean endedByClose() {
         return reader.endedByClose();
     }
 
-    /** Sends it on a kept connection or a fresh one; what may not be repeated only on one that is known to be alive. */
-    void start(boolean repeatable, long connect) {
-        connectMicros = connect;
-        var kept = connections.take(address, repeatable);
-        if (kept != null) send(kept);
+    /**
+     * Sends the request on an idle or a fresh connection. A request that must not be repeated goes only on a connection
+     * that is known to be alive.
+     */
+    void start(boolean repeatable, long timeoutMicros) {
+        connectTimeoutMicros = timeoutMicros;
+        var idle = connections.takeIdle(address, repeatable);
+        if (idle != null) sendOn(idle);
         else connect();
     }
 
     private void connect() {
-        fresh = true;
-        timer = io().executeAfter(
-                        () -> fail("connect to " + address + ": timed out"), connectMicros, TimeUnit.MICROSECONDS);
-        connections.open(address, this::opened);
+        freshConnection = true;
+        connectTimer = ioThread()
+                .executeAfter(
+                        () -> fail("connect to " + address + ": timed out"),
+                        connectTimeoutMicros,
+                        TimeUnit.MICROSECONDS);
+        connections.connect(address, this::handleConnectResult);
     }
 
-    private XnioIoThread io() {
-        return connections.io();
+    private XnioIoThread ioThread() {
+        return connections.ioThread();
     }
 
-    private void opened(StreamConnection c, String cause) {
-        if (timer != null) timer.remove();
-        if (over) {
-            if (c != null) connections.spare(address, c);
-        } else if (c == null) {
+    private void handleConnectResult(StreamConnection opened, String cause) {
+        if (connectTimer != null) connectTimer.remove();
+        if (finished) {
+            if (opened != null) connections.addUnused(address, opened);
+        } else if (opened == null) {
             fail("connect to " + address + ": " + cause);
         } else {
-            send(c);
+            sendOn(opened);
         }
     }
 
-    private void send(StreamConnection c) {
-        connection = c;
-        c.getSourceChannel().setReadListener(this::readable);
-        c.getSourceChannel().resumeReads();
-        write(c.getSinkChannel());
+    private void sendOn(StreamConnection selected) {
+        connection = selected;
+        selected.getSourceChannel().setReadListener(this::readResponse);
+        selected.getSourceChannel().resumeReads();
+        writeRequest(selected.getSinkChannel());
     }
 
-    private void write(ConduitStreamSinkChannel channel) {
-        if (over) return;
+    private void writeRequest(ConduitStreamSinkChannel channel) {
+        if (finished) return;
         try {
-            while (!written()) {
-                if (channel.write(request, 0, request.length) > 0) {
-                    begun = true;
+            while (!isFullyWritten()) {
+                if (channel.write(requestBuffers, 0, requestBuffers.length) > 0) {
+                    anyByteSent = true;
                     continue;
                 }
-                channel.setWriteListener(this::write);
+                channel.setWriteListener(this::writeRequest);
                 channel.resumeWrites();
                 return;
             }
             channel.suspendWrites();
         } catch (IOException e) {
-            unwritten(e);
+            handleWriteFailure(e);
         }
     }
 
-    private boolean written() {
-        return !request[0].hasRemaining() && !request[1].hasRemaining();
+    private boolean isFullyWritten() {
+        return !requestBuffers[0].hasRemaining() && !requestBuffers[1].hasRemaining();
     }
 
-    /** A kept connection that took no byte of it was dead already: a fresh one takes it. */
-    private void unwritten(IOException e) {
-        if (fresh || begun) {
+    /** An idle connection that accepted no byte of the request was dead before: the request goes on a fresh one. */
+    private void handleWriteFailure(IOException e) {
+        if (freshConnection || anyByteSent) {
             fail(e.toString());
             return;
         }
@@ -144,70 +159,78 @@
         connect();
     }
 
-    private void readable(ConduitStreamSourceChannel channel) {
-        if (over || paused || channel != connection.getSourceChannel()) return;
+    private void readResponse(ConduitStreamSourceChannel channel) {
+        if (finished || paused || channel != connection.getSourceChannel()) return;
         try (var pooled = connections.buffers().allocate()) {
-            var b = pooled.getBuffer();
-            while (!over && !paused) {
-                b.clear();
-                var n = channel.read(b);
-                if (n == 0) return;
-                b.flip();
-                if (n < 0) reader.closed();
-                else reader.take(b);
-                if (reader.done()) finish(n > 0 && !b.hasRemaining());
+            var buffer = pooled.getBuffer();
+            while (!finished && !paused) {
+                buffer.clear();
+                var byteCount = channel.read(buffer);
+                if (byteCount == 0) return;
+                buffer.flip();
+                if (byteCount < 0) reader.handleClose();
+                else reader.consume(buffer);
+                if (reader.isDone()) finish(byteCount > 0 && !buffer.hasRemaining());
             }
         } catch (IOException e) {
             fail(e.toString());
         } catch (RuntimeException e) {
-            failed(e);
+            abortOnFault(e);
         }
     }
 
-    /** What was in hand when it was thrown is lost; the answer must not go on behind it. */
-    private void failed(RuntimeException e) {
+    /** The bytes that were being processed when the exception was thrown are lost, so the response must not continue. */
+    private void abortOnFault(RuntimeException fault) {
         cancel();
-        sink.failed(e);
+        listener.onInternalFault(fault);
     }
 
+    /** Stops reading the response until {@link #resume()}, so that the runner is slowed down by backpressure. */
     void pause() {
         if (paused || connection == null) return;
         paused = true;
         connection.getSourceChannel().suspendReads();
     }
 
+    /** Continues to read after {@link #pause()}; reads in a later task of the I/O thread. */
     void resume() {
         if (!paused) return;
         paused = false;
-        if (over) return;
-        io().execute(() -> {
-            if (over || paused) return;
-            readable(connection.getSourceChannel());
-            if (!over && !paused) connection.getSourceChannel().resumeReads();
+        if (finished) return;
+        ioThread().execute(() -> {
+            if (finished || paused) return;
+            readResponse(connection.getSourceChannel());
+            if (!finished && !paused) connection.getSourceChannel().resumeReads();
         });
     }
 
-    /** The answer is whole; bytes behind it belong to no request and end the connection. */
-    private void finish(boolean clean) {
-        if (over) return;
-        over = true;
-        if (clean && reader.keeps() && written()) connections.give(address, connection, keptFor);
+    /**
+     * Ends the call after a complete response.
+     *
+     * @param noExtraBytes whether nothing followed the response; extra bytes belong to no request, so the connection is
+     *     closed and not reused then
+     */
+    private void finish(boolean noExtraBytes) {
+        if (finished) return;
+        finished = true;
+        if (noExtraBytes && reader.allowsReuse() && isFullyWritten())
+            connections.addIdle(address, connection, keepAliveMicros);
         else IoUtils.safeClose(connection);
-        sink.end();
+        listener.onEnd();
     }
 
     private void fail(String cause) {
-        if (over) return;
-        over = true;
-        if (timer != null) timer.remove();
+        if (finished) return;
+        finished = true;
+        if (connectTimer != null) connectTimer.remove();
         IoUtils.safeClose(connection);
-        if (begun) sink.broken(cause);
-        else sink.refused(cause);
+        if (anyByteSent) listener.onBroken(cause);
+        else listener.onNotSent(cause);
     }
 
-    /** Ends it without a callback; the connection is closed. */
+    /** Ends the call without a callback and closes the connection. */
     void cancel() {
-        over = true;
+        finished = true;
         IoUtils.safeClose(connection);
     }
 }
--- /dev/null
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerNoticeQueue.java
@@ -0,0 +1,56 @@
+package craneway.gateway.proxy;
+
+import craneway.state.message.Messages.Reading;
+import craneway.state.message.Messages.Silence;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.LongSupplier;
+
+/**
+ * Queues what other routers report about runners, with the time of arrival, until a runner is to be selected next: no
+ * thread is woken for a notice. Any thread may add; only one may drain. Times are microseconds.
+ */
+final class RunnerNoticeQueue {
+    /** Handles one notice. */
+    interface Handler<T> {
+        /** Handles a notice that arrived at the given time. */
+        void handle(T notice, long receivedAt);
+    }
+
+    private record Notice(Reading reading, Silence silence, long receivedAt) {}
+
+    /** A router that cannot keep up drops the newest notices, since each is only a hint. */
+    private static final int MAX_QUEUED_NOTICES = 4_096;
+
+    private final LongSupplier clock;
+    private final ConcurrentLinkedQueue<Notice> queue = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger size = new AtomicInteger();
+
+    RunnerNoticeQueue(LongSupplier clock) {
+        this.clock = clock;
+    }
+
+    /** Adds a notice that a runner was given tokens to prefill. */
+    void add(Reading reading) {
+        add(new Notice(reading, null, clock.getAsLong()));
+    }
+
+    /** Adds a notice that a runner is silent. */
+    void add(Silence silence) {
+        add(new Notice(null, silence, clock.getAsLong()));
+    }
+
+    private void add(Notice notice) {
+        if (size.incrementAndGet() > MAX_QUEUED_NOTICES) size.decrementAndGet();
+        else queue.add(notice);
+    }
+
+    /** Removes all queued notices and passes them to the handlers in the order of their arrival. */
+    void drain(Handler<Reading> readingHandler, Handler<Silence> silenceHandler) {
+        for (var notice = queue.poll(); notice != null; notice = queue.poll()) {
+            size.decrementAndGet();
+            if (notice.reading != null) readingHandler.handle(notice.reading, notice.receivedAt);
+            else silenceHandler.handle(notice.silence, notice.receivedAt);
+        }
+    }
+}
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/StreamEvent.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/StreamEvent.java
@@ -2,59 +2,63 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The fields of one event of a stream that matter here (WHATWG HTML, 9.2.6), taken line by line. Decides without I/O. */
+/**
+ * Collects the relevant fields of one server-sent event (WHATWG HTML, 9.2.6), line by line: its id, its weight version and
+ * whether it has data. No I/O.
+ */
 final class StreamEvent {
-    private static final String ID = "id:";
-    private static final String DATA = "data";
+    private static final String ID_FIELD = "id:";
+    private static final String DATA_FIELD = "data";
 
     private final byte[] bytes;
     private final String versionField;
     private String id;
-    private String version;
-    private boolean data;
+    private String weightVersion;
+    private boolean hasData;
 
     /**
-     * Makes an event that has no line yet.
+     * Creates an event without lines.
      *
-     * @param bytes where its lines stand
-     * @param versionField the name, in lower case and with its colon, of the field that tells another weight version
+     * @param bytes the array that contains its lines
+     * @param versionField the name of the field that states a new weight version, in lower case and with its colon
      */
     StreamEvent(byte[] bytes, String versionField) {
         this.bytes = bytes;
         this.versionField = versionField;
     }
 
-    /** Takes a line; false for the empty one that ends the event. */
-    boolean line(int from, int end) {
-        var to = end > from && bytes[end - 1] == '\r' ? end - 1 : end;
-        if (to == from) return false;
-        if (begins(from, to, ID)) id = text(from + ID.length(), to);
-        else if (begins(from, to, DATA)) data = true;
-        else if (begins(from, to, versionField)) version = text(from + versionField.length(), to);
+    /** Adds the line from {@code start} to {@code end}; returns false if it is the empty line that ends the event. */
+    boolean addLine(int start, int end) {
+        var contentEnd = end > start && bytes[end - 1] == '\r' ? end - 1 : end;
+        if (contentEnd == start) return false;
+        if (startsWith(start, contentEnd, ID_FIELD)) id = text(start + ID_FIELD.length(), contentEnd);
+        else if (startsWith(start, contentEnd, DATA_FIELD)) hasData = true;
+        else if (startsWith(start, contentEnd, versionField))
+            weightVersion = text(start + versionField.length(), contentEnd);
         return true;
     }
 
-    /** Its id, null for none. */
+    /** The event's id, null if it has none. */
     String id() {
         return id;
     }
 
-    /** The weight version that it tells, null for none. */
-    String version() {
-        return version;
+    /** The weight version that the event states, null if it states none. */
+    String weightVersion() {
+        return weightVersion;
     }
 
     boolean hasData() {
-        return data;
+        return hasData;
     }
 
-    private boolean begins(int from, int to, String name) {
-        if (to - from < name.length()) return false;
-        for (var i = 0; i < name.length(); i++) if (bytes[from + i] != name.charAt(i)) return false;
+    private boolean startsWith(int start, int end, String field) {
+        if (end - start < field.length()) return false;
+        for (var i = 0; i < field.length(); i++) if (bytes[start + i] != field.charAt(i)) return false;
         return true;
     }
 
-    private String text(int from, int to) {
-        return new String(bytes, from, to - from, StandardCharsets.UTF_8).trim();
+    private String text(int start, int end) {
+        return new String(bytes, start, end - start, StandardCharsets.UTF_8).trim();
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/StreamPosition.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/StreamPosition.java
@@ -3,124 +3,134 @@
 import java.nio.ByteBuffer;
 
 /**
- * Where a stream of events stands: id and weight version of the last event passed on, and whether the events that come
- * next follow it. Ids rise; where they are whole numbers a run that goes on leaves out no more than the stream's largest
- * step so far, and it is of the same weights. Decides without I/O.
+ * Tracks the position of an event stream: id and weight version of the last event relayed. It checks that each event
+ * follows the one before. Ids must ascend. A run that continues the stream must have the same weight version and, if ids
+ * are whole numbers, must skip no more than the largest step between two ids so far. No I/O. Not thread-safe.
  */
 final class StreamPosition {
-    private static final int MOST_DIGITS = 18;
-    private static final int NO_NUMBER = -1;
+    private static final int MAX_NUMBER_DIGITS = 18;
+    private static final int NOT_A_NUMBER = -1;
 
-    private String lastId;
-    private long lastNumber = NO_NUMBER;
+    private String lastEventId;
+    private long lastEventNumber = NOT_A_NUMBER;
     private long largestStep;
     private boolean resumable;
-    private boolean joining;
-    private boolean any;
+    private boolean awaitingContinuation;
+    private boolean hasEvents;
     private final String versionField;
-    private String version;
+    private String weightVersion;
 
     /**
-     * Makes the position of a stream that begins.
+     * Creates the position of a new stream.
      *
-     * @param after the id after which the client asked the stream to go on, null where it asked for the whole
-     * @param versionField the field by which an event tells another version of the weights
+     * @param afterEventId the id after which the client asked the stream to continue, null if it asked for all of it
+     * @param versionField the field in which an event states that the weight version changed
      */
-    StreamPosition(String after, String versionField) {
+    StreamPosition(String afterEventId, String versionField) {
         this.versionField = versionField;
-        if (after == null || after.isBlank()) return;
-        lastId = after.trim();
-        lastNumber = number(lastId);
-        joining = true;
+        if (afterEventId == null || afterEventId.isBlank()) return;
+        lastEventId = afterEventId.trim();
+        lastEventNumber = parseNumber(lastEventId);
+        awaitingContinuation = true;
     }
 
-    /** The id of the last event passed on, or the one after which the client asked the stream to go on; null for none. */
-    String lastId() {
-        return lastId;
+    /** The id of the last event relayed, or the one after which the client asked to continue; null if neither exists. */
+    String lastEventId() {
+        return lastEventId;
     }
 
-    /** Whether another run may go on: an event was passed on, and the last one that carried data had an id. */
-    boolean resumable() {
+    /** Whether another run may continue: an event was relayed, and the last one that carried data had an id. */
+    boolean isResumable() {
         return resumable;
     }
 
-    /** Whether any event was passed on. */
-    boolean any() {
-        return any;
+    /** Whether any event with data or an id was relayed. */
+    boolean hasEvents() {
+        return hasEvents;
     }
 
-    /** The version of the weights that made the last event passed on; null where none was told. */
-    String version() {
-        return version;
+    /** The weight version that produced the last event relayed; null if none was stated. */
+    String weightVersion() {
+        return weightVersion;
     }
 
-    /** A run begins whose head tells this version of the weights, null for none; false where it may not go on with these. */
-    boolean begins(String told) {
-        if (joining && version != null && told != null && !told.equals(version)) return false;
-        if (told != null) version = told;
+    /**
+     * Starts a run.
+     *
+     * @param runVersion the weight version in the head of the run's response, null if none was stated
+     * @return false if the run has another weight version and so must not continue the stream
+     */
+    boolean startRun(String runVersion) {
+        if (awaitingContinuation && weightVersion != null && runVersion != null && !runVersion.equals(weightVersion))
+            return false;
+        if (runVersion != null) weightVersion = runVersion;
         return true;
     }
 
-    /** The events that come next are of another run, which is to go on after the last id. */
+    /** Prepares for the events of another run, which must continue after the last id. */
     void resume() {
-        joining = true;
+        awaitingContinuation = true;
     }
 
-    /** Looks at whole events before they are passed on; false where one does not follow the one before it. */
-    boolean follows(ByteBuffer events) {
+    /** Moves past complete events; returns false as soon as one does not follow the one before it. */
+    boolean advance(ByteBuffer events) {
         var bytes = events.array();
         var end = events.arrayOffset() + events.limit();
         var event = new StreamEvent(bytes, versionField);
-        for (var at = events.arrayOffset() + events.position(); at < end; ) {
-            var lineEnd = lineEnd(bytes, at, end);
-            if (!event.line(at, lineEnd)) {
-                if (!passed(event)) return false;
+        for (var lineStart = events.arrayOffset() + events.position(); lineStart < end; ) {
+            var lineEnd = findLineEnd(bytes, lineStart, end);
+            if (!event.addLine(lineStart, lineEnd)) {
+                if (!accept(event)) return false;
                 event = new StreamEvent(bytes, versionField);
             }
-            at = lineEnd + 1;
+            lineStart = lineEnd + 1;
         }
         return true;
     }
 
-    private static int lineEnd(byte[] bytes, int from, int end) {
-        var at = from;
-        while (at < end && bytes[at] != '\n') at++;
-        return at;
+    private static int findLineEnd(byte[] bytes, int from, int end) {
+        var index = from;
+        while (index < end && bytes[index] != '\n') index++;
+        return index;
     }
 
-    private boolean passed(StreamEvent event) {
-        if (event.version() != null) version = event.version();
+    private boolean accept(StreamEvent event) {
+        if (event.weightVersion() != null) weightVersion = event.weightVersion();
         if (event.id() == null) {
             if (event.hasData()) resumable = false;
-            any |= event.hasData();
+            hasEvents |= event.hasData();
             return true;
         }
-        var number = number(event.id());
-        if (joining ? !goesOn(event.id(), number) : !rises(event.id(), number)) return false;
-        if (!joining && number > lastNumber && lastNumber != NO_NUMBER)
-            largestStep = Math.max(largestStep, number - lastNumber);
-        joining = false;
-        lastId = event.id();
-        lastNumber = number;
+        var number = parseNumber(event.id());
+        if (awaitingContinuation ? !continuesStream(event.id(), number) : !isAscending(event.id(), number))
+            return false;
+        if (!awaitingContinuation && number > lastEventNumber && lastEventNumber != NOT_A_NUMBER)
+            largestStep = Math.max(largestStep, number - lastEventNumber);
+        awaitingContinuation = false;
+        lastEventId = event.id();
+        lastEventNumber = number;
         resumable = true;
-        any = true;
+        hasEvents = true;
         return true;
     }
 
-    private boolean rises(String id, long number) {
-        if (lastId == null) return true;
-        if (number == NO_NUMBER || lastNumber == NO_NUMBER) return !id.equals(lastId);
-        return number > lastNumber;
+    /** Whether the id is greater than the last one or, unless both are whole numbers, differs from it. */
+    private boolean isAscending(String id, long number) {
+        if (lastEventId == null) return true;
+        if (number == NOT_A_NUMBER || lastEventNumber == NOT_A_NUMBER) return !id.equals(lastEventId);
+        return number > lastEventNumber;
     }
 
-    private boolean goesOn(String id, long number) {
-        if (!rises(id, number)) return false;
-        var known = lastNumber != NO_NUMBER && number != NO_NUMBER && largestStep > 0;
-        return !known || number - lastNumber <= largestStep;
+    /** Whether the first event of a continuing run ascends and, as far as step sizes are known, skips no event. */
+    private boolean continuesStream(String id, long number) {
+        if (!isAscending(id, number)) return false;
+        var stepKnown = lastEventNumber != NOT_A_NUMBER && number != NOT_A_NUMBER && largestStep > 0;
+        return !stepKnown || number - lastEventNumber <= largestStep;
     }
 
-    private static long number(String id) {
-        var whole = !id.isEmpty() && id.length() <= MOST_DIGITS && id.chars().allMatch(c -> c >= '0' && c <= '9');
-        return whole ? Long.parseLong(id) : NO_NUMBER;
+    private static long parseNumber(String id) {
+        var wholeNumber =
+                !id.isEmpty() && id.length() <= MAX_NUMBER_DIGITS && id.chars().allMatch(c -> c >= '0' && c <= '9');
+        return wholeNumber ? Long.parseLong(id) : NOT_A_NUMBER;
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/StreamRelay.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/StreamRelay.java
@@ -6,83 +6,86 @@
 import java.nio.ByteBuffer;
 import java.util.Locale;
 
-/** The events of one client's stream, from one run or from several that go on after one another. Decides without I/O. */
+/**
+ * Relays the event stream of one client, which may come from several runs that continue one another, and checks that
+ * their events follow one another. No I/O. Not thread-safe.
+ */
 final class StreamRelay {
     private final EventSplitter splitter = new EventSplitter();
     private final StreamPosition position;
-    private final HttpString versions;
-    private boolean follows = true;
-    private boolean joined;
+    private final HttpString versionHeader;
+    private boolean inSequence = true;
+    private boolean continuation;
 
     /**
-     * Makes the relay of a stream that begins.
+     * Creates the relay of a new stream.
      *
-     * @param after the id after which the client asked the stream to go on, null where it asked for the whole
-     * @param versions the header by which an answer tells the version of its weights
+     * @param afterEventId the id after which the client asked the stream to continue, null if it asked for all of it
+     * @param versionHeader the header in which a response states its weight version
      */
-    StreamRelay(String after, HttpString versions) {
-        this.versions = versions;
-        position = new StreamPosition(after, versions.toString().toLowerCase(Locale.ROOT) + ":");
-        joined = after != null;
+    StreamRelay(String afterEventId, HttpString versionHeader) {
+        this.versionHeader = versionHeader;
+        position = new StreamPosition(afterEventId, versionHeader.toString().toLowerCase(Locale.ROOT) + ":");
+        continuation = afterEventId != null;
     }
 
-    /** Whether an answer with this head is an event stream. */
-    static boolean carries(HeaderMap headers) {
-        var type = headers.getFirst(Headers.CONTENT_TYPE);
-        return type != null && type.startsWith("text/event-stream");
+    /** Whether a response with these headers is an event stream. */
+    static boolean isEventStream(HeaderMap headers) {
+        var contentType = headers.getFirst(Headers.CONTENT_TYPE);
+        return contentType != null && contentType.startsWith("text/event-stream");
     }
 
-    /** A run begins with this head; false where it may not go on with the stream, being of other weights. */
-    boolean begins(HeaderMap head) {
-        var told = head.getFirst(versions);
-        return position.begins(told == null ? null : wholeNumber(told.trim()));
+    /** Starts a run; returns false if it has another weight version and so must not continue the stream. */
+    boolean startRun(HeaderMap headers) {
+        var version = headers.getFirst(versionHeader);
+        return position.startRun(version == null ? null : wholeNumberOrNull(version.trim()));
     }
 
-    private static String wholeNumber(String text) {
+    private static String wholeNumberOrNull(String text) {
         return text.matches("\\d{1,18}") ? text : null;
     }
 
-    /** The weight version that a run has to have which goes on; null where none was told. */
-    String version() {
-        return position.version();
+    /** The weight version that a run must have to continue the stream; null if none was stated. */
+    String weightVersion() {
+        return position.weightVersion();
     }
 
-    /** Takes bytes of a run; returns the whole events to pass on, null for none. */
-    ByteBuffer take(ByteBuffer bytes) {
-        var whole = splitter.take(bytes);
-        if (whole != null) follows &= position.follows(whole);
-        return whole;
+    /** Adds bytes of a run; returns the complete events to relay, or null if there are none yet. */
+    ByteBuffer addBytes(ByteBuffer bytes) {
+        var events = splitter.addBytes(bytes);
+        if (events != null) inSequence &= position.advance(events);
+        return events;
     }
 
-    /** Whether all events taken so far follow one another; where not, what was taken last must not be passed on. */
-    boolean follows() {
-        return follows;
+    /** Whether all events so far follow one another; if not, the events last returned must not be relayed. */
+    boolean isInSequence() {
+        return inSequence;
     }
 
-    /** The id of the last event passed on. */
-    String lastId() {
-        return position.lastId();
+    /** The id of the last event relayed. */
+    String lastEventId() {
+        return position.lastEventId();
     }
 
-    /** Whether another run may go on after the last event passed on. */
-    boolean resumable() {
-        return position.resumable();
+    /** Whether another run may continue after the last event relayed. */
+    boolean isResumable() {
+        return position.isResumable();
     }
 
-    /** The bytes that come next are of another run; the part of an event that the last one left is dropped. */
+    /** Prepares for the bytes of another run; an incomplete event of the previous run is dropped. */
     void resume() {
-        splitter.rest();
+        splitter.takeRemainder();
         position.resume();
-        joined = true;
+        continuation = true;
     }
 
-    /** Whether a run without a length may be over here: not within an event, nor before any. */
+    /** Whether a run without a stated length may end here: not within an event, and not before the first one. */
     boolean mayEnd() {
-        return !splitter.midEvent() && (joined || position.any());
+        return !splitter.isMidEvent() && (continuation || position.hasEvents());
     }
 
-    /** Takes what follows the last whole event. */
-    ByteBuffer rest() {
-        return ByteBuffer.wrap(splitter.rest());
+    /** Removes and returns the bytes after the last complete event. */
+    ByteBuffer takeRemainder() {
+        return ByteBuffer.wrap(splitter.takeRemainder());
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestHandler.java
@@ -18,98 +18,124 @@
 import java.util.function.LongSupplier;
 import org.xnio.IoUtils;
 
+/**
+ * Handles completion requests of clients, or those that another router forwarded, and streams their responses. A worker
+ * thread is blocked for each request in flight. Safe for several threads.
+ */
 public final class RequestHandler implements HttpHandler {
-    private static final AtomicLong IDS = new AtomicLong();
-    private static final AttachmentKey<AtomicLong> CURRENT = AttachmentKey.create(AtomicLong.class);
-    private static final long DEADLINE = 60_000_000;
+    private static final AtomicLong LAST_REQUEST_ID = new AtomicLong();
+    private static final AttachmentKey<AtomicLong> CURRENT_REQUEST_ID = AttachmentKey.create(AtomicLong.class);
+
+    /** The deadline of a request for a service that the manifest does not name. */
+    private static final long DEFAULT_DEADLINE_MICROS = 60_000_000;
 
     private final Router router;
     private final HttpCaller caller;
-    private final LongSupplier now;
+    private final LongSupplier clock;
     private final EventLog log;
     private final String path;
     private final boolean forwarded;
 
+    /**
+     * Creates a handler.
+     *
+     * @param caller sends requests to runners and other routers
+     * @param clock the steady clock, in microseconds
+     * @param path the only path that is served; any other is answered as not found
+     * @param forwarded whether requests on this path come from other routers
+     */
     public RequestHandler(
-            Router router, HttpCaller caller, LongSupplier now, EventLog log, String path, boolean forwarded) {
+            Router router, HttpCaller caller, LongSupplier clock, EventLog log, String path, boolean forwarded) {
         this.router = router;
         this.caller = caller;
-        this.now = now;
+        this.clock = clock;
         this.log = log;
         this.path = path;
         this.forwarded = forwarded;
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        if (!x.getRequestPath().equals(path)) Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
-        else if (!x.getRequestMethod().equals(Methods.POST)) Problems.send(x, Problem.of(Kind.WRONG_METHOD));
-        else x.dispatch(() -> work(x));
+    public void handleRequest(HttpServerExchange exchange) {
+        if (!exchange.getRequestPath().equals(path)) Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
+        else if (!exchange.getRequestMethod().equals(Methods.POST))
+            Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
+        else exchange.dispatch(() -> handleBlocking(exchange));
     }
 
-    private void work(HttpServerExchange x) {
+    private void handleBlocking(HttpServerExchange exchange) {
         try {
-            x.startBlocking();
-            var body = body(x);
+            exchange.startBlocking();
+            var body = readBody(exchange);
             if (body == null) {
-                x.setPersistent(false);
-                Problems.send(x, Problem.of(Kind.TOO_LARGE));
+                exchange.setPersistent(false);
+                Problems.send(exchange, Problem.of(Kind.TOO_LARGE));
                 return;
             }
-            var t = RequestReader.read(
-                    IDS.incrementAndGet(), x.getRequestHeaders(), body, forwarded, this::deadlineOf, now.getAsLong());
-            if (t.isLeft()) {
-                router.executor().counts().verdict(t.getLeft().kind());
-                Problems.send(x, t.getLeft());
+            var request = RequestReader.read(
+                    LAST_REQUEST_ID.incrementAndGet(),
+                    exchange.getRequestHeaders(),
+                    body,
+                    forwarded,
+                    this::defaultDeadline,
+                    clock.getAsLong());
+            if (request.isLeft()) {
+                router.executor().counts().verdict(request.getLeft().kind());
+                Problems.send(exchange, request.getLeft());
                 return;
             }
-            run(x, t.get());
+            relay(exchange, request.get());
         } catch (IOException e) {
-            x.endExchange();
+            exchange.endExchange();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            IoUtils.safeClose(x.getConnection());
+            IoUtils.safeClose(exchange.getConnection());
         } catch (RuntimeException e) {
             log.internal(e);
-            IoUtils.safeClose(x.getConnection());
+            IoUtils.safeClose(exchange.getConnection());
         }
     }
 
-    private void run(HttpServerExchange x, Request t) throws InterruptedException {
-        var name = router.directory().self().name;
-        var line = new UndertowExchange(x, caller, name);
-        var p = new RequestRelay(t, router.executor(), router.loads(), now, name, line);
-        current(x).set(t.id());
-        p.begin();
+    /** Runs the request and relays its response; blocks until it is finished or the client has disconnected. */
+    private void relay(HttpServerExchange exchange, Request request) throws InterruptedException {
+        var routerName = router.directory().self().name;
+        var httpExchange = new UndertowExchange(exchange, caller, routerName);
+        var relay = new RequestRelay(request, router.executor(), router.loads(), clock, routerName, httpExchange);
+        currentRequestId(exchange).set(request.id());
+        relay.begin();
         try {
-            line.run(p::over, () -> router.executor().gone(t.id()));
+            httpExchange.runSteps(relay::over, () -> router.executor().gone(request.id()));
         } finally {
-            current(x).set(0);
-            if (!p.over()) router.executor().gone(t.id());
+            currentRequestId(exchange).set(0);
+            if (!relay.over()) router.executor().gone(request.id());
         }
     }
 
-    private AtomicLong current(HttpServerExchange x) {
-        var c = x.getConnection();
-        var a = c.getAttachment(CURRENT);
-        if (a != null) return a;
-        var made = new AtomicLong();
-        c.putAttachment(CURRENT, made);
-        c.addCloseListener(y -> router.executor().gone(made.get()));
-        return made;
+    /**
+     * The id of the request in flight on the exchange's connection, 0 if there is none. When the connection is closed, the
+     * executor is told that this request's client has disconnected.
+     */
+    private AtomicLong currentRequestId(HttpServerExchange exchange) {
+        var connection = exchange.getConnection();
+        var attached = connection.getAttachment(CURRENT_REQUEST_ID);
+        if (attached != null) return attached;
+        var created = new AtomicLong();
+        connection.putAttachment(CURRENT_REQUEST_ID, created);
+        connection.addCloseListener(c -> router.executor().gone(created.get()));
+        return created;
     }
 
-    private byte[] body(HttpServerExchange x) throws IOException {
+    private byte[] readBody(HttpServerExchange exchange) throws IOException {
         try {
-            return x.getInputStream().readAllBytes();
+            return exchange.getInputStream().readAllBytes();
         } catch (RequestTooBigException e) {
             return null;
         }
     }
 
-    private long deadlineOf(String service) {
-        var m = router.membership().view().manifest();
-        var s = m == null ? null : m.service(service);
-        return s == null ? DEADLINE : s.deadline();
+    /** The time that a request for this service has if it states no deadline, in microseconds. */
+    private long defaultDeadline(String serviceName) {
+        var manifest = router.membership().view().manifest();
+        var service = manifest == null ? null : manifest.service(serviceName);
+        return service == null ? DEFAULT_DEADLINE_MICROS : service.deadline();
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestReader.java
@@ -19,98 +19,119 @@
 import java.util.Set;
 import java.util.function.ToLongFunction;
 
+/** Parses and validates a completion request from its headers and JSON body. */
 public final class RequestReader {
     private static final JsonMapper JSON = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
-    private static final Set<String> FIELDS =
+    private static final Set<String> KNOWN_FIELDS =
             Set.of("model", "messages", "stream", "max_tokens", "temperature", "top_p", "stop", "seed", "user");
-    private static final int PREFIX = 1_024;
+
+    /** How many characters of the first message are hashed as the prompt's prefix. */
+    private static final int MAX_PREFIX_CHARS = 1_024;
 
     private RequestReader() {}
 
+    /**
+     * Parses a request.
+     *
+     * @param id the id that the request gets in this process
+     * @param forwarded whether another router forwarded the request
+     * @param defaultDeadline returns the time in microseconds that a request for a service has if it states no deadline
+     * @param now the time by the steady clock, in microseconds
+     * @return the request, or the problem to send to the client
+     */
     public static Either<Problem, Request> read(
-            long id, HeaderMap h, byte[] body, boolean forwarded, ToLongFunction<String> deadlineOf, long now) {
-        JsonNode n;
+            long id,
+            HeaderMap headers,
+            byte[] body,
+            boolean forwarded,
+            ToLongFunction<String> defaultDeadline,
+            long now) {
+        JsonNode root;
         try {
-            n = JSON.readTree(body);
+            root = JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            return no(Kind.BAD_JSON, "the body is not well-formed JSON: " + e.getOriginalMessage());
+            return problem(Kind.BAD_JSON, "the body is not well-formed JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            return no(Kind.BAD_JSON, e.getMessage());
+            return problem(Kind.BAD_JSON, e.getMessage());
         }
-        var wrong = wrong(n);
-        if (wrong != null) return no(Kind.BAD_FIELD, wrong);
-        var tenant = value(h, HeaderNames.TENANT, n.path("user").asText(""));
+        var invalidField = findInvalidField(root);
+        if (invalidField != null) return problem(Kind.BAD_FIELD, invalidField);
+        var tenant =
+                headerOrDefault(headers, HeaderNames.TENANT, root.path("user").asText(""));
         if (tenant.isBlank())
-            return no(
+            return problem(
                     Kind.MISSING_TENANT, "name the tenant in the header " + HeaderNames.TENANT + " or the field user");
-        if (tenant.length() > 128) return no(Kind.BAD_FIELD, "the tenant's name is longer than 128 characters");
-        var key = value(h, HeaderNames.KEY, "");
-        if (key.length() > 128) return no(Kind.BAD_FIELD, "the key is longer than 128 characters");
-        var service = n.get("model").asText();
-        return deadline(h)
-                .map(ms -> new Request(
+        if (tenant.length() > 128) return problem(Kind.BAD_FIELD, "the tenant's name is longer than 128 characters");
+        var idempotencyKey = headerOrDefault(headers, HeaderNames.KEY, "");
+        if (idempotencyKey.length() > 128) return problem(Kind.BAD_FIELD, "the key is longer than 128 characters");
+        var service = root.get("model").asText();
+        return remainingMillis(headers)
+                .map(millis -> new Request(
                         id,
                         service,
                         tenant,
-                        value(h, HeaderNames.WORK, ""),
-                        regions(h),
-                        key,
-                        prefix(n),
-                        now + (ms < 0 ? deadlineOf.applyAsLong(service) : ms * 1000),
+                        headerOrDefault(headers, HeaderNames.WORK, ""),
+                        regions(headers),
+                        idempotencyKey,
+                        prefixHash(root),
+                        now + (millis < 0 ? defaultDeadline.applyAsLong(service) : millis * 1000),
                         forwarded,
                         body));
     }
 
-    private static String wrong(JsonNode n) {
-        if (n == null || !n.isObject()) return "the body is not a JSON object";
-        for (var i = n.fieldNames(); i.hasNext(); ) {
-            var f = i.next();
-            if (!FIELDS.contains(f)) return "unknown field " + f;
+    /** The message that describes the first invalid field of the body, null if the body is valid. */
+    private static String findInvalidField(JsonNode root) {
+        if (root == null || !root.isObject()) return "the body is not a JSON object";
+        for (var names = root.fieldNames(); names.hasNext(); ) {
+            var name = names.next();
+            if (!KNOWN_FIELDS.contains(name)) return "unknown field " + name;
         }
-        if (!n.path("model").isTextual()) return "model must be a text";
-        if (n.has("stream") && !n.get("stream").isBoolean() || !n.path("stream").asBoolean(true))
-            return "stream must be true; every reply is a stream";
-        var m = n.path("messages");
-        if (!m.isArray() || m.isEmpty()) return "messages must be a list that is not empty";
-        for (var x : m)
-            if (!x.isObject()
-                    || !x.path("role").isTextual()
-                    || !x.path("content").isTextual()) return "each message needs a role and a content as text";
-        if (n.has("max_tokens")
-                && (!n.get("max_tokens").isInt() || n.get("max_tokens").asInt() < 1))
+        if (!root.path("model").isTextual()) return "model must be a text";
+        if (root.has("stream") && !root.get("stream").isBoolean()
+                || !root.path("stream").asBoolean(true)) return "stream must be true; every reply is a stream";
+        var messages = root.path("messages");
+        if (!messages.isArray() || messages.isEmpty()) return "messages must be a list that is not empty";
+        for (var message : messages)
+            if (!message.isObject()
+                    || !message.path("role").isTextual()
+                    || !message.path("content").isTextual()) return "each message needs a role and a content as text";
+        if (root.has("max_tokens")
+                && (!root.get("max_tokens").isInt() || root.get("max_tokens").asInt() < 1))
             return "max_tokens must be a whole number above 0";
-        return n.has("user") && !n.get("user").isTextual() ? "user must be a text" : null;
+        return root.has("user") && !root.get("user").isTextual() ? "user must be a text" : null;
     }
 
-    private static long prefix(JsonNode n) {
-        var first = n.get("messages").get(0).get("content").asText();
-        return Hash.of(first.length() > PREFIX ? first.substring(0, PREFIX) : first);
+    private static long prefixHash(JsonNode root) {
+        var content = root.get("messages").get(0).get("content").asText();
+        return Hash.of(content.length() > MAX_PREFIX_CHARS ? content.substring(0, MAX_PREFIX_CHARS) : content);
     }
 
-    private static Either<Problem, Long> deadline(HeaderMap h) {
-        var v = h.getFirst(HeaderNames.DEADLINE);
-        if (v == null) return Either.right(-1L);
-        if (!v.matches("-?\\d{1,9}"))
-            return no(Kind.BAD_FIELD, HeaderNames.DEADLINE + " must be a whole number of milliseconds");
-        var ms = Long.parseLong(v);
-        return ms <= 0 ? no(Kind.DEADLINE_PASSED, Kind.DEADLINE_PASSED.text()) : Either.right(ms);
+    /** The milliseconds until the deadline that the header states; -1 if it states none. */
+    private static Either<Problem, Long> remainingMillis(HeaderMap headers) {
+        var value = headers.getFirst(HeaderNames.DEADLINE);
+        if (value == null) return Either.right(-1L);
+        if (!value.matches("-?\\d{1,9}"))
+            return problem(Kind.BAD_FIELD, HeaderNames.DEADLINE + " must be a whole number of milliseconds");
+        var millis = Long.parseLong(value);
+        return millis <= 0 ? problem(Kind.DEADLINE_PASSED, Kind.DEADLINE_PASSED.text()) : Either.right(millis);
     }
 
-    private static List<String> regions(HeaderMap h) {
-        var all = new ArrayList<String>();
-        for (var r : value(h, HeaderNames.REGIONS, "").split(",")) if (!r.isBlank()) all.add(r.trim());
-        return all;
+    private static List<String> regions(HeaderMap headers) {
+        var regions = new ArrayList<String>();
+        for (var region : headerOrDefault(headers, HeaderNames.REGIONS, "").split(","))
+            if (!region.isBlank()) regions.add(region.trim());
+        return regions;
     }
 
-    private static String value(HeaderMap h, HttpString name, String def) {
-        var v = h.getFirst(name);
-        return v == null ? def : v.trim();
+    private static String headerOrDefault(HeaderMap headers, HttpString name, String defaultValue) {
+        var value = headers.getFirst(name);
+        return value == null ? defaultValue : value.trim();
     }
 
-    private static <T> Either<Problem, T> no(Kind k, String detail) {
-        return Either.left(Problem.of(k, detail));
+    private static <T> Either<Problem, T> problem(Kind kind, String detail) {
+        return Either.left(Problem.of(kind, detail));
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -23,37 +23,46 @@
 import java.util.function.BooleanSupplier;
 import org.xnio.IoUtils;
 
+/**
+ * One client request on Undertow. A worker thread runs the request's steps one after another in {@link #runSteps} and
+ * writes the response with blocking I/O; other threads add steps with {@link #later}.
+ */
 final class UndertowExchange implements HttpExchange {
-    private static final long CONNECT_MILLIS = 1_000, LOOK_MILLIS = 200;
+    private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    private final HttpServerExchange x;
+    /** How often the connection is checked for a disconnect while there is no step to run. */
+    private static final long DISCONNECT_CHECK_INTERVAL_MILLIS = 200;
+
+    private final HttpServerExchange exchange;
     private final HttpCaller caller;
-    private final String router;
-    private boolean piped;
-    private final BlockingQueue<Runnable> box = new LinkedBlockingQueue<>();
+    private final String routerName;
+    private boolean pipelining;
+    private final BlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
 
-    UndertowExchange(HttpServerExchange x, HttpCaller caller, String router) {
-        this.x = x;
+    UndertowExchange(HttpServerExchange exchange, HttpCaller caller, String routerName) {
+        this.exchange = exchange;
         this.caller = caller;
-        this.router = router;
+        this.routerName = routerName;
     }
 
-    void run(BooleanSupplier over, Runnable gone) throws InterruptedException {
-        while (!over.getAsBoolean()) {
-            var step = box.poll(LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    /** Runs steps until the request is finished; runs {@code onDisconnect} at each check that finds the client gone. */
+    void runSteps(BooleanSupplier finished, Runnable onDisconnect) throws InterruptedException {
+        while (!finished.getAsBoolean()) {
+            var step = steps.poll(DISCONNECT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             if (step != null) step.run();
-            else if (hungUp()) gone.run();
+            else if (isDisconnected()) onDisconnect.run();
         }
     }
 
-    private boolean hungUp() {
-        if (piped || !(x.getConnection() instanceof HttpServerConnection c)) return false;
-        var b = ByteBuffer.allocate(1);
+    /** Whether the client closed its connection; not detected once it has sent bytes after its request. */
+    private boolean isDisconnected() {
+        if (pipelining || !(exchange.getConnection() instanceof HttpServerConnection connection)) return false;
+        var buffer = ByteBuffer.allocate(1);
         try {
-            var n = c.getOriginalSourceConduit().read(b);
-            if (n <= 0) return n < 0;
-            piped = true;
-            c.ungetRequestBytes(new ImmediatePooledByteBuffer(b.flip()));
+            var byteCount = connection.getOriginalSourceConduit().read(buffer);
+            if (byteCount <= 0) return byteCount < 0;
+            pipelining = true;
+            connection.ungetRequestBytes(new ImmediatePooledByteBuffer(buffer.flip()));
             return false;
         } catch (IOException e) {
             return true;
@@ -62,27 +71,27 @@
 
     @Override
     public void later(Runnable step) {
-        box.add(step);
+        steps.add(step);
     }
 
     @Override
     public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
-        var h = new HashMap<HttpString, String>();
-        headers.forEach((k, v) -> h.put(new HttpString(k), v));
-        var call = caller.open(address, Methods.POST, path, h, body, CONNECT_MILLIS, new HttpCaller.Sink() {
+        var callHeaders = new HashMap<HttpString, String>();
+        headers.forEach((name, value) -> callHeaders.put(new HttpString(name), value));
+        var call = caller.open(address, Methods.POST, path, callHeaders, body, CONNECT_TIMEOUT_MILLIS, new HttpCaller.Sink() {
             @Override
             public void refused(String cause) {
                 sink.refused();
             }
 
             @Override
-            public void status(int code, HeaderMap map) {
-                sink.status(code, plain(map));
+            public void status(int code, HeaderMap responseHeaders) {
+                sink.status(code, toLowerCaseMap(responseHeaders));
             }
 
             @Override
-            public void chunk(byte[] b) {
-                sink.chunk(b);
+            public void chunk(byte[] bytes) {
+                sink.chunk(bytes);
             }
 
             @Override
@@ -108,27 +117,28 @@
         };
     }
 
-    private static Map<String, String> plain(HeaderMap map) {
-        var h = new HashMap<String, String>();
-        for (var v : map) h.put(v.getHeaderName().toString().toLowerCase(), v.getFirst());
-        return h;
+    /** The first value of each header, by its name in lower case. */
+    private static Map<String, String> toLowerCaseMap(HeaderMap headers) {
+        var map = new HashMap<String, String>();
+        for (var values : headers) map.put(values.getHeaderName().toString().toLowerCase(), values.getFirst());
+        return map;
     }
 
     @Override
     public void start() {
-        x.setStatusCode(200);
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
-        x.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
-        x.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-store");
-        x.getResponseHeaders().put(HeaderNames.ROUTER, router);
+        exchange.setStatusCode(200);
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
+        exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
+        exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-store");
+        exchange.getResponseHeaders().put(HeaderNames.ROUTER, routerName);
     }
 
     @Override
-    public boolean write(byte[] b) {
+    public boolean write(byte[] bytes) {
         try {
-            var o = x.getOutputStream();
-            o.write(b);
-            o.flush();
+            var output = exchange.getOutputStream();
+            output.write(bytes);
+            output.flush();
             return true;
         } catch (IOException e) {
             return false;
@@ -137,17 +147,18 @@
 
     @Override
     public void whole() {
-        x.endExchange();
+        exchange.endExchange();
     }
 
     @Override
-    public void verdict(Problem p) {
-        Problems.send(x, p);
+    public void verdict(Problem problem) {
+        Problems.send(exchange, problem);
     }
 
     @Override
-    public void cut(Problem p, boolean started) {
-        if (started) write(("\n\nevent: error\ndata: " + Problems.json(p) + "\n\n").getBytes(StandardCharsets.UTF_8));
-        IoUtils.safeClose(x.getConnection());
+    public void cut(Problem problem, boolean started) {
+        if (started)
+            write(("\n\nevent: error\ndata: " + Problems.json(problem) + "\n\n").getBytes(StandardCharsets.UTF_8));
+        IoUtils.safeClose(exchange.getConnection());
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/package-info.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The product's own request path on HTTP: reads a request, hands it to {@link craneway.data.request} and writes its stream.
+ * The product's own HTTP request path: parses a request, passes it to {@link craneway.data.request} and writes the
+ * response as an event stream.
  */
 package craneway.gateway.request;
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -18,85 +18,98 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 
+/** Handles the announcements and leave notices of runners, which are POST requests with a JSON body. */
 public final class RunnerHandler implements HttpHandler {
     private static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
+    /**
+     * The JSON body by which a runner states that it leaves.
+     *
+     * @param service the runner's service
+     * @param name the runner's name
+     * @param incarnation the incarnation of the runner that leaves
+     */
     public record Leave(String service, String name, long incarnation) {}
 
     private final Router router;
 
+    /** Creates a handler that passes announcements and leave notices to the router. */
     public RunnerHandler(Router router) {
         this.router = router;
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        var announce = x.getRequestPath().equals("/v1/announce");
-        if (!announce && !x.getRequestPath().equals("/v1/leave")) {
-            Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
+    public void handleRequest(HttpServerExchange exchange) {
+        var isAnnouncement = exchange.getRequestPath().equals("/v1/announce");
+        if (!isAnnouncement && !exchange.getRequestPath().equals("/v1/leave")) {
+            Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
             return;
         }
-        if (!x.getRequestMethod().equals(Methods.POST)) {
-            Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+        if (!exchange.getRequestMethod().equals(Methods.POST)) {
+            Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
             return;
         }
-        x.getRequestReceiver().receiveFullBytes((e, b) -> e.dispatch(() -> take(e, b, announce)));
+        exchange.getRequestReceiver()
+                .receiveFullBytes((e, body) -> e.dispatch(() -> handleBody(e, body, isAnnouncement)));
     }
 
-    private void take(HttpServerExchange x, byte[] b, boolean announce) {
+    private void handleBody(HttpServerExchange exchange, byte[] body, boolean isAnnouncement) {
         try {
-            if (announce) announce(x, JSON.readValue(b, Announcement.class));
-            else leave(x, JSON.readValue(b, Leave.class));
+            if (isAnnouncement) announce(exchange, JSON.readValue(body, Announcement.class));
+            else leave(exchange, JSON.readValue(body, Leave.class));
         } catch (JsonParseException e) {
-            Problems.send(x, Problem.of(Kind.BAD_JSON, e.getOriginalMessage()));
+            Problems.send(exchange, Problem.of(Kind.BAD_JSON, e.getOriginalMessage()));
         } catch (JsonMappingException e) {
-            Problems.send(x, Problem.of(cut(e) ? Kind.BAD_JSON : Kind.BAD_FIELD, e.getOriginalMessage()));
+            Problems.send(
+                    exchange, Problem.of(isSyntaxError(e) ? Kind.BAD_JSON : Kind.BAD_FIELD, e.getOriginalMessage()));
         } catch (IOException e) {
-            Problems.send(x, Problem.of(Kind.BAD_JSON, e.getMessage()));
+            Problems.send(exchange, Problem.of(Kind.BAD_JSON, e.getMessage()));
         }
     }
 
-    private static boolean cut(JsonMappingException e) {
-        return e.getCause() instanceof JsonEOFException || e.getCause() instanceof JsonParseException;
+    /** Whether truncated or malformed JSON caused the exception, rather than a field of the wrong type. */
+    private static boolean isSyntaxError(JsonMappingException exception) {
+        return exception.getCause() instanceof JsonEOFException || exception.getCause() instanceof JsonParseException;
     }
 
-    private void announce(HttpServerExchange x, Announcement a) {
-        if (blank(a.service())
-                || blank(a.name())
-                || blank(a.cell())
-                || a.address() == null
-                || Addresses.bad(a.address())
-                || a.slots() < 1
-                || a.slots() > 100_000
-                || a.load() < 0) {
+    private void announce(HttpServerExchange exchange, Announcement announcement) {
+        if (isBlank(announcement.service())
+                || isBlank(announcement.name())
+                || isBlank(announcement.cell())
+                || announcement.address() == null
+                || Addresses.bad(announcement.address())
+                || announcement.slots() < 1
+                || announcement.slots() > 100_000
+                || announcement.load() < 0) {
             Problems.send(
-                    x,
+                    exchange,
                     Problem.of(
                             Kind.BAD_FIELD,
                             "an announcement needs service, name, cell, address as IP:PORT, slots from 1 and load from 0"));
             return;
         }
-        router.announce(a, reply(x));
+        router.announce(announcement, responder(exchange));
     }
 
-    private void leave(HttpServerExchange x, Leave l) {
-        if (blank(l.service) || blank(l.name))
-            Problems.send(x, Problem.of(Kind.BAD_FIELD, "a leave needs service, name and incarnation"));
-        else router.leave(l.service, l.name, l.incarnation, reply(x));
+    private void leave(HttpServerExchange exchange, Leave leave) {
+        if (isBlank(leave.service) || isBlank(leave.name))
+            Problems.send(exchange, Problem.of(Kind.BAD_FIELD, "a leave needs service, name and incarnation"));
+        else router.leave(leave.service, leave.name, leave.incarnation, responder(exchange));
     }
 
-    private static boolean blank(String s) {
-        return s == null || s.isBlank();
+    private static boolean isBlank(String text) {
+        return text == null || text.isBlank();
     }
 
-    private static Consumer<CommandResult> reply(HttpServerExchange x) {
-        x.dispatch();
-        return v -> {
-            if (v.kind == 0) Problems.sendJson(x, "{\"acknowledged\":true}");
-            else Problems.send(x, new Problem(Kind.of(v.kind), v.detail, v.retryAfter));
+    /** Dispatches the exchange and returns the callback that sends the result of the command as its response. */
+    private static Consumer<CommandResult> responder(HttpServerExchange exchange) {
+        exchange.dispatch();
+        return result -> {
+            if (result.kind == 0) Problems.sendJson(exchange, "{\"acknowledged\":true}");
+            else Problems.send(exchange, new Problem(Kind.of(result.kind), result.detail, result.retryAfter));
         };
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/runner/package-info.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/package-info.java
@@ -1,2 +1,2 @@
-/** Where runners announce themselves and say that they leave. */
+/** The HTTP endpoint where runners announce themselves to a router and state that they leave. */
 package craneway.gateway.runner;
--- a/lib/gateway/src/test/java/craneway/gateway/proxy/package-info.java
+++ b/lib/gateway/src/test/java/craneway/gateway/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the parts of the proxy path that decide without I/O. */
+/** Tests of those parts of the proxy that involve no I/O. */
 package craneway.gateway.proxy;
