--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerReader.java
@@ -120,8 +120,7 @@
     }
 
     private static int parseStatus(String statusLine) throws IOException {
-        var wellFormed =
-                statusLine.length() >= 12 && statusLine.startsWith("HTTP/1.") && statusLine.charAt(8) == ' ';
+        var wellFormed = statusLine.length() >= 12 && statusLine.startsWith("HTTP/1.") && statusLine.charAt(8) == ' ';
         if (!wellFormed || statusLine.length() > 12 && statusLine.charAt(12) != ' ')
             throw new IOException("malformed status line");
         var status = 0;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
@@ -79,10 +79,12 @@
             response.sendOwn(
                     413,
                     null,
-                    "{\"problem\":\"the body is longer than " + manifest.limits().bodyBytes() + " bytes\"}");
+                    "{\"problem\":\"the body is longer than "
+                            + manifest.limits().bodyBytes() + " bytes\"}");
             return;
         }
-        var route = manifest.routes().match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI());
+        var route =
+                manifest.routes().match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI());
         if (route == null) response.sendOwn(404, null, "{\"problem\":\"no route\"}");
         else if (exchange.getRequestHeaders().getFirst(context.names().tryId()) == null)
             response.sendOwn(400, null, "{\"problem\":\"" + context.names().tryId() + " is missing\"}");
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseOutcome.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseOutcome.java
@@ -33,8 +33,7 @@
         if (status < StatusCodes.OK || !hasClearBodyEnd(headers)) return UNUSABLE;
         if (!hasTryId(headers, names.tryId(), tryId, freshConnection && !success)) return UNUSABLE;
         var notRun = headers.contains(names.notRun());
-        if (success)
-            return notRun || !headers.contains(names.stamp()) || hasEncodedBody(headers) ? UNUSABLE : SUCCESS;
+        if (success) return notRun || !headers.contains(names.stamp()) || hasEncodedBody(headers) ? UNUSABLE : SUCCESS;
         if (notRun || status == MISDIRECTED_STATUS) return NOT_RUN;
         return hasEncodedBody(headers) || impliesNotRun(status) ? UNUSABLE : FAILURE;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -78,32 +78,33 @@
     public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
         var callHeaders = new HashMap<HttpString, String>();
         headers.forEach((name, value) -> callHeaders.put(new HttpString(name), value));
-        var call = caller.open(address, Methods.POST, path, callHeaders, body, CONNECT_TIMEOUT_MILLIS, new HttpCaller.Sink() {
-            @Override
-            public void refused(String cause) {
-                sink.refused();
-            }
-
-            @Override
-            public void status(int code, HeaderMap responseHeaders) {
-                sink.status(code, toLowerCaseMap(responseHeaders));
-            }
-
-            @Override
-            public void chunk(byte[] bytes) {
-                sink.chunk(bytes);
-            }
-
-            @Override
-            public void end() {
-                sink.end();
-            }
-
-            @Override
-            public void broken(String cause) {
-                sink.broken();
-            }
-        });
+        var call = caller.open(
+                address, Methods.POST, path, callHeaders, body, CONNECT_TIMEOUT_MILLIS, new HttpCaller.Sink() {
+                    @Override
+                    public void refused(String cause) {
+                        sink.refused();
+                    }
+
+                    @Override
+                    public void status(int code, HeaderMap responseHeaders) {
+                        sink.status(code, toLowerCaseMap(responseHeaders));
+                    }
+
+                    @Override
+                    public void chunk(byte[] bytes) {
+                        sink.chunk(bytes);
+                    }
+
+                    @Override
+                    public void end() {
+                        sink.end();
+                    }
+
+                    @Override
+                    public void broken(String cause) {
+                        sink.broken();
+                    }
+                });
         return new Call() {
             @Override
             public void took() {
--- a/lib/gateway/src/test/java/craneway/gateway/proxy/StreamRelayTest.java
+++ b/lib/gateway/src/test/java/craneway/gateway/proxy/StreamRelayTest.java
@@ -48,8 +48,7 @@
     }
 
     /** Relays the bytes in random pieces to the output; returns false once the relay finds them out of sequence. */
-    private static boolean relayPieces(
-            StreamRelay relay, byte[] bytes, Random random, ByteArrayOutputStream output) {
+    private static boolean relayPieces(StreamRelay relay, byte[] bytes, Random random, ByteArrayOutputStream output) {
         for (var offset = 0; offset < bytes.length; ) {
             var pieceLength = Math.min(bytes.length - offset, 1 + random.nextInt(MAX_PIECE_BYTES));
             var events = relay.addBytes(ByteBuffer.wrap(bytes, offset, pieceLength));
@@ -71,8 +70,8 @@
             var output = new ByteArrayOutputStream();
             for (var i = 0; i < breakCount; i++) {
                 var run = stream.textAfter(relay.lastEventId()).getBytes(StandardCharsets.UTF_8);
-                assertTrue(
-                        relayPieces(relay, java.util.Arrays.copyOf(run, random.nextInt(run.length + 1)), random, output));
+                assertTrue(relayPieces(
+                        relay, java.util.Arrays.copyOf(run, random.nextInt(run.length + 1)), random, output));
                 relay.resume();
             }
             assertTrue(relayPieces(
