--- a/lib/gateway/src/main/java/craneway/gateway/proxy/HeaderVocabulary.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/HeaderVocabulary.java
@@ -2,42 +2,39 @@
 
 import io.undertow.util.HttpString;
 
-/**
- * The names that a platform uses for headers and paths between clients, routers and runners.
- *
- * @param tryId the id of the client's request, which the runner's response must repeat
- * @param stamp a header that every successful response of a runner carries
- * @param deadlineMs how many milliseconds are left until the deadline
- * @param parts the parts of the prompt, as ids and token counts
- * @param tokens the number of prompt tokens and of output tokens
- * @param model the model
- * @param addressee the id of the runner that a request is sent to
- * @param runner the runner
- * @param load a runner's load in its response: running requests, then waiting ones
- * @param notRun a header by which a runner states that it has not run the request and will not run it
- * @param coldMs how many milliseconds a runner stays cold
- * @param urgency the urgency of the request's route
- * @param lastEventId the id of the event after which a stream must continue
- * @param weightVersions the version of the weights that produced a response
- * @param expectVersion the weight version that a runner must have to continue a stream
- * @param readyPath the path of the readiness check
- * @param reportPath the path of the report
- */
+/** The names that a platform uses for headers and paths between clients, routers and runners. */
 public record HeaderVocabulary(
+        // The id of the client's request, which the runner's response must repeat.
         HttpString tryId,
+        // A header that every successful response of a runner carries.
         HttpString stamp,
+        // How many milliseconds are left until the deadline.
         HttpString deadlineMs,
+        // The parts of the prompt, as ids and token counts.
         HttpString parts,
+        // The number of prompt tokens and of output tokens.
         HttpString tokens,
+        // The model that the request is for.
         HttpString model,
+        // The id of the runner that a request is sent to.
         HttpString addressee,
+        // The id of the runner.
         HttpString runner,
+        // A runner's load in its response: running requests, then waiting ones.
         HttpString load,
+        // A header by which a runner states that it has not run the request and will not run it.
         HttpString notRun,
+        // How many milliseconds a runner stays cold.
         HttpString coldMs,
+        // The urgency of the request's route.
         HttpString urgency,
+        // The id of the event after which a stream must continue.
         HttpString lastEventId,
+        // The version of the weights that produced a response.
         HttpString weightVersions,
+        // The weight version that a runner must have to continue a stream.
         HttpString expectVersion,
+        // The path of the readiness check.
         String readyPath,
+        // The path of the report.
         String reportPath) {}
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -25,7 +25,7 @@
 
 /**
  * One client request on Undertow. A worker thread runs the request's steps one after another in {@link #runSteps} and
- * writes the response with blocking I/O; other threads add steps with {@link #later}.
+ * writes the response with blocking I/O; other threads queue further steps.
  */
 final class UndertowExchange implements HttpExchange {
     private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -45,7 +45,7 @@
         this.routerName = routerName;
     }
 
-    /** Runs steps until the request is finished; runs {@code onDisconnect} at each check that finds the client gone. */
+    /** Runs steps until the request is finished; runs {@code onDisconnect} at each check that finds the client disconnected. */
     void runSteps(BooleanSupplier finished, Runnable onDisconnect) throws InterruptedException {
         while (!finished.getAsBoolean()) {
             var step = steps.poll(DISCONNECT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
