--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AttemptHistory.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AttemptHistory.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Records what is known of each attempt to run a request on a runner. A response may promise that the request has not run
- * and never will only if that is known of every attempt. No I/O. Not thread-safe.
+ * Records what is known of each attempt to run a request on a runner. A response may promise that the request has not
+ * run and never will only if that is known of every attempt. No I/O. Not thread-safe.
  */
 final class AttemptHistory {
     /** What is known of one attempt. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
@@ -16,9 +16,9 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Tracks the clients' connections and closes those that are idle for longer than the limit, or whose request head is not
- * complete within its limit, by the steady clock. A connection with a request in flight is never closed here. All methods
- * run on the one I/O thread, except {@link #sweepCount()}. Times are microseconds.
+ * Tracks the clients' connections and closes those that are idle for longer than the limit, or whose request head is
+ * not complete within its limit, by the steady clock. A connection with a request in flight is never closed here. All
+ * methods run on the one I/O thread, except {@link #sweepCount()}. Times are microseconds.
  */
 final class ClientConnections {
     private enum State {
@@ -31,8 +31,8 @@
     }
 
     /**
-     * If a sweep comes this long after the previous one, the process was frozen in between: bytes that arrived meanwhile
-     * have not been read yet, so nothing is closed.
+     * If a sweep comes this long after the previous one, the process was frozen in between: bytes that arrived
+     * meanwhile have not been read yet, so nothing is closed.
      */
     private static final long FREEZE_THRESHOLD_MICROS = 1_500_000;
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientDisconnectDetector.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientDisconnectDetector.java
@@ -9,11 +9,12 @@
 import org.xnio.IoUtils;
 
 /**
- * Detects whether the client of a completely received request has disconnected. A reset proves it. The end of the client's
- * bytes alone does not, since the client may have closed only its sending side (RFC 9293, 3.6). Therefore an interim
- * response, which every HTTP/1.1 client must skip (RFC 9110, 15.2), is sent while no response has started: a client that
- * has closed its connection replies with a reset, and the next write or read fails. The interval between these probes
- * doubles. Once a response has started, writing its own bytes reveals a disconnect. All methods run on the one I/O thread.
+ * Detects whether the client of a completely received request has disconnected. A reset proves it. The end of the
+ * client's bytes alone does not, since the client may have closed only its sending side (RFC 9293, 3.6). Therefore an
+ * interim response, which every HTTP/1.1 client must skip (RFC 9110, 15.2), is sent while no response has started: a
+ * client that has closed its connection replies with a reset, and the next write or read fails. The interval between
+ * these probes doubles. Once a response has started, writing its own bytes reveals a disconnect. All methods run on the
+ * one I/O thread.
  */
 final class ClientDisconnectDetector {
     private enum State {
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientListener.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientListener.java
@@ -18,8 +18,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Accepts client connections. Undertow's own timeouts for request heads and idle connections are off, since they use the
- * time of day, which may jump, and cannot change with the configuration; {@link ClientConnections} applies these limits.
+ * Accepts client connections. Undertow's own timeouts for request heads and idle connections are off, since they use
+ * the time of day, which may jump, and cannot change with the configuration; {@link ClientConnections} applies these
+ * limits.
  */
 final class ClientListener implements Closeable {
     /** Size of an I/O buffer: 16 KiB less the space that Undertow leaves for protocol headers. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
@@ -39,7 +39,9 @@
                         (e, problem) -> e.setStatusCode(400).endExchange());
     }
 
-    /** Advertises four fifths of the idle limit, so that clients do not reuse a connection that is about to be closed. */
+    /**
+     * Advertises four fifths of the idle limit, so that clients do not reuse a connection that is about to be closed.
+     */
     private void advertiseKeepAlive(HttpServerExchange exchange, long idleLimit) {
         if (idleLimit <= 0 || !exchange.isPersistent()) return;
         if (idleLimit != advertisedIdleLimit) {
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientResponse.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientResponse.java
@@ -49,9 +49,9 @@
     }
 
     /**
-     * A response without a length is sent in chunks, even if its connection is closed after it: by default, Undertow would
-     * end it by the close alone, and every abort would look like a regular end. HTTP/1.0 has no chunks, so there an abort
-     * resets the connection.
+     * A response without a length is sent in chunks, even if its connection is closed after it: by default, Undertow
+     * would end it by the close alone, and every abort would look like a regular end. HTTP/1.0 has no chunks, so there
+     * an abort resets the connection.
      */
     private void chooseFraming() {
         if (exchange.getResponseHeaders().contains(Headers.CONTENT_LENGTH)) return;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ForwardedHeaders.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ForwardedHeaders.java
@@ -52,7 +52,9 @@
         return false;
     }
 
-    /** The timeout in the Keep-Alive header in microseconds; {@link RunnerConnectionPool#NOT_STATED} if there is none. */
+    /**
+     * The timeout in the Keep-Alive header in microseconds; {@link RunnerConnectionPool#NOT_STATED} if there is none.
+     */
     static long keepAliveMicros(HeaderMap headers) {
         var value = headers.getFirst(Headers.KEEP_ALIVE);
         if (value == null) return RunnerConnectionPool.NOT_STATED;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -9,7 +9,10 @@
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
 
-/** A complete client request, with what its headers state; builds the head that is sent to a runner. Times are microseconds. */
+/**
+ * A complete client request, with what its headers state; builds the head that is sent to a runner. Times are
+ * microseconds.
+ */
 final class IncomingRequest {
     final Route route;
     final String service;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -121,14 +121,16 @@
     }
 
     /**
-     * The number of client connections with a request whose response was not sent completely. Waits for the I/O thread for
-     * up to {@value #IO_THREAD_REPLY_TIMEOUT_MILLIS} ms, then returns {@link Integer#MAX_VALUE}.
+     * The number of client connections with a request whose response was not sent completely. Waits for the I/O thread
+     * for up to {@value #IO_THREAD_REPLY_TIMEOUT_MILLIS} ms, then returns {@link Integer#MAX_VALUE}.
      */
     public int unanswered() {
         return askIoThread(context.clientConnections()::countBusy);
     }
 
-    /** Runs a query on the I/O thread and waits for its result; the greatest int if that thread does not reply in time. */
+    /**
+     * Runs a query on the I/O thread and waits for its result; the greatest int if that thread does not reply in time.
+     */
     private int askIoThread(IntSupplier query) {
         var reply = new CompletableFuture<Integer>();
         worker.getIoThread().execute(() -> reply.complete(query.getAsInt()));
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Abandons the request, unless its route allows only one run and it was sent: such a run continues to its end without
-     * its client, since its effect may be half done.
+     * Abandons the request, unless its route allows only one run and it was sent: such a run continues to its end
+     * without its client, since its effect may be half done.
      */
     private void handleClientDisconnect() {
         if (route.kind() != Route.Kind.ONCE || choice == null) abandon();
@@ -235,7 +235,9 @@
                     cause + "; it did not run");
     }
 
-    /** Ends the request because this router stops: closes the client's connection, whether a response started or not. */
+    /**
+     * Ends the request because this router stops: closes the client's connection, whether a response started or not.
+     */
     void stop() {
         if (state == ExchangeState.FINISHED) return;
         if (call != null) call.cancel();
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseOutcome.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseOutcome.java
@@ -24,8 +24,8 @@
     /**
      * Classifies the head of a response.
      *
-     * @param freshConnection whether no other request was ever sent on this connection. Only then may a response without
-     *     an id belong to this request: on a reused connection it may be a surplus response to an earlier one
+     * @param freshConnection whether no other request was ever sent on this connection. Only then may a response
+     *     without an id belong to this request: on a reused connection it may be a surplus response to an earlier one
      */
     static ResponseOutcome of(
             int status, HeaderMap headers, String tryId, boolean freshConnection, HeaderVocabulary names) {
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseRelay.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseRelay.java
@@ -7,8 +7,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Relays the responses of one request's runs to its client: of an event stream, complete events that follow one another;
- * of anything else, bytes as they arrive. All methods run on the one I/O thread.
+ * Relays the responses of one request's runs to its client: of an event stream, complete events that follow one
+ * another; of anything else, bytes as they arrive. All methods run on the one I/O thread.
  */
 final class ResponseRelay {
     /** What happened to bytes that a runner sent. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
@@ -12,8 +12,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Sends one request over one connection to a runner and reads the response, without blocking. Every call and callback is
- * on the one I/O thread.
+ * Sends one request over one connection to a runner and reads the response, without blocking. Every call and callback
+ * is on the one I/O thread.
  */
 final class RunnerCall {
     /**
@@ -179,7 +179,9 @@
         }
     }
 
-    /** The bytes that were being processed when the exception was thrown are lost, so the response must not continue. */
+    /**
+     * The bytes that were being processed when the exception was thrown are lost, so the response must not continue.
+     */
     private void abortOnFault(RuntimeException fault) {
         cancel();
         listener.onInternalFault(fault);
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerConnectionPool.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerConnectionPool.java
@@ -26,8 +26,8 @@
  */
 final class RunnerConnectionPool {
     /**
-     * The keep-alive timeout of a runner that states none. It may be below one second, since a runner can state only whole
-     * seconds.
+     * The keep-alive timeout of a runner that states none. It may be below one second, since a runner can state only
+     * whole seconds.
      */
     static final long NOT_STATED = -1;
 
@@ -38,8 +38,8 @@
 
     /**
      * A runner may drop an idle connection without notice, and the next bytes sent on it are answered with a reset. A
-     * request that must not be repeated therefore goes only on a connection that carried a response this recently, or on a
-     * fresh one.
+     * request that must not be repeated therefore goes only on a connection that carried a response this recently, or
+     * on a fresh one.
      */
     private static final long KNOWN_ALIVE_MICROS = 400_000;
 
@@ -76,7 +76,8 @@
     /**
      * Removes and returns the connection that was idle for the shortest time, or null if none is usable.
      *
-     * @param repeatable whether the request may be repeated; if not, only a connection that is known to be alive is usable
+     * @param repeatable whether the request may be repeated; if not, only a connection that is known to be alive is
+     *     usable
      */
     StreamConnection takeIdle(String address, boolean repeatable) {
         var queue = idleByAddress.get(address);
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Whether neither bytes nor an end arrived while the connection was idle. Unsolicited bytes belong to no request, so
-     * the connection cannot be reused.
+     * Whether neither bytes nor an end arrived while the connection was idle. Unsolicited bytes belong to no request,
+     * so the connection cannot be reused.
      */
     private static boolean hasNoInput(StreamConnection connection) {
         try {
@@ -151,8 +152,9 @@
     }
 
     /**
-     * Keeps a connection for reuse until some time before its runner would close it: a quarter of the runner's keep-alive
-     * timeout, at least 0.6 s. Closes it if that leaves no time or enough connections to this runner are idle.
+     * Keeps a connection for reuse until some time before its runner would close it: a quarter of the runner's
+     * keep-alive timeout, at least 0.6 s. Closes it if that leaves no time or enough connections to this runner are
+     * idle.
      */
     void addIdle(String address, StreamConnection connection, long keepAliveMicros) {
         if (!connection.isOpen()) return;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/StreamEvent.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/StreamEvent.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Collects the relevant fields of one server-sent event (WHATWG HTML, 9.2.6), line by line: its id, its weight version and
- * whether it has data. No I/O.
+ * Collects the relevant fields of one server-sent event (WHATWG HTML, 9.2.6), line by line: its id, its weight version
+ * and whether it has data. No I/O.
  */
 final class StreamEvent {
     private static final String ID_FIELD = "id:";
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/StreamPosition.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/StreamPosition.java
@@ -4,8 +4,8 @@
 
 /**
  * Tracks the position of an event stream: id and weight version of the last event relayed. It checks that each event
- * follows the one before. Ids must ascend. A run that continues the stream must have the same weight version and, if ids
- * are whole numbers, must skip no more than the largest step between two ids so far. No I/O. Not thread-safe.
+ * follows the one before. Ids must ascend. A run that continues the stream must have the same weight version and, if
+ * ids are whole numbers, must skip no more than the largest step between two ids so far. No I/O. Not thread-safe.
  */
 final class StreamPosition {
     private static final int MAX_NUMBER_DIGITS = 18;
@@ -34,7 +34,9 @@
         awaitingContinuation = true;
     }
 
-    /** The id of the last event relayed, or the one after which the client asked to continue; null if neither exists. */
+    /**
+     * The id of the last event relayed, or the one after which the client asked to continue; null if neither exists.
+     */
     String lastEventId() {
         return lastEventId;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestHandler.java
@@ -111,8 +111,8 @@
     }
 
     /**
-     * The id of the request in flight on the exchange's connection, 0 if there is none. When the connection is closed, the
-     * executor is notified that this request's client has disconnected.
+     * The id of the request in flight on the exchange's connection, 0 if there is none. When the connection is closed,
+     * the executor is notified that this request's client has disconnected.
      */
     private AtomicLong currentRequestId(HttpServerExchange exchange) {
         var connection = exchange.getConnection();
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -45,7 +45,10 @@
         this.routerName = routerName;
     }
 
-    /** Runs steps until the request is finished; runs {@code onDisconnect} at each check that finds the client disconnected. */
+    /**
+     * Runs steps until the request is finished; runs {@code onDisconnect} at each check that finds the client
+     * disconnected.
+     */
     void runSteps(BooleanSupplier finished, Runnable onDisconnect) throws InterruptedException {
         while (!finished.getAsBoolean()) {
             var step = steps.poll(DISCONNECT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
--- a/lib/gateway/src/test/java/craneway/gateway/proxy/StreamRelayTest.java
+++ b/lib/gateway/src/test/java/craneway/gateway/proxy/StreamRelayTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Relays streams of random events in random pieces, which break off at random bytes and are continued by another run. */
+/**
+ * Relays streams of random events in random pieces, which break off at random bytes and are continued by another run.
+ */
 class StreamRelayTest {
     private static final HttpString VERSION_HEADER = new HttpString("Weight-Versions");
     private static final int SEED_COUNT = 500;
