--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -108,7 +108,10 @@
         selectionTimer = context.schedule(SELECTION_RETRY_DELAY_MICROS, this::selectRunner);
     }
 
-    /** How long the request may wait for a runner, in microseconds. */
+    /**
+     * How long the request may wait for a runner, in microseconds: a quarter of its route's target but at least 0.1 s, and
+     * longer while this router does not know the runners of the service yet.
+     */
     private long maxSelectionWait() {
         return context.pool().knows(request.service) ? Math.max(100_000, route.target() / 4) : STARTUP_WAIT_MICROS;
     }
