--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -22,9 +22,9 @@
     final long receivedAt;
     final long deadlineAt;
     private final HttpServerExchange exchange;
-    private final HeaderVocabulary names;
+    private final ProtocolNames names;
 
-    IncomingRequest(HttpServerExchange exchange, HeaderVocabulary names, Route route, byte[] body, long receivedAt) {
+    IncomingRequest(HttpServerExchange exchange, ProtocolNames names, Route route, byte[] body, long receivedAt) {
         this.exchange = exchange;
         this.names = names;
         this.route = route;
@@ -32,7 +32,7 @@
         this.receivedAt = receivedAt;
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
-        prompt = Prompt.of(headers.getFirst(names.parts()), headers.getFirst(names.tokens()));
+        prompt = Prompt.of(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
         service = route.service(Hash.of(tryId == null ? "" : tryId));
         deadlineAt = receivedAt
                 + Math.min(route.deadline(), millisToMicros(headers.getFirst(names.deadlineMs()), route.deadline()));
@@ -67,7 +67,7 @@
         if (streamToContinue == null) return new RequestHead(method, target, headers);
         headers.put(names.lastEventId(), streamToContinue.lastEventId());
         if (streamToContinue.weightVersion() != null)
-            headers.put(names.expectVersion(), streamToContinue.weightVersion());
+            headers.put(names.expectedWeightVersion(), streamToContinue.weightVersion());
         return new RequestHead(method, target, headers);
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -47,7 +47,7 @@
     private final XnioIoThread ioThread;
     private final LongSupplier clock;
     private final Supplier<View> currentView;
-    private final HeaderVocabulary names;
+    private final ProtocolNames names;
     private final NodeSettings nodeSettings;
     private final BiConsumer<String, Object> peerSender;
     private final Log log;
@@ -70,7 +70,7 @@
             LongSupplier clock,
             Supplier<View> currentView,
             NodeSettings nodeSettings,
-            HeaderVocabulary names,
+            ProtocolNames names,
             Log log,
             BiConsumer<String, Object> peerSender) {
         this.nodeSettings = nodeSettings;
@@ -126,7 +126,7 @@
         return clock.getAsLong();
     }
 
-    HeaderVocabulary names() {
+    ProtocolNames names() {
         return names;
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -52,7 +52,7 @@
             LongSupplier clock,
             Supplier<View> currentView,
             NodeSettings nodeSettings,
-            HeaderVocabulary names,
+            ProtocolNames names,
             Log log,
             BooleanSupplier ready,
             BiConsumer<String, Object> peerSender) {
@@ -101,22 +101,22 @@
     }
 
     /** Receives another router's report that a runner is silent. */
-    public void heard(Silence notice) {
+    public void receiveNotice(Silence notice) {
         context.notices().add(notice);
     }
 
     /** Receives another router's report of the tokens that it gave a runner to prefill. */
-    public void heard(Reading notice) {
+    public void receiveNotice(Reading notice) {
         context.notices().add(notice);
     }
 
     /** The number of completed sweeps over client connections; for tests that move the clock. */
-    public long looks() {
+    public long sweepCount() {
         return context.clientConnections().sweepCount();
     }
 
     /** The number of open requests. */
-    public int open() {
+    public int openRequestCount() {
         return context.openCount();
     }
 
@@ -124,7 +124,7 @@
      * The number of client connections with a request whose response was not sent completely. Waits for the I/O thread
      * for up to {@value #IO_THREAD_REPLY_TIMEOUT_MILLIS} ms, then returns {@link Integer#MAX_VALUE}.
      */
-    public int unanswered() {
+    public int unansweredConnectionCount() {
         return askIoThread(context.clientConnections()::countBusy);
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** Starts to drain: the readiness check fails, and each client connection is closed after its next response. */
-    public void leave() {
+    public void startDraining() {
         draining = true;
         worker.getIoThread().execute(requestHandler::startDraining);
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -299,7 +299,7 @@
                 return;
             }
             choice.runner().heard(context.now());
-            context.recordLoad(choice.runner(), headers.getFirst(names.load()));
+            context.recordLoad(choice.runner(), headers.getFirst(names.runnerLoad()));
             if (outcome == ResponseOutcome.NOT_RUN) {
                 if (status == ResponseOutcome.MISDIRECTED_STATUS && !response.expectsWeightVersion())
                     context.markReplaced(choice.runner());
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseOutcome.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseOutcome.java
@@ -28,12 +28,13 @@
      *     without an id belong to this request: on a reused connection it may be a surplus response to an earlier one
      */
     static ResponseOutcome of(
-            int status, HeaderMap headers, String tryId, boolean freshConnection, HeaderVocabulary names) {
+            int status, HeaderMap headers, String tryId, boolean freshConnection, ProtocolNames names) {
         var success = status / 100 == SUCCESS_STATUS_CLASS;
         if (status < StatusCodes.OK || !hasClearBodyEnd(headers)) return UNUSABLE;
         if (!hasTryId(headers, names.tryId(), tryId, freshConnection && !success)) return UNUSABLE;
         var notRun = headers.contains(names.notRun());
-        if (success) return notRun || !headers.contains(names.stamp()) || hasEncodedBody(headers) ? UNUSABLE : SUCCESS;
+        if (success)
+            return notRun || !headers.contains(names.successMarker()) || hasEncodedBody(headers) ? UNUSABLE : SUCCESS;
         if (notRun || status == MISDIRECTED_STATUS) return NOT_RUN;
         return hasEncodedBody(headers) || impliesNotRun(status) ? UNUSABLE : FAILURE;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseReader.java
@@ -13,7 +13,7 @@
  * are not a response, or not a chunk where a chunk is due, raise an error and never end the response, since a truncated
  * response must not look complete. Not thread-safe.
  */
-final class AnswerReader {
+final class ResponseReader {
     /** Receives the parsed response. */
     interface Listener {
         /** The head of the final response is complete; interim responses (1xx) are skipped. */
@@ -61,7 +61,7 @@
      *
      * @param bodiless whether responses to the request's method have no body, whatever their head says
      */
-    AnswerReader(boolean bodiless, Listener listener) {
+    ResponseReader(boolean bodiless, Listener listener) {
         this.bodiless = bodiless;
         this.listener = listener;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
@@ -44,7 +44,7 @@
     private final String address;
     private final ByteBuffer[] requestBuffers;
     private final Listener listener;
-    private final AnswerReader reader;
+    private final ResponseReader reader;
     private StreamConnection connection;
     private XnioExecutor.Key connectTimer;
     private boolean finished;
@@ -59,7 +59,7 @@
         this.address = address;
         this.requestBuffers = new ByteBuffer[] {ByteBuffer.wrap(head.toBytes()), ByteBuffer.wrap(body)};
         this.listener = listener;
-        this.reader = new AnswerReader(head.hasBodilessResponse(), new AnswerReader.Listener() {
+        this.reader = new ResponseReader(head.hasBodilessResponse(), new ResponseReader.Listener() {
             @Override
             public void onHead(int status, HeaderMap headers) {
                 keepAliveMicros = ForwardedHeaders.keepAliveMicros(headers);
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
@@ -22,7 +22,7 @@
  * Handles completion requests of clients, or those that another router forwarded, and streams their responses. A worker
  * thread is blocked for each request in flight. Safe for several threads.
  */
-public final class RequestHandler implements HttpHandler {
+public final class CompletionHandler implements HttpHandler {
     private static final AtomicLong LAST_REQUEST_ID = new AtomicLong();
     private static final AttachmentKey<AtomicLong> CURRENT_REQUEST_ID = AttachmentKey.create(AtomicLong.class);
 
@@ -44,7 +44,7 @@
      * @param path the only path that is served; any other is answered as not found
      * @param forwarded whether requests on this path come from other routers
      */
-    public RequestHandler(
+    public CompletionHandler(
             Router router, HttpCaller caller, LongSupplier clock, EventLog log, String path, boolean forwarded) {
         this.router = router;
         this.caller = caller;
@@ -71,7 +71,7 @@
                 Problems.send(exchange, Problem.of(Kind.TOO_LARGE));
                 return;
             }
-            var request = RequestReader.read(
+            var request = RequestParser.parse(
                     LAST_REQUEST_ID.incrementAndGet(),
                     exchange.getRequestHeaders(),
                     body,
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestParser.java
@@ -20,7 +20,7 @@
 import java.util.function.ToLongFunction;
 
 /** Parses and validates a completion request from its headers and JSON body. */
-public final class RequestReader {
+public final class RequestParser {
     private static final JsonMapper JSON = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -31,7 +31,7 @@
     /** How many characters of the first message are hashed as the prompt's prefix. */
     private static final int MAX_PREFIX_CHARS = 1_024;
 
-    private RequestReader() {}
+    private RequestParser() {}
 
     /**
      * Parses a request.
@@ -42,7 +42,7 @@
      * @param now the time by the steady clock, in microseconds
      * @return the request, or the problem to send to the client
      */
-    public static Either<Problem, Request> read(
+    public static Either<Problem, Request> parse(
             long id,
             HeaderMap headers,
             byte[] body,
--- a/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
@@ -70,7 +70,7 @@
         };
         try (var bed = new Bed();
                 var one = new ScriptedRunner(script)) {
-            bed.plan(new PlannedFault("craneway.gateway.proxy.AnswerReader", 0));
+            bed.plan(new PlannedFault("craneway.gateway.proxy.ResponseReader", 0));
             bed.runner("i1", one.address(), "a", Rows.Runner.UP);
             assertEquals(502, bed.ask(path, "t1", "").status());
         }
