--- a/lib/model/src/main/java/craneway/model/event/Log.java
+++ b/lib/model/src/main/java/craneway/model/event/Log.java
@@ -1,7 +1,7 @@
 package craneway.model.event;
 
-/** Takes the events of one process; safe for several threads. */
+/** Receives the events of one process. Implementations are safe for several threads. */
 public interface Log {
-    /** Records that an event happened, with what is particular to it. */
-    void note(Event e, String detail);
+    /** Records an event, with a detail that describes this occurrence. */
+    void note(Event event, String detail);
 }
--- a/lib/model/src/main/java/craneway/model/event/package-info.java
+++ b/lib/model/src/main/java/craneway/model/event/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The numbered events that a process logs, and the interface that takes them.
+ * The numbered events that a process logs and the interface that receives them.
  *
- * <p>Numbers never change their meaning; {@code docs/events.md} lists each with what to do about it.
+ * <p>A number never changes its meaning; {@code docs/events.md} lists every event and the recommended reaction.
  */
 package craneway.model.event;
--- a/lib/model/src/main/java/craneway/model/json/JsonTree.java
+++ b/lib/model/src/main/java/craneway/model/json/JsonTree.java
@@ -10,31 +10,34 @@
 import java.io.IOException;
 
 /**
- * Reads one document into a tree, without an ObjectMapper: making one loads some 350 classes with calendars and formats of
- * dates, a quarter of the processor time of a router's start. As strict as the mappers that it stands in for: no name twice
- * in an object, nothing behind the document.
+ * Reads one document into a tree of nodes without an ObjectMapper.
+ *
+ * <p>Creating an ObjectMapper loads some 350 classes, among them calendars and date formats, which took a quarter of the
+ * processor time of a router's start. This reader is as strict as the mappers that it replaces: it rejects duplicate
+ * names in an object and anything that follows the document.
  */
 public final class JsonTree {
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
-    private static final JsonFactory JSON = JsonFactory.builder()
+    private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
+    private static final JsonFactory JSON_FACTORY = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
     private JsonTree() {}
 
-    /** Reads a JSON text; of an empty one a missing node. */
+    /** Reads a JSON text; returns a missing node if it is empty. */
     public static JsonNode read(String text) throws IOException {
-        try (var parser = JSON.createParser(text)) {
+        try (var parser = JSON_FACTORY.createParser(text)) {
             return read(parser);
         }
     }
 
-    /** Reads the one document of a parser that has not begun; of an empty one a missing node. */
+    /** Reads the only document of a parser that has not been read from; returns a missing node if the input is empty. */
     public static JsonNode read(JsonParser parser) throws IOException {
-        if (parser.nextToken() == null) return NODES.missingNode();
+        if (parser.nextToken() == null) return NODE_FACTORY.missingNode();
         var root = node(parser);
-        var behind = parser.nextToken();
-        if (behind != null) throw new JsonParseException(parser, "something stands behind the document: " + behind);
+        var trailingToken = parser.nextToken();
+        if (trailingToken != null)
+            throw new JsonParseException(parser, "unexpected token after the document: " + trailingToken);
         return root;
     }
 
@@ -42,18 +45,18 @@
         return switch (parser.currentToken()) {
             case START_OBJECT -> object(parser);
             case START_ARRAY -> array(parser);
-            case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_TRUE -> NODES.booleanNode(true);
-            case VALUE_FALSE -> NODES.booleanNode(false);
-            case VALUE_NULL -> NODES.nullNode();
+            case VALUE_STRING -> NODE_FACTORY.textNode(parser.getText());
+            case VALUE_TRUE -> NODE_FACTORY.booleanNode(true);
+            case VALUE_FALSE -> NODE_FACTORY.booleanNode(false);
+            case VALUE_NULL -> NODE_FACTORY.nullNode();
             case VALUE_NUMBER_INT -> wholeNumber(parser);
-            case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
-            default -> throw new JsonParseException(parser, "no value: " + parser.currentToken());
+            case VALUE_NUMBER_FLOAT -> NODE_FACTORY.numberNode(parser.getDoubleValue());
+            default -> throw new JsonParseException(parser, "expected a value but found " + parser.currentToken());
         };
     }
 
     private static JsonNode object(JsonParser parser) throws IOException {
-        var object = NODES.objectNode();
+        var object = NODE_FACTORY.objectNode();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             var name = parser.currentName();
             parser.nextToken();
@@ -63,16 +66,16 @@
     }
 
     private static JsonNode array(JsonParser parser) throws IOException {
-        var array = NODES.arrayNode();
+        var array = NODE_FACTORY.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) array.add(node(parser));
         return array;
     }
 
     private static JsonNode wholeNumber(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
-            case INT -> NODES.numberNode(parser.getIntValue());
-            case LONG -> NODES.numberNode(parser.getLongValue());
-            default -> NODES.numberNode(parser.getBigIntegerValue());
+            case INT -> NODE_FACTORY.numberNode(parser.getIntValue());
+            case LONG -> NODE_FACTORY.numberNode(parser.getLongValue());
+            default -> NODE_FACTORY.numberNode(parser.getBigIntegerValue());
         };
     }
 }
--- a/lib/model/src/main/java/craneway/model/json/package-info.java
+++ b/lib/model/src/main/java/craneway/model/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reads documents into trees of nodes. */
+/** Reads JSON documents, and documents of other Jackson formats, into trees of nodes. */
 package craneway.model.json;
--- a/lib/model/src/main/java/craneway/model/manifest/Manifest.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Manifest.java
@@ -3,28 +3,75 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the operators set: regions, zones, services, tenants, routes and limits. Immutable and checked. */
+/**
+ * The operators' declaration of a deployment: its regions, zones, services, tenants, routes and limits.
+ *
+ * <p>Instances are validated by {@link ManifestReader} and immutable. All times are microseconds.
+ */
 public final class Manifest {
-    /** A zone and the region it lies in. */
+    /**
+     * A failure domain within a region.
+     *
+     * @param name unique among all zones
+     * @param region the region that contains the zone
+     */
     public record Zone(String name, String region) {}
 
-    /** A service's runners in one zone; a weight of 0 closes it. */
+    /**
+     * The runners of a service in one zone.
+     *
+     * @param name unique within the service
+     * @param zone the zone of the runners
+     * @param weight the share of the service's units relative to its other cells; 0 closes the cell
+     */
     public record Cell(String name, String zone, int weight) {}
 
-    /** A kind of work of a service, and whether it may run only once. */
+    /**
+     * A kind of work that a service accepts.
+     *
+     * @param name unique within the service
+     * @param runOnce whether a request of this kind must not be run more than once
+     */
     public record Work(String name, boolean runOnce) {}
 
     /**
-     * How a service's runners behave: health path, connections, microseconds that one stays cold, requests a second
-     * that a cold one bears, slots, cache.
+     * The properties of a service's runners.
+     *
+     * @param healthPath path of the runner's health check
+     * @param connections the most connections that one runner accepts
+     * @param cold how long a runner stays cold after its start, in microseconds
+     * @param coldPerSecond requests per second that a cold runner can serve
+     * @param slots requests that one runner works on concurrently
+     * @param cacheTokens capacity of one runner's prefix cache, in tokens
      */
     public record Engine(
             String healthPath, int connections, long cold, double coldPerSecond, int slots, long cacheTokens) {}
 
-    /** Bounds on what a client may send: bytes of head and body, microseconds for the head and between bytes. */
+    /**
+     * Limits on what a client may send and how slowly.
+     *
+     * @param headerBytes the largest request head, in bytes
+     * @param bodyBytes the largest request body, in bytes
+     * @param header how long a client may take to send the request head, in microseconds
+     * @param idle how long a connection may stay idle, in microseconds
+     */
     public record Limits(int headerBytes, int bodyBytes, long header, long idle) {}
 
-    /** A service with its cells, kinds of work, bounds and the pace of its moves. Times are microseconds. */
+    /**
+     * A service, its cells, its limits and the rate at which its units are moved between cells.
+     *
+     * @param name unique among all services
+     * @param work the kinds of work that the service accepts
+     * @param cells the cells that run the service
+     * @param buffer the most requests for the service that one router buffers
+     * @param bodyLimit the largest request body, in bytes
+     * @param deadline the time limit of a request that brings none, in microseconds
+     * @param stepPause the pause between two steps of a move, in microseconds
+     * @param stepUnits the most units that one step moves
+     * @param warmUp the time in which a cold runner ramps up to all of its slots, in microseconds
+     * @param engine the properties of the service's runners
+     * @param bySlots whether cells are weighted by the slots of their runners instead of by {@link Cell#weight}
+     */
     public record Service(
             String name,
             List<Work> work,
@@ -37,18 +84,30 @@
             long warmUp,
             Engine engine,
             boolean bySlots) {
-        /** The kind of work of this name, or null. */
-        public Work work(String n) {
-            return work.stream().filter(w -> w.name().equals(n)).findFirst().orElse(null);
+        /** Returns the kind of work with this name, or null if there is none. */
+        public Work work(String workName) {
+            return work.stream()
+                    .filter(w -> w.name().equals(workName))
+                    .findFirst()
+                    .orElse(null);
         }
 
-        /** The cell of this name, or null. */
-        public Cell cell(String n) {
-            return cells.stream().filter(c -> c.name().equals(n)).findFirst().orElse(null);
+        /** Returns the cell with this name, or null if there is none. */
+        public Cell cell(String cellName) {
+            return cells.stream()
+                    .filter(c -> c.name().equals(cellName))
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
-    /** A tenant, the regions its work may run in, and its requests a minute; 0 is without bound. */
+    /**
+     * A tenant and its restrictions.
+     *
+     * @param name unique among all tenants
+     * @param regions the regions that the tenant's requests may run in
+     * @param quota the most requests per minute; 0 means no limit
+     */
     public record Tenant(String name, List<String> regions, int quota) {}
 
     private final String name;
@@ -82,70 +141,70 @@
         this.claimRetention = claimRetention;
     }
 
-    /** The name of the deployment. */
+    /** Returns the name of the deployment. */
     public String name() {
         return name;
     }
 
-    /** All regions, in the order that numbers them. */
+    /** Returns all regions; the position in this list is the number of the region. */
     public List<String> regions() {
         return regions;
     }
 
-    /** Zones by name. */
+    /** Returns the zones by name. */
     public Map<String, Zone> zones() {
         return zones;
     }
 
-    /** Services by name. */
+    /** Returns the services by name. */
     public Map<String, Service> services() {
         return services;
     }
 
-    /** The service of this name, or null. */
-    public Service service(String n) {
-        return services.get(n);
+    /** Returns the service with this name, or null if there is none. */
+    public Service service(String serviceName) {
+        return services.get(serviceName);
     }
 
-    /** The tenant of this name, or null. */
-    public Tenant tenant(String n) {
-        return tenants.get(n);
+    /** Returns the tenant with this name, or null if it is not listed. */
+    public Tenant tenant(String tenantName) {
+        return tenants.get(tenantName);
     }
 
-    /** Tenants by name. */
+    /** Returns the tenants by name. */
     public Map<String, Tenant> tenants() {
         return tenants;
     }
 
-    /** The routes of the proxied request path. */
+    /** Returns the routes for proxied requests. */
     public Routes routes() {
         return routes;
     }
 
-    /** Bounds on what clients may send. */
+    /** Returns the limits on what clients may send. */
     public Limits limits() {
         return limits;
     }
 
-    /** How long a router whose lease has lapsed may go on with repeatable work, in microseconds. */
+    /** Returns how long a router whose lease has lapsed may still run repeatable work, in microseconds. */
     public long lapsedGrace() {
         return lapsedGrace;
     }
 
-    /** How long a claim of run-once work is kept, in microseconds. */
+    /** Returns how long the claim of a run-once request is retained, in microseconds. */
     public long claimRetention() {
         return claimRetention;
     }
 
-    /** The region of a zone, or null where the manifest has no such zone. */
-    public String regionOfZone(String z) {
-        var x = zones.get(z);
-        return x == null ? null : x.region();
+    /** Returns the region that contains this zone, or null if the manifest has no such zone. */
+    public String regionOfZone(String zoneName) {
+        var zone = zones.get(zoneName);
+        return zone == null ? null : zone.region();
     }
 
-    /** The regions that a tenant's work may run in; all of them for a tenant that is not listed. */
-    public List<String> homeRegions(String tenant) {
-        var t = tenants.get(tenant);
-        return t == null ? regions : t.regions();
+    /** Returns the regions that a tenant's requests may run in: all regions if the tenant is not listed. */
+    public List<String> homeRegions(String tenantName) {
+        var tenant = tenants.get(tenantName);
+        return tenant == null ? regions : tenant.regions();
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
@@ -18,16 +18,22 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Reads a manifest's text: against the JSON schema, then for names that must exist and numbers that must fit. */
+/**
+ * Parses and validates the JSON text of a manifest.
+ *
+ * <p>The text is checked against the JSON schema first, then for what a schema cannot express: references to names that
+ * are not defined, duplicates and sums.
+ */
 public final class ManifestReader {
-    private static final class Shape {
+    /** Compiles the schema on first use, so that processes that only call {@link #readChecked} never load it. */
+    private static final class CompiledSchema {
         private static final Schema SCHEMA = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(schemaText());
     }
 
     private ManifestReader() {}
 
-    /** The JSON schema of a manifest. */
+    /** Returns the JSON schema of a manifest as text. */
     public static String schemaText() {
         try (var in = ManifestReader.class.getResourceAsStream("/craneway/manifest.schema.json")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -36,122 +42,129 @@
         }
     }
 
-    /** Reads a text that a store has checked already; skips the schema. */
+    /** Reads a manifest that a store has validated before, without checking it against the schema again. */
     public static Either<Problem, Manifest> readChecked(String text) {
-        return parse(text).flatMap(ManifestReader::means);
+        return parse(text).flatMap(ManifestReader::build);
     }
 
-    /** Reads and checks a text; a problem BAD_MANIFEST says what is wrong with it. */
+    /** Reads and validates a manifest; a BAD_MANIFEST problem lists what is invalid. */
     public static Either<Problem, Manifest> read(String text) {
-        return parse(text).flatMap(ManifestReader::fits).flatMap(ManifestReader::means);
+        return parse(text).flatMap(ManifestReader::validateAgainstSchema).flatMap(ManifestReader::build);
     }
 
     private static Either<Problem, JsonNode> parse(String text) {
         try {
             return Either.right(JsonTree.read(text));
         } catch (JsonProcessingException e) {
-            return bad("not JSON: " + e.getOriginalMessage());
+            return invalid("the manifest is not valid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            return bad("not JSON: " + e.getMessage());
+            return invalid("the manifest is not valid JSON: " + e.getMessage());
         }
     }
 
-    private static Either<Problem, JsonNode> fits(JsonNode n) {
-        var all = Shape.SCHEMA.validate(n);
-        if (all.isEmpty()) return Either.right(n);
-        return bad(all.stream()
+    private static Either<Problem, JsonNode> validateAgainstSchema(JsonNode document) {
+        var errors = CompiledSchema.SCHEMA.validate(document);
+        if (errors.isEmpty()) return Either.right(document);
+        return invalid(errors.stream()
                 .limit(20)
                 .map(e -> e.getInstanceLocation() + ": " + e.getMessage())
                 .collect(Collectors.joining("; ")));
     }
 
-    private static Either<Problem, Manifest> means(JsonNode n) {
-        var wrong = new ArrayList<String>();
-        var regions = names(n.get("regions"));
+    private static Either<Problem, Manifest> build(JsonNode document) {
+        var errors = new ArrayList<String>();
+        var regions = readNames(document.get("regions"));
         var zones = new LinkedHashMap<String, Manifest.Zone>();
-        for (var z : n.get("zones")) {
-            var zone = new Manifest.Zone(z.get("name").asText(), z.get("region").asText());
-            if (zones.put(zone.name(), zone) != null) wrong.add("zone " + zone.name() + " stands twice");
-            if (!regions.contains(zone.region())) wrong.add("zone " + zone.name() + ": no region " + zone.region());
+        for (var zoneNode : document.get("zones")) {
+            var zone = new Manifest.Zone(
+                    zoneNode.get("name").asText(), zoneNode.get("region").asText());
+            if (zones.put(zone.name(), zone) != null) errors.add("zone " + zone.name() + " is defined twice");
+            if (!regions.contains(zone.region()))
+                errors.add("zone " + zone.name() + ": there is no region " + zone.region());
         }
-        var services = services(n, zones, wrong);
-        var tenants = tenants(n, regions, wrong);
-        var routes = RouteReader.routes(n, regions, services.keySet(), wrong);
-        if (!wrong.isEmpty()) return bad(wrong.stream().limit(20).collect(Collectors.joining("; ")));
+        var services = services(document, zones, errors);
+        var tenants = tenants(document, regions, errors);
+        var routes = RouteReader.routes(document, regions, services.keySet(), errors);
+        if (!errors.isEmpty()) return invalid(errors.stream().limit(20).collect(Collectors.joining("; ")));
         return Either.right(new Manifest(
-                n.get("name").asText(),
+                document.get("name").asText(),
                 regions,
                 zones,
                 services,
                 tenants,
                 routes,
-                RouteReader.limits(n),
-                us(n, "lapsedGraceMs", 30_000),
-                us(n, "claimRetentionMs", 86_400_000)));
+                RouteReader.limits(document),
+                readMicros(document, "lapsedGraceMs", 30_000),
+                readMicros(document, "claimRetentionMs", 86_400_000)));
     }
 
     private static Map<String, Manifest.Service> services(
-            JsonNode n, Map<String, Manifest.Zone> zones, List<String> wrong) {
-        var all = new LinkedHashMap<String, Manifest.Service>();
-        for (var s : n.get("services")) {
-            var name = s.get("name").asText();
+            JsonNode document, Map<String, Manifest.Zone> zones, List<String> errors) {
+        var services = new LinkedHashMap<String, Manifest.Service>();
+        for (var serviceNode : document.get("services")) {
+            var name = serviceNode.get("name").asText();
             var cells = new ArrayList<Manifest.Cell>();
-            for (var c : s.get("cells")) {
+            for (var cellNode : serviceNode.get("cells")) {
                 var cell = new Manifest.Cell(
-                        c.get("name").asText(),
-                        c.get("zone").asText(),
-                        c.path("weight").asInt(1));
-                if (cells.stream().anyMatch(o -> o.name().equals(cell.name())))
-                    wrong.add("service " + name + ": cell " + cell.name() + " stands twice");
-                if (!zones.containsKey(cell.zone())) wrong.add("cell " + cell.name() + ": no zone " + cell.zone());
+                        cellNode.get("name").asText(),
+                        cellNode.get("zone").asText(),
+                        cellNode.path("weight").asInt(1));
+                if (cells.stream().anyMatch(other -> other.name().equals(cell.name())))
+                    errors.add("service " + name + ": cell " + cell.name() + " is defined twice");
+                if (!zones.containsKey(cell.zone()))
+                    errors.add("cell " + cell.name() + ": there is no zone " + cell.zone());
                 cells.add(cell);
             }
-            var work = new ArrayList<Manifest.Work>();
-            for (var w : s.get("work"))
-                work.add(new Manifest.Work(
-                        w.get("name").asText(), w.path("runOnce").asBoolean(false)));
-            if (work.stream().map(Manifest.Work::name).distinct().count() != work.size())
-                wrong.add("service " + name + ": a kind of work stands twice");
+            var workKinds = new ArrayList<Manifest.Work>();
+            for (var workNode : serviceNode.get("work"))
+                workKinds.add(new Manifest.Work(
+                        workNode.get("name").asText(), workNode.path("runOnce").asBoolean(false)));
+            if (workKinds.stream().map(Manifest.Work::name).distinct().count() != workKinds.size())
+                errors.add("service " + name + ": a kind of work is defined twice");
             var service = new Manifest.Service(
                     name,
-                    work,
+                    workKinds,
                     cells,
-                    s.path("buffer").asInt(64),
-                    s.path("bodyLimit").asInt(262_144),
-                    us(s, "deadlineMs", 60_000),
-                    us(s, "stepPauseMs", 100),
-                    s.path("stepUnits").asInt(25),
-                    us(s, "warmUpMs", 5_000),
-                    RouteReader.engine(s),
-                    s.path("weighed").asText("").equals("slots"));
-            if (all.put(name, service) != null) wrong.add("service " + name + " stands twice");
+                    serviceNode.path("buffer").asInt(64),
+                    serviceNode.path("bodyLimit").asInt(262_144),
+                    readMicros(serviceNode, "deadlineMs", 60_000),
+                    readMicros(serviceNode, "stepPauseMs", 100),
+                    serviceNode.path("stepUnits").asInt(25),
+                    readMicros(serviceNode, "warmUpMs", 5_000),
+                    RouteReader.engine(serviceNode),
+                    serviceNode.path("weighed").asText("").equals("slots"));
+            if (services.put(name, service) != null) errors.add("service " + name + " is defined twice");
         }
-        return all;
+        return services;
     }
 
-    private static Map<String, Manifest.Tenant> tenants(JsonNode n, List<String> regions, List<String> wrong) {
-        var all = new LinkedHashMap<String, Manifest.Tenant>();
-        for (var t : n.path("tenants")) {
-            var home = t.has("regions") ? names(t.get("regions")) : regions;
+    private static Map<String, Manifest.Tenant> tenants(JsonNode document, List<String> regions, List<String> errors) {
+        var tenants = new LinkedHashMap<String, Manifest.Tenant>();
+        for (var tenantNode : document.path("tenants")) {
+            var homeRegions = tenantNode.has("regions") ? readNames(tenantNode.get("regions")) : regions;
             var tenant = new Manifest.Tenant(
-                    t.get("name").asText(), home, t.path("quotaPerMinute").asInt(0));
-            if (all.put(tenant.name(), tenant) != null) wrong.add("tenant " + tenant.name() + " stands twice");
-            for (var r : home) if (!regions.contains(r)) wrong.add("tenant " + tenant.name() + ": no region " + r);
+                    tenantNode.get("name").asText(),
+                    homeRegions,
+                    tenantNode.path("quotaPerMinute").asInt(0));
+            if (tenants.put(tenant.name(), tenant) != null) errors.add("tenant " + tenant.name() + " is defined twice");
+            for (var region : homeRegions)
+                if (!regions.contains(region)) errors.add("tenant " + tenant.name() + ": there is no region " + region);
         }
-        return all;
+        return tenants;
     }
 
-    static List<String> names(JsonNode n) {
-        var all = new ArrayList<String>();
-        n.forEach(x -> all.add(x.asText()));
-        return all;
+    static List<String> readNames(JsonNode array) {
+        var names = new ArrayList<String>();
+        array.forEach(n -> names.add(n.asText()));
+        return names;
     }
 
-    static long us(JsonNode n, String field, long def) {
-        return n.path(field).asLong(def) * 1000;
+    /** Reads a field that holds milliseconds and returns microseconds. */
+    static long readMicros(JsonNode object, String field, long defaultMillis) {
+        return object.path(field).asLong(defaultMillis) * 1000;
     }
 
-    private static <T> Either<Problem, T> bad(String detail) {
+    private static <T> Either<Problem, T> invalid(String detail) {
         return Either.left(Problem.of(Kind.BAD_MANIFEST, detail));
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/Route.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Route.java
@@ -2,7 +2,23 @@
 
 import java.util.List;
 
-/** One route of the manifest: which service answers a host and path prefix, and how. Times are microseconds. */
+/**
+ * A route of the manifest: which service handles the requests of a host and path prefix, and under which rules.
+ *
+ * @param name identifies the route in logs
+ * @param host the host name, without a port; compared without regard to case
+ * @param prefix the path prefix, which begins and ends with a slash
+ * @param kind whether a request may be run again after a failure
+ * @param deadline how long a request may take in all, in microseconds
+ * @param target the target for the time to the first piece of the response, in microseconds
+ * @param urgency the priority from 0 to 9 that is passed on to the runner
+ * @param shares the services that handle the requests, with their weights
+ * @param tries the most attempts for one request
+ * @param sticky whether the route asks for affinity of requests with the same prompt prefix to one runner
+ * @param resume whether a stream that broke off may be resumed on another runner
+ * @param pause the target for the longest gap between two pieces of the response, in microseconds; 0 means no target
+ * @param regions the regions that the route is restricted to; empty means no restriction
+ */
 public record Route(
         String name,
         String host,
@@ -17,27 +33,35 @@
         boolean resume,
         long pause,
         List<String> regions) {
-    /** Whether a request may run again after a break, must not, or streams its answer, which may then resume. */
+    /**
+     * How a request may be repeated after a failure: at will, never, or, for a streamed response, by resuming it if the
+     * route allows that.
+     */
     public enum Kind {
         REPEATABLE,
         ONCE,
         STREAM
     }
 
-    /** A service and its weight among those that share a route. */
+    /**
+     * A service that handles a share of a route's requests.
+     *
+     * @param service the name of the service
+     * @param weight the share relative to the weights of the route's other services
+     */
     public record Share(String service, int weight) {}
 
-    /** Whether a request may run more than once. */
+    /** Returns whether a request may be run more than once. */
     public boolean repeatable() {
         return kind == Kind.REPEATABLE || kind == Kind.STREAM && resume;
     }
 
-    /** The service for a request whose key hashes to {@code h}. */
-    public String service(long h) {
-        var sum = 0;
-        for (var s : shares) sum += s.weight();
-        var at = (int) Long.remainderUnsigned(h, sum);
-        for (var s : shares) if ((at -= s.weight()) < 0) return s.service();
-        throw new IllegalStateException(name + " has no weight");
+    /** Returns the service for a request whose key has this hash; each service gets its share of the hash values. */
+    public String service(long keyHash) {
+        var weightSum = 0;
+        for (var s : shares) weightSum += s.weight();
+        var position = (int) Long.remainderUnsigned(keyHash, weightSum);
+        for (var s : shares) if ((position -= s.weight()) < 0) return s.service();
+        throw new IllegalStateException(name + ": no share of this route has a positive weight");
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
@@ -7,67 +7,73 @@
 import java.util.Locale;
 import java.util.Set;
 
+/** Reads the parts of a manifest that describe routes, runner properties and client limits. */
 final class RouteReader {
     private RouteReader() {}
 
-    static Manifest.Limits limits(JsonNode n) {
-        var l = n.path("limits");
+    static Manifest.Limits limits(JsonNode document) {
+        var limitsNode = document.path("limits");
         return new Manifest.Limits(
-                l.path("headerBytes").asInt(16_384),
-                l.path("bodyBytes").asInt(4 << 20),
-                ManifestReader.us(l, "headerMs", 3_000),
-                ManifestReader.us(l, "idleMs", 15_000));
+                limitsNode.path("headerBytes").asInt(16_384),
+                limitsNode.path("bodyBytes").asInt(4 << 20),
+                ManifestReader.readMicros(limitsNode, "headerMs", 3_000),
+                ManifestReader.readMicros(limitsNode, "idleMs", 15_000));
     }
 
-    static Manifest.Engine engine(JsonNode s) {
-        var e = s.path("engine");
+    static Manifest.Engine engine(JsonNode serviceNode) {
+        var engineNode = serviceNode.path("engine");
         return new Manifest.Engine(
-                e.path("healthPath").asText("/health"),
-                e.path("connections").asInt(1_000),
-                ManifestReader.us(e, "coldMs", 0),
-                e.path("coldPerSecond").asDouble(0),
-                e.path("slots").asInt(1),
-                e.path("cacheTokens").asLong(0));
+                engineNode.path("healthPath").asText("/health"),
+                engineNode.path("connections").asInt(1_000),
+                ManifestReader.readMicros(engineNode, "coldMs", 0),
+                engineNode.path("coldPerSecond").asDouble(0),
+                engineNode.path("slots").asInt(1),
+                engineNode.path("cacheTokens").asLong(0));
     }
 
-    static Routes routes(JsonNode n, List<String> regions, Set<String> services, List<String> wrong) {
-        var all = new ArrayList<Route>();
-        var seen = new HashSet<String>();
-        for (var r : n.path("routes")) {
-            var x = route(r);
-            if (!seen.add(x.host().toLowerCase(Locale.ROOT) + x.prefix()))
-                wrong.add("route " + x.name() + ": " + x.host() + x.prefix() + " stands twice");
-            var sum = 0L;
-            for (var s : x.shares()) {
-                sum += s.weight();
-                if (!services.contains(s.service())) wrong.add("route " + x.name() + ": no service " + s.service());
+    /** Reads all routes and adds what is invalid about them to {@code errors}. */
+    static Routes routes(JsonNode document, List<String> regions, Set<String> services, List<String> errors) {
+        var routes = new ArrayList<Route>();
+        var hostsAndPrefixes = new HashSet<String>();
+        for (var routeNode : document.path("routes")) {
+            var route = route(routeNode);
+            if (!hostsAndPrefixes.add(route.host().toLowerCase(Locale.ROOT) + route.prefix()))
+                errors.add("route " + route.name() + ": " + route.host() + route.prefix() + " is defined twice");
+            var weightSum = 0L;
+            for (var share : route.shares()) {
+                weightSum += share.weight();
+                if (!services.contains(share.service()))
+                    errors.add("route " + route.name() + ": there is no service " + share.service());
             }
-            if (sum <= 0 || sum > Integer.MAX_VALUE) wrong.add("route " + x.name() + ": its weights sum to " + sum);
-            if (x.deadline() <= 0) wrong.add("route " + x.name() + ": its deadline is 0");
-            for (var g : x.regions()) if (!regions.contains(g)) wrong.add("route " + x.name() + ": no region " + g);
-            all.add(x);
+            if (weightSum <= 0 || weightSum > Integer.MAX_VALUE)
+                errors.add("route " + route.name()
+                        + ": the sum of its share weights must be from 1 to 2147483647, but is " + weightSum);
+            if (route.deadline() <= 0) errors.add("route " + route.name() + ": its deadline must be longer than 0 ms");
+            for (var region : route.regions())
+                if (!regions.contains(region)) errors.add("route " + route.name() + ": there is no region " + region);
+            routes.add(route);
         }
-        return new Routes(all);
+        return new Routes(routes);
     }
 
-    private static Route route(JsonNode r) {
+    private static Route route(JsonNode routeNode) {
         var shares = new ArrayList<Route.Share>();
-        for (var s : r.path("shares"))
-            shares.add(
-                    new Route.Share(s.path("service").asText(), s.path("weight").asInt(1)));
+        for (var shareNode : routeNode.path("shares"))
+            shares.add(new Route.Share(
+                    shareNode.path("service").asText(), shareNode.path("weight").asInt(1)));
         return new Route(
-                r.path("name").asText(),
-                r.path("host").asText(),
-                r.path("prefix").asText(),
-                Route.Kind.valueOf(r.path("kind").asText("repeatable").toUpperCase(Locale.ROOT)),
-                ManifestReader.us(r, "deadlineMs", 60_000),
-                ManifestReader.us(r, "targetMs", 0),
-                r.path("urgency").asInt(5),
+                routeNode.path("name").asText(),
+                routeNode.path("host").asText(),
+                routeNode.path("prefix").asText(),
+                Route.Kind.valueOf(routeNode.path("kind").asText("repeatable").toUpperCase(Locale.ROOT)),
+                ManifestReader.readMicros(routeNode, "deadlineMs", 60_000),
+                ManifestReader.readMicros(routeNode, "targetMs", 0),
+                routeNode.path("urgency").asInt(5),
                 List.copyOf(shares),
-                Math.max(1, r.path("tries").asInt(1)),
-                r.path("sticky").asBoolean(false),
-                r.path("resume").asBoolean(false),
-                ManifestReader.us(r, "pauseMs", 0),
-                List.copyOf(ManifestReader.names(r.path("regions"))));
+                Math.max(1, routeNode.path("tries").asInt(1)),
+                routeNode.path("sticky").asBoolean(false),
+                routeNode.path("resume").asBoolean(false),
+                ManifestReader.readMicros(routeNode, "pauseMs", 0),
+                List.copyOf(ManifestReader.readNames(routeNode.path("regions"))));
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/Routes.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Routes.java
@@ -7,55 +7,67 @@
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Finds the route of a host with the longest prefix of a path; prefixes begin and end with a slash. */
+/**
+ * Looks up routes by host and longest path prefix. Prefixes begin and end with a slash.
+ *
+ * <p>Safe for several threads.
+ */
 public final class Routes {
-    private final Map<String, Map<String, Route>> hosts = new HashMap<>();
-    private final Map<String, Collection<String>> bound = new ConcurrentHashMap<>();
+    private final Map<String, Map<String, Route>> prefixesByHost = new HashMap<>();
+    private final Map<String, Collection<String>> regionSetsByService = new ConcurrentHashMap<>();
     private final int count;
 
-    /** Routes of distinct hosts and prefixes. */
-    public Routes(Collection<Route> all) {
-        for (var r : all)
-            hosts.computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new HashMap<>())
+    /** Creates the lookup for routes of which no two have the same host and prefix. */
+    public Routes(Collection<Route> routes) {
+        for (var r : routes)
+            prefixesByHost
+                    .computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new HashMap<>())
                     .put(r.prefix(), r);
-        count = all.size();
+        count = routes.size();
     }
 
-    /** How many there are. */
+    /** Returns the number of routes. */
     public int count() {
         return count;
     }
 
-    /** The region sets that routes to this service are bound to, each its names in order, once. */
+    /**
+     * Returns the distinct region sets that routes to this service are restricted to, each as its sorted region names
+     * joined by spaces.
+     */
     public Collection<String> bound(String service) {
-        return bound.computeIfAbsent(service, this::boundOf);
+        return regionSetsByService.computeIfAbsent(service, this::findRegionSets);
     }
 
-    private Collection<String> boundOf(String service) {
-        var all = new TreeSet<String>();
-        for (var h : hosts.values())
-            for (var r : h.values())
+    private Collection<String> findRegionSets(String service) {
+        var regionSets = new TreeSet<String>();
+        for (var byPrefix : prefixesByHost.values())
+            for (var r : byPrefix.values())
                 if (!r.regions().isEmpty()
                         && r.shares().stream().anyMatch(s -> s.service().equals(service)))
-                    all.add(String.join(" ", r.regions().stream().sorted().toList()));
-        return all;
+                    regionSets.add(
+                            String.join(" ", r.regions().stream().sorted().toList()));
+        return regionSets;
     }
 
-    /** For each host, its routes by prefix. */
+    /** Returns, for each host, its routes by prefix. */
     public Collection<Map<String, Route>> all() {
-        return hosts.values();
+        return prefixesByHost.values();
     }
 
-    /** The route with the longest prefix of this path, or null; a port in the host is ignored. */
+    /**
+     * Returns the route of the host whose prefix is the longest one that this path begins with, or null if there is
+     * none. A port in {@code host} is ignored.
+     */
     public Route match(String host, String path) {
         if (host == null) return null;
-        var at = host.lastIndexOf(':');
-        var h = hosts.get((at > 0 ? host.substring(0, at) : host).toLowerCase(Locale.ROOT));
-        if (h == null) return null;
-        for (var i = path.lastIndexOf('/'); i >= 0; i = path.lastIndexOf('/', i - 1)) {
-            var r = h.get(path.substring(0, i + 1));
-            if (r != null) return r;
-            if (i == 0) break;
+        var colon = host.lastIndexOf(':');
+        var byPrefix = prefixesByHost.get((colon > 0 ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT));
+        if (byPrefix == null) return null;
+        for (var slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
+            var route = byPrefix.get(path.substring(0, slash + 1));
+            if (route != null) return route;
+            if (slash == 0) break;
         }
         return null;
     }
--- a/lib/model/src/main/java/craneway/model/manifest/package-info.java
+++ b/lib/model/src/main/java/craneway/model/manifest/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The operators' manifest as immutable values, and the reader that checks it.
+ * The manifest that operators write, as immutable values, and the reader that validates it.
  *
- * <p>A {@link craneway.model.manifest.Manifest} in hand is valid: every name it uses is defined in it. Times are
- * microseconds, in the text milliseconds. No I/O; values may be shared between threads.
+ * <p>Every {@link craneway.model.manifest.Manifest} is valid: each name that it refers to is defined in it. Times are
+ * microseconds in these classes and milliseconds in the JSON text. Nothing here does I/O, and the values may be shared
+ * between threads.
  */
 package craneway.model.manifest;
--- a/lib/model/src/main/java/craneway/model/node/package-info.java
+++ b/lib/model/src/main/java/craneway/model/node/package-info.java
@@ -1,2 +1,2 @@
-/** What one process is told about itself when it starts: addresses, place and bounds. Immutable values, no I/O. */
+/** The settings that one process receives at its start: addresses, placement and tolerances. Immutable values, no I/O. */
 package craneway.model.node;
--- a/lib/model/src/main/java/craneway/model/problem/Kind.java
+++ b/lib/model/src/main/java/craneway/model/problem/Kind.java
@@ -5,7 +5,7 @@
 import static craneway.model.problem.Bearing.RECORDED;
 import static craneway.model.problem.Bearing.UNKNOWN;
 
-/** The closed list of problems. Numbers and names are part of the interface; see docs/problems.md. */
+/** The closed list of kinds of problems. Numbers and names are part of the interface; see docs/problems.md. */
 public enum Kind {
     BAD_JSON(101, 400, DECLINED, "the body is not well-formed JSON"),
     BAD_FIELD(102, 400, DECLINED, "a field is unknown or has the wrong type or value"),
@@ -68,41 +68,45 @@
         this.text = text;
     }
 
-    /** The number that callers and other processes see. */
+    /** Returns the number that identifies the kind to callers and other processes. */
     public int code() {
         return code;
     }
 
-    /** The HTTP status that goes with it. */
+    /** Returns the HTTP status of a response that reports the problem. */
     public int status() {
         return status;
     }
 
-    /** What it says of the work. */
+    /** Returns what the problem says about the requested work. */
     public Bearing bearing() {
         return bearing;
     }
 
-    /** The text used where nothing more is known. */
+    /** Returns the message used when there is no more specific detail. */
     public String text() {
         return text;
     }
 
-    /** Whether the same request may succeed later. */
+    /** Returns whether the same request may succeed later. */
     public boolean transientState() {
         return status == 503 || status == 429 || status == 507 || this == NOT_HOME;
     }
 
-    /** The kind with this number, or null. */
+    /** Returns the kind with this number, or null if there is none. */
     public static Kind find(int code) {
-        for (var k : values()) if (k.code == code) return k;
+        for (var kind : values()) if (kind.code == code) return kind;
         return null;
     }
 
-    /** The kind with this number; an unknown number is an IllegalArgumentException. */
+    /**
+     * Returns the kind with this number.
+     *
+     * @throws IllegalArgumentException if there is no such kind
+     */
     public static Kind of(int code) {
-        var k = find(code);
-        if (k == null) throw new IllegalArgumentException("problem code " + code);
-        return k;
+        var kind = find(code);
+        if (kind == null) throw new IllegalArgumentException("unknown problem code " + code);
+        return kind;
     }
 }
--- a/lib/model/src/main/java/craneway/model/problem/Problem.java
+++ b/lib/model/src/main/java/craneway/model/problem/Problem.java
@@ -1,25 +1,32 @@
 package craneway.model.problem;
 
-/** A problem with its detail and the microseconds after which to try again; 0 where trying again does not help. */
+/**
+ * A problem that is reported to a caller.
+ *
+ * @param kind the kind of problem
+ * @param detail a message for the caller
+ * @param retryAfter how long the caller should wait before it retries, in microseconds; 0 if a retry does not help.
+ *     A {@link Kind#NOT_HOME} problem holds the version of the sender's placement table here instead.
+ */
 public record Problem(Kind kind, String detail, long retryAfter) {
-    private static final long RETRY = 1_000_000L;
+    private static final long DEFAULT_RETRY_DELAY_MICROS = 1_000_000L;
 
-    /** A problem with the text of its kind. */
+    /** Returns a problem with the default message of its kind. */
     public static Problem of(Kind kind) {
         return of(kind, kind.text());
     }
 
-    /** A problem with a detail; a transient one may be tried again after a second. */
+    /** Returns a problem with this detail; if its kind is transient, the caller may retry after one second. */
     public static Problem of(Kind kind, String detail) {
-        return new Problem(kind, detail, kind.transientState() ? RETRY : 0);
+        return new Problem(kind, detail, kind.transientState() ? DEFAULT_RETRY_DELAY_MICROS : 0);
     }
 
-    /** A problem with a detail, to be tried again after so many microseconds. */
+    /** Returns a problem with this detail and this delay before a retry, in microseconds. */
     public static Problem of(Kind kind, String detail, long retryAfter) {
         return new Problem(kind, detail, retryAfter);
     }
 
-    /** Whole seconds for a Retry-After header, at least one. */
+    /** Returns the value of a Retry-After header: the delay in seconds, rounded up and at least 1. */
     public long retrySeconds() {
         return Math.max(1, (retryAfter + 999_999) / 1_000_000);
     }
--- a/lib/model/src/main/java/craneway/model/problem/package-info.java
+++ b/lib/model/src/main/java/craneway/model/problem/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The closed list of problems that a caller can be told, and what each means for the work that was asked for.
+ * The closed list of problems that a caller can receive, and what each says about the requested work.
  *
  * <p>Codes and names are part of the interface and never change their meaning; see {@code docs/problems.md}.
  */
--- a/lib/model/src/main/java/craneway/model/unit/Parts.java
+++ b/lib/model/src/main/java/craneway/model/unit/Parts.java
@@ -1,14 +1,17 @@
 package craneway.model.unit;
 
-/** The fixed number of parts that the control state is sharded into, and which part a topic belongs to. */
+/** The fixed number of parts (shards) of the control state, and the mapping from topics to parts. */
 public final class Parts {
+    /** The number of parts. */
     public static final int COUNT = 4;
+    /** The index of the part that holds the manifest and the members. */
     public static final int MANIFEST = 0;
+    /** The topic of the manifest; every other topic is the name of a service. */
     public static final String MANIFEST_TOPIC = "@manifest";
 
     private Parts() {}
 
-    /** The part of a service or of the manifest topic. */
+    /** Returns the part of a topic: the name of a service, or {@link #MANIFEST_TOPIC}. */
     public static int of(String topic) {
         return topic.equals(MANIFEST_TOPIC) ? MANIFEST : 1 + Hash.bucket(Hash.of(topic), COUNT - 1);
     }
--- a/lib/model/src/main/java/craneway/model/unit/Rendezvous.java
+++ b/lib/model/src/main/java/craneway/model/unit/Rendezvous.java
@@ -2,31 +2,31 @@
 
 import java.util.Collection;
 
-/** Rendezvous (highest random weight) hashing: a name that goes or comes moves only its own keys. */
+/** Rendezvous (highest random weight) hashing: adding or removing a name moves only the keys of that name. */
 public final class Rendezvous {
     private Rendezvous() {}
 
-    /** The name with the greatest weight for this topic, or null where there are none. */
+    /** Returns the name with the greatest weight for this topic, or null if there are no names. */
     public static String pick(String topic, Collection<String> names) {
-        var h = Hash.of(topic);
+        var topicHash = Hash.of(topic);
         String best = null;
-        var most = 0L;
-        for (var n : names) {
-            var w = weight(h, n);
-            if (best == null || Long.compareUnsigned(w, most) > 0) {
-                best = n;
-                most = w;
+        var bestWeight = 0L;
+        for (var name : names) {
+            var weight = weight(topicHash, name);
+            if (best == null || Long.compareUnsigned(weight, bestWeight) > 0) {
+                best = name;
+                bestWeight = weight;
             }
         }
         return best;
     }
 
-    /** The same for a name whose hash is known. */
+    /** Returns the weight of the name with this hash for a key. Weights are compared as unsigned numbers. */
     public static long weight(long key, long nameHash) {
         return Hash.of(key, nameHash);
     }
 
-    /** The weight of a name for a key; compared as unsigned. */
+    /** Returns the weight of a name for a key. Weights are compared as unsigned numbers. */
     public static long weight(long key, String name) {
         return Hash.of(key, Hash.of(name));
     }
--- a/lib/model/src/main/java/craneway/model/unit/Table.java
+++ b/lib/model/src/main/java/craneway/model/unit/Table.java
@@ -3,35 +3,45 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Which cell is home to which unit; versions only rise. */
+/**
+ * The placement table of a service: the home cell of each unit.
+ *
+ * @param version increases with every change
+ * @param regions the names of the regions; the position is the number of the region
+ * @param cells the names of the cells
+ * @param cellRegion for each cell, the number of its region
+ * @param homes for each unit, the index of its home cell, or {@link #NOWHERE}
+ */
 public record Table(long version, List<String> regions, List<String> cells, int[] cellRegion, int[] homes) {
+    /** The home of a unit that has no home cell. */
     public static final int NOWHERE = -1;
 
-    /** The home cell of a unit, or null where it has none. */
+    /** Returns the name of a unit's home cell, or null if the unit has none. */
     public String cellOf(int unit) {
-        var c = homes[unit];
-        return c == NOWHERE ? null : cells.get(c);
+        var cell = homes[unit];
+        return cell == NOWHERE ? null : cells.get(cell);
     }
 
-    /** The region of a unit's home cell, or null. */
+    /** Returns the region of a unit's home cell, or null if the unit has none. */
     public String regionOf(int unit) {
-        var c = homes[unit];
-        return c == NOWHERE ? null : regions.get(cellRegion[c]);
+        var cell = homes[unit];
+        return cell == NOWHERE ? null : regions.get(cellRegion[cell]);
     }
 
-    /** The set of these regions as bits; regions that the table does not know are left out. */
+    /** Returns the set of these regions as a bit mask; regions that are not in the table are left out. */
     public int regionSet(Iterable<String> names) {
-        var m = 0;
-        for (var n : names) {
-            var i = regions.indexOf(n);
-            if (i >= 0) m |= 1 << i;
+        var bits = 0;
+        for (var name : names) {
+            var region = regions.indexOf(name);
+            if (region >= 0) bits |= 1 << region;
         }
-        return m;
+        return bits;
     }
 
-    /** How many units live in this cell. */
+    /** Returns the number of units whose home is this cell. */
     public int count(String cell) {
-        var c = cells.indexOf(cell);
-        return (int) Arrays.stream(homes).filter(h -> h == c && c >= 0).count();
+        var index = cells.indexOf(cell);
+        return (int)
+                Arrays.stream(homes).filter(home -> home == index && index >= 0).count();
     }
 }
--- a/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
+++ b/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
@@ -1,10 +1,20 @@
 package craneway.model.unit;
 
 /**
- * How often the processes of the core speak to one another, in microseconds: a leader's beat, how long a peer holds an election back
- * without one and by how much that is spread, greetings, renewals, subscriptions, the silence after which a store is replaced,
- * and how long a leader watches before it moves anything. A low-traffic profile says as little as it can: lists only to those who lack
- * them, all parts with one leader, and messages of all parts at the same moment.
+ * The periods of the messages between the processes of the core, in microseconds.
+ *
+ * <p>A low-traffic profile sends as little as possible: member lists go only to nodes that lack them, one store leads all
+ * parts, and the messages of all parts are sent at the same moment.
+ *
+ * @param heartbeat the interval between two heartbeats of a leader
+ * @param electionTimeout how long a replica that has received no heartbeat waits before it starts an election
+ * @param electionJitter the range of the random time that is added to the election timeout
+ * @param hello the interval at which nodes greet each other
+ * @param renew the interval between two renewals of a lease
+ * @param subscribe the interval between two renewals of a subscription
+ * @param replace how long a store must be silent before it is replaced in its group
+ * @param settled how long a new leader only observes before it moves or replaces anything
+ * @param lowTraffic whether the profile saves messages as described above
  */
 public record TimingProfile(
         long heartbeat,
@@ -16,18 +26,23 @@
         long replace,
         long settled,
         boolean lowTraffic) {
+    /** The default profile. */
     public static final TimingProfile STANDARD =
             new TimingProfile(100_000, 700_000, 700_000, 500_000, 500_000, 500_000, 4_000_000, 3_000_000, false);
+    /** The profile that saves messages. */
     public static final TimingProfile LOW_TRAFFIC =
             new TimingProfile(150_000, 700_000, 350_000, 1_000_000, 600_000, 900_000, 2_800_000, 800_000, true);
 
-    /** The pace of leaders: how long one that no longer reaches a majority may go on. */
+    /** Returns how long a leader that no longer reaches a majority may go on leading, in microseconds. */
     public long leaderLease() {
         return electionTimeout * 8 / 10;
     }
 
-    /** Whether something sent then is due again; a low-traffic profile lets all parts fall due together. */
-    public boolean due(long sent, long now) {
-        return lowTraffic ? now / heartbeat != sent / heartbeat : now >= sent + heartbeat;
+    /**
+     * Returns whether the next heartbeat is due at {@code now} after one at {@code lastSentAt}. In a low-traffic profile
+     * the heartbeats of all parts become due at the same moment.
+     */
+    public boolean due(long lastSentAt, long now) {
+        return lowTraffic ? now / heartbeat != lastSentAt / heartbeat : now >= lastSentAt + heartbeat;
     }
 }
--- a/lib/model/src/main/java/craneway/model/unit/Units.java
+++ b/lib/model/src/main/java/craneway/model/unit/Units.java
@@ -1,38 +1,43 @@
 package craneway.model.unit;
 
-/** A unit is a region set and one of a hundred slices of the tenants, numbered set * 100 + slice. */
+/**
+ * The numbering of units. A unit is a set of regions combined with one of 100 slices of the tenants; its number is
+ * {@code regionSet * 100 + slice}, where the region set is a bit mask.
+ */
 public final class Units {
+    /** The number of slices that the tenants are divided into. */
     public static final int SLICES = 100;
+    /** The most regions that a manifest can have. */
     public static final int MOST_REGIONS = 4;
 
     private Units() {}
 
-    /** The slice of a tenant; it never changes. */
+    /** Returns the slice of a tenant, which never changes. */
     public static int slice(String tenant) {
         return Hash.bucket(Hash.of(tenant), SLICES);
     }
 
-    /** The unit of a tenant within a region set. */
+    /** Returns the unit of a tenant whose requests may run in this region set. */
     public static int unit(int regionSet, String tenant) {
         return regionSet * SLICES + slice(tenant);
     }
 
-    /** The region set of a unit, as bits. */
+    /** Returns the region set of a unit as a bit mask. */
     public static int regionSet(int unit) {
         return unit / SLICES;
     }
 
-    /** The slice of a unit. */
+    /** Returns the slice of a unit. */
     public static int slice(int unit) {
         return unit % SLICES;
     }
 
-    /** How many units there are with so many regions; those of the empty set are never used. */
+    /** Returns the number of units for this number of regions. It includes the units of the empty set, which are never used. */
     public static int count(int regions) {
         return (1 << regions) * SLICES;
     }
 
-    /** Whether the region set holds this region. */
+    /** Returns whether the region set contains the region with this number. */
     public static boolean allows(int regionSet, int region) {
         return (regionSet >> region & 1) == 1;
     }
--- a/lib/model/src/main/java/craneway/model/unit/package-info.java
+++ b/lib/model/src/main/java/craneway/model/unit/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Units of placement (a region set and a slice of tenants), the table from unit to cell, and the hashes and
- * periods that all processes must agree on.
+ * Units of placement (a region set and a slice of the tenants), the placement table from units to cells, and the hashes
+ * and periods that all processes must agree on.
  *
- * <p>Pure functions and immutable values. All times in microseconds.
+ * <p>Everything here is a pure function or an immutable value. All times are microseconds.
  */
 package craneway.model.unit;
