--- a/lib/http/src/main/java/craneway/http/Callers.java
+++ b/lib/http/src/main/java/craneway/http/Callers.java
@@ -9,7 +9,11 @@
 import java.io.IOException;
 import java.util.function.LongSupplier;
 
-/** Tells of an order that was read whether its caller can still be waiting for the answer. */
+/**
+ * Decides whether the caller of a request that has just been read can still be waiting for the response. A caller that has
+ * closed its connection, or that sent the request while this process was frozen, may have sent the same request to another
+ * node and a reverse one after it. Safe for several threads.
+ */
 public final class Callers {
     private static final AttachmentKey<WakeGuard.Connection> CONNECTION =
             AttachmentKey.create(WakeGuard.Connection.class);
@@ -18,60 +22,74 @@
     private final Log log;
     private final WakeGuard guard;
 
-    /** Callers by this steady clock; refusals are told to the log. */
+    /**
+     * Creates the check.
+     *
+     * @param now a monotonic clock, in microseconds
+     * @param log receives an event for each request whose caller may have given up
+     */
     public Callers(LongSupplier now, Log log) {
         this.now = now;
         this.log = log;
         guard = new WakeGuard(now.getAsLong());
     }
 
-    /** The steady clock, in microseconds. */
+    /** Returns the time of the monotonic clock, in microseconds. */
     public long now() {
         return now.getAsLong();
     }
 
-    /** To be called every 20 ms or so, by a thread that waits for nothing else. */
+    /** Must be called about every 20 ms by a thread that never blocks, so that a longer gap shows a frozen process. */
     public void tick() {
         guard.tick(now());
     }
 
-    /** Whether the order that was begun to be read then has a caller; to be called by the connection's I/O thread. */
-    public boolean waits(HttpServerExchange x, long began, long at) {
-        var admitted = guard.admits(connection(x), began, at);
-        if (admitted && !closed(x)) return true;
+    /**
+     * Returns whether the caller of a request may still be waiting, and logs an event if not. Must be called by the I/O
+     * thread of the connection.
+     *
+     * @param startedAt when reading the request began, in microseconds
+     * @param currentTime the current time, in microseconds
+     */
+    public boolean waits(HttpServerExchange exchange, long startedAt, long currentTime) {
+        var admitted = guard.admits(connection(exchange), startedAt, currentTime);
+        if (admitted && !isConnectionClosed(exchange)) return true;
         log.note(
                 Event.STALE_CALL,
-                x.getRequestMethod() + " " + x.getRequestPath()
-                        + (admitted ? ": the connection is closed" : ": this process stood still"));
+                exchange.getRequestMethod() + " " + exchange.getRequestPath()
+                        + (admitted ? ": the caller closed its connection" : ": this process was frozen"));
         return false;
     }
 
-    private static WakeGuard.Connection connection(HttpServerExchange x) {
-        var c = x.getConnection();
-        var known = c.getAttachment(CONNECTION);
+    private static WakeGuard.Connection connection(HttpServerExchange exchange) {
+        var connection = exchange.getConnection();
+        var known = connection.getAttachment(CONNECTION);
         if (known != null) return known;
-        var made = new WakeGuard.Connection();
-        c.putAttachment(CONNECTION, made);
-        return made;
+        var created = new WakeGuard.Connection();
+        connection.putAttachment(CONNECTION, created);
+        return created;
     }
 
-    /** Looks behind the request for the connection's end; what it finds of a next request is given back. */
-    private static boolean closed(HttpServerExchange x) {
-        if (!x.getConnection().isOpen()) return true;
-        if (!(x.getConnection() instanceof HttpServerConnection c)) return false;
-        if (!x.isRequestComplete() || c.getExtraBytes() != null) return false;
-        var behind = c.getByteBufferPool().allocate();
+    /**
+     * Returns whether the caller has closed the connection. Reads past the request to find out; the bytes of a following
+     * request are put back into the connection.
+     */
+    private static boolean isConnectionClosed(HttpServerExchange exchange) {
+        if (!exchange.getConnection().isOpen()) return true;
+        if (!(exchange.getConnection() instanceof HttpServerConnection connection)) return false;
+        if (!exchange.isRequestComplete() || connection.getExtraBytes() != null) return false;
+        var nextBytes = connection.getByteBufferPool().allocate();
         try {
-            var n = c.getOriginalSourceConduit().read(behind.getBuffer());
-            if (n > 0) {
-                behind.getBuffer().flip();
-                c.ungetRequestBytes(behind);
+            var count = connection.getOriginalSourceConduit().read(nextBytes.getBuffer());
+            if (count > 0) {
+                nextBytes.getBuffer().flip();
+                connection.ungetRequestBytes(nextBytes);
                 return false;
             }
-            behind.close();
-            return n < 0;
+            nextBytes.close();
+            return count < 0;
         } catch (IOException e) {
-            behind.close();
+            nextBytes.close();
             return true;
         }
     }
--- a/lib/http/src/main/java/craneway/http/Exchanges.java
+++ b/lib/http/src/main/java/craneway/http/Exchanges.java
@@ -7,29 +7,36 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
+/** Helpers for handlers of server exchanges. */
 public final class Exchanges {
     private Exchanges() {}
 
-    /** Takes the body and goes on in {@code where}, once the exchange can wait for a reply from any thread. */
-    public static void withBody(HttpServerExchange x, Executor where, Consumer<byte[]> then) {
-        x.getRequestReceiver()
+    /**
+     * Reads the whole request body and passes it to {@code handler} on {@code executor}. The exchange is dispatched then,
+     * so any thread may send the response later.
+     */
+    public static void withBody(HttpServerExchange exchange, Executor executor, Consumer<byte[]> handler) {
+        exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (e, b) -> e.dispatch(where, () -> then.accept(b)),
-                        (e, p) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
+                        (e, body) -> e.dispatch(executor, () -> handler.accept(body)),
+                        (e, failure) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
     }
 
-    /** Goes on when the exchange can wait for a reply from any thread. */
-    public static void later(HttpServerExchange x, Runnable then) {
-        x.dispatch(SameThreadExecutor.INSTANCE, then);
+    /**
+     * Dispatches the exchange, so that any thread may send the response later, and then runs {@code task} on the I/O
+     * thread.
+     */
+    public static void later(HttpServerExchange exchange, Runnable task) {
+        exchange.dispatch(SameThreadExecutor.INSTANCE, task);
     }
 
-    /** Answers that there is nothing at this path. */
-    public static void noSuchPage(HttpServerExchange x) {
-        Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
+    /** Responds that there is nothing at this path. */
+    public static void noSuchPage(HttpServerExchange exchange) {
+        Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
     }
 
-    /** Answers that the path does not take this method. */
-    public static void wrongMethod(HttpServerExchange x) {
-        Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+    /** Responds that the path does not support this method. */
+    public static void wrongMethod(HttpServerExchange exchange) {
+        Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
     }
 }
--- a/lib/http/src/main/java/craneway/http/HttpCaller.java
+++ b/lib/http/src/main/java/craneway/http/HttpCaller.java
@@ -25,28 +25,45 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
+/**
+ * An asynchronous HTTP client with backpressure.
+ *
+ * <p>Instances are safe for several threads. Callbacks run on I/O threads and must not block.
+ */
 public final class HttpCaller {
+    /**
+     * Receives the response to one call. Exactly one of {@link #refused}, {@link #end} and {@link #broken} ends the call;
+     * if the call is cancelled, none of them is called.
+     */
     public interface Sink {
+        /** Called if no connection was made, so that the request was certainly not sent. */
         void refused(String cause);
 
+        /** Called once with the status code and headers of the response. */
         void status(int code, HeaderMap headers);
 
-        void chunk(byte[] b);
+        /** Called with each piece of the body; {@link Call#took} must be called once the piece is consumed. */
+        void chunk(byte[] bytes);
 
+        /** Called when the response is complete. */
         void end();
 
+        /** Called if the call failed after a connection was made, so that the request may have been processed. */
         void broken(String cause);
     }
 
-    private static final int WINDOW = 32;
+    /** The most chunks handed to a {@link Sink} and not consumed by it before reading from the connection stops. */
+    private static final int MAX_UNCONSUMED_CHUNKS = 32;
 
     private final XnioWorker worker;
     private final ByteBufferPool pool = new DefaultByteBufferPool(false, 16 * 1024, 1000, 8);
 
+    /** Creates a client that uses the I/O threads of this worker. */
     public HttpCaller(XnioWorker worker) {
         this.worker = worker;
     }
 
+    /** Sends a request on a new connection, which is closed after the response. */
     public Call open(
             String address,
             HttpString method,
@@ -55,11 +72,17 @@
             byte[] body,
             long connectMillis,
             Sink sink) {
-        var c = new Call(address, method, path, headers, body, sink, false);
-        c.connect(connectMillis);
-        return c;
+        var call = new Call(address, method, path, headers, body, sink, false);
+        call.connect(connectMillis);
+        return call;
     }
 
+    /**
+     * Sends a request on a persistent connection, which stays open after a complete response; {@link Call#connection}
+     * returns it for the next request.
+     *
+     * @param kept the connection of an earlier call; if it is null or closed, a new connection is made
+     */
     public Call keep(
             ClientConnection kept,
             String address,
@@ -69,12 +92,13 @@
             byte[] body,
             long connectMillis,
             Sink sink) {
-        var c = new Call(address, method, path, headers, body, sink, true);
-        if (kept != null && kept.isOpen()) c.io(kept.getIoThread(), () -> c.connected(kept));
-        else c.connect(connectMillis);
-        return c;
+        var call = new Call(address, method, path, headers, body, sink, true);
+        if (kept != null && kept.isOpen()) call.runOn(kept.getIoThread(), () -> call.sendRequest(kept));
+        else call.connect(connectMillis);
+        return call;
     }
 
+    /** One request and its response. */
     public final class Call {
         private final String address;
         private final HttpString method;
@@ -82,13 +106,13 @@
         private final Map<HttpString, String> headers;
         private final ByteBuffer body;
         private final Sink sink;
-        private final AtomicBoolean over = new AtomicBoolean();
-        private final boolean keep;
-        private XnioIoThread io = worker.getIoThread();
-        private volatile boolean sent;
+        private final AtomicBoolean finished = new AtomicBoolean();
+        private final boolean keepAlive;
+        private XnioIoThread ioThread = worker.getIoThread();
+        private volatile boolean requestStarted;
         private volatile ClientConnection connection;
         private volatile StreamSourceChannel source;
-        private int untaken;
+        private int unconsumedChunks;
 
         Call(
                 String address,
@@ -97,8 +121,8 @@
                 Map<HttpString, String> headers,
                 byte[] body,
                 Sink sink,
-                boolean keep) {
-            this.keep = keep;
+                boolean keepAlive) {
+            this.keepAlive = keepAlive;
             this.address = address;
             this.method = method;
             this.path = path;
@@ -107,62 +131,64 @@
             this.sink = sink;
         }
 
-        void io(XnioIoThread thread, Runnable then) {
-            io = thread;
-            io.execute(then);
+        void runOn(XnioIoThread thread, Runnable task) {
+            ioThread = thread;
+            ioThread.execute(task);
         }
 
+        /** Returns the connection of this call, or null if it is not connected yet. */
         public ClientConnection connection() {
             return connection;
         }
 
         void connect(long millis) {
-            var f = UndertowClient.getInstance().connect(URI.create("http://" + address), io, pool, OptionMap.EMPTY);
-            f.addNotifier(
-                    (IoFuture<? extends ClientConnection> x, Void v) -> {
-                        if (x.getStatus() == IoFuture.Status.DONE) connected(uncheckedGet(x));
-                        else fail("connect to " + address + ": " + cause(x));
+            var future = UndertowClient.getInstance()
+                    .connect(URI.create("http://" + address), ioThread, pool, OptionMap.EMPTY);
+            future.addNotifier(
+                    (IoFuture<? extends ClientConnection> done, Void unused) -> {
+                        if (done.getStatus() == IoFuture.Status.DONE) sendRequest(getOrNull(done));
+                        else fail("cannot connect to " + address + ": " + cause(done));
                     },
                     null);
-            io.executeAfter(
+            ioThread.executeAfter(
                     () -> {
-                        if (connection == null) fail("connect to " + address + ": timed out");
+                        if (connection == null) fail("cannot connect to " + address + ": timed out");
                     },
                     millis,
                     TimeUnit.MILLISECONDS);
         }
 
-        private ClientConnection uncheckedGet(IoFuture<? extends ClientConnection> f) {
+        private ClientConnection getOrNull(IoFuture<? extends ClientConnection> future) {
             try {
-                return f.get();
+                return future.get();
             } catch (IOException e) {
                 return null;
             }
         }
 
-        private String cause(IoFuture<? extends ClientConnection> f) {
-            return f.getStatus() == IoFuture.Status.FAILED
-                    ? String.valueOf(f.getException().getMessage())
+        private String cause(IoFuture<? extends ClientConnection> future) {
+            return future.getStatus() == IoFuture.Status.FAILED
+                    ? String.valueOf(future.getException().getMessage())
                     : "cancelled";
         }
 
-        private void connected(ClientConnection c) {
-            connection = c;
-            if (over.get()) {
-                IoUtils.safeClose(c);
+        private void sendRequest(ClientConnection connected) {
+            connection = connected;
+            if (finished.get()) {
+                IoUtils.safeClose(connected);
                 return;
             }
-            sent = true;
-            var r = new ClientRequest().setMethod(method).setPath(path);
-            r.getRequestHeaders().put(Headers.HOST, address);
-            r.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
-            r.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
-            if (!keep) r.getRequestHeaders().put(Headers.CONNECTION, "close");
-            headers.forEach((k, v) -> r.getRequestHeaders().put(k, v));
-            c.sendRequest(r, new ClientCallback<>() {
+            requestStarted = true;
+            var request = new ClientRequest().setMethod(method).setPath(path);
+            request.getRequestHeaders().put(Headers.HOST, address);
+            request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
+            request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
+            if (!keepAlive) request.getRequestHeaders().put(Headers.CONNECTION, "close");
+            headers.forEach((name, value) -> request.getRequestHeaders().put(name, value));
+            connected.sendRequest(request, new ClientCallback<>() {
                 @Override
-                public void completed(ClientExchange x) {
-                    exchange(x);
+                public void completed(ClientExchange exchange) {
+                    startExchange(exchange);
                 }
 
                 @Override
@@ -172,11 +198,11 @@
             });
         }
 
-        private void exchange(ClientExchange x) {
-            x.setResponseListener(new ClientCallback<>() {
+        private void startExchange(ClientExchange exchange) {
+            exchange.setResponseListener(new ClientCallback<>() {
                 @Override
-                public void completed(ClientExchange y) {
-                    answered(y);
+                public void completed(ClientExchange answered) {
+                    receiveResponse(answered);
                 }
 
                 @Override
@@ -184,80 +210,87 @@
                     fail(e.toString());
                 }
             });
-            write(x.getRequestChannel());
+            writeBody(exchange.getRequestChannel());
         }
 
-        private void write(StreamSinkChannel ch) {
-            Writes.all(ch, body, e -> fail(e.toString()));
+        private void writeBody(StreamSinkChannel channel) {
+            Writes.writeFully(channel, body, e -> fail(e.toString()));
         }
 
-        private void answered(ClientExchange x) {
-            source = x.getResponseChannel();
-            sink.status(x.getResponse().getResponseCode(), x.getResponse().getResponseHeaders());
-            ChannelListener<StreamSourceChannel> l = this::read;
-            source.getReadSetter().set(l);
-            read(source);
-            if (!over.get()) source.resumeReads();
+        private void receiveResponse(ClientExchange exchange) {
+            source = exchange.getResponseChannel();
+            sink.status(
+                    exchange.getResponse().getResponseCode(),
+                    exchange.getResponse().getResponseHeaders());
+            ChannelListener<StreamSourceChannel> listener = this::readChunks;
+            source.getReadSetter().set(listener);
+            readChunks(source);
+            if (!finished.get()) source.resumeReads();
         }
 
-        private void read(StreamSourceChannel ch) {
-            try (var p = pool.allocate()) {
-                var b = p.getBuffer();
-                while (!over.get()) {
-                    b.clear();
-                    var n = ch.read(b);
-                    if (n == 0) return;
-                    if (n < 0) {
-                        end();
+        private void readChunks(StreamSourceChannel channel) {
+            try (var pooled = pool.allocate()) {
+                var buffer = pooled.getBuffer();
+                while (!finished.get()) {
+                    buffer.clear();
+                    var count = channel.read(buffer);
+                    if (count == 0) return;
+                    if (count < 0) {
+                        finish();
                         return;
                     }
-                    b.flip();
-                    var x = new byte[b.remaining()];
-                    b.get(x);
-                    sink.chunk(x);
-                    if (full(ch)) return;
+                    buffer.flip();
+                    var bytes = new byte[buffer.remaining()];
+                    buffer.get(bytes);
+                    sink.chunk(bytes);
+                    if (suspendIfWindowFull(channel)) return;
                 }
             } catch (IOException e) {
                 fail(e.toString());
             }
         }
 
-        private synchronized boolean full(StreamSourceChannel ch) {
-            untaken++;
-            if (untaken < WINDOW) return false;
-            ch.suspendReads();
+        private synchronized boolean suspendIfWindowFull(StreamSourceChannel channel) {
+            unconsumedChunks++;
+            if (unconsumedChunks < MAX_UNCONSUMED_CHUNKS) return false;
+            channel.suspendReads();
             return true;
         }
 
+        /** Reports that the sink has consumed a chunk; resumes reading if it had stopped. Safe for any thread. */
         public void took() {
             synchronized (this) {
-                if (untaken-- != WINDOW) return;
+                if (unconsumedChunks-- != MAX_UNCONSUMED_CHUNKS) return;
             }
-            io.execute(() -> {
-                if (over.get()) return;
-                read(source);
+            ioThread.execute(() -> {
+                if (finished.get()) return;
+                readChunks(source);
                 synchronized (this) {
-                    if (!over.get() && untaken < WINDOW) source.resumeReads();
+                    if (!finished.get() && unconsumedChunks < MAX_UNCONSUMED_CHUNKS) source.resumeReads();
                 }
             });
         }
 
-        private void end() {
-            if (!over.compareAndSet(false, true)) return;
-            if (!keep) IoUtils.safeClose(connection);
+        private void finish() {
+            if (!finished.compareAndSet(false, true)) return;
+            if (!keepAlive) IoUtils.safeClose(connection);
             sink.end();
         }
 
         private void fail(String cause) {
-            if (!over.compareAndSet(false, true)) return;
+            if (!finished.compareAndSet(false, true)) return;
             IoUtils.safeClose(connection);
-            if (sent) sink.broken(cause);
+            if (requestStarted) sink.broken(cause);
             else sink.refused(cause);
         }
 
+        /**
+         * Cancels the call and closes its connection. A status or a chunk that is just arriving may still reach the sink.
+         * Safe for any thread.
+         */
         public void cancel() {
-            over.set(true);
-            io.execute(() -> IoUtils.safeClose(connection));
+            finished.set(true);
+            ioThread.execute(() -> IoUtils.safeClose(connection));
         }
     }
 }
--- a/lib/http/src/main/java/craneway/http/HttpReply.java
+++ b/lib/http/src/main/java/craneway/http/HttpReply.java
@@ -11,11 +11,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
+/**
+ * A whole HTTP response, collected in memory.
+ *
+ * @param status the status code
+ * @param headers the response headers
+ * @param body the whole body
+ */
 public record HttpReply(int status, HeaderMap headers, byte[] body) {
+    /** Returns the body as UTF-8 text. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
+    /**
+     * Sends a request and blocks until the whole response has arrived.
+     *
+     * @param timeoutMillis how long to wait for the response, in milliseconds; connecting may take at most 2,000 ms of it
+     * @throws IOException if the connection fails, the response is incomplete or the time is up
+     */
     public static HttpReply of(
             HttpCaller caller,
             String address,
@@ -23,51 +37,51 @@
             String path,
             Map<HttpString, String> headers,
             byte[] body,
-            long millis)
+            long timeoutMillis)
             throws IOException {
-        var f = new CompletableFuture<HttpReply>();
-        var whole = new ByteArrayOutputStream();
+        var result = new CompletableFuture<HttpReply>();
+        var received = new ByteArrayOutputStream();
         var call = new HttpCaller.Call[1];
         var sink = new HttpCaller.Sink() {
-            int code;
-            HeaderMap map;
+            int receivedStatus;
+            HeaderMap receivedHeaders;
 
             @Override
             public void refused(String cause) {
-                f.completeExceptionally(new IOException(cause));
+                result.completeExceptionally(new IOException(cause));
             }
 
             @Override
-            public void status(int c, HeaderMap h) {
-                code = c;
-                map = h;
+            public void status(int statusCode, HeaderMap responseHeaders) {
+                receivedStatus = statusCode;
+                receivedHeaders = responseHeaders;
             }
 
             @Override
-            public void chunk(byte[] b) {
-                whole.writeBytes(b);
-                var c = call[0];
-                if (c != null) c.took();
+            public void chunk(byte[] bytes) {
+                received.writeBytes(bytes);
+                var opened = call[0];
+                if (opened != null) opened.took();
             }
 
             @Override
             public void end() {
-                f.complete(new HttpReply(code, map, whole.toByteArray()));
+                result.complete(new HttpReply(receivedStatus, receivedHeaders, received.toByteArray()));
             }
 
             @Override
             public void broken(String cause) {
-                f.completeExceptionally(new IOException(cause));
+                result.completeExceptionally(new IOException(cause));
             }
         };
-        call[0] = caller.open(address, method, path, headers, body, Math.min(millis, 2_000), sink);
+        call[0] = caller.open(address, method, path, headers, body, Math.min(timeoutMillis, 2_000), sink);
         try {
-            return f.get(millis, TimeUnit.MILLISECONDS);
+            return result.get(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage());
         } catch (TimeoutException e) {
             call[0].cancel();
-            throw new IOException(address + " did not reply in " + millis + " ms");
+            throw new IOException(address + " did not respond within " + timeoutMillis + " ms");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted");
--- a/lib/http/src/main/java/craneway/http/Problems.java
+++ b/lib/http/src/main/java/craneway/http/Problems.java
@@ -7,37 +7,44 @@
 import io.undertow.util.Headers;
 import java.nio.charset.StandardCharsets;
 
+/** Sends JSON responses, in particular the error responses that describe a {@link Problem}. */
 public final class Problems {
+    /** Creates the nodes of JSON responses; safe for several threads. */
     public static final ObjectMapper JSON = new ObjectMapper();
 
     private Problems() {}
 
-    public static ObjectNode json(Problem p) {
-        var n = JSON.createObjectNode();
-        var e = n.putObject("error");
-        e.put("code", p.kind().code())
-                .put("type", p.kind().name().toLowerCase())
-                .put("message", p.detail())
-                .put("bearing", p.kind().bearing().name().toLowerCase());
-        if (p.kind().transientState()) e.put("retry_after_seconds", p.retrySeconds());
-        return n;
+    /** Returns the body of the error response for a problem. */
+    public static ObjectNode json(Problem problem) {
+        var body = JSON.createObjectNode();
+        var error = body.putObject("error");
+        error.put("code", problem.kind().code())
+                .put("type", problem.kind().name().toLowerCase())
+                .put("message", problem.detail())
+                .put("bearing", problem.kind().bearing().name().toLowerCase());
+        if (problem.kind().transientState()) error.put("retry_after_seconds", problem.retrySeconds());
+        return body;
     }
 
-    public static void send(HttpServerExchange x, Problem p) {
-        send(x, p, p.kind().status());
+    /** Sends a problem with the HTTP status of its kind. Does nothing if the response has started already. */
+    public static void send(HttpServerExchange exchange, Problem problem) {
+        send(exchange, problem, problem.kind().status());
     }
 
-    public static void send(HttpServerExchange x, Problem p, int status) {
-        if (x.isResponseStarted()) return;
-        x.setStatusCode(status);
-        x.getResponseHeaders().put(HeaderNames.PROBLEM, p.kind().code());
-        x.getResponseHeaders().put(HeaderNames.RETRY_MICROS, p.retryAfter());
-        if (p.kind().transientState()) x.getResponseHeaders().put(Headers.RETRY_AFTER, p.retrySeconds());
-        sendJson(x, json(p).toString());
+    /** Sends a problem with this HTTP status. Does nothing if the response has started already. */
+    public static void send(HttpServerExchange exchange, Problem problem, int status) {
+        if (exchange.isResponseStarted()) return;
+        exchange.setStatusCode(status);
+        exchange.getResponseHeaders().put(HeaderNames.PROBLEM, problem.kind().code());
+        exchange.getResponseHeaders().put(HeaderNames.RETRY_MICROS, problem.retryAfter());
+        if (problem.kind().transientState())
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, problem.retrySeconds());
+        sendJson(exchange, json(problem).toString());
     }
 
-    public static void sendJson(HttpServerExchange x, String json) {
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        x.getResponseSender().send(json + "\n", StandardCharsets.UTF_8);
+    /** Sends a JSON text, followed by a newline, as the whole response body. */
+    public static void sendJson(HttpServerExchange exchange, String json) {
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        exchange.getResponseSender().send(json + "\n", StandardCharsets.UTF_8);
     }
 }
--- a/lib/http/src/main/java/craneway/http/Writes.java
+++ b/lib/http/src/main/java/craneway/http/Writes.java
@@ -7,27 +7,32 @@
 import org.xnio.ChannelListeners;
 import org.xnio.channels.StreamSinkChannel;
 
+/** Writes request bodies to non-blocking channels. */
 final class Writes {
     private Writes() {}
 
-    static void all(StreamSinkChannel ch, ByteBuffer body, Consumer<IOException> problem) {
+    /**
+     * Writes the whole body, flushes the channel and shuts down its output. Continues in a write listener when the channel
+     * accepts no more bytes.
+     */
+    static void writeFully(StreamSinkChannel channel, ByteBuffer body, Consumer<IOException> onFailure) {
         try {
             while (body.hasRemaining()) {
-                if (ch.write(body) > 0) continue;
-                ChannelListener<StreamSinkChannel> more = c -> {
+                if (channel.write(body) > 0) continue;
+                ChannelListener<StreamSinkChannel> resume = c -> {
                     c.suspendWrites();
-                    all(c, body, problem);
+                    writeFully(c, body, onFailure);
                 };
-                ch.getWriteSetter().set(more);
-                ch.resumeWrites();
+                channel.getWriteSetter().set(resume);
+                channel.resumeWrites();
                 return;
             }
-            ch.shutdownWrites();
-            if (ch.flush()) return;
-            ch.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, (c, e) -> problem.accept(e)));
-            ch.resumeWrites();
+            channel.shutdownWrites();
+            if (channel.flush()) return;
+            channel.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, (c, e) -> onFailure.accept(e)));
+            channel.resumeWrites();
         } catch (IOException e) {
-            problem.accept(e);
+            onFailure.accept(e);
         }
     }
 }
--- a/lib/http/src/main/java/craneway/http/package-info.java
+++ b/lib/http/src/main/java/craneway/http/package-info.java
@@ -1,6 +1,7 @@
 /**
- * HTTP on Undertow for all modules: calls with back-pressure, whole replies, header names, problems as JSON, addresses.
+ * HTTP helpers on top of Undertow for all modules: a client with backpressure, blocking calls that collect the whole
+ * response, header names, error responses as JSON, and address validation.
  *
- * <p>Handlers run on I/O threads and must not block.
+ * <p>Handlers and client callbacks run on I/O threads and must not block.
  */
 package craneway.http;
--- a/lib/http/src/test/java/craneway/http/CallersTest.java
+++ b/lib/http/src/test/java/craneway/http/CallersTest.java
@@ -22,20 +22,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Orders whose callers closed their connections, or sent them while the process stood still, over real sockets. */
+/**
+ * Checks over real sockets which requests are rejected because their caller may have given up: those whose connection was
+ * closed meanwhile and those that arrived while the process was frozen. The I/O thread is blocked to simulate a freeze.
+ */
 @Timeout(30)
 class CallersTest {
     private final AtomicLong now = new AtomicLong(5_000_000);
-    private final List<Event> notes = new CopyOnWriteArrayList<>();
-    private final Callers callers = new Callers(now::get, (e, detail) -> notes.add(e));
-    private final LinkedBlockingQueue<String> seen = new LinkedBlockingQueue<>();
-    private final CountDownLatch thawed = new CountDownLatch(1);
+    private final List<Event> loggedEvents = new CopyOnWriteArrayList<>();
+    private final Callers callers = new Callers(now::get, (event, detail) -> loggedEvents.add(event));
+    private final LinkedBlockingQueue<String> decisions = new LinkedBlockingQueue<>();
+    private final CountDownLatch unfrozen = new CountDownLatch(1);
     private final CountDownLatch frozen = new CountDownLatch(1);
     private Undertow server;
     private int port;
 
     @BeforeEach
-    void begin() {
+    void startServer() {
         server = Undertow.builder()
                 .setIoThreads(1)
                 .setWorkerThreads(1)
@@ -46,110 +49,110 @@
     }
 
     @AfterEach
-    void end() {
-        thawed.countDown();
+    void stopServer() {
+        unfrozen.countDown();
         server.stop();
     }
 
-    private void handle(HttpServerExchange x) throws InterruptedException {
-        if (x.getRequestPath().equals("/freeze")) {
+    private void handle(HttpServerExchange exchange) throws InterruptedException {
+        if (exchange.getRequestPath().equals("/freeze")) {
             frozen.countDown();
-            thawed.await();
+            unfrozen.await();
             return;
         }
-        var began = callers.now();
-        Exchanges.later(x, () -> {
-            var waits = callers.waits(x, began, callers.now());
-            seen.add(x.getRequestPath() + " " + waits);
-            x.setStatusCode(waits ? 200 : 503).endExchange();
+        var startedAt = callers.now();
+        Exchanges.later(exchange, () -> {
+            var isWaiting = callers.waits(exchange, startedAt, callers.now());
+            decisions.add(exchange.getRequestPath() + " " + isWaiting);
+            exchange.setStatusCode(isWaiting ? 200 : 503).endExchange();
         });
     }
 
     private Socket open() throws IOException {
-        var s = new Socket(InetAddress.getByName("127.0.0.1"), port);
-        s.setSoTimeout(10_000);
-        return s;
+        var socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
+        socket.setSoTimeout(10_000);
+        return socket;
     }
 
-    private static void send(Socket s, String path) throws IOException {
-        var text = "POST " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        s.getOutputStream().flush();
+    private static void send(Socket socket, String path) throws IOException {
+        var request = "POST " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
+        socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream().flush();
     }
 
-    private static int status(Socket s) throws IOException {
+    private static int readStatus(Socket socket) throws IOException {
         var head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            var b = s.getInputStream().read();
-            if (b < 0) throw new IOException("ended after " + head);
+            var b = socket.getInputStream().read();
+            if (b < 0) throw new IOException("the response ended after " + head);
             head.append((char) b);
         }
         return Integer.parseInt(head.substring(9, 12));
     }
 
-    private String next() throws InterruptedException {
-        return seen.poll(10, TimeUnit.SECONDS);
+    private String nextDecision() throws InterruptedException {
+        return decisions.poll(10, TimeUnit.SECONDS);
     }
 
-    private void freeze() throws IOException, InterruptedException {
+    private void freezeIoThread() throws IOException, InterruptedException {
         send(open(), "/freeze");
         assertTrue(frozen.await(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void aCallerThatStaysIsWaitingAndItsNextRequestIsReadToo() throws Exception {
-        try (var s = open()) {
-            send(s, "/one");
-            assertEquals(200, status(s));
-            send(s, "/two");
-            assertEquals(200, status(s));
+    void acceptsRequestsOfAConnectedCaller() throws Exception {
+        try (var socket = open()) {
+            send(socket, "/one");
+            assertEquals(200, readStatus(socket));
+            send(socket, "/two");
+            assertEquals(200, readStatus(socket));
         }
-        assertEquals("/one true", next());
-        assertEquals("/two true", next());
-        assertTrue(notes.isEmpty());
+        assertEquals("/one true", nextDecision());
+        assertEquals("/two true", nextDecision());
+        assertTrue(loggedEvents.isEmpty());
     }
 
     @Test
-    void aRequestSentBehindAnotherIsNeitherLostNorTakenForAnEnd() throws Exception {
-        freeze();
-        try (var s = open()) {
-            send(s, "/one");
-            send(s, "/two");
-            thawed.countDown();
-            assertEquals(200, status(s));
-            assertEquals(200, status(s));
+    void keepsPipelinedRequestsWhenCheckingForAClosedConnection() throws Exception {
+        freezeIoThread();
+        try (var socket = open()) {
+            send(socket, "/one");
+            send(socket, "/two");
+            unfrozen.countDown();
+            assertEquals(200, readStatus(socket));
+            assertEquals(200, readStatus(socket));
         }
-        assertEquals("/one true", next());
-        assertEquals("/two true", next());
+        assertEquals("/one true", nextDecision());
+        assertEquals("/two true", nextDecision());
     }
 
     @Test
-    void aCallerThatClosedItsConnectionMeanwhileIsGone() throws Exception {
-        freeze();
-        try (var s = open()) {
-            send(s, "/gone");
+    void rejectsRequestOfCallerThatClosedItsConnection() throws Exception {
+        freezeIoThread();
+        try (var socket = open()) {
+            send(socket, "/gone");
         }
-        thawed.countDown();
-        assertEquals("/gone false", next());
-        assertEquals(List.of(Event.STALE_CALL), notes);
+        unfrozen.countDown();
+        assertEquals("/gone false", nextDecision());
+        assertEquals(List.of(Event.STALE_CALL), loggedEvents);
     }
 
     @Test
-    void anOrderThatWaitedInASocketWhileTheProcessStoodStillIsRefused() throws Exception {
-        freeze();
-        try (var s = open()) {
-            send(s, "/late");
+    void rejectsRequestThatArrivedDuringAFreezeAndAcceptsTheNext() throws Exception {
+        freezeIoThread();
+        try (var socket = open()) {
+            send(socket, "/late");
             now.addAndGet(3_000_000);
-            thawed.countDown();
-            assertEquals(503, status(s));
-            assertEquals(List.of(Event.STALE_CALL), notes);
-            assertEquals("/late false", next());
+            unfrozen.countDown();
+            assertEquals(503, readStatus(socket));
+            assertEquals(List.of(Event.STALE_CALL), loggedEvents);
+            assertEquals("/late false", nextDecision());
             for (var i = 0; i < 40; i++) {
                 now.addAndGet(20_000);
                 callers.tick();
             }
-            send(s, "/again");
-            assertEquals(200, status(s));
+            send(socket, "/again");
+            assertEquals(200, readStatus(socket));
         }
     }
 }
--- a/lib/model/src/test/java/craneway/model/json/JsonTreeTest.java
+++ b/lib/model/src/test/java/craneway/model/json/JsonTreeTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Trees are those that a mapper reads, and what a strict mapper refuses is refused. */
+/** Checks that JsonTree reads the same trees as a JsonMapper and rejects what a strict mapper rejects. */
 class JsonTreeTest {
     @ParameterizedTest
     @ValueSource(
@@ -27,12 +27,12 @@
                 "{\"a\":{\"b\":[1,{\"c\":null},[true,false]]},\"d\":\"\"}",
                 "  [ 1 , 2 ]  "
             })
-    void areThoseOfAMapper(String text) throws IOException {
+    void readsTheSameTreeAsAMapper(String text) throws IOException {
         assertEquals(new JsonMapper().readTree(text), JsonTree.read(text));
     }
 
     @Test
-    void ofNothingIsAMissingNode() throws IOException {
+    void readsEmptyInputAsMissingNode() throws IOException {
         assertTrue(JsonTree.read("  ").isMissingNode());
     }
 
@@ -51,7 +51,7 @@
                 "01",
                 "NaN"
             })
-    void refuseWhatIsNoDocument(String text) {
+    void rejectsMalformedDuplicateAndTrailingInput(String text) {
         assertThrows(IOException.class, () -> JsonTree.read(text));
     }
 }
