--- a/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
@@ -9,36 +9,42 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Methods;
 
-/** Tells requesters where to go. */
+/** Answers clients that look up the addresses of the routers nearest to them. */
 public final class RouterAddressHandler implements HttpHandler {
-    private static final long KEEP = 2_000_000;
+    /** How long clients may cache the addresses, unless the platform sets a lower limit. */
+    private static final long DEFAULT_TTL_MICROS = 2_000_000;
 
-    private final PlatformFormats dialect;
-    private final RouterAddresses whereabouts;
-    private final long keep;
+    private final PlatformFormats formats;
+    private final RouterAddresses routers;
+    private final long ttl;
 
-    public RouterAddressHandler(PlatformFormats dialect, RouterAddresses whereabouts, long mostTtl) {
-        this.dialect = dialect;
-        this.whereabouts = whereabouts;
-        keep = Math.min(KEEP, mostTtl);
+    /**
+     * Creates the handler.
+     *
+     * @param maxTtl the longest time that the platform allows clients to cache the addresses, in microseconds
+     */
+    public RouterAddressHandler(PlatformFormats formats, RouterAddresses routers, long maxTtl) {
+        this.formats = formats;
+        this.routers = routers;
+        ttl = Math.min(DEFAULT_TTL_MICROS, maxTtl);
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        var p = dialect.paths();
-        if (!x.getRequestPath().equals(p.addresses())) Exchanges.noSuchPage(x);
-        else if (!x.getRequestMethod().equals(Methods.GET)) Exchanges.wrongMethod(x);
-        else reply(x, query(x, p.askingZone()), query(x, p.askingRegion()));
+    public void handleRequest(HttpServerExchange exchange) {
+        var paths = formats.paths();
+        if (!exchange.getRequestPath().equals(paths.addresses())) Exchanges.noSuchPage(exchange);
+        else if (!exchange.getRequestMethod().equals(Methods.GET)) Exchanges.wrongMethod(exchange);
+        else reply(exchange, query(exchange, paths.askingZone()), query(exchange, paths.askingRegion()));
     }
 
-    private void reply(HttpServerExchange x, String zone, String region) {
-        var all = whereabouts.near(zone, region);
-        if (all.isEmpty()) Problems.send(x, Problem.of(Kind.NO_PATH, "no router is serving"));
-        else Problems.sendJson(x, dialect.addresses(all, keep));
+    private void reply(HttpServerExchange exchange, String zone, String region) {
+        var addresses = routers.near(zone, region);
+        if (addresses.isEmpty()) Problems.send(exchange, Problem.of(Kind.NO_PATH, "no router is serving"));
+        else Problems.sendJson(exchange, formats.addresses(addresses, ttl));
     }
 
-    private static String query(HttpServerExchange x, String name) {
-        var q = x.getQueryParameters().get(name);
-        return q == null ? "" : q.getFirst();
+    private static String query(HttpServerExchange exchange, String name) {
+        var values = exchange.getQueryParameters().get(name);
+        return values == null ? "" : values.getFirst();
     }
 }
--- a/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
@@ -9,42 +9,55 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The routers that a store knows to be serving. */
+/** The addresses of the routers that a store knows to be serving. */
 public final class RouterAddresses {
-    private static final int MOST = 64;
+    /** The most addresses in one response. */
+    private static final int MAX_ADDRESSES = 64;
 
     private final Store store;
-    private final Map<String, String> zones;
+    private final Map<String, String> regionByZone;
 
-    public RouterAddresses(Store store, Map<String, String> zones) {
+    /** Creates the list for the routers that this store knows; the map holds the region of each zone. */
+    public RouterAddresses(Store store, Map<String, String> regionByZone) {
         this.store = store;
-        this.zones = zones;
+        this.regionByZone = regionByZone;
     }
 
-    /** At most 64 requester addresses: of the zone; if it has none, of its region; else of all. */
+    /**
+     * Returns the client addresses of at most 64 routers in random order: those in the zone, else those in its region, else
+     * all.
+     *
+     * @param region is used only if the zone is unknown
+     */
     public List<String> near(String zone, String region) {
-        var all = serving();
-        var r = zones.getOrDefault(zone, region);
-        var near = of(all, n -> n.zone.equals(zone));
-        if (near.isEmpty()) near = of(all, n -> zones.getOrDefault(n.zone, "").equals(r));
-        if (near.isEmpty()) near = of(all, n -> true);
-        Collections.shuffle(near);
-        return near.subList(0, Math.min(MOST, near.size()));
+        var serving = serving();
+        var searchedRegion = regionByZone.getOrDefault(zone, region);
+        var addresses = select(serving, n -> n.zone.equals(zone));
+        if (addresses.isEmpty())
+            addresses =
+                    select(serving, n -> regionByZone.getOrDefault(n.zone, "").equals(searchedRegion));
+        if (addresses.isEmpty()) addresses = select(serving, n -> true);
+        Collections.shuffle(addresses);
+        return addresses.subList(0, Math.min(MAX_ADDRESSES, addresses.size()));
     }
 
-    private static List<String> of(List<Node> all, Predicate<Node> which) {
-        return new ArrayList<>(
-                all.stream().filter(which).map(n -> n.clientAddress).distinct().toList());
+    private static List<String> select(List<Node> routers, Predicate<Node> filter) {
+        return new ArrayList<>(routers.stream()
+                .filter(filter)
+                .map(n -> n.clientAddress)
+                .distinct()
+                .toList());
     }
 
     private List<Node> serving() {
         return store.membership().view().members().get(Parts.MANIFEST).stream()
-                .filter(n -> n.isRouter() && n.serving && !n.clientAddress.isEmpty() && !stopping(n))
+                .filter(n -> n.isRouter() && n.serving && !n.clientAddress.isEmpty() && !isStopping(n))
                 .toList();
     }
 
-    private boolean stopping(Node n) {
-        var heard = store.directory().named(n.name);
-        return heard != null && heard.incarnation >= n.incarnation && !heard.serving;
+    /** Returns whether the router's own messages say that it no longer serves, although its membership still does. */
+    private boolean isStopping(Node member) {
+        var announced = store.directory().named(member.name);
+        return announced != null && announced.incarnation >= member.incarnation && !announced.serving;
     }
 }
--- a/lib/api/src/main/java/craneway/api/directory/package-info.java
+++ b/lib/api/src/main/java/craneway/api/directory/package-info.java
@@ -1,2 +1,2 @@
-/** Tells clients which routers are near them. */
+/** The directory in which clients look up the routers nearest to them. */
 package craneway.api.directory;
--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -24,10 +24,11 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 
+/** Serves the operators' HTTP interface of one process. Some pages exist only on routers and some only on stores. */
 public final class OperatorHandler implements HttpHandler {
     private static final JsonMapper JSON = JsonMapper.builder().build();
-    private static final Pattern PLAN = Pattern.compile("/v1/plans/(\\d{1,18})(/confirm|/stop|/watch)?"),
-            MANIFEST = Pattern.compile("/v1/manifest/(\\d{1,18})/watch");
+    private static final Pattern PLAN_PATH = Pattern.compile("/v1/plans/(\\d{1,18})(/confirm|/stop|/watch)?");
+    private static final Pattern MANIFEST_WATCH_PATH = Pattern.compile("/v1/manifest/(\\d{1,18})/watch");
 
     private final String node;
     private final Operator operator;
@@ -35,6 +36,14 @@
     private final LongFunction<String> usage;
     private final Store store;
 
+    /**
+     * Creates the handler.
+     *
+     * @param node the name of the process
+     * @param metrics returns the page of metrics
+     * @param usage returns the page of usage records after a number, as JSON; null on a store
+     * @param store the store of this process; null on a router
+     */
     public OperatorHandler(
             String node, Operator operator, Supplier<String> metrics, LongFunction<String> usage, Store store) {
         this.node = node;
@@ -45,185 +54,200 @@
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        var path = x.getRequestPath();
-        var m = PLAN.matcher(path);
-        switch (x.getRequestMethod() + " " + path) {
-            case "GET /v1/status" -> status(x);
-            case "GET /v1/quiet" -> quiet(x);
-            case "GET /v1/manifest" -> manifest(x);
-            case "PUT /v1/manifest" -> withBody(x, b -> send(x, b));
-            case "POST /v1/intents" -> withBody(x, b -> intent(x, b));
-            case "GET /v1/core/rebuild" -> core(x, "");
-            case "POST /v1/core/rebuild" -> withBody(x, b -> core(x, new String(b, StandardCharsets.UTF_8).strip()));
-            case "POST /v1/core/accept-claims" -> acceptClaims(x);
-            case "GET /metrics" -> metrics(x);
-            case "GET /v1/usage" -> usage(x);
+    public void handleRequest(HttpServerExchange exchange) {
+        var path = exchange.getRequestPath();
+        var planPath = PLAN_PATH.matcher(path);
+        switch (exchange.getRequestMethod() + " " + path) {
+            case "GET /v1/status" -> status(exchange);
+            case "GET /v1/quiet" -> quiet(exchange);
+            case "GET /v1/manifest" -> manifest(exchange);
+            case "PUT /v1/manifest" -> withBody(exchange, body -> putManifest(exchange, body));
+            case "POST /v1/intents" -> withBody(exchange, body -> planIntent(exchange, body));
+            case "GET /v1/core/rebuild" -> rebuildCore(exchange, "");
+            case "POST /v1/core/rebuild" ->
+                withBody(exchange, body -> rebuildCore(exchange, new String(body, StandardCharsets.UTF_8).strip()));
+            case "POST /v1/core/accept-claims" -> acceptClaims(exchange);
+            case "GET /metrics" -> metrics(exchange);
+            case "GET /v1/usage" -> usage(exchange);
             default -> {
-                var w = MANIFEST.matcher(path);
-                if (w.matches()) watchManifest(x, Long.parseLong(w.group(1)));
-                else if (m.matches()) plan(x, Long.parseLong(m.group(1)), m.group(2) == null ? "" : m.group(2));
-                else Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
+                var watchPath = MANIFEST_WATCH_PATH.matcher(path);
+                if (watchPath.matches()) watchManifest(exchange, Long.parseLong(watchPath.group(1)));
+                else if (planPath.matches())
+                    plan(
+                            exchange,
+                            Long.parseLong(planPath.group(1)),
+                            planPath.group(2) == null ? "" : planPath.group(2));
+                else Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
             }
         }
     }
 
-    private static void withBody(HttpServerExchange x, Consumer<byte[]> then) {
-        x.getRequestReceiver()
+    private static void withBody(HttpServerExchange exchange, Consumer<byte[]> handler) {
+        exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (e, b) -> {
+                        (e, body) -> {
                             e.dispatch();
-                            then.accept(b);
+                            handler.accept(body);
                         },
-                        (e, p) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
+                        (e, failure) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
     }
 
-    private void metrics(HttpServerExchange x) {
-        x.getResponseSender().send(metrics.get(), StandardCharsets.UTF_8);
+    private void metrics(HttpServerExchange exchange) {
+        exchange.getResponseSender().send(metrics.get(), StandardCharsets.UTF_8);
     }
 
-    private void core(HttpServerExchange x, String token) {
+    /** Proposes a rebuild of the core, or carries it out if the token of a proposal is given. */
+    private void rebuildCore(HttpServerExchange exchange, String token) {
         if (store == null) {
-            Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE, "a router holds no core; ask a store"));
+            Problems.send(
+                    exchange,
+                    Problem.of(Kind.NO_SUCH_PAGE, "a router holds no part of the core; send this request to a store"));
             return;
         }
-        reply(x, token.isEmpty() ? store.rebuild() : store.rebuild(token), r -> rebuild(r, !token.isEmpty()));
+        reply(
+                exchange,
+                token.isEmpty() ? store.rebuild() : store.rebuild(token),
+                rebuild -> toJson(rebuild, !token.isEmpty()));
     }
 
-    private static ObjectNode rebuild(Rebuild r, boolean done) {
-        var n = Problems.JSON
+    private static ObjectNode toJson(Rebuild rebuild, boolean done) {
+        var json = Problems.JSON
                 .createObjectNode()
                 .put("state", done ? "rebuilt" : "proposed")
-                .put("generation", r.generation())
-                .put("token", r.token());
-        r.kept().forEach(n.putArray("kept")::add);
-        r.mayBeLost().forEach(n.putArray("mayBeLost")::add);
-        return n;
+                .put("generation", rebuild.generation())
+                .put("token", rebuild.token());
+        rebuild.kept().forEach(json.putArray("kept")::add);
+        rebuild.mayBeLost().forEach(json.putArray("mayBeLost")::add);
+        return json;
     }
 
-    private void acceptClaims(HttpServerExchange x) {
-        x.dispatch();
-        operator.acceptClaims(r -> reply(
-                x,
-                r,
-                n -> Problems.JSON.createObjectNode().put("state", "accepted").put("parts", n)));
+    private void acceptClaims(HttpServerExchange exchange) {
+        exchange.dispatch();
+        operator.acceptClaims(result -> reply(exchange, result, parts -> Problems.JSON
+                .createObjectNode()
+                .put("state", "accepted")
+                .put("parts", parts)));
     }
 
-    private void usage(HttpServerExchange x) {
-        var q = x.getQueryParameters().get("after");
-        var after = q == null ? "0" : q.getFirst();
+    private void usage(HttpServerExchange exchange) {
+        var values = exchange.getQueryParameters().get("after");
+        var after = values == null ? "0" : values.getFirst();
         if (usage == null)
-            Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE, "a store runs no transactions; ask a router"));
+            Problems.send(
+                    exchange, Problem.of(Kind.NO_SUCH_PAGE, "a store runs no requests; send this request to a router"));
         else if (!after.matches("\\d{1,18}"))
-            Problems.send(x, Problem.of(Kind.BAD_OPERATOR_INPUT, "after must be a number"));
-        else Problems.sendJson(x, usage.apply(Long.parseLong(after)));
+            Problems.send(exchange, Problem.of(Kind.BAD_OPERATOR_INPUT, "the query parameter after must be a number"));
+        else Problems.sendJson(exchange, usage.apply(Long.parseLong(after)));
     }
 
-    private void status(HttpServerExchange x) {
-        x.dispatch();
-        operator.status(parts -> Problems.sendJson(x, StatusJson.of(node, parts).toPrettyString()));
+    private void status(HttpServerExchange exchange) {
+        exchange.dispatch();
+        operator.status(
+                parts -> Problems.sendJson(exchange, StatusJson.of(node, parts).toPrettyString()));
     }
 
-    private void quiet(HttpServerExchange x) {
-        x.dispatch();
-        operator.quiet(r -> reply(x, r, OperatorHandler::cells));
+    private void quiet(HttpServerExchange exchange) {
+        exchange.dispatch();
+        operator.quiet(result -> reply(exchange, result, OperatorHandler::quietCells));
     }
 
-    private static ObjectNode cells(List<Quiet> all) {
-        var n = Problems.JSON.createObjectNode();
-        var list = n.putArray("cells");
-        for (var q : all) {
-            var c = list.addObject()
-                    .put("service", q.service())
-                    .put("cell", q.cell())
-                    .put("load", q.load())
-                    .put("slots", q.slots())
-                    .put("slotsLeft", q.slotsLeft())
-                    .put("minutesItWouldHaveFitted", q.minutes());
-            q.cause().forEach(c.putArray("because")::add);
+    private static ObjectNode quietCells(List<Quiet> quietCells) {
+        var json = Problems.JSON.createObjectNode();
+        var cells = json.putArray("cells");
+        for (var quiet : quietCells) {
+            var cell = cells.addObject()
+                    .put("service", quiet.service())
+                    .put("cell", quiet.cell())
+                    .put("load", quiet.load())
+                    .put("slots", quiet.slots())
+                    .put("slotsLeft", quiet.slotsLeft())
+                    .put("minutesItWouldHaveFitted", quiet.minutes());
+            quiet.cause().forEach(cell.putArray("because")::add);
         }
-        return n;
+        return json;
     }
 
-    private void manifest(HttpServerExchange x) {
-        x.dispatch();
-        operator.manifest(r -> {
-            if (r.isLeft()) Problems.send(x, r.getLeft());
-            else if (r.get().text.isEmpty()) Problems.send(x, Problem.of(Kind.NO_MANIFEST));
+    private void manifest(HttpServerExchange exchange) {
+        exchange.dispatch();
+        operator.manifest(result -> {
+            if (result.isLeft()) Problems.send(exchange, result.getLeft());
+            else if (result.get().text.isEmpty()) Problems.send(exchange, Problem.of(Kind.NO_MANIFEST));
             else {
-                x.getResponseHeaders().put(HeaderNames.VERSION, r.get().version);
-                Problems.sendJson(x, r.get().text);
+                exchange.getResponseHeaders().put(HeaderNames.VERSION, result.get().version);
+                Problems.sendJson(exchange, result.get().text);
             }
         });
     }
 
-    private void send(HttpServerExchange x, byte[] b) {
-        var base = x.getRequestHeaders().getFirst(HeaderNames.BASE);
+    private void putManifest(HttpServerExchange exchange, byte[] body) {
+        var base = exchange.getRequestHeaders().getFirst(HeaderNames.BASE);
         if (base == null || !base.matches("\\d{1,18}")) {
             Problems.send(
-                    x,
+                    exchange,
                     Problem.of(
                             Kind.BAD_OPERATOR_INPUT,
-                            "name the version this manifest was written against in the header " + HeaderNames.BASE));
+                            "name the version that this manifest is based on in the header " + HeaderNames.BASE));
             return;
         }
         operator.send(
                 Long.parseLong(base),
-                new String(b, StandardCharsets.UTF_8),
-                r -> reply(x, r, OperatorHandler::carried));
+                new String(body, StandardCharsets.UTF_8),
+                result -> reply(exchange, result, OperatorHandler::manifestRollout));
     }
 
-    private void watchManifest(HttpServerExchange x, long version) {
-        x.dispatch();
-        operator.watchManifest(version, r -> reply(x, r, OperatorHandler::carried));
+    private void watchManifest(HttpServerExchange exchange, long version) {
+        exchange.dispatch();
+        operator.watchManifest(version, result -> reply(exchange, result, OperatorHandler::manifestRollout));
     }
 
-    private static ObjectNode carried(Operator.Carried c) {
-        var n = Problems.JSON.createObjectNode();
-        n.put("version", c.version())
-                .put("state", c.able().isEmpty() ? "confirmed" : "pending")
-                .put("everywhere", c.missing().isEmpty());
-        c.missing().forEach(n.putArray("notReached")::add);
-        c.able().forEach(n.putArray("notAcknowledged")::add);
-        return n;
+    private static ObjectNode manifestRollout(Operator.Carried rollout) {
+        var json = Problems.JSON.createObjectNode();
+        json.put("version", rollout.version())
+                .put("state", rollout.able().isEmpty() ? "confirmed" : "pending")
+                .put("everywhere", rollout.missing().isEmpty());
+        rollout.missing().forEach(json.putArray("notReached")::add);
+        rollout.able().forEach(json.putArray("notAcknowledged")::add);
+        return json;
     }
 
-    private static ObjectNode confirmed(Operator.Carried c) {
-        var n = Problems.JSON.createObjectNode();
-        n.put("plan", c.version()).put("state", c.able().isEmpty() ? "confirmed" : "pending");
-        c.able().forEach(n.putArray("notAcknowledged")::add);
-        return n;
+    private static ObjectNode planRollout(Operator.Carried rollout) {
+        var json = Problems.JSON.createObjectNode();
+        json.put("plan", rollout.version()).put("state", rollout.able().isEmpty() ? "confirmed" : "pending");
+        rollout.able().forEach(json.putArray("notAcknowledged")::add);
+        return json;
     }
 
-    private void intent(HttpServerExchange x, byte[] b) {
+    private void planIntent(HttpServerExchange exchange, byte[] body) {
         try {
-            operator.plan(JSON.readValue(b, Intent.class), r -> reply(x, r, StatusJson::plan));
+            operator.plan(JSON.readValue(body, Intent.class), result -> reply(exchange, result, StatusJson::plan));
         } catch (JsonProcessingException e) {
-            Problems.send(x, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
+            Problems.send(exchange, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
         } catch (IOException e) {
-            Problems.send(x, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getMessage()));
+            Problems.send(exchange, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getMessage()));
         }
     }
 
-    private void plan(HttpServerExchange x, long id, String act) {
-        x.dispatch();
-        switch (x.getRequestMethod() + act) {
-            case "GET" -> operator.show(id, r -> reply(x, r, StatusJson::plan));
-            case "POST/confirm" -> operator.confirm(id, r -> reply(x, r, OperatorHandler::confirmed));
-            case "GET/watch" -> operator.watch(id, r -> reply(x, r, OperatorHandler::confirmed));
+    private void plan(HttpServerExchange exchange, long id, String action) {
+        exchange.dispatch();
+        switch (exchange.getRequestMethod() + action) {
+            case "GET" -> operator.show(id, result -> reply(exchange, result, StatusJson::plan));
+            case "POST/confirm" ->
+                operator.confirm(id, result -> reply(exchange, result, OperatorHandler::planRollout));
+            case "GET/watch" -> operator.watch(id, result -> reply(exchange, result, OperatorHandler::planRollout));
             case "POST/stop" ->
                 operator.stop(
                         id,
-                        r -> reply(x, r, v -> Problems.JSON
+                        result -> reply(exchange, result, plan -> Problems.JSON
                                 .createObjectNode()
-                                .put("plan", v)
+                                .put("plan", plan)
                                 .put("state", "stopped")));
-            default -> Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+            default -> Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
         }
     }
 
-    private static <T> void reply(HttpServerExchange x, Either<Problem, T> r, Function<T, ObjectNode> json) {
-        if (r.isLeft()) Problems.send(x, r.getLeft());
-        else Problems.sendJson(x, json.apply(r.get()).toString());
+    private static <T> void reply(
+            HttpServerExchange exchange, Either<Problem, T> result, Function<T, ObjectNode> toJson) {
+        if (result.isLeft()) Problems.send(exchange, result.getLeft());
+        else Problems.sendJson(exchange, toJson.apply(result.get()).toString());
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -19,139 +19,178 @@
 import java.util.concurrent.Executor;
 import java.util.function.LongConsumer;
 
-/** Takes a platform's configurations, emptied zones and runner beats, in the platform's dialect. */
+/**
+ * Serves the part of a store's HTTP interface in which a platform sends configurations, marks zones as emptied and reports
+ * the heartbeats of its runners, in the platform's own formats.
+ */
 public final class PlatformOperatorHandler implements HttpHandler {
-    private final PlatformFormats dialect;
-    private final PlatformCommands passing;
+    private final PlatformFormats formats;
+    private final PlatformCommands commands;
     private final Set<String> zones;
-    private final Executor work;
+    private final Executor configurationExecutor;
     private final Callers callers;
 
-    /** Serves these zones; configurations are read by the executor. */
+    /**
+     * Creates the handler.
+     *
+     * @param zones the names of the zones that may be marked as emptied
+     * @param configurationExecutor reads configurations, which may take long
+     */
     public PlatformOperatorHandler(
-            PlatformFormats dialect, PlatformCommands passing, Set<String> zones, Executor work, Callers callers) {
-        this.dialect = dialect;
-        this.passing = passing;
+            PlatformFormats formats,
+            PlatformCommands commands,
+            Set<String> zones,
+            Executor configurationExecutor,
+            Callers callers) {
+        this.formats = formats;
+        this.commands = commands;
         this.zones = zones;
-        this.work = work;
+        this.configurationExecutor = configurationExecutor;
         this.callers = callers;
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        var p = dialect.paths();
-        var path = x.getRequestPath();
-        if (path.equals(p.configuration())) configuration(x);
-        else if (name(path, p.runner()) != null) runner(x, name(path, p.runner()));
-        else if (name(path, p.zone()) != null) zone(x, name(path, p.zone()));
-        else Exchanges.noSuchPage(x);
+    public void handleRequest(HttpServerExchange exchange) {
+        var paths = formats.paths();
+        var path = exchange.getRequestPath();
+        if (path.equals(paths.configuration())) configuration(exchange);
+        else if (nameAfter(path, paths.runner()) != null) runner(exchange, nameAfter(path, paths.runner()));
+        else if (nameAfter(path, paths.zone()) != null) zone(exchange, nameAfter(path, paths.zone()));
+        else Exchanges.noSuchPage(exchange);
     }
 
-    private static String name(String path, String start) {
-        if (!path.startsWith(start) || path.length() == start.length()) return null;
-        var n = path.substring(start.length());
-        return n.indexOf('/') < 0 ? n : null;
+    /** Returns the name that follows the prefix in a path, or null if the path is not such a path. */
+    private static String nameAfter(String path, String prefix) {
+        if (!path.startsWith(prefix) || path.length() == prefix.length()) return null;
+        var name = path.substring(prefix.length());
+        return name.indexOf('/') < 0 ? name : null;
     }
 
-    private void configuration(HttpServerExchange x) {
-        switch (x.getRequestMethod().toString()) {
-            case "GET" -> Exchanges.later(x, () -> passing.manifest(r -> readBack(x, r.map(m -> m.source))));
-            case "PUT" -> Exchanges.withBody(x, work, b -> put(x, b));
-            default -> Exchanges.wrongMethod(x);
+    private void configuration(HttpServerExchange exchange) {
+        switch (exchange.getRequestMethod().toString()) {
+            case "GET" ->
+                Exchanges.later(
+                        exchange,
+                        () -> commands.manifest(
+                                result -> sendConfiguration(exchange, result.map(manifest -> manifest.source))));
+            case "PUT" -> Exchanges.withBody(exchange, configurationExecutor, body -> putConfiguration(exchange, body));
+            default -> Exchanges.wrongMethod(exchange);
         }
     }
 
-    private static void readBack(HttpServerExchange x, Either<Problem, String> r) {
-        if (r.isLeft()) say(x, r.getLeft());
-        else if (r.get().isEmpty()) Exchanges.noSuchPage(x);
+    private static void sendConfiguration(HttpServerExchange exchange, Either<Problem, String> source) {
+        if (source.isLeft()) sendProblem(exchange, source.getLeft());
+        else if (source.get().isEmpty()) Exchanges.noSuchPage(exchange);
         else {
-            x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-            x.getResponseSender().send(r.get(), StandardCharsets.UTF_8);
+            exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+            exchange.getResponseSender().send(source.get(), StandardCharsets.UTF_8);
         }
     }
 
-    private void put(HttpServerExchange x, byte[] b) {
-        var base = base(x.getRequestHeaders().getFirst(Headers.IF_MATCH));
-        var c = dialect.configuration(b);
+    private void putConfiguration(HttpServerExchange exchange, byte[] body) {
+        var base = baseVersion(exchange.getRequestHeaders().getFirst(Headers.IF_MATCH));
+        var configuration = formats.configuration(body);
         if (base < 0)
-            say(x, Problem.of(Kind.BAD_OPERATOR_INPUT, "name the version this builds on in the header If-Match"));
-        else if (c.isLeft()) say(x, c.getLeft());
+            sendProblem(
+                    exchange,
+                    Problem.of(
+                            Kind.BAD_OPERATOR_INPUT,
+                            "name the version that this configuration is based on in the header If-Match"));
+        else if (configuration.isLeft()) sendProblem(exchange, configuration.getLeft());
         else
-            passing.put(
-                    base, c.get().number(), c.get().manifest(), c.get().source(), callers.now(), r -> done(x, r, ""));
+            commands.put(
+                    base,
+                    configuration.get().number(),
+                    configuration.get().manifest(),
+                    configuration.get().source(),
+                    callers.now(),
+                    result -> complete(exchange, result, ""));
     }
 
-    private static long base(String s) {
-        var n = s == null ? "" : s.strip().replace("\"", "");
-        return n.matches("\\d{1,18}") ? Long.parseLong(n) : -1;
+    /** Returns the version in an If-Match header, which may be quoted, or -1 if there is none. */
+    private static long baseVersion(String ifMatch) {
+        var version = ifMatch == null ? "" : ifMatch.strip().replace("\"", "");
+        return version.matches("\\d{1,18}") ? Long.parseLong(version) : -1;
     }
 
-    private void zone(HttpServerExchange x, String zone) {
-        var m = x.getRequestMethod().toString();
-        if (!zones.contains(zone)) Exchanges.noSuchPage(x);
-        else if (!m.equals("POST") && !m.equals("DELETE")) Exchanges.wrongMethod(x);
-        else whileCallerWaits(x, t -> passing.mark(zone, m.equals("POST"), t, r -> done(x, r, "")));
+    private void zone(HttpServerExchange exchange, String zone) {
+        var method = exchange.getRequestMethod().toString();
+        if (!zones.contains(zone)) Exchanges.noSuchPage(exchange);
+        else if (!method.equals("POST") && !method.equals("DELETE")) Exchanges.wrongMethod(exchange);
+        else
+            ifCallerWaits(
+                    exchange,
+                    receivedAt -> commands.mark(
+                            zone, method.equals("POST"), receivedAt, result -> complete(exchange, result, "")));
     }
 
-    private void runner(HttpServerExchange x, String id) {
-        switch (x.getRequestMethod().toString()) {
-            case "PUT" -> Exchanges.withBody(x, SameThreadExecutor.INSTANCE, b -> beat(x, id, b));
-            case "DELETE" -> whileCallerWaits(x, t -> passing.left(id, t, r -> done(x, r, "")));
-            default -> Exchanges.wrongMethod(x);
+    private void runner(HttpServerExchange exchange, String name) {
+        switch (exchange.getRequestMethod().toString()) {
+            case "PUT" ->
+                Exchanges.withBody(exchange, SameThreadExecutor.INSTANCE, body -> heartbeat(exchange, name, body));
+            case "DELETE" ->
+                ifCallerWaits(
+                        exchange,
+                        receivedAt -> commands.left(name, receivedAt, result -> complete(exchange, result, "")));
+            default -> Exchanges.wrongMethod(exchange);
         }
     }
 
-    private void beat(HttpServerExchange x, String id, byte[] b) {
-        var read = dialect.beat(id, b);
-        if (read.isLeft()) say(x, read.getLeft());
-        else passing.beat(runner(read.get()), callers.now(), r -> done(x, r, dialect.taken()));
+    private void heartbeat(HttpServerExchange exchange, String name, byte[] body) {
+        var heartbeat = formats.beat(name, body);
+        if (heartbeat.isLeft()) sendProblem(exchange, heartbeat.getLeft());
+        else
+            commands.beat(
+                    toCommand(heartbeat.get()), callers.now(), result -> complete(exchange, result, formats.taken()));
     }
 
     /**
-     * Orders that say neither which other order they follow nor whose life they mean are passed on only for a caller that still
-     * waits: it may have sent the same order to another node since, and then the reverse one.
+     * Passes a request on only if its caller may still be waiting for the response. This guards requests that name neither
+     * their predecessor nor the process instance they refer to: a caller that has given up may have sent the same request
+     * to another node since, and then the reverse one.
      */
-    private void whileCallerWaits(HttpServerExchange x, LongConsumer then) {
-        var began = callers.now();
-        Exchanges.later(x, () -> {
+    private void ifCallerWaits(HttpServerExchange exchange, LongConsumer action) {
+        var startedAt = callers.now();
+        Exchanges.later(exchange, () -> {
             var now = callers.now();
-            if (callers.waits(x, began, now)) then.accept(began);
-            else say(x, Problem.of(Kind.STALE_CALL));
+            if (callers.waits(exchange, startedAt, now)) action.accept(startedAt);
+            else sendProblem(exchange, Problem.of(Kind.STALE_CALL));
         });
     }
 
-    private static Commands.RunnerPut runner(PlatformFormats.Beat b) {
-        var c = new Commands.RunnerPut();
-        var r = b.runner();
-        c.service = r.service();
-        c.runner = r.name();
-        c.address = r.address();
-        c.cell = r.cell();
-        c.slots = r.slots();
-        c.incarnation = r.incarnation();
-        c.cold = r.cold();
-        c.load = r.load();
-        c.state = b.leaving() ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        c.coldFor = b.coldFor();
-        c.goneIn = b.goneIn();
-        c.sequence = b.sequence();
-        return c;
+    private static Commands.RunnerPut toCommand(PlatformFormats.Beat heartbeat) {
+        var command = new Commands.RunnerPut();
+        var runner = heartbeat.runner();
+        command.service = runner.service();
+        command.runner = runner.name();
+        command.address = runner.address();
+        command.cell = runner.cell();
+        command.slots = runner.slots();
+        command.incarnation = runner.incarnation();
+        command.cold = runner.cold();
+        command.load = runner.load();
+        command.state = heartbeat.leaving() ? Rows.Runner.LEAVING : Rows.Runner.UP;
+        command.coldFor = heartbeat.coldFor();
+        command.goneIn = heartbeat.goneIn();
+        command.sequence = heartbeat.sequence();
+        return command;
     }
 
-    private static void done(HttpServerExchange x, Either<Problem, Void> r, String json) {
-        if (r.isLeft()) say(x, r.getLeft());
-        else if (json.isEmpty()) x.endExchange();
-        else Problems.sendJson(x, json);
+    private static void complete(HttpServerExchange exchange, Either<Problem, Void> result, String json) {
+        if (result.isLeft()) sendProblem(exchange, result.getLeft());
+        else if (json.isEmpty()) exchange.endExchange();
+        else Problems.sendJson(exchange, json);
     }
 
-    private static void say(HttpServerExchange x, Problem p) {
+    /** Sends a problem with the HTTP status of the platform's interface, which uses fewer codes than {@link Kind#status}. */
+    private static void sendProblem(HttpServerExchange exchange, Problem problem) {
         var status =
-                switch (p.kind()) {
+                switch (problem.kind()) {
                     case RACE_LOST -> 412;
                     case BAD_MANIFEST, BAD_OPERATOR_INPUT, BAD_JSON, BAD_FIELD -> 400;
                     case BAD_MESSAGE, FOREIGN_CORE, NOT_OWNER, STALE_MEMBER -> 503;
-                    default -> p.kind().status() < 500 ? p.kind().status() : 503;
+                    default -> problem.kind().status() < 500 ? problem.kind().status() : 503;
                 };
-        Problems.send(x, p, status);
+        Problems.send(exchange, problem, status);
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -9,112 +9,120 @@
 import java.util.List;
 import java.util.TreeMap;
 
+/** Writes the status of the core and plans as JSON for operators. */
 final class StatusJson {
     private StatusJson() {}
 
+    /** Returns the status as seen by this node, from the parts that replied. */
     static ObjectNode of(String node, List<PartStatus> parts) {
-        var n = Problems.JSON.createObjectNode();
-        n.put("node", node);
-        n.put("partsReached", parts.size());
-        n.put("parts", Parts.COUNT);
+        var root = Problems.JSON.createObjectNode();
+        root.put("node", node);
+        root.put("partsReached", parts.size());
+        root.put("parts", Parts.COUNT);
         var members = new TreeMap<String, ObjectNode>();
-        var list = n.putArray("groups");
-        for (var p : parts) {
-            var g = list.addObject();
-            g.put("part", p.part)
-                    .put("owner", p.leader)
-                    .put("term", p.term)
-                    .put("applied", p.applied)
-                    .put("claims", p.claims);
-            p.group.forEach(g.putArray("group")::add);
-            for (var m : p.members) members.merge(m.node.name, member(m), StatusJson::worse);
-            if (p.part == Parts.MANIFEST) manifest(n, p);
+        var groups = root.putArray("groups");
+        for (var part : parts) {
+            var group = groups.addObject();
+            group.put("part", part.part)
+                    .put("owner", part.leader)
+                    .put("term", part.term)
+                    .put("applied", part.applied)
+                    .put("claims", part.claims);
+            part.group.forEach(group.putArray("group")::add);
+            for (var member : part.members) members.merge(member.node.name, member(member), StatusJson::lapsedOf);
+            if (part.part == Parts.MANIFEST) manifest(root, part);
         }
-        n.putArray("members").addAll(members.values());
-        var services = n.putArray("services");
-        for (var p : parts) for (var s : p.services) service(services.addObject(), s, p);
-        return n;
+        root.putArray("members").addAll(members.values());
+        var services = root.putArray("services");
+        for (var part : parts) for (var service : part.services) service(services.addObject(), service, part);
+        return root;
     }
 
-    private static ObjectNode worse(ObjectNode a, ObjectNode b) {
-        return a.get("state").asText().equals("lapsed") ? a : b;
+    /** Returns the entry whose lease has lapsed, if either has: parts may disagree about a member. */
+    private static ObjectNode lapsedOf(ObjectNode first, ObjectNode second) {
+        return first.get("state").asText().equals("lapsed") ? first : second;
     }
 
-    private static void manifest(ObjectNode n, PartStatus p) {
-        var m = n.putObject("manifest");
-        m.put("version", p.manifest.version);
-        p.manifest.marks.forEach(m.putObject("marks")::put);
-        var plans = n.putArray("plans");
-        p.plans.forEach(x -> plans.add(plan(x)));
+    private static void manifest(ObjectNode root, PartStatus part) {
+        var manifest = root.putObject("manifest");
+        manifest.put("version", part.manifest.version);
+        part.manifest.marks.forEach(manifest.putObject("marks")::put);
+        var plans = root.putArray("plans");
+        part.plans.forEach(plan -> plans.add(plan(plan)));
     }
 
-    private static ObjectNode member(Rows.Member m) {
+    private static ObjectNode member(Rows.Member member) {
         return Problems.JSON
                 .createObjectNode()
-                .put("name", m.node.name)
-                .put("kind", m.node.kind)
-                .put("zone", m.node.zone)
-                .put("address", m.node.peerAddress)
-                .put("incarnation", m.node.incarnation)
-                .put("state", m.lapsed ? "lapsed" : "live");
+                .put("name", member.node.name)
+                .put("kind", member.node.kind)
+                .put("zone", member.node.zone)
+                .put("address", member.node.peerAddress)
+                .put("incarnation", member.node.incarnation)
+                .put("state", member.lapsed ? "lapsed" : "live");
     }
 
-    private static void service(ObjectNode n, Rows.Service s, PartStatus p) {
-        n.put("name", s.name).put("part", p.part).put("tableVersion", s.tableVersion);
-        var cells = n.putArray("cells");
-        for (var c = 0; c < s.cells.size(); c++) {
+    private static void service(ObjectNode json, Rows.Service service, PartStatus part) {
+        json.put("name", service.name).put("part", part.part).put("tableVersion", service.tableVersion);
+        var cells = json.putArray("cells");
+        for (var cell = 0; cell < service.cells.size(); cell++) {
             var units = 0;
-            for (var u = 100; u < s.homes.length; u++) if (s.homes[u] == c) units++;
+            // Units below 100 belong to the empty region set and are never used.
+            for (var unit = 100; unit < service.homes.length; unit++) if (service.homes[unit] == cell) units++;
             cells.addObject()
-                    .put("name", s.cells.get(c))
-                    .put("zone", s.zones.get(c))
-                    .put("region", s.cellRegions.get(c))
+                    .put("name", service.cells.get(cell))
+                    .put("zone", service.zones.get(cell))
+                    .put("region", service.cellRegions.get(cell))
                     .put("units", units)
-                    .put("runnersUp", s.runnersUp(c))
-                    .put("load", sum(s, c, p, false))
-                    .put("slots", sum(s, c, p, true));
+                    .put("runnersUp", service.runnersUp(cell))
+                    .put("load", sum(service, cell, part, false))
+                    .put("slots", sum(service, cell, part, true));
         }
-        n.put("displacedUnits", s.displacedUnits.length);
-        s.heldUntil.keySet().forEach(n.putArray("heldBack")::add);
-        var steps = n.putArray("steps");
-        s.steps.stream().skip(Math.max(0, s.steps.size() - 8)).forEach(x -> steps.addObject()
-                .put("step", x.id)
-                .put("units", x.units.length)
-                .put("to", s.cells.get(x.to))
-                .put("state", x.stateName())
-                .put("cause", x.cause)
-                .put("tableVersion", x.tableVersion));
-        var runners = n.putArray("runners");
-        for (var r : s.runners.values())
+        json.put("displacedUnits", service.displacedUnits.length);
+        service.heldUntil.keySet().forEach(json.putArray("heldBack")::add);
+        var steps = json.putArray("steps");
+        // Only the latest eight steps are shown.
+        service.steps.stream().skip(Math.max(0, service.steps.size() - 8)).forEach(step -> steps.addObject()
+                .put("step", step.id)
+                .put("units", step.units.length)
+                .put("to", service.cells.get(step.to))
+                .put("state", step.stateName())
+                .put("cause", step.cause)
+                .put("tableVersion", step.tableVersion));
+        var runners = json.putArray("runners");
+        for (var runner : service.runners.values())
             runners.addObject()
-                    .put("name", r.name)
-                    .put("cell", r.cell)
-                    .put("address", r.address)
-                    .put("state", r.stateName())
-                    .put("slots", r.slots)
-                    .put("load", p.loads.getOrDefault(s.name + "/" + r.name, 0))
-                    .put("cold", r.cold)
-                    .put("incarnation", r.incarnation);
+                    .put("name", runner.name)
+                    .put("cell", runner.cell)
+                    .put("address", runner.address)
+                    .put("state", runner.stateName())
+                    .put("slots", runner.slots)
+                    .put("load", part.loads.getOrDefault(service.name + "/" + runner.name, 0))
+                    .put("cold", runner.cold)
+                    .put("incarnation", runner.incarnation);
     }
 
-    private static int sum(Rows.Service s, int cell, PartStatus p, boolean slots) {
-        return s.runners.values().stream()
-                .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
-                .mapToInt(r -> slots ? r.slots : p.loads.getOrDefault(s.name + "/" + r.name, 0))
+    /** Returns the total slots, or else the total load, of the runners in a cell that are up. */
+    private static int sum(Rows.Service service, int cell, PartStatus part, boolean countSlots) {
+        return service.runners.values().stream()
+                .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
+                .mapToInt(runner ->
+                        countSlots ? runner.slots : part.loads.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
     }
 
-    static ObjectNode plan(Plan p) {
-        var n = Problems.JSON.createObjectNode();
-        n.put("plan", p.id)
-                .put("intent", p.intent)
-                .put("state", p.stateName())
-                .put("manifestVersion", p.manifestVersion)
-                .put("marksVersion", p.marksVersion);
-        p.steps.forEach(n.putArray("steps")::add);
-        p.loads.forEach(n.putArray("loads")::add);
-        p.warnings.forEach(n.putArray("warnings")::add);
-        if (!p.cause.isEmpty()) n.put("cause", p.cause);
-        return n;
+    /** Returns a plan as JSON. */
+    static ObjectNode plan(Plan plan) {
+        var json = Problems.JSON.createObjectNode();
+        json.put("plan", plan.id)
+                .put("intent", plan.intent)
+                .put("state", plan.stateName())
+                .put("manifestVersion", plan.manifestVersion)
+                .put("marksVersion", plan.marksVersion);
+        plan.steps.forEach(json.putArray("steps")::add);
+        plan.loads.forEach(json.putArray("loads")::add);
+        plan.warnings.forEach(json.putArray("warnings")::add);
+        if (!plan.cause.isEmpty()) json.put("cause", plan.cause);
+        return json;
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/UsageJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/UsageJson.java
@@ -3,28 +3,37 @@
 import craneway.data.request.Usage;
 import craneway.http.Problems;
 
+/** Writes the usage records of a router as JSON. */
 public final class UsageJson {
+    /** The most records in one response. */
     public static final int PAGE = 1_000;
 
     private UsageJson() {}
 
-    public static String of(String router, Usage usage, long after, long wallLessNow) {
-        var n = Problems.JSON.createObjectNode();
-        n.put("router", router);
-        var all = n.putArray("rows");
-        for (var r : usage.after(after, PAGE))
-            all.addObject()
-                    .put("no", r.no())
-                    .put("tenant", r.tenant())
-                    .put("service", r.service())
-                    .put("work", r.work())
-                    .put("region", r.region())
-                    .put("runner", r.runner())
-                    .put("tokens", r.tokens())
-                    .put("verdict", r.verdict())
-                    .put("takenAt", r.takenAt() + wallLessNow)
-                    .put("firstAt", r.firstAt() == 0 ? 0 : r.firstAt() + wallLessNow)
-                    .put("endedAt", r.endedAt() + wallLessNow);
-        return n.toString();
+    /**
+     * Returns a page of usage records as JSON.
+     *
+     * @param router the name of the router
+     * @param after the number of the last record that the caller has
+     * @param wallClockOffset what to add to a time of the monotonic clock to get the wall clock time, in microseconds
+     */
+    public static String of(String router, Usage usage, long after, long wallClockOffset) {
+        var root = Problems.JSON.createObjectNode();
+        root.put("router", router);
+        var rows = root.putArray("rows");
+        for (var row : usage.after(after, PAGE))
+            rows.addObject()
+                    .put("no", row.no())
+                    .put("tenant", row.tenant())
+                    .put("service", row.service())
+                    .put("work", row.work())
+                    .put("region", row.region())
+                    .put("runner", row.runner())
+                    .put("tokens", row.tokens())
+                    .put("verdict", row.verdict())
+                    .put("takenAt", row.takenAt() + wallClockOffset)
+                    .put("firstAt", row.firstAt() == 0 ? 0 : row.firstAt() + wallClockOffset)
+                    .put("endedAt", row.endedAt() + wallClockOffset);
+        return root.toString();
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/package-info.java
+++ b/lib/api/src/main/java/craneway/api/operator/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What operators call over HTTP: manifests, intents, plans, status, usage and rebuilding, for both kinds of process.
+ * The operators' HTTP interface of routers and stores: manifests, intents, plans, status, usage and rebuilding the core.
  */
 package craneway.api.operator;
--- a/lib/api/src/main/java/craneway/api/platform/PlatformFormats.java
+++ b/lib/api/src/main/java/craneway/api/platform/PlatformFormats.java
@@ -5,9 +5,18 @@
 import io.vavr.control.Either;
 import java.util.List;
 
-/** How a platform writes what its operators, runners and requesters exchange with a store. */
+/** The paths and body formats that a platform's operators, runners and clients use in requests to a store. */
 public interface PlatformFormats {
-    /** Paths; runner and zone are the beginnings of paths that end in a name. */
+    /**
+     * The paths and query parameters of a store's HTTP interface.
+     *
+     * @param configuration the path of the configuration
+     * @param runner the prefix of the path of a runner, which the runner's name follows
+     * @param zone the prefix of the path of a zone, which the zone's name follows
+     * @param addresses the path under which clients look up router addresses
+     * @param askingZone the query parameter with the zone of the client
+     * @param askingRegion the query parameter with the region of the client
+     */
     record Paths(
             String configuration,
             String runner,
@@ -16,23 +25,43 @@
             String askingZone,
             String askingRegion) {}
 
-    /** A configuration: its number, the manifest it means and its text as sent. */
+    /**
+     * A configuration in the platform's format.
+     *
+     * @param number the number that the platform gave it
+     * @param manifest the JSON text of the equivalent manifest
+     * @param source the text as it was sent
+     */
     record Configuration(long number, String manifest, String source) {}
 
-    /** What a runner says of itself; times are microseconds, 0 where it does not tell. */
+    /**
+     * A runner's heartbeat, with which it also announces itself. Times are microseconds.
+     *
+     * @param runner the announcement of the runner
+     * @param leaving whether the runner is about to shut down
+     * @param coldFor how long the runner will stay cold; 0 if the heartbeat does not say
+     * @param goneIn the time until the runner shuts down; 0 if the heartbeat does not say
+     * @param sequence increases with each heartbeat of the runner
+     */
     record Beat(Announcement runner, boolean leaving, long coldFor, long goneIn, long sequence) {}
 
+    /** Returns the paths of the HTTP interface. */
     Paths paths();
 
-    /** Reads a configuration; a problem BAD_MANIFEST says what is wrong with it. */
+    /** Reads a configuration; a BAD_MANIFEST problem says what is invalid. */
     Either<Problem, Configuration> configuration(byte[] body);
 
-    /** Reads a runner's beat; a problem BAD_JSON or BAD_FIELD says what is wrong with it. */
+    /** Reads a runner's heartbeat; a BAD_JSON or BAD_FIELD problem says what is invalid. */
     Either<Problem, Beat> beat(String runner, byte[] body);
 
-    /** The reply to a beat that was taken. */
+    /** Returns the body of the response to an accepted heartbeat. */
     String taken();
 
-    /** The reply that tells a requester where to go; it may keep that for {@code micros}. */
-    String addresses(List<String> all, long micros);
+    /**
+     * Returns the body of the response that lists router addresses for a client.
+     *
+     * @param routers the client addresses of the routers
+     * @param ttlMicros how long the client may cache the list, in microseconds
+     */
+    String addresses(List<String> routers, long ttlMicros);
 }
--- a/lib/api/src/main/java/craneway/api/platform/package-info.java
+++ b/lib/api/src/main/java/craneway/api/platform/package-info.java
@@ -1,2 +1,5 @@
-/** What the platform that starts the processes needs to know and to be told: readiness, and the formats it speaks. */
+/**
+ * The interface to the platform that starts the processes: readiness probes, and the formats in which the platform
+ * exchanges configurations, runner heartbeats and router addresses.
+ */
 package craneway.api.platform;
--- a/lib/log/src/main/java/craneway/log/EventLog.java
+++ b/lib/log/src/main/java/craneway/log/EventLog.java
@@ -12,6 +12,7 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
+/** Writes the events of one process as lines to standard error. Safe for several threads. */
 public final class EventLog implements Log {
     static {
         System.setProperty("java.util.logging.manager", ResetFreeLogManager.class.getName());
@@ -21,38 +22,49 @@
 
     private final String node;
 
+    /** Creates the log of the process with this name and configures java.util.logging for the whole process. */
     public EventLog(String node) {
         this.node = node;
         arrange();
     }
 
+    /**
+     * Configures java.util.logging to write one line per record to standard error. Records of other libraries are left out
+     * unless they are severe.
+     */
     public static void arrange() {
         var root = Logger.getLogger("");
-        for (var h : root.getHandlers()) root.removeHandler(h);
-        var h = new ConsoleHandler();
-        h.setFormatter(new Line());
-        root.addHandler(h);
-        h.setFilter(r -> r.getLoggerName() == null
-                || r.getLoggerName().startsWith("craneway")
-                || r.getLevel().intValue() >= Level.SEVERE.intValue());
+        for (var handler : root.getHandlers()) root.removeHandler(handler);
+        var console = new ConsoleHandler();
+        console.setFormatter(new LineFormatter());
+        root.addHandler(console);
+        console.setFilter(record -> record.getLoggerName() == null
+                || record.getLoggerName().startsWith("craneway")
+                || record.getLevel().intValue() >= Level.SEVERE.intValue());
     }
 
     @Override
-    public void note(Event e, String detail) {
-        LOG.at(e == Event.INTERNAL || e == Event.DISK_LOST || e == Event.DISK_FAILED ? Level.WARNING : Level.INFO).log(
-                "CW%d %s %s: %s", e.code(), node, e.text(), detail);
+    public void note(Event event, String detail) {
+        LOG
+                .at(
+                        event == Event.INTERNAL || event == Event.DISK_LOST || event == Event.DISK_FAILED
+                                ? Level.WARNING
+                                : Level.INFO)
+                .log("CW%d %s %s: %s", event.code(), node, event.text(), detail);
     }
 
-    public void internal(Throwable t) {
-        var w = new StringWriter();
-        t.printStackTrace(new PrintWriter(w));
-        note(Event.INTERNAL, w.toString());
+    /** Logs an unexpected exception as {@link Event#INTERNAL} with its stack trace. */
+    public void internal(Throwable exception) {
+        var stackTrace = new StringWriter();
+        exception.printStackTrace(new PrintWriter(stackTrace));
+        note(Event.INTERNAL, stackTrace.toString());
     }
 
-    private static final class Line extends Formatter {
+    private static final class LineFormatter extends Formatter {
         @Override
-        public String format(LogRecord r) {
-            return Instant.ofEpochMilli(r.getMillis()) + " " + r.getLevel() + " " + formatMessage(r) + "\n";
+        public String format(LogRecord record) {
+            return Instant.ofEpochMilli(record.getMillis()) + " " + record.getLevel() + " " + formatMessage(record)
+                    + "\n";
         }
     }
 }
--- a/lib/log/src/main/java/craneway/log/package-info.java
+++ b/lib/log/src/main/java/craneway/log/package-info.java
@@ -1,2 +1,2 @@
-/** Event lines on standard error, one format for all programs. */
+/** Writes events as lines to standard error, in one format for all programs. */
 package craneway.log;
