--- a/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
@@ -34,7 +34,11 @@
         var paths = formats.paths();
         if (!exchange.getRequestPath().equals(paths.addresses())) Exchanges.noSuchPage(exchange);
         else if (!exchange.getRequestMethod().equals(Methods.GET)) Exchanges.wrongMethod(exchange);
-        else reply(exchange, query(exchange, paths.askingZone()), query(exchange, paths.askingRegion()));
+        else
+            reply(
+                    exchange,
+                    queryParameter(exchange, paths.askingZone()),
+                    queryParameter(exchange, paths.askingRegion()));
     }
 
     private void reply(HttpServerExchange exchange, String zone, String region) {
@@ -43,7 +47,7 @@
         else Problems.sendJson(exchange, formats.addresses(addresses, ttl));
     }
 
-    private static String query(HttpServerExchange exchange, String name) {
+    private static String queryParameter(HttpServerExchange exchange, String name) {
         var values = exchange.getQueryParameters().get(name);
         return values == null ? "" : values.getFirst();
     }
--- a/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Returns the client addresses of at most 64 routers in random order: those in the zone, else those in its region, else
-     * all.
+     * Returns the client addresses of at most 64 routers in random order: those in the zone, else those in its region,
+     * else all.
      *
      * @param region is used only if the zone is unknown
      */
--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -58,22 +58,22 @@
         var path = exchange.getRequestPath();
         var planPath = PLAN_PATH.matcher(path);
         switch (exchange.getRequestMethod() + " " + path) {
-            case "GET /v1/status" -> status(exchange);
-            case "GET /v1/quiet" -> quiet(exchange);
-            case "GET /v1/manifest" -> manifest(exchange);
+            case "GET /v1/status" -> sendStatus(exchange);
+            case "GET /v1/quiet" -> sendQuietCells(exchange);
+            case "GET /v1/manifest" -> sendManifest(exchange);
             case "PUT /v1/manifest" -> withBody(exchange, body -> putManifest(exchange, body));
             case "POST /v1/intents" -> withBody(exchange, body -> planIntent(exchange, body));
             case "GET /v1/core/rebuild" -> rebuildCore(exchange, "");
             case "POST /v1/core/rebuild" ->
                 withBody(exchange, body -> rebuildCore(exchange, new String(body, StandardCharsets.UTF_8).strip()));
             case "POST /v1/core/accept-claims" -> acceptClaims(exchange);
-            case "GET /metrics" -> metrics(exchange);
-            case "GET /v1/usage" -> usage(exchange);
+            case "GET /metrics" -> sendMetrics(exchange);
+            case "GET /v1/usage" -> sendUsage(exchange);
             default -> {
                 var watchPath = MANIFEST_WATCH_PATH.matcher(path);
                 if (watchPath.matches()) watchManifest(exchange, Long.parseLong(watchPath.group(1)));
                 else if (planPath.matches())
-                    plan(
+                    handlePlan(
                             exchange,
                             Long.parseLong(planPath.group(1)),
                             planPath.group(2) == null ? "" : planPath.group(2));
@@ -92,7 +92,7 @@
                         (e, failure) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
     }
 
-    private void metrics(HttpServerExchange exchange) {
+    private void sendMetrics(HttpServerExchange exchange) {
         exchange.getResponseSender().send(metrics.get(), StandardCharsets.UTF_8);
     }
 
@@ -129,7 +129,7 @@
                 .put("parts", parts)));
     }
 
-    private void usage(HttpServerExchange exchange) {
+    private void sendUsage(HttpServerExchange exchange) {
         var values = exchange.getQueryParameters().get("after");
         var after = values == null ? "0" : values.getFirst();
         if (usage == null)
@@ -140,13 +140,13 @@
         else Problems.sendJson(exchange, usage.apply(Long.parseLong(after)));
     }
 
-    private void status(HttpServerExchange exchange) {
+    private void sendStatus(HttpServerExchange exchange) {
         exchange.dispatch();
         operator.status(
                 parts -> Problems.sendJson(exchange, StatusJson.of(node, parts).toPrettyString()));
     }
 
-    private void quiet(HttpServerExchange exchange) {
+    private void sendQuietCells(HttpServerExchange exchange) {
         exchange.dispatch();
         operator.quiet(result -> reply(exchange, result, OperatorHandler::quietCells));
     }
@@ -167,7 +167,7 @@
         return json;
     }
 
-    private void manifest(HttpServerExchange exchange) {
+    private void sendManifest(HttpServerExchange exchange) {
         exchange.dispatch();
         operator.manifest(result -> {
             if (result.isLeft()) Problems.send(exchange, result.getLeft());
@@ -227,7 +227,7 @@
         }
     }
 
-    private void plan(HttpServerExchange exchange, long id, String action) {
+    private void handlePlan(HttpServerExchange exchange, long id, String action) {
         exchange.dispatch();
         switch (exchange.getRequestMethod() + action) {
             case "GET" -> operator.show(id, result -> reply(exchange, result, StatusJson::plan));
--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -20,8 +20,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * Serves the part of a store's HTTP interface in which a platform sends configurations, marks zones as emptied and reports
- * the heartbeats of its runners, in the platform's own formats.
+ * Serves the part of a store's HTTP interface in which a platform sends configurations, marks zones as emptied and
+ * reports the heartbeats of its runners, in the platform's own formats.
  */
 public final class PlatformOperatorHandler implements HttpHandler {
     private final PlatformFormats formats;
@@ -53,9 +53,9 @@
     public void handleRequest(HttpServerExchange exchange) {
         var paths = formats.paths();
         var path = exchange.getRequestPath();
-        if (path.equals(paths.configuration())) configuration(exchange);
-        else if (nameAfter(path, paths.runner()) != null) runner(exchange, nameAfter(path, paths.runner()));
-        else if (nameAfter(path, paths.zone()) != null) zone(exchange, nameAfter(path, paths.zone()));
+        if (path.equals(paths.configuration())) handleConfiguration(exchange);
+        else if (nameAfter(path, paths.runner()) != null) handleRunner(exchange, nameAfter(path, paths.runner()));
+        else if (nameAfter(path, paths.zone()) != null) handleZone(exchange, nameAfter(path, paths.zone()));
         else Exchanges.noSuchPage(exchange);
     }
 
@@ -66,7 +66,7 @@
         return name.indexOf('/') < 0 ? name : null;
     }
 
-    private void configuration(HttpServerExchange exchange) {
+    private void handleConfiguration(HttpServerExchange exchange) {
         switch (exchange.getRequestMethod().toString()) {
             case "GET" ->
                 Exchanges.later(
@@ -113,7 +113,7 @@
         return version.matches("\\d{1,18}") ? Long.parseLong(version) : -1;
     }
 
-    private void zone(HttpServerExchange exchange, String zone) {
+    private void handleZone(HttpServerExchange exchange, String zone) {
         var method = exchange.getRequestMethod().toString();
         if (!zones.contains(zone)) Exchanges.noSuchPage(exchange);
         else if (!method.equals("POST") && !method.equals("DELETE")) Exchanges.wrongMethod(exchange);
@@ -124,10 +124,11 @@
                             zone, method.equals("POST"), receivedAt, result -> complete(exchange, result, "")));
     }
 
-    private void runner(HttpServerExchange exchange, String name) {
+    private void handleRunner(HttpServerExchange exchange, String name) {
         switch (exchange.getRequestMethod().toString()) {
             case "PUT" ->
-                Exchanges.withBody(exchange, SameThreadExecutor.INSTANCE, body -> heartbeat(exchange, name, body));
+                Exchanges.withBody(
+                        exchange, SameThreadExecutor.INSTANCE, body -> handleHeartbeat(exchange, name, body));
             case "DELETE" ->
                 ifCallerWaits(
                         exchange,
@@ -136,7 +137,7 @@
         }
     }
 
-    private void heartbeat(HttpServerExchange exchange, String name, byte[] body) {
+    private void handleHeartbeat(HttpServerExchange exchange, String name, byte[] body) {
         var heartbeat = formats.beat(name, body);
         if (heartbeat.isLeft()) sendProblem(exchange, heartbeat.getLeft());
         else
@@ -145,9 +146,9 @@
     }
 
     /**
-     * Passes a request on only if its caller may still be waiting for the response. This guards requests that name neither
-     * their predecessor nor the process instance they refer to: a caller that has given up may have sent the same request
-     * to another node since, and then the reverse one.
+     * Passes a request on only if its caller may still be waiting for the response. This guards requests that name
+     * neither their predecessor nor the process instance they refer to: a caller that has given up may have sent the
+     * same request to another node since, and then the reverse one.
      */
     private void ifCallerWaits(HttpServerExchange exchange, LongConsumer action) {
         var startedAt = callers.now();
@@ -182,7 +183,7 @@
         else Problems.sendJson(exchange, json);
     }
 
-    /** Sends a problem with the HTTP status of the platform's interface, which uses fewer codes than {@link Kind#status}. */
+    /** Sends a problem with the HTTP status of the platform's interface, which distinguishes fewer cases. */
     private static void sendProblem(HttpServerExchange exchange, Problem problem) {
         var status =
                 switch (problem.kind()) {
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -29,12 +29,12 @@
                     .put("applied", part.applied)
                     .put("claims", part.claims);
             part.group.forEach(group.putArray("group")::add);
-            for (var member : part.members) members.merge(member.node.name, member(member), StatusJson::lapsedOf);
-            if (part.part == Parts.MANIFEST) manifest(root, part);
+            for (var member : part.members) members.merge(member.node.name, memberJson(member), StatusJson::lapsedOf);
+            if (part.part == Parts.MANIFEST) addManifest(root, part);
         }
         root.putArray("members").addAll(members.values());
         var services = root.putArray("services");
-        for (var part : parts) for (var service : part.services) service(services.addObject(), service, part);
+        for (var part : parts) for (var service : part.services) addService(services.addObject(), service, part);
         return root;
     }
 
@@ -43,7 +43,7 @@
         return first.get("state").asText().equals("lapsed") ? first : second;
     }
 
-    private static void manifest(ObjectNode root, PartStatus part) {
+    private static void addManifest(ObjectNode root, PartStatus part) {
         var manifest = root.putObject("manifest");
         manifest.put("version", part.manifest.version);
         part.manifest.marks.forEach(manifest.putObject("marks")::put);
@@ -51,7 +51,7 @@
         part.plans.forEach(plan -> plans.add(plan(plan)));
     }
 
-    private static ObjectNode member(Rows.Member member) {
+    private static ObjectNode memberJson(Rows.Member member) {
         return Problems.JSON
                 .createObjectNode()
                 .put("name", member.node.name)
@@ -62,7 +62,7 @@
                 .put("state", member.lapsed ? "lapsed" : "live");
     }
 
-    private static void service(ObjectNode json, Rows.Service service, PartStatus part) {
+    private static void addService(ObjectNode json, Rows.Service service, PartStatus part) {
         json.put("name", service.name).put("part", part.part).put("tableVersion", service.tableVersion);
         var cells = json.putArray("cells");
         for (var cell = 0; cell < service.cells.size(); cell++) {
@@ -75,8 +75,8 @@
                     .put("region", service.cellRegions.get(cell))
                     .put("units", units)
                     .put("runnersUp", service.runnersUp(cell))
-                    .put("load", sum(service, cell, part, false))
-                    .put("slots", sum(service, cell, part, true));
+                    .put("load", totalInCell(service, cell, part, false))
+                    .put("slots", totalInCell(service, cell, part, true));
         }
         json.put("displacedUnits", service.displacedUnits.length);
         service.heldUntil.keySet().forEach(json.putArray("heldBack")::add);
@@ -103,7 +103,7 @@
     }
 
     /** Returns the total slots, or else the total load, of the runners in a cell that are up. */
-    private static int sum(Rows.Service service, int cell, PartStatus part, boolean countSlots) {
+    private static int totalInCell(Rows.Service service, int cell, PartStatus part, boolean countSlots) {
         return service.runners.values().stream()
                 .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
                 .mapToInt(runner ->
--- a/lib/http/src/main/java/craneway/http/Callers.java
+++ b/lib/http/src/main/java/craneway/http/Callers.java
@@ -10,9 +10,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Decides whether the caller of a request that has just been read can still be waiting for the response. A caller that has
- * closed its connection, or that sent the request while this process was frozen, may have sent the same request to another
- * node and a reverse one after it. Safe for several threads.
+ * Decides whether the caller of a request that has just been read can still be waiting for the response. A caller that
+ * has closed its connection, or that sent the request while this process was frozen, may have sent the same request to
+ * another node and a reverse one after it. Safe for several threads.
  */
 public final class Callers {
     private static final AttachmentKey<WakeGuard.Connection> CONNECTION =
@@ -52,7 +52,7 @@
      * @param currentTime the current time, in microseconds
      */
     public boolean waits(HttpServerExchange exchange, long startedAt, long currentTime) {
-        var admitted = guard.admits(connection(exchange), startedAt, currentTime);
+        var admitted = guard.admits(guardStateOf(exchange), startedAt, currentTime);
         if (admitted && !isConnectionClosed(exchange)) return true;
         log.note(
                 Event.STALE_CALL,
@@ -61,7 +61,7 @@
         return false;
     }
 
-    private static WakeGuard.Connection connection(HttpServerExchange exchange) {
+    private static WakeGuard.Connection guardStateOf(HttpServerExchange exchange) {
         var connection = exchange.getConnection();
         var known = connection.getAttachment(CONNECTION);
         if (known != null) return known;
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Returns whether the caller has closed the connection. Reads past the request to find out; the bytes of a following
-     * request are put back into the connection.
+     * Returns whether the caller has closed the connection. Reads past the request to find out; the bytes of a
+     * following request are put back into the connection.
      */
     private static boolean isConnectionClosed(HttpServerExchange exchange) {
         if (!exchange.getConnection().isOpen()) return true;
--- a/lib/http/src/main/java/craneway/http/Exchanges.java
+++ b/lib/http/src/main/java/craneway/http/Exchanges.java
@@ -12,8 +12,8 @@
     private Exchanges() {}
 
     /**
-     * Reads the whole request body and passes it to {@code handler} on {@code executor}. The exchange is dispatched then,
-     * so any thread may send the response later.
+     * Reads the whole request body and passes it to {@code handler} on {@code executor}. The exchange is dispatched
+     * then, so any thread may send the response later.
      */
     public static void withBody(HttpServerExchange exchange, Executor executor, Consumer<byte[]> handler) {
         exchange.getRequestReceiver()
--- a/lib/http/src/main/java/craneway/http/HeaderNames.java
+++ b/lib/http/src/main/java/craneway/http/HeaderNames.java
@@ -41,7 +41,9 @@
     public static final HttpString VERSION = new HttpString("craneway-version");
     /** The message format version that this release sends. */
     public static final String WIRE_VERSION = "1";
-    /** The message format version of the next release, which this release accepts so that upgrades can be rolled out. */
+    /**
+     * The message format version of the next release, which this release accepts so that upgrades can be rolled out.
+     */
     public static final String NEXT_WIRE_VERSION = "2";
 
     private HeaderNames() {}
--- a/lib/http/src/main/java/craneway/http/HttpCaller.java
+++ b/lib/http/src/main/java/craneway/http/HttpCaller.java
@@ -32,8 +32,8 @@
  */
 public final class HttpCaller {
     /**
-     * Receives the response to one call. Exactly one of {@link #refused}, {@link #end} and {@link #broken} ends the call;
-     * if the call is cancelled, none of them is called.
+     * Receives the response to one call. Exactly one of {@link #refused}, {@link #end} and {@link #broken} ends the
+     * call; if the call is cancelled, none of them is called.
      */
     public interface Sink {
         /** Called if no connection was made, so that the request was certainly not sent. */
@@ -285,8 +285,8 @@
         }
 
         /**
-         * Cancels the call and closes its connection. A status or a chunk that is just arriving may still reach the sink.
-         * Safe for any thread.
+         * Cancels the call and closes its connection. A status or a chunk that is just arriving may still reach the
+         * sink. Safe for any thread.
          */
         public void cancel() {
             finished.set(true);
--- a/lib/http/src/main/java/craneway/http/HttpReply.java
+++ b/lib/http/src/main/java/craneway/http/HttpReply.java
@@ -27,7 +27,8 @@
     /**
      * Sends a request and blocks until the whole response has arrived.
      *
-     * @param timeoutMillis how long to wait for the response, in milliseconds; connecting may take at most 2,000 ms of it
+     * @param timeoutMillis how long to wait for the response, in milliseconds; connecting may take at most 2,000 ms of
+     *     it
      * @throws IOException if the connection fails, the response is incomplete or the time is up
      */
     public static HttpReply of(
--- a/lib/http/src/main/java/craneway/http/Writes.java
+++ b/lib/http/src/main/java/craneway/http/Writes.java
@@ -12,8 +12,8 @@
     private Writes() {}
 
     /**
-     * Writes the whole body, flushes the channel and shuts down its output. Continues in a write listener when the channel
-     * accepts no more bytes.
+     * Writes the whole body, flushes the channel and shuts down its output. Continues in a write listener when the
+     * channel accepts no more bytes.
      */
     static void writeFully(StreamSinkChannel channel, ByteBuffer body, Consumer<IOException> onFailure) {
         try {
--- a/lib/http/src/test/java/craneway/http/CallersTest.java
+++ b/lib/http/src/test/java/craneway/http/CallersTest.java
@@ -23,8 +23,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Checks over real sockets which requests are rejected because their caller may have given up: those whose connection was
- * closed meanwhile and those that arrived while the process was frozen. The I/O thread is blocked to simulate a freeze.
+ * Checks over real sockets which requests are rejected because their caller may have given up: those whose connection
+ * was closed meanwhile and those that arrived while the process was frozen. The I/O thread is blocked to simulate a
+ * freeze.
  */
 @Timeout(30)
 class CallersTest {
--- a/lib/log/src/main/java/craneway/log/EventLog.java
+++ b/lib/log/src/main/java/craneway/log/EventLog.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Configures java.util.logging to write one line per record to standard error. Records of other libraries are left out
-     * unless they are severe.
+     * Configures java.util.logging to write one line per record to standard error. Records of other libraries are left
+     * out unless they are severe.
      */
     public static void arrange() {
         var root = Logger.getLogger("");
--- a/lib/model/src/main/java/craneway/model/json/JsonTree.java
+++ b/lib/model/src/main/java/craneway/model/json/JsonTree.java
@@ -12,9 +12,9 @@
 /**
  * Reads one document into a tree of nodes without an ObjectMapper.
  *
- * <p>Creating an ObjectMapper loads some 350 classes, among them calendars and date formats, which took a quarter of the
- * processor time of a router's start. This reader is as strict as the mappers that it replaces: it rejects duplicate
- * names in an object and anything that follows the document.
+ * <p>Creating an ObjectMapper loads some 350 classes, among them calendars and date formats, which took a quarter of
+ * the processor time of a router's start. This reader is as strict as the mappers that it replaces: it rejects
+ * duplicate names in an object and anything that follows the document.
  */
 public final class JsonTree {
     private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
@@ -31,7 +31,9 @@
         }
     }
 
-    /** Reads the only document of a parser that has not been read from; returns a missing node if the input is empty. */
+    /**
+     * Reads the only document of a parser that has not been read from; returns a missing node if the input is empty.
+     */
     public static JsonNode read(JsonParser parser) throws IOException {
         if (parser.nextToken() == null) return NODE_FACTORY.missingNode();
         var root = node(parser);
--- a/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
@@ -82,9 +82,9 @@
             if (!regions.contains(zone.region()))
                 errors.add("zone " + zone.name() + ": there is no region " + zone.region());
         }
-        var services = services(document, zones, errors);
-        var tenants = tenants(document, regions, errors);
-        var routes = RouteReader.routes(document, regions, services.keySet(), errors);
+        var services = readServices(document, zones, errors);
+        var tenants = readTenants(document, regions, errors);
+        var routes = RouteReader.readRoutes(document, regions, services.keySet(), errors);
         if (!errors.isEmpty()) return invalid(errors.stream().limit(20).collect(Collectors.joining("; ")));
         return Either.right(new Manifest(
                 document.get("name").asText(),
@@ -93,12 +93,12 @@
                 services,
                 tenants,
                 routes,
-                RouteReader.limits(document),
+                RouteReader.readLimits(document),
                 readMicros(document, "lapsedGraceMs", 30_000),
                 readMicros(document, "claimRetentionMs", 86_400_000)));
     }
 
-    private static Map<String, Manifest.Service> services(
+    private static Map<String, Manifest.Service> readServices(
             JsonNode document, Map<String, Manifest.Zone> zones, List<String> errors) {
         var services = new LinkedHashMap<String, Manifest.Service>();
         for (var serviceNode : document.get("services")) {
@@ -131,14 +131,15 @@
                     readMicros(serviceNode, "stepPauseMs", 100),
                     serviceNode.path("stepUnits").asInt(25),
                     readMicros(serviceNode, "warmUpMs", 5_000),
-                    RouteReader.engine(serviceNode),
+                    RouteReader.readEngine(serviceNode),
                     serviceNode.path("weighed").asText("").equals("slots"));
             if (services.put(name, service) != null) errors.add("service " + name + " is defined twice");
         }
         return services;
     }
 
-    private static Map<String, Manifest.Tenant> tenants(JsonNode document, List<String> regions, List<String> errors) {
+    private static Map<String, Manifest.Tenant> readTenants(
+            JsonNode document, List<String> regions, List<String> errors) {
         var tenants = new LinkedHashMap<String, Manifest.Tenant>();
         for (var tenantNode : document.path("tenants")) {
             var homeRegions = tenantNode.has("regions") ? readNames(tenantNode.get("regions")) : regions;
--- a/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
@@ -11,7 +11,7 @@
 final class RouteReader {
     private RouteReader() {}
 
-    static Manifest.Limits limits(JsonNode document) {
+    static Manifest.Limits readLimits(JsonNode document) {
         var limitsNode = document.path("limits");
         return new Manifest.Limits(
                 limitsNode.path("headerBytes").asInt(16_384),
@@ -20,7 +20,7 @@
                 ManifestReader.readMicros(limitsNode, "idleMs", 15_000));
     }
 
-    static Manifest.Engine engine(JsonNode serviceNode) {
+    static Manifest.Engine readEngine(JsonNode serviceNode) {
         var engineNode = serviceNode.path("engine");
         return new Manifest.Engine(
                 engineNode.path("healthPath").asText("/health"),
@@ -32,11 +32,11 @@
     }
 
     /** Reads all routes and adds what is invalid about them to {@code errors}. */
-    static Routes routes(JsonNode document, List<String> regions, Set<String> services, List<String> errors) {
+    static Routes readRoutes(JsonNode document, List<String> regions, Set<String> services, List<String> errors) {
         var routes = new ArrayList<Route>();
         var hostsAndPrefixes = new HashSet<String>();
         for (var routeNode : document.path("routes")) {
-            var route = route(routeNode);
+            var route = readRoute(routeNode);
             if (!hostsAndPrefixes.add(route.host().toLowerCase(Locale.ROOT) + route.prefix()))
                 errors.add("route " + route.name() + ": " + route.host() + route.prefix() + " is defined twice");
             var weightSum = 0L;
@@ -56,7 +56,7 @@
         return new Routes(routes);
     }
 
-    private static Route route(JsonNode routeNode) {
+    private static Route readRoute(JsonNode routeNode) {
         var shares = new ArrayList<Route.Share>();
         for (var shareNode : routeNode.path("shares"))
             shares.add(new Route.Share(
--- a/lib/model/src/main/java/craneway/model/node/package-info.java
+++ b/lib/model/src/main/java/craneway/model/node/package-info.java
@@ -1,2 +1,4 @@
-/** The settings that one process receives at its start: addresses, placement and tolerances. Immutable values, no I/O. */
+/**
+ * The settings that one process receives at its start: addresses, placement and tolerances. Immutable values, no I/O.
+ */
 package craneway.model.node;
--- a/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
+++ b/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
@@ -3,8 +3,8 @@
 /**
  * The periods of the messages between the processes of the core, in microseconds.
  *
- * <p>A low-traffic profile sends as little as possible: member lists go only to nodes that lack them, one store leads all
- * parts, and the messages of all parts are sent at the same moment.
+ * <p>A low-traffic profile sends as little as possible: member lists go only to nodes that lack them, one store leads
+ * all parts, and the messages of all parts are sent at the same moment.
  *
  * @param heartbeat the interval between two heartbeats of a leader
  * @param electionTimeout how long a replica that has received no heartbeat waits before it starts an election
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Returns whether the next heartbeat is due at {@code now} after one at {@code lastSentAt}. In a low-traffic profile
-     * the heartbeats of all parts become due at the same moment.
+     * Returns whether the next heartbeat is due at {@code now} after one at {@code lastSentAt}. In a low-traffic
+     * profile the heartbeats of all parts become due at the same moment.
      */
     public boolean due(long lastSentAt, long now) {
         return lowTraffic ? now / heartbeat != lastSentAt / heartbeat : now >= lastSentAt + heartbeat;
--- a/lib/model/src/main/java/craneway/model/unit/Units.java
+++ b/lib/model/src/main/java/craneway/model/unit/Units.java
@@ -32,7 +32,10 @@
         return unit % SLICES;
     }
 
-    /** Returns the number of units for this number of regions. It includes the units of the empty set, which are never used. */
+    /**
+     * Returns the number of units for this number of regions. It includes the units of the empty set, which are never
+     * used.
+     */
     public static int count(int regions) {
         return (1 << regions) * SLICES;
     }
