--- a/lib/api/src/main/java/craneway/api/platform/PlatformFormats.java
+++ b/lib/api/src/main/java/craneway/api/platform/PlatformFormats.java
@@ -11,11 +11,11 @@
      * The paths and query parameters of a store's HTTP interface.
      *
      * @param configuration the path of the configuration
-     * @param runner the prefix of the path of a runner, which the runner's name follows
-     * @param zone the prefix of the path of a zone, which the zone's name follows
-     * @param addresses the path under which clients look up router addresses
-     * @param askingZone the query parameter with the zone of the client
-     * @param askingRegion the query parameter with the region of the client
+     * @param runnerPrefix the prefix of the path of a runner, which the runner's name follows
+     * @param zonePrefix the prefix of the path of a zone, which the zone's name follows
+     * @param routerAddresses the path under which clients look up router addresses
+     * @param zoneParameter the query parameter with the zone of the client
+     * @param regionParameter the query parameter with the region of the client
      */
     record Paths(
             String configuration,
@@ -28,7 +28,7 @@
     /**
      * A configuration in the platform's format.
      *
-     * @param number the number that the platform gave it
+     * @param version the number that the platform gave it
      * @param manifest the JSON text of the equivalent manifest
      * @param source the text as it was sent
      */
@@ -37,10 +37,10 @@
     /**
      * A runner's heartbeat, with which it also announces itself. Times are microseconds.
      *
-     * @param runner the announcement of the runner
+     * @param announcement the announcement of the runner
      * @param leaving whether the runner is about to shut down
-     * @param coldFor how long the runner will stay cold; 0 if the heartbeat does not say
-     * @param goneIn the time until the runner shuts down; 0 if the heartbeat does not say
+     * @param remainingColdTime how long the runner will stay cold; 0 if the heartbeat does not say
+     * @param remainingLifetime the time until the runner shuts down; 0 if the heartbeat does not say
      * @param sequence increases with each heartbeat of the runner
      */
     record Beat(Announcement runner, boolean leaving, long coldFor, long goneIn, long sequence) {}
--- a/lib/http/src/main/java/craneway/http/HttpCaller.java
+++ b/lib/http/src/main/java/craneway/http/HttpCaller.java
@@ -52,7 +52,7 @@
         void broken(String cause);
     }
 
-    /** The most chunks handed to a {@link Sink} and not consumed by it before reading from the connection stops. */
+    /** Reading from the connection stops when this many chunks are passed on to a {@link Sink} and not consumed. */
     private static final int MAX_UNCONSUMED_CHUNKS = 32;
 
     private final XnioWorker worker;
@@ -71,8 +71,8 @@
             Map<HttpString, String> headers,
             byte[] body,
             long connectMillis,
-            Sink sink) {
-        var call = new Call(address, method, path, headers, body, sink, false);
+            Sink listener) {
+        var call = new Call(address, method, path, headers, body, listener, false);
         call.connect(connectMillis);
         return call;
     }
@@ -91,8 +91,8 @@
             Map<HttpString, String> headers,
             byte[] body,
             long connectMillis,
-            Sink sink) {
-        var call = new Call(address, method, path, headers, body, sink, true);
+            Sink listener) {
+        var call = new Call(address, method, path, headers, body, listener, true);
         if (kept != null && kept.isOpen()) call.runOn(kept.getIoThread(), () -> call.sendRequest(kept));
         else call.connect(connectMillis);
         return call;
@@ -105,7 +105,7 @@
         private final String path;
         private final Map<HttpString, String> headers;
         private final ByteBuffer body;
-        private final Sink sink;
+        private final Sink listener;
         private final AtomicBoolean finished = new AtomicBoolean();
         private final boolean keepAlive;
         private XnioIoThread ioThread = worker.getIoThread();
@@ -120,7 +120,7 @@
                 String path,
                 Map<HttpString, String> headers,
                 byte[] body,
-                Sink sink,
+                Sink listener,
                 boolean keepAlive) {
             this.keepAlive = keepAlive;
             this.address = address;
@@ -128,7 +128,7 @@
             this.path = path;
             this.headers = headers;
             this.body = ByteBuffer.wrap(body);
-            this.sink = sink;
+            this.listener = listener;
         }
 
         void runOn(XnioIoThread thread, Runnable task) {
@@ -219,11 +219,11 @@
 
         private void receiveResponse(ClientExchange exchange) {
             source = exchange.getResponseChannel();
-            sink.status(
+            listener.status(
                     exchange.getResponse().getResponseCode(),
                     exchange.getResponse().getResponseHeaders());
-            ChannelListener<StreamSourceChannel> listener = this::readChunks;
-            source.getReadSetter().set(listener);
+            ChannelListener<StreamSourceChannel> readListener = this::readChunks;
+            source.getReadSetter().set(readListener);
             readChunks(source);
             if (!finished.get()) source.resumeReads();
         }
@@ -242,7 +242,7 @@
                     buffer.flip();
                     var bytes = new byte[buffer.remaining()];
                     buffer.get(bytes);
-                    sink.chunk(bytes);
+                    listener.chunk(bytes);
                     if (suspendIfWindowFull(channel)) return;
                 }
             } catch (IOException e) {
@@ -257,7 +257,7 @@
             return true;
         }
 
-        /** Reports that the sink has consumed a chunk; resumes reading if it had stopped. Safe for any thread. */
+        /** Reports that the listener has consumed a chunk; resumes reading if it had stopped. Safe for any thread. */
         public void took() {
             synchronized (this) {
                 if (unconsumedChunks-- != MAX_UNCONSUMED_CHUNKS) return;
@@ -274,19 +274,19 @@
         private void finish() {
             if (!finished.compareAndSet(false, true)) return;
             if (!keepAlive) IoUtils.safeClose(connection);
-            sink.end();
+            listener.end();
         }
 
         private void fail(String cause) {
             if (!finished.compareAndSet(false, true)) return;
             IoUtils.safeClose(connection);
-            if (requestStarted) sink.broken(cause);
-            else sink.refused(cause);
+            if (requestStarted) listener.broken(cause);
+            else listener.refused(cause);
         }
 
         /**
          * Cancels the call and closes its connection. A status or a chunk that is just arriving may still reach the
-         * sink. Safe for any thread.
+         * listener. Safe for any thread.
          */
         public void cancel() {
             finished.set(true);
--- a/lib/http/src/main/java/craneway/http/HttpReply.java
+++ b/lib/http/src/main/java/craneway/http/HttpReply.java
@@ -43,7 +43,7 @@
         var result = new CompletableFuture<HttpReply>();
         var received = new ByteArrayOutputStream();
         var call = new HttpCaller.Call[1];
-        var sink = new HttpCaller.Sink() {
+        var listener = new HttpCaller.Sink() {
             int receivedStatus;
             HeaderMap receivedHeaders;
 
@@ -75,7 +75,7 @@
                 result.completeExceptionally(new IOException(cause));
             }
         };
-        call[0] = caller.open(address, method, path, headers, body, Math.min(timeoutMillis, 2_000), sink);
+        call[0] = caller.open(address, method, path, headers, body, Math.min(timeoutMillis, 2_000), listener);
         try {
             return result.get(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
--- a/lib/model/src/main/java/craneway/model/manifest/Manifest.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Manifest.java
@@ -38,11 +38,11 @@
      * The properties of a service's runners.
      *
      * @param healthPath path of the runner's health check
-     * @param connections the most connections that one runner accepts
-     * @param cold how long a runner stays cold after its start, in microseconds
-     * @param coldPerSecond requests per second that a cold runner can serve
+     * @param maxConnections the most connections that one runner accepts
+     * @param coldDuration how long a runner stays cold after its start, in microseconds
+     * @param coldRequestsPerSecond requests per second that a cold runner can serve
      * @param slots requests that one runner works on concurrently
-     * @param cacheTokens capacity of one runner's prefix cache, in tokens
+     * @param cacheCapacityTokens capacity of one runner's prefix cache, in tokens
      */
     public record Engine(
             String healthPath, int connections, long cold, double coldPerSecond, int slots, long cacheTokens) {}
@@ -50,10 +50,10 @@
     /**
      * Limits on what a client may send and how slowly.
      *
-     * @param headerBytes the largest request head, in bytes
-     * @param bodyBytes the largest request body, in bytes
-     * @param header how long a client may take to send the request head, in microseconds
-     * @param idle how long a connection may stay idle, in microseconds
+     * @param maxHeaderBytes the largest request head, in bytes
+     * @param maxBodyBytes the largest request body, in bytes
+     * @param headerTimeout how long a client may take to send the request head, in microseconds
+     * @param idleTimeout how long a connection may stay idle, in microseconds
      */
     public record Limits(int headerBytes, int bodyBytes, long header, long idle) {}
 
@@ -63,14 +63,14 @@
      * @param name unique among all services
      * @param work the kinds of work that the service accepts
      * @param cells the cells that run the service
-     * @param buffer the most requests for the service that one router buffers
-     * @param bodyLimit the largest request body, in bytes
-     * @param deadline the time limit of a request that brings none, in microseconds
+     * @param maxBufferedRequests the most requests for the service that one router buffers
+     * @param maxBodyBytes the largest request body, in bytes
+     * @param defaultDeadline the time limit of a request that brings none, in microseconds
      * @param stepPause the pause between two steps of a move, in microseconds
-     * @param stepUnits the most units that one step moves
-     * @param warmUp the time in which a cold runner ramps up to all of its slots, in microseconds
+     * @param unitsPerStep the most units that one step moves
+     * @param warmUpTime the time in which a cold runner ramps up to all of its slots, in microseconds
      * @param engine the properties of the service's runners
-     * @param bySlots whether cells are weighted by the slots of their runners instead of by {@link Cell#weight}
+     * @param weightedBySlots whether cells are weighted by the slots of their runners instead of by {@link Cell#weight}
      */
     public record Service(
             String name,
@@ -105,8 +105,8 @@
      * A tenant and its restrictions.
      *
      * @param name unique among all tenants
-     * @param regions the regions that the tenant's requests may run in
-     * @param quota the most requests per minute; 0 means no limit
+     * @param homeRegions the regions that the tenant's requests may run in
+     * @param quotaPerMinute the most requests per minute; 0 means no limit
      */
     public record Tenant(String name, List<String> regions, int quota) {}
 
--- a/lib/model/src/main/java/craneway/model/manifest/Route.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Route.java
@@ -7,17 +7,18 @@
  *
  * @param name identifies the route in logs
  * @param host the host name, without a port; compared without regard to case
- * @param prefix the path prefix, which begins and ends with a slash
+ * @param pathPrefix the path prefix, which begins and ends with a slash
  * @param kind whether a request may be run again after a failure
  * @param deadline how long a request may take in all, in microseconds
- * @param target the target for the time to the first piece of the response, in microseconds
+ * @param firstChunkTarget the target for the time to the first piece of the response, in microseconds
  * @param urgency the priority from 0 to 9 that is passed on to the runner
  * @param shares the services that handle the requests, with their weights
- * @param tries the most attempts for one request
+ * @param maxAttempts the most attempts for one request
  * @param sticky whether the route asks for affinity of requests with the same prompt prefix to one runner
- * @param resume whether a stream that broke off may be resumed on another runner
- * @param pause the target for the longest gap between two pieces of the response, in microseconds; 0 means no target
- * @param regions the regions that the route is restricted to; empty means no restriction
+ * @param resumable whether a stream that broke off may be resumed on another runner
+ * @param gapTarget the target for the longest gap between two pieces of the response, in microseconds; 0 means no
+ *     target
+ * @param allowedRegions the regions that the route is restricted to; empty means no restriction
  */
 public record Route(
         String name,
--- a/lib/model/src/main/java/craneway/model/problem/Problem.java
+++ b/lib/model/src/main/java/craneway/model/problem/Problem.java
@@ -5,8 +5,8 @@
  *
  * @param kind the kind of problem
  * @param detail a message for the caller
- * @param retryAfter how long the caller should wait before it retries, in microseconds; 0 if a retry does not help.
- *     A {@link Kind#NOT_HOME} problem holds the version of the sender's placement table here instead.
+ * @param retryAfterMicros how long the caller should wait before it retries, in microseconds; 0 if a retry does not
+ *     help. A {@link Kind#NOT_HOME} problem holds the version of the sender's placement table here instead.
  */
 public record Problem(Kind kind, String detail, long retryAfter) {
     private static final long DEFAULT_RETRY_DELAY_MICROS = 1_000_000L;
--- a/lib/model/src/main/java/craneway/model/unit/Table.java
+++ b/lib/model/src/main/java/craneway/model/unit/Table.java
@@ -9,8 +9,8 @@
  * @param version increases with every change
  * @param regions the names of the regions; the position is the number of the region
  * @param cells the names of the cells
- * @param cellRegion for each cell, the number of its region
- * @param homes for each unit, the index of its home cell, or {@link #NOWHERE}
+ * @param cellRegions for each cell, the number of its region
+ * @param homeCells for each unit, the index of its home cell, or {@link #NOWHERE}
  */
 public record Table(long version, List<String> regions, List<String> cells, int[] cellRegion, int[] homes) {
     /** The home of a unit that has no home cell. */
--- a/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
+++ b/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
@@ -6,14 +6,14 @@
  * <p>A low-traffic profile sends as little as possible: member lists go only to nodes that lack them, one store leads
  * all parts, and the messages of all parts are sent at the same moment.
  *
- * @param heartbeat the interval between two heartbeats of a leader
+ * @param heartbeatInterval the interval between two heartbeats of a leader
  * @param electionTimeout how long a replica that has received no heartbeat waits before it starts an election
  * @param electionJitter the range of the random time that is added to the election timeout
- * @param hello the interval at which nodes greet each other
- * @param renew the interval between two renewals of a lease
- * @param subscribe the interval between two renewals of a subscription
- * @param replace how long a store must be silent before it is replaced in its group
- * @param settled how long a new leader only observes before it moves or replaces anything
+ * @param helloInterval the interval at which nodes greet each other
+ * @param leaseRenewalInterval the interval between two renewals of a lease
+ * @param subscriptionRenewalInterval the interval between two renewals of a subscription
+ * @param storeReplacementDelay how long a store must be silent before it is replaced in its group
+ * @param leaderSettleTime how long a new leader only observes before it moves or replaces anything
  * @param lowTraffic whether the profile saves messages as described above
  */
 public record TimingProfile(
