--- a/lib/model/src/main/java/craneway/model/manifest/Manifest.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Manifest.java
@@ -52,8 +52,8 @@
      *
      * @param maxHeaderBytes the largest request head, in bytes
      * @param maxBodyBytes the largest request body, in bytes
-     * @param headerTimeout how long a client may take to send the request head, in microseconds
-     * @param idleTimeout how long a connection may stay idle, in microseconds
+     * @param headerTimeout how long a client may take to send the request head, in microseconds; 0 means no limit
+     * @param idleTimeout how long a connection may stay idle, in microseconds; 0 means no limit
      */
     public record Limits(int headerBytes, int bodyBytes, long header, long idle) {}
 
--- a/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
@@ -47,7 +47,7 @@
         return parse(text).flatMap(ManifestReader::build);
     }
 
-    /** Reads and validates a manifest; a BAD_MANIFEST problem lists what is invalid. */
+    /** Reads and validates a manifest; a BAD_MANIFEST problem lists at most 20 errors. */
     public static Either<Problem, Manifest> read(String text) {
         return parse(text).flatMap(ManifestReader::validateAgainstSchema).flatMap(ManifestReader::build);
     }
--- a/lib/model/src/main/java/craneway/model/unit/Parts.java
+++ b/lib/model/src/main/java/craneway/model/unit/Parts.java
@@ -4,7 +4,7 @@
 public final class Parts {
     /** The number of parts. */
     public static final int COUNT = 4;
-    /** The index of the part that holds the manifest and the members. */
+    /** The index of the part that holds the manifest; the services are distributed over the other parts. */
     public static final int MANIFEST = 0;
     /** The topic of the manifest; every other topic is the name of a service. */
     public static final String MANIFEST_TOPIC = "@manifest";
