--- a/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
@@ -2,9 +2,9 @@
 
 import craneway.api.platform.PlatformFormats;
 import craneway.http.Exchanges;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Methods;
@@ -32,19 +32,20 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         var paths = formats.paths();
-        if (!exchange.getRequestPath().equals(paths.addresses())) Exchanges.noSuchPage(exchange);
-        else if (!exchange.getRequestMethod().equals(Methods.GET)) Exchanges.wrongMethod(exchange);
+        if (!exchange.getRequestPath().equals(paths.routerAddresses())) Exchanges.sendNotFound(exchange);
+        else if (!exchange.getRequestMethod().equals(Methods.GET)) Exchanges.sendMethodNotAllowed(exchange);
         else
             reply(
                     exchange,
-                    queryParameter(exchange, paths.askingZone()),
-                    queryParameter(exchange, paths.askingRegion()));
+                    queryParameter(exchange, paths.zoneParameter()),
+                    queryParameter(exchange, paths.regionParameter()));
     }
 
     private void reply(HttpServerExchange exchange, String zone, String region) {
-        var addresses = routers.near(zone, region);
-        if (addresses.isEmpty()) Problems.send(exchange, Problem.of(Kind.NO_PATH, "no router is serving"));
-        else Problems.sendJson(exchange, formats.addresses(addresses, ttl));
+        var addresses = routers.nearestTo(zone, region);
+        if (addresses.isEmpty())
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.NO_PATH, "no router is serving"));
+        else JsonResponses.sendJson(exchange, formats.addressesResponse(addresses, ttl));
     }
 
     private static String queryParameter(HttpServerExchange exchange, String name) {
--- a/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
@@ -29,7 +29,7 @@
      *
      * @param region is used only if the zone is unknown
      */
-    public List<String> near(String zone, String region) {
+    public List<String> nearestTo(String zone, String region) {
         var serving = serving();
         var searchedRegion = regionByZone.getOrDefault(zone, region);
         var addresses = select(serving, n -> n.zone.equals(zone));
@@ -50,7 +50,7 @@
     }
 
     private List<Node> serving() {
-        return store.membership().view().members().get(Parts.MANIFEST).stream()
+        return store.membership().view().members().get(Parts.MANIFEST_PART).stream()
                 .filter(n -> n.isRouter() && n.serving && !n.clientAddress.isEmpty() && !isStopping(n))
                 .toList();
     }
--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -9,9 +9,9 @@
 import craneway.control.store.Rebuild;
 import craneway.control.store.Store;
 import craneway.http.HeaderNames;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.vavr.control.Either;
@@ -77,7 +77,7 @@
                             exchange,
                             Long.parseLong(planPath.group(1)),
                             planPath.group(2) == null ? "" : planPath.group(2));
-                else Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
+                else JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.NO_SUCH_PAGE));
             }
         }
     }
@@ -89,7 +89,7 @@
                             e.dispatch();
                             handler.accept(body);
                         },
-                        (e, failure) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
+                        (e, failure) -> JsonResponses.sendProblem(e, Problem.of(ProblemKind.TOO_LARGE)));
     }
 
     private void sendMetrics(HttpServerExchange exchange) {
@@ -99,9 +99,11 @@
     /** Proposes a rebuild of the core, or carries it out if the token of a proposal is given. */
     private void rebuildCore(HttpServerExchange exchange, String token) {
         if (store == null) {
-            Problems.send(
+            JsonResponses.sendProblem(
                     exchange,
-                    Problem.of(Kind.NO_SUCH_PAGE, "a router holds no part of the core; send this request to a store"));
+                    Problem.of(
+                            ProblemKind.NO_SUCH_PAGE,
+                            "a router holds no part of the core; send this request to a store"));
             return;
         }
         reply(
@@ -111,7 +113,7 @@
     }
 
     private static ObjectNode toJson(Rebuild rebuild, boolean done) {
-        var json = Problems.JSON
+        var json = JsonResponses.JSON
                 .createObjectNode()
                 .put("state", done ? "rebuilt" : "proposed")
                 .put("generation", rebuild.generation())
@@ -123,7 +125,7 @@
 
     private void acceptClaims(HttpServerExchange exchange) {
         exchange.dispatch();
-        operator.acceptClaims(result -> reply(exchange, result, parts -> Problems.JSON
+        operator.acceptClaims(result -> reply(exchange, result, parts -> JsonResponses.JSON
                 .createObjectNode()
                 .put("state", "accepted")
                 .put("parts", parts)));
@@ -133,17 +135,19 @@
         var values = exchange.getQueryParameters().get("after");
         var after = values == null ? "0" : values.getFirst();
         if (usage == null)
-            Problems.send(
-                    exchange, Problem.of(Kind.NO_SUCH_PAGE, "a store runs no requests; send this request to a router"));
+            JsonResponses.sendProblem(
+                    exchange,
+                    Problem.of(ProblemKind.NO_SUCH_PAGE, "a store runs no requests; send this request to a router"));
         else if (!after.matches("\\d{1,18}"))
-            Problems.send(exchange, Problem.of(Kind.BAD_OPERATOR_INPUT, "the query parameter after must be a number"));
-        else Problems.sendJson(exchange, usage.apply(Long.parseLong(after)));
+            JsonResponses.sendProblem(
+                    exchange, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, "the query parameter after must be a number"));
+        else JsonResponses.sendJson(exchange, usage.apply(Long.parseLong(after)));
     }
 
     private void sendStatus(HttpServerExchange exchange) {
         exchange.dispatch();
-        operator.status(
-                parts -> Problems.sendJson(exchange, StatusJson.of(node, parts).toPrettyString()));
+        operator.status(parts ->
+                JsonResponses.sendJson(exchange, StatusJson.of(node, parts).toPrettyString()));
     }
 
     private void sendQuietCells(HttpServerExchange exchange) {
@@ -152,7 +156,7 @@
     }
 
     private static ObjectNode quietCells(List<Quiet> quietCells) {
-        var json = Problems.JSON.createObjectNode();
+        var json = JsonResponses.JSON.createObjectNode();
         var cells = json.putArray("cells");
         for (var quiet : quietCells) {
             var cell = cells.addObject()
@@ -170,23 +174,25 @@
     private void sendManifest(HttpServerExchange exchange) {
         exchange.dispatch();
         operator.manifest(result -> {
-            if (result.isLeft()) Problems.send(exchange, result.getLeft());
-            else if (result.get().text.isEmpty()) Problems.send(exchange, Problem.of(Kind.NO_MANIFEST));
+            if (result.isLeft()) JsonResponses.sendProblem(exchange, result.getLeft());
+            else if (result.get().text.isEmpty())
+                JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.NO_MANIFEST));
             else {
-                exchange.getResponseHeaders().put(HeaderNames.VERSION, result.get().version);
-                Problems.sendJson(exchange, result.get().text);
+                exchange.getResponseHeaders().put(HeaderNames.MANIFEST_VERSION, result.get().version);
+                JsonResponses.sendJson(exchange, result.get().text);
             }
         });
     }
 
     private void putManifest(HttpServerExchange exchange, byte[] body) {
-        var base = exchange.getRequestHeaders().getFirst(HeaderNames.BASE);
+        var base = exchange.getRequestHeaders().getFirst(HeaderNames.BASE_VERSION);
         if (base == null || !base.matches("\\d{1,18}")) {
-            Problems.send(
+            JsonResponses.sendProblem(
                     exchange,
                     Problem.of(
-                            Kind.BAD_OPERATOR_INPUT,
-                            "name the version that this manifest is based on in the header " + HeaderNames.BASE));
+                            ProblemKind.BAD_OPERATOR_INPUT,
+                            "name the version that this manifest is based on in the header "
+                                    + HeaderNames.BASE_VERSION));
             return;
         }
         operator.send(
@@ -201,7 +207,7 @@
     }
 
     private static ObjectNode manifestRollout(Operator.Carried rollout) {
-        var json = Problems.JSON.createObjectNode();
+        var json = JsonResponses.JSON.createObjectNode();
         json.put("version", rollout.version())
                 .put("state", rollout.able().isEmpty() ? "confirmed" : "pending")
                 .put("everywhere", rollout.missing().isEmpty());
@@ -211,7 +217,7 @@
     }
 
     private static ObjectNode planRollout(Operator.Carried rollout) {
-        var json = Problems.JSON.createObjectNode();
+        var json = JsonResponses.JSON.createObjectNode();
         json.put("plan", rollout.version()).put("state", rollout.able().isEmpty() ? "confirmed" : "pending");
         rollout.able().forEach(json.putArray("notAcknowledged")::add);
         return json;
@@ -221,9 +227,9 @@
         try {
             operator.plan(JSON.readValue(body, Intent.class), result -> reply(exchange, result, StatusJson::plan));
         } catch (JsonProcessingException e) {
-            Problems.send(exchange, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
         } catch (IOException e) {
-            Problems.send(exchange, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getMessage()));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, e.getMessage()));
         }
     }
 
@@ -237,17 +243,17 @@
             case "POST/stop" ->
                 operator.stop(
                         id,
-                        result -> reply(exchange, result, plan -> Problems.JSON
+                        result -> reply(exchange, result, plan -> JsonResponses.JSON
                                 .createObjectNode()
                                 .put("plan", plan)
                                 .put("state", "stopped")));
-            default -> Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
+            default -> JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.WRONG_METHOD));
         }
     }
 
     private static <T> void reply(
             HttpServerExchange exchange, Either<Problem, T> result, Function<T, ObjectNode> toJson) {
-        if (result.isLeft()) Problems.send(exchange, result.getLeft());
-        else Problems.sendJson(exchange, toJson.apply(result.get()).toString());
+        if (result.isLeft()) JsonResponses.sendProblem(exchange, result.getLeft());
+        else JsonResponses.sendJson(exchange, toJson.apply(result.get()).toString());
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -2,11 +2,11 @@
 
 import craneway.api.platform.PlatformFormats;
 import craneway.control.operator.PlatformCommands;
-import craneway.http.Callers;
+import craneway.http.CallerPresence;
 import craneway.http.Exchanges;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.record.Rows;
 import io.undertow.server.HttpHandler;
@@ -28,7 +28,7 @@
     private final PlatformCommands commands;
     private final Set<String> zones;
     private final Executor configurationExecutor;
-    private final Callers callers;
+    private final CallerPresence callers;
 
     /**
      * Creates the handler.
@@ -41,7 +41,7 @@
             PlatformCommands commands,
             Set<String> zones,
             Executor configurationExecutor,
-            Callers callers) {
+            CallerPresence callers) {
         this.formats = formats;
         this.commands = commands;
         this.zones = zones;
@@ -54,9 +54,10 @@
         var paths = formats.paths();
         var path = exchange.getRequestPath();
         if (path.equals(paths.configuration())) handleConfiguration(exchange);
-        else if (nameAfter(path, paths.runner()) != null) handleRunner(exchange, nameAfter(path, paths.runner()));
-        else if (nameAfter(path, paths.zone()) != null) handleZone(exchange, nameAfter(path, paths.zone()));
-        else Exchanges.noSuchPage(exchange);
+        else if (nameAfter(path, paths.runnerPrefix()) != null)
+            handleRunner(exchange, nameAfter(path, paths.runnerPrefix()));
+        else if (nameAfter(path, paths.zonePrefix()) != null) handleZone(exchange, nameAfter(path, paths.zonePrefix()));
+        else Exchanges.sendNotFound(exchange);
     }
 
     /** Returns the name that follows the prefix in a path, or null if the path is not such a path. */
@@ -69,18 +70,18 @@
     private void handleConfiguration(HttpServerExchange exchange) {
         switch (exchange.getRequestMethod().toString()) {
             case "GET" ->
-                Exchanges.later(
+                Exchanges.dispatch(
                         exchange,
                         () -> commands.manifest(
                                 result -> sendConfiguration(exchange, result.map(manifest -> manifest.source))));
-            case "PUT" -> Exchanges.withBody(exchange, configurationExecutor, body -> putConfiguration(exchange, body));
-            default -> Exchanges.wrongMethod(exchange);
+            case "PUT" -> Exchanges.readBody(exchange, configurationExecutor, body -> putConfiguration(exchange, body));
+            default -> Exchanges.sendMethodNotAllowed(exchange);
         }
     }
 
     private static void sendConfiguration(HttpServerExchange exchange, Either<Problem, String> source) {
         if (source.isLeft()) sendProblem(exchange, source.getLeft());
-        else if (source.get().isEmpty()) Exchanges.noSuchPage(exchange);
+        else if (source.get().isEmpty()) Exchanges.sendNotFound(exchange);
         else {
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             exchange.getResponseSender().send(source.get(), StandardCharsets.UTF_8);
@@ -89,18 +90,18 @@
 
     private void putConfiguration(HttpServerExchange exchange, byte[] body) {
         var base = baseVersion(exchange.getRequestHeaders().getFirst(Headers.IF_MATCH));
-        var configuration = formats.configuration(body);
+        var configuration = formats.readConfiguration(body);
         if (base < 0)
             sendProblem(
                     exchange,
                     Problem.of(
-                            Kind.BAD_OPERATOR_INPUT,
+                            ProblemKind.BAD_OPERATOR_INPUT,
                             "name the version that this configuration is based on in the header If-Match"));
         else if (configuration.isLeft()) sendProblem(exchange, configuration.getLeft());
         else
             commands.put(
                     base,
-                    configuration.get().number(),
+                    configuration.get().version(),
                     configuration.get().manifest(),
                     configuration.get().source(),
                     callers.now(),
@@ -115,8 +116,8 @@
 
     private void handleZone(HttpServerExchange exchange, String zone) {
         var method = exchange.getRequestMethod().toString();
-        if (!zones.contains(zone)) Exchanges.noSuchPage(exchange);
-        else if (!method.equals("POST") && !method.equals("DELETE")) Exchanges.wrongMethod(exchange);
+        if (!zones.contains(zone)) Exchanges.sendNotFound(exchange);
+        else if (!method.equals("POST") && !method.equals("DELETE")) Exchanges.sendMethodNotAllowed(exchange);
         else
             ifCallerWaits(
                     exchange,
@@ -127,22 +128,24 @@
     private void handleRunner(HttpServerExchange exchange, String name) {
         switch (exchange.getRequestMethod().toString()) {
             case "PUT" ->
-                Exchanges.withBody(
+                Exchanges.readBody(
                         exchange, SameThreadExecutor.INSTANCE, body -> handleHeartbeat(exchange, name, body));
             case "DELETE" ->
                 ifCallerWaits(
                         exchange,
                         receivedAt -> commands.left(name, receivedAt, result -> complete(exchange, result, "")));
-            default -> Exchanges.wrongMethod(exchange);
+            default -> Exchanges.sendMethodNotAllowed(exchange);
         }
     }
 
     private void handleHeartbeat(HttpServerExchange exchange, String name, byte[] body) {
-        var heartbeat = formats.beat(name, body);
+        var heartbeat = formats.readHeartbeat(name, body);
         if (heartbeat.isLeft()) sendProblem(exchange, heartbeat.getLeft());
         else
             commands.beat(
-                    toCommand(heartbeat.get()), callers.now(), result -> complete(exchange, result, formats.taken()));
+                    toCommand(heartbeat.get()),
+                    callers.now(),
+                    result -> complete(exchange, result, formats.heartbeatResponse()));
     }
 
     /**
@@ -152,16 +155,16 @@
      */
     private void ifCallerWaits(HttpServerExchange exchange, LongConsumer action) {
         var startedAt = callers.now();
-        Exchanges.later(exchange, () -> {
+        Exchanges.dispatch(exchange, () -> {
             var now = callers.now();
-            if (callers.waits(exchange, startedAt, now)) action.accept(startedAt);
-            else sendProblem(exchange, Problem.of(Kind.STALE_CALL));
+            if (callers.mayBeWaiting(exchange, startedAt, now)) action.accept(startedAt);
+            else sendProblem(exchange, Problem.of(ProblemKind.STALE_CALL));
         });
     }
 
-    private static Commands.RunnerPut toCommand(PlatformFormats.Beat heartbeat) {
+    private static Commands.RunnerPut toCommand(PlatformFormats.RunnerHeartbeat heartbeat) {
         var command = new Commands.RunnerPut();
-        var runner = heartbeat.runner();
+        var runner = heartbeat.announcement();
         command.service = runner.service();
         command.runner = runner.name();
         command.address = runner.address();
@@ -171,8 +174,8 @@
         command.cold = runner.cold();
         command.load = runner.load();
         command.state = heartbeat.leaving() ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        command.coldFor = heartbeat.coldFor();
-        command.goneIn = heartbeat.goneIn();
+        command.coldFor = heartbeat.remainingColdTime();
+        command.goneIn = heartbeat.remainingLifetime();
         command.sequence = heartbeat.sequence();
         return command;
     }
@@ -180,7 +183,7 @@
     private static void complete(HttpServerExchange exchange, Either<Problem, Void> result, String json) {
         if (result.isLeft()) sendProblem(exchange, result.getLeft());
         else if (json.isEmpty()) exchange.endExchange();
-        else Problems.sendJson(exchange, json);
+        else JsonResponses.sendJson(exchange, json);
     }
 
     /** Sends a problem with the HTTP status of the platform's interface, which distinguishes fewer cases. */
@@ -192,6 +195,6 @@
                     case BAD_MESSAGE, FOREIGN_CORE, NOT_OWNER, STALE_MEMBER -> 503;
                     default -> problem.kind().status() < 500 ? problem.kind().status() : 503;
                 };
-        Problems.send(exchange, problem, status);
+        JsonResponses.sendProblem(exchange, problem, status);
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import craneway.control.store.PartStatus;
-import craneway.http.Problems;
+import craneway.http.JsonResponses;
 import craneway.model.unit.Parts;
 import craneway.state.message.Plan;
 import craneway.state.record.Rows;
@@ -15,7 +15,7 @@
 
     /** Returns the status as seen by this node, from the parts that replied. */
     static ObjectNode of(String node, List<PartStatus> parts) {
-        var root = Problems.JSON.createObjectNode();
+        var root = JsonResponses.JSON.createObjectNode();
         root.put("node", node);
         root.put("partsReached", parts.size());
         root.put("parts", Parts.COUNT);
@@ -30,7 +30,7 @@
                     .put("claims", part.claims);
             part.group.forEach(group.putArray("group")::add);
             for (var member : part.members) members.merge(member.node.name, memberJson(member), StatusJson::lapsedOf);
-            if (part.part == Parts.MANIFEST) addManifest(root, part);
+            if (part.part == Parts.MANIFEST_PART) addManifest(root, part);
         }
         root.putArray("members").addAll(members.values());
         var services = root.putArray("services");
@@ -52,7 +52,7 @@
     }
 
     private static ObjectNode memberJson(Rows.Member member) {
-        return Problems.JSON
+        return JsonResponses.JSON
                 .createObjectNode()
                 .put("name", member.node.name)
                 .put("kind", member.node.kind)
@@ -113,7 +113,7 @@
 
     /** Returns a plan as JSON. */
     static ObjectNode plan(Plan plan) {
-        var json = Problems.JSON.createObjectNode();
+        var json = JsonResponses.JSON.createObjectNode();
         json.put("plan", plan.id)
                 .put("intent", plan.intent)
                 .put("state", plan.stateName())
--- a/lib/api/src/main/java/craneway/api/operator/UsageJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/UsageJson.java
@@ -1,12 +1,12 @@
 package craneway.api.operator;
 
 import craneway.data.request.Usage;
-import craneway.http.Problems;
+import craneway.http.JsonResponses;
 
 /** Writes the usage records of a router as JSON. */
 public final class UsageJson {
     /** The most records in one response. */
-    public static final int PAGE = 1_000;
+    public static final int MAX_ROWS = 1_000;
 
     private UsageJson() {}
 
@@ -18,10 +18,10 @@
      * @param wallClockOffset what to add to a time of the monotonic clock to get the wall clock time, in microseconds
      */
     public static String of(String router, Usage usage, long after, long wallClockOffset) {
-        var root = Problems.JSON.createObjectNode();
+        var root = JsonResponses.JSON.createObjectNode();
         root.put("router", router);
         var rows = root.putArray("rows");
-        for (var row : usage.after(after, PAGE))
+        for (var row : usage.after(after, MAX_ROWS))
             rows.addObject()
                     .put("no", row.no())
                     .put("tenant", row.tenant())
--- a/lib/api/src/main/java/craneway/api/platform/PlatformFormats.java
+++ b/lib/api/src/main/java/craneway/api/platform/PlatformFormats.java
@@ -19,11 +19,11 @@
      */
     record Paths(
             String configuration,
-            String runner,
-            String zone,
-            String addresses,
-            String askingZone,
-            String askingRegion) {}
+            String runnerPrefix,
+            String zonePrefix,
+            String routerAddresses,
+            String zoneParameter,
+            String regionParameter) {}
 
     /**
      * A configuration in the platform's format.
@@ -32,7 +32,7 @@
      * @param manifest the JSON text of the equivalent manifest
      * @param source the text as it was sent
      */
-    record Configuration(long number, String manifest, String source) {}
+    record Configuration(long version, String manifest, String source) {}
 
     /**
      * A runner's heartbeat, with which it also announces itself. Times are microseconds.
@@ -43,19 +43,24 @@
      * @param remainingLifetime the time until the runner shuts down; 0 if the heartbeat does not say
      * @param sequence increases with each heartbeat of the runner
      */
-    record Beat(Announcement runner, boolean leaving, long coldFor, long goneIn, long sequence) {}
+    record RunnerHeartbeat(
+            Announcement announcement,
+            boolean leaving,
+            long remainingColdTime,
+            long remainingLifetime,
+            long sequence) {}
 
     /** Returns the paths of the HTTP interface. */
     Paths paths();
 
     /** Reads a configuration; a BAD_MANIFEST problem says what is invalid. */
-    Either<Problem, Configuration> configuration(byte[] body);
+    Either<Problem, Configuration> readConfiguration(byte[] body);
 
     /** Reads a runner's heartbeat; a BAD_JSON or BAD_FIELD problem says what is invalid. */
-    Either<Problem, Beat> beat(String runner, byte[] body);
+    Either<Problem, RunnerHeartbeat> readHeartbeat(String runner, byte[] body);
 
     /** Returns the body of the response to an accepted heartbeat. */
-    String taken();
+    String heartbeatResponse();
 
     /**
      * Returns the body of the response that lists router addresses for a client.
@@ -63,5 +68,5 @@
      * @param routers the client addresses of the routers
      * @param ttlMicros how long the client may cache the list, in microseconds
      */
-    String addresses(List<String> routers, long ttlMicros);
+    String addressesResponse(List<String> routers, long ttlMicros);
 }
--- a/lib/http/src/main/java/craneway/http/Addresses.java
+++ b/lib/http/src/main/java/craneway/http/Addresses.java
@@ -10,7 +10,7 @@
     private Addresses() {}
 
     /** Returns whether the text is not an IPv4 address with a port from 1 to 65535, written IP:PORT. */
-    public static boolean bad(String address) {
+    public static boolean isInvalid(String address) {
         var matcher = IPV4_AND_PORT.matcher(address);
         if (!matcher.matches()) return true;
         for (var i = 1; i <= 4; i++) if (Integer.parseInt(matcher.group(i)) > 255) return true;
--- a/lib/http/src/main/java/craneway/http/HttpCaller.java
+++ b/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
@@ -30,36 +30,36 @@
  *
  * <p>Instances are safe for several threads. Callbacks run on I/O threads and must not block.
  */
-public final class HttpCaller {
+public final class AsyncHttpClient {
     /**
      * Receives the response to one call. Exactly one of {@link #refused}, {@link #end} and {@link #broken} ends the
      * call; if the call is cancelled, none of them is called.
      */
-    public interface Sink {
+    public interface ResponseListener {
         /** Called if no connection was made, so that the request was certainly not sent. */
-        void refused(String cause);
+        void onConnectFailure(String cause);
 
         /** Called once with the status code and headers of the response. */
-        void status(int code, HeaderMap headers);
+        void onHeaders(int code, HeaderMap headers);
 
-        /** Called with each piece of the body; {@link Call#took} must be called once the piece is consumed. */
-        void chunk(byte[] bytes);
+        /** Called with each piece of the body; {@link Call#chunkConsumed} must be called once the piece is consumed. */
+        void onChunk(byte[] bytes);
 
         /** Called when the response is complete. */
-        void end();
+        void onEnd();
 
         /** Called if the call failed after a connection was made, so that the request may have been processed. */
-        void broken(String cause);
+        void onFailure(String cause);
     }
 
-    /** Reading from the connection stops when this many chunks are passed on to a {@link Sink} and not consumed. */
+    /** Reading from the connection stops when this many chunks are passed on to a {@link ResponseListener} and not consumed. */
     private static final int MAX_UNCONSUMED_CHUNKS = 32;
 
     private final XnioWorker worker;
     private final ByteBufferPool pool = new DefaultByteBufferPool(false, 16 * 1024, 1000, 8);
 
     /** Creates a client that uses the I/O threads of this worker. */
-    public HttpCaller(XnioWorker worker) {
+    public AsyncHttpClient(XnioWorker worker) {
         this.worker = worker;
     }
 
@@ -71,7 +71,7 @@
             Map<HttpString, String> headers,
             byte[] body,
             long connectMillis,
-            Sink listener) {
+            ResponseListener listener) {
         var call = new Call(address, method, path, headers, body, listener, false);
         call.connect(connectMillis);
         return call;
@@ -83,7 +83,7 @@
      *
      * @param kept the connection of an earlier call; if it is null or closed, a new connection is made
      */
-    public Call keep(
+    public Call openPersistent(
             ClientConnection kept,
             String address,
             HttpString method,
@@ -91,7 +91,7 @@
             Map<HttpString, String> headers,
             byte[] body,
             long connectMillis,
-            Sink listener) {
+            ResponseListener listener) {
         var call = new Call(address, method, path, headers, body, listener, true);
         if (kept != null && kept.isOpen()) call.runOn(kept.getIoThread(), () -> call.sendRequest(kept));
         else call.connect(connectMillis);
@@ -105,7 +105,7 @@
         private final String path;
         private final Map<HttpString, String> headers;
         private final ByteBuffer body;
-        private final Sink listener;
+        private final ResponseListener listener;
         private final AtomicBoolean finished = new AtomicBoolean();
         private final boolean keepAlive;
         private XnioIoThread ioThread = worker.getIoThread();
@@ -120,7 +120,7 @@
                 String path,
                 Map<HttpString, String> headers,
                 byte[] body,
-                Sink listener,
+                ResponseListener listener,
                 boolean keepAlive) {
             this.keepAlive = keepAlive;
             this.address = address;
@@ -214,12 +214,12 @@
         }
 
         private void writeBody(StreamSinkChannel channel) {
-            Writes.writeFully(channel, body, e -> fail(e.toString()));
+            BodyWriter.writeFully(channel, body, e -> fail(e.toString()));
         }
 
         private void receiveResponse(ClientExchange exchange) {
             source = exchange.getResponseChannel();
-            listener.status(
+            listener.onHeaders(
                     exchange.getResponse().getResponseCode(),
                     exchange.getResponse().getResponseHeaders());
             ChannelListener<StreamSourceChannel> readListener = this::readChunks;
@@ -242,7 +242,7 @@
                     buffer.flip();
                     var bytes = new byte[buffer.remaining()];
                     buffer.get(bytes);
-                    listener.chunk(bytes);
+                    listener.onChunk(bytes);
                     if (suspendIfWindowFull(channel)) return;
                 }
             } catch (IOException e) {
@@ -258,7 +258,7 @@
         }
 
         /** Reports that the listener has consumed a chunk; resumes reading if it had stopped. Safe for any thread. */
-        public void took() {
+        public void chunkConsumed() {
             synchronized (this) {
                 if (unconsumedChunks-- != MAX_UNCONSUMED_CHUNKS) return;
             }
@@ -274,14 +274,14 @@
         private void finish() {
             if (!finished.compareAndSet(false, true)) return;
             if (!keepAlive) IoUtils.safeClose(connection);
-            listener.end();
+            listener.onEnd();
         }
 
         private void fail(String cause) {
             if (!finished.compareAndSet(false, true)) return;
             IoUtils.safeClose(connection);
-            if (requestStarted) listener.broken(cause);
-            else listener.refused(cause);
+            if (requestStarted) listener.onFailure(cause);
+            else listener.onConnectFailure(cause);
         }
 
         /**
--- a/lib/http/src/main/java/craneway/http/Writes.java
+++ b/lib/http/src/main/java/craneway/http/BodyWriter.java
@@ -8,8 +8,8 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /** Writes request bodies to non-blocking channels. */
-final class Writes {
-    private Writes() {}
+final class BodyWriter {
+    private BodyWriter() {}
 
     /**
      * Writes the whole body, flushes the channel and shuts down its output. Continues in a write listener when the
--- a/lib/http/src/main/java/craneway/http/HttpReply.java
+++ b/lib/http/src/main/java/craneway/http/BufferedHttpResponse.java
@@ -18,7 +18,7 @@
  * @param headers the response headers
  * @param body the whole body
  */
-public record HttpReply(int status, HeaderMap headers, byte[] body) {
+public record BufferedHttpResponse(int status, HeaderMap headers, byte[] body) {
     /** Returns the body as UTF-8 text. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
@@ -31,8 +31,8 @@
      *     it
      * @throws IOException if the connection fails, the response is incomplete or the time is up
      */
-    public static HttpReply of(
-            HttpCaller caller,
+    public static BufferedHttpResponse fetch(
+            AsyncHttpClient caller,
             String address,
             HttpString method,
             String path,
@@ -40,38 +40,38 @@
             byte[] body,
             long timeoutMillis)
             throws IOException {
-        var result = new CompletableFuture<HttpReply>();
+        var result = new CompletableFuture<BufferedHttpResponse>();
         var received = new ByteArrayOutputStream();
-        var call = new HttpCaller.Call[1];
-        var listener = new HttpCaller.Sink() {
+        var call = new AsyncHttpClient.Call[1];
+        var listener = new AsyncHttpClient.ResponseListener() {
             int receivedStatus;
             HeaderMap receivedHeaders;
 
             @Override
-            public void refused(String cause) {
+            public void onConnectFailure(String cause) {
                 result.completeExceptionally(new IOException(cause));
             }
 
             @Override
-            public void status(int statusCode, HeaderMap responseHeaders) {
+            public void onHeaders(int statusCode, HeaderMap responseHeaders) {
                 receivedStatus = statusCode;
                 receivedHeaders = responseHeaders;
             }
 
             @Override
-            public void chunk(byte[] bytes) {
+            public void onChunk(byte[] bytes) {
                 received.writeBytes(bytes);
                 var opened = call[0];
-                if (opened != null) opened.took();
+                if (opened != null) opened.chunkConsumed();
             }
 
             @Override
-            public void end() {
-                result.complete(new HttpReply(receivedStatus, receivedHeaders, received.toByteArray()));
+            public void onEnd() {
+                result.complete(new BufferedHttpResponse(receivedStatus, receivedHeaders, received.toByteArray()));
             }
 
             @Override
-            public void broken(String cause) {
+            public void onFailure(String cause) {
                 result.completeExceptionally(new IOException(cause));
             }
         };
--- a/lib/http/src/main/java/craneway/http/Callers.java
+++ b/lib/http/src/main/java/craneway/http/CallerPresence.java
@@ -2,7 +2,7 @@
 
 import craneway.control.operator.WakeGuard;
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpServerConnection;
 import io.undertow.util.AttachmentKey;
@@ -14,12 +14,12 @@
  * has closed its connection, or that sent the request while this process was frozen, may have sent the same request to
  * another node and a reverse one after it. Safe for several threads.
  */
-public final class Callers {
+public final class CallerPresence {
     private static final AttachmentKey<WakeGuard.Connection> CONNECTION =
             AttachmentKey.create(WakeGuard.Connection.class);
 
     private final LongSupplier now;
-    private final Log log;
+    private final EventSink log;
     private final WakeGuard guard;
 
     /**
@@ -28,7 +28,7 @@
      * @param now a monotonic clock, in microseconds
      * @param log receives an event for each request whose caller may have given up
      */
-    public Callers(LongSupplier now, Log log) {
+    public CallerPresence(LongSupplier now, EventSink log) {
         this.now = now;
         this.log = log;
         guard = new WakeGuard(now.getAsLong());
@@ -51,10 +51,10 @@
      * @param startedAt when reading the request began, in microseconds
      * @param currentTime the current time, in microseconds
      */
-    public boolean waits(HttpServerExchange exchange, long startedAt, long currentTime) {
+    public boolean mayBeWaiting(HttpServerExchange exchange, long startedAt, long currentTime) {
         var admitted = guard.admits(guardStateOf(exchange), startedAt, currentTime);
         if (admitted && !isConnectionClosed(exchange)) return true;
-        log.note(
+        log.logEvent(
                 Event.STALE_CALL,
                 exchange.getRequestMethod() + " " + exchange.getRequestPath()
                         + (admitted ? ": the caller closed its connection" : ": this process was frozen"));
--- a/lib/http/src/main/java/craneway/http/HeaderNames.java
+++ b/lib/http/src/main/java/craneway/http/HeaderNames.java
@@ -8,17 +8,17 @@
     /** The tenant of a request. */
     public static final HttpString TENANT = new HttpString("craneway-tenant");
     /** The kind of work that a request asks for. */
-    public static final HttpString WORK = new HttpString("craneway-work");
+    public static final HttpString WORK_KIND = new HttpString("craneway-work");
     /** The idempotency key of a run-once request. */
-    public static final HttpString KEY = new HttpString("craneway-key");
+    public static final HttpString IDEMPOTENCY_KEY = new HttpString("craneway-key");
     /** The regions, separated by commas, that the client allows a request to run in. */
     public static final HttpString REGIONS = new HttpString("craneway-regions");
     /** How long the client waits for the response, in milliseconds. */
-    public static final HttpString DEADLINE = new HttpString("craneway-deadline-ms");
+    public static final HttpString DEADLINE_MILLIS = new HttpString("craneway-deadline-ms");
     /** Marks a request that another router has forwarded. */
-    public static final HttpString HOP = new HttpString("craneway-hop");
+    public static final HttpString FORWARDED = new HttpString("craneway-hop");
     /** The version of the sender's placement table. */
-    public static final HttpString TABLE = new HttpString("craneway-table");
+    public static final HttpString TABLE_VERSION = new HttpString("craneway-table");
     /** The number of the problem that an error response reports. */
     public static final HttpString PROBLEM = new HttpString("craneway-problem");
     /** How long the caller should wait before it retries, in microseconds. */
@@ -33,12 +33,12 @@
     public static final HttpString CORE = new HttpString("craneway-core");
     /** The version of the format of messages between processes. */
     public static final HttpString WIRE = new HttpString("craneway-wire");
-    /** The checksum of the body, see {@link #check}. */
-    public static final HttpString CHECK = new HttpString("craneway-check");
+    /** The checksum of the body, see {@link #checksum}. */
+    public static final HttpString CHECKSUM = new HttpString("craneway-check");
     /** The version of the manifest that a change is based on. */
-    public static final HttpString BASE = new HttpString("craneway-base");
+    public static final HttpString BASE_VERSION = new HttpString("craneway-base");
     /** The version of the manifest in a response. */
-    public static final HttpString VERSION = new HttpString("craneway-version");
+    public static final HttpString MANIFEST_VERSION = new HttpString("craneway-version");
     /** The message format version that this release sends. */
     public static final String WIRE_VERSION = "1";
     /**
@@ -49,7 +49,7 @@
     private HeaderNames() {}
 
     /** Returns the CRC-32C checksum of a body in hexadecimal digits. */
-    public static String check(byte[] body) {
+    public static String checksum(byte[] body) {
         var checksum = new CRC32C();
         checksum.update(body);
         return Long.toHexString(checksum.getValue());
--- a/lib/http/src/test/java/craneway/http/CallersTest.java
+++ b/lib/http/src/test/java/craneway/http/CallerPresenceTest.java
@@ -28,10 +28,10 @@
  * freeze.
  */
 @Timeout(30)
-class CallersTest {
+class CallerPresenceTest {
     private final AtomicLong now = new AtomicLong(5_000_000);
     private final List<Event> loggedEvents = new CopyOnWriteArrayList<>();
-    private final Callers callers = new Callers(now::get, (event, detail) -> loggedEvents.add(event));
+    private final CallerPresence callers = new CallerPresence(now::get, (event, detail) -> loggedEvents.add(event));
     private final LinkedBlockingQueue<String> decisions = new LinkedBlockingQueue<>();
     private final CountDownLatch unfrozen = new CountDownLatch(1);
     private final CountDownLatch frozen = new CountDownLatch(1);
@@ -62,8 +62,8 @@
             return;
         }
         var startedAt = callers.now();
-        Exchanges.later(exchange, () -> {
-            var isWaiting = callers.waits(exchange, startedAt, callers.now());
+        Exchanges.dispatch(exchange, () -> {
+            var isWaiting = callers.mayBeWaiting(exchange, startedAt, callers.now());
             decisions.add(exchange.getRequestPath() + " " + isWaiting);
             exchange.setStatusCode(isWaiting ? 200 : 503).endExchange();
         });
--- a/lib/log/src/main/java/craneway/log/EventLog.java
+++ b/lib/log/src/main/java/craneway/log/EventLog.java
@@ -2,7 +2,7 @@
 
 import com.google.common.flogger.FluentLogger;
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.time.Instant;
@@ -13,7 +13,7 @@
 import java.util.logging.Logger;
 
 /** Writes the events of one process as lines to standard error. Safe for several threads. */
-public final class EventLog implements Log {
+public final class EventLog implements EventSink {
     static {
         System.setProperty("java.util.logging.manager", ResetFreeLogManager.class.getName());
     }
@@ -25,14 +25,14 @@
     /** Creates the log of the process with this name and configures java.util.logging for the whole process. */
     public EventLog(String node) {
         this.node = node;
-        arrange();
+        configureLogging();
     }
 
     /**
      * Configures java.util.logging to write one line per record to standard error. Records of other libraries are left
      * out unless they are severe.
      */
-    public static void arrange() {
+    public static void configureLogging() {
         var root = Logger.getLogger("");
         for (var handler : root.getHandlers()) root.removeHandler(handler);
         var console = new ConsoleHandler();
@@ -44,20 +44,22 @@
     }
 
     @Override
-    public void note(Event event, String detail) {
+    public void logEvent(Event event, String detail) {
         LOG
                 .at(
-                        event == Event.INTERNAL || event == Event.DISK_LOST || event == Event.DISK_FAILED
+                        event == Event.INTERNAL_ERROR
+                                        || event == Event.DATA_DIRECTORY_DAMAGED
+                                        || event == Event.DISK_WRITE_FAILED
                                 ? Level.WARNING
                                 : Level.INFO)
                 .log("CW%d %s %s: %s", event.code(), node, event.text(), detail);
     }
 
-    /** Logs an unexpected exception as {@link Event#INTERNAL} with its stack trace. */
-    public void internal(Throwable exception) {
+    /** Logs an unexpected exception as {@link Event#INTERNAL_ERROR} with its stack trace. */
+    public void logInternalError(Throwable exception) {
         var stackTrace = new StringWriter();
         exception.printStackTrace(new PrintWriter(stackTrace));
-        note(Event.INTERNAL, stackTrace.toString());
+        logEvent(Event.INTERNAL_ERROR, stackTrace.toString());
     }
 
     private static final class LineFormatter extends Formatter {
--- a/lib/model/src/main/java/craneway/model/event/Log.java
+++ b/lib/model/src/main/java/craneway/model/event/EventSink.java
@@ -1,7 +1,7 @@
 package craneway.model.event;
 
 /** Receives the events of one process. Implementations are safe for several threads. */
-public interface Log {
+public interface EventSink {
     /** Records an event, with a detail that describes this occurrence. */
-    void note(Event event, String detail);
+    void logEvent(Event event, String detail);
 }
--- a/lib/model/src/main/java/craneway/model/manifest/Manifest.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Manifest.java
@@ -32,7 +32,7 @@
      * @param name unique within the service
      * @param runOnce whether a request of this kind must not be run more than once
      */
-    public record Work(String name, boolean runOnce) {}
+    public record WorkKind(String name, boolean runOnce) {}
 
     /**
      * The properties of a service's runners.
@@ -45,7 +45,12 @@
      * @param cacheCapacityTokens capacity of one runner's prefix cache, in tokens
      */
     public record Engine(
-            String healthPath, int connections, long cold, double coldPerSecond, int slots, long cacheTokens) {}
+            String healthPath,
+            int maxConnections,
+            long coldDuration,
+            double coldRequestsPerSecond,
+            int slots,
+            long cacheCapacityTokens) {}
 
     /**
      * Limits on what a client may send and how slowly.
@@ -55,7 +60,7 @@
      * @param headerTimeout how long a client may take to send the request head, in microseconds; 0 means no limit
      * @param idleTimeout how long a connection may stay idle, in microseconds; 0 means no limit
      */
-    public record Limits(int headerBytes, int bodyBytes, long header, long idle) {}
+    public record Limits(int maxHeaderBytes, int maxBodyBytes, long headerTimeout, long idleTimeout) {}
 
     /**
      * A service, its cells, its limits and the rate at which its units are moved between cells.
@@ -74,18 +79,18 @@
      */
     public record Service(
             String name,
-            List<Work> work,
+            List<WorkKind> work,
             List<Cell> cells,
-            int buffer,
-            int bodyLimit,
-            long deadline,
+            int maxBufferedRequests,
+            int maxBodyBytes,
+            long defaultDeadline,
             long stepPause,
-            int stepUnits,
-            long warmUp,
+            int unitsPerStep,
+            long warmUpTime,
             Engine engine,
-            boolean bySlots) {
+            boolean weightedBySlots) {
         /** Returns the kind of work with this name, or null if there is none. */
-        public Work work(String workName) {
+        public WorkKind work(String workName) {
             return work.stream()
                     .filter(w -> w.name().equals(workName))
                     .findFirst()
@@ -108,7 +113,7 @@
      * @param homeRegions the regions that the tenant's requests may run in
      * @param quotaPerMinute the most requests per minute; 0 means no limit
      */
-    public record Tenant(String name, List<String> regions, int quota) {}
+    public record Tenant(String name, List<String> homeRegions, int quotaPerMinute) {}
 
     private final String name;
     private final List<String> regions;
@@ -117,7 +122,7 @@
     private final Map<String, Tenant> tenants;
     private final Routes routes;
     private final Limits limits;
-    private final long lapsedGrace;
+    private final long lapsedLeaseGrace;
     private final long claimRetention;
 
     Manifest(
@@ -137,7 +142,7 @@
         this.tenants = tenants;
         this.routes = routes;
         this.limits = limits;
-        this.lapsedGrace = lapsedGrace;
+        this.lapsedLeaseGrace = lapsedGrace;
         this.claimRetention = claimRetention;
     }
 
@@ -187,8 +192,8 @@
     }
 
     /** Returns how long a router whose lease has lapsed may still run repeatable work, in microseconds. */
-    public long lapsedGrace() {
-        return lapsedGrace;
+    public long lapsedLeaseGrace() {
+        return lapsedLeaseGrace;
     }
 
     /** Returns how long the claim of a run-once request is retained, in microseconds. */
@@ -205,6 +210,6 @@
     /** Returns the regions that a tenant's requests may run in: all regions if the tenant is not listed. */
     public List<String> homeRegions(String tenantName) {
         var tenant = tenants.get(tenantName);
-        return tenant == null ? regions : tenant.regions();
+        return tenant == null ? regions : tenant.homeRegions();
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
@@ -6,8 +6,8 @@
 import com.networknt.schema.SchemaRegistry;
 import com.networknt.schema.SpecificationVersion;
 import craneway.model.json.JsonTree;
-import craneway.model.problem.Kind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import io.vavr.control.Either;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -25,7 +25,7 @@
  * are not defined, duplicates and sums.
  */
 public final class ManifestReader {
-    /** Compiles the schema on first use, so that processes that only call {@link #readChecked} never load it. */
+    /** Compiles the schema on first use, so that processes that only call {@link #readValidated} never load it. */
     private static final class CompiledSchema {
         private static final Schema SCHEMA = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(schemaText());
@@ -43,7 +43,7 @@
     }
 
     /** Reads a manifest that a store has validated before, without checking it against the schema again. */
-    public static Either<Problem, Manifest> readChecked(String text) {
+    public static Either<Problem, Manifest> readValidated(String text) {
         return parse(text).flatMap(ManifestReader::build);
     }
 
@@ -115,11 +115,11 @@
                     errors.add("cell " + cell.name() + ": there is no zone " + cell.zone());
                 cells.add(cell);
             }
-            var workKinds = new ArrayList<Manifest.Work>();
+            var workKinds = new ArrayList<Manifest.WorkKind>();
             for (var workNode : serviceNode.get("work"))
-                workKinds.add(new Manifest.Work(
+                workKinds.add(new Manifest.WorkKind(
                         workNode.get("name").asText(), workNode.path("runOnce").asBoolean(false)));
-            if (workKinds.stream().map(Manifest.Work::name).distinct().count() != workKinds.size())
+            if (workKinds.stream().map(Manifest.WorkKind::name).distinct().count() != workKinds.size())
                 errors.add("service " + name + ": a kind of work is defined twice");
             var service = new Manifest.Service(
                     name,
@@ -166,6 +166,6 @@
     }
 
     private static <T> Either<Problem, T> invalid(String detail) {
-        return Either.left(Problem.of(Kind.BAD_MANIFEST, detail));
+        return Either.left(Problem.of(ProblemKind.BAD_MANIFEST, detail));
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/Route.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Route.java
@@ -23,17 +23,17 @@
 public record Route(
         String name,
         String host,
-        String prefix,
+        String pathPrefix,
         Kind kind,
         long deadline,
-        long target,
+        long firstChunkTarget,
         int urgency,
         List<Share> shares,
-        int tries,
+        int maxAttempts,
         boolean sticky,
-        boolean resume,
-        long pause,
-        List<String> regions) {
+        boolean resumable,
+        long gapTarget,
+        List<String> allowedRegions) {
     /**
      * How a request may be repeated after a failure: at will, never, or, for a streamed response, by resuming it if the
      * route allows that.
@@ -53,12 +53,12 @@
     public record Share(String service, int weight) {}
 
     /** Returns whether a request may be run more than once. */
-    public boolean repeatable() {
-        return kind == Kind.REPEATABLE || kind == Kind.STREAM && resume;
+    public boolean isRepeatable() {
+        return kind == Kind.REPEATABLE || kind == Kind.STREAM && resumable;
     }
 
     /** Returns the service for a request whose key has this hash; each service gets its share of the hash values. */
-    public String service(long keyHash) {
+    public String selectService(long keyHash) {
         var weightSum = 0;
         for (var s : shares) weightSum += s.weight();
         var position = (int) Long.remainderUnsigned(keyHash, weightSum);
--- a/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
@@ -37,8 +37,8 @@
         var hostsAndPrefixes = new HashSet<String>();
         for (var routeNode : document.path("routes")) {
             var route = readRoute(routeNode);
-            if (!hostsAndPrefixes.add(route.host().toLowerCase(Locale.ROOT) + route.prefix()))
-                errors.add("route " + route.name() + ": " + route.host() + route.prefix() + " is defined twice");
+            if (!hostsAndPrefixes.add(route.host().toLowerCase(Locale.ROOT) + route.pathPrefix()))
+                errors.add("route " + route.name() + ": " + route.host() + route.pathPrefix() + " is defined twice");
             var weightSum = 0L;
             for (var share : route.shares()) {
                 weightSum += share.weight();
@@ -49,7 +49,7 @@
                 errors.add("route " + route.name()
                         + ": the sum of its share weights must be from 1 to 2147483647, but is " + weightSum);
             if (route.deadline() <= 0) errors.add("route " + route.name() + ": its deadline must be longer than 0 ms");
-            for (var region : route.regions())
+            for (var region : route.allowedRegions())
                 if (!regions.contains(region)) errors.add("route " + route.name() + ": there is no region " + region);
             routes.add(route);
         }
--- a/lib/model/src/main/java/craneway/model/manifest/Routes.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Routes.java
@@ -22,7 +22,7 @@
         for (var r : routes)
             prefixesByHost
                     .computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new HashMap<>())
-                    .put(r.prefix(), r);
+                    .put(r.pathPrefix(), r);
         count = routes.size();
     }
 
@@ -35,7 +35,7 @@
      * Returns the distinct region sets that routes to this service are restricted to, each as its sorted region names
      * joined by spaces.
      */
-    public Collection<String> bound(String service) {
+    public Collection<String> regionSetsOf(String service) {
         return regionSetsByService.computeIfAbsent(service, this::findRegionSets);
     }
 
@@ -43,15 +43,15 @@
         var regionSets = new TreeSet<String>();
         for (var byPrefix : prefixesByHost.values())
             for (var r : byPrefix.values())
-                if (!r.regions().isEmpty()
+                if (!r.allowedRegions().isEmpty()
                         && r.shares().stream().anyMatch(s -> s.service().equals(service)))
-                    regionSets.add(
-                            String.join(" ", r.regions().stream().sorted().toList()));
+                    regionSets.add(String.join(
+                            " ", r.allowedRegions().stream().sorted().toList()));
         return regionSets;
     }
 
     /** Returns, for each host, its routes by prefix. */
-    public Collection<Map<String, Route>> all() {
+    public Collection<Map<String, Route>> routesOfEachHost() {
         return prefixesByHost.values();
     }
 
--- a/lib/model/src/main/java/craneway/model/node/NodeSettings.java
+++ b/lib/model/src/main/java/craneway/model/node/NodeSettings.java
@@ -27,18 +27,18 @@
         String name,
         String zone,
         String region,
-        Map<String, String> zones,
+        Map<String, String> regionByZone,
         String clientAddress,
-        String readiness,
-        String operator,
-        String directory,
+        String readinessAddress,
+        String operatorAddress,
+        String directoryAddress,
         String peerAddress,
-        List<String> seeds,
-        boolean firstStart,
-        Path data,
-        int losses,
-        long beat,
-        Bounds bounds) {
+        List<String> seedAddresses,
+        boolean mayBootstrap,
+        Path dataDirectory,
+        int toleratedMachineLosses,
+        long runnerHeartbeatInterval,
+        Tolerances tolerances) {
     /**
      * The limits and tolerances that the platform sets for a node. Times are microseconds. Only {@link #grace},
      * {@link #retryRatio}, {@link #retryWindow}, {@link #retrySlack} and {@link #mostTtl} are used so far.
@@ -56,17 +56,17 @@
      * @param maxTransitTime limit on the transit time of a message
      * @param maxTtl the longest time for which a client may cache router addresses
      */
-    public record Bounds(
-            long contact,
-            long drain,
-            long grace,
-            long apply,
-            long evacuate,
+    public record Tolerances(
+            long contactTimeout,
+            long drainTimeout,
+            long shutdownGrace,
+            long applyTimeout,
+            long evacuationTimeout,
             double retryRatio,
             long retryWindow,
             double retrySlack,
             double coldExcess,
             double coldSlack,
-            long transit,
-            long mostTtl) {}
+            long maxTransitTime,
+            long maxTtl) {}
 }
--- a/lib/model/src/main/java/craneway/model/problem/Kind.java
+++ b/lib/model/src/main/java/craneway/model/problem/ProblemKind.java
@@ -1,12 +1,12 @@
 package craneway.model.problem;
 
-import static craneway.model.problem.Bearing.BROKEN;
-import static craneway.model.problem.Bearing.DECLINED;
-import static craneway.model.problem.Bearing.RECORDED;
-import static craneway.model.problem.Bearing.UNKNOWN;
+import static craneway.model.problem.WorkOutcome.BROKEN;
+import static craneway.model.problem.WorkOutcome.DECLINED;
+import static craneway.model.problem.WorkOutcome.RECORDED;
+import static craneway.model.problem.WorkOutcome.UNKNOWN;
 
 /** The closed list of kinds of problems. Numbers and names are part of the interface; see docs/problems.md. */
-public enum Kind {
+public enum ProblemKind {
     BAD_JSON(101, 400, DECLINED, "the body is not well-formed JSON"),
     BAD_FIELD(102, 400, DECLINED, "a field is unknown or has the wrong type or value"),
     MISSING_TENANT(103, 400, DECLINED, "no tenant was named"),
@@ -58,13 +58,13 @@
 
     private final int code;
     private final int status;
-    private final Bearing bearing;
+    private final WorkOutcome workOutcome;
     private final String text;
 
-    Kind(int code, int status, Bearing bearing, String text) {
+    ProblemKind(int code, int status, WorkOutcome bearing, String text) {
         this.code = code;
         this.status = status;
-        this.bearing = bearing;
+        this.workOutcome = bearing;
         this.text = text;
     }
 
@@ -79,8 +79,8 @@
     }
 
     /** Returns what the problem says about the requested work. */
-    public Bearing bearing() {
-        return bearing;
+    public WorkOutcome workOutcome() {
+        return workOutcome;
     }
 
     /** Returns the message used when there is no more specific detail. */
@@ -89,12 +89,12 @@
     }
 
     /** Returns whether the same request may succeed later. */
-    public boolean transientState() {
+    public boolean isTransient() {
         return status == 503 || status == 429 || status == 507 || this == NOT_HOME;
     }
 
     /** Returns the kind with this number, or null if there is none. */
-    public static Kind find(int code) {
+    public static ProblemKind find(int code) {
         for (var kind : values()) if (kind.code == code) return kind;
         return null;
     }
@@ -104,7 +104,7 @@
      *
      * @throws IllegalArgumentException if there is no such kind
      */
-    public static Kind of(int code) {
+    public static ProblemKind of(int code) {
         var kind = find(code);
         if (kind == null) throw new IllegalArgumentException("unknown problem code " + code);
         return kind;
--- a/lib/model/src/main/java/craneway/model/problem/Bearing.java
+++ b/lib/model/src/main/java/craneway/model/problem/WorkOutcome.java
@@ -1,7 +1,7 @@
 package craneway.model.problem;
 
 /** What a problem says about the requested work: whether it was run. */
-public enum Bearing {
+public enum WorkOutcome {
     /** The work was not started. */
     DECLINED,
     /** An earlier request with the same key started the work. */
--- a/lib/model/src/main/java/craneway/model/unit/Parts.java
+++ b/lib/model/src/main/java/craneway/model/unit/Parts.java
@@ -5,14 +5,14 @@
     /** The number of parts. */
     public static final int COUNT = 4;
     /** The index of the part that holds the manifest; the services are distributed over the other parts. */
-    public static final int MANIFEST = 0;
+    public static final int MANIFEST_PART = 0;
     /** The topic of the manifest; every other topic is the name of a service. */
     public static final String MANIFEST_TOPIC = "@manifest";
 
     private Parts() {}
 
     /** Returns the part of a topic: the name of a service, or {@link #MANIFEST_TOPIC}. */
-    public static int of(String topic) {
-        return topic.equals(MANIFEST_TOPIC) ? MANIFEST : 1 + Hash.bucket(Hash.of(topic), COUNT - 1);
+    public static int partOf(String topic) {
+        return topic.equals(MANIFEST_TOPIC) ? MANIFEST_PART : 1 + Hash.bucket(Hash.of(topic), COUNT - 1);
     }
 }
--- a/lib/model/src/main/java/craneway/model/unit/Rendezvous.java
+++ b/lib/model/src/main/java/craneway/model/unit/RendezvousHash.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /** Rendezvous (highest random weight) hashing: adding or removing a name moves only the keys of that name. */
-public final class Rendezvous {
-    private Rendezvous() {}
+public final class RendezvousHash {
+    private RendezvousHash() {}
 
     /** Returns the name with the greatest weight for this topic, or null if there are no names. */
     public static String pick(String topic, Collection<String> names) {
--- a/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
+++ b/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
@@ -17,14 +17,14 @@
  * @param lowTraffic whether the profile saves messages as described above
  */
 public record TimingProfile(
-        long heartbeat,
+        long heartbeatInterval,
         long electionTimeout,
         long electionJitter,
-        long hello,
-        long renew,
-        long subscribe,
-        long replace,
-        long settled,
+        long helloInterval,
+        long leaseRenewalInterval,
+        long subscriptionRenewalInterval,
+        long storeReplacementDelay,
+        long leaderSettleTime,
         boolean lowTraffic) {
     /** The default profile. */
     public static final TimingProfile STANDARD =
@@ -34,7 +34,7 @@
             new TimingProfile(150_000, 700_000, 350_000, 1_000_000, 600_000, 900_000, 2_800_000, 800_000, true);
 
     /** Returns how long a leader that no longer reaches a majority may go on leading, in microseconds. */
-    public long leaderLease() {
+    public long leaderLeaseDuration() {
         return electionTimeout * 8 / 10;
     }
 
@@ -42,7 +42,9 @@
      * Returns whether the next heartbeat is due at {@code now} after one at {@code lastSentAt}. In a low-traffic
      * profile the heartbeats of all parts become due at the same moment.
      */
-    public boolean due(long lastSentAt, long now) {
-        return lowTraffic ? now / heartbeat != lastSentAt / heartbeat : now >= lastSentAt + heartbeat;
+    public boolean isHeartbeatDue(long lastSentAt, long now) {
+        return lowTraffic
+                ? now / heartbeatInterval != lastSentAt / heartbeatInterval
+                : now >= lastSentAt + heartbeatInterval;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/SteadyOperator.java
+++ b/test/sim/src/test/java/craneway/sim/SteadyOperator.java
@@ -1,8 +1,8 @@
 package craneway.sim;
 
 import craneway.control.operator.PlatformCommands;
-import craneway.model.problem.Kind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.state.record.Rows;
 import io.vavr.control.Either;
 import java.util.ArrayList;
@@ -109,7 +109,7 @@
         open = false;
         if (r.isLeft()) {
             var kind = r.getLeft().kind();
-            if (kind == Kind.RACE_LOST || kind == Kind.BAD_MANIFEST)
+            if (kind == ProblemKind.RACE_LOST || kind == ProblemKind.BAD_MANIFEST)
                 fault("order " + number + " refused: " + r.getLeft());
             return;
         }
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
@@ -22,8 +22,8 @@
                 var keepers = at.store().replicas();
                 if (q.configures() || q.marks() || keepers.length == 0) super.take(at, q, then);
                 else
-                    then.accept(
-                            new Answer(200, keepers[Parts.MANIFEST].records().rows().manifest));
+                    then.accept(new Answer(
+                            200, keepers[Parts.MANIFEST_PART].records().rows().manifest));
             }
         };
     }
