--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -21,50 +21,50 @@
  * the asker's patience has no effect.
  */
 public final class CoreClient {
-    private static final long RETRY_AFTER = 400_000;
-    private static final int AT_ONCE = 2;
-    private static final byte[] CLOCK_ONLY = {};
+    private static final long RETRY_DELAY_MICROS = 400_000;
+    private static final int MAX_IMMEDIATE_RESENDS = 2;
+    private static final byte[] CLOCK_REQUEST_BODY = {};
 
     private static final class PendingRequest {
         long id;
         int part;
         byte[] body;
-        boolean command;
+        boolean isCommand;
         boolean clockOnly;
-        boolean plain;
-        long due;
-        long until;
-        int turn;
-        int lapses;
-        boolean delivered;
-        Consumer<CommandResult> then;
+        boolean sendUnbound;
+        long nextSendAt;
+        long deadline;
+        int storeTurn;
+        int declines;
+        boolean sent;
+        Consumer<CommandResult> onResult;
     }
 
     private final Port port;
     private final Directory directory;
     private final long life;
-    private final TreeMap<Long, PendingRequest> open = new TreeMap<>();
-    private final Map<Integer, Node> leaders = new HashMap<>();
-    private final Map<Integer, LeaderClock> clocks = new HashMap<>();
-    private long next;
+    private final TreeMap<Long, PendingRequest> pendingById = new TreeMap<>();
+    private final Map<Integer, Node> leaderByPart = new HashMap<>();
+    private final Map<Integer, LeaderClock> clockByPart = new HashMap<>();
+    private long nextId;
 
     /** The life must be random, all 64 bits of it: no other process may have had the same. */
     public CoreClient(Port port, Directory directory, long life) {
         this.port = port;
         this.directory = directory;
         this.life = life == 0 ? 1 : life;
-        this.next = life >>> 8;
+        this.nextId = life >>> 8;
     }
 
     /** The store that is thought to lead the part; null where none is known. */
     public synchronized Node leader(int part) {
-        return leaders.get(part);
+        return leaderByPart.get(part);
     }
 
     /** Takes note of who leads the part; null: nobody known. */
     public synchronized void leader(int part, Node n) {
-        if (n != null) leaders.put(part, n);
-        else leaders.remove(part);
+        if (n != null) leaderByPart.put(part, n);
+        else leaderByPart.remove(part);
     }
 
     /** Asks the leader of the part; the verdict comes once, within the patience, in microseconds. */
@@ -77,49 +77,49 @@
         var o = new PendingRequest();
         o.part = part;
         o.body = Codec.writeTagged(body);
-        o.command = Commands.is(body);
-        o.until = until;
-        o.then = then;
+        o.isCommand = Commands.is(body);
+        o.deadline = until;
+        o.onResult = then;
         synchronized (this) {
-            o.id = next++;
-            open.put(o.id, o);
+            o.id = nextId++;
+            pendingById.put(o.id, o);
             if (port.now() < until) send(o);
         }
     }
 
     private void send(PendingRequest o) {
         var now = port.now();
-        o.due = now + RETRY_AFTER;
-        var to = leaders.get(o.part);
-        if (to == null) to = anyStore(o.turn++);
+        o.nextSendAt = now + RETRY_DELAY_MICROS;
+        var to = leaderByPart.get(o.part);
+        if (to == null) to = storeInTurn(o.storeTurn++);
         if (to == null) return;
-        o.delivered = true;
-        port.send(to.peerAddress, copy(o, to, now));
+        o.sent = true;
+        port.send(to.peerAddress, buildRequest(o, to, now));
     }
 
     /** Where no reading of the leader's clock is at hand, a command's first copy only asks for one. */
-    private CommandRequest copy(PendingRequest o, Node to, long now) {
+    private CommandRequest buildRequest(PendingRequest o, Node to, long now) {
         var a = new CommandRequest();
         a.id = o.id;
         a.part = o.part;
         a.from = directory.self();
         a.life = life;
-        a.lowest = open.firstKey();
+        a.lowest = pendingById.firstKey();
         a.body = o.body;
         o.clockOnly = false;
-        if (!o.command) return a;
-        var c = clocks.get(o.part);
-        if (c != null && c.fresh(now)) {
+        if (!o.isCommand) return a;
+        var c = clockByPart.get(o.part);
+        if (c != null && c.isFresh(now)) {
             a.term = c.term();
-            a.bound = c.at(o.until);
-        } else if (to.fenced && !o.plain) {
+            a.bound = c.leaderTimeAt(o.deadline);
+        } else if (to.fenced && !o.sendUnbound) {
             o.clockOnly = true;
-            a.body = CLOCK_ONLY;
+            a.body = CLOCK_REQUEST_BODY;
         }
         return a;
     }
 
-    private Node anyStore(int turn) {
+    private Node storeInTurn(int turn) {
         var all = directory.stores();
         return all.isEmpty() ? null : all.get(Math.floorMod(turn, all.size()));
     }
@@ -132,60 +132,61 @@
         }
         PendingRequest o;
         synchronized (this) {
-            o = open.get(v.id);
+            o = pendingById.get(v.id);
             if (o == null) return;
-            if (v.term != 0) clocks.merge(o.part, new LeaderClock(v.term, v.clock, port.now()), LeaderClock::better);
+            if (v.term != 0)
+                clockByPart.merge(o.part, new LeaderClock(v.term, v.clock, port.now()), LeaderClock::moreAccurate);
             if (v.kind == Kind.NOT_OWNER.code() || v.kind == Kind.UNCERTAIN.code()) {
                 redirect(o, v.leader);
                 return;
             }
             if (v.kind == Kind.LATE_COMMAND.code() || v.kind == Kind.UNKNOWN_LIFE.code()) {
-                anew(o);
+                resendRebound(o);
                 return;
             }
             if (o.clockOnly && v.kind == Kind.BAD_MESSAGE.code()) {
-                o.plain = true;
+                o.sendUnbound = true;
                 send(o);
                 return;
             }
-            open.remove(v.id);
+            pendingById.remove(v.id);
         }
-        o.then.accept(v);
+        o.onResult.accept(v);
     }
 
     private void redirect(PendingRequest o, Node hint) {
-        var had = leaders.get(o.part);
+        var had = leaderByPart.get(o.part);
         leader(o.part, hint);
         if (hint != null && (had == null || !had.name.equals(hint.name) || !had.peerAddress.equals(hint.peerAddress)))
             send(o);
-        else o.due = Math.min(o.due, port.now() + RETRY_AFTER / 4);
+        else o.nextSendAt = Math.min(o.nextSendAt, port.now() + RETRY_DELAY_MICROS / 4);
     }
 
     /** The copy had no effect and its answer brought a reading of the leader's clock: the next copy is bound by that. */
-    private void anew(PendingRequest o) {
+    private void resendRebound(PendingRequest o) {
         var now = port.now();
-        if (now >= o.until) return;
-        if (o.lapses++ < AT_ONCE) send(o);
-        else o.due = Math.min(o.due, now + RETRY_AFTER / 4);
+        if (now >= o.deadline) return;
+        if (o.declines++ < MAX_IMMEDIATE_RESENDS) send(o);
+        else o.nextSendAt = Math.min(o.nextSendAt, now + RETRY_DELAY_MICROS / 4);
     }
 
     /** Sends again what got no answer, and gives up what is over. */
     public void tick(long now) {
         List<PendingRequest> over = new ArrayList<>();
         synchronized (this) {
-            for (var o : List.copyOf(open.values())) {
-                if (now >= o.until) {
-                    open.remove(o.id);
+            for (var o : List.copyOf(pendingById.values())) {
+                if (now >= o.deadline) {
+                    pendingById.remove(o.id);
                     over.add(o);
-                } else if (now >= o.due) {
-                    leaders.remove(o.part);
+                } else if (now >= o.nextSendAt) {
+                    leaderByPart.remove(o.part);
                     send(o);
                 }
             }
         }
         for (var o : over)
-            o.then.accept(
-                    o.delivered
+            o.onResult.accept(
+                    o.sent
                             ? Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())
                             : Records.failure(Kind.NO_OWNER, "no store is known"));
     }
--- a/lib/control/src/main/java/craneway/control/node/LeaderClock.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaderClock.java
@@ -5,27 +5,27 @@
  * {@code term} read {@code clock} from its own. Between leader and node no wall clock is compared, and the origins of their
  * steady clocks do not matter.
  */
-record LeaderClock(long term, long clock, long heard) {
+record LeaderClock(long term, long clockMicros, long heardAt) {
     /** A reading is used no longer than this, so that clocks that run up to 500 ppm apart differ by 15 ms at most. */
-    static final long FRESH = 30_000_000;
+    static final long FRESH_FOR_MICROS = 30_000_000;
 
-    boolean fresh(long now) {
-        return now - heard < FRESH;
+    boolean isFresh(long now) {
+        return now - heardAt < FRESH_FOR_MICROS;
     }
 
     /**
      * The leader's clock when the local one shows {@code until}, told no later than it is: the reading was taken at or before
      * {@code heard}, so that the leader's clock has gone on at least since then.
      */
-    long at(long until) {
-        return clock + (until - heard);
+    long leaderTimeAt(long until) {
+        return clockMicros + (until - heardAt);
     }
 
     /** The better of two: that of the later term; within a term the one that took less time on its way, while it is young. */
-    static LeaderClock better(LeaderClock old, LeaderClock next) {
+    static LeaderClock moreAccurate(LeaderClock old, LeaderClock next) {
         if (old == null || next.term > old.term) return next;
         if (next.term < old.term) return old;
-        var closer = next.clock - next.heard >= old.clock - old.heard;
-        return closer || next.heard - old.heard > FRESH / 2 ? next : old;
+        var closer = next.clockMicros - next.heardAt >= old.clockMicros - old.heardAt;
+        return closer || next.heardAt - old.heardAt > FRESH_FOR_MICROS / 2 ? next : old;
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -13,21 +13,21 @@
 
 /** Sends the renewals of a process's leases, those of several parts to one leader in one message with the low-traffic profile. */
 final class LeaseRenewer {
-    static final int MAX_UNANSWERED = 2;
-    static final long SEARCH = 80_000;
-    private static final long IMPATIENT = 300_000;
-    private static final long RETRY_AFTER = 200_000;
-    private static final int MANY_SILENCES = 8;
-    private static final int MOST_SILENCES = 24;
+    static final int MAX_UNANSWERED_RENEWALS = 2;
+    static final long SEARCH_INTERVAL_MICROS = 80_000;
+    private static final long SILENT_CORE_RETRY_MICROS = 300_000;
+    private static final long RETRY_DELAY_MICROS = 200_000;
+    private static final int UNANSWERED_BEFORE_SLOW_RETRY = 8;
+    private static final int UNANSWERED_BEFORE_SLOWEST_RETRY = 24;
 
     private final Port port;
     private final Directory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
-    private final PartLease[] leases;
+    private final PartLease[] partLeases;
     private final TopicTable topics;
-    private IntFunction<List<Signal>> signals = p -> List.of();
-    private boolean leaving;
+    private IntFunction<List<Signal>> signalSource = p -> List.of();
+    private boolean isLeaving;
 
     LeaseRenewer(
             Port port,
@@ -40,76 +40,76 @@
         this.directory = directory;
         this.coreClient = coreClient;
         this.timing = timing;
-        this.leases = leases;
+        this.partLeases = leases;
         this.topics = topics;
     }
 
-    void signals(IntFunction<List<Signal>> from) {
-        signals = from;
+    void setSignalSource(IntFunction<List<Signal>> from) {
+        signalSource = from;
     }
 
     /** From now on each renewal says that this process leaves. */
     void leave() {
-        leaving = true;
+        isLeaving = true;
     }
 
     /** Sends the renewals that are due. */
-    void send(long now) {
+    void sendDue(long now) {
         var all = new TreeMap<String, Renewals>();
-        for (var p = 0; p < leases.length; p++) if (now >= leases[p].due) renew(p, now, all);
+        for (var p = 0; p < partLeases.length; p++) if (now >= partLeases[p].nextRenewalAt) renew(p, now, all);
         all.forEach(port::send);
     }
 
     private void renew(int part, long now, Map<String, Renewals> all) {
-        var l = leases[part];
-        if (l.unanswered >= MAX_UNANSWERED) coreClient.leader(part, null);
+        var l = partLeases[part];
+        if (l.unansweredRenewals >= MAX_UNANSWERED_RENEWALS) coreClient.leader(part, null);
         var leader = coreClient.leader(part);
         var stores = leader == null ? directory.stores() : List.of(leader);
-        l.due = now + (timing.lowTraffic() ? again(l, part) : timing.renew());
+        l.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(l, part) : timing.renew());
         if (stores.isEmpty()) return;
-        l.unanswered++;
-        var r = renewal(part, l);
-        l.spread = timing.lowTraffic() && leader == null;
-        var to = l.spread ? stores : List.of(stores.get(Math.floorMod(l.turn++, stores.size())));
+        l.unansweredRenewals++;
+        var r = newRenewal(part, l);
+        l.sentToAllStores = timing.lowTraffic() && leader == null;
+        var to = l.sentToAllStores ? stores : List.of(stores.get(Math.floorMod(l.storeTurn++, stores.size())));
         for (var s : to) {
             if (timing.lowTraffic() && s.renewals)
-                join(r, leader, all.computeIfAbsent(s.peerAddress, a -> renewals(leader, now)));
-            else alone(r, s, now);
+                addToBatch(r, leader, all.computeIfAbsent(s.peerAddress, a -> newBatch(leader, now)));
+            else sendSingle(r, s, now);
         }
     }
 
     /** The answer leaves out a leader that the message names, so it names one only where that is the leader of all its parts. */
-    private static void join(Renew part, Node leader, Renewals to) {
-        if (to.leader != incarnation(leader)) to.leader = 0;
+    private static void addToBatch(Renew part, Node leader, Renewals to) {
+        if (to.leader != incarnationOf(leader)) to.leader = 0;
         to.parts.add(part);
     }
 
-    private static long incarnation(Node leader) {
+    private static long incarnationOf(Node leader) {
         return leader == null ? 0 : leader.incarnation;
     }
 
-    private Renew renewal(int part, PartLease l) {
+    private Renew newRenewal(int part, PartLease l) {
         var r = new Renew();
         r.part = part;
         r.members = l.membersVersion;
-        r.signals.addAll(signals.apply(part));
-        topics.versions(part, (name, version) -> {
+        r.signals.addAll(signalSource.apply(part));
+        topics.forEachVersion(part, (name, version) -> {
             r.topics.add(name);
             r.versions.add(version);
         });
         return r;
     }
 
-    private Renewals renewals(Node leader, long now) {
+    private Renewals newBatch(Node leader, long now) {
         var r = new Renewals();
         r.from = directory.self();
         r.stamp = now;
-        r.leaving = leaving;
-        r.leader = incarnation(leader);
+        r.leaving = isLeaving;
+        r.leader = incarnationOf(leader);
         return r;
     }
 
-    private void alone(Renew part, Node to, long now) {
+    private void sendSingle(Renew part, Node to, long now) {
         var r = new Renew();
         r.part = part.part;
         r.members = part.members;
@@ -118,24 +118,24 @@
         r.signals = part.signals;
         r.from = directory.self();
         r.stamp = now;
-        r.leaving = leaving;
+        r.leaving = isLeaving;
         port.send(to.peerAddress, r);
     }
 
     /** Until an answer comes: soon for a part that is not current, the less often the longer all are silent. */
-    private long again(PartLease l, int part) {
-        if (l.unanswered > MOST_SILENCES) return IMPATIENT;
-        if (l.unanswered > MANY_SILENCES) return 2 * SEARCH;
-        return l.unanswered > 0 || !current(part) ? SEARCH : RETRY_AFTER;
+    private long retryDelay(PartLease l, int part) {
+        if (l.unansweredRenewals > UNANSWERED_BEFORE_SLOWEST_RETRY) return SILENT_CORE_RETRY_MICROS;
+        if (l.unansweredRenewals > UNANSWERED_BEFORE_SLOW_RETRY) return 2 * SEARCH_INTERVAL_MICROS;
+        return l.unansweredRenewals > 0 || !isCurrent(part) ? SEARCH_INTERVAL_MICROS : RETRY_DELAY_MICROS;
     }
 
     /** Whether a part's lease is held and every topic of it has been told once. */
-    boolean current(int part) {
-        return leases[part].held && !topics.untold(part);
+    boolean isCurrent(int part) {
+        return partLeases[part].held && !topics.hasUnknownTopic(part);
     }
 
     /** How long until the next renewal of a part that is current; all processes of a name keep to one beat. */
-    long pause(long now) {
+    long delayToNextRenewal(long now) {
         return timing.renew() - Math.floorMod(now - Hash.of(directory.self().name), timing.renew());
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -11,28 +11,28 @@
  */
 final class LifeClaim {
     private final Directory directory;
-    private final long[] granted = new long[Parts.COUNT];
+    private final long[] grantedIncarnations = new long[Parts.COUNT];
     private boolean superseded;
 
     LifeClaim(Directory directory) {
         this.directory = directory;
     }
 
-    boolean superseded() {
+    boolean isSuperseded() {
         return superseded;
     }
 
     /** A part has taken this process in under its present incarnation. */
-    void granted(int part) {
-        granted[part] = directory.self().incarnation;
+    void recordGrant(int part) {
+        grantedIncarnations[part] = directory.self().incarnation;
     }
 
     /** A part has refused; whether the incarnation was raised, so that all parts are to be asked again. */
-    boolean refused(RenewReply v) {
+    boolean handleRefusal(RenewReply v) {
         var self = directory.self();
-        if (v.incarnation < self.incarnation || own(v, self)) return false;
+        if (v.incarnation < self.incarnation || namesThisLife(v, self)) return false;
         var here = v.known != null && v.known.peerAddress.equals(self.peerAddress);
-        if (!here && granted[v.part] == self.incarnation) {
+        if (!here && grantedIncarnations[v.part] == self.incarnation) {
             superseded = true;
             return false;
         }
@@ -41,7 +41,7 @@
     }
 
     /** The refusal of a late message of an earlier life names the life that stands: this one. */
-    private static boolean own(RenewReply v, Node self) {
+    private static boolean namesThisLife(RenewReply v, Node self) {
         return v.incarnation == self.incarnation && (v.known == null || !v.known.otherLife(self));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -19,7 +19,7 @@
 
 public final class Membership {
     public static final long LEASE = 2_000_000, SETTLED = 1_500_000;
-    private static final long SOON = 20_000;
+    private static final long LEADER_CHANGE_RETRY_MICROS = 20_000;
 
     /** What the rest of a process sees of the core: the news it follows and the ends of its leases. */
     public record View(
@@ -47,12 +47,12 @@
     private final Directory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
-    private final PartLease[] leases = new PartLease[Parts.COUNT];
+    private final PartLease[] partLeases = new PartLease[Parts.COUNT];
     private final TopicTable topics;
     private final LeaseRenewer renewer;
-    private final LifeClaim claim;
-    private boolean leaving;
-    private boolean unready;
+    private final LifeClaim lifeClaim;
+    private boolean isLeaving;
+    private boolean markedUnready;
     private volatile View view;
 
     public Membership(Port port, Directory directory, CoreClient coreClient) {
@@ -64,11 +64,11 @@
         this.port = port;
         this.directory = directory;
         this.coreClient = coreClient;
-        claim = new LifeClaim(directory);
-        for (var i = 0; i < leases.length; i++) leases[i] = new PartLease();
-        topics = new TopicTable(port, directory, coreClient, timing, part -> leases[part].members);
-        renewer = new LeaseRenewer(port, directory, coreClient, timing, leases, topics);
-        publish();
+        lifeClaim = new LifeClaim(directory);
+        for (var i = 0; i < partLeases.length; i++) partLeases[i] = new PartLease();
+        topics = new TopicTable(port, directory, coreClient, timing, part -> partLeases[part].members);
+        renewer = new LeaseRenewer(port, directory, coreClient, timing, partLeases, topics);
+        publishView();
     }
 
     public View view() {
@@ -76,14 +76,14 @@
     }
 
     public synchronized void follow() {
-        for (var l : leases) l.forget();
-        topics.forget();
-        for (var p = 0; p < leases.length; p++) coreClient.leader(p, null);
-        publish();
+        for (var l : partLeases) l.reset();
+        topics.resetVersions();
+        for (var p = 0; p < partLeases.length; p++) coreClient.leader(p, null);
+        publishView();
     }
 
     public synchronized void signals(IntFunction<List<Signal>> from) {
-        renewer.signals(from);
+        renewer.setSignalSource(from);
     }
 
     public Node leader(int part) {
@@ -91,27 +91,27 @@
     }
 
     public synchronized boolean superseded() {
-        return claim.superseded();
+        return lifeClaim.isSuperseded();
     }
 
     public synchronized boolean current() {
-        for (var l : leases) if (!l.held) return false;
-        return topics.current();
+        for (var l : partLeases) if (!l.held) return false;
+        return topics.isCurrent();
     }
 
     public synchronized void unready() {
-        unready = true;
+        markedUnready = true;
         updateServing();
-        for (var l : leases) l.due = 0;
+        for (var l : partLeases) l.nextRenewalAt = 0;
         directory.greetSoon();
     }
 
     private void updateServing() {
-        var is = !unready && (directory.self().serving || current());
+        var is = !markedUnready && (directory.self().serving || current());
         var self = directory.self();
         if (!self.isRouter() || self.serving == is) return;
         directory.updateServing(is);
-        if (timing.lowTraffic()) for (var l : leases) l.due = 0;
+        if (timing.lowTraffic()) for (var l : partLeases) l.nextRenewalAt = 0;
     }
 
     public boolean usable(long now) {
@@ -120,32 +120,32 @@
     }
 
     public synchronized void leave(long now) {
-        leaving = true;
+        isLeaving = true;
         renewer.leave();
-        for (var p = 0; p < leases.length; p++) {
-            leases[p].until = now;
-            leases[p].due = now;
+        for (var p = 0; p < partLeases.length; p++) {
+            partLeases[p].validUntil = now;
+            partLeases[p].nextRenewalAt = now;
         }
-        renewDue(now);
-        publish();
+        sendDueRenewals(now);
+        publishView();
     }
 
     public synchronized void tick(long now) {
-        if (claim.superseded() || leaving || directory.self().coreId == 0) return;
+        if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
-        for (var p = 0; p < leases.length; p++) {
-            var l = leases[p];
-            if (l.held && now >= l.until) {
+        for (var p = 0; p < partLeases.length; p++) {
+            var l = partLeases[p];
+            if (l.held && now >= l.validUntil) {
                 l.held = false;
                 port.note(Event.LEASE_LAPSED, "part " + p);
             }
         }
-        renewDue(now);
-        topics.follow(now);
+        sendDueRenewals(now);
+        topics.renewSubscriptions(now);
     }
 
-    private void renewDue(long now) {
-        if (!claim.superseded() && directory.self().coreId != 0) renewer.send(now);
+    private void sendDueRenewals(long now) {
+        if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
     public synchronized void receive(RenewReplies all, long now) {
@@ -158,94 +158,98 @@
             }
             receive(v, now);
         }
-        if (leaving) return;
+        if (isLeaving) return;
         updateServing();
-        renewDue(now);
+        sendDueRenewals(now);
     }
 
     public synchronized void receive(RenewReply v, long now) {
-        if (v.part < 0 || v.part >= leases.length) return;
-        var l = leases[v.part];
+        if (v.part < 0 || v.part >= partLeases.length) return;
+        var l = partLeases[v.part];
         if (v.kind == Kind.NOT_OWNER.code()) {
-            notLeader(v, l, now);
+            handleNotLeader(v, l, now);
             return;
         }
-        l.unanswered = 0;
+        l.unansweredRenewals = 0;
         if (v.kind == Kind.STALE_MEMBER.code()) {
-            if (!leaving && claim.refused(v)) for (var x : leases) x.due = now;
+            if (!isLeaving && lifeClaim.handleRefusal(v)) for (var x : partLeases) x.nextRenewalAt = now;
             return;
         }
         if (v.kind != 0 || v.incarnation != directory.self().incarnation) return;
-        claim.granted(v.part);
+        lifeClaim.recordGrant(v.part);
         if (v.leader != null) coreClient.leader(v.part, v.leader);
-        for (var i = 0; i < v.topics.size(); i++) topics.heard(v.topics.get(i), v.versions.get(i), now);
+        for (var i = 0; i < v.topics.size(); i++)
+            topics.recordAdvertisedVersion(v.topics.get(i), v.versions.get(i), now);
         if (v.members != null) {
             l.membersVersion = v.membersVersion;
             l.members = List.copyOf(v.members);
             v.members.forEach(n -> directory.learn(n, now));
         }
-        l.offered = Math.max(l.offered, v.stamp + LEASE);
+        l.offeredUntil = Math.max(l.offeredUntil, v.stamp + LEASE);
         l.offeredGrace = v.grace;
-        if (timing.lowTraffic() && l.due > now)
-            l.due = renewer.current(v.part) ? now + renewer.pause(now) : now + LeaseRenewer.SEARCH;
-        take(v.part, now);
+        if (timing.lowTraffic() && l.nextRenewalAt > now)
+            l.nextRenewalAt = renewer.isCurrent(v.part)
+                    ? now + renewer.delayToNextRenewal(now)
+                    : now + LeaseRenewer.SEARCH_INTERVAL_MICROS;
+        acceptOffer(v.part, now);
     }
 
-    private void notLeader(RenewReply v, PartLease l, long now) {
-        l.unanswered = Math.min(l.unanswered, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED : 0);
-        if (l.spread) {
+    private void handleNotLeader(RenewReply v, PartLease l, long now) {
+        l.unansweredRenewals =
+                Math.min(l.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
+        if (l.sentToAllStores) {
             directory.learn(v.leader, now);
             return;
         }
         var had = coreClient.leader(v.part);
         coreClient.leader(v.part, v.leader);
         if (v.leader == null || had != null && had.name.equals(v.leader.name)) return;
-        l.unanswered = 0;
-        l.due = Math.min(l.due, timing.lowTraffic() ? now : now + SOON);
+        l.unansweredRenewals = 0;
+        l.nextRenewalAt = Math.min(l.nextRenewalAt, timing.lowTraffic() ? now : now + LEADER_CHANGE_RETRY_MICROS);
     }
 
-    private void take(int part, long now) {
-        var l = leases[part];
-        if (l.offered <= l.until || topics.tooFarBehind(part, l.held, now)) return;
-        if (!l.held && now < l.offered) {
+    private void acceptOffer(int part, long now) {
+        var l = partLeases[part];
+        if (l.offeredUntil <= l.validUntil || topics.isTooFarBehind(part, l.held, now)) return;
+        if (!l.held && now < l.offeredUntil) {
             l.held = true;
             l.heldSince = now;
             port.note(Event.LEASE_TAKEN, "part " + part);
         }
-        l.take();
-        publish();
+        l.acceptOffer();
+        publishView();
     }
 
     public synchronized void receive(Subscribe s, long now) {
-        topics.subscribe(s, now);
+        topics.addSubscriber(s, now);
     }
 
     public synchronized void receive(News n, long now) {
-        if (!topics.take(n)) return;
-        if (n.topic.equals(Parts.MANIFEST_TOPIC)) renewUntold();
-        publish();
-        leases[Parts.of(n.topic)].due = now;
-        take(Parts.of(n.topic), now);
-        if (!timing.lowTraffic() && !leaving) renewDue(now);
-        topics.waiting().forEach(x -> receive(x, now));
+        if (!topics.accept(n)) return;
+        if (n.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
+        publishView();
+        partLeases[Parts.of(n.topic)].nextRenewalAt = now;
+        acceptOffer(Parts.of(n.topic), now);
+        if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
+        topics.takeDeferredNews().forEach(x -> receive(x, now));
     }
 
     /** A manifest may name services of parts whose topics have never been told: these parts renew at once. */
-    private void renewUntold() {
-        for (var p = 0; p < leases.length; p++) if (topics.untold(p)) leases[p].due = 0;
+    private void renewPartsWithUnknownTopics() {
+        for (var p = 0; p < partLeases.length; p++) if (topics.hasUnknownTopic(p)) partLeases[p].nextRenewalAt = 0;
     }
 
-    private void publish() {
-        var until = new long[leases.length];
-        var since = new long[leases.length];
+    private void publishView() {
+        var until = new long[partLeases.length];
+        var since = new long[partLeases.length];
         var all = new ArrayList<List<Node>>();
         var manifest = topics.manifest();
         var grace = manifest == null ? 0 : manifest.lapsedGrace();
         for (var i = 0; i < until.length; i++) {
-            until[i] = leases[i].until;
-            since[i] = leases[i].heldSince;
-            all.add(leases[i].members);
-            grace = Math.min(grace, leases[i].grace);
+            until[i] = partLeases[i].validUntil;
+            since[i] = partLeases[i].heldSince;
+            all.add(partLeases[i].members);
+            grace = Math.min(grace, partLeases[i].grace);
         }
         view = new View(topics.manifestTopic(), manifest, topics.services(), until, all, grace, since);
     }
--- a/lib/control/src/main/java/craneway/control/node/PartLease.java
+++ b/lib/control/src/main/java/craneway/control/node/PartLease.java
@@ -5,14 +5,14 @@
 
 /** What a process knows of its lease at one part. Times are microseconds. */
 final class PartLease {
-    long until = Long.MIN_VALUE / 2;
-    long due;
-    int turn;
-    int unanswered;
+    long validUntil = Long.MIN_VALUE / 2;
+    long nextRenewalAt;
+    int storeTurn;
+    int unansweredRenewals;
     /** Whether the last renewal went to all stores, since the leader was unknown. */
-    boolean spread;
+    boolean sentToAllStores;
 
-    long offered = Long.MIN_VALUE / 2;
+    long offeredUntil = Long.MIN_VALUE / 2;
     long offeredGrace;
     boolean held;
     long grace;
@@ -21,15 +21,15 @@
     List<Node> members = List.of();
 
     /** Forgets what another core had told. */
-    void forget() {
+    void reset() {
         held = false;
         membersVersion = -1;
-        due = 0;
+        nextRenewalAt = 0;
     }
 
     /** Takes up what the leader offered. */
-    void take() {
+    void acceptOffer() {
         grace = offeredGrace;
-        until = offered;
+        validUntil = offeredUntil;
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Intent.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intent.java
@@ -10,7 +10,7 @@
             KEEP_TENANT = "keep-tenant",
             RELEASE_TENANT = "release-tenant";
 
-    String text() {
+    String describe() {
         return switch (intent) {
             case EMPTY_ZONE, TAKE_BACK_ZONE -> intent + " " + zone;
             case EMPTY_CELL, TAKE_BACK_CELL -> intent + " " + service + "/" + cell;
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intents.java
@@ -25,58 +25,59 @@
     private Intents() {}
 
     public static Either<Problem, Plan> plan(Intent i, Rows.Manifest topic, List<PartStatus> parts) {
-        if (topic.text.isEmpty()) return no(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
+        if (topic.text.isEmpty()) return problem(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
         var m = ManifestReader.read(topic.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
-        return marks(i, m, topic).flatMap(marks -> planned(i, m, topic, marks, parts));
+        return marksFor(i, m, topic).flatMap(marks -> buildPlan(i, m, topic, marks, parts));
     }
 
-    private static Either<Problem, TreeMap<String, String>> marks(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.intent() == null) return bad("name an intent");
+    private static Either<Problem, TreeMap<String, String>> marksFor(Intent i, Manifest m, Rows.Manifest topic) {
+        if (i.intent() == null) return badIntent("name an intent");
         return switch (i.intent()) {
-            case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zone(i, m, topic);
-            case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cell(i, m, topic);
-            case Intent.KEEP_TENANT, Intent.RELEASE_TENANT -> tenant(i, m, topic);
-            default -> bad("unknown intent " + i.intent());
+            case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zoneMarks(i, m, topic);
+            case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cellMarks(i, m, topic);
+            case Intent.KEEP_TENANT, Intent.RELEASE_TENANT -> tenantMarks(i, m, topic);
+            default -> badIntent("unknown intent " + i.intent());
         };
     }
 
-    private static Either<Problem, TreeMap<String, String>> zone(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.zone() == null || !m.zones().containsKey(i.zone())) return bad("no zone " + i.zone());
-        return mark(MarkKey.zone(i.zone()), i.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "", topic);
+    private static Either<Problem, TreeMap<String, String>> zoneMarks(Intent i, Manifest m, Rows.Manifest topic) {
+        if (i.zone() == null || !m.zones().containsKey(i.zone())) return badIntent("no zone " + i.zone());
+        return singleMark(MarkKey.zone(i.zone()), i.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "", topic);
     }
 
-    private static Either<Problem, TreeMap<String, String>> cell(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.service() == null || m.service(i.service()) == null) return bad("no service " + i.service());
+    private static Either<Problem, TreeMap<String, String>> cellMarks(Intent i, Manifest m, Rows.Manifest topic) {
+        if (i.service() == null || m.service(i.service()) == null) return badIntent("no service " + i.service());
         if (i.cell() == null || m.service(i.service()).cell(i.cell()) == null)
-            return bad("service " + i.service() + " has no cell " + i.cell());
-        return mark(
+            return badIntent("service " + i.service() + " has no cell " + i.cell());
+        return singleMark(
                 MarkKey.cell(i.service(), i.cell()), i.intent().equals(Intent.EMPTY_CELL) ? Plan.EMPTIED : "", topic);
     }
 
-    private static Either<Problem, TreeMap<String, String>> tenant(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.tenant() == null || m.tenant(i.tenant()) == null) return bad("no tenant " + i.tenant());
-        if (i.intent().equals(Intent.RELEASE_TENANT)) return mark(MarkKey.tenant(i.tenant()), "", topic);
-        if (i.regions() == null || i.regions().isEmpty()) return bad("name the regions to keep the tenant in");
+    private static Either<Problem, TreeMap<String, String>> tenantMarks(Intent i, Manifest m, Rows.Manifest topic) {
+        if (i.tenant() == null || m.tenant(i.tenant()) == null) return badIntent("no tenant " + i.tenant());
+        if (i.intent().equals(Intent.RELEASE_TENANT)) return singleMark(MarkKey.tenant(i.tenant()), "", topic);
+        if (i.regions() == null || i.regions().isEmpty()) return badIntent("name the regions to keep the tenant in");
         var home = m.homeRegions(i.tenant());
         for (var r : i.regions())
             if (!home.contains(r))
-                return bad("region " + r + " is none of the home regions " + home + " of tenant " + i.tenant());
-        return mark(MarkKey.tenant(i.tenant()), String.join(",", i.regions()), topic);
+                return badIntent("region " + r + " is none of the home regions " + home + " of tenant " + i.tenant());
+        return singleMark(MarkKey.tenant(i.tenant()), String.join(",", i.regions()), topic);
     }
 
-    private static Either<Problem, TreeMap<String, String>> mark(MarkKey mark, String value, Rows.Manifest topic) {
+    private static Either<Problem, TreeMap<String, String>> singleMark(
+            MarkKey mark, String value, Rows.Manifest topic) {
         var key = mark.text();
         if (value.equals(topic.marks.getOrDefault(key, "")))
-            return bad(key + " is " + (value.isEmpty() ? "not marked" : value) + " already");
+            return badIntent(key + " is " + (value.isEmpty() ? "not marked" : value) + " already");
         var t = new TreeMap<String, String>();
         t.put(key, value);
         return Either.right(t);
     }
 
-    private static Either<Problem, Plan> planned(
+    private static Either<Problem, Plan> buildPlan(
             Intent i, Manifest m, Rows.Manifest topic, TreeMap<String, String> marks, List<PartStatus> parts) {
         var p = new Plan();
-        p.intent = i.text();
+        p.intent = i.describe();
         p.manifestVersion = topic.version;
         p.marksVersion = topic.marksVersion;
         p.marks = marks;
@@ -89,14 +90,14 @@
             for (var s : part.services) {
                 var ms = m.service(s.name);
                 if (ms == null) continue;
-                var wrong = service(p, s, ms, m, after, part.loads);
-                if (wrong != null) return bad(wrong);
+                var wrong = planService(p, s, ms, m, after, part.loads);
+                if (wrong != null) return badIntent(wrong);
             }
         if (p.steps.isEmpty()) p.steps.add("1. no unit moves; the mark alone is set");
         return Either.right(p);
     }
 
-    private static String service(
+    private static String planService(
             Plan p,
             Rows.Service s,
             Manifest.Service ms,
@@ -108,65 +109,65 @@
         for (var c = 0; c < s.cells.size(); c++) if (s.live(c) && s.runnersUp(c) > 0) well.set(c);
         var open = (BitSet) well.clone();
         open.andNot(closed);
-        var unmet = unmet(s, m, marks, open);
+        var unmet = findUnservedRegions(s, m, marks, open);
         if (unmet != null) return unmet;
         var wanted = Planner.wanted(s, closed, well);
-        steps(p, s, ms, wanted);
-        return carry(p, s, open, wanted, loads);
+        addSteps(p, s, ms, wanted);
+        return checkCapacity(p, s, open, wanted, loads);
     }
 
-    private static String unmet(Rows.Service s, Manifest m, Map<String, String> marks, BitSet open) {
-        for (var set : sets(s, m, marks)) {
+    private static String findUnservedRegions(Rows.Service s, Manifest m, Map<String, String> marks, BitSet open) {
+        for (var set : regionSetsInUse(s, m, marks)) {
             var held = open.stream().anyMatch(c -> Units.allows(set, s.regions.indexOf(s.cellRegions.get(c))));
             if (!held)
                 return "service " + s.name + ": no open cell with a runner is left for tenants at home in "
-                        + names(s, set);
+                        + regionNames(s, set);
         }
         return null;
     }
 
-    private static Set<Integer> sets(Rows.Service s, Manifest m, Map<String, String> marks) {
+    private static Set<Integer> regionSetsInUse(Rows.Service s, Manifest m, Map<String, String> marks) {
         var all = new HashSet<Integer>();
-        all.add(mask(s, m.regions()));
+        all.add(regionMask(s, m.regions()));
         for (var t : m.tenants().keySet()) {
             var kept = marks.get(MarkKey.tenant(t).text());
-            all.add(mask(s, kept == null ? m.homeRegions(t) : List.of(kept.split(","))));
+            all.add(regionMask(s, kept == null ? m.homeRegions(t) : List.of(kept.split(","))));
         }
         return all;
     }
 
-    private static int mask(Rows.Service s, List<String> regions) {
+    private static int regionMask(Rows.Service s, List<String> regions) {
         var x = 0;
         for (var r : regions) if (s.regions.contains(r)) x |= 1 << s.regions.indexOf(r);
         return x;
     }
 
-    private static List<String> names(Rows.Service s, int set) {
+    private static List<String> regionNames(Rows.Service s, int set) {
         var all = new ArrayList<String>();
         for (var r = 0; r < s.regions.size(); r++) if (Units.allows(set, r)) all.add(s.regions.get(r));
         return all;
     }
 
-    private static void steps(Plan p, Rows.Service s, Manifest.Service ms, int[] wanted) {
+    private static void addSteps(Plan p, Rows.Service s, Manifest.Service ms, int[] wanted) {
         var moves = new TreeMap<String, Integer>();
         for (var u = Units.SLICES; u < wanted.length; u++)
             if (wanted[u] != s.homes[u])
-                moves.merge(name(s, s.homes[u]) + " to " + name(s, wanted[u]), 1, Integer::sum);
+                moves.merge(cellName(s, s.homes[u]) + " to " + cellName(s, wanted[u]), 1, Integer::sum);
         moves.forEach((k, n) -> p.steps.add((p.steps.size() + 1) + ". service " + s.name + ": " + n + " units from " + k
                 + " in steps of " + ms.stepUnits() + " (" + (n + ms.stepUnits() - 1) / ms.stepUnits()
                 + " steps, table from version " + s.tableVersion + ")"));
     }
 
-    private static String name(Rows.Service s, int cell) {
+    private static String cellName(Rows.Service s, int cell) {
         return cell == Table.NOWHERE ? "nowhere" : s.cells.get(cell);
     }
 
-    private static String carry(Plan p, Rows.Service s, BitSet open, int[] wanted, Map<String, Integer> loads) {
+    private static String checkCapacity(Plan p, Rows.Service s, BitSet open, int[] wanted, Map<String, Integer> loads) {
         var load = s.runners.values().stream()
                 .filter(Rows.Runner::up)
                 .mapToInt(r -> loads.getOrDefault(s.name + "/" + r.name, 0))
                 .sum();
-        var slots = slots(s, open);
+        var slots = slotCount(s, open);
         if (load > slots)
             return "service " + s.name + ": " + load + " streams run now and the open cells have " + slots + " slots";
         if (load * 5 > slots * 4)
@@ -176,8 +177,8 @@
             one.set(c);
             var units = 0;
             for (var u = Units.SLICES; u < wanted.length; u++) if (wanted[u] == c) units++;
-            p.loads.add(s.name + "/" + s.cells.get(c) + ": " + units + " units, " + (open.get(c) ? slots(s, one) : 0)
-                    + " slots");
+            p.loads.add(s.name + "/" + s.cells.get(c) + ": " + units + " units, "
+                    + (open.get(c) ? slotCount(s, one) : 0) + " slots");
         }
         for (var r : s.regions) {
             var left = open.stream().anyMatch(c -> s.cellRegions.get(c).equals(r));
@@ -187,18 +188,18 @@
         return null;
     }
 
-    private static int slots(Rows.Service s, BitSet cells) {
+    private static int slotCount(Rows.Service s, BitSet cells) {
         return s.runners.values().stream()
                 .filter(r -> r.up() && cells.get(s.cells.indexOf(r.cell)))
                 .mapToInt(r -> r.slots)
                 .sum();
     }
 
-    private static <T> Either<Problem, T> bad(String detail) {
-        return no(Kind.BAD_INTENT, detail);
+    private static <T> Either<Problem, T> badIntent(String detail) {
+        return problem(Kind.BAD_INTENT, detail);
     }
 
-    private static <T> Either<Problem, T> no(Kind k, String detail) {
+    private static <T> Either<Problem, T> problem(Kind k, String detail) {
         return Either.left(Problem.of(k, detail));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/Operator.java
@@ -22,24 +22,26 @@
 import java.util.function.Predicate;
 
 public final class Operator {
-    private static final long TIMEOUT = 5_000_000, SPREAD = 3_000_000, LOOK = 50_000;
+    private static final long REQUEST_TIMEOUT_MICROS = 5_000_000,
+            ROLLOUT_TIMEOUT_MICROS = 3_000_000,
+            ROLLOUT_POLL_MICROS = 50_000;
 
     public record Carried(long version, List<String> missing, List<String> able) {}
 
-    private static final class Watch {
-        long topic;
+    private static final class RolloutWatch {
+        long topicVersion;
         long version;
         String zone;
-        long due;
-        long until;
-        Predicate<RolloutStatus> enough;
-        RolloutStatus last = new RolloutStatus();
-        Consumer<Carried> then;
+        long nextPollAt;
+        long deadline;
+        Predicate<RolloutStatus> doneWhen;
+        RolloutStatus lastStatus = new RolloutStatus();
+        Consumer<Carried> onResult;
     }
 
     private final Port port;
     private final CoreClient coreClient;
-    private final ConcurrentLinkedQueue<Watch> watches = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<RolloutWatch> openWatches = new ConcurrentLinkedQueue<>();
 
     public Operator(Port port, CoreClient coreClient) {
         this.port = port;
@@ -47,40 +49,41 @@
     }
 
     public void tick(long now) {
-        for (var w : watches) {
-            if (now >= w.until) close(w);
-            else if (now >= w.due) look(w, now);
+        for (var w : openWatches) {
+            if (now >= w.deadline) finish(w);
+            else if (now >= w.nextPollAt) poll(w, now);
         }
     }
 
-    private void close(Watch w) {
-        if (watches.remove(w)) w.then.accept(new Carried(w.version, w.last.missing, w.last.able));
+    private void finish(RolloutWatch w) {
+        if (openWatches.remove(w)) w.onResult.accept(new Carried(w.version, w.lastStatus.missing, w.lastStatus.able));
     }
 
-    private void look(Watch w, long now) {
-        w.due = now + LOOK;
+    private void poll(RolloutWatch w, long now) {
+        w.nextPollAt = now + ROLLOUT_POLL_MICROS;
         var q = new Queries.RolloutGet();
-        q.version = w.topic;
+        q.version = w.topicVersion;
         q.zone = w.zone;
-        coreClient.ask(Parts.MANIFEST, q, TIMEOUT, v -> {
+        coreClient.ask(Parts.MANIFEST, q, REQUEST_TIMEOUT_MICROS, v -> {
             if (v.kind != 0) return;
-            w.last = Codec.read(RolloutStatus.class, v.body);
-            if (w.enough.test(w.last)) close(w);
+            w.lastStatus = Codec.read(RolloutStatus.class, v.body);
+            if (w.doneWhen.test(w.lastStatus)) finish(w);
         });
     }
 
-    private void watch(long topic, long version, String zone, Predicate<RolloutStatus> enough, Consumer<Carried> then) {
-        var w = new Watch();
-        w.topic = topic;
+    private void awaitRollout(
+            long topic, long version, String zone, Predicate<RolloutStatus> enough, Consumer<Carried> then) {
+        var w = new RolloutWatch();
+        w.topicVersion = topic;
         w.version = version;
         w.zone = zone;
-        w.enough = enough;
-        w.then = then;
-        w.until = port.now() + SPREAD;
-        watches.add(w);
+        w.doneWhen = enough;
+        w.onResult = then;
+        w.deadline = port.now() + ROLLOUT_TIMEOUT_MICROS;
+        openWatches.add(w);
     }
 
-    private static Problem problem(CommandResult v) {
+    private static Problem toProblem(CommandResult v) {
         return new Problem(Kind.of(v.kind), v.detail, v.retryAfter);
     }
 
@@ -88,19 +91,21 @@
         coreClient.ask(
                 Parts.MANIFEST,
                 new Queries.ManifestGet(),
-                TIMEOUT,
+                REQUEST_TIMEOUT_MICROS,
                 v -> then.accept(
-                        v.kind == 0 ? Either.right(Codec.read(Rows.Manifest.class, v.body)) : Either.left(problem(v))));
+                        v.kind == 0
+                                ? Either.right(Codec.read(Rows.Manifest.class, v.body))
+                                : Either.left(toProblem(v))));
     }
 
     public void send(long base, String text, Consumer<Either<Problem, Carried>> then) {
         var c = new Commands.ManifestPut();
         c.base = base;
         c.text = text;
-        coreClient.ask(Parts.MANIFEST, c, TIMEOUT, v -> {
-            if (v.kind != 0) then.accept(Either.left(problem(v)));
+        coreClient.ask(Parts.MANIFEST, c, REQUEST_TIMEOUT_MICROS, v -> {
+            if (v.kind != 0) then.accept(Either.left(toProblem(v)));
             else
-                watch(
+                awaitRollout(
                         v.version,
                         Long.parseLong(v.detail),
                         "",
@@ -115,7 +120,9 @@
             else if (m.get().version < version)
                 then.accept(Either.left(Problem.of(
                         Kind.BAD_OPERATOR_INPUT, "no manifest " + version + "; in force is " + m.get().version)));
-            else watch(m.get().topicVersion, version, "", s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+            else
+                awaitRollout(
+                        m.get().topicVersion, version, "", s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
         });
     }
 
@@ -124,17 +131,17 @@
         var open = new int[] {Parts.COUNT};
         for (var p = 0; p < Parts.COUNT; p++) {
             var part = p;
-            coreClient.ask(p, new Queries.Status(), TIMEOUT, v -> {
+            coreClient.ask(p, new Queries.Status(), REQUEST_TIMEOUT_MICROS, v -> {
                 synchronized (all) {
                     if (v.kind == 0) all[part] = Codec.read(PartStatus.class, v.body);
                     if (--open[0] > 0) return;
                 }
-                then.accept(reached(all));
+                then.accept(reachedParts(all));
             });
         }
     }
 
-    private static List<PartStatus> reached(PartStatus[] all) {
+    private static List<PartStatus> reachedParts(PartStatus[] all) {
         var r = new ArrayList<PartStatus>();
         for (var s : all) if (s != null) r.add(s);
         return r;
@@ -149,7 +156,7 @@
             }
             var p = Intents.plan(i, parts.get(Parts.MANIFEST).manifest, parts);
             if (p.isLeft()) then.accept(p);
-            else put(p.get(), then);
+            else putPlan(p.get(), then);
         });
     }
 
@@ -162,12 +169,12 @@
         });
     }
 
-    private void put(Plan p, Consumer<Either<Problem, Plan>> then) {
+    private void putPlan(Plan p, Consumer<Either<Problem, Plan>> then) {
         var c = new Commands.PlanPut();
         c.plan = p;
-        coreClient.ask(Parts.MANIFEST, c, TIMEOUT, v -> {
+        coreClient.ask(Parts.MANIFEST, c, REQUEST_TIMEOUT_MICROS, v -> {
             p.id = v.version;
-            then.accept(v.kind == 0 ? Either.right(p) : Either.left(problem(v)));
+            then.accept(v.kind == 0 ? Either.right(p) : Either.left(toProblem(v)));
         });
     }
 
@@ -177,8 +184,9 @@
         coreClient.ask(
                 Parts.MANIFEST,
                 q,
-                TIMEOUT,
-                v -> then.accept(v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(problem(v))));
+                REQUEST_TIMEOUT_MICROS,
+                v -> then.accept(
+                        v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(toProblem(v))));
     }
 
     public void confirm(long plan, Consumer<Either<Problem, Carried>> then) {
@@ -189,9 +197,15 @@
             }
             var c = new Commands.PlanConfirm();
             c.plan = plan;
-            coreClient.ask(Parts.MANIFEST, c, TIMEOUT, v -> {
-                if (v.kind != 0) then.accept(Either.left(problem(v)));
-                else watch(v.version, plan, zone(p.get()), s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+            coreClient.ask(Parts.MANIFEST, c, REQUEST_TIMEOUT_MICROS, v -> {
+                if (v.kind != 0) then.accept(Either.left(toProblem(v)));
+                else
+                    awaitRollout(
+                            v.version,
+                            plan,
+                            markedZone(p.get()),
+                            s -> s.able.isEmpty(),
+                            r -> then.accept(Either.right(r)));
             });
         });
     }
@@ -203,16 +217,16 @@
                 then.accept(Either.left(Problem.of(
                         Kind.STALE_PLAN, "plan " + plan + " is " + p.get().stateName())));
             else
-                watch(
+                awaitRollout(
                         p.get().confirmedTopic,
                         plan,
-                        zone(p.get()),
+                        markedZone(p.get()),
                         s -> s.able.isEmpty(),
                         r -> then.accept(Either.right(r)));
         });
     }
 
-    private static String zone(Plan p) {
+    private static String markedZone(Plan p) {
         for (var k : p.marks.keySet()) {
             var key = MarkKey.read(k);
             if (key != null && key.target() == MarkKey.Target.ZONE) return key.name();
@@ -224,12 +238,12 @@
         var open = new int[] {Parts.COUNT};
         var wrong = new CommandResult[1];
         for (var p = 0; p < Parts.COUNT; p++)
-            coreClient.ask(p, new Commands.ClaimsAccepted(), TIMEOUT, v -> {
+            coreClient.ask(p, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, v -> {
                 synchronized (open) {
                     if (v.kind != 0) wrong[0] = v;
                     if (--open[0] > 0) return;
                 }
-                then.accept(wrong[0] == null ? Either.right(Parts.COUNT) : Either.left(problem(wrong[0])));
+                then.accept(wrong[0] == null ? Either.right(Parts.COUNT) : Either.left(toProblem(wrong[0])));
             });
     }
 
@@ -240,7 +254,7 @@
         coreClient.ask(
                 Parts.MANIFEST,
                 c,
-                TIMEOUT,
-                v -> then.accept(v.kind == 0 ? Either.right(plan) : Either.left(problem(v))));
+                REQUEST_TIMEOUT_MICROS,
+                v -> then.accept(v.kind == 0 ? Either.right(plan) : Either.left(toProblem(v))));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -19,7 +19,7 @@
  * is bound by {@code since}, the steady time at which its caller was last known to wait: it has no effect 0.8 s after that.
  */
 public final class PlatformCommands {
-    private static final long TIMEOUT = 800_000;
+    private static final long REQUEST_TIMEOUT_MICROS = 800_000;
 
     private final CoreClient coreClient;
 
@@ -33,8 +33,8 @@
         coreClient.ask(
                 Parts.MANIFEST,
                 new Queries.ManifestGet(),
-                TIMEOUT,
-                v -> then.accept(reply(v).map(x -> Codec.read(Rows.Manifest.class, v.body))));
+                REQUEST_TIMEOUT_MICROS,
+                v -> then.accept(toResult(v).map(x -> Codec.read(Rows.Manifest.class, v.body))));
     }
 
     /** The text must have been checked; RACE_LOST and BAD_MANIFEST are final, any other problem leaves open whether it was taken. */
@@ -45,7 +45,7 @@
         c.number = number;
         c.text = text;
         c.source = source;
-        ask(Parts.MANIFEST, c, since, then);
+        submitChange(Parts.MANIFEST, c, since, then);
     }
 
     /** Empties a zone or takes it back. */
@@ -53,14 +53,14 @@
         var c = new Commands.ZoneMark();
         c.zone = zone;
         c.emptied = emptied;
-        ask(Parts.MANIFEST, c, since, then);
+        submitChange(Parts.MANIFEST, c, since, then);
     }
 
     /** A call that came too late to count is as good as taken. */
     public void beat(Commands.RunnerPut c, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(Parts.of(c.service), c, since + TIMEOUT, v -> {
+        coreClient.askUntil(Parts.of(c.service), c, since + REQUEST_TIMEOUT_MICROS, v -> {
             if (v.kind == Kind.STALE_RUNNER.code()) then.accept(Either.right(null));
-            else if (v.kind == 0) then.accept(reply(v));
+            else if (v.kind == 0) then.accept(toResult(v));
             else
                 then.accept(
                         Either.left(Problem.of(Kind.NO_OWNER, Kind.of(v.kind).text() + ": " + v.detail)));
@@ -75,19 +75,19 @@
             if (p == Parts.MANIFEST) continue;
             var c = new Commands.RunnerLeft();
             c.runner = runner;
-            coreClient.askUntil(p, c, since + TIMEOUT, v -> {
-                reply(v).peekLeft(wrong::set);
+            coreClient.askUntil(p, c, since + REQUEST_TIMEOUT_MICROS, v -> {
+                toResult(v).peekLeft(wrong::set);
                 if (open.decrementAndGet() == 0)
                     then.accept(wrong.get() == null ? Either.right(null) : Either.left(wrong.get()));
             });
         }
     }
 
-    private void ask(int part, Object command, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(part, command, since + TIMEOUT, v -> then.accept(reply(v)));
+    private void submitChange(int part, Object command, long since, Consumer<Either<Problem, Void>> then) {
+        coreClient.askUntil(part, command, since + REQUEST_TIMEOUT_MICROS, v -> then.accept(toResult(v)));
     }
 
-    private static Either<Problem, Void> reply(CommandResult v) {
+    private static Either<Problem, Void> toResult(CommandResult v) {
         return v.kind == 0 ? Either.right(null) : Either.left(new Problem(Kind.of(v.kind), v.detail, v.retryAfter));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Quiet.java
+++ b/lib/control/src/main/java/craneway/control/operator/Quiet.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 public record Quiet(String service, String cell, int load, int slots, int slotsLeft, int minutes, List<String> cause) {
-    private static final double SHARE = 0.8;
+    private static final double USABLE_SLOT_SHARE = 0.8;
 
     static List<Quiet> of(Rows.Manifest topic, List<PartStatus> parts) {
         var m = ManifestReader.read(topic.text);
@@ -30,7 +30,7 @@
             if (r.cell.equals(name)) {
                 load += p.loads.getOrDefault(s.name + "/" + r.name, 0);
                 slots += r.slots;
-            } else if (open(s, r, topic)) left += r.slots;
+            } else if (isOpen(s, r, topic)) left += r.slots;
         }
         return new Quiet(
                 s.name,
@@ -38,19 +38,19 @@
                 load,
                 slots,
                 left,
-                plan.isLeft() ? 0 : minutes(s.name, left, p),
+                plan.isLeft() ? 0 : minutesFitted(s.name, left, p),
                 plan.isLeft() ? List.of(plan.getLeft().detail()) : plan.get().warnings);
     }
 
-    private static boolean open(Rows.Service s, Rows.Runner r, Rows.Manifest topic) {
+    private static boolean isOpen(Rows.Service s, Rows.Runner r, Rows.Manifest topic) {
         return !Mover.closed(s, topic.marks).get(s.cells.indexOf(r.cell));
     }
 
-    private static int minutes(String service, int left, PartStatus p) {
+    private static int minutesFitted(String service, int left, PartStatus p) {
         for (var k : p.peaks) {
             if (!k.service.equals(service)) continue;
             var n = 0;
-            while (n < k.minutes.length && k.minutes[n] <= left * SHARE) n++;
+            while (n < k.minutes.length && k.minutes[n] <= left * USABLE_SLOT_SHARE) n++;
             return n;
         }
         return 0;
--- a/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
@@ -17,31 +17,31 @@
     /** Where a connection stands towards this guard; one for each. */
     public static final class Connection {
         private static final long NEVER = Long.MIN_VALUE;
-        private long used = NEVER;
+        private long lastUsedAt = NEVER;
     }
 
-    private long ticked;
-    private long woke;
+    private long lastTickAt;
+    private long resumedAt;
 
     /** A guard of a process that starts now, which no caller can have waited for. */
     public WakeGuard(long now) {
-        ticked = now;
-        woke = now - SETTLE;
+        lastTickAt = now;
+        resumedAt = now - SETTLE;
     }
 
     /** Called every 20 ms or so, and by nothing that can wait. */
     public synchronized void tick(long now) {
-        if (now - ticked > GAP) woke = now;
-        ticked = Math.max(ticked, now);
+        if (now - lastTickAt > GAP) resumedAt = now;
+        lastTickAt = Math.max(lastTickAt, now);
     }
 
     /** Whether an order may be passed on that came over this connection, was begun to be read then, and is whole now. */
     public synchronized boolean admits(Connection c, long began, long now) {
         tick(now);
-        var used = c.used;
-        c.used = now;
-        var held = now - began > GAP && woke >= began;
-        var before = used != Connection.NEVER && used < woke;
-        return now - woke >= SETTLE && !held && !before;
+        var used = c.lastUsedAt;
+        c.lastUsedAt = now;
+        var held = now - began > GAP && resumedAt >= began;
+        var before = used != Connection.NEVER && used < resumedAt;
+        return now - resumedAt >= SETTLE && !held && !before;
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -17,20 +17,21 @@
 
 public final class Mover {
     public static final long HOLD = 3_000_000;
-    private static final long CONFIRM = 5_000_000;
+    private static final long CONFIRM_TIMEOUT_MICROS = 5_000_000;
 
-    private final Map<String, Long> wellSince = new HashMap<>();
-    private final Map<String, Long> due = new HashMap<>();
-    private final Map<String, Long> asked = new HashMap<>();
-    private final Map<String, Wanted> wanted = new HashMap<>();
+    private final Map<String, Long> healthySinceByCell = new HashMap<>();
+    private final Map<String, Long> nextStepAtByService = new HashMap<>();
+    private final Map<String, Long> askedAtByStep = new HashMap<>();
+    private final Map<String, WantedHomes> wantedHomesByService = new HashMap<>();
 
-    private record Wanted(long newsVersion, int held, BitSet closed, BitSet well, int[] homes) {}
+    private record WantedHomes(
+            long newsVersion, int heldCellCount, BitSet closedCells, BitSet healthyCells, int[] homes) {}
 
     public void reset() {
-        wellSince.clear();
-        due.clear();
-        wanted.clear();
-        asked.clear();
+        healthySinceByCell.clear();
+        nextStepAtByService.clear();
+        wantedHomesByService.clear();
+        askedAtByStep.clear();
     }
 
     public interface StoreReady {
@@ -39,10 +40,10 @@
 
     public Object step(Rows.Service s, Manifest.Service m, Map<String, String> marks, StoreReady ready, long now) {
         if (m == null) return null;
-        var well = well(s, now);
+        var well = healthyCells(s, now);
         var closed = closed(s, marks);
-        var wanted = wanted(s, closed, well);
-        for (var x : s.steps) if (x.state == Rows.Step.ASKED) return settle(s, x, wanted, ready, now);
+        var wanted = cachedWantedHomes(s, closed, well);
+        for (var x : s.steps) if (x.state == Rows.Step.ASKED) return resolveAskedStep(s, x, wanted, ready, now);
         var units = new ArrayList<Integer>();
         var fresh = true;
         for (var u = Units.SLICES; u < wanted.length; u++) {
@@ -51,22 +52,24 @@
             fresh &= s.homes[u] == Table.NOWHERE;
         }
         if (units.isEmpty()) return null;
-        if (fresh) return command(s, units, wanted);
-        if (now < due.computeIfAbsent(s.name, k -> now + m.stepPause())) return null;
+        if (fresh) return newTableStep(s, units, wanted);
+        if (now < nextStepAtByService.computeIfAbsent(s.name, k -> now + m.stepPause())) return null;
         var take = units.stream()
                 .filter(u -> wanted[u] == wanted[units.get(0)])
                 .limit(m.stepUnits())
                 .toList();
-        due.put(s.name, now + pause(s, wanted[take.get(0)], m));
-        return wanted[take.get(0)] == Table.NOWHERE ? command(s, take, wanted) : ask(s, take, wanted, closed, well);
+        nextStepAtByService.put(s.name, now + stepPause(s, wanted[take.get(0)], m));
+        return wanted[take.get(0)] == Table.NOWHERE
+                ? newTableStep(s, take, wanted)
+                : newStepAsk(s, take, wanted, closed, well);
     }
 
-    private StepMark settle(Rows.Service s, Rows.Step x, int[] wanted, StoreReady ready, long now) {
-        var since = asked.computeIfAbsent(s.name + "/" + x.id, k -> now);
+    private StepMark resolveAskedStep(Rows.Service s, Rows.Step x, int[] wanted, StoreReady ready, long now) {
+        var since = askedAtByStep.computeIfAbsent(s.name + "/" + x.id, k -> now);
         var still = Arrays.stream(x.units).allMatch(u -> wanted[u] == x.to);
         var go = still && ready.test(x.to, x.index);
-        if (!go && still && now - since < CONFIRM) return null;
-        asked.remove(s.name + "/" + x.id);
+        if (!go && still && now - since < CONFIRM_TIMEOUT_MICROS) return null;
+        askedAtByStep.remove(s.name + "/" + x.id);
         var m = new StepMark();
         m.service = s.name;
         m.id = x.id;
@@ -75,7 +78,7 @@
         return m;
     }
 
-    private static StepAsk ask(Rows.Service s, List<Integer> units, int[] wanted, BitSet closed, BitSet well) {
+    private static StepAsk newStepAsk(Rows.Service s, List<Integer> units, int[] wanted, BitSet closed, BitSet well) {
         var a = new StepAsk();
         a.service = s.name;
         a.tableVersion = s.tableVersion;
@@ -100,25 +103,25 @@
     }
 
     public BitSet open(Rows.Service s, Map<String, String> marks, long now) {
-        var b = well(s, now);
+        var b = healthyCells(s, now);
         b.andNot(closed(s, marks));
         return b;
     }
 
-    private int[] wanted(Rows.Service s, BitSet closed, BitSet well) {
-        var w = wanted.get(s.name);
+    private int[] cachedWantedHomes(Rows.Service s, BitSet closed, BitSet well) {
+        var w = wantedHomesByService.get(s.name);
         if (w == null
                 || w.newsVersion != s.newsVersion
-                || w.held != s.heldUntil.size()
-                || !w.closed.equals(closed)
-                || !w.well.equals(well)) {
-            w = new Wanted(s.newsVersion, s.heldUntil.size(), closed, well, Planner.wanted(s, closed, well));
-            wanted.put(s.name, w);
+                || w.heldCellCount != s.heldUntil.size()
+                || !w.closedCells.equals(closed)
+                || !w.healthyCells.equals(well)) {
+            w = new WantedHomes(s.newsVersion, s.heldUntil.size(), closed, well, Planner.wanted(s, closed, well));
+            wantedHomesByService.put(s.name, w);
         }
         return w.homes;
     }
 
-    private static long pause(Rows.Service s, int cell, Manifest.Service m) {
+    private static long stepPause(Rows.Service s, int cell, Manifest.Service m) {
         if (cell == Table.NOWHERE) return m.stepPause();
         var cold = s.runners.values().stream()
                 .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
@@ -126,7 +129,7 @@
         return cold ? Math.max(m.stepPause(), m.warmUp() / 10) : m.stepPause();
     }
 
-    private static TableStep command(Rows.Service s, List<Integer> units, int[] wanted) {
+    private static TableStep newTableStep(Rows.Service s, List<Integer> units, int[] wanted) {
         var t = new TableStep();
         t.service = s.name;
         t.tableVersion = s.tableVersion;
@@ -143,7 +146,7 @@
         return b;
     }
 
-    private BitSet well(Rows.Service s, long now) {
+    private BitSet healthyCells(Rows.Service s, long now) {
         var b = new BitSet();
         var up = s.runnersUp();
         var housing = new BitSet();
@@ -151,11 +154,11 @@
         for (var c = 0; c < up.length; c++) {
             var k = s.name + "/" + s.cells.get(c);
             if (up[c] == 0) {
-                wellSince.remove(k);
+                healthySinceByCell.remove(k);
                 continue;
             }
-            wellSince.putIfAbsent(k, now);
-            if (now - wellSince.get(k) >= HOLD || housing.get(c)) b.set(c);
+            healthySinceByCell.putIfAbsent(k, now);
+            if (now - healthySinceByCell.get(k) >= HOLD || housing.get(c)) b.set(c);
         }
         return b;
     }
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/Pressure.java
@@ -14,49 +14,49 @@
 public final class Pressure {
     public static final double FULL = 0.8, CALM = 0.6, ROOM = 0.6;
     public static final long FULL_FOR = 3_000_000, CALM_FOR = 15_000_000, SETTLE = 4_000_000;
-    private static final double SMOOTH = 5_000_000;
-    private static final int MOST = 8;
+    private static final double SMOOTHING_MICROS = 5_000_000;
+    private static final int MAX_UNITS_PER_COMMAND = 8;
 
-    private final Map<String, double[]> uses = new HashMap<>();
-    private final Map<String, Long> fullSince = new HashMap<>();
-    private final Map<String, Long> calmSince = new HashMap<>();
-    private final Map<String, Long> due = new HashMap<>();
+    private final Map<String, double[]> smoothedUtilization = new HashMap<>();
+    private final Map<String, Long> fullSinceByCell = new HashMap<>();
+    private final Map<String, Long> calmSinceByCell = new HashMap<>();
+    private final Map<String, Long> nextCommandAtByService = new HashMap<>();
 
     public void reset(long now) {
-        uses.clear();
-        fullSince.clear();
-        calmSince.clear();
-        due.replaceAll((k, v) -> now + SETTLE);
+        smoothedUtilization.clear();
+        fullSinceByCell.clear();
+        calmSinceByCell.clear();
+        nextCommandAtByService.replaceAll((k, v) -> now + SETTLE);
     }
 
     public Displace ask(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
-        var use = use(s, loads);
+        var use = utilizationByCell(s, loads);
         for (var c = 0; c < use.length; c++) {
-            use[c] = smooth(s.name + "/" + c, use[c], now);
-            since(fullSince, s.name + "/" + c, open.get(c) && use[c] >= FULL, now);
-            since(calmSince, s.name + "/" + c, open.get(c) && use[c] <= CALM, now);
+            use[c] = smoothUtilization(s.name + "/" + c, use[c], now);
+            trackSince(fullSinceByCell, s.name + "/" + c, open.get(c) && use[c] >= FULL, now);
+            trackSince(calmSinceByCell, s.name + "/" + c, open.get(c) && use[c] <= CALM, now);
         }
-        if (now < due.computeIfAbsent(s.name, k -> now) || s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED))
-            return null;
-        var d = away(s, use, open, now);
-        if (d == null) d = back(s, now);
-        if (d != null) due.put(s.name, now + SETTLE);
+        if (now < nextCommandAtByService.computeIfAbsent(s.name, k -> now)
+                || s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED)) return null;
+        var d = displaceFromFullCell(s, use, open, now);
+        if (d == null) d = returnToCalmHome(s, now);
+        if (d != null) nextCommandAtByService.put(s.name, now + SETTLE);
         return d;
     }
 
-    private double smooth(String k, double use, long now) {
-        var u = uses.computeIfAbsent(k, x -> new double[] {use, now});
-        u[0] += (use - u[0]) * Math.min(1, (now - u[1]) / SMOOTH);
+    private double smoothUtilization(String k, double use, long now) {
+        var u = smoothedUtilization.computeIfAbsent(k, x -> new double[] {use, now});
+        u[0] += (use - u[0]) * Math.min(1, (now - u[1]) / SMOOTHING_MICROS);
         u[1] = now;
         return u[0];
     }
 
-    private static void since(Map<String, Long> map, String k, boolean is, long now) {
+    private static void trackSince(Map<String, Long> map, String k, boolean is, long now) {
         if (is) map.putIfAbsent(k, now);
         else map.remove(k);
     }
 
-    private static double[] use(Rows.Service s, Map<String, Integer> loads) {
+    private static double[] utilizationByCell(Rows.Service s, Map<String, Integer> loads) {
         var at = s.cellNumbers();
         var load = new long[s.cells.size()];
         var slots = new long[load.length];
@@ -71,25 +71,25 @@
                 .toArray();
     }
 
-    private boolean lasted(Map<String, Long> map, Rows.Service s, int cell, long hold, long now) {
+    private boolean hasLasted(Map<String, Long> map, Rows.Service s, int cell, long hold, long now) {
         var t = map.get(s.name + "/" + cell);
         return t != null && now - t >= hold;
     }
 
-    private Displace away(Rows.Service s, double[] use, BitSet open, long now) {
+    private Displace displaceFromFullCell(Rows.Service s, double[] use, BitSet open, long now) {
         for (var c = 0; c < use.length; c++) {
-            if (!lasted(fullSince, s, c, FULL_FOR, now)) continue;
-            var to = roomiest(s, use, open, c);
+            if (!hasLasted(fullSinceByCell, s, c, FULL_FOR, now)) continue;
+            var to = leastUtilizedCell(s, use, open, c);
             if (to == Table.NOWHERE) continue;
             var units = new ArrayList<Integer>();
-            for (var u = s.homes.length - 1; u >= Units.SLICES && units.size() < MOST; u--)
-                if (s.homes[u] == c && s.displaced(u) == Table.NOWHERE && allows(s, u, to)) units.add(u);
-            if (!units.isEmpty()) return command(s, units, to);
+            for (var u = s.homes.length - 1; u >= Units.SLICES && units.size() < MAX_UNITS_PER_COMMAND; u--)
+                if (s.homes[u] == c && s.displaced(u) == Table.NOWHERE && isAllowed(s, u, to)) units.add(u);
+            if (!units.isEmpty()) return newDisplace(s, units, to);
         }
         return null;
     }
 
-    private static int roomiest(Rows.Service s, double[] use, BitSet open, int but) {
+    private static int leastUtilizedCell(Rows.Service s, double[] use, BitSet open, int but) {
         var best = Table.NOWHERE;
         for (var c = 0; c < use.length; c++) {
             if (c == but || !open.get(c) || use[c] > ROOM || s.heldUntil.containsKey(s.cells.get(c))) continue;
@@ -98,20 +98,22 @@
         return best;
     }
 
-    private static boolean allows(Rows.Service s, int unit, int cell) {
+    private static boolean isAllowed(Rows.Service s, int unit, int cell) {
         return Units.allows(Units.regionSet(unit), s.regions.indexOf(s.cellRegions.get(cell)));
     }
 
-    private Displace back(Rows.Service s, long now) {
+    private Displace returnToCalmHome(Rows.Service s, long now) {
         var units = new ArrayList<Integer>();
         for (var u : s.displacedUnits) {
-            var home = Planner.home(s, u);
-            if (units.size() < MOST && home != Table.NOWHERE && lasted(calmSince, s, home, CALM_FOR, now)) units.add(u);
+            var home = Planner.homeWithAllCellsOpen(s, u);
+            if (units.size() < MAX_UNITS_PER_COMMAND
+                    && home != Table.NOWHERE
+                    && hasLasted(calmSinceByCell, s, home, CALM_FOR, now)) units.add(u);
         }
-        return units.isEmpty() ? null : command(s, units, Table.NOWHERE);
+        return units.isEmpty() ? null : newDisplace(s, units, Table.NOWHERE);
     }
 
-    private static Displace command(Rows.Service s, List<Integer> units, int to) {
+    private static Displace newDisplace(Rows.Service s, List<Integer> units, int to) {
         var d = new Displace();
         d.service = s.name;
         d.tableVersion = s.tableVersion;
--- a/lib/control/src/main/java/craneway/control/plan/Signals.java
+++ b/lib/control/src/main/java/craneway/control/plan/Signals.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 public final class Signals {
-    private static final int SLOTS = 8;
-    private static final long SLOT = 500_000;
+    private static final int SLOT_COUNT = 8;
+    private static final long SLOT_MICROS = 500_000;
 
     public record Rate(long runs, long problems, long firstMicros) {
         public double share() {
@@ -17,41 +17,41 @@
         }
     }
 
-    private static final class Ring {
-        final long[] at = new long[SLOTS];
-        final long[] runs = new long[SLOTS];
-        final long[] problems = new long[SLOTS];
-        final long[] first = new long[SLOTS];
+    private static final class SlotRing {
+        final long[] slotNumbers = new long[SLOT_COUNT];
+        final long[] runs = new long[SLOT_COUNT];
+        final long[] problems = new long[SLOT_COUNT];
+        final long[] firstTokenMicros = new long[SLOT_COUNT];
     }
 
-    private final Map<String, Ring> rings = new HashMap<>();
+    private final Map<String, SlotRing> ringByCell = new HashMap<>();
 
     public void add(String service, String cell, long runs, long problems, long firstMicros, long now) {
-        var r = rings.computeIfAbsent(service + "/" + cell, k -> new Ring());
-        var slot = now / SLOT;
-        var i = (int) (slot % SLOTS);
-        if (r.at[i] != slot) {
-            r.at[i] = slot;
-            r.runs[i] = r.problems[i] = r.first[i] = 0;
+        var r = ringByCell.computeIfAbsent(service + "/" + cell, k -> new SlotRing());
+        var slot = now / SLOT_MICROS;
+        var i = (int) (slot % SLOT_COUNT);
+        if (r.slotNumbers[i] != slot) {
+            r.slotNumbers[i] = slot;
+            r.runs[i] = r.problems[i] = r.firstTokenMicros[i] = 0;
         }
         r.runs[i] += runs;
         r.problems[i] += problems;
-        r.first[i] += firstMicros;
+        r.firstTokenMicros[i] += firstMicros;
     }
 
     public Rate since(String service, String cell, long from, long now) {
-        var r = rings.get(service + "/" + cell);
+        var r = ringByCell.get(service + "/" + cell);
         long runs = 0, problems = 0, first = 0;
-        for (var i = 0; r != null && i < SLOTS; i++) {
-            if (r.at[i] < Math.max(from / SLOT, now / SLOT - SLOTS + 1)) continue;
+        for (var i = 0; r != null && i < SLOT_COUNT; i++) {
+            if (r.slotNumbers[i] < Math.max(from / SLOT_MICROS, now / SLOT_MICROS - SLOT_COUNT + 1)) continue;
             runs += r.runs[i];
             problems += r.problems[i];
-            first += r.first[i];
+            first += r.firstTokenMicros[i];
         }
         return new Rate(runs, problems, first);
     }
 
     public void clear() {
-        rings.clear();
+        ringByCell.clear();
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -13,55 +13,55 @@
  * nothing takes effect behind what was acknowledged after the bound. No I/O; one for each part.
  */
 final class CommandFence {
-    enum Ruling {
-        TAKEN,
+    enum Admission {
+        ADMITTED,
         LATE,
         UNKNOWN_LIFE
     }
 
     /** No asker waits longer; a bound beyond it is none. */
-    static final long LONGEST = 60_000_000;
+    static final long MAX_WAIT_MICROS = 60_000_000;
 
-    private static final int LIVES = 1_024;
+    private static final int MAX_KNOWN_LIVES = 1_024;
 
-    private final Map<Long, Boolean> clockKnownTo = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Long, Boolean> livesKnowingClock = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > LIVES;
+            return size() > MAX_KNOWN_LIVES;
         }
     };
 
-    private final Map<String, Long> latestBoundOfZone = new HashMap<>();
+    private final Map<String, Long> latestBoundByZone = new HashMap<>();
 
     /** Forgets to whom the clock was told, and the bounds by it; for each new term. */
     void reset() {
-        clockKnownTo.clear();
-        latestBoundOfZone.clear();
+        livesKnowingClock.clear();
+        latestBoundByZone.clear();
     }
 
     /** The leader tells this life its clock. */
-    void tell(long life) {
-        clockKnownTo.put(life, true);
+    void recordClockSent(long life) {
+        livesKnowingClock.put(life, true);
     }
 
     /** Rules on a command of a process that tells its life. */
-    Ruling rule(CommandRequest a, long term, long now) {
-        if (a.term != term || now > a.bound || a.bound > now + LONGEST) return Ruling.LATE;
-        return clockKnownTo.get(a.life) == null ? Ruling.UNKNOWN_LIFE : Ruling.TAKEN;
+    Admission check(CommandRequest a, long term, long now) {
+        if (a.term != term || now > a.bound || a.bound > now + MAX_WAIT_MICROS) return Admission.LATE;
+        return livesKnowingClock.get(a.life) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
     }
 
     /**
      * Whether an order for the zone with a later bound was taken before: every caller waits equally long, so this one was sent
      * earlier, was long on its way, and its caller may have had the later one acknowledged meanwhile. Else takes note of its bound.
      */
-    boolean overtaken(String zone, long bound) {
-        if (bound < latestBoundOfZone.getOrDefault(zone, bound)) return true;
-        latestBoundOfZone.put(zone, bound);
+    boolean isOvertaken(String zone, long bound) {
+        if (bound < latestBoundByZone.getOrDefault(zone, bound)) return true;
+        latestBoundByZone.put(zone, bound);
         return false;
     }
 
     /** Claims carry an identity of their own: holder, incarnation and try. */
-    static Object identified(CommandRequest a, Object command, byte[] body) {
+    static Object withIdentity(CommandRequest a, Object command, byte[] body) {
         if (a.life == 0 || command instanceof Commands.Claim || command instanceof Commands.Finish) return command;
         var f = new Commands.Fenced();
         f.life = a.life;
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -9,66 +9,67 @@
 
 /** What the leader of a part knows of its members' leases: when it heard each last, and which versions each has. */
 final class LeaseTable {
-    private static final long LAPSE = Membership.LEASE + 300_000;
-    private static final long FORGET = 60_000_000;
+    private static final long LAPSE_AFTER_MICROS = Membership.LEASE + 300_000;
+    private static final long FORGET_AFTER_MICROS = 60_000_000;
 
     private static final class Lease {
-        String partner;
+        String address;
         long incarnation;
-        long grace;
-        long seen;
-        long earlierUntil = Long.MIN_VALUE;
-        final Map<String, Long> versions = new HashMap<>();
+        long graceMicros;
+        long renewedAt;
+        long earlierInstanceUntil = Long.MIN_VALUE;
+        final Map<String, Long> versionByTopic = new HashMap<>();
     }
 
-    private final Map<String, Lease> leases = new TreeMap<>();
-    private long since;
+    private final Map<String, Lease> leaseByMember = new TreeMap<>();
+    private long clearedAt;
 
     /** Forgets all; members that have not renewed yet count as heard at this moment. */
     void clear(long now) {
-        leases.clear();
-        since = now;
+        leaseByMember.clear();
+        clearedAt = now;
     }
 
     /** Takes a renewal that was granted. */
-    void renewed(Renew r, long now) {
-        var l = leases.computeIfAbsent(r.from.name, k -> new Lease());
-        if (l.partner != null && !l.partner.equals(r.from.peerAddress)) l.earlierUntil = l.seen + LAPSE + l.grace;
-        if (l.incarnation != r.from.incarnation) l.versions.clear();
-        l.partner = r.from.peerAddress;
+    void recordRenewal(Renew r, long now) {
+        var l = leaseByMember.computeIfAbsent(r.from.name, k -> new Lease());
+        if (l.address != null && !l.address.equals(r.from.peerAddress))
+            l.earlierInstanceUntil = l.renewedAt + LAPSE_AFTER_MICROS + l.graceMicros;
+        if (l.incarnation != r.from.incarnation) l.versionByTopic.clear();
+        l.address = r.from.peerAddress;
         l.incarnation = r.from.incarnation;
-        l.grace = r.from.grace;
-        l.seen = now;
-        for (var i = 0; i < r.topics.size(); i++) l.versions.put(r.topics.get(i), r.versions.get(i));
+        l.graceMicros = r.from.grace;
+        l.renewedAt = now;
+        for (var i = 0; i < r.topics.size(); i++) l.versionByTopic.put(r.topics.get(i), r.versions.get(i));
     }
 
     /** The version of a topic that the member said it has. */
-    long version(String name, String topic) {
-        var l = leases.get(name);
-        return l == null ? 0 : l.versions.getOrDefault(topic, 0L);
+    long reportedVersion(String name, String topic) {
+        var l = leaseByMember.get(name);
+        return l == null ? 0 : l.versionByTopic.getOrDefault(topic, 0L);
     }
 
-    private long seen(String name) {
-        var l = leases.get(name);
-        return l == null ? since : l.seen;
+    private long lastRenewedAt(String name) {
+        var l = leaseByMember.get(name);
+        return l == null ? clearedAt : l.renewedAt;
     }
 
     /** Whether the member's lease, and the grace after it, may still run. */
-    boolean mayAct(Node member, long grace, long now) {
-        return now - seen(member.name) < LAPSE + grace || earlierMayAct(member, now);
+    boolean mayStillAct(Node member, long grace, long now) {
+        return now - lastRenewedAt(member.name) < LAPSE_AFTER_MICROS + grace || earlierInstanceMayAct(member, now);
     }
 
     /** Whether an earlier life of this name at another address may still hold a lease. */
-    boolean earlierMayAct(Node member, long now) {
-        var l = leases.get(member.name);
-        return l != null && now < l.earlierUntil;
+    boolean earlierInstanceMayAct(Node member, long now) {
+        var l = leaseByMember.get(member.name);
+        return l != null && now < l.earlierInstanceUntil;
     }
 
-    boolean lapsed(Node member, long now) {
-        return now - seen(member.name) > LAPSE;
+    boolean hasLapsed(Node member, long now) {
+        return now - lastRenewedAt(member.name) > LAPSE_AFTER_MICROS;
     }
 
-    boolean forgotten(Node member, long now) {
-        return now - seen(member.name) > FORGET + member.grace;
+    boolean isForgettable(Node member, long now) {
+        return now - lastRenewedAt(member.name) > FORGET_AFTER_MICROS + member.grace;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/LoadHistory.java
+++ b/lib/control/src/main/java/craneway/control/store/LoadHistory.java
@@ -5,39 +5,39 @@
 import java.util.Map;
 
 final class LoadHistory {
-    static final int MINUTES = 120;
-    private static final long MINUTE = 60_000_000;
+    static final int HISTORY_MINUTES = 120;
+    private static final long MINUTE_MICROS = 60_000_000;
 
-    private static final class Peaks {
-        final int[] most = new int[MINUTES];
-        final long first;
-        long minute;
+    private static final class MinutePeaks {
+        final int[] peakByMinute = new int[HISTORY_MINUTES];
+        final long firstMinute;
+        long lastMinute;
 
-        Peaks(long minute) {
-            this.first = this.minute = minute;
+        MinutePeaks(long minute) {
+            this.firstMinute = this.lastMinute = minute;
         }
     }
 
-    private final Map<String, Peaks> services = new HashMap<>();
+    private final Map<String, MinutePeaks> peaksByService = new HashMap<>();
 
-    void see(String service, int load, long now) {
-        var m = now / MINUTE;
-        var p = services.computeIfAbsent(service, k -> new Peaks(m));
-        while (p.minute < m) p.most[(int) (++p.minute % MINUTES)] = 0;
-        var i = (int) (m % MINUTES);
-        p.most[i] = Math.max(p.most[i], load);
+    void record(String service, int load, long now) {
+        var m = now / MINUTE_MICROS;
+        var p = peaksByService.computeIfAbsent(service, k -> new MinutePeaks(m));
+        while (p.lastMinute < m) p.peakByMinute[(int) (++p.lastMinute % HISTORY_MINUTES)] = 0;
+        var i = (int) (m % HISTORY_MINUTES);
+        p.peakByMinute[i] = Math.max(p.peakByMinute[i], load);
     }
 
-    int[] newestFirst(String service) {
-        var p = services.get(service);
+    int[] peaksNewestFirst(String service) {
+        var p = peaksByService.get(service);
         if (p == null) return new int[0];
-        var n = (int) Math.min(MINUTES, p.minute - p.first + 1);
+        var n = (int) Math.min(HISTORY_MINUTES, p.lastMinute - p.firstMinute + 1);
         var all = new int[n];
-        Arrays.setAll(all, i -> p.most[(int) Math.floorMod(p.minute - i, (long) MINUTES)]);
+        Arrays.setAll(all, i -> p.peakByMinute[(int) Math.floorMod(p.lastMinute - i, (long) HISTORY_MINUTES)]);
         return all;
     }
 
     void clear() {
-        services.clear();
+        peaksByService.clear();
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -15,7 +15,7 @@
  */
 public final class MembershipChanges {
     /** How long a leader has to have led before its knowledge of who wants to join is complete. */
-    private static final long HEARD_ALL = 1_000_000;
+    private static final long JOIN_REQUESTS_COMPLETE_AFTER_MICROS = 1_000_000;
 
     /** What the leader knows of a store. Times are microseconds. */
     public interface Knowledge {
@@ -32,68 +32,69 @@
         boolean level(long store);
     }
 
-    private record JoinRequest(String zone, long until) {}
+    private record JoinRequest(String zone, long validUntil) {}
 
     private final long self;
     private final Quorum quorum;
     private final TimingProfile timing;
-    private final Knowledge knowledge;
-    private final Map<Long, JoinRequest> joinRequests = new TreeMap<>();
-    private final Map<Long, Long> leaving = new TreeMap<>();
+    private final Knowledge storeStatus;
+    private final Map<Long, JoinRequest> joinRequestByStore = new TreeMap<>();
+    private final Map<Long, Long> leavingUntilByStore = new TreeMap<>();
 
     /** A decider for a leader with this store id. */
     public MembershipChanges(long self, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
         this.self = self;
         this.quorum = quorum;
         this.timing = timing;
-        this.knowledge = knowledge;
+        this.storeStatus = knowledge;
     }
 
     /** A store that is no member asks to become one; it asks again before that time if it still does. */
     public void wants(long store, String zone, long until) {
-        leaving.remove(store);
-        joinRequests.put(store, new JoinRequest(zone, until));
+        leavingUntilByStore.remove(store);
+        joinRequestByStore.put(store, new JoinRequest(zone, until));
     }
 
     /** A store is about to stop; it says so again before that time while it still waits. */
     public void leaves(long store, long until) {
-        joinRequests.remove(store);
-        leaving.put(store, until);
+        joinRequestByStore.remove(store);
+        leavingUntilByStore.put(store, until);
     }
 
     /** Whether a store has said lately that it is about to stop. */
     public boolean leaving(long store) {
-        return leaving.containsKey(store);
+        return leavingUntilByStore.containsKey(store);
     }
 
     /** The members to propose next, if any change is due. */
     public Optional<Members> next(Members m, long leadingSince, long now) {
-        forget(m, now);
-        var lost = lostDisk(m);
+        dropExpired(m, now);
+        var lost = memberWithLostDisk(m);
         if (lost != 0) return Optional.of(m.without(lost));
-        if (m.learner != 0) return settleLearner(m, leadingSince, now);
-        if (m.voters.length > quorum.voters()) return drop(m, now);
-        return admit(m, now);
+        if (m.learner != 0) return resolveLearner(m, leadingSince, now);
+        if (m.voters.length > quorum.voters()) return removeSurplusVoter(m, now);
+        return admitLearner(m, now);
     }
 
-    private void forget(Members m, long now) {
-        leaving.values().removeIf(until -> now > until);
-        joinRequests
+    private void dropExpired(Members m, long now) {
+        leavingUntilByStore.values().removeIf(until -> now > until);
+        joinRequestByStore
                 .entrySet()
-                .removeIf(e -> now > e.getValue().until || m.isMember(e.getKey()) || knowledge.diskLost(e.getKey()));
+                .removeIf(e ->
+                        now > e.getValue().validUntil || m.isMember(e.getKey()) || storeStatus.diskLost(e.getKey()));
     }
 
-    private long lostDisk(Members m) {
-        if (m.learner != 0 && knowledge.diskLost(m.learner)) return m.learner;
-        for (var v : m.voters) if (v != self && knowledge.diskLost(v)) return v;
+    private long memberWithLostDisk(Members m) {
+        if (m.learner != 0 && storeStatus.diskLost(m.learner)) return m.learner;
+        for (var v : m.voters) if (v != self && storeStatus.diskLost(v)) return v;
         return 0;
     }
 
-    private Optional<Members> settleLearner(Members m, long leadingSince, long now) {
+    private Optional<Members> resolveLearner(Members m, long leadingSince, long now) {
         var led = now - leadingSince;
-        if (leaving(m.learner) || silent(m.learner, now) && led > timing.replace())
+        if (leaving(m.learner) || isSilent(m.learner, now) && led > timing.replace())
             return Optional.of(m.without(m.learner));
-        if (knowledge.caughtUp(m.learner) && led > timing.settled()) return Optional.of(promoted(m, now));
+        if (storeStatus.caughtUp(m.learner) && led > timing.settled()) return Optional.of(withLearnerPromoted(m, now));
         return Optional.empty();
     }
 
@@ -101,48 +102,48 @@
      * The group with its caught-up learner as a voter. A silent voter that it replaces goes first: beside it the group would need
      * one store more, and the loss of the new voter in that moment would leave no majority.
      */
-    private Members promoted(Members m, long now) {
+    private Members withLearnerPromoted(Members m, long now) {
         if (m.voters.length < quorum.voters()) return m.promoted();
-        for (var v : m.voters) if (silent(v, now)) return m.without(v);
+        for (var v : m.voters) if (isSilent(v, now)) return m.without(v);
         return m.promoted();
     }
 
-    private boolean silent(long store, long now) {
-        return store != self && now - knowledge.heardFrom(store) >= timing.replace();
+    private boolean isSilent(long store, long now) {
+        return store != self && now - storeStatus.heardFrom(store) >= timing.replace();
     }
 
-    private Optional<Members> drop(Members m, long now) {
+    private Optional<Members> removeSurplusVoter(Members m, long now) {
         var worst = -1;
         for (var i = 0; i < m.voters.length; i++) {
             if (m.voters[i] == self) continue;
-            if (worst < 0 || rank(m, i, now) < rank(m, worst, now)) worst = i;
+            if (worst < 0 || removalRank(m, i, now) < removalRank(m, worst, now)) worst = i;
         }
         return worst < 0 ? Optional.empty() : Optional.of(m.without(m.voters[worst]));
     }
 
     /** The least goes first: silent ones, then those about to stop, then whoever crowds a region most. */
-    private int rank(Members m, int i, long now) {
-        var rank = quorum.crowdWithout(m.zones, i);
-        if (silent(m.voters[i], now)) return rank - (1 << 28);
+    private int removalRank(Members m, int i, long now) {
+        var rank = quorum.unevennessWithout(m.zones, i);
+        if (isSilent(m.voters[i], now)) return rank - (1 << 28);
         return leaving(m.voters[i]) ? rank - (1 << 27) : rank;
     }
 
-    private Optional<Members> admit(Members m, long now) {
-        var best = joinRequests.entrySet().stream()
-                .min(Comparator.comparingInt(e -> quorum.crowdWith(m.zones, e.getValue().zone)))
+    private Optional<Members> admitLearner(Members m, long now) {
+        var best = joinRequestByStore.entrySet().stream()
+                .min(Comparator.comparingInt(e -> quorum.unevennessWith(m.zones, e.getValue().zone)))
                 .orElse(null);
         if (best == null) return Optional.empty();
         var zone = best.getValue().zone;
-        if (m.voters.length == quorum.voters() && !improves(m, zone, now)) return Optional.empty();
+        if (m.voters.length == quorum.voters() && !improvesSpread(m, zone, now)) return Optional.empty();
         return Optional.of(m.withLearner(best.getKey(), zone));
     }
 
-    private boolean improves(Members m, String zone, long now) {
-        var is = quorum.crowd(Arrays.asList(m.zones));
+    private boolean improvesSpread(Members m, String zone, long now) {
+        var is = quorum.unevenness(Arrays.asList(m.zones));
         for (var i = 0; i < m.voters.length; i++) {
             if (m.voters[i] == self) continue;
-            var then = quorum.crowdSwapped(m.zones, i, zone);
-            var goes = silent(m.voters[i], now) || leaving(m.voters[i]);
+            var then = quorum.unevennessAfterSwap(m.zones, i, zone);
+            var goes = isSilent(m.voters[i], now) || leaving(m.voters[i]);
             if (then < is || then <= is && goes) return true;
         }
         return false;
@@ -156,9 +157,9 @@
         if (!m.isMember(store)) return true;
         var changing = m.learner != 0
                 || m.voters.length > quorum.voters()
-                || admit(m, now).isPresent();
-        if (changing || now - leadingSince < HEARD_ALL) return false;
-        return Arrays.stream(m.voters).allMatch(v -> v == store || v == self || leaving(v) || knowledge.level(v));
+                || admitLearner(m, now).isPresent();
+        if (changing || now - leadingSince < JOIN_REQUESTS_COMPLETE_AFTER_MICROS) return false;
+        return Arrays.stream(m.voters).allMatch(v -> v == store || v == self || leaving(v) || storeStatus.level(v));
     }
 
     /** The voter that should lead in this leader's place, by the order of the parts; 0 for none. */
@@ -170,20 +171,24 @@
     /** Whether the group is whole and leadership may go to this voter now. */
     public boolean mayLead(long store, Members m, long now) {
         if (store == 0 || store == self || leaving(store) || !m.isVoter(store)) return false;
-        return m.voters.length == quorum.voters() && m.learner == 0 && near(store, now) && knowledge.caughtUp(store);
+        return m.voters.length == quorum.voters()
+                && m.learner == 0
+                && wasHeardRecently(store, now)
+                && storeStatus.caughtUp(store);
     }
 
     /** The voter to hand over to when this store stops: one that is near, and rather none that stops too; 0 for none. */
     public long heir(Members m, long now) {
-        var near =
-                Arrays.stream(m.voters).filter(v -> v != self && near(v, now)).toArray();
+        var near = Arrays.stream(m.voters)
+                .filter(v -> v != self && wasHeardRecently(v, now))
+                .toArray();
         return Arrays.stream(near)
-                .filter(v -> !leaving(v) && knowledge.caughtUp(v))
+                .filter(v -> !leaving(v) && storeStatus.caughtUp(v))
                 .findFirst()
                 .orElse(Arrays.stream(near).filter(v -> !leaving(v)).findFirst().orElse(0));
     }
 
-    private boolean near(long store, long now) {
-        return now - knowledge.heardFrom(store) < timing.electionTimeout();
+    private boolean wasHeardRecently(long store, long now) {
+        return now - storeStatus.heardFrom(store) < timing.electionTimeout();
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -46,13 +46,20 @@
 import java.util.function.Consumer;
 
 public final class PartReplica implements GroupListener {
-    private static final long SUBSCRIBED = 2_000_000, AGE = 1_000_000, JOIN_REQUEST_KEPT = 2_000_000;
-    private static final long SYNCED = 3_000_000, GATHER = 3_500_000, IMPATIENT = 300_000, PUSHED = 150_000;
-    private static final int BUFFER = 20_000;
+    private static final long SUBSCRIPTION_TTL_MICROS = 2_000_000,
+            AGING_INTERVAL_MICROS = 1_000_000,
+            JOIN_REQUEST_TTL_MICROS = 2_000_000;
+    private static final long REACHABLE_STORE_WINDOW_MICROS = 3_000_000,
+            LOW_TRAFFIC_BALANCE_DELAY_MICROS = 3_500_000,
+            STALE_TOPIC_PUSH_DELAY_MICROS = 300_000,
+            PUSH_INTERVAL_MICROS = 150_000;
+    private static final int MAX_QUEUED_EVENTS = 20_000;
     /** How long a leader rests after it looked through its members and runners, for each of them, and at most. */
-    private static final long MEMBER = 250, RUNNER = 40, REST = 500_000;
+    private static final long SCAN_PAUSE_PER_MEMBER_MICROS = 250,
+            SCAN_PAUSE_PER_RUNNER_MICROS = 40,
+            MAX_SCAN_PAUSE_MICROS = 500_000;
 
-    private record Waiting(long term, Consumer<CommandResult> then) {}
+    private record PendingProposal(long term, Consumer<CommandResult> onResult) {}
 
     private final int part;
     private final Settings settings;
@@ -64,32 +71,32 @@
     private final Executor executor;
     private final Group group;
     private final Records records = new Records();
-    private final Mover mover = new Mover();
-    private final Watcher watcher = new Watcher();
-    private final Pressure pressure = new Pressure();
-    private final Signals signals = new Signals();
-    private final LoadHistory history = new LoadHistory();
-    private final CommandFence fence = new CommandFence();
+    private final Mover unitMover = new Mover();
+    private final Watcher stepWatcher = new Watcher();
+    private final Pressure pressureRelief = new Pressure();
+    private final Signals cellSignals = new Signals();
+    private final LoadHistory loadHistory = new LoadHistory();
+    private final CommandFence commandFence = new CommandFence();
     private final ReentrantLock lock = new ReentrantLock();
-    private final LinkedBlockingQueue<Runnable> buffer = new LinkedBlockingQueue<>(BUFFER);
-    private final AtomicBoolean scheduled = new AtomicBoolean();
-    private final Map<Long, Waiting> waiting = new HashMap<>();
-    private final LeaseTable leases = new LeaseTable();
-    private final Map<String, Long> runnersSeen = new HashMap<>();
-    private final Map<String, Long> runnerSequences = new HashMap<>();
-    private final Map<String, Integer> runnerLoads = new HashMap<>();
-    private final Map<String, Map<String, Long>> subscribers = new HashMap<>();
-    private final Map<String, Long> publishedVersions = new HashMap<>();
-    private final Map<String, Long> publishedAt = new HashMap<>();
-    private final Map<String, Long> pushedAt = new HashMap<>();
-    private final Set<String> proposed = new HashSet<>();
-    private final MembershipChanges changes;
-    private final PlannedLeave leave = new PlannedLeave();
+    private final LinkedBlockingQueue<Runnable> eventQueue = new LinkedBlockingQueue<>(MAX_QUEUED_EVENTS);
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
+    private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
+    private final LeaseTable memberLeases = new LeaseTable();
+    private final Map<String, Long> runnerHeardAt = new HashMap<>();
+    private final Map<String, Long> lastSequenceByRunner = new HashMap<>();
+    private final Map<String, Integer> loadByRunner = new HashMap<>();
+    private final Map<String, Map<String, Long>> subscribersByTopic = new HashMap<>();
+    private final Map<String, Long> publishedVersionByTopic = new HashMap<>();
+    private final Map<String, Long> publishedAtByTopic = new HashMap<>();
+    private final Map<String, Long> pushedAtByTarget = new HashMap<>();
+    private final Set<String> openProposalKeys = new HashSet<>();
+    private final MembershipChanges membershipChanges;
+    private final PlannedLeave plannedLeave = new PlannedLeave();
     private boolean closed;
     private long leaderSince;
-    private long aged;
-    private long membersDue;
-    private long runnersDue;
+    private long lastAgedAt;
+    private long nextMemberScanAt;
+    private long nextRunnerScanAt;
 
     public PartReplica(
             int part,
@@ -111,19 +118,19 @@
         this.membership = membership;
         this.group = new Group(
                 part, self, directory.founding().origin(), folder, first, records, random, this, timing, port.now());
-        changes = new MembershipChanges(self, quorum, timing, new Known());
+        membershipChanges = new MembershipChanges(self, quorum, timing, new GroupStoreStatus());
     }
 
     public void offer(Runnable event) {
-        if (buffer.offer(event) && scheduled.compareAndSet(false, true)) executor.execute(this::work);
+        if (eventQueue.offer(event) && drainScheduled.compareAndSet(false, true)) executor.execute(this::drainEvents);
     }
 
-    private void work() {
-        scheduled.set(false);
-        while (!buffer.isEmpty() && lock.tryLock()) {
+    private void drainEvents() {
+        drainScheduled.set(false);
+        while (!eventQueue.isEmpty() && lock.tryLock()) {
             try {
-                if (closed) buffer.clear();
-                for (var e = buffer.poll(); e != null; e = buffer.poll()) e.run();
+                if (closed) eventQueue.clear();
+                for (var e = eventQueue.poll(); e != null; e = eventQueue.poll()) e.run();
                 if (closed) return;
                 group.syncAndSend(port.now());
                 publishNews(port.now());
@@ -148,19 +155,19 @@
     }
 
     public void receive(CommandRequest a) {
-        offer(() -> onCommandRequest(a, port.now()));
+        offer(() -> handleCommandRequest(a, port.now()));
     }
 
     public void receive(Renew r, Consumer<RenewReply> then) {
-        offer(() -> renew(r, port.now(), then));
+        offer(() -> handleRenewal(r, port.now(), then));
     }
 
     public void receive(Subscribe s) {
-        offer(() -> subscribe(s, port.now()));
+        offer(() -> addSubscriber(s, port.now()));
     }
 
     public void receive(Join j) {
-        offer(() -> join(j, port.now()));
+        offer(() -> handleJoin(j, port.now()));
     }
 
     public void transferLeadership() {
@@ -193,9 +200,9 @@
 
     @Override
     public void applied(long index, long term, Object result) {
-        var w = waiting.remove(index);
+        var w = pendingProposals.remove(index);
         if (w == null) return;
-        w.then.accept(
+        w.onResult.accept(
                 w.term == term
                         ? (CommandResult) result
                         : Records.failure(Kind.UNCERTAIN, "the part changed its leader"));
@@ -204,25 +211,25 @@
     @Override
     public void leadershipChanged(boolean leads, long term) {
         port.note(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
-        fence.reset();
-        leases.clear(port.now());
-        runnersSeen.clear();
-        runnerSequences.clear();
-        runnerLoads.clear();
-        publishedVersions.clear();
-        publishedAt.clear();
-        pushedAt.clear();
-        proposed.clear();
-        mover.reset();
-        watcher.reset();
-        pressure.reset(port.now());
-        signals.clear();
-        history.clear();
-        leaderSince = aged = membersDue = runnersDue = port.now();
+        commandFence.reset();
+        memberLeases.clear(port.now());
+        runnerHeardAt.clear();
+        lastSequenceByRunner.clear();
+        loadByRunner.clear();
+        publishedVersionByTopic.clear();
+        publishedAtByTopic.clear();
+        pushedAtByTarget.clear();
+        openProposalKeys.clear();
+        unitMover.reset();
+        stepWatcher.reset();
+        pressureRelief.reset(port.now());
+        cellSignals.clear();
+        loadHistory.clear();
+        leaderSince = lastAgedAt = nextMemberScanAt = nextRunnerScanAt = port.now();
         if (leads) return;
-        var all = List.copyOf(waiting.values());
-        waiting.clear();
-        all.forEach(w -> w.then.accept(Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())));
+        var all = List.copyOf(pendingProposals.values());
+        pendingProposals.clear();
+        all.forEach(w -> w.onResult.accept(Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())));
     }
 
     @Override
@@ -233,20 +240,24 @@
     private void tick(long now) {
         group.tick(now);
         if (!group.hasLease(now)) return;
-        if (now >= membersDue) {
-            watchMembers(now);
-            membersDue = now + Math.min(REST, MEMBER * records.rows().members.size());
+        if (now >= nextMemberScanAt) {
+            scanMembers(now);
+            nextMemberScanAt = now
+                    + Math.min(
+                            MAX_SCAN_PAUSE_MICROS,
+                            SCAN_PAUSE_PER_MEMBER_MICROS
+                                    * records.rows().members.size());
         }
-        adjustMembers(now);
-        age(now);
-        syncServices();
-        if (now >= runnersDue) {
-            watchRunners(now);
-            move(now);
-            runnersDue = now
+        proposeMembershipChange(now);
+        proposeAging(now);
+        proposeServiceSyncs();
+        if (now >= nextRunnerScanAt) {
+            scanRunners(now);
+            proposeMoves(now);
+            nextRunnerScanAt = now
                     + Math.min(
-                            REST,
-                            RUNNER
+                            MAX_SCAN_PAUSE_MICROS,
+                            SCAN_PAUSE_PER_RUNNER_MICROS
                                     * records.rows().services.values().stream()
                                             .mapToLong(s -> s.runners.size())
                                             .sum());
@@ -264,7 +275,7 @@
         if (i < 0) {
             then.accept(Records.failure(Kind.NOT_OWNER, ""));
         } else {
-            waiting.put(i, new Waiting(group.term(), then));
+            pendingProposals.put(i, new PendingProposal(group.term(), then));
         }
     }
 
@@ -272,7 +283,7 @@
         propose(command, v -> {});
     }
 
-    private void onCommandRequest(CommandRequest a, long now) {
+    private void handleCommandRequest(CommandRequest a, long now) {
         if (!group.hasLease(now)) {
             var v = Records.failure(Kind.NOT_OWNER, "");
             v.leader = otherLeader();
@@ -280,47 +291,47 @@
             return;
         }
         if (a.life != 0 && a.body != null && a.body.length == 0) {
-            decline(a, Kind.LATE_COMMAND);
+            declineCommand(a, Kind.LATE_COMMAND);
             return;
         }
         try {
-            decide(a, Codec.readTagged(a.body), now);
+            admitOrDecline(a, Codec.readTagged(a.body), now);
         } catch (BadMessageException e) {
             port.note(Event.BAD_MESSAGE, e.getMessage());
             reply(a, Records.failure(Kind.BAD_MESSAGE, e.getMessage()));
         }
     }
 
-    private void decide(CommandRequest a, Object body, long now) {
+    private void admitOrDecline(CommandRequest a, Object body, long now) {
         if (a.life == 0 || !Commands.is(body)) {
             dispatch(a, body, now);
             return;
         }
-        var ruling = fence.rule(a, group.term(), now);
+        var ruling = commandFence.check(a, group.term(), now);
         var first = records.verdict(a.life, a.id);
-        if (ruling == CommandFence.Ruling.TAKEN && first != null) {
+        if (ruling == CommandFence.Admission.ADMITTED && first != null) {
             reply(a, first);
             return;
         }
         var order = body instanceof Commands.ZoneMark mark ? mark : null;
-        if (ruling == CommandFence.Ruling.TAKEN && order != null && fence.overtaken(order.zone, a.bound))
-            ruling = CommandFence.Ruling.LATE;
-        if (ruling == CommandFence.Ruling.TAKEN) dispatch(a, body, now);
+        if (ruling == CommandFence.Admission.ADMITTED && order != null && commandFence.isOvertaken(order.zone, a.bound))
+            ruling = CommandFence.Admission.LATE;
+        if (ruling == CommandFence.Admission.ADMITTED) dispatch(a, body, now);
         else {
-            var late = ruling == CommandFence.Ruling.LATE;
-            if (a.term != 0) port.note(late ? Event.LATE_COMMAND : Event.UNKNOWN_LIFE, describe(a, body));
-            decline(a, late ? Kind.LATE_COMMAND : Kind.UNKNOWN_LIFE);
+            var late = ruling == CommandFence.Admission.LATE;
+            if (a.term != 0) port.note(late ? Event.LATE_COMMAND : Event.UNKNOWN_LIFE, describeCommand(a, body));
+            declineCommand(a, late ? Kind.LATE_COMMAND : Kind.UNKNOWN_LIFE);
         }
     }
 
-    private String describe(CommandRequest a, Object body) {
+    private String describeCommand(CommandRequest a, Object body) {
         return body.getClass().getSimpleName() + " of " + a.from.name + " life " + Long.toHexString(a.life) + " ask "
                 + a.id + " term " + a.term + ", at part " + part + " term " + group.term();
     }
 
     /** Refuses a command without effect; its sender learns the leader's clock and may ask anew within its patience. */
-    private void decline(CommandRequest a, Kind kind) {
-        fence.tell(a.life);
+    private void declineCommand(CommandRequest a, Kind kind) {
+        commandFence.recordClockSent(a.life);
         reply(a, Records.failure(kind, kind.text()));
     }
 
@@ -342,55 +353,55 @@
     }
 
     private void dispatch(CommandRequest a, Object body, long now) {
-        if (body instanceof Queries.Status) reply(a, status());
-        else if (body instanceof Queries.ManifestGet) reply(a, withBody(records.rows().manifest));
-        else if (body instanceof Queries.RolloutGet q) reply(a, rolloutStatus(q, now));
-        else if (body instanceof Queries.PlanGet q) reply(a, plan(q));
+        if (body instanceof Queries.Status) reply(a, statusResult());
+        else if (body instanceof Queries.ManifestGet) reply(a, okWithBody(records.rows().manifest));
+        else if (body instanceof Queries.RolloutGet q) reply(a, rolloutStatusResult(q, now));
+        else if (body instanceof Queries.PlanGet q) reply(a, planResult(q));
         else if (body instanceof Commands.ManifestPut c) putManifest(a, c);
         else if (body instanceof Commands.RunnerPut c) putRunner(a, c, now);
-        else if (body instanceof Commands.RunnerLeft c && !knows(c.runner)) reply(a, Records.ok());
-        else proposeFor(a, body, v -> reply(a, v));
+        else if (body instanceof Commands.RunnerLeft c && !isActiveRunner(c.runner)) reply(a, Records.ok());
+        else proposeCommand(a, body, v -> reply(a, v));
     }
 
-    private void proposeFor(CommandRequest a, Object command, Consumer<CommandResult> then) {
-        propose(allFenced() ? CommandFence.identified(a, command, a.body) : command, then);
+    private void proposeCommand(CommandRequest a, Object command, Consumer<CommandResult> then) {
+        propose(allMembersReadFencedCommands() ? CommandFence.withIdentity(a, command, a.body) : command, then);
     }
 
     /** Whether each member, and so each replica, reads commands under an identity. */
-    private boolean allFenced() {
+    private boolean allMembersReadFencedCommands() {
         var all = records.rows().members.values();
         return !all.isEmpty() && all.stream().allMatch(m -> m.node.fenced);
     }
 
-    private boolean knows(String runner) {
+    private boolean isActiveRunner(String runner) {
         return records.rows().services.values().stream()
                 .map(s -> s.runners.get(runner))
                 .anyMatch(r -> r != null && r.state != Rows.Runner.LEAVING);
     }
 
-    private static CommandResult withBody(Object o) {
+    private static CommandResult okWithBody(Object o) {
         var v = Records.ok();
         v.body = Codec.write(o);
         return v;
     }
 
-    private CommandResult plan(Queries.PlanGet q) {
+    private CommandResult planResult(Queries.PlanGet q) {
         var p = records.rows().plans.get(q.plan);
-        return p == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + q.plan) : withBody(p);
+        return p == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + q.plan) : okWithBody(p);
     }
 
     private void putManifest(CommandRequest a, Commands.ManifestPut c) {
         var m = c.number > 0 ? null : ManifestReader.read(c.text);
         if (m != null && m.isLeft())
             reply(a, Records.failure(m.getLeft().kind(), m.getLeft().detail()));
-        else proposeFor(a, c, v -> reply(a, v));
+        else proposeCommand(a, c, v -> reply(a, v));
     }
 
     private void putRunner(CommandRequest a, Commands.RunnerPut c, long now) {
         var s = records.rows().services.get(c.service);
         var r = s == null ? null : s.runners.get(c.runner);
         var k = c.service + "/" + c.runner;
-        var late = c.sequence < runnerSequences.getOrDefault(k, 0L) && c.state == Rows.Runner.UP;
+        var late = c.sequence < lastSequenceByRunner.getOrDefault(k, 0L) && c.state == Rows.Runner.UP;
         if (late) {
             reply(a, Records.ok());
             return;
@@ -404,9 +415,9 @@
                 && r.cell.equals(c.cell)
                 && r.address.equals(c.address);
         if (r == null || c.incarnation >= r.incarnation) {
-            runnersSeen.put(k, now);
-            runnerSequences.merge(k, c.sequence, Math::max);
-            runnerLoads.put(k, c.load);
+            runnerHeardAt.put(k, now);
+            lastSequenceByRunner.merge(k, c.sequence, Math::max);
+            loadByRunner.put(k, c.load);
         }
         var cell = s == null ? -1 : s.cells.indexOf(c.cell);
         if (s == null) reply(a, Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service));
@@ -414,7 +425,7 @@
             reply(a, Records.failure(Kind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell));
         else if (same) reply(a, Records.ok());
         else
-            proposeFor(a, c, v -> {
+            proposeCommand(a, c, v -> {
                 if (v.kind == 0)
                     port.note(
                             c.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
@@ -423,7 +434,7 @@
             });
     }
 
-    private CommandResult status() {
+    private CommandResult statusResult() {
         var s = new PartStatus();
         s.part = part;
         s.leader = directory.self().name;
@@ -436,15 +447,15 @@
         s.services.addAll(records.rows().services.values());
         s.plans.addAll(records.rows().plans.values());
         s.manifest = records.rows().manifest;
-        s.loads.putAll(runnerLoads);
+        s.loads.putAll(loadByRunner);
         for (var n : records.rows().services.keySet()) {
             var p = new PartStatus.Peaks();
             p.service = n;
-            p.minutes = history.newestFirst(n);
+            p.minutes = loadHistory.peaksNewestFirst(n);
             s.peaks.add(p);
         }
         s.claims = records.rows().claims.size();
-        return withBody(s);
+        return okWithBody(s);
     }
 
     private String storeName(long id) {
@@ -452,36 +463,36 @@
         return n == null ? "unreached" : n.name;
     }
 
-    private CommandResult rolloutStatus(Queries.RolloutGet q, long now) {
+    private CommandResult rolloutStatusResult(Queries.RolloutGet q, long now) {
         var s = new RolloutStatus();
         for (var m : records.rows().members.values()) {
-            var have = leases.version(m.node.name, Parts.MANIFEST_TOPIC);
-            if (have >= q.version && !m.lapsed && !leases.earlierMayAct(m.node, now)) continue;
+            var have = memberLeases.reportedVersion(m.node.name, Parts.MANIFEST_TOPIC);
+            if (have >= q.version && !m.lapsed && !memberLeases.earlierInstanceMayAct(m.node, now)) continue;
             s.missing.add(m.node.name);
             var grace = q.zone.isEmpty() || m.node.zone.equals(q.zone) ? m.node.grace : 0;
-            if (m.node.isRouter() && leases.mayAct(m.node, grace, now)) s.able.add(m.node.name);
+            if (m.node.isRouter() && memberLeases.mayStillAct(m.node, grace, now)) s.able.add(m.node.name);
         }
-        return withBody(s);
+        return okWithBody(s);
     }
 
-    private void renew(Renew r, long now, Consumer<RenewReply> then) {
+    private void handleRenewal(Renew r, long now, Consumer<RenewReply> then) {
         if (!group.hasLease(now)) {
-            var v = reply(r, Kind.NOT_OWNER.code());
+            var v = newRenewReply(r, Kind.NOT_OWNER.code());
             v.leader = otherLeader();
             then.accept(v);
             return;
         }
-        if (!r.leaving) push(r, now);
+        if (!r.leaving) pushStaleTopics(r, now);
         var m = records.rows().members.get(r.from.name);
         if (m != null) directory.replaced(m.node, r.from);
-        var standing = outranking(r.from, m);
+        var standing = findOutrankingNode(r.from, m);
         if (standing != null) {
-            var v = reply(r, Kind.STALE_MEMBER.code());
+            var v = newRenewReply(r, Kind.STALE_MEMBER.code());
             v.incarnation = standing.incarnation;
             v.known = standing;
             then.accept(v);
         } else if (r.leaving) {
-            leave(r, m);
+            removeMember(r, m);
         } else if (m == null
                 || m.lapsed
                 || m.node.incarnation != r.from.incarnation
@@ -494,22 +505,22 @@
             var c = new Commands.MemberPut();
             c.node = r.from;
             propose(c, x -> {
-                if (x.kind == 0) renewed(r, port.now(), then);
+                if (x.kind == 0) grantRenewal(r, port.now(), then);
             });
         } else {
-            renewed(r, now, then);
+            grantRenewal(r, now, then);
         }
     }
 
     /** The life of this name that a renewal would have to outrank: the one on record, else one that this store has heard. */
-    private Node outranking(Node from, Rows.Member m) {
+    private Node findOutrankingNode(Node from, Rows.Member m) {
         var n = m != null ? m.node : from.life == 0 ? null : directory.named(from.name);
         if (n == null) return null;
         var later = n.incarnation > from.incarnation;
         return later || m != null && n.incarnation == from.incarnation && n.otherLife(from) ? n : null;
     }
 
-    private void leave(Renew r, Rows.Member m) {
+    private void removeMember(Renew r, Rows.Member m) {
         if (m == null) return;
         var c = new Commands.MemberGone();
         c.name = r.from.name;
@@ -517,7 +528,7 @@
         propose(c);
     }
 
-    private RenewReply reply(Renew r, int kind) {
+    private RenewReply newRenewReply(Renew r, int kind) {
         var v = new RenewReply();
         v.part = part;
         v.kind = kind;
@@ -527,22 +538,25 @@
     }
 
     /** Sends the news of a topic to whoever has nothing of it yet, or has been behind for long. */
-    private void push(Renew r, long now) {
-        pushedAt.values().removeIf(at -> now - at > PUSHED);
+    private void pushStaleTopics(Renew r, long now) {
+        pushedAtByTarget.values().removeIf(at -> now - at > PUSH_INTERVAL_MICROS);
         for (var t : topicNames()) {
             var i = r.topics.indexOf(t);
             var have = i < 0 ? 0 : r.versions.get(i);
             if (i < 0 && r.members >= 0
-                    || have >= version(t)
-                    || have > 0 && now - publishedAt.getOrDefault(t, leaderSince) < IMPATIENT) continue;
-            if (pushedAt.putIfAbsent(r.from.peerAddress + " " + t, now) == null) port.send(r.from.peerAddress, news(t));
+                    || have >= topicVersion(t)
+                    || have > 0
+                            && now - publishedAtByTopic.getOrDefault(t, leaderSince) < STALE_TOPIC_PUSH_DELAY_MICROS)
+                continue;
+            if (pushedAtByTarget.putIfAbsent(r.from.peerAddress + " " + t, now) == null)
+                port.send(r.from.peerAddress, newNews(t));
         }
     }
 
-    private void renewed(Renew r, long now, Consumer<RenewReply> then) {
-        leases.renewed(r, now);
-        for (var g : r.signals) signals.add(g.service, g.cell, g.runs, g.problems, g.firstMicros, now);
-        var v = reply(r, 0);
+    private void grantRenewal(Renew r, long now, Consumer<RenewReply> then) {
+        memberLeases.recordRenewal(r, now);
+        for (var g : r.signals) cellSignals.add(g.service, g.cell, g.runs, g.problems, g.firstMicros, now);
+        var v = newRenewReply(r, 0);
         v.leader = directory.self();
         v.grace = r.from.grace;
         v.membersVersion = records.rows().membersVersion;
@@ -553,9 +567,9 @@
                     .toList());
         for (var t : topicNames()) {
             var i = r.topics.indexOf(t);
-            if (timing.lowTraffic() && i >= 0 && r.versions.get(i) == version(t)) continue;
+            if (timing.lowTraffic() && i >= 0 && r.versions.get(i) == topicVersion(t)) continue;
             v.topics.add(t);
-            v.versions.add(version(t));
+            v.versions.add(topicVersion(t));
         }
         then.accept(v);
     }
@@ -566,16 +580,16 @@
         return all;
     }
 
-    private long version(String topic) {
+    private long topicVersion(String topic) {
         if (topic.equals(Parts.MANIFEST_TOPIC)) return records.rows().manifest.topicVersion;
         var s = records.rows().services.get(topic);
         return s == null ? 0 : s.newsVersion;
     }
 
-    private News news(String topic) {
+    private News newNews(String topic) {
         var n = new News();
         n.topic = topic;
-        n.version = version(topic);
+        n.version = topicVersion(topic);
         n.body = Codec.write(
                 topic.equals(Parts.MANIFEST_TOPIC)
                         ? records.rows().manifest.inForce()
@@ -583,99 +597,99 @@
         return n;
     }
 
-    private void subscribe(Subscribe s, long now) {
-        if (!group.hasLease(now) || version(s.topic) == 0) return;
-        subscribers.computeIfAbsent(s.topic, k -> new HashMap<>()).put(s.from.peerAddress, now);
-        if (version(s.topic) > s.have) port.send(s.from.peerAddress, news(s.topic));
+    private void addSubscriber(Subscribe s, long now) {
+        if (!group.hasLease(now) || topicVersion(s.topic) == 0) return;
+        subscribersByTopic.computeIfAbsent(s.topic, k -> new HashMap<>()).put(s.from.peerAddress, now);
+        if (topicVersion(s.topic) > s.have) port.send(s.from.peerAddress, newNews(s.topic));
     }
 
     private void publishNews(long now) {
         if (!group.hasLease(now)) return;
         for (var t : topicNames()) {
-            var v = version(t);
-            if (publishedVersions.getOrDefault(t, 0L) >= v) continue;
-            publishedVersions.put(t, v);
-            publishedAt.put(t, now);
-            var all = subscribers.getOrDefault(t, Map.of());
-            all.values().removeIf(at -> now - at > SUBSCRIBED);
+            var v = topicVersion(t);
+            if (publishedVersionByTopic.getOrDefault(t, 0L) >= v) continue;
+            publishedVersionByTopic.put(t, v);
+            publishedAtByTopic.put(t, now);
+            var all = subscribersByTopic.getOrDefault(t, Map.of());
+            all.values().removeIf(at -> now - at > SUBSCRIPTION_TTL_MICROS);
             if (all.isEmpty()) continue;
-            var n = news(t);
+            var n = newNews(t);
             all.keySet().forEach(a -> port.send(a, n));
         }
     }
 
-    private void watchMembers(long now) {
+    private void scanMembers(long now) {
         for (var m : List.copyOf(records.rows().members.values())) {
-            if (!m.lapsed && leases.lapsed(m.node, now)) lapse(m);
-            else if (m.lapsed && leases.forgotten(m.node, now)) forget(m);
+            if (!m.lapsed && memberLeases.hasLapsed(m.node, now)) proposeLapse(m);
+            else if (m.lapsed && memberLeases.isForgettable(m.node, now)) proposeRemoval(m);
         }
     }
 
-    private void lapse(Rows.Member m) {
+    private void proposeLapse(Rows.Member m) {
         var c = new Commands.MemberLapsed();
         c.name = m.node.name;
         c.incarnation = m.node.incarnation;
-        if (proposedOnce("lapse/" + c.name + "/" + c.incarnation)) return;
+        if (wasAlreadyProposed("lapse/" + c.name + "/" + c.incarnation)) return;
         port.note(Event.MEMBER_LAPSED, m.node.name + " at part " + part);
-        propose(c, v -> proposed.remove("lapse/" + c.name + "/" + c.incarnation));
+        propose(c, v -> openProposalKeys.remove("lapse/" + c.name + "/" + c.incarnation));
     }
 
-    private void forget(Rows.Member m) {
+    private void proposeRemoval(Rows.Member m) {
         var c = new Commands.MemberGone();
         c.name = m.node.name;
         c.incarnation = m.node.incarnation;
-        if (proposedOnce("gone/" + c.name)) return;
-        propose(c, v -> proposed.remove("gone/" + c.name));
+        if (wasAlreadyProposed("gone/" + c.name)) return;
+        propose(c, v -> openProposalKeys.remove("gone/" + c.name));
     }
 
-    private boolean proposedOnce(String key) {
-        return !proposed.add(key);
+    private boolean wasAlreadyProposed(String key) {
+        return !openProposalKeys.add(key);
     }
 
-    private void watchRunners(long now) {
+    private void scanRunners(long now) {
         for (var s : records.rows().services.values())
             for (var r : s.runners.values()) {
                 var k = s.name + "/" + r.name;
-                var seen = runnersSeen.computeIfAbsent(k, x -> now);
-                if (!r.up() || now - seen <= settings.dark() || proposedOnce("dark/" + k)) continue;
+                var seen = runnerHeardAt.computeIfAbsent(k, x -> now);
+                if (!r.up() || now - seen <= settings.dark() || wasAlreadyProposed("dark/" + k)) continue;
                 var c = new Commands.RunnerMark();
                 c.service = s.name;
                 c.runner = r.name;
                 c.incarnation = r.incarnation;
                 c.state = Rows.Runner.DARK;
                 port.note(Event.RUNNER_DARK, k);
-                propose(c, v -> proposed.remove("dark/" + k));
+                propose(c, v -> openProposalKeys.remove("dark/" + k));
             }
     }
 
-    private void join(Join j, long now) {
-        if (j.answer) leave.answered(j.mayGo, now);
-        else if (group.hasLease(now) && j.leaving) leaveAsked(j, now);
+    private void handleJoin(Join j, long now) {
+        if (j.answer) plannedLeave.recordAnswer(j.mayGo, now);
+        else if (group.hasLease(now) && j.leaving) handleLeaveRequest(j, now);
         else if (group.hasLease(now) && !group.members().isMember(j.from.storeId))
-            changes.wants(j.from.storeId, j.from.zone, now + JOIN_REQUEST_KEPT);
+            membershipChanges.wants(j.from.storeId, j.from.zone, now + JOIN_REQUEST_TTL_MICROS);
     }
 
-    private void leaveAsked(Join j, long now) {
-        changes.leaves(j.from.storeId, now + JOIN_REQUEST_KEPT);
+    private void handleLeaveRequest(Join j, long now) {
+        membershipChanges.leaves(j.from.storeId, now + JOIN_REQUEST_TTL_MICROS);
         var a = new Join();
         a.part = part;
         a.from = directory.self();
         a.answer = true;
-        a.mayGo = changes.mayGo(j.from.storeId, group.members(), leaderSince, now);
+        a.mayGo = membershipChanges.mayGo(j.from.storeId, group.members(), leaderSince, now);
         port.send(j.from.peerAddress, a);
     }
 
     /** Whether this store, which has been stopping since then, is still needed here. */
     public boolean needed(long since, long now) {
-        return leave.needed(since, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
+        return plannedLeave.isNeeded(since, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
     }
 
-    private void adjustMembers(long now) {
-        changes.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
+    private void proposeMembershipChange(long now) {
+        membershipChanges.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
     }
 
     /** What this leader knows of the other stores of its part. */
-    private final class Known implements MembershipChanges.Knowledge {
+    private final class GroupStoreStatus implements MembershipChanges.Knowledge {
         @Override
         public boolean diskLost(long store) {
             return directory.gone(store);
@@ -697,13 +711,13 @@
         }
     }
 
-    private static long voterIn(Members m, String zone) {
+    private static long voterInZone(Members m, String zone) {
         for (var i = 0; i < m.voters.length; i++) if (m.zones[i].equals(zone)) return m.voters[i];
         return 0;
     }
 
-    private void age(long now) {
-        if (now - aged < AGE) return;
+    private void proposeAging(long now) {
+        if (now - lastAgedAt < AGING_INTERVAL_MICROS) return;
         var r = records.rows();
         var held = r.services.values().stream().anyMatch(s -> !s.heldUntil.isEmpty());
         var ended = settings.forgotten() > 0
@@ -711,27 +725,30 @@
                         .anyMatch(s -> s.runners.values().stream().anyMatch(x -> !x.up()));
         if (held || ended || r.claimsLost || !r.claims.isEmpty() || !r.quotas.isEmpty()) {
             var c = new Commands.Age();
-            c.micros = now - aged;
+            c.micros = now - lastAgedAt;
             c.forgotten = settings.forgotten();
             var m = membership.view().manifest();
             c.retention = m == null ? 86_400_000_000L : m.claimRetention();
             propose(c);
         }
-        aged = now;
+        lastAgedAt = now;
     }
 
-    private void syncServices() {
+    private void proposeServiceSyncs() {
         var v = membership.view();
         if (v.manifest() == null || part == Parts.MANIFEST) return;
         for (var s : v.manifest().services().values()) {
             if (Parts.of(s.name()) != part) continue;
             var row = records.rows().services.get(s.name());
-            if (row != null && row.manifestVersion >= v.topic().version || proposedOnce("sync/" + s.name())) continue;
-            propose(serviceSync(s, v.manifest(), v.topic().version), x -> proposed.remove("sync/" + s.name()));
+            if (row != null && row.manifestVersion >= v.topic().version || wasAlreadyProposed("sync/" + s.name()))
+                continue;
+            propose(
+                    newServiceSync(s, v.manifest(), v.topic().version),
+                    x -> openProposalKeys.remove("sync/" + s.name()));
         }
     }
 
-    private static Commands.ServiceSync serviceSync(Manifest.Service s, Manifest m, long version) {
+    private static Commands.ServiceSync newServiceSync(Manifest.Service s, Manifest m, long version) {
         var c = new Commands.ServiceSync();
         c.service = s.name();
         c.manifestVersion = version;
@@ -747,47 +764,47 @@
         return c;
     }
 
-    private void move(long now) {
+    private void proposeMoves(long now) {
         var v = membership.view();
         if (v.manifest() == null) return;
         for (var s : records.rows().services.values()) {
-            history.see(s.name, load(s), now);
-            if (proposed.contains("step/" + s.name)) continue;
-            var step = next(s, v, now);
+            loadHistory.record(s.name, totalLoad(s), now);
+            if (openProposalKeys.contains("step/" + s.name)) continue;
+            var step = nextStepCommand(s, v, now);
             if (step == null) continue;
-            proposed.add("step/" + s.name);
+            openProposalKeys.add("step/" + s.name);
             propose(step, x -> {
-                proposed.remove("step/" + s.name);
-                if (x.kind == 0) noteStep(s.name, step);
+                openProposalKeys.remove("step/" + s.name);
+                if (x.kind == 0) logStep(s.name, step);
             });
         }
     }
 
-    private int load(Rows.Service s) {
+    private int totalLoad(Rows.Service s) {
         return s.runners.values().stream()
                 .filter(Rows.Runner::up)
-                .mapToInt(r -> runnerLoads.getOrDefault(s.name + "/" + r.name, 0))
+                .mapToInt(r -> loadByRunner.getOrDefault(s.name + "/" + r.name, 0))
                 .sum();
     }
 
-    private Object next(Rows.Service s, Membership.View v, long now) {
-        var open = mover.open(s, v.topic().marks, now);
-        var judged = watcher.judge(s, signals, open, now);
+    private Object nextStepCommand(Rows.Service s, Membership.View v, long now) {
+        var open = unitMover.open(s, v.topic().marks, now);
+        var judged = stepWatcher.judge(s, cellSignals, open, now);
         if (judged != null) return judged;
-        var step =
-                mover.step(s, v.manifest().service(s.name), v.topic().marks, (c, i) -> storeSynced(s, c, i, now), now);
-        if (lowestWire() < Node.STEPS) return step instanceof Commands.StepAsk a ? Mover.plain(a) : step;
-        return step != null ? step : pressure.ask(s, runnerLoads, open, now);
+        var step = unitMover.step(
+                s, v.manifest().service(s.name), v.topic().marks, (c, i) -> isZoneStoreSynced(s, c, i, now), now);
+        if (lowestWireVersion() < Node.STEPS) return step instanceof Commands.StepAsk a ? Mover.plain(a) : step;
+        return step != null ? step : pressureRelief.ask(s, loadByRunner, open, now);
     }
 
-    private int lowestWire() {
+    private int lowestWireVersion() {
         return records.rows().members.values().stream()
                 .mapToInt(m -> m.node.wire)
                 .min()
                 .orElse(0);
     }
 
-    private void noteStep(String service, Object step) {
+    private void logStep(String service, Object step) {
         var s = records.rows().services.get(service);
         if (step instanceof Commands.Displace d)
             port.note(
@@ -803,30 +820,30 @@
                 text);
     }
 
-    private boolean storeSynced(Rows.Service s, int cell, long index, long now) {
-        var id = voterIn(group.members(), s.zones.get(cell));
+    private boolean isZoneStoreSynced(Rows.Service s, int cell, long index, long now) {
+        var id = voterInZone(group.members(), s.zones.get(cell));
         return id == 0
                 || id == directory.self().storeId
-                || now - group.heardFrom(id) > SYNCED
+                || now - group.heardFrom(id) > REACHABLE_STORE_WINDOW_MICROS
                 || group.matchOf(id) >= index;
     }
 
     private void balanceLeaders(long now) {
-        if (now - leaderSince < (timing.lowTraffic() ? GATHER : timing.settled())) return;
+        if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.settled())) return;
         var m = group.members();
         var to = preferredLeader(m);
-        if (changes.mayLead(to, m, now) && directory.store(to) != null) group.transferLeadership(to, now);
+        if (membershipChanges.mayLead(to, m, now) && directory.store(to) != null) group.transferLeadership(to, now);
     }
 
     private long preferredLeader(Members m) {
-        if (!timing.lowTraffic()) return changes.preferredLeader(m, part);
+        if (!timing.lowTraffic()) return membershipChanges.preferredLeader(m, part);
         var first = part == Parts.MANIFEST ? null : membership.leader(Parts.MANIFEST);
         return first != null && m.isVoter(first.storeId) ? first.storeId : 0;
     }
 
     private void transferLeadership(long now) {
         if (!group.ready()) return;
-        var heir = changes.heir(group.members(), now);
+        var heir = membershipChanges.heir(group.members(), now);
         if (heir != 0) group.transferLeadership(heir, now);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
+++ b/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
@@ -5,29 +5,29 @@
  * is no leader, or one that gives no answer (as an earlier version gives none), it waits a while for each. Times are microseconds.
  */
 final class PlannedLeave {
-    private static final long TIMEOUT = 2_000_000;
+    private static final long WAIT_TIMEOUT_MICROS = 2_000_000;
 
-    private long asksSince;
+    private long askingSince;
     private long leaderlessSince;
     private long answeredAt;
-    private boolean mayGo;
+    private boolean mayLeave;
 
     /** The leader has answered. */
-    synchronized void answered(boolean may, long now) {
+    synchronized void recordAnswer(boolean may, long now) {
         answeredAt = now;
-        mayGo = may;
+        mayLeave = may;
     }
 
     /** Whether it is needed, with the stop begun at that time, given whether it leads the part and whether a leader is heard. */
-    synchronized boolean needed(long since, boolean leads, boolean leaderHeard, long now) {
-        if (leads || !leaderHeard) asksSince = now;
-        if (leads) return now - since < TIMEOUT;
+    synchronized boolean isNeeded(long since, boolean leads, boolean leaderHeard, long now) {
+        if (leads || !leaderHeard) askingSince = now;
+        if (leads) return now - since < WAIT_TIMEOUT_MICROS;
         if (!leaderHeard) {
             if (leaderlessSince == 0) leaderlessSince = now;
-            return now - leaderlessSince < TIMEOUT;
+            return now - leaderlessSince < WAIT_TIMEOUT_MICROS;
         }
         leaderlessSince = 0;
-        var asked = Math.max(since, asksSince);
-        return answeredAt > asked ? !mayGo : now - asked < TIMEOUT;
+        var asked = Math.max(since, askingSince);
+        return answeredAt > asked ? !mayLeave : now - asked < WAIT_TIMEOUT_MICROS;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Quorum.java
+++ b/lib/control/src/main/java/craneway/control/store/Quorum.java
@@ -8,7 +8,7 @@
 
 /** How many stores vote on each part, and which region each zone lies in; a zone not named is its own region. */
 public record Quorum(int voters, Map<String, String> regions) {
-    private static final int REGION = 1_000;
+    private static final int REGION_WEIGHT = 1_000;
 
     public static final Quorum THREE = new Quorum(3, Map.of());
 
@@ -18,35 +18,35 @@
     }
 
     /** How unevenly stores in these zones are spread over regions, then zones; less is better. */
-    int crowd(List<String> zones) {
+    int unevenness(List<String> zones) {
         var r = new HashMap<String, Integer>();
         var z = new HashMap<String, Integer>();
         for (var x : zones) {
             r.merge(regions.getOrDefault(x, x), 1, Integer::sum);
             z.merge(x, 1, Integer::sum);
         }
-        return REGION * squares(r) + squares(z);
+        return REGION_WEIGHT * sumOfSquares(r) + sumOfSquares(z);
     }
 
-    private static int squares(Map<String, Integer> m) {
+    private static int sumOfSquares(Map<String, Integer> m) {
         return m.values().stream().mapToInt(n -> n * n).sum();
     }
 
-    int crowdWith(String[] zones, String zone) {
+    int unevennessWith(String[] zones, String zone) {
         var all = new ArrayList<>(Arrays.asList(zones));
         all.add(zone);
-        return crowd(all);
+        return unevenness(all);
     }
 
-    int crowdWithout(String[] zones, int i) {
+    int unevennessWithout(String[] zones, int i) {
         var all = new ArrayList<>(Arrays.asList(zones));
         all.remove(i);
-        return crowd(all);
+        return unevenness(all);
     }
 
-    int crowdSwapped(String[] zones, int i, String zone) {
+    int unevennessAfterSwap(String[] zones, int i, String zone) {
         var all = zones.clone();
         all[i] = zone;
-        return crowd(Arrays.asList(all));
+        return unevenness(Arrays.asList(all));
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -10,50 +10,50 @@
 
 /** The replies to the renewals of one message: they go back together, but none waits long for a part that is held up. */
 final class RenewReplyBatch {
-    private static final long TIMEOUT = 15_000;
+    private static final long COLLECT_TIMEOUT_MICROS = 15_000;
 
     private final Port port;
     private final Node self;
-    private final Renewals asked;
-    private final long since;
-    private final List<RenewReply> ready = new ArrayList<>();
-    private int open;
-    private boolean late;
+    private final Renewals request;
+    private final long receivedAt;
+    private final List<RenewReply> collectedReplies = new ArrayList<>();
+    private int outstandingReplies;
+    private boolean timedOut;
 
     RenewReplyBatch(Port port, Node self, Renewals asked) {
         this.port = port;
         this.self = self;
-        this.asked = asked;
-        since = port.now();
-        open = asked.parts.size();
+        this.request = asked;
+        receivedAt = port.now();
+        outstandingReplies = asked.parts.size();
     }
 
     synchronized void add(RenewReply v) {
-        if (v.incarnation == asked.from.incarnation) v.incarnation = 0;
+        if (v.incarnation == request.from.incarnation) v.incarnation = 0;
         v.stamp = v.grace = 0;
         if (v.kind == 0) v.leader = null;
-        ready.add(v);
-        open--;
-        if (late || open == 0) send();
+        collectedReplies.add(v);
+        outstandingReplies--;
+        if (timedOut || outstandingReplies == 0) send();
     }
 
     /** Sends what is ready after a while; whether nothing more is to be waited for. */
-    synchronized boolean over(long now) {
-        if (open == 0) return true;
-        if (now - since < TIMEOUT) return false;
-        late = true;
-        if (!ready.isEmpty()) send();
+    synchronized boolean flushIfOverdue(long now) {
+        if (outstandingReplies == 0) return true;
+        if (now - receivedAt < COLLECT_TIMEOUT_MICROS) return false;
+        timedOut = true;
+        if (!collectedReplies.isEmpty()) send();
         return true;
     }
 
     private void send() {
         var all = new RenewReplies();
-        all.stamp = asked.stamp;
-        all.incarnation = asked.from.incarnation;
-        all.grace = asked.from.grace;
-        if (asked.leader != self.incarnation) all.leader = self;
-        all.parts.addAll(ready);
-        ready.clear();
-        port.send(asked.from.peerAddress, all);
+        all.stamp = request.stamp;
+        all.incarnation = request.from.incarnation;
+        all.grace = request.from.grace;
+        if (request.leader != self.incarnation) all.leader = self;
+        all.parts.addAll(collectedReplies);
+        collectedReplies.clear();
+        port.send(request.from.peerAddress, all);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Settings.java
+++ b/lib/control/src/main/java/craneway/control/store/Settings.java
@@ -10,9 +10,9 @@
  * @param forgotten after how long a runner that is leaving or gone is forgotten; 0: never
  */
 public record Settings(int founders, boolean seedsOnly, boolean firstStart, long dark, long forgotten) {
-    private static final long DARK = 3_000_000;
+    private static final long DEFAULT_DARK_AFTER_MICROS = 3_000_000;
 
     public static Settings of(int founders) {
-        return new Settings(founders, false, true, DARK, 0);
+        return new Settings(founders, false, true, DEFAULT_DARK_AFTER_MICROS, 0);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -43,35 +43,38 @@
 import java.util.function.Consumer;
 
 public final class Store {
-    private static final String IDENTITY = "identity",
-            CORE = "core",
-            KNOWN = "known",
-            LIFE = "life",
-            FOUNDERS = "founders",
-            LOST = "lost.";
-    private static final long JOIN = 500_000, SAY = 5_000_000, SAVE = 5_000_000, ALIVE = 3_000_000;
+    private static final String IDENTITY_FILE = "identity",
+            CORE_FILE = "core",
+            KNOWN_STORES_FILE = "known",
+            INCARNATION_FILE = "life",
+            FOUNDERS_FILE = "founders",
+            LOST_FILE_PREFIX = "lost.";
+    private static final long JOIN_INTERVAL_MICROS = 500_000,
+            WAITING_LOG_INTERVAL_MICROS = 5_000_000,
+            SAVE_INTERVAL_MICROS = 5_000_000,
+            LEADER_ALIVE_WINDOW_MICROS = 3_000_000;
     /** How long a store that stops tries to hand over what it leads. */
-    private static final long HAND_OVER = 2_000_000;
+    private static final long HANDOVER_TIMEOUT_MICROS = 2_000_000;
 
     private final Port port;
     private final Folder folder;
     private final Rules rules;
-    private final Executor saver;
+    private final Executor saveExecutor;
     private final Settings settings;
     private final List<String> seeds;
-    private Set<String> founders;
+    private Set<String> founderAddresses;
     private final Random random;
     private final Directory directory;
     private final CoreClient coreClient;
     private final Membership membership;
     private final Queue<RenewReplyBatch> replyBatches = new ConcurrentLinkedQueue<>();
     private volatile PartReplica[] replicas = {};
-    private long joinDue;
-    private long sayDue;
-    private long saveDue;
-    private volatile String savedKnown = "";
+    private long nextJoinAt;
+    private long nextWaitingLogAt;
+    private long nextSaveAt;
+    private volatile String savedKnownStores = "";
     private volatile long leavingSince;
-    private volatile long savedLife;
+    private volatile long savedIncarnation;
 
     public Store(Port port, Folder folder, Node self, List<String> seeds, int expected, Random random) {
         this(port, folder, self, seeds, Rules.of(expected), random);
@@ -81,30 +84,32 @@
         this.port = port;
         this.folder = folder;
         this.rules = rules;
-        saver = rules.executors().apply(Parts.MANIFEST);
+        saveExecutor = rules.executors().apply(Parts.MANIFEST);
         settings = rules.settings();
         this.seeds = seeds;
         this.random = random;
-        self.storeId = identity();
-        if (self.life != 0) self.incarnation = self.above(lastLife());
-        directory = new Directory(port, self, withKnown(seeds), rules.timing());
+        self.storeId = loadOrCreateIdentity();
+        if (self.life != 0) self.incarnation = self.above(loadLastIncarnation());
+        directory = new Directory(port, self, withKnownStores(seeds), rules.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, rules.timing());
-        reopen();
-        founders = founders();
+        reopenCore();
+        founderAddresses = loadFounders();
     }
 
-    private Set<String> founders() {
+    private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
-        var b = folder.read(FOUNDERS);
+        var b = folder.read(FOUNDERS_FILE);
         if (b == null && settings.firstStart())
-            folder.replace(FOUNDERS, b = String.join("\n", seeds).getBytes());
+            folder.replace(FOUNDERS_FILE, b = String.join("\n", seeds).getBytes());
         return b == null ? Set.of() : Set.of(new String(b).split("\n"));
     }
 
-    private boolean founds(Node n) {
+    private boolean mayFound(Node n) {
         return !settings.seedsOnly()
-                || (founders.isEmpty() ? seeds.contains(n.peerAddress) : founders.contains(n.peerAddress));
+                || (founderAddresses.isEmpty()
+                        ? seeds.contains(n.peerAddress)
+                        : founderAddresses.contains(n.peerAddress));
     }
 
     public Directory directory() {
@@ -123,37 +128,42 @@
         return replicas;
     }
 
-    private long identity() {
-        var b = folder.read(IDENTITY);
+    private long loadOrCreateIdentity() {
+        var b = folder.read(IDENTITY_FILE);
         try {
-            if (b != null) return ByteBuffer.wrap(Seal.open(IDENTITY, b)).getLong();
-            if (!folder.names().stream().allMatch(n -> n.startsWith(LOST))) setAside("the identity is missing");
+            if (b != null) return ByteBuffer.wrap(Seal.open(IDENTITY_FILE, b)).getLong();
+            if (!folder.names().stream().allMatch(n -> n.startsWith(LOST_FILE_PREFIX)))
+                setAllFilesAside("the identity is missing");
         } catch (DiskLostException e) {
-            setAside(e.getMessage());
+            setAllFilesAside(e.getMessage());
         }
         var id = random.nextLong() >>> 1 | 1;
-        folder.replace(IDENTITY, Seal.close(ByteBuffer.allocate(8).putLong(id).array()));
+        folder.replace(
+                IDENTITY_FILE, Seal.close(ByteBuffer.allocate(8).putLong(id).array()));
         return id;
     }
 
     /** The incarnation that the last process on this disk told of; 0 where that is not known. */
-    private long lastLife() {
-        var b = folder.read(LIFE);
+    private long loadLastIncarnation() {
+        var b = folder.read(INCARNATION_FILE);
         try {
-            return b == null ? 0 : ByteBuffer.wrap(Seal.open(LIFE, b)).getLong();
+            return b == null
+                    ? 0
+                    : ByteBuffer.wrap(Seal.open(INCARNATION_FILE, b)).getLong();
         } catch (DiskLostException e) {
-            port.note(Event.DISK_FAILED, LIFE + ": " + e.getMessage());
+            port.note(Event.DISK_FAILED, INCARNATION_FILE + ": " + e.getMessage());
             return 0;
         }
     }
 
-    private void saveLife(long incarnation) {
+    private void saveIncarnation(long incarnation) {
         try {
             folder.replace(
-                    LIFE, Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
-            savedLife = incarnation;
+                    INCARNATION_FILE,
+                    Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
+            savedIncarnation = incarnation;
         } catch (DiskException e) {
-            port.note(Event.DISK_FAILED, LIFE + ": " + e.getMessage());
+            port.note(Event.DISK_FAILED, INCARNATION_FILE + ": " + e.getMessage());
         }
     }
 
@@ -161,40 +171,40 @@
      * Renames all files, the identity first: whatever a crash leaves, no start takes the rest for a store that still has
      * its votes and entries.
      */
-    private void setAside(String cause) {
+    private void setAllFilesAside(String cause) {
         port.note(Event.DISK_LOST, cause);
-        if (folder.read(IDENTITY) != null) setAsideFile(IDENTITY);
-        for (var n : folder.names()) if (!n.startsWith(LOST)) setAsideFile(n);
+        if (folder.read(IDENTITY_FILE) != null) setAsideFile(IDENTITY_FILE);
+        for (var n : folder.names()) if (!n.startsWith(LOST_FILE_PREFIX)) setAsideFile(n);
     }
 
     /** An earlier file set aside under this name stays: it gets a number. */
     private void setAsideFile(String name) {
-        var to = LOST + name;
-        for (var i = 2; folder.read(to) != null; i++) to = LOST + i + "." + name;
+        var to = LOST_FILE_PREFIX + name;
+        for (var i = 2; folder.read(to) != null; i++) to = LOST_FILE_PREFIX + i + "." + name;
         folder.rename(name, to);
     }
 
-    private List<String> withKnown(List<String> seeds) {
+    private List<String> withKnownStores(List<String> seeds) {
         var all = new ArrayList<>(seeds);
-        var b = folder.read(KNOWN);
+        var b = folder.read(KNOWN_STORES_FILE);
         if (b != null) for (var a : new String(b).split("\n")) if (!a.isBlank() && !all.contains(a)) all.add(a);
         return all;
     }
 
-    private void reopen() {
-        var b = folder.read(CORE);
+    private void reopenCore() {
+        var b = folder.read(CORE_FILE);
         if (b == null) return;
         try {
-            start(Codec.read(Founding.class, Seal.open(CORE, b)));
+            startReplicas(Codec.read(Founding.class, Seal.open(CORE_FILE, b)));
         } catch (DiskLostException | BadMessageException e) {
-            setAside(e.getMessage());
-            directory.self().storeId = identity();
+            setAllFilesAside(e.getMessage());
+            directory.self().storeId = loadOrCreateIdentity();
             directory.forgetCore();
             replicas = new PartReplica[0];
         }
     }
 
-    private void start(Founding f) {
+    private void startReplicas(Founding f) {
         var self = directory.self().storeId;
         directory.founding(f, f.coreId);
         var first = f.has(self) ? Members.of(f.stores, f.zones) : new Members();
@@ -212,33 +222,33 @@
     }
 
     public void tickPart(int part) {
-        replica(part, PartReplica::tick);
+        withReplica(part, PartReplica::tick);
     }
 
     public void tickNode() {
         var now = port.now();
-        if (directory.newer() != null) surrender(directory.newer());
+        if (directory.newer() != null) followNewerCore(directory.newer());
         directory.tick(now);
-        if (directory.self().coreId == 0) tryFound(now);
+        if (directory.self().coreId == 0) tryFoundCore(now);
         membership.tick(now);
         coreClient.tick(now);
-        replyBatches.removeIf(b -> b.over(now));
-        if (now >= joinDue) join(now);
-        if (now >= saveDue) saveKnown(now);
+        replyBatches.removeIf(b -> b.flushIfOverdue(now));
+        if (now >= nextJoinAt) sendJoinRequests(now);
+        if (now >= nextSaveAt) saveKnownStores(now);
     }
 
-    private void closeAll() {
+    private void closeReplicas() {
         for (var k : replicas) k.close();
         replicas = new PartReplica[0];
     }
 
-    private void surrender(Founding f) {
+    private void followNewerCore(Founding f) {
         port.note(Event.SURRENDERED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        closeAll();
-        setAside("generation " + f.generation + " of the core lives");
-        founders = Set.of();
+        closeReplicas();
+        setAllFilesAside("generation " + f.generation + " of the core lives");
+        founderAddresses = Set.of();
         directory.follow(f);
-        directory.self().storeId = identity();
+        directory.self().storeId = loadOrCreateIdentity();
         directory.self().coreId = 0;
         membership.follow();
     }
@@ -255,7 +265,7 @@
                 var n = directory.store(v);
                 if (v == directory.self().storeId || n != null && directory.heard(n.name, now)) heard++;
             }
-            if (k.group().leaderHeard(now, ALIVE)
+            if (k.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
                     || heard >= k.group().members().majority() && k.group().members().voters.length > 1)
                 return Either.left(
                         Problem.of(Kind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
@@ -275,17 +285,17 @@
         f.coreId = Hash.of(Hash.of(f.origin, f.generation), self.storeId) | 1;
         f.stores = new long[] {self.storeId};
         f.zones = new String[] {self.zone};
-        closeAll();
-        folder.replace(CORE, Seal.close(Codec.write(f)));
+        closeReplicas();
+        folder.replace(CORE_FILE, Seal.close(Codec.write(f)));
         port.note(Event.REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
         directory.follow(f);
         membership.follow();
-        start(f);
+        startReplicas(f);
         return r;
     }
 
-    private void join(long now) {
-        joinDue = now + (rules.timing().lowTraffic() ? JOIN / 2 : JOIN);
+    private void sendJoinRequests(long now) {
+        nextJoinAt = now + (rules.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
         for (var k : replicas) {
             var leaving = leavingSince != 0;
             if (!leaving && !k.shouldJoin(now)) continue;
@@ -299,55 +309,55 @@
         }
     }
 
-    private void saveKnown(long now) {
-        saveDue = now + SAVE;
+    private void saveKnownStores(long now) {
+        nextSaveAt = now + SAVE_INTERVAL_MICROS;
         var text = String.join(
                 "\n",
                 directory.stores().stream().map(n -> n.peerAddress).sorted().toList());
         var life = directory.self().incarnation;
-        if (life != savedLife) saver.execute(() -> saveLife(life));
-        if (!text.equals(savedKnown)) saver.execute(() -> saveKnown(text));
+        if (life != savedIncarnation) saveExecutor.execute(() -> saveIncarnation(life));
+        if (!text.equals(savedKnownStores)) saveExecutor.execute(() -> saveKnownStores(text));
     }
 
-    private void saveKnown(String text) {
+    private void saveKnownStores(String text) {
         try {
-            folder.replace(KNOWN, text.getBytes());
-            savedKnown = text;
+            folder.replace(KNOWN_STORES_FILE, text.getBytes());
+            savedKnownStores = text;
         } catch (DiskException e) {
-            port.note(Event.DISK_FAILED, KNOWN + ": " + e.getMessage());
+            port.note(Event.DISK_FAILED, KNOWN_STORES_FILE + ": " + e.getMessage());
         }
     }
 
-    private void tryFound(long now) {
+    private void tryFoundCore(long now) {
         var heard = directory.known().stream()
                 .filter(k -> now - k.heard < Directory.STALE)
                 .toList();
         var f = directory.founding();
         if (f != null) {
-            adopt(f);
+            adoptCore(f);
             return;
         }
         if (heard.stream().anyMatch(k -> k.node.coreId != 0)) return;
         var empty = new ArrayList<Node>();
-        if (!founds(directory.self())) return;
+        if (!mayFound(directory.self())) return;
         empty.add(directory.self());
         heard.stream()
                 .map(k -> k.node)
-                .filter(n -> n.kind.equals(Node.STORE) && founds(n))
+                .filter(n -> n.kind.equals(Node.STORE) && mayFound(n))
                 .forEach(empty::add);
         empty.sort(Comparator.comparingLong(n -> n.storeId));
-        var digest = digest(empty);
+        var digest = digestOf(empty);
         directory.seen(digest);
         var agreed = heard.stream()
-                .filter(k -> k.node.kind.equals(Node.STORE) && founds(k.node))
+                .filter(k -> k.node.kind.equals(Node.STORE) && mayFound(k.node))
                 .allMatch(k -> k.seen == digest);
-        var may = !settings.seedsOnly() || !founders.isEmpty();
-        if (may && empty.size() == settings.founders() && agreed) adopt(founding(empty, digest));
-        else if (now >= sayDue) sayWaiting(empty, now);
+        var may = !settings.seedsOnly() || !founderAddresses.isEmpty();
+        if (may && empty.size() == settings.founders() && agreed) adoptCore(newFounding(empty, digest));
+        else if (now >= nextWaitingLogAt) logWaitingToFound(empty, now);
     }
 
-    private void sayWaiting(List<Node> empty, long now) {
-        sayDue = now + SAY;
+    private void logWaitingToFound(List<Node> empty, long now) {
+        nextWaitingLogAt = now + WAITING_LOG_INTERVAL_MICROS;
         port.note(
                 Event.WAITING_TO_FOUND,
                 "sees " + empty.size() + " empty stores "
@@ -355,13 +365,13 @@
                         + " that see one another");
     }
 
-    private static long digest(List<Node> stores) {
+    private static long digestOf(List<Node> stores) {
         var h = 1L;
         for (var s : stores) h = Hash.of(h, s.storeId);
         return h | 1;
     }
 
-    private static Founding founding(List<Node> stores, long digest) {
+    private static Founding newFounding(List<Node> stores, long digest) {
         var f = new Founding();
         f.coreId = digest;
         f.stores = stores.stream().mapToLong(n -> n.storeId).toArray();
@@ -369,12 +379,12 @@
         return f;
     }
 
-    private void adopt(Founding f) {
-        folder.replace(CORE, Seal.close(Codec.write(f)));
+    private void adoptCore(Founding f) {
+        folder.replace(CORE_FILE, Seal.close(Codec.write(f)));
         port.note(
                 f.has(directory.self().storeId) ? Event.FOUNDED : Event.JOINED_CORE,
                 "core " + Long.toHexString(f.coreId));
-        start(f);
+        startReplicas(f);
     }
 
     public void receive(Object m) {
@@ -383,17 +393,17 @@
         else if (m instanceof RenewReply v) membership.receive(v, now);
         else if (m instanceof News n) membership.receive(n, now);
         else if (m instanceof CommandResult v) coreClient.receive(v);
-        else if (m instanceof PartMessage p) replica(p.part, k -> k.receive(p));
-        else if (m instanceof CommandRequest a) onCommandRequest(a);
+        else if (m instanceof PartMessage p) withReplica(p.part, k -> k.receive(p));
+        else if (m instanceof CommandRequest a) handleCommandRequest(a);
         else if (m instanceof RenewReplies v) membership.receive(v, now);
-        else if (m instanceof Renewals r) renewals(r, now);
-        else if (m instanceof Renew r) replica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
-        else if (m instanceof Subscribe s) replica(Parts.of(s.topic), k -> k.receive(s));
-        else if (m instanceof Join j) replica(j.part, k -> k.receive(j));
+        else if (m instanceof Renewals r) handleRenewals(r, now);
+        else if (m instanceof Renew r) withReplica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
+        else if (m instanceof Subscribe s) withReplica(Parts.of(s.topic), k -> k.receive(s));
+        else if (m instanceof Join j) withReplica(j.part, k -> k.receive(j));
         else port.note(Event.BAD_MESSAGE, "a store takes no " + m.getClass().getSimpleName());
     }
 
-    private void renewals(Renewals all, long now) {
+    private void handleRenewals(Renewals all, long now) {
         if (all.from == null) return;
         var b = new RenewReplyBatch(port, directory.self(), all);
         replyBatches.add(b);
@@ -401,13 +411,13 @@
             r.from = all.from;
             r.stamp = all.stamp;
             r.leaving = all.leaving;
-            replica(r.part, k -> k.receive(r, b::add));
+            withReplica(r.part, k -> k.receive(r, b::add));
         }
     }
 
-    private void onCommandRequest(CommandRequest a) {
+    private void handleCommandRequest(CommandRequest a) {
         if (replicas.length > 0) {
-            replica(a.part, k -> k.receive(a));
+            withReplica(a.part, k -> k.receive(a));
             return;
         }
         var v = Records.failure(Kind.NOT_OWNER, "");
@@ -416,7 +426,7 @@
         port.send(a.from.peerAddress, v);
     }
 
-    private void replica(int part, Consumer<PartReplica> then) {
+    private void withReplica(int part, Consumer<PartReplica> then) {
         var all = replicas;
         if (part >= 0 && part < all.length) then.accept(all[part]);
     }
@@ -430,9 +440,9 @@
         var now = port.now();
         if (leavingSince == 0) {
             leavingSince = now;
-            joinDue = now;
+            nextJoinAt = now;
         }
-        var needed = now - leavingSince < HAND_OVER && transferLeadership();
+        var needed = now - leavingSince < HANDOVER_TIMEOUT_MICROS && transferLeadership();
         for (var k : replicas) needed |= k.needed(leavingSince, now);
         return needed;
     }
--- a/lib/control/src/test/java/craneway/control/node/AskerTest.java
+++ b/lib/control/src/test/java/craneway/control/node/AskerTest.java
@@ -133,7 +133,7 @@
     @Test
     void aReadingThatIsOldIsAskedForAnew() {
         learn(3, 9_000_000);
-        now += LeaderClock.FRESH;
+        now += LeaderClock.FRESH_FOR_MICROS;
         order();
         assertEquals(0, last().body.length);
     }
@@ -142,10 +142,10 @@
     void aReadingIsRenewedByLaterAnswersBeforeItIsOld() {
         learn(3, 9_000_000);
         for (var i = 1; i <= 10; i++) {
-            now += LeaderClock.FRESH / 4;
+            now += LeaderClock.FRESH_FOR_MICROS / 4;
             order();
             assertTrue(last().body.length > 0, "order " + i);
-            coreClient.receive(reply(last(), 0, 3, 9_000_000 + i * LeaderClock.FRESH / 4 - 70_000));
+            coreClient.receive(reply(last(), 0, 3, 9_000_000 + i * LeaderClock.FRESH_FOR_MICROS / 4 - 70_000));
         }
     }
 
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -1,8 +1,8 @@
 package craneway.control.store;
 
-import static craneway.control.store.CommandFence.Ruling.LATE;
-import static craneway.control.store.CommandFence.Ruling.TAKEN;
-import static craneway.control.store.CommandFence.Ruling.UNKNOWN_LIFE;
+import static craneway.control.store.CommandFence.Admission.ADMITTED;
+import static craneway.control.store.CommandFence.Admission.LATE;
+import static craneway.control.store.CommandFence.Admission.UNKNOWN_LIFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -21,7 +21,7 @@
 
     @BeforeEach
     void begin() {
-        fence.tell(LIFE);
+        fence.recordClockSent(LIFE);
     }
 
     private static CommandRequest onCommandRequest(long life, long term, long bound) {
@@ -36,53 +36,54 @@
 
     @Test
     void aCommandWithinItsBoundIsTaken() {
-        assertEquals(TAKEN, fence.rule(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
-        assertEquals(TAKEN, fence.rule(onCommandRequest(LIFE, TERM, NOW), TERM, NOW));
+        assertEquals(ADMITTED, fence.check(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
+        assertEquals(ADMITTED, fence.check(onCommandRequest(LIFE, TERM, NOW), TERM, NOW));
     }
 
     @Test
     void aCommandAfterItsBoundIsLate() {
-        assertEquals(LATE, fence.rule(onCommandRequest(LIFE, TERM, NOW - 1), TERM, NOW));
+        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM, NOW - 1), TERM, NOW));
     }
 
     @Test
     void aBoundByAnotherLeadersClockIsNone() {
-        assertEquals(LATE, fence.rule(onCommandRequest(LIFE, TERM - 1, NOW + 1), TERM, NOW));
-        assertEquals(LATE, fence.rule(onCommandRequest(LIFE, TERM + 1, NOW + 1), TERM, NOW));
-        assertEquals(LATE, fence.rule(onCommandRequest(LIFE, 0, 0), TERM, NOW));
+        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM - 1, NOW + 1), TERM, NOW));
+        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM + 1, NOW + 1), TERM, NOW));
+        assertEquals(LATE, fence.check(onCommandRequest(LIFE, 0, 0), TERM, NOW));
     }
 
     @Test
     void aBoundFartherThanAnyCoreClientWaitsIsNone() {
-        assertEquals(LATE, fence.rule(onCommandRequest(LIFE, TERM, NOW + CommandFence.LONGEST + 1), TERM, NOW));
-        assertEquals(LATE, fence.rule(onCommandRequest(LIFE, TERM, Long.MAX_VALUE), TERM, NOW));
+        assertEquals(
+                LATE, fence.check(onCommandRequest(LIFE, TERM, NOW + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW));
+        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM, Long.MAX_VALUE), TERM, NOW));
     }
 
     @Test
     void aZoneOrderWithAnEarlierBoundThanOneTakenIsOvertaken() {
-        assertFalse(fence.overtaken("z1", NOW + 500));
-        assertFalse(fence.overtaken("z1", NOW + 500));
-        assertTrue(fence.overtaken("z1", NOW + 499));
-        assertFalse(fence.overtaken("z2", NOW + 499));
-        assertFalse(fence.overtaken("z1", NOW + 501));
+        assertFalse(fence.isOvertaken("z1", NOW + 500));
+        assertFalse(fence.isOvertaken("z1", NOW + 500));
+        assertTrue(fence.isOvertaken("z1", NOW + 499));
+        assertFalse(fence.isOvertaken("z2", NOW + 499));
+        assertFalse(fence.isOvertaken("z1", NOW + 501));
         fence.reset();
-        assertFalse(fence.overtaken("z1", NOW + 1));
+        assertFalse(fence.isOvertaken("z1", NOW + 1));
     }
 
     @Test
     void aLifeThatTheLeaderNeverToldItsClockIsUnknown() {
-        assertEquals(UNKNOWN_LIFE, fence.rule(onCommandRequest(LIFE + 1, TERM, NOW + 1), TERM, NOW));
+        assertEquals(UNKNOWN_LIFE, fence.check(onCommandRequest(LIFE + 1, TERM, NOW + 1), TERM, NOW));
         fence.reset();
-        assertEquals(UNKNOWN_LIFE, fence.rule(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
-        fence.tell(LIFE);
-        assertEquals(TAKEN, fence.rule(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
+        assertEquals(UNKNOWN_LIFE, fence.check(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
+        fence.recordClockSent(LIFE);
+        assertEquals(ADMITTED, fence.check(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
     }
 
     @Test
     void livesThatAreToldAreBounded() {
-        for (var i = 0; i < 2_000; i++) fence.tell(1_000 + i);
-        assertEquals(UNKNOWN_LIFE, fence.rule(onCommandRequest(LIFE, TERM, NOW), TERM, NOW));
-        assertEquals(TAKEN, fence.rule(onCommandRequest(2_999, TERM, NOW), TERM, NOW));
+        for (var i = 0; i < 2_000; i++) fence.recordClockSent(1_000 + i);
+        assertEquals(UNKNOWN_LIFE, fence.check(onCommandRequest(LIFE, TERM, NOW), TERM, NOW));
+        assertEquals(ADMITTED, fence.check(onCommandRequest(2_999, TERM, NOW), TERM, NOW));
     }
 
     @Test
@@ -90,14 +91,14 @@
         var body = new byte[] {1, 2, 3};
         var f = assertInstanceOf(
                 Commands.Fenced.class,
-                CommandFence.identified(onCommandRequest(LIFE, TERM, NOW), new Commands.ZoneMark(), body));
+                CommandFence.withIdentity(onCommandRequest(LIFE, TERM, NOW), new Commands.ZoneMark(), body));
         assertEquals(LIFE, f.life);
         assertEquals(12, f.sequence);
         assertEquals(11, f.lowest);
         assertSame(body, f.body);
         var claim = new Commands.Claim();
-        assertSame(claim, CommandFence.identified(onCommandRequest(LIFE, TERM, NOW), claim, body));
+        assertSame(claim, CommandFence.withIdentity(onCommandRequest(LIFE, TERM, NOW), claim, body));
         var old = new Commands.ZoneMark();
-        assertSame(old, CommandFence.identified(onCommandRequest(0, 0, 0), old, body));
+        assertSame(old, CommandFence.withIdentity(onCommandRequest(0, 0, 0), old, body));
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/QuorumTest.java
+++ b/lib/control/src/test/java/craneway/control/store/QuorumTest.java
@@ -17,21 +17,21 @@
 
     @Test
     void regionsCountBeforeZones() {
-        assertTrue(
-                five.crowd(List.of("a1", "b1", "c1", "a1", "b1")) < five.crowd(List.of("a1", "a2", "b1", "b2", "a1")));
-        assertTrue(
-                five.crowd(List.of("a1", "a2", "b1", "b2", "c1")) < five.crowd(List.of("a1", "a1", "b1", "b2", "c1")));
+        assertTrue(five.unevenness(List.of("a1", "b1", "c1", "a1", "b1"))
+                < five.unevenness(List.of("a1", "a2", "b1", "b2", "a1")));
+        assertTrue(five.unevenness(List.of("a1", "a2", "b1", "b2", "c1"))
+                < five.unevenness(List.of("a1", "a1", "b1", "b2", "c1")));
     }
 
     @Test
     void aSwapIntoAFullRegionIsWorse() {
         var zones = new String[] {"a1", "a2", "b1", "b2", "c1"};
-        assertTrue(five.crowdSwapped(zones, 0, "b1") > five.crowd(List.of(zones)));
-        assertEquals(five.crowd(List.of(zones)), five.crowdSwapped(zones, 0, "c2"));
+        assertTrue(five.unevennessAfterSwap(zones, 0, "b1") > five.unevenness(List.of(zones)));
+        assertEquals(five.unevenness(List.of(zones)), five.unevennessAfterSwap(zones, 0, "c2"));
     }
 
     @Test
     void withoutRegionsEachZoneIsItsOwn() {
-        assertTrue(Quorum.THREE.crowd(List.of("x", "y", "z")) < Quorum.THREE.crowd(List.of("x", "x", "z")));
+        assertTrue(Quorum.THREE.unevenness(List.of("x", "y", "z")) < Quorum.THREE.unevenness(List.of("x", "x", "z")));
     }
 }
