--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -62,131 +62,136 @@
     }
 
     /** Takes note of who leads the part; null: nobody known. */
-    public synchronized void leader(int part, Node n) {
-        if (n != null) leaderByPart.put(part, n);
+    public synchronized void leader(int part, Node node) {
+        if (node != null) leaderByPart.put(part, node);
         else leaderByPart.remove(part);
     }
 
     /** Asks the leader of the part; the verdict comes once, within the patience, in microseconds. */
-    public void ask(int part, Object body, long timeout, Consumer<CommandResult> then) {
-        askUntil(part, body, port.now() + timeout, then);
+    public void ask(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
+        askUntil(part, body, port.now() + timeoutMicros, onResult);
     }
 
     /** Asks for one who waits until then, by the steady clock of this process, and not from now on. */
-    public void askUntil(int part, Object body, long until, Consumer<CommandResult> then) {
-        var o = new PendingRequest();
-        o.part = part;
-        o.body = Codec.writeTagged(body);
-        o.isCommand = Commands.is(body);
-        o.deadline = until;
-        o.onResult = then;
+    public void askUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
+        var pending = new PendingRequest();
+        pending.part = part;
+        pending.body = Codec.writeTagged(body);
+        pending.isCommand = Commands.is(body);
+        pending.deadline = deadline;
+        pending.onResult = onResult;
         synchronized (this) {
-            o.id = nextId++;
-            pendingById.put(o.id, o);
-            if (port.now() < until) send(o);
+            pending.id = nextId++;
+            pendingById.put(pending.id, pending);
+            if (port.now() < deadline) send(pending);
         }
     }
 
-    private void send(PendingRequest o) {
+    private void send(PendingRequest pending) {
         var now = port.now();
-        o.nextSendAt = now + RETRY_DELAY_MICROS;
-        var to = leaderByPart.get(o.part);
-        if (to == null) to = storeInTurn(o.storeTurn++);
-        if (to == null) return;
-        o.sent = true;
-        port.send(to.peerAddress, buildRequest(o, to, now));
+        pending.nextSendAt = now + RETRY_DELAY_MICROS;
+        var store = leaderByPart.get(pending.part);
+        if (store == null) store = storeInTurn(pending.storeTurn++);
+        if (store == null) return;
+        pending.sent = true;
+        port.send(store.peerAddress, buildRequest(pending, store, now));
     }
 
     /** Where no reading of the leader's clock is at hand, a command's first copy only asks for one. */
-    private CommandRequest buildRequest(PendingRequest o, Node to, long now) {
-        var a = new CommandRequest();
-        a.id = o.id;
-        a.part = o.part;
-        a.from = directory.self();
-        a.life = life;
-        a.lowest = pendingById.firstKey();
-        a.body = o.body;
-        o.clockOnly = false;
-        if (!o.isCommand) return a;
-        var c = clockByPart.get(o.part);
-        if (c != null && c.isFresh(now)) {
-            a.term = c.term();
-            a.bound = c.leaderTimeAt(o.deadline);
-        } else if (to.fenced && !o.sendUnbound) {
-            o.clockOnly = true;
-            a.body = CLOCK_REQUEST_BODY;
+    private CommandRequest buildRequest(PendingRequest pending, Node store, long now) {
+        var request = new CommandRequest();
+        request.id = pending.id;
+        request.part = pending.part;
+        request.from = directory.self();
+        request.life = life;
+        request.lowest = pendingById.firstKey();
+        request.body = pending.body;
+        pending.clockOnly = false;
+        if (!pending.isCommand) return request;
+        var clock = clockByPart.get(pending.part);
+        if (clock != null && clock.isFresh(now)) {
+            request.term = clock.term();
+            request.bound = clock.leaderTimeAt(pending.deadline);
+        } else if (store.fenced && !pending.sendUnbound) {
+            pending.clockOnly = true;
+            request.body = CLOCK_REQUEST_BODY;
         }
-        return a;
+        return request;
     }
 
     private Node storeInTurn(int turn) {
-        var all = directory.stores();
-        return all.isEmpty() ? null : all.get(Math.floorMod(turn, all.size()));
+        var stores = directory.stores();
+        return stores.isEmpty() ? null : stores.get(Math.floorMod(turn, stores.size()));
     }
 
     /** Takes a verdict from another process, or from this one. */
-    public void receive(CommandResult v) {
-        if (v.life != 0 && v.life != life) {
-            port.note(Event.STALE_VERDICT, "life " + Long.toHexString(v.life) + " ask " + v.id);
+    public void receive(CommandResult result) {
+        if (result.life != 0 && result.life != life) {
+            port.note(Event.STALE_VERDICT, "life " + Long.toHexString(result.life) + " ask " + result.id);
             return;
         }
-        PendingRequest o;
+        PendingRequest pending;
         synchronized (this) {
-            o = pendingById.get(v.id);
-            if (o == null) return;
-            if (v.term != 0)
-                clockByPart.merge(o.part, new LeaderClock(v.term, v.clock, port.now()), LeaderClock::moreAccurate);
-            if (v.kind == Kind.NOT_OWNER.code() || v.kind == Kind.UNCERTAIN.code()) {
-                redirect(o, v.leader);
+            pending = pendingById.get(result.id);
+            if (pending == null) return;
+            if (result.term != 0)
+                clockByPart.merge(
+                        pending.part,
+                        new LeaderClock(result.term, result.clock, port.now()),
+                        LeaderClock::moreAccurate);
+            if (result.kind == Kind.NOT_OWNER.code() || result.kind == Kind.UNCERTAIN.code()) {
+                redirect(pending, result.leader);
                 return;
             }
-            if (v.kind == Kind.LATE_COMMAND.code() || v.kind == Kind.UNKNOWN_LIFE.code()) {
-                resendRebound(o);
+            if (result.kind == Kind.LATE_COMMAND.code() || result.kind == Kind.UNKNOWN_LIFE.code()) {
+                resendRebound(pending);
                 return;
             }
-            if (o.clockOnly && v.kind == Kind.BAD_MESSAGE.code()) {
-                o.sendUnbound = true;
-                send(o);
+            if (pending.clockOnly && result.kind == Kind.BAD_MESSAGE.code()) {
+                pending.sendUnbound = true;
+                send(pending);
                 return;
             }
-            pendingById.remove(v.id);
+            pendingById.remove(result.id);
         }
-        o.onResult.accept(v);
+        pending.onResult.accept(result);
     }
 
-    private void redirect(PendingRequest o, Node hint) {
-        var had = leaderByPart.get(o.part);
-        leader(o.part, hint);
-        if (hint != null && (had == null || !had.name.equals(hint.name) || !had.peerAddress.equals(hint.peerAddress)))
-            send(o);
-        else o.nextSendAt = Math.min(o.nextSendAt, port.now() + RETRY_DELAY_MICROS / 4);
+    private void redirect(PendingRequest pending, Node hint) {
+        var previous = leaderByPart.get(pending.part);
+        leader(pending.part, hint);
+        if (hint != null
+                && (previous == null
+                        || !previous.name.equals(hint.name)
+                        || !previous.peerAddress.equals(hint.peerAddress))) send(pending);
+        else pending.nextSendAt = Math.min(pending.nextSendAt, port.now() + RETRY_DELAY_MICROS / 4);
     }
 
     /** The copy had no effect and its answer brought a reading of the leader's clock: the next copy is bound by that. */
-    private void resendRebound(PendingRequest o) {
+    private void resendRebound(PendingRequest pending) {
         var now = port.now();
-        if (now >= o.deadline) return;
-        if (o.declines++ < MAX_IMMEDIATE_RESENDS) send(o);
-        else o.nextSendAt = Math.min(o.nextSendAt, now + RETRY_DELAY_MICROS / 4);
+        if (now >= pending.deadline) return;
+        if (pending.declines++ < MAX_IMMEDIATE_RESENDS) send(pending);
+        else pending.nextSendAt = Math.min(pending.nextSendAt, now + RETRY_DELAY_MICROS / 4);
     }
 
     /** Sends again what got no answer, and gives up what is over. */
     public void tick(long now) {
-        List<PendingRequest> over = new ArrayList<>();
+        List<PendingRequest> expired = new ArrayList<>();
         synchronized (this) {
-            for (var o : List.copyOf(pendingById.values())) {
-                if (now >= o.deadline) {
-                    pendingById.remove(o.id);
-                    over.add(o);
-                } else if (now >= o.nextSendAt) {
-                    leaderByPart.remove(o.part);
-                    send(o);
+            for (var pending : List.copyOf(pendingById.values())) {
+                if (now >= pending.deadline) {
+                    pendingById.remove(pending.id);
+                    expired.add(pending);
+                } else if (now >= pending.nextSendAt) {
+                    leaderByPart.remove(pending.part);
+                    send(pending);
                 }
             }
         }
-        for (var o : over)
-            o.onResult.accept(
-                    o.sent
+        for (var pending : expired)
+            pending.onResult.accept(
+                    pending.sent
                             ? Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())
                             : Records.failure(Kind.NO_OWNER, "no store is known"));
     }
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -56,20 +56,20 @@
     }
 
     /** Raises this process's incarnation above the known one and tells the others at the next tick. */
-    public synchronized void raise(long known) {
-        if (self.incarnation > known) return;
-        self = self.with(self.above(known), self.serving);
+    public synchronized void raise(long knownIncarnation) {
+        if (self.incarnation > knownIncarnation) return;
+        self = self.with(self.above(knownIncarnation), self.serving);
         greetSoon();
     }
 
     /** Says whether this process serves. */
-    public synchronized void updateServing(boolean is) {
-        self = self.with(self.incarnation, is);
+    public synchronized void updateServing(boolean serving) {
+        self = self.with(self.incarnation, serving);
     }
 
     /** Says how long this process acts on after its lease. */
-    public synchronized void grace(long micros) {
-        self = self.with(micros);
+    public synchronized void grace(long graceMicros) {
+        self = self.with(graceMicros);
     }
 
     public void seen(long digest) {
@@ -84,19 +84,19 @@
         return newer;
     }
 
-    public boolean sameOrigin(Hello h) {
-        return founding != null && founding.sameOrigin(h.founding);
+    public boolean sameOrigin(Hello hello) {
+        return founding != null && founding.sameOrigin(hello.founding);
     }
 
-    public synchronized void follow(Founding f) {
+    public synchronized void follow(Founding successor) {
         newer = null;
-        founding = f;
+        founding = successor;
         self = self.with(self.incarnation, false);
-        self.coreId = f.coreId;
+        self.coreId = successor.coreId;
     }
 
-    public synchronized void founding(Founding f, long coreId) {
-        founding = f;
+    public synchronized void founding(Founding newFounding, long coreId) {
+        founding = newFounding;
         self.coreId = coreId;
     }
 
@@ -110,28 +110,29 @@
     }
 
     public boolean heard(String name, long now) {
-        var k = knownByName.get(name);
-        return k != null && now - k.heard < STALE;
+        var entry = knownByName.get(name);
+        return entry != null && now - entry.heard < STALE;
     }
 
     public Node named(String name) {
         if (name.equals(self.name)) return self;
-        var k = knownByName.get(name);
-        return k == null ? null : k.node;
+        var entry = knownByName.get(name);
+        return entry == null ? null : entry.node;
     }
 
-    public Node store(long id) {
-        if (self.storeId == id) return self;
+    public Node store(long storeId) {
+        if (self.storeId == storeId) return self;
         Known best = null;
-        for (var k : knownByName.values()) if (k.node.storeId == id && (best == null || k.heard > best.heard)) best = k;
+        for (var entry : knownByName.values())
+            if (entry.node.storeId == storeId && (best == null || entry.heard > best.heard)) best = entry;
         return best == null ? null : best.node;
     }
 
     public List<Node> stores() {
-        var all = new ArrayList<Node>();
-        if (self.kind.equals(Node.STORE)) all.add(self);
-        for (var k : knownByName.values()) if (k.node.kind.equals(Node.STORE)) all.add(k.node);
-        return all;
+        var stores = new ArrayList<Node>();
+        if (self.kind.equals(Node.STORE)) stores.add(self);
+        for (var entry : knownByName.values()) if (entry.node.kind.equals(Node.STORE)) stores.add(entry.node);
+        return stores;
     }
 
     /** Whether the disk of this store is known to be lost: its node has come back with another. */
@@ -139,22 +140,22 @@
         return lostDiskStores.contains(storeId);
     }
 
-    public void replaced(Node old, Node by) {
-        var newer = old.name.equals(by.name) && by.incarnation > old.incarnation;
-        if (!newer || old.storeId == 0 || by.storeId == 0 || old.storeId == by.storeId) return;
-        lostDiskStores.add(old.storeId);
-        lostDiskStores.remove(by.storeId);
+    public void replaced(Node oldNode, Node newNode) {
+        var isSuccessor = oldNode.name.equals(newNode.name) && newNode.incarnation > oldNode.incarnation;
+        if (!isSuccessor || oldNode.storeId == 0 || newNode.storeId == 0 || oldNode.storeId == newNode.storeId) return;
+        lostDiskStores.add(oldNode.storeId);
+        lostDiskStores.remove(newNode.storeId);
     }
 
-    public void learn(Node n, long now) {
-        if (n == null) return;
-        if (n.name.equals(self.name)) {
-            outrankEarlierLife(n);
+    public void learn(Node node, long now) {
+        if (node == null) return;
+        if (node.name.equals(self.name)) {
+            outrankEarlierLife(node);
             return;
         }
-        var k = knownByName.computeIfAbsent(n.name, x -> new Known());
-        if (k.node == null || n.incarnation > k.node.incarnation) replaceNode(k, n);
-        if (k.learned == 0) k.learned = now;
+        var entry = knownByName.computeIfAbsent(node.name, name -> new Known());
+        if (entry.node == null || node.incarnation > entry.node.incarnation) replaceNode(entry, node);
+        if (entry.learned == 0) entry.learned = now;
     }
 
     /** Tells the others at the next tick. */
@@ -162,87 +163,91 @@
         nextGreetingAt = 0;
     }
 
-    private void replaceNode(Known k, Node n) {
-        if (k.node != null && k.node.storeId != n.storeId) k.earlierNode = k.node;
-        k.node = n;
+    private void replaceNode(Known entry, Node node) {
+        if (entry.node != null && entry.node.storeId != node.storeId) entry.earlierNode = entry.node;
+        entry.node = node;
     }
 
     /** An earlier life at this very address has ended, since this process holds the address now. */
-    private void outrankEarlierLife(Node n) {
-        var earlier = n.incarnation > self.incarnation || n.incarnation == self.incarnation && n.otherLife(self);
-        if (earlier && n.peerAddress.equals(self.peerAddress)) raise(n.incarnation);
+    private void outrankEarlierLife(Node node) {
+        var outranksThis =
+                node.incarnation > self.incarnation || node.incarnation == self.incarnation && node.otherLife(self);
+        if (outranksThis && node.peerAddress.equals(self.peerAddress)) raise(node.incarnation);
     }
 
     public void tick(long now) {
         if (now < nextGreetingAt) return;
-        if (knownByName.values().removeIf(k -> now - Math.max(k.heard, k.learned) > FORGET))
-            knownByName.values().forEach(k -> k.listDigest = 0);
+        if (knownByName.values().removeIf(entry -> now - Math.max(entry.heard, entry.learned) > FORGET))
+            knownByName.values().forEach(entry -> entry.listDigest = 0);
         if (timing.lowTraffic()) greetLowTraffic(now);
         else greet(now);
     }
 
     private void greet(long now) {
         nextGreetingAt = now + timing.hello();
-        var to = new LinkedHashSet<>(seeds);
-        for (var k : knownByName.values())
-            if (self.coreId == 0 || k.node.kind.equals(Node.STORE)) to.add(k.node.peerAddress);
-        to.remove(self.peerAddress);
-        var h = fullHello(true, now);
-        to.forEach(a -> port.send(a, h));
+        var addresses = new LinkedHashSet<>(seeds);
+        for (var entry : knownByName.values())
+            if (self.coreId == 0 || entry.node.kind.equals(Node.STORE)) addresses.add(entry.node.peerAddress);
+        addresses.remove(self.peerAddress);
+        var hello = fullHello(true, now);
+        addresses.forEach(address -> port.send(address, hello));
     }
 
     private void greetLowTraffic(long now) {
         var stores = knownByName.values().stream()
-                .filter(k -> k.node.kind.equals(Node.STORE))
+                .filter(entry -> entry.node.kind.equals(Node.STORE))
                 .toList();
-        var lost = self.coreId == 0 || stores.stream().noneMatch(k -> now - k.heard < STALE);
-        nextGreetingAt = now + (lost ? Math.min(SEARCH_INTERVAL_MICROS, timing.hello()) : timing.hello());
-        var to = new LinkedHashSet<String>();
-        if (lost) to.addAll(seeds);
-        else if (!seeds.isEmpty() && !self.isRouter()) to.add(seeds.get(Math.floorMod(greetingRound, seeds.size())));
-        if (self.isRouter() && !lost) to.add(stores.get(Math.floorMod(greetingRound, stores.size())).node.peerAddress);
-        else stores.forEach(k -> to.add(k.node.peerAddress));
+        var isDisconnected = self.coreId == 0 || stores.stream().noneMatch(entry -> now - entry.heard < STALE);
+        nextGreetingAt = now + (isDisconnected ? Math.min(SEARCH_INTERVAL_MICROS, timing.hello()) : timing.hello());
+        var addresses = new LinkedHashSet<String>();
+        if (isDisconnected) addresses.addAll(seeds);
+        else if (!seeds.isEmpty() && !self.isRouter())
+            addresses.add(seeds.get(Math.floorMod(greetingRound, seeds.size())));
+        if (self.isRouter() && !isDisconnected)
+            addresses.add(stores.get(Math.floorMod(greetingRound, stores.size())).node.peerAddress);
+        else stores.forEach(entry -> addresses.add(entry.node.peerAddress));
         greetingRound++;
-        to.remove(self.peerAddress);
-        to.forEach(a -> port.send(a, lowTrafficHello(true, knownByAddress(a))));
+        addresses.remove(self.peerAddress);
+        addresses.forEach(address -> port.send(address, lowTrafficHello(true, knownByAddress(address))));
     }
 
     private Known knownByAddress(String address) {
         return knownByName.values().stream()
-                .filter(k -> k.node.peerAddress.equals(address))
+                .filter(entry -> entry.node.peerAddress.equals(address))
                 .findFirst()
                 .orElse(null);
     }
 
-    private Hello lowTrafficHello(boolean asks, Known to) {
-        var h = new Hello();
-        h.from = self;
-        h.wantsReply = asks;
-        h.seen = foundersDigest;
-        h.lowTraffic = true;
-        if (to == null || to.node.coreId != self.coreId) h.founding = founding;
-        if (to != null) h.have = to.listDigest;
-        return h;
+    private Hello lowTrafficHello(boolean wantsReply, Known recipient) {
+        var hello = new Hello();
+        hello.from = self;
+        hello.wantsReply = wantsReply;
+        hello.seen = foundersDigest;
+        hello.lowTraffic = true;
+        if (recipient == null || recipient.node.coreId != self.coreId) hello.founding = founding;
+        if (recipient != null) hello.have = recipient.listDigest;
+        return hello;
     }
 
-    private Hello replyTo(Hello h, long now) {
-        var k = knownByName.get(h.from.name);
-        if (!h.lowTraffic) {
-            var full = fullHello(false, now);
-            if (k != null && k.node.incarnation > h.from.incarnation) full.known.add(k.node);
-            return full;
+    private Hello replyTo(Hello hello, long now) {
+        var entry = knownByName.get(hello.from.name);
+        if (!hello.lowTraffic) {
+            var reply = fullHello(false, now);
+            if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.known.add(entry.node);
+            return reply;
         }
-        var a = lowTrafficHello(false, k);
-        if (h.from.coreId != self.coreId || k != null && k.node.incarnation > h.from.incarnation) a.founding = founding;
+        var reply = lowTrafficHello(false, entry);
+        if (hello.from.coreId != self.coreId || entry != null && entry.node.incarnation > hello.from.incarnation)
+            reply.founding = founding;
         var stores = knownByName.values().stream()
-                .filter(x -> now - x.heard < STALE && x.node.kind.equals(Node.STORE))
-                .map(x -> x.node)
-                .sorted(Comparator.comparing(n -> n.name))
+                .filter(other -> now - other.heard < STALE && other.node.kind.equals(Node.STORE))
+                .map(other -> other.node)
+                .sorted(Comparator.comparing(node -> node.name))
                 .toList();
-        a.list = digestOf(stores);
-        if (a.list != h.have) a.known.addAll(stores);
-        if (k != null && k.node.incarnation > h.from.incarnation) a.known.add(k.node);
-        return a;
+        reply.list = digestOf(stores);
+        if (reply.list != hello.have) reply.known.addAll(stores);
+        if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.known.add(entry.node);
+        return reply;
     }
 
     private synchronized void joinCore(long coreId) {
@@ -250,42 +255,44 @@
     }
 
     private static long digestOf(List<Node> stores) {
-        var d = 1L;
-        for (var n : stores)
-            d = Hash.of(Hash.of(d, Hash.of(n.name + " " + n.peerAddress)), Hash.of(n.incarnation, n.storeId));
-        return d | 1;
-    }
-
-    private Hello fullHello(boolean asks, long now) {
-        var h = new Hello();
-        h.from = self;
-        h.wantsReply = asks;
-        h.seen = foundersDigest;
-        h.founding = founding;
-        for (var k : knownByName.values()) if (now - k.heard < STALE) h.known.add(k.node);
-        return h;
-    }
-
-    public void receive(Hello h, long now) {
-        if (h.from == null || h.from.name.equals(self.name)) return;
-        if (h.from.coreId != 0 && self.coreId != 0 && h.from.coreId != self.coreId) {
-            if (sameOrigin(h) && h.founding.newerThan(founding)) newer = h.founding;
-            else if (sameOrigin(h) && h.wantsReply) port.send(h.from.peerAddress, fullHello(false, now));
+        var digest = 1L;
+        for (var node : stores)
+            digest = Hash.of(
+                    Hash.of(digest, Hash.of(node.name + " " + node.peerAddress)),
+                    Hash.of(node.incarnation, node.storeId));
+        return digest | 1;
+    }
+
+    private Hello fullHello(boolean wantsReply, long now) {
+        var hello = new Hello();
+        hello.from = self;
+        hello.wantsReply = wantsReply;
+        hello.seen = foundersDigest;
+        hello.founding = founding;
+        for (var entry : knownByName.values()) if (now - entry.heard < STALE) hello.known.add(entry.node);
+        return hello;
+    }
+
+    public void receive(Hello hello, long now) {
+        if (hello.from == null || hello.from.name.equals(self.name)) return;
+        if (hello.from.coreId != 0 && self.coreId != 0 && hello.from.coreId != self.coreId) {
+            if (sameOrigin(hello) && hello.founding.newerThan(founding)) newer = hello.founding;
+            else if (sameOrigin(hello) && hello.wantsReply) port.send(hello.from.peerAddress, fullHello(false, now));
             return;
         }
-        learn(h.from, now);
-        var k = knownByName.get(h.from.name);
-        if (k.node.incarnation == h.from.incarnation) {
-            replaceNode(k, h.from);
-            if (k.earlierNode != null) replaced(k.earlierNode, h.from);
-            k.earlierNode = null;
-            k.heard = now;
-            k.seen = h.seen;
-            if (h.list != 0) k.listDigest = h.list;
+        learn(hello.from, now);
+        var entry = knownByName.get(hello.from.name);
+        if (entry.node.incarnation == hello.from.incarnation) {
+            replaceNode(entry, hello.from);
+            if (entry.earlierNode != null) replaced(entry.earlierNode, hello.from);
+            entry.earlierNode = null;
+            entry.heard = now;
+            entry.seen = hello.seen;
+            if (hello.list != 0) entry.listDigest = hello.list;
         }
-        h.known.forEach(n -> learn(n, now));
-        if (founding == null && h.founding != null) founding = h.founding;
-        if (self.coreId == 0 && self.isRouter() && h.from.coreId != 0) joinCore(h.from.coreId);
-        if (h.wantsReply) port.send(h.from.peerAddress, replyTo(h, now));
+        hello.known.forEach(node -> learn(node, now));
+        if (founding == null && hello.founding != null) founding = hello.founding;
+        if (self.coreId == 0 && self.isRouter() && hello.from.coreId != 0) joinCore(hello.from.coreId);
+        if (hello.wantsReply) port.send(hello.from.peerAddress, replyTo(hello, now));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LeaderClock.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaderClock.java
@@ -17,15 +17,15 @@
      * The leader's clock when the local one shows {@code until}, told no later than it is: the reading was taken at or before
      * {@code heard}, so that the leader's clock has gone on at least since then.
      */
-    long leaderTimeAt(long until) {
-        return clockMicros + (until - heardAt);
+    long leaderTimeAt(long localTime) {
+        return clockMicros + (localTime - heardAt);
     }
 
     /** The better of two: that of the later term; within a term the one that took less time on its way, while it is young. */
-    static LeaderClock moreAccurate(LeaderClock old, LeaderClock next) {
-        if (old == null || next.term > old.term) return next;
-        if (next.term < old.term) return old;
-        var closer = next.clockMicros - next.heardAt >= old.clockMicros - old.heardAt;
-        return closer || next.heardAt - old.heardAt > FRESH_FOR_MICROS / 2 ? next : old;
+    static LeaderClock moreAccurate(LeaderClock older, LeaderClock newer) {
+        if (older == null || newer.term > older.term) return newer;
+        if (newer.term < older.term) return older;
+        var isTighter = newer.clockMicros - newer.heardAt >= older.clockMicros - older.heardAt;
+        return isTighter || newer.heardAt - older.heardAt > FRESH_FOR_MICROS / 2 ? newer : older;
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -26,7 +26,7 @@
     private final TimingProfile timing;
     private final PartLease[] partLeases;
     private final TopicTable topics;
-    private IntFunction<List<Signal>> signalSource = p -> List.of();
+    private IntFunction<List<Signal>> signalSource = part -> List.of();
     private boolean isLeaving;
 
     LeaseRenewer(
@@ -44,8 +44,8 @@
         this.topics = topics;
     }
 
-    void setSignalSource(IntFunction<List<Signal>> from) {
-        signalSource = from;
+    void setSignalSource(IntFunction<List<Signal>> source) {
+        signalSource = source;
     }
 
     /** From now on each renewal says that this process leaves. */
@@ -55,78 +55,83 @@
 
     /** Sends the renewals that are due. */
     void sendDue(long now) {
-        var all = new TreeMap<String, Renewals>();
-        for (var p = 0; p < partLeases.length; p++) if (now >= partLeases[p].nextRenewalAt) renew(p, now, all);
-        all.forEach(port::send);
+        var batchByAddress = new TreeMap<String, Renewals>();
+        for (var part = 0; part < partLeases.length; part++)
+            if (now >= partLeases[part].nextRenewalAt) renew(part, now, batchByAddress);
+        batchByAddress.forEach(port::send);
     }
 
-    private void renew(int part, long now, Map<String, Renewals> all) {
-        var l = partLeases[part];
-        if (l.unansweredRenewals >= MAX_UNANSWERED_RENEWALS) coreClient.leader(part, null);
+    private void renew(int part, long now, Map<String, Renewals> batchByAddress) {
+        var lease = partLeases[part];
+        if (lease.unansweredRenewals >= MAX_UNANSWERED_RENEWALS) coreClient.leader(part, null);
         var leader = coreClient.leader(part);
         var stores = leader == null ? directory.stores() : List.of(leader);
-        l.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(l, part) : timing.renew());
+        lease.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(lease, part) : timing.renew());
         if (stores.isEmpty()) return;
-        l.unansweredRenewals++;
-        var r = newRenewal(part, l);
-        l.sentToAllStores = timing.lowTraffic() && leader == null;
-        var to = l.sentToAllStores ? stores : List.of(stores.get(Math.floorMod(l.storeTurn++, stores.size())));
-        for (var s : to) {
-            if (timing.lowTraffic() && s.renewals)
-                addToBatch(r, leader, all.computeIfAbsent(s.peerAddress, a -> newBatch(leader, now)));
-            else sendSingle(r, s, now);
+        lease.unansweredRenewals++;
+        var renewal = newRenewal(part, lease);
+        lease.sentToAllStores = timing.lowTraffic() && leader == null;
+        var recipients =
+                lease.sentToAllStores ? stores : List.of(stores.get(Math.floorMod(lease.storeTurn++, stores.size())));
+        for (var store : recipients) {
+            if (timing.lowTraffic() && store.renewals)
+                addToBatch(
+                        renewal,
+                        leader,
+                        batchByAddress.computeIfAbsent(store.peerAddress, address -> newBatch(leader, now)));
+            else sendSingle(renewal, store, now);
         }
     }
 
     /** The answer leaves out a leader that the message names, so it names one only where that is the leader of all its parts. */
-    private static void addToBatch(Renew part, Node leader, Renewals to) {
-        if (to.leader != incarnationOf(leader)) to.leader = 0;
-        to.parts.add(part);
+    private static void addToBatch(Renew renewal, Node leader, Renewals batch) {
+        if (batch.leader != incarnationOf(leader)) batch.leader = 0;
+        batch.parts.add(renewal);
     }
 
     private static long incarnationOf(Node leader) {
         return leader == null ? 0 : leader.incarnation;
     }
 
-    private Renew newRenewal(int part, PartLease l) {
-        var r = new Renew();
-        r.part = part;
-        r.members = l.membersVersion;
-        r.signals.addAll(signalSource.apply(part));
+    private Renew newRenewal(int part, PartLease lease) {
+        var renewal = new Renew();
+        renewal.part = part;
+        renewal.members = lease.membersVersion;
+        renewal.signals.addAll(signalSource.apply(part));
         topics.forEachVersion(part, (name, version) -> {
-            r.topics.add(name);
-            r.versions.add(version);
+            renewal.topics.add(name);
+            renewal.versions.add(version);
         });
-        return r;
+        return renewal;
     }
 
     private Renewals newBatch(Node leader, long now) {
-        var r = new Renewals();
-        r.from = directory.self();
-        r.stamp = now;
-        r.leaving = isLeaving;
-        r.leader = incarnationOf(leader);
-        return r;
+        var batch = new Renewals();
+        batch.from = directory.self();
+        batch.stamp = now;
+        batch.leaving = isLeaving;
+        batch.leader = incarnationOf(leader);
+        return batch;
     }
 
-    private void sendSingle(Renew part, Node to, long now) {
-        var r = new Renew();
-        r.part = part.part;
-        r.members = part.members;
-        r.topics = part.topics;
-        r.versions = part.versions;
-        r.signals = part.signals;
-        r.from = directory.self();
-        r.stamp = now;
-        r.leaving = isLeaving;
-        port.send(to.peerAddress, r);
+    private void sendSingle(Renew renewal, Node store, long now) {
+        var message = new Renew();
+        message.part = renewal.part;
+        message.members = renewal.members;
+        message.topics = renewal.topics;
+        message.versions = renewal.versions;
+        message.signals = renewal.signals;
+        message.from = directory.self();
+        message.stamp = now;
+        message.leaving = isLeaving;
+        port.send(store.peerAddress, message);
     }
 
     /** Until an answer comes: soon for a part that is not current, the less often the longer all are silent. */
-    private long retryDelay(PartLease l, int part) {
-        if (l.unansweredRenewals > UNANSWERED_BEFORE_SLOWEST_RETRY) return SILENT_CORE_RETRY_MICROS;
-        if (l.unansweredRenewals > UNANSWERED_BEFORE_SLOW_RETRY) return 2 * SEARCH_INTERVAL_MICROS;
-        return l.unansweredRenewals > 0 || !isCurrent(part) ? SEARCH_INTERVAL_MICROS : RETRY_DELAY_MICROS;
+    private long retryDelay(PartLease lease, int part) {
+        if (lease.unansweredRenewals > UNANSWERED_BEFORE_SLOWEST_RETRY) return SILENT_CORE_RETRY_MICROS;
+        if (lease.unansweredRenewals > UNANSWERED_BEFORE_SLOW_RETRY) return 2 * SEARCH_INTERVAL_MICROS;
+        return lease.unansweredRenewals > 0 || !isCurrent(part) ? SEARCH_INTERVAL_MICROS : RETRY_DELAY_MICROS;
     }
 
     /** Whether a part's lease is held and every topic of it has been told once. */
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -28,20 +28,20 @@
     }
 
     /** A part has refused; whether the incarnation was raised, so that all parts are to be asked again. */
-    boolean handleRefusal(RenewReply v) {
+    boolean handleRefusal(RenewReply refusal) {
         var self = directory.self();
-        if (v.incarnation < self.incarnation || namesThisLife(v, self)) return false;
-        var here = v.known != null && v.known.peerAddress.equals(self.peerAddress);
-        if (!here && grantedIncarnations[v.part] == self.incarnation) {
+        if (refusal.incarnation < self.incarnation || namesThisLife(refusal, self)) return false;
+        var isSameAddress = refusal.known != null && refusal.known.peerAddress.equals(self.peerAddress);
+        if (!isSameAddress && grantedIncarnations[refusal.part] == self.incarnation) {
             superseded = true;
             return false;
         }
-        directory.raise(v.incarnation);
+        directory.raise(refusal.incarnation);
         return true;
     }
 
     /** The refusal of a late message of an earlier life names the life that stands: this one. */
-    private static boolean namesThisLife(RenewReply v, Node self) {
-        return v.incarnation == self.incarnation && (v.known == null || !v.known.otherLife(self));
+    private static boolean namesThisLife(RenewReply refusal, Node self) {
+        return refusal.incarnation == self.incarnation && (refusal.known == null || !refusal.known.otherLife(self));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -65,7 +65,7 @@
         this.directory = directory;
         this.coreClient = coreClient;
         lifeClaim = new LifeClaim(directory);
-        for (var i = 0; i < partLeases.length; i++) partLeases[i] = new PartLease();
+        for (var part = 0; part < partLeases.length; part++) partLeases[part] = new PartLease();
         topics = new TopicTable(port, directory, coreClient, timing, part -> partLeases[part].members);
         renewer = new LeaseRenewer(port, directory, coreClient, timing, partLeases, topics);
         publishView();
@@ -76,14 +76,14 @@
     }
 
     public synchronized void follow() {
-        for (var l : partLeases) l.reset();
+        for (var lease : partLeases) lease.reset();
         topics.resetVersions();
-        for (var p = 0; p < partLeases.length; p++) coreClient.leader(p, null);
+        for (var part = 0; part < partLeases.length; part++) coreClient.leader(part, null);
         publishView();
     }
 
-    public synchronized void signals(IntFunction<List<Signal>> from) {
-        renewer.setSignalSource(from);
+    public synchronized void signals(IntFunction<List<Signal>> source) {
+        renewer.setSignalSource(source);
     }
 
     public Node leader(int part) {
@@ -95,36 +95,37 @@
     }
 
     public synchronized boolean current() {
-        for (var l : partLeases) if (!l.held) return false;
+        for (var lease : partLeases) if (!lease.held) return false;
         return topics.isCurrent();
     }
 
     public synchronized void unready() {
         markedUnready = true;
         updateServing();
-        for (var l : partLeases) l.nextRenewalAt = 0;
+        for (var lease : partLeases) lease.nextRenewalAt = 0;
         directory.greetSoon();
     }
 
     private void updateServing() {
-        var is = !markedUnready && (directory.self().serving || current());
+        var serving = !markedUnready && (directory.self().serving || current());
         var self = directory.self();
-        if (!self.isRouter() || self.serving == is) return;
-        directory.updateServing(is);
-        if (timing.lowTraffic()) for (var l : partLeases) l.nextRenewalAt = 0;
+        if (!self.isRouter() || self.serving == serving) return;
+        directory.updateServing(serving);
+        if (timing.lowTraffic()) for (var lease : partLeases) lease.nextRenewalAt = 0;
     }
 
     public boolean usable(long now) {
-        var v = view;
-        return v.manifest() != null && now < v.leaseEnd(Parts.MANIFEST) + Math.max(LEASE, v.grace());
+        var currentView = view;
+        return currentView.manifest() != null
+                && now < currentView.leaseEnd(Parts.MANIFEST) + Math.max(LEASE, currentView.grace());
     }
 
     public synchronized void leave(long now) {
         isLeaving = true;
         renewer.leave();
-        for (var p = 0; p < partLeases.length; p++) {
-            partLeases[p].validUntil = now;
-            partLeases[p].nextRenewalAt = now;
+        for (var part = 0; part < partLeases.length; part++) {
+            partLeases[part].validUntil = now;
+            partLeases[part].nextRenewalAt = now;
         }
         sendDueRenewals(now);
         publishView();
@@ -133,11 +134,11 @@
     public synchronized void tick(long now) {
         if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
-        for (var p = 0; p < partLeases.length; p++) {
-            var l = partLeases[p];
-            if (l.held && now >= l.validUntil) {
-                l.held = false;
-                port.note(Event.LEASE_LAPSED, "part " + p);
+        for (var part = 0; part < partLeases.length; part++) {
+            var lease = partLeases[part];
+            if (lease.held && now >= lease.validUntil) {
+                lease.held = false;
+                port.note(Event.LEASE_LAPSED, "part " + part);
             }
         }
         sendDueRenewals(now);
@@ -148,109 +149,111 @@
         if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
-    public synchronized void receive(RenewReplies all, long now) {
-        for (var v : all.parts) {
-            v.stamp = all.stamp;
-            if (v.incarnation == 0) v.incarnation = all.incarnation;
-            if (v.kind == 0) {
-                v.leader = all.leader;
-                v.grace = all.grace;
+    public synchronized void receive(RenewReplies replies, long now) {
+        for (var reply : replies.parts) {
+            reply.stamp = replies.stamp;
+            if (reply.incarnation == 0) reply.incarnation = replies.incarnation;
+            if (reply.kind == 0) {
+                reply.leader = replies.leader;
+                reply.grace = replies.grace;
             }
-            receive(v, now);
+            receive(reply, now);
         }
         if (isLeaving) return;
         updateServing();
         sendDueRenewals(now);
     }
 
-    public synchronized void receive(RenewReply v, long now) {
-        if (v.part < 0 || v.part >= partLeases.length) return;
-        var l = partLeases[v.part];
-        if (v.kind == Kind.NOT_OWNER.code()) {
-            handleNotLeader(v, l, now);
+    public synchronized void receive(RenewReply reply, long now) {
+        if (reply.part < 0 || reply.part >= partLeases.length) return;
+        var lease = partLeases[reply.part];
+        if (reply.kind == Kind.NOT_OWNER.code()) {
+            handleNotLeader(reply, lease, now);
             return;
         }
-        l.unansweredRenewals = 0;
-        if (v.kind == Kind.STALE_MEMBER.code()) {
-            if (!isLeaving && lifeClaim.handleRefusal(v)) for (var x : partLeases) x.nextRenewalAt = now;
+        lease.unansweredRenewals = 0;
+        if (reply.kind == Kind.STALE_MEMBER.code()) {
+            if (!isLeaving && lifeClaim.handleRefusal(reply)) for (var other : partLeases) other.nextRenewalAt = now;
             return;
         }
-        if (v.kind != 0 || v.incarnation != directory.self().incarnation) return;
-        lifeClaim.recordGrant(v.part);
-        if (v.leader != null) coreClient.leader(v.part, v.leader);
-        for (var i = 0; i < v.topics.size(); i++)
-            topics.recordAdvertisedVersion(v.topics.get(i), v.versions.get(i), now);
-        if (v.members != null) {
-            l.membersVersion = v.membersVersion;
-            l.members = List.copyOf(v.members);
-            v.members.forEach(n -> directory.learn(n, now));
+        if (reply.kind != 0 || reply.incarnation != directory.self().incarnation) return;
+        lifeClaim.recordGrant(reply.part);
+        if (reply.leader != null) coreClient.leader(reply.part, reply.leader);
+        for (var i = 0; i < reply.topics.size(); i++)
+            topics.recordAdvertisedVersion(reply.topics.get(i), reply.versions.get(i), now);
+        if (reply.members != null) {
+            lease.membersVersion = reply.membersVersion;
+            lease.members = List.copyOf(reply.members);
+            reply.members.forEach(member -> directory.learn(member, now));
         }
-        l.offeredUntil = Math.max(l.offeredUntil, v.stamp + LEASE);
-        l.offeredGrace = v.grace;
-        if (timing.lowTraffic() && l.nextRenewalAt > now)
-            l.nextRenewalAt = renewer.isCurrent(v.part)
+        lease.offeredUntil = Math.max(lease.offeredUntil, reply.stamp + LEASE);
+        lease.offeredGrace = reply.grace;
+        if (timing.lowTraffic() && lease.nextRenewalAt > now)
+            lease.nextRenewalAt = renewer.isCurrent(reply.part)
                     ? now + renewer.delayToNextRenewal(now)
                     : now + LeaseRenewer.SEARCH_INTERVAL_MICROS;
-        acceptOffer(v.part, now);
+        acceptOffer(reply.part, now);
     }
 
-    private void handleNotLeader(RenewReply v, PartLease l, long now) {
-        l.unansweredRenewals =
-                Math.min(l.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
-        if (l.sentToAllStores) {
-            directory.learn(v.leader, now);
+    private void handleNotLeader(RenewReply reply, PartLease lease, long now) {
+        lease.unansweredRenewals =
+                Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
+        if (lease.sentToAllStores) {
+            directory.learn(reply.leader, now);
             return;
         }
-        var had = coreClient.leader(v.part);
-        coreClient.leader(v.part, v.leader);
-        if (v.leader == null || had != null && had.name.equals(v.leader.name)) return;
-        l.unansweredRenewals = 0;
-        l.nextRenewalAt = Math.min(l.nextRenewalAt, timing.lowTraffic() ? now : now + LEADER_CHANGE_RETRY_MICROS);
+        var previous = coreClient.leader(reply.part);
+        coreClient.leader(reply.part, reply.leader);
+        if (reply.leader == null || previous != null && previous.name.equals(reply.leader.name)) return;
+        lease.unansweredRenewals = 0;
+        lease.nextRenewalAt =
+                Math.min(lease.nextRenewalAt, timing.lowTraffic() ? now : now + LEADER_CHANGE_RETRY_MICROS);
     }
 
     private void acceptOffer(int part, long now) {
-        var l = partLeases[part];
-        if (l.offeredUntil <= l.validUntil || topics.isTooFarBehind(part, l.held, now)) return;
-        if (!l.held && now < l.offeredUntil) {
-            l.held = true;
-            l.heldSince = now;
+        var lease = partLeases[part];
+        if (lease.offeredUntil <= lease.validUntil || topics.isTooFarBehind(part, lease.held, now)) return;
+        if (!lease.held && now < lease.offeredUntil) {
+            lease.held = true;
+            lease.heldSince = now;
             port.note(Event.LEASE_TAKEN, "part " + part);
         }
-        l.acceptOffer();
+        lease.acceptOffer();
         publishView();
     }
 
-    public synchronized void receive(Subscribe s, long now) {
-        topics.addSubscriber(s, now);
+    public synchronized void receive(Subscribe subscription, long now) {
+        topics.addSubscriber(subscription, now);
     }
 
-    public synchronized void receive(News n, long now) {
-        if (!topics.accept(n)) return;
-        if (n.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
+    public synchronized void receive(News news, long now) {
+        if (!topics.accept(news)) return;
+        if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
         publishView();
-        partLeases[Parts.of(n.topic)].nextRenewalAt = now;
-        acceptOffer(Parts.of(n.topic), now);
+        partLeases[Parts.of(news.topic)].nextRenewalAt = now;
+        acceptOffer(Parts.of(news.topic), now);
         if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
-        topics.takeDeferredNews().forEach(x -> receive(x, now));
+        topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
     }
 
     /** A manifest may name services of parts whose topics have never been told: these parts renew at once. */
     private void renewPartsWithUnknownTopics() {
-        for (var p = 0; p < partLeases.length; p++) if (topics.hasUnknownTopic(p)) partLeases[p].nextRenewalAt = 0;
+        for (var part = 0; part < partLeases.length; part++)
+            if (topics.hasUnknownTopic(part)) partLeases[part].nextRenewalAt = 0;
     }
 
     private void publishView() {
-        var until = new long[partLeases.length];
-        var since = new long[partLeases.length];
-        var all = new ArrayList<List<Node>>();
+        var leaseEnds = new long[partLeases.length];
+        var heldSince = new long[partLeases.length];
+        var members = new ArrayList<List<Node>>();
         var manifest = topics.manifest();
         var grace = manifest == null ? 0 : manifest.lapsedGrace();
-        for (var i = 0; i < until.length; i++) {
-            until[i] = partLeases[i].validUntil;
-            since[i] = partLeases[i].heldSince;
-            all.add(partLeases[i].members);
-            grace = Math.min(grace, partLeases[i].grace);
+        for (var part = 0; part < leaseEnds.length; part++) {
+            leaseEnds[part] = partLeases[part].validUntil;
+            heldSince[part] = partLeases[part].heldSince;
+            members.add(partLeases[part].members);
+            grace = Math.min(grace, partLeases[part].grace);
         }
-        view = new View(topics.manifestTopic(), manifest, topics.services(), until, all, grace, since);
+        view = new View(topics.manifestTopic(), manifest, topics.services(), leaseEnds, members, grace, heldSince);
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -80,136 +80,141 @@
 
     /** Forgets which versions another core had told, and keeps what they said until the new ones come. */
     void resetVersions() {
-        topics.values().forEach(t -> {
-            t.version = t.newestVersion = t.behindSince = 0;
-            t.body = null;
+        topics.values().forEach(topic -> {
+            topic.version = topic.newestVersion = topic.behindSince = 0;
+            topic.body = null;
         });
     }
 
     /** Whether every topic has been told in the newest version known, a manifest among them. */
     boolean isCurrent() {
         return manifest != null
-                && topics.values().stream().noneMatch(t -> t.version == 0 || t.version < t.newestVersion);
+                && topics.values().stream()
+                        .noneMatch(topic -> topic.version == 0 || topic.version < topic.newestVersion);
     }
 
     /** Whether some topic of a part has never been told. */
     boolean hasUnknownTopic(int part) {
-        return topics.entrySet().stream().anyMatch(e -> Parts.of(e.getKey()) == part && e.getValue().version == 0);
+        return topics.entrySet().stream()
+                .anyMatch(entry -> Parts.of(entry.getKey()) == part && entry.getValue().version == 0);
     }
 
     /** Tells the versions of a part's topics. */
-    void forEachVersion(int part, ObjLongConsumer<String> to) {
-        topics.forEach((n, t) -> {
-            if (Parts.of(n) == part) to.accept(n, t.version);
+    void forEachVersion(int part, ObjLongConsumer<String> consumer) {
+        topics.forEach((name, topic) -> {
+            if (Parts.of(name) == part) consumer.accept(name, topic.version);
         });
     }
 
     /** Whether a part's topics are too far behind for its lease to be taken, or kept where it is held. */
-    boolean isTooFarBehind(int part, boolean held, long now) {
+    boolean isTooFarBehind(int part, boolean isHeld, long now) {
         return topics.entrySet().stream()
-                .filter(e -> Parts.of(e.getKey()) == part)
+                .filter(entry -> Parts.of(entry.getKey()) == part)
                 .map(Map.Entry::getValue)
-                .anyMatch(t -> t.behindSince != 0 && (!held || now - t.behindSince > MAX_BEHIND_MICROS));
+                .anyMatch(topic -> topic.behindSince != 0 && (!isHeld || now - topic.behindSince > MAX_BEHIND_MICROS));
     }
 
     /** Hears that a topic has reached a version. */
-    void recordAdvertisedVersion(String topic, long version, long now) {
-        var t = topics.get(topic);
-        if (t == null) return;
-        t.newestVersion = Math.max(t.newestVersion, version);
-        if (t.newestVersion > t.version && t.behindSince == 0) t.behindSince = now;
+    void recordAdvertisedVersion(String name, long version, long now) {
+        var topic = topics.get(name);
+        if (topic == null) return;
+        topic.newestVersion = Math.max(topic.newestVersion, version);
+        if (topic.newestVersion > topic.version && topic.behindSince == 0) topic.behindSince = now;
     }
 
     /** Asks for every topic that is due. */
     void renewSubscriptions(long now) {
-        topics.forEach((n, t) -> renewSubscriptions(n, t, now));
-    }
-
-    private void renewSubscriptions(String name, Topic t, long now) {
-        t.subscribedAtByAddress.values().removeIf(at -> now - at > SUBSCRIPTION_TTL_MICROS);
-        var late = t.behindSince != 0
-                && now - t.behindSince > PULL_FROM_LEADER_AFTER_MICROS
-                && now - t.lastPullAt > PULL_FROM_LEADER_AFTER_MICROS;
-        if (now < t.nextSubscribeAt && !late || timing.lowTraffic() && t.version == 0) return;
-        var home = late ? null : subscriptionSource(name);
-        if (home == null || home.name.equals(directory.self().name)) home = coreClient.leader(Parts.of(name));
-        if (late) t.lastPullAt = now;
-        if (home == null) return;
-        t.nextSubscribeAt = now + timing.subscribe();
-        var s = new Subscribe();
-        s.from = directory.self();
-        s.topic = name;
-        s.have = t.version;
-        port.send(home.peerAddress, s);
+        topics.forEach((name, topic) -> renewSubscriptions(name, topic, now));
+    }
+
+    private void renewSubscriptions(String name, Topic topic, long now) {
+        topic.subscribedAtByAddress.values().removeIf(subscribedAt -> now - subscribedAt > SUBSCRIPTION_TTL_MICROS);
+        var isOverdue = topic.behindSince != 0
+                && now - topic.behindSince > PULL_FROM_LEADER_AFTER_MICROS
+                && now - topic.lastPullAt > PULL_FROM_LEADER_AFTER_MICROS;
+        if (now < topic.nextSubscribeAt && !isOverdue || timing.lowTraffic() && topic.version == 0) return;
+        var source = isOverdue ? null : subscriptionSource(name);
+        if (source == null || source.name.equals(directory.self().name)) source = coreClient.leader(Parts.of(name));
+        if (isOverdue) topic.lastPullAt = now;
+        if (source == null) return;
+        topic.nextSubscribeAt = now + timing.subscribe();
+        var request = new Subscribe();
+        request.from = directory.self();
+        request.topic = name;
+        request.have = topic.version;
+        port.send(source.peerAddress, request);
     }
 
     private Node subscriptionSource(String topic) {
         if (!directory.self().isRouter()) return null;
-        var mine = new TreeMap<String, Node>();
-        mine.put(directory.self().name, directory.self());
-        for (var n : membersOfPart.apply(Parts.of(topic)))
-            if (n.isRouter() && n.serving && n.zone.equals(directory.self().zone)) mine.put(n.name, n);
-        return mine.get(Rendezvous.pick(topic, mine.keySet()));
+        var candidates = new TreeMap<String, Node>();
+        candidates.put(directory.self().name, directory.self());
+        for (var member : membersOfPart.apply(Parts.of(topic)))
+            if (member.isRouter() && member.serving && member.zone.equals(directory.self().zone))
+                candidates.put(member.name, member);
+        return candidates.get(Rendezvous.pick(topic, candidates.keySet()));
     }
 
     /** Takes in a subscriber and sends it what it lacks. */
-    void addSubscriber(Subscribe s, long now) {
-        var t = topics.get(s.topic);
-        if (t == null || s.from == null) return;
-        t.subscribedAtByAddress.put(s.from.peerAddress, now);
-        if (t.body != null && t.version > s.have) port.send(s.from.peerAddress, newNews(s.topic, t));
+    void addSubscriber(Subscribe request, long now) {
+        var topic = topics.get(request.topic);
+        if (topic == null || request.from == null) return;
+        topic.subscribedAtByAddress.put(request.from.peerAddress, now);
+        if (topic.body != null && topic.version > request.have)
+            port.send(request.from.peerAddress, newNews(request.topic, topic));
     }
 
-    private static News newNews(String name, Topic t) {
-        var n = new News();
-        n.topic = name;
-        n.version = t.version;
-        n.body = t.body;
-        return n;
+    private static News newNews(String name, Topic topic) {
+        var news = new News();
+        news.topic = name;
+        news.version = topic.version;
+        news.body = topic.body;
+        return news;
     }
 
     /** Takes news, if they are newer, and passes them on; whether they were. */
-    boolean accept(News n) {
-        var t = topics.get(n.topic);
-        if (t == null && timing.lowTraffic() && manifest == null)
-            newsBeforeManifest.merge(n.topic, n, (a, b) -> a.version < b.version ? b : a);
-        if (t == null || n.version <= t.version) return false;
-        if (n.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.read(Rows.Manifest.class, n.body));
-        else acceptService(Codec.read(Rows.Service.class, n.body));
-        t.version = n.version;
-        t.newestVersion = Math.max(t.newestVersion, n.version);
-        t.body = n.body;
-        if (t.version >= t.newestVersion) t.behindSince = 0;
-        t.subscribedAtByAddress.keySet().forEach(a -> port.send(a, newNews(n.topic, t)));
+    boolean accept(News news) {
+        var topic = topics.get(news.topic);
+        if (topic == null && timing.lowTraffic() && manifest == null)
+            newsBeforeManifest.merge(news.topic, news, (a, b) -> a.version < b.version ? b : a);
+        if (topic == null || news.version <= topic.version) return false;
+        if (news.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.read(Rows.Manifest.class, news.body));
+        else acceptService(Codec.read(Rows.Service.class, news.body));
+        topic.version = news.version;
+        topic.newestVersion = Math.max(topic.newestVersion, news.version);
+        topic.body = news.body;
+        if (topic.version >= topic.newestVersion) topic.behindSince = 0;
+        topic.subscribedAtByAddress.keySet().forEach(a -> port.send(a, newNews(news.topic, topic)));
         return true;
     }
 
     /** News of services that came before the manifest that names them; empty until it is there. */
     List<News> takeDeferredNews() {
         if (manifest == null || newsBeforeManifest.isEmpty()) return List.of();
-        var waiting = List.copyOf(newsBeforeManifest.values());
+        var deferred = List.copyOf(newsBeforeManifest.values());
         newsBeforeManifest.clear();
-        return waiting;
+        return deferred;
     }
 
-    private void acceptManifest(Rows.Manifest m) {
-        manifestTopic = m;
-        if (m.text.isEmpty()) return;
-        manifest = ManifestReader.readChecked(m.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
+    private void acceptManifest(Rows.Manifest row) {
+        manifestTopic = row;
+        if (row.text.isEmpty()) return;
+        manifest = ManifestReader.readChecked(row.text)
+                .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
         directory.grace(manifest.lapsedGrace());
-        port.note(Event.MANIFEST_TAKEN, "version " + m.version + " marks " + m.marks);
-        for (var s : manifest.services().keySet()) topics.computeIfAbsent(s, k -> new Topic());
+        port.note(Event.MANIFEST_TAKEN, "version " + row.version + " marks " + row.marks);
+        for (var service : manifest.services().keySet()) topics.computeIfAbsent(service, name -> new Topic());
         topics.keySet()
-                .removeIf(k ->
-                        !k.equals(Parts.MANIFEST_TOPIC) && !manifest.services().containsKey(k));
-        services.keySet().removeIf(k -> !manifest.services().containsKey(k));
+                .removeIf(name -> !name.equals(Parts.MANIFEST_TOPIC)
+                        && !manifest.services().containsKey(name));
+        services.keySet().removeIf(name -> !manifest.services().containsKey(name));
         servicesSnapshot = null;
     }
 
-    private void acceptService(Rows.Service s) {
-        var old = services.put(s.name, s);
+    private void acceptService(Rows.Service service) {
+        var previous = services.put(service.name, service);
         servicesSnapshot = null;
-        if (old == null || old.tableVersion != s.tableVersion)
-            port.note(Event.TABLE_TAKEN, s.name + " version " + s.tableVersion);
+        if (previous == null || previous.tableVersion != service.tableVersion)
+            port.note(Event.TABLE_TAKEN, service.name + " version " + service.tableVersion);
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intents.java
@@ -24,174 +24,209 @@
 public final class Intents {
     private Intents() {}
 
-    public static Either<Problem, Plan> plan(Intent i, Rows.Manifest topic, List<PartStatus> parts) {
-        if (topic.text.isEmpty()) return problem(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
-        var m = ManifestReader.read(topic.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
-        return marksFor(i, m, topic).flatMap(marks -> buildPlan(i, m, topic, marks, parts));
-    }
-
-    private static Either<Problem, TreeMap<String, String>> marksFor(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.intent() == null) return badIntent("name an intent");
-        return switch (i.intent()) {
-            case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zoneMarks(i, m, topic);
-            case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cellMarks(i, m, topic);
-            case Intent.KEEP_TENANT, Intent.RELEASE_TENANT -> tenantMarks(i, m, topic);
-            default -> badIntent("unknown intent " + i.intent());
+    public static Either<Problem, Plan> plan(Intent intent, Rows.Manifest manifestRow, List<PartStatus> statuses) {
+        if (manifestRow.text.isEmpty()) return problem(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
+        var manifest = ManifestReader.read(manifestRow.text)
+                .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
+        return marksFor(intent, manifest, manifestRow)
+                .flatMap(marks -> buildPlan(intent, manifest, manifestRow, marks, statuses));
+    }
+
+    private static Either<Problem, TreeMap<String, String>> marksFor(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.intent() == null) return badIntent("name an intent");
+        return switch (intent.intent()) {
+            case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zoneMarks(intent, manifest, manifestRow);
+            case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cellMarks(intent, manifest, manifestRow);
+            case Intent.KEEP_TENANT, Intent.RELEASE_TENANT -> tenantMarks(intent, manifest, manifestRow);
+            default -> badIntent("unknown intent " + intent.intent());
         };
     }
 
-    private static Either<Problem, TreeMap<String, String>> zoneMarks(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.zone() == null || !m.zones().containsKey(i.zone())) return badIntent("no zone " + i.zone());
-        return singleMark(MarkKey.zone(i.zone()), i.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "", topic);
-    }
-
-    private static Either<Problem, TreeMap<String, String>> cellMarks(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.service() == null || m.service(i.service()) == null) return badIntent("no service " + i.service());
-        if (i.cell() == null || m.service(i.service()).cell(i.cell()) == null)
-            return badIntent("service " + i.service() + " has no cell " + i.cell());
+    private static Either<Problem, TreeMap<String, String>> zoneMarks(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.zone() == null || !manifest.zones().containsKey(intent.zone()))
+            return badIntent("no zone " + intent.zone());
         return singleMark(
-                MarkKey.cell(i.service(), i.cell()), i.intent().equals(Intent.EMPTY_CELL) ? Plan.EMPTIED : "", topic);
+                MarkKey.zone(intent.zone()),
+                intent.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "",
+                manifestRow);
     }
 
-    private static Either<Problem, TreeMap<String, String>> tenantMarks(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.tenant() == null || m.tenant(i.tenant()) == null) return badIntent("no tenant " + i.tenant());
-        if (i.intent().equals(Intent.RELEASE_TENANT)) return singleMark(MarkKey.tenant(i.tenant()), "", topic);
-        if (i.regions() == null || i.regions().isEmpty()) return badIntent("name the regions to keep the tenant in");
-        var home = m.homeRegions(i.tenant());
-        for (var r : i.regions())
-            if (!home.contains(r))
-                return badIntent("region " + r + " is none of the home regions " + home + " of tenant " + i.tenant());
-        return singleMark(MarkKey.tenant(i.tenant()), String.join(",", i.regions()), topic);
+    private static Either<Problem, TreeMap<String, String>> cellMarks(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.service() == null || manifest.service(intent.service()) == null)
+            return badIntent("no service " + intent.service());
+        if (intent.cell() == null || manifest.service(intent.service()).cell(intent.cell()) == null)
+            return badIntent("service " + intent.service() + " has no cell " + intent.cell());
+        return singleMark(
+                MarkKey.cell(intent.service(), intent.cell()),
+                intent.intent().equals(Intent.EMPTY_CELL) ? Plan.EMPTIED : "",
+                manifestRow);
+    }
+
+    private static Either<Problem, TreeMap<String, String>> tenantMarks(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.tenant() == null || manifest.tenant(intent.tenant()) == null)
+            return badIntent("no tenant " + intent.tenant());
+        if (intent.intent().equals(Intent.RELEASE_TENANT))
+            return singleMark(MarkKey.tenant(intent.tenant()), "", manifestRow);
+        if (intent.regions() == null || intent.regions().isEmpty())
+            return badIntent("name the regions to keep the tenant in");
+        var homeRegions = manifest.homeRegions(intent.tenant());
+        for (var region : intent.regions())
+            if (!homeRegions.contains(region))
+                return badIntent("region " + region + " is none of the home regions " + homeRegions + " of tenant "
+                        + intent.tenant());
+        return singleMark(MarkKey.tenant(intent.tenant()), String.join(",", intent.regions()), manifestRow);
     }
 
     private static Either<Problem, TreeMap<String, String>> singleMark(
-            MarkKey mark, String value, Rows.Manifest topic) {
-        var key = mark.text();
-        if (value.equals(topic.marks.getOrDefault(key, "")))
+            MarkKey markKey, String value, Rows.Manifest manifestRow) {
+        var key = markKey.text();
+        if (value.equals(manifestRow.marks.getOrDefault(key, "")))
             return badIntent(key + " is " + (value.isEmpty() ? "not marked" : value) + " already");
-        var t = new TreeMap<String, String>();
-        t.put(key, value);
-        return Either.right(t);
+        var marks = new TreeMap<String, String>();
+        marks.put(key, value);
+        return Either.right(marks);
     }
 
     private static Either<Problem, Plan> buildPlan(
-            Intent i, Manifest m, Rows.Manifest topic, TreeMap<String, String> marks, List<PartStatus> parts) {
-        var p = new Plan();
-        p.intent = i.describe();
-        p.manifestVersion = topic.version;
-        p.marksVersion = topic.marksVersion;
-        p.marks = marks;
-        var after = new TreeMap<>(topic.marks);
-        marks.forEach((k, v) -> {
-            if (v.isEmpty()) after.remove(k);
-            else after.put(k, v);
+            Intent intent,
+            Manifest manifest,
+            Rows.Manifest manifestRow,
+            TreeMap<String, String> marks,
+            List<PartStatus> statuses) {
+        var plan = new Plan();
+        plan.intent = intent.describe();
+        plan.manifestVersion = manifestRow.version;
+        plan.marksVersion = manifestRow.marksVersion;
+        plan.marks = marks;
+        var marksAfter = new TreeMap<>(manifestRow.marks);
+        marks.forEach((key, value) -> {
+            if (value.isEmpty()) marksAfter.remove(key);
+            else marksAfter.put(key, value);
         });
-        for (var part : parts)
-            for (var s : part.services) {
-                var ms = m.service(s.name);
-                if (ms == null) continue;
-                var wrong = planService(p, s, ms, m, after, part.loads);
-                if (wrong != null) return badIntent(wrong);
+        for (var status : statuses)
+            for (var service : status.services) {
+                var manifestService = manifest.service(service.name);
+                if (manifestService == null) continue;
+                var problem = planService(plan, service, manifestService, manifest, marksAfter, status.loads);
+                if (problem != null) return badIntent(problem);
             }
-        if (p.steps.isEmpty()) p.steps.add("1. no unit moves; the mark alone is set");
-        return Either.right(p);
+        if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; the mark alone is set");
+        return Either.right(plan);
     }
 
     private static String planService(
-            Plan p,
-            Rows.Service s,
-            Manifest.Service ms,
-            Manifest m,
+            Plan plan,
+            Rows.Service service,
+            Manifest.Service manifestService,
+            Manifest manifest,
             Map<String, String> marks,
-            Map<String, Integer> loads) {
-        var closed = Mover.closed(s, marks);
-        var well = new BitSet();
-        for (var c = 0; c < s.cells.size(); c++) if (s.live(c) && s.runnersUp(c) > 0) well.set(c);
-        var open = (BitSet) well.clone();
-        open.andNot(closed);
-        var unmet = findUnservedRegions(s, m, marks, open);
-        if (unmet != null) return unmet;
-        var wanted = Planner.wanted(s, closed, well);
-        addSteps(p, s, ms, wanted);
-        return checkCapacity(p, s, open, wanted, loads);
-    }
-
-    private static String findUnservedRegions(Rows.Service s, Manifest m, Map<String, String> marks, BitSet open) {
-        for (var set : regionSetsInUse(s, m, marks)) {
-            var held = open.stream().anyMatch(c -> Units.allows(set, s.regions.indexOf(s.cellRegions.get(c))));
-            if (!held)
-                return "service " + s.name + ": no open cell with a runner is left for tenants at home in "
-                        + regionNames(s, set);
+            Map<String, Integer> loadByRunner) {
+        var closedCells = Mover.closed(service, marks);
+        var healthyCells = new BitSet();
+        for (var cell = 0; cell < service.cells.size(); cell++)
+            if (service.live(cell) && service.runnersUp(cell) > 0) healthyCells.set(cell);
+        var openCells = (BitSet) healthyCells.clone();
+        openCells.andNot(closedCells);
+        var unserved = findUnservedRegions(service, manifest, marks, openCells);
+        if (unserved != null) return unserved;
+        var wantedHomes = Planner.wanted(service, closedCells, healthyCells);
+        addSteps(plan, service, manifestService, wantedHomes);
+        return checkCapacity(plan, service, openCells, wantedHomes, loadByRunner);
+    }
+
+    private static String findUnservedRegions(
+            Rows.Service service, Manifest manifest, Map<String, String> marks, BitSet openCells) {
+        for (var regionSet : regionSetsInUse(service, manifest, marks)) {
+            var hasOpenCell = openCells.stream()
+                    .anyMatch(cell -> Units.allows(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
+            if (!hasOpenCell)
+                return "service " + service.name + ": no open cell with a runner is left for tenants at home in "
+                        + regionNames(service, regionSet);
         }
         return null;
     }
 
-    private static Set<Integer> regionSetsInUse(Rows.Service s, Manifest m, Map<String, String> marks) {
-        var all = new HashSet<Integer>();
-        all.add(regionMask(s, m.regions()));
-        for (var t : m.tenants().keySet()) {
-            var kept = marks.get(MarkKey.tenant(t).text());
-            all.add(regionMask(s, kept == null ? m.homeRegions(t) : List.of(kept.split(","))));
+    private static Set<Integer> regionSetsInUse(Rows.Service service, Manifest manifest, Map<String, String> marks) {
+        var sets = new HashSet<Integer>();
+        sets.add(regionMask(service, manifest.regions()));
+        for (var tenant : manifest.tenants().keySet()) {
+            var keptRegions = marks.get(MarkKey.tenant(tenant).text());
+            sets.add(regionMask(
+                    service, keptRegions == null ? manifest.homeRegions(tenant) : List.of(keptRegions.split(","))));
         }
-        return all;
+        return sets;
     }
 
-    private static int regionMask(Rows.Service s, List<String> regions) {
-        var x = 0;
-        for (var r : regions) if (s.regions.contains(r)) x |= 1 << s.regions.indexOf(r);
-        return x;
+    private static int regionMask(Rows.Service service, List<String> regions) {
+        var mask = 0;
+        for (var region : regions) if (service.regions.contains(region)) mask |= 1 << service.regions.indexOf(region);
+        return mask;
     }
 
-    private static List<String> regionNames(Rows.Service s, int set) {
-        var all = new ArrayList<String>();
-        for (var r = 0; r < s.regions.size(); r++) if (Units.allows(set, r)) all.add(s.regions.get(r));
-        return all;
+    private static List<String> regionNames(Rows.Service service, int regionSet) {
+        var names = new ArrayList<String>();
+        for (var region = 0; region < service.regions.size(); region++)
+            if (Units.allows(regionSet, region)) names.add(service.regions.get(region));
+        return names;
     }
 
-    private static void addSteps(Plan p, Rows.Service s, Manifest.Service ms, int[] wanted) {
+    private static void addSteps(Plan plan, Rows.Service service, Manifest.Service manifestService, int[] wantedHomes) {
         var moves = new TreeMap<String, Integer>();
-        for (var u = Units.SLICES; u < wanted.length; u++)
-            if (wanted[u] != s.homes[u])
-                moves.merge(cellName(s, s.homes[u]) + " to " + cellName(s, wanted[u]), 1, Integer::sum);
-        moves.forEach((k, n) -> p.steps.add((p.steps.size() + 1) + ". service " + s.name + ": " + n + " units from " + k
-                + " in steps of " + ms.stepUnits() + " (" + (n + ms.stepUnits() - 1) / ms.stepUnits()
-                + " steps, table from version " + s.tableVersion + ")"));
-    }
-
-    private static String cellName(Rows.Service s, int cell) {
-        return cell == Table.NOWHERE ? "nowhere" : s.cells.get(cell);
-    }
-
-    private static String checkCapacity(Plan p, Rows.Service s, BitSet open, int[] wanted, Map<String, Integer> loads) {
-        var load = s.runners.values().stream()
+        for (var unit = Units.SLICES; unit < wantedHomes.length; unit++)
+            if (wantedHomes[unit] != service.homes[unit])
+                moves.merge(
+                        cellName(service, service.homes[unit]) + " to " + cellName(service, wantedHomes[unit]),
+                        1,
+                        Integer::sum);
+        moves.forEach((route, count) -> plan.steps.add(
+                (plan.steps.size() + 1) + ". service " + service.name + ": " + count + " units from " + route
+                        + " in steps of " + manifestService.stepUnits() + " ("
+                        + (count + manifestService.stepUnits() - 1) / manifestService.stepUnits()
+                        + " steps, table from version " + service.tableVersion + ")"));
+    }
+
+    private static String cellName(Rows.Service service, int cell) {
+        return cell == Table.NOWHERE ? "nowhere" : service.cells.get(cell);
+    }
+
+    private static String checkCapacity(
+            Plan plan, Rows.Service service, BitSet openCells, int[] wantedHomes, Map<String, Integer> loadByRunner) {
+        var load = service.runners.values().stream()
                 .filter(Rows.Runner::up)
-                .mapToInt(r -> loads.getOrDefault(s.name + "/" + r.name, 0))
+                .mapToInt(r -> loadByRunner.getOrDefault(service.name + "/" + r.name, 0))
                 .sum();
-        var slots = slotCount(s, open);
+        var slots = slotCount(service, openCells);
         if (load > slots)
-            return "service " + s.name + ": " + load + " streams run now and the open cells have " + slots + " slots";
+            return "service " + service.name + ": " + load + " streams run now and the open cells have " + slots
+                    + " slots";
         if (load * 5 > slots * 4)
-            p.warnings.add("service " + s.name + ": " + load + " of " + slots + " slots would be in use");
-        for (var c = 0; c < s.cells.size(); c++) {
-            var one = new BitSet();
-            one.set(c);
+            plan.warnings.add("service " + service.name + ": " + load + " of " + slots + " slots would be in use");
+        for (var cell = 0; cell < service.cells.size(); cell++) {
+            var thisCell = new BitSet();
+            thisCell.set(cell);
             var units = 0;
-            for (var u = Units.SLICES; u < wanted.length; u++) if (wanted[u] == c) units++;
-            p.loads.add(s.name + "/" + s.cells.get(c) + ": " + units + " units, "
-                    + (open.get(c) ? slotCount(s, one) : 0) + " slots");
+            for (var unit = Units.SLICES; unit < wantedHomes.length; unit++) if (wantedHomes[unit] == cell) units++;
+            plan.loads.add(service.name + "/" + service.cells.get(cell) + ": " + units + " units, "
+                    + (openCells.get(cell) ? slotCount(service, thisCell) : 0) + " slots");
         }
-        for (var r : s.regions) {
-            var left = open.stream().anyMatch(c -> s.cellRegions.get(c).equals(r));
-            if (!left)
-                p.warnings.add("service " + s.name + ": transactions pinned to " + r + " alone will be declined");
+        for (var r : service.regions) {
+            var hasOpenCell = openCells.stream()
+                    .anyMatch(cell -> service.cellRegions.get(cell).equals(r));
+            if (!hasOpenCell)
+                plan.warnings.add(
+                        "service " + service.name + ": transactions pinned to " + r + " alone will be declined");
         }
         return null;
     }
 
-    private static int slotCount(Rows.Service s, BitSet cells) {
-        return s.runners.values().stream()
-                .filter(r -> r.up() && cells.get(s.cells.indexOf(r.cell)))
-                .mapToInt(r -> r.slots)
+    private static int slotCount(Rows.Service service, BitSet cells) {
+        return service.runners.values().stream()
+                .filter(runner -> runner.up() && cells.get(service.cells.indexOf(runner.cell)))
+                .mapToInt(runner -> runner.slots)
                 .sum();
     }
 
@@ -199,7 +234,7 @@
         return problem(Kind.BAD_INTENT, detail);
     }
 
-    private static <T> Either<Problem, T> problem(Kind k, String detail) {
-        return Either.left(Problem.of(k, detail));
+    private static <T> Either<Problem, T> problem(Kind kind, String detail) {
+        return Either.left(Problem.of(kind, detail));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/Operator.java
@@ -49,212 +49,224 @@
     }
 
     public void tick(long now) {
-        for (var w : openWatches) {
-            if (now >= w.deadline) finish(w);
-            else if (now >= w.nextPollAt) poll(w, now);
+        for (var watch : openWatches) {
+            if (now >= watch.deadline) finish(watch);
+            else if (now >= watch.nextPollAt) poll(watch, now);
         }
     }
 
-    private void finish(RolloutWatch w) {
-        if (openWatches.remove(w)) w.onResult.accept(new Carried(w.version, w.lastStatus.missing, w.lastStatus.able));
+    private void finish(RolloutWatch watch) {
+        if (openWatches.remove(watch))
+            watch.onResult.accept(new Carried(watch.version, watch.lastStatus.missing, watch.lastStatus.able));
     }
 
-    private void poll(RolloutWatch w, long now) {
-        w.nextPollAt = now + ROLLOUT_POLL_MICROS;
-        var q = new Queries.RolloutGet();
-        q.version = w.topicVersion;
-        q.zone = w.zone;
-        coreClient.ask(Parts.MANIFEST, q, REQUEST_TIMEOUT_MICROS, v -> {
-            if (v.kind != 0) return;
-            w.lastStatus = Codec.read(RolloutStatus.class, v.body);
-            if (w.doneWhen.test(w.lastStatus)) finish(w);
+    private void poll(RolloutWatch watch, long now) {
+        watch.nextPollAt = now + ROLLOUT_POLL_MICROS;
+        var query = new Queries.RolloutGet();
+        query.version = watch.topicVersion;
+        query.zone = watch.zone;
+        coreClient.ask(Parts.MANIFEST, query, REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind != 0) return;
+            watch.lastStatus = Codec.read(RolloutStatus.class, result.body);
+            if (watch.doneWhen.test(watch.lastStatus)) finish(watch);
         });
     }
 
     private void awaitRollout(
-            long topic, long version, String zone, Predicate<RolloutStatus> enough, Consumer<Carried> then) {
-        var w = new RolloutWatch();
-        w.topicVersion = topic;
-        w.version = version;
-        w.zone = zone;
-        w.doneWhen = enough;
-        w.onResult = then;
-        w.deadline = port.now() + ROLLOUT_TIMEOUT_MICROS;
-        openWatches.add(w);
+            long topicVersion,
+            long version,
+            String zone,
+            Predicate<RolloutStatus> doneWhen,
+            Consumer<Carried> onResult) {
+        var watch = new RolloutWatch();
+        watch.topicVersion = topicVersion;
+        watch.version = version;
+        watch.zone = zone;
+        watch.doneWhen = doneWhen;
+        watch.onResult = onResult;
+        watch.deadline = port.now() + ROLLOUT_TIMEOUT_MICROS;
+        openWatches.add(watch);
     }
 
-    private static Problem toProblem(CommandResult v) {
-        return new Problem(Kind.of(v.kind), v.detail, v.retryAfter);
+    private static Problem toProblem(CommandResult result) {
+        return new Problem(Kind.of(result.kind), result.detail, result.retryAfter);
     }
 
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
+    public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
                 Parts.MANIFEST,
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
-                v -> then.accept(
-                        v.kind == 0
-                                ? Either.right(Codec.read(Rows.Manifest.class, v.body))
-                                : Either.left(toProblem(v))));
+                result -> onResult.accept(
+                        result.kind == 0
+                                ? Either.right(Codec.read(Rows.Manifest.class, result.body))
+                                : Either.left(toProblem(result))));
     }
 
-    public void send(long base, String text, Consumer<Either<Problem, Carried>> then) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.text = text;
-        coreClient.ask(Parts.MANIFEST, c, REQUEST_TIMEOUT_MICROS, v -> {
-            if (v.kind != 0) then.accept(Either.left(toProblem(v)));
+    public void send(long baseVersion, String text, Consumer<Either<Problem, Carried>> onResult) {
+        var command = new Commands.ManifestPut();
+        command.base = baseVersion;
+        command.text = text;
+        coreClient.ask(Parts.MANIFEST, command, REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
             else
                 awaitRollout(
-                        v.version,
-                        Long.parseLong(v.detail),
+                        result.version,
+                        Long.parseLong(result.detail),
                         "",
-                        s -> s.missing.isEmpty(),
-                        r -> then.accept(Either.right(r)));
+                        status -> status.missing.isEmpty(),
+                        rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
-    public void watchManifest(long version, Consumer<Either<Problem, Carried>> then) {
-        manifest(m -> {
-            if (m.isLeft()) then.accept(Either.left(m.getLeft()));
-            else if (m.get().version < version)
-                then.accept(Either.left(Problem.of(
-                        Kind.BAD_OPERATOR_INPUT, "no manifest " + version + "; in force is " + m.get().version)));
+    public void watchManifest(long version, Consumer<Either<Problem, Carried>> onResult) {
+        manifest(manifest -> {
+            if (manifest.isLeft()) onResult.accept(Either.left(manifest.getLeft()));
+            else if (manifest.get().version < version)
+                onResult.accept(Either.left(Problem.of(
+                        Kind.BAD_OPERATOR_INPUT,
+                        "no manifest " + version + "; in force is " + manifest.get().version)));
             else
                 awaitRollout(
-                        m.get().topicVersion, version, "", s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+                        manifest.get().topicVersion,
+                        version,
+                        "",
+                        status -> status.able.isEmpty(),
+                        rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
-    public void status(Consumer<List<PartStatus>> then) {
-        var all = new PartStatus[Parts.COUNT];
-        var open = new int[] {Parts.COUNT};
-        for (var p = 0; p < Parts.COUNT; p++) {
-            var part = p;
-            coreClient.ask(p, new Queries.Status(), REQUEST_TIMEOUT_MICROS, v -> {
-                synchronized (all) {
-                    if (v.kind == 0) all[part] = Codec.read(PartStatus.class, v.body);
-                    if (--open[0] > 0) return;
+    public void status(Consumer<List<PartStatus>> onResult) {
+        var statusByPart = new PartStatus[Parts.COUNT];
+        var outstanding = new int[] {Parts.COUNT};
+        for (var index = 0; index < Parts.COUNT; index++) {
+            var part = index;
+            coreClient.ask(index, new Queries.Status(), REQUEST_TIMEOUT_MICROS, result -> {
+                synchronized (statusByPart) {
+                    if (result.kind == 0) statusByPart[part] = Codec.read(PartStatus.class, result.body);
+                    if (--outstanding[0] > 0) return;
                 }
-                then.accept(reachedParts(all));
+                onResult.accept(reachedParts(statusByPart));
             });
         }
     }
 
-    private static List<PartStatus> reachedParts(PartStatus[] all) {
-        var r = new ArrayList<PartStatus>();
-        for (var s : all) if (s != null) r.add(s);
-        return r;
+    private static List<PartStatus> reachedParts(PartStatus[] statusByPart) {
+        var reached = new ArrayList<PartStatus>();
+        for (var status : statusByPart) if (status != null) reached.add(status);
+        return reached;
     }
 
-    public void plan(Intent i, Consumer<Either<Problem, Plan>> then) {
+    public void plan(Intent intent, Consumer<Either<Problem, Plan>> onResult) {
         status(parts -> {
             if (parts.size() < Parts.COUNT) {
-                then.accept(Either.left(Problem.of(
+                onResult.accept(Either.left(Problem.of(
                         Kind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
                 return;
             }
-            var p = Intents.plan(i, parts.get(Parts.MANIFEST).manifest, parts);
-            if (p.isLeft()) then.accept(p);
-            else putPlan(p.get(), then);
+            var plan = Intents.plan(intent, parts.get(Parts.MANIFEST).manifest, parts);
+            if (plan.isLeft()) onResult.accept(plan);
+            else putPlan(plan.get(), onResult);
         });
     }
 
-    public void quiet(Consumer<Either<Problem, List<Quiet>>> then) {
+    public void quiet(Consumer<Either<Problem, List<Quiet>>> onResult) {
         status(parts -> {
             if (parts.size() < Parts.COUNT)
-                then.accept(Either.left(Problem.of(
+                onResult.accept(Either.left(Problem.of(
                         Kind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
-            else then.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST).manifest, parts)));
+            else onResult.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST).manifest, parts)));
         });
     }
 
-    private void putPlan(Plan p, Consumer<Either<Problem, Plan>> then) {
-        var c = new Commands.PlanPut();
-        c.plan = p;
-        coreClient.ask(Parts.MANIFEST, c, REQUEST_TIMEOUT_MICROS, v -> {
-            p.id = v.version;
-            then.accept(v.kind == 0 ? Either.right(p) : Either.left(toProblem(v)));
+    private void putPlan(Plan plan, Consumer<Either<Problem, Plan>> onResult) {
+        var command = new Commands.PlanPut();
+        command.plan = plan;
+        coreClient.ask(Parts.MANIFEST, command, REQUEST_TIMEOUT_MICROS, result -> {
+            plan.id = result.version;
+            onResult.accept(result.kind == 0 ? Either.right(plan) : Either.left(toProblem(result)));
         });
     }
 
-    public void show(long plan, Consumer<Either<Problem, Plan>> then) {
-        var q = new Queries.PlanGet();
-        q.plan = plan;
+    public void show(long planId, Consumer<Either<Problem, Plan>> onResult) {
+        var query = new Queries.PlanGet();
+        query.plan = planId;
         coreClient.ask(
                 Parts.MANIFEST,
-                q,
+                query,
                 REQUEST_TIMEOUT_MICROS,
-                v -> then.accept(
-                        v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(toProblem(v))));
+                result -> onResult.accept(
+                        result.kind == 0
+                                ? Either.right(Codec.read(Plan.class, result.body))
+                                : Either.left(toProblem(result))));
     }
 
-    public void confirm(long plan, Consumer<Either<Problem, Carried>> then) {
-        show(plan, p -> {
-            if (p.isLeft()) {
-                then.accept(Either.left(p.getLeft()));
+    public void confirm(long planId, Consumer<Either<Problem, Carried>> onResult) {
+        show(planId, found -> {
+            if (found.isLeft()) {
+                onResult.accept(Either.left(found.getLeft()));
                 return;
             }
-            var c = new Commands.PlanConfirm();
-            c.plan = plan;
-            coreClient.ask(Parts.MANIFEST, c, REQUEST_TIMEOUT_MICROS, v -> {
-                if (v.kind != 0) then.accept(Either.left(toProblem(v)));
+            var command = new Commands.PlanConfirm();
+            command.plan = planId;
+            coreClient.ask(Parts.MANIFEST, command, REQUEST_TIMEOUT_MICROS, result -> {
+                if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
                 else
                     awaitRollout(
-                            v.version,
-                            plan,
-                            markedZone(p.get()),
-                            s -> s.able.isEmpty(),
-                            r -> then.accept(Either.right(r)));
+                            result.version,
+                            planId,
+                            markedZone(found.get()),
+                            status -> status.able.isEmpty(),
+                            rollout -> onResult.accept(Either.right(rollout)));
             });
         });
     }
 
-    public void watch(long plan, Consumer<Either<Problem, Carried>> then) {
-        show(plan, p -> {
-            if (p.isLeft()) then.accept(Either.left(p.getLeft()));
-            else if (p.get().state != Plan.CONFIRMED)
-                then.accept(Either.left(Problem.of(
-                        Kind.STALE_PLAN, "plan " + plan + " is " + p.get().stateName())));
+    public void watch(long planId, Consumer<Either<Problem, Carried>> onResult) {
+        show(planId, found -> {
+            if (found.isLeft()) onResult.accept(Either.left(found.getLeft()));
+            else if (found.get().state != Plan.CONFIRMED)
+                onResult.accept(Either.left(Problem.of(
+                        Kind.STALE_PLAN, "plan " + planId + " is " + found.get().stateName())));
             else
                 awaitRollout(
-                        p.get().confirmedTopic,
-                        plan,
-                        markedZone(p.get()),
-                        s -> s.able.isEmpty(),
-                        r -> then.accept(Either.right(r)));
+                        found.get().confirmedTopic,
+                        planId,
+                        markedZone(found.get()),
+                        status -> status.able.isEmpty(),
+                        rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
-    private static String markedZone(Plan p) {
-        for (var k : p.marks.keySet()) {
-            var key = MarkKey.read(k);
+    private static String markedZone(Plan plan) {
+        for (var text : plan.marks.keySet()) {
+            var key = MarkKey.read(text);
             if (key != null && key.target() == MarkKey.Target.ZONE) return key.name();
         }
         return "";
     }
 
-    public void acceptClaims(Consumer<Either<Problem, Integer>> then) {
-        var open = new int[] {Parts.COUNT};
-        var wrong = new CommandResult[1];
-        for (var p = 0; p < Parts.COUNT; p++)
-            coreClient.ask(p, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, v -> {
-                synchronized (open) {
-                    if (v.kind != 0) wrong[0] = v;
-                    if (--open[0] > 0) return;
+    public void acceptClaims(Consumer<Either<Problem, Integer>> onResult) {
+        var outstanding = new int[] {Parts.COUNT};
+        var failure = new CommandResult[1];
+        for (var part = 0; part < Parts.COUNT; part++)
+            coreClient.ask(part, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, result -> {
+                synchronized (outstanding) {
+                    if (result.kind != 0) failure[0] = result;
+                    if (--outstanding[0] > 0) return;
                 }
-                then.accept(wrong[0] == null ? Either.right(Parts.COUNT) : Either.left(toProblem(wrong[0])));
+                onResult.accept(failure[0] == null ? Either.right(Parts.COUNT) : Either.left(toProblem(failure[0])));
             });
     }
 
-    public void stop(long plan, Consumer<Either<Problem, Long>> then) {
-        var c = new Commands.PlanStop();
-        c.plan = plan;
-        c.cause = "stopped by an operator";
+    public void stop(long planId, Consumer<Either<Problem, Long>> onResult) {
+        var command = new Commands.PlanStop();
+        command.plan = planId;
+        command.cause = "stopped by an operator";
         coreClient.ask(
                 Parts.MANIFEST,
-                c,
+                command,
                 REQUEST_TIMEOUT_MICROS,
-                v -> then.accept(v.kind == 0 ? Either.right(plan) : Either.left(toProblem(v))));
+                result -> onResult.accept(result.kind == 0 ? Either.right(planId) : Either.left(toProblem(result))));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -29,65 +29,78 @@
     }
 
     /** Reads the newest configuration from its leader. */
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
+    public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
                 Parts.MANIFEST,
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
-                v -> then.accept(toResult(v).map(x -> Codec.read(Rows.Manifest.class, v.body))));
+                result ->
+                        onResult.accept(toResult(result).map(ignored -> Codec.read(Rows.Manifest.class, result.body))));
     }
 
     /** The text must have been checked; RACE_LOST and BAD_MANIFEST are final, any other problem leaves open whether it was taken. */
     public void put(
-            long base, long number, String text, String source, long since, Consumer<Either<Problem, Void>> then) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
-        c.text = text;
-        c.source = source;
-        submitChange(Parts.MANIFEST, c, since, then);
+            long baseVersion,
+            long number,
+            String text,
+            String source,
+            long callerWaitingSince,
+            Consumer<Either<Problem, Void>> onResult) {
+        var command = new Commands.ManifestPut();
+        command.base = baseVersion;
+        command.number = number;
+        command.text = text;
+        command.source = source;
+        submitChange(Parts.MANIFEST, command, callerWaitingSince, onResult);
     }
 
     /** Empties a zone or takes it back. */
-    public void mark(String zone, boolean emptied, long since, Consumer<Either<Problem, Void>> then) {
-        var c = new Commands.ZoneMark();
-        c.zone = zone;
-        c.emptied = emptied;
-        submitChange(Parts.MANIFEST, c, since, then);
+    public void mark(String zone, boolean emptied, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        var command = new Commands.ZoneMark();
+        command.zone = zone;
+        command.emptied = emptied;
+        submitChange(Parts.MANIFEST, command, callerWaitingSince, onResult);
     }
 
     /** A call that came too late to count is as good as taken. */
-    public void beat(Commands.RunnerPut c, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(Parts.of(c.service), c, since + REQUEST_TIMEOUT_MICROS, v -> {
-            if (v.kind == Kind.STALE_RUNNER.code()) then.accept(Either.right(null));
-            else if (v.kind == 0) then.accept(toResult(v));
+    public void beat(Commands.RunnerPut command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        coreClient.askUntil(Parts.of(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind == Kind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
+            else if (result.kind == 0) onResult.accept(toResult(result));
             else
-                then.accept(
-                        Either.left(Problem.of(Kind.NO_OWNER, Kind.of(v.kind).text() + ": " + v.detail)));
+                onResult.accept(Either.left(
+                        Problem.of(Kind.NO_OWNER, Kind.of(result.kind).text() + ": " + result.detail)));
         });
     }
 
     /** Marks a life as leaving, whichever service it belongs to; one that no part knows is as good as gone. */
-    public void left(String runner, long since, Consumer<Either<Problem, Void>> then) {
-        var open = new AtomicInteger(Parts.COUNT - 1);
-        var wrong = new AtomicReference<Problem>();
-        for (var p = 0; p < Parts.COUNT; p++) {
-            if (p == Parts.MANIFEST) continue;
-            var c = new Commands.RunnerLeft();
-            c.runner = runner;
-            coreClient.askUntil(p, c, since + REQUEST_TIMEOUT_MICROS, v -> {
-                toResult(v).peekLeft(wrong::set);
-                if (open.decrementAndGet() == 0)
-                    then.accept(wrong.get() == null ? Either.right(null) : Either.left(wrong.get()));
+    public void left(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        var outstanding = new AtomicInteger(Parts.COUNT - 1);
+        var failure = new AtomicReference<Problem>();
+        for (var part = 0; part < Parts.COUNT; part++) {
+            if (part == Parts.MANIFEST) continue;
+            var command = new Commands.RunnerLeft();
+            command.runner = runner;
+            coreClient.askUntil(part, command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+                toResult(result).peekLeft(failure::set);
+                if (outstanding.decrementAndGet() == 0)
+                    onResult.accept(failure.get() == null ? Either.right(null) : Either.left(failure.get()));
             });
         }
     }
 
-    private void submitChange(int part, Object command, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(part, command, since + REQUEST_TIMEOUT_MICROS, v -> then.accept(toResult(v)));
+    private void submitChange(
+            int part, Object command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        coreClient.askUntil(
+                part,
+                command,
+                callerWaitingSince + REQUEST_TIMEOUT_MICROS,
+                result -> onResult.accept(toResult(result)));
     }
 
-    private static Either<Problem, Void> toResult(CommandResult v) {
-        return v.kind == 0 ? Either.right(null) : Either.left(new Problem(Kind.of(v.kind), v.detail, v.retryAfter));
+    private static Either<Problem, Void> toResult(CommandResult result) {
+        return result.kind == 0
+                ? Either.right(null)
+                : Either.left(new Problem(Kind.of(result.kind), result.detail, result.retryAfter));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Quiet.java
+++ b/lib/control/src/main/java/craneway/control/operator/Quiet.java
@@ -10,48 +10,52 @@
 public record Quiet(String service, String cell, int load, int slots, int slotsLeft, int minutes, List<String> cause) {
     private static final double USABLE_SLOT_SHARE = 0.8;
 
-    static List<Quiet> of(Rows.Manifest topic, List<PartStatus> parts) {
-        var m = ManifestReader.read(topic.text);
-        var all = new ArrayList<Quiet>();
-        if (m.isLeft()) return all;
-        for (var p : parts)
-            for (var s : p.services)
-                for (var c = 0; c < s.cells.size(); c++)
-                    if (s.live(c) && s.runnersUp(c) > 0) all.add(of(s, c, topic, parts, p));
-        return all;
+    static List<Quiet> of(Rows.Manifest manifestRow, List<PartStatus> parts) {
+        var parsed = ManifestReader.read(manifestRow.text);
+        var estimates = new ArrayList<Quiet>();
+        if (parsed.isLeft()) return estimates;
+        for (var status : parts)
+            for (var service : status.services)
+                for (var cell = 0; cell < service.cells.size(); cell++)
+                    if (service.live(cell) && service.runnersUp(cell) > 0)
+                        estimates.add(of(service, cell, manifestRow, parts, status));
+        return estimates;
     }
 
-    private static Quiet of(Rows.Service s, int cell, Rows.Manifest topic, List<PartStatus> parts, PartStatus p) {
-        var name = s.cells.get(cell);
-        var plan = Intents.plan(new Intent(Intent.EMPTY_CELL, null, s.name, name, null, null), topic, parts);
-        int load = 0, slots = 0, left = 0;
-        for (var r : s.runners.values()) {
-            if (!r.up()) continue;
-            if (r.cell.equals(name)) {
-                load += p.loads.getOrDefault(s.name + "/" + r.name, 0);
-                slots += r.slots;
-            } else if (isOpen(s, r, topic)) left += r.slots;
+    private static Quiet of(
+            Rows.Service service, int cell, Rows.Manifest manifestRow, List<PartStatus> parts, PartStatus status) {
+        var cellName = service.cells.get(cell);
+        var plan = Intents.plan(
+                new Intent(Intent.EMPTY_CELL, null, service.name, cellName, null, null), manifestRow, parts);
+        int load = 0, slots = 0, remainingSlots = 0;
+        for (var runner : service.runners.values()) {
+            if (!runner.up()) continue;
+            if (runner.cell.equals(cellName)) {
+                load += status.loads.getOrDefault(service.name + "/" + runner.name, 0);
+                slots += runner.slots;
+            } else if (isOpen(service, runner, manifestRow)) remainingSlots += runner.slots;
         }
         return new Quiet(
-                s.name,
-                name,
+                service.name,
+                cellName,
                 load,
                 slots,
-                left,
-                plan.isLeft() ? 0 : minutesFitted(s.name, left, p),
+                remainingSlots,
+                plan.isLeft() ? 0 : minutesFitted(service.name, remainingSlots, status),
                 plan.isLeft() ? List.of(plan.getLeft().detail()) : plan.get().warnings);
     }
 
-    private static boolean isOpen(Rows.Service s, Rows.Runner r, Rows.Manifest topic) {
-        return !Mover.closed(s, topic.marks).get(s.cells.indexOf(r.cell));
+    private static boolean isOpen(Rows.Service service, Rows.Runner runner, Rows.Manifest manifestRow) {
+        return !Mover.closed(service, manifestRow.marks).get(service.cells.indexOf(runner.cell));
     }
 
-    private static int minutesFitted(String service, int left, PartStatus p) {
-        for (var k : p.peaks) {
-            if (!k.service.equals(service)) continue;
-            var n = 0;
-            while (n < k.minutes.length && k.minutes[n] <= left * USABLE_SLOT_SHARE) n++;
-            return n;
+    private static int minutesFitted(String service, int remainingSlots, PartStatus status) {
+        for (var peaks : status.peaks) {
+            if (!peaks.service.equals(service)) continue;
+            var fitted = 0;
+            while (fitted < peaks.minutes.length && peaks.minutes[fitted] <= remainingSlots * USABLE_SLOT_SHARE)
+                fitted++;
+            return fitted;
         }
         return 0;
     }
--- a/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
@@ -36,12 +36,12 @@
     }
 
     /** Whether an order may be passed on that came over this connection, was begun to be read then, and is whole now. */
-    public synchronized boolean admits(Connection c, long began, long now) {
+    public synchronized boolean admits(Connection connection, long readStartedAt, long now) {
         tick(now);
-        var used = c.lastUsedAt;
-        c.lastUsedAt = now;
-        var held = now - began > GAP && resumedAt >= began;
-        var before = used != Connection.NEVER && used < resumedAt;
-        return now - resumedAt >= SETTLE && !held && !before;
+        var previousUse = connection.lastUsedAt;
+        connection.lastUsedAt = now;
+        var readAcrossPause = now - readStartedAt > GAP && resumedAt >= readStartedAt;
+        var usedBeforePause = previousUse != Connection.NEVER && previousUse < resumedAt;
+        return now - resumedAt >= SETTLE && !readAcrossPause && !usedBeforePause;
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -38,128 +38,146 @@
         boolean test(int cell, long index);
     }
 
-    public Object step(Rows.Service s, Manifest.Service m, Map<String, String> marks, StoreReady ready, long now) {
-        if (m == null) return null;
-        var well = healthyCells(s, now);
-        var closed = closed(s, marks);
-        var wanted = cachedWantedHomes(s, closed, well);
-        for (var x : s.steps) if (x.state == Rows.Step.ASKED) return resolveAskedStep(s, x, wanted, ready, now);
+    public Object step(
+            Rows.Service service,
+            Manifest.Service manifestService,
+            Map<String, String> marks,
+            StoreReady storeReady,
+            long now) {
+        if (manifestService == null) return null;
+        var healthyCells = healthyCells(service, now);
+        var closedCells = closed(service, marks);
+        var wantedHomes = cachedWantedHomes(service, closedCells, healthyCells);
+        for (var step : service.steps)
+            if (step.state == Rows.Step.ASKED) return resolveAskedStep(service, step, wantedHomes, storeReady, now);
         var units = new ArrayList<Integer>();
-        var fresh = true;
-        for (var u = Units.SLICES; u < wanted.length; u++) {
-            if (wanted[u] == s.homes[u]) continue;
-            units.add(u);
-            fresh &= s.homes[u] == Table.NOWHERE;
+        var allUnassigned = true;
+        for (var unit = Units.SLICES; unit < wantedHomes.length; unit++) {
+            if (wantedHomes[unit] == service.homes[unit]) continue;
+            units.add(unit);
+            allUnassigned &= service.homes[unit] == Table.NOWHERE;
         }
         if (units.isEmpty()) return null;
-        if (fresh) return newTableStep(s, units, wanted);
-        if (now < nextStepAtByService.computeIfAbsent(s.name, k -> now + m.stepPause())) return null;
-        var take = units.stream()
-                .filter(u -> wanted[u] == wanted[units.get(0)])
-                .limit(m.stepUnits())
+        if (allUnassigned) return newTableStep(service, units, wantedHomes);
+        if (now < nextStepAtByService.computeIfAbsent(service.name, name -> now + manifestService.stepPause()))
+            return null;
+        var batch = units.stream()
+                .filter(unit -> wantedHomes[unit] == wantedHomes[units.get(0)])
+                .limit(manifestService.stepUnits())
                 .toList();
-        nextStepAtByService.put(s.name, now + stepPause(s, wanted[take.get(0)], m));
-        return wanted[take.get(0)] == Table.NOWHERE
-                ? newTableStep(s, take, wanted)
-                : newStepAsk(s, take, wanted, closed, well);
+        nextStepAtByService.put(service.name, now + stepPause(service, wantedHomes[batch.get(0)], manifestService));
+        return wantedHomes[batch.get(0)] == Table.NOWHERE
+                ? newTableStep(service, batch, wantedHomes)
+                : newStepAsk(service, batch, wantedHomes, closedCells, healthyCells);
     }
 
-    private StepMark resolveAskedStep(Rows.Service s, Rows.Step x, int[] wanted, StoreReady ready, long now) {
-        var since = askedAtByStep.computeIfAbsent(s.name + "/" + x.id, k -> now);
-        var still = Arrays.stream(x.units).allMatch(u -> wanted[u] == x.to);
-        var go = still && ready.test(x.to, x.index);
-        if (!go && still && now - since < CONFIRM_TIMEOUT_MICROS) return null;
-        askedAtByStep.remove(s.name + "/" + x.id);
-        var m = new StepMark();
-        m.service = s.name;
-        m.id = x.id;
-        m.state = go ? Rows.Step.RAISED : Rows.Step.DROPPED;
-        if (!go) m.cause = still ? "the new home's store did not confirm" : "the wanted home changed";
-        return m;
+    private StepMark resolveAskedStep(
+            Rows.Service service, Rows.Step step, int[] wantedHomes, StoreReady storeReady, long now) {
+        var askedAt = askedAtByStep.computeIfAbsent(service.name + "/" + step.id, key -> now);
+        var isStillWanted = Arrays.stream(step.units).allMatch(unit -> wantedHomes[unit] == step.to);
+        var isConfirmed = isStillWanted && storeReady.test(step.to, step.index);
+        if (!isConfirmed && isStillWanted && now - askedAt < CONFIRM_TIMEOUT_MICROS) return null;
+        askedAtByStep.remove(service.name + "/" + step.id);
+        var mark = new StepMark();
+        mark.service = service.name;
+        mark.id = step.id;
+        mark.state = isConfirmed ? Rows.Step.RAISED : Rows.Step.DROPPED;
+        if (!isConfirmed)
+            mark.cause = isStillWanted ? "the new home's store did not confirm" : "the wanted home changed";
+        return mark;
     }
 
-    private static StepAsk newStepAsk(Rows.Service s, List<Integer> units, int[] wanted, BitSet closed, BitSet well) {
-        var a = new StepAsk();
-        a.service = s.name;
-        a.tableVersion = s.tableVersion;
-        a.units = units.stream().mapToInt(u -> u).toArray();
-        a.to = wanted[units.get(0)];
-        var from = s.homes[units.get(0)];
-        a.cause = s.displaced(units.get(0)) == a.to
+    private static StepAsk newStepAsk(
+            Rows.Service service, List<Integer> units, int[] wantedHomes, BitSet closedCells, BitSet healthyCells) {
+        var ask = new StepAsk();
+        ask.service = service.name;
+        ask.tableVersion = service.tableVersion;
+        ask.units = units.stream().mapToInt(unit -> unit).toArray();
+        ask.to = wantedHomes[units.get(0)];
+        var currentHome = service.homes[units.get(0)];
+        ask.cause = service.displaced(units.get(0)) == ask.to
                 ? "pressure"
-                : from != Table.NOWHERE && closed.get(from)
+                : currentHome != Table.NOWHERE && closedCells.get(currentHome)
                         ? "emptied"
-                        : from != Table.NOWHERE && !well.get(from) ? "lost" : "home";
-        return a;
+                        : currentHome != Table.NOWHERE && !healthyCells.get(currentHome) ? "lost" : "home";
+        return ask;
     }
 
-    public static TableStep plain(StepAsk a) {
-        var t = new TableStep();
-        t.service = a.service;
-        t.tableVersion = a.tableVersion;
-        t.units = a.units;
-        t.cells = Arrays.stream(a.units).map(u -> a.to).toArray();
-        return t;
+    public static TableStep plain(StepAsk ask) {
+        var tableStep = new TableStep();
+        tableStep.service = ask.service;
+        tableStep.tableVersion = ask.tableVersion;
+        tableStep.units = ask.units;
+        tableStep.cells = Arrays.stream(ask.units).map(unit -> ask.to).toArray();
+        return tableStep;
     }
 
-    public BitSet open(Rows.Service s, Map<String, String> marks, long now) {
-        var b = healthyCells(s, now);
-        b.andNot(closed(s, marks));
-        return b;
+    public BitSet open(Rows.Service service, Map<String, String> marks, long now) {
+        var openCells = healthyCells(service, now);
+        openCells.andNot(closed(service, marks));
+        return openCells;
     }
 
-    private int[] cachedWantedHomes(Rows.Service s, BitSet closed, BitSet well) {
-        var w = wantedHomesByService.get(s.name);
-        if (w == null
-                || w.newsVersion != s.newsVersion
-                || w.heldCellCount != s.heldUntil.size()
-                || !w.closedCells.equals(closed)
-                || !w.healthyCells.equals(well)) {
-            w = new WantedHomes(s.newsVersion, s.heldUntil.size(), closed, well, Planner.wanted(s, closed, well));
-            wantedHomesByService.put(s.name, w);
+    private int[] cachedWantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
+        var cached = wantedHomesByService.get(service.name);
+        if (cached == null
+                || cached.newsVersion != service.newsVersion
+                || cached.heldCellCount != service.heldUntil.size()
+                || !cached.closedCells.equals(closedCells)
+                || !cached.healthyCells.equals(healthyCells)) {
+            cached = new WantedHomes(
+                    service.newsVersion,
+                    service.heldUntil.size(),
+                    closedCells,
+                    healthyCells,
+                    Planner.wanted(service, closedCells, healthyCells));
+            wantedHomesByService.put(service.name, cached);
         }
-        return w.homes;
+        return cached.homes;
     }
 
-    private static long stepPause(Rows.Service s, int cell, Manifest.Service m) {
-        if (cell == Table.NOWHERE) return m.stepPause();
-        var cold = s.runners.values().stream()
-                .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
-                .anyMatch(r -> r.cold);
-        return cold ? Math.max(m.stepPause(), m.warmUp() / 10) : m.stepPause();
+    private static long stepPause(Rows.Service service, int cell, Manifest.Service manifestService) {
+        if (cell == Table.NOWHERE) return manifestService.stepPause();
+        var hasColdRunner = service.runners.values().stream()
+                .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
+                .anyMatch(runner -> runner.cold);
+        return hasColdRunner
+                ? Math.max(manifestService.stepPause(), manifestService.warmUp() / 10)
+                : manifestService.stepPause();
     }
 
-    private static TableStep newTableStep(Rows.Service s, List<Integer> units, int[] wanted) {
-        var t = new TableStep();
-        t.service = s.name;
-        t.tableVersion = s.tableVersion;
-        t.units = units.stream().mapToInt(u -> u).toArray();
-        t.cells = units.stream().mapToInt(u -> wanted[u]).toArray();
-        return t;
+    private static TableStep newTableStep(Rows.Service service, List<Integer> units, int[] wantedHomes) {
+        var tableStep = new TableStep();
+        tableStep.service = service.name;
+        tableStep.tableVersion = service.tableVersion;
+        tableStep.units = units.stream().mapToInt(unit -> unit).toArray();
+        tableStep.cells = units.stream().mapToInt(unit -> wantedHomes[unit]).toArray();
+        return tableStep;
     }
 
-    public static BitSet closed(Rows.Service s, Map<String, String> marks) {
-        var b = new BitSet();
-        for (var c = 0; c < s.cells.size(); c++)
-            if (Plan.EMPTIED.equals(marks.get("zone:" + s.zones.get(c)))
-                    || Plan.EMPTIED.equals(marks.get("cell:" + s.name + "/" + s.cells.get(c)))) b.set(c);
-        return b;
+    public static BitSet closed(Rows.Service service, Map<String, String> marks) {
+        var closedCells = new BitSet();
+        for (var cell = 0; cell < service.cells.size(); cell++)
+            if (Plan.EMPTIED.equals(marks.get("zone:" + service.zones.get(cell)))
+                    || Plan.EMPTIED.equals(marks.get("cell:" + service.name + "/" + service.cells.get(cell))))
+                closedCells.set(cell);
+        return closedCells;
     }
 
-    private BitSet healthyCells(Rows.Service s, long now) {
-        var b = new BitSet();
-        var up = s.runnersUp();
-        var housing = new BitSet();
-        for (var h : s.homes) if (h >= 0) housing.set(h);
-        for (var c = 0; c < up.length; c++) {
-            var k = s.name + "/" + s.cells.get(c);
-            if (up[c] == 0) {
-                healthySinceByCell.remove(k);
+    private BitSet healthyCells(Rows.Service service, long now) {
+        var healthy = new BitSet();
+        var runnersUp = service.runnersUp();
+        var cellsWithUnits = new BitSet();
+        for (var home : service.homes) if (home >= 0) cellsWithUnits.set(home);
+        for (var cell = 0; cell < runnersUp.length; cell++) {
+            var key = service.name + "/" + service.cells.get(cell);
+            if (runnersUp[cell] == 0) {
+                healthySinceByCell.remove(key);
                 continue;
             }
-            healthySinceByCell.putIfAbsent(k, now);
-            if (now - healthySinceByCell.get(k) >= HOLD || housing.get(c)) b.set(c);
+            healthySinceByCell.putIfAbsent(key, now);
+            if (now - healthySinceByCell.get(key) >= HOLD || cellsWithUnits.get(cell)) healthy.set(cell);
         }
-        return b;
+        return healthy;
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/Planner.java
@@ -9,53 +9,65 @@
 public final class Planner {
     private Planner() {}
 
-    public static int[] wanted(Rows.Service s, BitSet closed, BitSet well) {
-        var n = s.homes.length;
-        var w = new int[n];
-        var weights = cellWeights(s);
-        for (var u = 0; u < n; u++) w[u] = wantedHome(s, u, closed, well, weights);
-        return w;
+    public static int[] wanted(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
+        var unitCount = service.homes.length;
+        var homes = new int[unitCount];
+        var weights = cellWeights(service);
+        for (var unit = 0; unit < unitCount; unit++)
+            homes[unit] = wantedHome(service, unit, closedCells, healthyCells, weights);
+        return homes;
     }
 
-    private static int wantedHome(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
-        var now = s.homes[unit];
-        var away = s.displaced(unit);
-        if (away != Table.NOWHERE && isAllowed(s, unit, away) && !closed.get(away) && well.get(away)) return away;
-        var best = selectCell(s, unit, closed, well, weights);
-        if (best != now
-                && best != Table.NOWHERE
-                && now != Table.NOWHERE
-                && s.heldUntil.containsKey(s.cells.get(best))
-                && isAllowed(s, unit, now)
-                && !closed.get(now)
-                && well.get(now)) return now;
-        if (best != Table.NOWHERE) return best;
-        if (now != Table.NOWHERE && isAllowed(s, unit, now) && !closed.get(now)) return now;
-        return selectCell(s, unit, closed, null, weights);
+    private static int wantedHome(
+            Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
+        var currentHome = service.homes[unit];
+        var displacedTo = service.displaced(unit);
+        if (displacedTo != Table.NOWHERE
+                && isAllowed(service, unit, displacedTo)
+                && !closedCells.get(displacedTo)
+                && healthyCells.get(displacedTo)) return displacedTo;
+        var bestCell = selectCell(service, unit, closedCells, healthyCells, weights);
+        if (bestCell != currentHome
+                && bestCell != Table.NOWHERE
+                && currentHome != Table.NOWHERE
+                && service.heldUntil.containsKey(service.cells.get(bestCell))
+                && isAllowed(service, unit, currentHome)
+                && !closedCells.get(currentHome)
+                && healthyCells.get(currentHome)) return currentHome;
+        if (bestCell != Table.NOWHERE) return bestCell;
+        if (currentHome != Table.NOWHERE && isAllowed(service, unit, currentHome) && !closedCells.get(currentHome))
+            return currentHome;
+        return selectCell(service, unit, closedCells, null, weights);
     }
 
-    private static int[] cellWeights(Rows.Service s) {
-        var w = new int[s.cells.size()];
-        for (var c = 0; c < w.length; c++) w[c] = s.weight(c);
-        return w;
+    private static int[] cellWeights(Rows.Service service) {
+        var weights = new int[service.cells.size()];
+        for (var cell = 0; cell < weights.length; cell++) weights[cell] = service.weight(cell);
+        return weights;
     }
 
-    static int homeWithAllCellsOpen(Rows.Service s, int unit) {
-        return selectCell(s, unit, new BitSet(), null, cellWeights(s));
+    static int homeWithAllCellsOpen(Rows.Service service, int unit) {
+        return selectCell(service, unit, new BitSet(), null, cellWeights(service));
     }
 
-    private static int selectCell(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
-        var best = Table.NOWHERE;
-        var most = Double.NEGATIVE_INFINITY;
-        for (var c = 0; c < s.cells.size(); c++) {
-            if (!isAllowed(s, unit, c) || closed.get(c) || well != null && !well.get(c)) continue;
-            var score = score(unit, s.cells.get(c), weights[c] / square(s.sharing(c, Units.regionSet(unit))));
-            if (score > most) {
-                most = score;
-                best = c;
+    private static int selectCell(
+            Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
+        var bestCell = Table.NOWHERE;
+        var bestScore = Double.NEGATIVE_INFINITY;
+        for (var cell = 0; cell < service.cells.size(); cell++) {
+            if (!isAllowed(service, unit, cell)
+                    || closedCells.get(cell)
+                    || healthyCells != null && !healthyCells.get(cell)) continue;
+            var score = score(
+                    unit,
+                    service.cells.get(cell),
+                    weights[cell] / square(service.sharing(cell, Units.regionSet(unit))));
+            if (score > bestScore) {
+                bestScore = score;
+                bestCell = cell;
             }
         }
-        return best;
+        return bestCell;
     }
 
     /** Narrower sets come first where they share a region. */
@@ -63,12 +75,13 @@
         return n * n;
     }
 
-    private static boolean isAllowed(Rows.Service s, int unit, int cell) {
-        return s.live(cell) && Units.allows(Units.regionSet(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+    private static boolean isAllowed(Rows.Service service, int unit, int cell) {
+        return service.live(cell)
+                && Units.allows(Units.regionSet(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
     private static double score(int unit, String cell, double weight) {
-        var h = Hash.of(Units.slice(unit), Hash.of(cell)) >>> 11;
-        return weight / -StrictMath.log((h + 0.5) / (1L << 53));
+        var hash = Hash.of(Units.slice(unit), Hash.of(cell)) >>> 11;
+        return weight / -StrictMath.log((hash + 0.5) / (1L << 53));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/Pressure.java
@@ -26,99 +26,109 @@
         smoothedUtilization.clear();
         fullSinceByCell.clear();
         calmSinceByCell.clear();
-        nextCommandAtByService.replaceAll((k, v) -> now + SETTLE);
+        nextCommandAtByService.replaceAll((service, dueAt) -> now + SETTLE);
     }
 
-    public Displace ask(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
-        var use = utilizationByCell(s, loads);
-        for (var c = 0; c < use.length; c++) {
-            use[c] = smoothUtilization(s.name + "/" + c, use[c], now);
-            trackSince(fullSinceByCell, s.name + "/" + c, open.get(c) && use[c] >= FULL, now);
-            trackSince(calmSinceByCell, s.name + "/" + c, open.get(c) && use[c] <= CALM, now);
+    public Displace ask(Rows.Service service, Map<String, Integer> loadByRunner, BitSet openCells, long now) {
+        var utilization = utilizationByCell(service, loadByRunner);
+        for (var cell = 0; cell < utilization.length; cell++) {
+            utilization[cell] = smoothUtilization(service.name + "/" + cell, utilization[cell], now);
+            trackSince(
+                    fullSinceByCell, service.name + "/" + cell, openCells.get(cell) && utilization[cell] >= FULL, now);
+            trackSince(
+                    calmSinceByCell, service.name + "/" + cell, openCells.get(cell) && utilization[cell] <= CALM, now);
         }
-        if (now < nextCommandAtByService.computeIfAbsent(s.name, k -> now)
-                || s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED)) return null;
-        var d = displaceFromFullCell(s, use, open, now);
-        if (d == null) d = returnToCalmHome(s, now);
-        if (d != null) nextCommandAtByService.put(s.name, now + SETTLE);
-        return d;
+        if (now < nextCommandAtByService.computeIfAbsent(service.name, name -> now)
+                || service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED)) return null;
+        var displacement = displaceFromFullCell(service, utilization, openCells, now);
+        if (displacement == null) displacement = returnToCalmHome(service, now);
+        if (displacement != null) nextCommandAtByService.put(service.name, now + SETTLE);
+        return displacement;
     }
 
-    private double smoothUtilization(String k, double use, long now) {
-        var u = smoothedUtilization.computeIfAbsent(k, x -> new double[] {use, now});
-        u[0] += (use - u[0]) * Math.min(1, (now - u[1]) / SMOOTHING_MICROS);
-        u[1] = now;
-        return u[0];
+    private double smoothUtilization(String key, double utilization, long now) {
+        var smoothed = smoothedUtilization.computeIfAbsent(key, absentKey -> new double[] {utilization, now});
+        smoothed[0] += (utilization - smoothed[0]) * Math.min(1, (now - smoothed[1]) / SMOOTHING_MICROS);
+        smoothed[1] = now;
+        return smoothed[0];
     }
 
-    private static void trackSince(Map<String, Long> map, String k, boolean is, long now) {
-        if (is) map.putIfAbsent(k, now);
-        else map.remove(k);
+    private static void trackSince(Map<String, Long> sinceByCell, String key, boolean holds, long now) {
+        if (holds) sinceByCell.putIfAbsent(key, now);
+        else sinceByCell.remove(key);
     }
 
-    private static double[] utilizationByCell(Rows.Service s, Map<String, Integer> loads) {
-        var at = s.cellNumbers();
-        var load = new long[s.cells.size()];
-        var slots = new long[load.length];
-        for (var r : s.runners.values()) {
-            var c = at.get(r.cell);
-            if (!r.up() || c == null) continue;
-            load[c] += Math.min(r.slots, loads.getOrDefault(s.name + "/" + r.name, 0));
-            slots[c] += r.slots;
+    private static double[] utilizationByCell(Rows.Service service, Map<String, Integer> loadByRunner) {
+        var cellNumbers = service.cellNumbers();
+        var loadOfCell = new long[service.cells.size()];
+        var slotsOfCell = new long[loadOfCell.length];
+        for (var runner : service.runners.values()) {
+            var cell = cellNumbers.get(runner.cell);
+            if (!runner.up() || cell == null) continue;
+            loadOfCell[cell] += Math.min(runner.slots, loadByRunner.getOrDefault(service.name + "/" + runner.name, 0));
+            slotsOfCell[cell] += runner.slots;
         }
-        return IntStream.range(0, load.length)
-                .mapToDouble(c -> slots[c] == 0 ? 1 : load[c] / (double) slots[c])
+        return IntStream.range(0, loadOfCell.length)
+                .mapToDouble(cell -> slotsOfCell[cell] == 0 ? 1 : loadOfCell[cell] / (double) slotsOfCell[cell])
                 .toArray();
     }
 
-    private boolean hasLasted(Map<String, Long> map, Rows.Service s, int cell, long hold, long now) {
-        var t = map.get(s.name + "/" + cell);
-        return t != null && now - t >= hold;
+    private boolean hasLasted(
+            Map<String, Long> sinceByCell, Rows.Service service, int cell, long holdMicros, long now) {
+        var since = sinceByCell.get(service.name + "/" + cell);
+        return since != null && now - since >= holdMicros;
     }
 
-    private Displace displaceFromFullCell(Rows.Service s, double[] use, BitSet open, long now) {
-        for (var c = 0; c < use.length; c++) {
-            if (!hasLasted(fullSinceByCell, s, c, FULL_FOR, now)) continue;
-            var to = leastUtilizedCell(s, use, open, c);
-            if (to == Table.NOWHERE) continue;
+    private Displace displaceFromFullCell(Rows.Service service, double[] utilization, BitSet openCells, long now) {
+        for (var cell = 0; cell < utilization.length; cell++) {
+            if (!hasLasted(fullSinceByCell, service, cell, FULL_FOR, now)) continue;
+            var target = leastUtilizedCell(service, utilization, openCells, cell);
+            if (target == Table.NOWHERE) continue;
             var units = new ArrayList<Integer>();
-            for (var u = s.homes.length - 1; u >= Units.SLICES && units.size() < MAX_UNITS_PER_COMMAND; u--)
-                if (s.homes[u] == c && s.displaced(u) == Table.NOWHERE && isAllowed(s, u, to)) units.add(u);
-            if (!units.isEmpty()) return newDisplace(s, units, to);
+            for (var unit = service.homes.length - 1;
+                    unit >= Units.SLICES && units.size() < MAX_UNITS_PER_COMMAND;
+                    unit--)
+                if (service.homes[unit] == cell
+                        && service.displaced(unit) == Table.NOWHERE
+                        && isAllowed(service, unit, target)) units.add(unit);
+            if (!units.isEmpty()) return newDisplace(service, units, target);
         }
         return null;
     }
 
-    private static int leastUtilizedCell(Rows.Service s, double[] use, BitSet open, int but) {
-        var best = Table.NOWHERE;
-        for (var c = 0; c < use.length; c++) {
-            if (c == but || !open.get(c) || use[c] > ROOM || s.heldUntil.containsKey(s.cells.get(c))) continue;
-            if (best == Table.NOWHERE || use[c] < use[best]) best = c;
+    private static int leastUtilizedCell(Rows.Service service, double[] utilization, BitSet openCells, int excluded) {
+        var bestCell = Table.NOWHERE;
+        for (var cell = 0; cell < utilization.length; cell++) {
+            if (cell == excluded
+                    || !openCells.get(cell)
+                    || utilization[cell] > ROOM
+                    || service.heldUntil.containsKey(service.cells.get(cell))) continue;
+            if (bestCell == Table.NOWHERE || utilization[cell] < utilization[bestCell]) bestCell = cell;
         }
-        return best;
+        return bestCell;
     }
 
-    private static boolean isAllowed(Rows.Service s, int unit, int cell) {
-        return Units.allows(Units.regionSet(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+    private static boolean isAllowed(Rows.Service service, int unit, int cell) {
+        return Units.allows(Units.regionSet(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
-    private Displace returnToCalmHome(Rows.Service s, long now) {
+    private Displace returnToCalmHome(Rows.Service service, long now) {
         var units = new ArrayList<Integer>();
-        for (var u : s.displacedUnits) {
-            var home = Planner.homeWithAllCellsOpen(s, u);
+        for (var unit : service.displacedUnits) {
+            var home = Planner.homeWithAllCellsOpen(service, unit);
             if (units.size() < MAX_UNITS_PER_COMMAND
                     && home != Table.NOWHERE
-                    && hasLasted(calmSinceByCell, s, home, CALM_FOR, now)) units.add(u);
+                    && hasLasted(calmSinceByCell, service, home, CALM_FOR, now)) units.add(unit);
         }
-        return units.isEmpty() ? null : newDisplace(s, units, Table.NOWHERE);
+        return units.isEmpty() ? null : newDisplace(service, units, Table.NOWHERE);
     }
 
-    private static Displace newDisplace(Rows.Service s, List<Integer> units, int to) {
-        var d = new Displace();
-        d.service = s.name;
-        d.tableVersion = s.tableVersion;
-        d.units = units.stream().mapToInt(u -> u).toArray();
-        d.cells = units.stream().mapToInt(u -> to).toArray();
-        return d;
+    private static Displace newDisplace(Rows.Service service, List<Integer> units, int target) {
+        var command = new Displace();
+        command.service = service.name;
+        command.tableVersion = service.tableVersion;
+        command.units = units.stream().mapToInt(unit -> unit).toArray();
+        command.cells = units.stream().mapToInt(unit -> target).toArray();
+        return command;
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Signals.java
+++ b/lib/control/src/main/java/craneway/control/plan/Signals.java
@@ -27,28 +27,28 @@
     private final Map<String, SlotRing> ringByCell = new HashMap<>();
 
     public void add(String service, String cell, long runs, long problems, long firstMicros, long now) {
-        var r = ringByCell.computeIfAbsent(service + "/" + cell, k -> new SlotRing());
+        var ring = ringByCell.computeIfAbsent(service + "/" + cell, key -> new SlotRing());
         var slot = now / SLOT_MICROS;
-        var i = (int) (slot % SLOT_COUNT);
-        if (r.slotNumbers[i] != slot) {
-            r.slotNumbers[i] = slot;
-            r.runs[i] = r.problems[i] = r.firstTokenMicros[i] = 0;
+        var index = (int) (slot % SLOT_COUNT);
+        if (ring.slotNumbers[index] != slot) {
+            ring.slotNumbers[index] = slot;
+            ring.runs[index] = ring.problems[index] = ring.firstTokenMicros[index] = 0;
         }
-        r.runs[i] += runs;
-        r.problems[i] += problems;
-        r.firstTokenMicros[i] += firstMicros;
+        ring.runs[index] += runs;
+        ring.problems[index] += problems;
+        ring.firstTokenMicros[index] += firstMicros;
     }
 
     public Rate since(String service, String cell, long from, long now) {
-        var r = ringByCell.get(service + "/" + cell);
-        long runs = 0, problems = 0, first = 0;
-        for (var i = 0; r != null && i < SLOT_COUNT; i++) {
-            if (r.slotNumbers[i] < Math.max(from / SLOT_MICROS, now / SLOT_MICROS - SLOT_COUNT + 1)) continue;
-            runs += r.runs[i];
-            problems += r.problems[i];
-            first += r.firstTokenMicros[i];
+        var ring = ringByCell.get(service + "/" + cell);
+        long runs = 0, problems = 0, firstTokenMicros = 0;
+        for (var index = 0; ring != null && index < SLOT_COUNT; index++) {
+            if (ring.slotNumbers[index] < Math.max(from / SLOT_MICROS, now / SLOT_MICROS - SLOT_COUNT + 1)) continue;
+            runs += ring.runs[index];
+            problems += ring.problems[index];
+            firstTokenMicros += ring.firstTokenMicros[index];
         }
-        return new Rate(runs, problems, first);
+        return new Rate(runs, problems, firstTokenMicros);
     }
 
     public void clear() {
--- a/lib/control/src/main/java/craneway/control/plan/Watcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/Watcher.java
@@ -20,63 +20,65 @@
         watchedSteps.clear();
     }
 
-    public StepMark judge(Rows.Service s, Signals g, BitSet open, long now) {
-        for (var x : s.steps) {
-            if (x.state != Rows.Step.RAISED) continue;
-            var w = watchedStep(s, x, g, now);
-            var units = returnableUnits(x, open);
-            var worse = units.length > 0
-                    ? describeDegradation(w.baseline, g.since(s.name, s.cells.get(x.to), w.since, now))
+    public StepMark judge(Rows.Service service, Signals signals, BitSet openCells, long now) {
+        for (var step : service.steps) {
+            if (step.state != Rows.Step.RAISED) continue;
+            var watched = watchedStep(service, step, signals, now);
+            var units = returnableUnits(step, openCells);
+            var degradation = units.length > 0
+                    ? describeDegradation(
+                            watched.baseline,
+                            signals.since(service.name, service.cells.get(step.to), watched.since, now))
                     : null;
-            if (worse == null && now - w.since < WATCH) continue;
-            watchedSteps.remove(s.name + "/" + x.id);
-            return newStepMark(s, x, worse, units);
+            if (degradation == null && now - watched.since < WATCH) continue;
+            watchedSteps.remove(service.name + "/" + step.id);
+            return newStepMark(service, step, degradation, units);
         }
         return null;
     }
 
-    private WatchedStep watchedStep(Rows.Service s, Rows.Step x, Signals g, long now) {
-        var has = watchedSteps.get(s.name + "/" + x.id);
-        if (has != null) return has;
-        var before = g.since(s.name, s.cells.get(x.to), now - BASELINE_WINDOW_MICROS, now);
-        for (var o : s.steps) {
-            var w = watchedSteps.get(s.name + "/" + o.id);
-            if (w == null || o.to != x.to) continue;
-            before = w.baseline;
+    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, Signals signals, long now) {
+        var existing = watchedSteps.get(service.name + "/" + step.id);
+        if (existing != null) return existing;
+        var baseline = signals.since(service.name, service.cells.get(step.to), now - BASELINE_WINDOW_MICROS, now);
+        for (var other : service.steps) {
+            var watched = watchedSteps.get(service.name + "/" + other.id);
+            if (watched == null || other.to != step.to) continue;
+            baseline = watched.baseline;
             break;
         }
-        var w = new WatchedStep(now, before);
-        watchedSteps.put(s.name + "/" + x.id, w);
-        return w;
+        var watched = new WatchedStep(now, baseline);
+        watchedSteps.put(service.name + "/" + step.id, watched);
+        return watched;
     }
 
-    private static int[] returnableUnits(Rows.Step x, BitSet open) {
-        return IntStream.range(0, x.units.length)
-                .filter(i -> x.from[i] >= 0 && open.get(x.from[i]))
-                .map(i -> x.units[i])
+    private static int[] returnableUnits(Rows.Step step, BitSet openCells) {
+        return IntStream.range(0, step.units.length)
+                .filter(index -> step.from[index] >= 0 && openCells.get(step.from[index]))
+                .map(index -> step.units[index])
                 .toArray();
     }
 
-    private static String describeDegradation(Signals.Rate before, Signals.Rate after) {
-        if (after.problems() >= MIN_SAMPLES && after.share() > 0.1 + 2 * before.share())
-            return String.format("problems rose from %.2f to %.2f of its work", before.share(), after.share());
-        if (after.runs() >= MIN_SAMPLES
-                && before.runs() >= MIN_SAMPLES
-                && after.first() > SLOW_FIRST_TOKEN_MICROS
-                && after.first() > 3 * before.first())
+    private static String describeDegradation(Signals.Rate baseline, Signals.Rate current) {
+        if (current.problems() >= MIN_SAMPLES && current.share() > 0.1 + 2 * baseline.share())
+            return String.format("problems rose from %.2f to %.2f of its work", baseline.share(), current.share());
+        if (current.runs() >= MIN_SAMPLES
+                && baseline.runs() >= MIN_SAMPLES
+                && current.first() > SLOW_FIRST_TOKEN_MICROS
+                && current.first() > 3 * baseline.first())
             return String.format(
-                    "time to first token rose from %.0f to %.0f ms", before.first() / 1000, after.first() / 1000);
+                    "time to first token rose from %.0f to %.0f ms", baseline.first() / 1000, current.first() / 1000);
         return null;
     }
 
-    private static StepMark newStepMark(Rows.Service s, Rows.Step x, String worse, int[] units) {
-        var m = new StepMark();
-        m.service = s.name;
-        m.id = x.id;
-        m.state = worse == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
-        m.cause = worse == null ? "" : s.cells.get(x.to) + ": " + worse;
-        m.heldMicros = HELD;
-        m.units = units;
-        return m;
+    private static StepMark newStepMark(Rows.Service service, Rows.Step step, String degradation, int[] units) {
+        var mark = new StepMark();
+        mark.service = service.name;
+        mark.id = step.id;
+        mark.state = degradation == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
+        mark.cause = degradation == null ? "" : service.cells.get(step.to) + ": " + degradation;
+        mark.heldMicros = HELD;
+        mark.units = units;
+        return mark;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -45,9 +45,9 @@
     }
 
     /** Rules on a command of a process that tells its life. */
-    Admission check(CommandRequest a, long term, long now) {
-        if (a.term != term || now > a.bound || a.bound > now + MAX_WAIT_MICROS) return Admission.LATE;
-        return livesKnowingClock.get(a.life) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
+    Admission check(CommandRequest request, long term, long now) {
+        if (request.term != term || now > request.bound || request.bound > now + MAX_WAIT_MICROS) return Admission.LATE;
+        return livesKnowingClock.get(request.life) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
     }
 
     /**
@@ -61,13 +61,14 @@
     }
 
     /** Claims carry an identity of their own: holder, incarnation and try. */
-    static Object withIdentity(CommandRequest a, Object command, byte[] body) {
-        if (a.life == 0 || command instanceof Commands.Claim || command instanceof Commands.Finish) return command;
-        var f = new Commands.Fenced();
-        f.life = a.life;
-        f.sequence = a.id;
-        f.lowest = a.lowest;
-        f.body = body;
-        return f;
+    static Object withIdentity(CommandRequest request, Object command, byte[] body) {
+        if (request.life == 0 || command instanceof Commands.Claim || command instanceof Commands.Finish)
+            return command;
+        var fenced = new Commands.Fenced();
+        fenced.life = request.life;
+        fenced.sequence = request.id;
+        fenced.lowest = request.lowest;
+        fenced.body = body;
+        return fenced;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -31,38 +31,40 @@
     }
 
     /** Takes a renewal that was granted. */
-    void recordRenewal(Renew r, long now) {
-        var l = leaseByMember.computeIfAbsent(r.from.name, k -> new Lease());
-        if (l.address != null && !l.address.equals(r.from.peerAddress))
-            l.earlierInstanceUntil = l.renewedAt + LAPSE_AFTER_MICROS + l.graceMicros;
-        if (l.incarnation != r.from.incarnation) l.versionByTopic.clear();
-        l.address = r.from.peerAddress;
-        l.incarnation = r.from.incarnation;
-        l.graceMicros = r.from.grace;
-        l.renewedAt = now;
-        for (var i = 0; i < r.topics.size(); i++) l.versionByTopic.put(r.topics.get(i), r.versions.get(i));
+    void recordRenewal(Renew renewal, long now) {
+        var lease = leaseByMember.computeIfAbsent(renewal.from.name, name -> new Lease());
+        if (lease.address != null && !lease.address.equals(renewal.from.peerAddress))
+            lease.earlierInstanceUntil = lease.renewedAt + LAPSE_AFTER_MICROS + lease.graceMicros;
+        if (lease.incarnation != renewal.from.incarnation) lease.versionByTopic.clear();
+        lease.address = renewal.from.peerAddress;
+        lease.incarnation = renewal.from.incarnation;
+        lease.graceMicros = renewal.from.grace;
+        lease.renewedAt = now;
+        for (var i = 0; i < renewal.topics.size(); i++)
+            lease.versionByTopic.put(renewal.topics.get(i), renewal.versions.get(i));
     }
 
     /** The version of a topic that the member said it has. */
     long reportedVersion(String name, String topic) {
-        var l = leaseByMember.get(name);
-        return l == null ? 0 : l.versionByTopic.getOrDefault(topic, 0L);
+        var lease = leaseByMember.get(name);
+        return lease == null ? 0 : lease.versionByTopic.getOrDefault(topic, 0L);
     }
 
     private long lastRenewedAt(String name) {
-        var l = leaseByMember.get(name);
-        return l == null ? clearedAt : l.renewedAt;
+        var lease = leaseByMember.get(name);
+        return lease == null ? clearedAt : lease.renewedAt;
     }
 
     /** Whether the member's lease, and the grace after it, may still run. */
-    boolean mayStillAct(Node member, long grace, long now) {
-        return now - lastRenewedAt(member.name) < LAPSE_AFTER_MICROS + grace || earlierInstanceMayAct(member, now);
+    boolean mayStillAct(Node member, long graceMicros, long now) {
+        return now - lastRenewedAt(member.name) < LAPSE_AFTER_MICROS + graceMicros
+                || earlierInstanceMayAct(member, now);
     }
 
     /** Whether an earlier life of this name at another address may still hold a lease. */
     boolean earlierInstanceMayAct(Node member, long now) {
-        var l = leaseByMember.get(member.name);
-        return l != null && now < l.earlierInstanceUntil;
+        var lease = leaseByMember.get(member.name);
+        return lease != null && now < lease.earlierInstanceUntil;
     }
 
     boolean hasLapsed(Node member, long now) {
--- a/lib/control/src/main/java/craneway/control/store/LoadHistory.java
+++ b/lib/control/src/main/java/craneway/control/store/LoadHistory.java
@@ -21,20 +21,21 @@
     private final Map<String, MinutePeaks> peaksByService = new HashMap<>();
 
     void record(String service, int load, long now) {
-        var m = now / MINUTE_MICROS;
-        var p = peaksByService.computeIfAbsent(service, k -> new MinutePeaks(m));
-        while (p.lastMinute < m) p.peakByMinute[(int) (++p.lastMinute % HISTORY_MINUTES)] = 0;
-        var i = (int) (m % HISTORY_MINUTES);
-        p.peakByMinute[i] = Math.max(p.peakByMinute[i], load);
+        var currentMinute = now / MINUTE_MICROS;
+        var peaks = peaksByService.computeIfAbsent(service, name -> new MinutePeaks(currentMinute));
+        while (peaks.lastMinute < currentMinute) peaks.peakByMinute[(int) (++peaks.lastMinute % HISTORY_MINUTES)] = 0;
+        var slot = (int) (currentMinute % HISTORY_MINUTES);
+        peaks.peakByMinute[slot] = Math.max(peaks.peakByMinute[slot], load);
     }
 
     int[] peaksNewestFirst(String service) {
-        var p = peaksByService.get(service);
-        if (p == null) return new int[0];
-        var n = (int) Math.min(HISTORY_MINUTES, p.lastMinute - p.firstMinute + 1);
-        var all = new int[n];
-        Arrays.setAll(all, i -> p.peakByMinute[(int) Math.floorMod(p.lastMinute - i, (long) HISTORY_MINUTES)]);
-        return all;
+        var peaks = peaksByService.get(service);
+        if (peaks == null) return new int[0];
+        var count = (int) Math.min(HISTORY_MINUTES, peaks.lastMinute - peaks.firstMinute + 1);
+        var newestFirst = new int[count];
+        Arrays.setAll(newestFirst, minutesAgo -> peaks.peakByMinute[
+                (int) Math.floorMod(peaks.lastMinute - minutesAgo, (long) HISTORY_MINUTES)]);
+        return newestFirst;
     }
 
     void clear() {
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -50,15 +50,15 @@
     }
 
     /** A store that is no member asks to become one; it asks again before that time if it still does. */
-    public void wants(long store, String zone, long until) {
+    public void wants(long store, String zone, long validUntil) {
         leavingUntilByStore.remove(store);
-        joinRequestByStore.put(store, new JoinRequest(zone, until));
+        joinRequestByStore.put(store, new JoinRequest(zone, validUntil));
     }
 
     /** A store is about to stop; it says so again before that time while it still waits. */
-    public void leaves(long store, long until) {
+    public void leaves(long store, long validUntil) {
         joinRequestByStore.remove(store);
-        leavingUntilByStore.put(store, until);
+        leavingUntilByStore.put(store, validUntil);
     }
 
     /** Whether a store has said lately that it is about to stop. */
@@ -67,34 +67,36 @@
     }
 
     /** The members to propose next, if any change is due. */
-    public Optional<Members> next(Members m, long leadingSince, long now) {
-        dropExpired(m, now);
-        var lost = memberWithLostDisk(m);
-        if (lost != 0) return Optional.of(m.without(lost));
-        if (m.learner != 0) return resolveLearner(m, leadingSince, now);
-        if (m.voters.length > quorum.voters()) return removeSurplusVoter(m, now);
-        return admitLearner(m, now);
+    public Optional<Members> next(Members members, long leadingSince, long now) {
+        dropExpired(members, now);
+        var lostStore = memberWithLostDisk(members);
+        if (lostStore != 0) return Optional.of(members.without(lostStore));
+        if (members.learner != 0) return resolveLearner(members, leadingSince, now);
+        if (members.voters.length > quorum.voters()) return removeSurplusVoter(members, now);
+        return admitLearner(members, now);
     }
 
-    private void dropExpired(Members m, long now) {
-        leavingUntilByStore.values().removeIf(until -> now > until);
+    private void dropExpired(Members members, long now) {
+        leavingUntilByStore.values().removeIf(validUntil -> now > validUntil);
         joinRequestByStore
                 .entrySet()
-                .removeIf(e ->
-                        now > e.getValue().validUntil || m.isMember(e.getKey()) || storeStatus.diskLost(e.getKey()));
+                .removeIf(entry -> now > entry.getValue().validUntil
+                        || members.isMember(entry.getKey())
+                        || storeStatus.diskLost(entry.getKey()));
     }
 
-    private long memberWithLostDisk(Members m) {
-        if (m.learner != 0 && storeStatus.diskLost(m.learner)) return m.learner;
-        for (var v : m.voters) if (v != self && storeStatus.diskLost(v)) return v;
+    private long memberWithLostDisk(Members members) {
+        if (members.learner != 0 && storeStatus.diskLost(members.learner)) return members.learner;
+        for (var voter : members.voters) if (voter != self && storeStatus.diskLost(voter)) return voter;
         return 0;
     }
 
-    private Optional<Members> resolveLearner(Members m, long leadingSince, long now) {
-        var led = now - leadingSince;
-        if (leaving(m.learner) || isSilent(m.learner, now) && led > timing.replace())
-            return Optional.of(m.without(m.learner));
-        if (storeStatus.caughtUp(m.learner) && led > timing.settled()) return Optional.of(withLearnerPromoted(m, now));
+    private Optional<Members> resolveLearner(Members members, long leadingSince, long now) {
+        var leadingForMicros = now - leadingSince;
+        if (leaving(members.learner) || isSilent(members.learner, now) && leadingForMicros > timing.replace())
+            return Optional.of(members.without(members.learner));
+        if (storeStatus.caughtUp(members.learner) && leadingForMicros > timing.settled())
+            return Optional.of(withLearnerPromoted(members, now));
         return Optional.empty();
     }
 
@@ -102,49 +104,49 @@
      * The group with its caught-up learner as a voter. A silent voter that it replaces goes first: beside it the group would need
      * one store more, and the loss of the new voter in that moment would leave no majority.
      */
-    private Members withLearnerPromoted(Members m, long now) {
-        if (m.voters.length < quorum.voters()) return m.promoted();
-        for (var v : m.voters) if (isSilent(v, now)) return m.without(v);
-        return m.promoted();
+    private Members withLearnerPromoted(Members members, long now) {
+        if (members.voters.length < quorum.voters()) return members.promoted();
+        for (var voter : members.voters) if (isSilent(voter, now)) return members.without(voter);
+        return members.promoted();
     }
 
     private boolean isSilent(long store, long now) {
         return store != self && now - storeStatus.heardFrom(store) >= timing.replace();
     }
 
-    private Optional<Members> removeSurplusVoter(Members m, long now) {
-        var worst = -1;
-        for (var i = 0; i < m.voters.length; i++) {
-            if (m.voters[i] == self) continue;
-            if (worst < 0 || removalRank(m, i, now) < removalRank(m, worst, now)) worst = i;
+    private Optional<Members> removeSurplusVoter(Members members, long now) {
+        var candidate = -1;
+        for (var i = 0; i < members.voters.length; i++) {
+            if (members.voters[i] == self) continue;
+            if (candidate < 0 || removalRank(members, i, now) < removalRank(members, candidate, now)) candidate = i;
         }
-        return worst < 0 ? Optional.empty() : Optional.of(m.without(m.voters[worst]));
+        return candidate < 0 ? Optional.empty() : Optional.of(members.without(members.voters[candidate]));
     }
 
     /** The least goes first: silent ones, then those about to stop, then whoever crowds a region most. */
-    private int removalRank(Members m, int i, long now) {
-        var rank = quorum.unevennessWithout(m.zones, i);
-        if (isSilent(m.voters[i], now)) return rank - (1 << 28);
-        return leaving(m.voters[i]) ? rank - (1 << 27) : rank;
+    private int removalRank(Members members, int index, long now) {
+        var rank = quorum.unevennessWithout(members.zones, index);
+        if (isSilent(members.voters[index], now)) return rank - (1 << 28);
+        return leaving(members.voters[index]) ? rank - (1 << 27) : rank;
     }
 
-    private Optional<Members> admitLearner(Members m, long now) {
-        var best = joinRequestByStore.entrySet().stream()
-                .min(Comparator.comparingInt(e -> quorum.unevennessWith(m.zones, e.getValue().zone)))
+    private Optional<Members> admitLearner(Members members, long now) {
+        var bestRequest = joinRequestByStore.entrySet().stream()
+                .min(Comparator.comparingInt(entry -> quorum.unevennessWith(members.zones, entry.getValue().zone)))
                 .orElse(null);
-        if (best == null) return Optional.empty();
-        var zone = best.getValue().zone;
-        if (m.voters.length == quorum.voters() && !improvesSpread(m, zone, now)) return Optional.empty();
-        return Optional.of(m.withLearner(best.getKey(), zone));
-    }
-
-    private boolean improvesSpread(Members m, String zone, long now) {
-        var is = quorum.unevenness(Arrays.asList(m.zones));
-        for (var i = 0; i < m.voters.length; i++) {
-            if (m.voters[i] == self) continue;
-            var then = quorum.unevennessAfterSwap(m.zones, i, zone);
-            var goes = isSilent(m.voters[i], now) || leaving(m.voters[i]);
-            if (then < is || then <= is && goes) return true;
+        if (bestRequest == null) return Optional.empty();
+        var zone = bestRequest.getValue().zone;
+        if (members.voters.length == quorum.voters() && !improvesSpread(members, zone, now)) return Optional.empty();
+        return Optional.of(members.withLearner(bestRequest.getKey(), zone));
+    }
+
+    private boolean improvesSpread(Members members, String zone, long now) {
+        var unevennessNow = quorum.unevenness(Arrays.asList(members.zones));
+        for (var i = 0; i < members.voters.length; i++) {
+            if (members.voters[i] == self) continue;
+            var unevennessAfter = quorum.unevennessAfterSwap(members.zones, i, zone);
+            var isGoingAway = isSilent(members.voters[i], now) || leaving(members.voters[i]);
+            if (unevennessAfter < unevennessNow || unevennessAfter <= unevennessNow && isGoingAway) return true;
         }
         return false;
     }
@@ -153,39 +155,46 @@
      * Whether a store that is about to stop may go now: it is no member any more; or nobody could take its place, and every other
      * voter holds all that it helped to acknowledge.
      */
-    public boolean mayGo(long store, Members m, long leadingSince, long now) {
-        if (!m.isMember(store)) return true;
-        var changing = m.learner != 0
-                || m.voters.length > quorum.voters()
-                || admitLearner(m, now).isPresent();
+    public boolean mayGo(long store, Members members, long leadingSince, long now) {
+        if (!members.isMember(store)) return true;
+        var changing = members.learner != 0
+                || members.voters.length > quorum.voters()
+                || admitLearner(members, now).isPresent();
         if (changing || now - leadingSince < JOIN_REQUESTS_COMPLETE_AFTER_MICROS) return false;
-        return Arrays.stream(m.voters).allMatch(v -> v == store || v == self || leaving(v) || storeStatus.level(v));
+        return Arrays.stream(members.voters)
+                .allMatch(voter -> voter == store || voter == self || leaving(voter) || storeStatus.level(voter));
     }
 
     /** The voter that should lead in this leader's place, by the order of the parts; 0 for none. */
-    public long preferredLeader(Members m, int part) {
-        var order = Arrays.stream(m.voters).filter(v -> !leaving(v)).sorted().toArray();
-        return order.length == 0 ? 0 : order[part % order.length];
+    public long preferredLeader(Members members, int part) {
+        var candidates = Arrays.stream(members.voters)
+                .filter(voter -> !leaving(voter))
+                .sorted()
+                .toArray();
+        return candidates.length == 0 ? 0 : candidates[part % candidates.length];
     }
 
     /** Whether the group is whole and leadership may go to this voter now. */
-    public boolean mayLead(long store, Members m, long now) {
-        if (store == 0 || store == self || leaving(store) || !m.isVoter(store)) return false;
-        return m.voters.length == quorum.voters()
-                && m.learner == 0
+    public boolean mayLead(long store, Members members, long now) {
+        if (store == 0 || store == self || leaving(store) || !members.isVoter(store)) return false;
+        return members.voters.length == quorum.voters()
+                && members.learner == 0
                 && wasHeardRecently(store, now)
                 && storeStatus.caughtUp(store);
     }
 
     /** The voter to hand over to when this store stops: one that is near, and rather none that stops too; 0 for none. */
-    public long heir(Members m, long now) {
-        var near = Arrays.stream(m.voters)
-                .filter(v -> v != self && wasHeardRecently(v, now))
+    public long heir(Members members, long now) {
+        var reachable = Arrays.stream(members.voters)
+                .filter(voter -> voter != self && wasHeardRecently(voter, now))
                 .toArray();
-        return Arrays.stream(near)
-                .filter(v -> !leaving(v) && storeStatus.caughtUp(v))
+        return Arrays.stream(reachable)
+                .filter(voter -> !leaving(voter) && storeStatus.caughtUp(voter))
                 .findFirst()
-                .orElse(Arrays.stream(near).filter(v -> !leaving(v)).findFirst().orElse(0));
+                .orElse(Arrays.stream(reachable)
+                        .filter(voter -> !leaving(voter))
+                        .findFirst()
+                        .orElse(0));
     }
 
     private boolean wasHeardRecently(long store, long now) {
