--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -102,7 +102,7 @@
             int part,
             long self,
             Folder folder,
-            Members first,
+            Members initialMembers,
             Port port,
             Directory directory,
             Membership membership,
@@ -117,7 +117,16 @@
         this.directory = directory;
         this.membership = membership;
         this.group = new Group(
-                part, self, directory.founding().origin(), folder, first, records, random, this, timing, port.now());
+                part,
+                self,
+                directory.founding().origin(),
+                folder,
+                initialMembers,
+                records,
+                random,
+                this,
+                timing,
+                port.now());
         membershipChanges = new MembershipChanges(self, quorum, timing, new GroupStoreStatus());
     }
 
@@ -130,7 +139,7 @@
         while (!eventQueue.isEmpty() && lock.tryLock()) {
             try {
                 if (closed) eventQueue.clear();
-                for (var e = eventQueue.poll(); e != null; e = eventQueue.poll()) e.run();
+                for (var event = eventQueue.poll(); event != null; event = eventQueue.poll()) event.run();
                 if (closed) return;
                 group.syncAndSend(port.now());
                 publishNews(port.now());
@@ -150,24 +159,24 @@
         offer(() -> tick(port.now()));
     }
 
-    public void receive(PartMessage m) {
-        offer(() -> group.receive(m, port.now()));
+    public void receive(PartMessage message) {
+        offer(() -> group.receive(message, port.now()));
     }
 
-    public void receive(CommandRequest a) {
-        offer(() -> handleCommandRequest(a, port.now()));
+    public void receive(CommandRequest request) {
+        offer(() -> handleCommandRequest(request, port.now()));
     }
 
-    public void receive(Renew r, Consumer<RenewReply> then) {
-        offer(() -> handleRenewal(r, port.now(), then));
+    public void receive(Renew renewal, Consumer<RenewReply> onReply) {
+        offer(() -> handleRenewal(renewal, port.now(), onReply));
     }
 
-    public void receive(Subscribe s) {
-        offer(() -> addSubscriber(s, port.now()));
+    public void receive(Subscribe subscription) {
+        offer(() -> addSubscriber(subscription, port.now()));
     }
 
-    public void receive(Join j) {
-        offer(() -> handleJoin(j, port.now()));
+    public void receive(Join request) {
+        offer(() -> handleJoin(request, port.now()));
     }
 
     public void transferLeadership() {
@@ -193,17 +202,17 @@
     }
 
     @Override
-    public void send(PartMessage m) {
-        var to = directory.store(m.to);
-        if (to != null) port.send(to.peerAddress, m);
+    public void send(PartMessage message) {
+        var recipient = directory.store(message.to);
+        if (recipient != null) port.send(recipient.peerAddress, message);
     }
 
     @Override
     public void applied(long index, long term, Object result) {
-        var w = pendingProposals.remove(index);
-        if (w == null) return;
-        w.onResult.accept(
-                w.term == term
+        var proposal = pendingProposals.remove(index);
+        if (proposal == null) return;
+        proposal.onResult.accept(
+                proposal.term == term
                         ? (CommandResult) result
                         : Records.failure(Kind.UNCERTAIN, "the part changed its leader"));
     }
@@ -227,14 +236,14 @@
         loadHistory.clear();
         leaderSince = lastAgedAt = nextMemberScanAt = nextRunnerScanAt = port.now();
         if (leads) return;
-        var all = List.copyOf(pendingProposals.values());
+        var orphaned = List.copyOf(pendingProposals.values());
         pendingProposals.clear();
-        all.forEach(w -> w.onResult.accept(Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())));
+        orphaned.forEach(proposal -> proposal.onResult.accept(Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())));
     }
 
     @Override
-    public void note(Event e, String detail) {
-        port.note(e, detail);
+    public void note(Event event, String detail) {
+        port.note(event, detail);
     }
 
     private void tick(long now) {
@@ -259,387 +268,407 @@
                             MAX_SCAN_PAUSE_MICROS,
                             SCAN_PAUSE_PER_RUNNER_MICROS
                                     * records.rows().services.values().stream()
-                                            .mapToLong(s -> s.runners.size())
+                                            .mapToLong(service -> service.runners.size())
                                             .sum());
         }
         balanceLeaders(now);
     }
 
     private Node otherLeader() {
-        var id = group.leader();
-        return id == 0 || id == directory.self().storeId ? null : directory.store(id);
+        var leaderId = group.leader();
+        return leaderId == 0 || leaderId == directory.self().storeId ? null : directory.store(leaderId);
     }
 
-    private void propose(Object command, Consumer<CommandResult> then) {
-        var i = group.propose(Codec.writeTagged(command), port.now());
-        if (i < 0) {
-            then.accept(Records.failure(Kind.NOT_OWNER, ""));
+    private void propose(Object command, Consumer<CommandResult> onResult) {
+        var index = group.propose(Codec.writeTagged(command), port.now());
+        if (index < 0) {
+            onResult.accept(Records.failure(Kind.NOT_OWNER, ""));
         } else {
-            pendingProposals.put(i, new PendingProposal(group.term(), then));
+            pendingProposals.put(index, new PendingProposal(group.term(), onResult));
         }
     }
 
     private void propose(Object command) {
-        propose(command, v -> {});
+        propose(command, result -> {});
     }
 
-    private void handleCommandRequest(CommandRequest a, long now) {
+    private void handleCommandRequest(CommandRequest request, long now) {
         if (!group.hasLease(now)) {
-            var v = Records.failure(Kind.NOT_OWNER, "");
-            v.leader = otherLeader();
-            reply(a, v);
+            var result = Records.failure(Kind.NOT_OWNER, "");
+            result.leader = otherLeader();
+            reply(request, result);
             return;
         }
-        if (a.life != 0 && a.body != null && a.body.length == 0) {
-            declineCommand(a, Kind.LATE_COMMAND);
+        if (request.life != 0 && request.body != null && request.body.length == 0) {
+            declineCommand(request, Kind.LATE_COMMAND);
             return;
         }
         try {
-            admitOrDecline(a, Codec.readTagged(a.body), now);
+            admitOrDecline(request, Codec.readTagged(request.body), now);
         } catch (BadMessageException e) {
             port.note(Event.BAD_MESSAGE, e.getMessage());
-            reply(a, Records.failure(Kind.BAD_MESSAGE, e.getMessage()));
+            reply(request, Records.failure(Kind.BAD_MESSAGE, e.getMessage()));
         }
     }
 
-    private void admitOrDecline(CommandRequest a, Object body, long now) {
-        if (a.life == 0 || !Commands.is(body)) {
-            dispatch(a, body, now);
+    private void admitOrDecline(CommandRequest request, Object body, long now) {
+        if (request.life == 0 || !Commands.is(body)) {
+            dispatch(request, body, now);
             return;
         }
-        var ruling = commandFence.check(a, group.term(), now);
-        var first = records.verdict(a.life, a.id);
-        if (ruling == CommandFence.Admission.ADMITTED && first != null) {
-            reply(a, first);
+        var admission = commandFence.check(request, group.term(), now);
+        var earlierResult = records.verdict(request.life, request.id);
+        if (admission == CommandFence.Admission.ADMITTED && earlierResult != null) {
+            reply(request, earlierResult);
             return;
         }
-        var order = body instanceof Commands.ZoneMark mark ? mark : null;
-        if (ruling == CommandFence.Admission.ADMITTED && order != null && commandFence.isOvertaken(order.zone, a.bound))
-            ruling = CommandFence.Admission.LATE;
-        if (ruling == CommandFence.Admission.ADMITTED) dispatch(a, body, now);
+        var zoneOrder = body instanceof Commands.ZoneMark mark ? mark : null;
+        if (admission == CommandFence.Admission.ADMITTED
+                && zoneOrder != null
+                && commandFence.isOvertaken(zoneOrder.zone, request.bound)) admission = CommandFence.Admission.LATE;
+        if (admission == CommandFence.Admission.ADMITTED) dispatch(request, body, now);
         else {
-            var late = ruling == CommandFence.Admission.LATE;
-            if (a.term != 0) port.note(late ? Event.LATE_COMMAND : Event.UNKNOWN_LIFE, describeCommand(a, body));
-            declineCommand(a, late ? Kind.LATE_COMMAND : Kind.UNKNOWN_LIFE);
+            var isLate = admission == CommandFence.Admission.LATE;
+            if (request.term != 0)
+                port.note(isLate ? Event.LATE_COMMAND : Event.UNKNOWN_LIFE, describeCommand(request, body));
+            declineCommand(request, isLate ? Kind.LATE_COMMAND : Kind.UNKNOWN_LIFE);
         }
     }
 
-    private String describeCommand(CommandRequest a, Object body) {
-        return body.getClass().getSimpleName() + " of " + a.from.name + " life " + Long.toHexString(a.life) + " ask "
-                + a.id + " term " + a.term + ", at part " + part + " term " + group.term();
+    private String describeCommand(CommandRequest request, Object body) {
+        return body.getClass().getSimpleName() + " of " + request.from.name + " life " + Long.toHexString(request.life)
+                + " ask " + request.id + " term " + request.term + ", at part " + part + " term " + group.term();
     }
 
     /** Refuses a command without effect; its sender learns the leader's clock and may ask anew within its patience. */
-    private void declineCommand(CommandRequest a, Kind kind) {
-        commandFence.recordClockSent(a.life);
-        reply(a, Records.failure(kind, kind.text()));
-    }
-
-    private void reply(CommandRequest a, CommandResult v) {
-        var r = new CommandResult();
-        r.id = a.id;
-        r.kind = v.kind;
-        r.detail = v.detail;
-        r.retryAfter = v.retryAfter;
-        r.leader = v.leader;
-        r.version = v.version;
-        r.body = v.body;
-        r.life = a.life;
-        if (a.life != 0 && group.ready()) {
-            r.term = group.term();
-            r.clock = port.now();
+    private void declineCommand(CommandRequest request, Kind kind) {
+        commandFence.recordClockSent(request.life);
+        reply(request, Records.failure(kind, kind.text()));
+    }
+
+    private void reply(CommandRequest request, CommandResult result) {
+        var response = new CommandResult();
+        response.id = request.id;
+        response.kind = result.kind;
+        response.detail = result.detail;
+        response.retryAfter = result.retryAfter;
+        response.leader = result.leader;
+        response.version = result.version;
+        response.body = result.body;
+        response.life = request.life;
+        if (request.life != 0 && group.ready()) {
+            response.term = group.term();
+            response.clock = port.now();
         }
-        port.send(a.from.peerAddress, r);
+        port.send(request.from.peerAddress, response);
     }
 
-    private void dispatch(CommandRequest a, Object body, long now) {
-        if (body instanceof Queries.Status) reply(a, statusResult());
-        else if (body instanceof Queries.ManifestGet) reply(a, okWithBody(records.rows().manifest));
-        else if (body instanceof Queries.RolloutGet q) reply(a, rolloutStatusResult(q, now));
-        else if (body instanceof Queries.PlanGet q) reply(a, planResult(q));
-        else if (body instanceof Commands.ManifestPut c) putManifest(a, c);
-        else if (body instanceof Commands.RunnerPut c) putRunner(a, c, now);
-        else if (body instanceof Commands.RunnerLeft c && !isActiveRunner(c.runner)) reply(a, Records.ok());
-        else proposeCommand(a, body, v -> reply(a, v));
+    private void dispatch(CommandRequest request, Object body, long now) {
+        if (body instanceof Queries.Status) reply(request, statusResult());
+        else if (body instanceof Queries.ManifestGet) reply(request, okWithBody(records.rows().manifest));
+        else if (body instanceof Queries.RolloutGet query) reply(request, rolloutStatusResult(query, now));
+        else if (body instanceof Queries.PlanGet query) reply(request, planResult(query));
+        else if (body instanceof Commands.ManifestPut command) putManifest(request, command);
+        else if (body instanceof Commands.RunnerPut command) putRunner(request, command, now);
+        else if (body instanceof Commands.RunnerLeft command && !isActiveRunner(command.runner))
+            reply(request, Records.ok());
+        else proposeCommand(request, body, result -> reply(request, result));
     }
 
-    private void proposeCommand(CommandRequest a, Object command, Consumer<CommandResult> then) {
-        propose(allMembersReadFencedCommands() ? CommandFence.withIdentity(a, command, a.body) : command, then);
+    private void proposeCommand(CommandRequest request, Object command, Consumer<CommandResult> onResult) {
+        propose(
+                allMembersReadFencedCommands() ? CommandFence.withIdentity(request, command, request.body) : command,
+                onResult);
     }
 
     /** Whether each member, and so each replica, reads commands under an identity. */
     private boolean allMembersReadFencedCommands() {
-        var all = records.rows().members.values();
-        return !all.isEmpty() && all.stream().allMatch(m -> m.node.fenced);
+        var members = records.rows().members.values();
+        return !members.isEmpty() && members.stream().allMatch(member -> member.node.fenced);
     }
 
     private boolean isActiveRunner(String runner) {
         return records.rows().services.values().stream()
-                .map(s -> s.runners.get(runner))
-                .anyMatch(r -> r != null && r.state != Rows.Runner.LEAVING);
+                .map(service -> service.runners.get(runner))
+                .anyMatch(row -> row != null && row.state != Rows.Runner.LEAVING);
     }
 
-    private static CommandResult okWithBody(Object o) {
-        var v = Records.ok();
-        v.body = Codec.write(o);
-        return v;
+    private static CommandResult okWithBody(Object body) {
+        var result = Records.ok();
+        result.body = Codec.write(body);
+        return result;
     }
 
-    private CommandResult planResult(Queries.PlanGet q) {
-        var p = records.rows().plans.get(q.plan);
-        return p == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + q.plan) : okWithBody(p);
+    private CommandResult planResult(Queries.PlanGet query) {
+        var plan = records.rows().plans.get(query.plan);
+        return plan == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + query.plan) : okWithBody(plan);
     }
 
-    private void putManifest(CommandRequest a, Commands.ManifestPut c) {
-        var m = c.number > 0 ? null : ManifestReader.read(c.text);
-        if (m != null && m.isLeft())
-            reply(a, Records.failure(m.getLeft().kind(), m.getLeft().detail()));
-        else proposeCommand(a, c, v -> reply(a, v));
+    private void putManifest(CommandRequest request, Commands.ManifestPut command) {
+        var parsed = command.number > 0 ? null : ManifestReader.read(command.text);
+        if (parsed != null && parsed.isLeft())
+            reply(
+                    request,
+                    Records.failure(parsed.getLeft().kind(), parsed.getLeft().detail()));
+        else proposeCommand(request, command, result -> reply(request, result));
     }
 
-    private void putRunner(CommandRequest a, Commands.RunnerPut c, long now) {
-        var s = records.rows().services.get(c.service);
-        var r = s == null ? null : s.runners.get(c.runner);
-        var k = c.service + "/" + c.runner;
-        var late = c.sequence < lastSequenceByRunner.getOrDefault(k, 0L) && c.state == Rows.Runner.UP;
-        if (late) {
-            reply(a, Records.ok());
+    private void putRunner(CommandRequest request, Commands.RunnerPut command, long now) {
+        var service = records.rows().services.get(command.service);
+        var known = service == null ? null : service.runners.get(command.runner);
+        var key = command.service + "/" + command.runner;
+        var isStale = command.sequence < lastSequenceByRunner.getOrDefault(key, 0L) && command.state == Rows.Runner.UP;
+        if (isStale) {
+            reply(request, Records.ok());
             return;
         }
-        var same = r != null
-                && r.state == c.state
-                && (r.up() || r.state == Rows.Runner.LEAVING)
-                && r.incarnation == c.incarnation
-                && r.cold == c.cold
-                && r.slots == c.slots
-                && r.cell.equals(c.cell)
-                && r.address.equals(c.address);
-        if (r == null || c.incarnation >= r.incarnation) {
-            runnerHeardAt.put(k, now);
-            lastSequenceByRunner.merge(k, c.sequence, Math::max);
-            loadByRunner.put(k, c.load);
+        var isUnchanged = known != null
+                && known.state == command.state
+                && (known.up() || known.state == Rows.Runner.LEAVING)
+                && known.incarnation == command.incarnation
+                && known.cold == command.cold
+                && known.slots == command.slots
+                && known.cell.equals(command.cell)
+                && known.address.equals(command.address);
+        if (known == null || command.incarnation >= known.incarnation) {
+            runnerHeardAt.put(key, now);
+            lastSequenceByRunner.merge(key, command.sequence, Math::max);
+            loadByRunner.put(key, command.load);
         }
-        var cell = s == null ? -1 : s.cells.indexOf(c.cell);
-        if (s == null) reply(a, Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service));
-        else if (cell < 0 || !s.live(cell))
-            reply(a, Records.failure(Kind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell));
-        else if (same) reply(a, Records.ok());
+        var cellIndex = service == null ? -1 : service.cells.indexOf(command.cell);
+        if (service == null) reply(request, Records.failure(Kind.UNKNOWN_SERVICE, "no service " + command.service));
+        else if (cellIndex < 0 || !service.live(cellIndex))
+            reply(
+                    request,
+                    Records.failure(Kind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell));
+        else if (isUnchanged) reply(request, Records.ok());
         else
-            proposeCommand(a, c, v -> {
-                if (v.kind == 0)
+            proposeCommand(request, command, result -> {
+                if (result.kind == 0)
                     port.note(
-                            c.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
-                            c.runner + " incarnation " + c.incarnation + (c.cold ? " cold" : ""));
-                reply(a, v);
+                            command.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
+                            command.runner + " incarnation " + command.incarnation + (command.cold ? " cold" : ""));
+                reply(request, result);
             });
     }
 
     private CommandResult statusResult() {
-        var s = new PartStatus();
-        s.part = part;
-        s.leader = directory.self().name;
-        s.term = group.term();
-        s.applied = group.applied();
-        var m = group.members();
-        for (var i = 0; i < m.voters.length; i++) s.group.add(storeName(m.voters[i]) + " (" + m.zones[i] + ")");
-        if (m.learner != 0) s.group.add(storeName(m.learner) + " (" + m.learnerZone + ", learner)");
-        s.members.addAll(records.rows().members.values());
-        s.services.addAll(records.rows().services.values());
-        s.plans.addAll(records.rows().plans.values());
-        s.manifest = records.rows().manifest;
-        s.loads.putAll(loadByRunner);
-        for (var n : records.rows().services.keySet()) {
-            var p = new PartStatus.Peaks();
-            p.service = n;
-            p.minutes = loadHistory.peaksNewestFirst(n);
-            s.peaks.add(p);
+        var status = new PartStatus();
+        status.part = part;
+        status.leader = directory.self().name;
+        status.term = group.term();
+        status.applied = group.applied();
+        var members = group.members();
+        for (var i = 0; i < members.voters.length; i++)
+            status.group.add(storeName(members.voters[i]) + " (" + members.zones[i] + ")");
+        if (members.learner != 0)
+            status.group.add(storeName(members.learner) + " (" + members.learnerZone + ", learner)");
+        status.members.addAll(records.rows().members.values());
+        status.services.addAll(records.rows().services.values());
+        status.plans.addAll(records.rows().plans.values());
+        status.manifest = records.rows().manifest;
+        status.loads.putAll(loadByRunner);
+        for (var serviceName : records.rows().services.keySet()) {
+            var peaks = new PartStatus.Peaks();
+            peaks.service = serviceName;
+            peaks.minutes = loadHistory.peaksNewestFirst(serviceName);
+            status.peaks.add(peaks);
         }
-        s.claims = records.rows().claims.size();
-        return okWithBody(s);
-    }
-
-    private String storeName(long id) {
-        var n = directory.store(id);
-        return n == null ? "unreached" : n.name;
-    }
-
-    private CommandResult rolloutStatusResult(Queries.RolloutGet q, long now) {
-        var s = new RolloutStatus();
-        for (var m : records.rows().members.values()) {
-            var have = memberLeases.reportedVersion(m.node.name, Parts.MANIFEST_TOPIC);
-            if (have >= q.version && !m.lapsed && !memberLeases.earlierInstanceMayAct(m.node, now)) continue;
-            s.missing.add(m.node.name);
-            var grace = q.zone.isEmpty() || m.node.zone.equals(q.zone) ? m.node.grace : 0;
-            if (m.node.isRouter() && memberLeases.mayStillAct(m.node, grace, now)) s.able.add(m.node.name);
+        status.claims = records.rows().claims.size();
+        return okWithBody(status);
+    }
+
+    private String storeName(long storeId) {
+        var node = directory.store(storeId);
+        return node == null ? "unreached" : node.name;
+    }
+
+    private CommandResult rolloutStatusResult(Queries.RolloutGet query, long now) {
+        var status = new RolloutStatus();
+        for (var member : records.rows().members.values()) {
+            var reportedVersion = memberLeases.reportedVersion(member.node.name, Parts.MANIFEST_TOPIC);
+            if (reportedVersion >= query.version
+                    && !member.lapsed
+                    && !memberLeases.earlierInstanceMayAct(member.node, now)) continue;
+            status.missing.add(member.node.name);
+            var grace = query.zone.isEmpty() || member.node.zone.equals(query.zone) ? member.node.grace : 0;
+            if (member.node.isRouter() && memberLeases.mayStillAct(member.node, grace, now))
+                status.able.add(member.node.name);
         }
-        return okWithBody(s);
+        return okWithBody(status);
     }
 
-    private void handleRenewal(Renew r, long now, Consumer<RenewReply> then) {
+    private void handleRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
         if (!group.hasLease(now)) {
-            var v = newRenewReply(r, Kind.NOT_OWNER.code());
-            v.leader = otherLeader();
-            then.accept(v);
+            var reply = newRenewReply(renewal, Kind.NOT_OWNER.code());
+            reply.leader = otherLeader();
+            onReply.accept(reply);
             return;
         }
-        if (!r.leaving) pushStaleTopics(r, now);
-        var m = records.rows().members.get(r.from.name);
-        if (m != null) directory.replaced(m.node, r.from);
-        var standing = findOutrankingNode(r.from, m);
-        if (standing != null) {
-            var v = newRenewReply(r, Kind.STALE_MEMBER.code());
-            v.incarnation = standing.incarnation;
-            v.known = standing;
-            then.accept(v);
-        } else if (r.leaving) {
-            removeMember(r, m);
-        } else if (m == null
-                || m.lapsed
-                || m.node.incarnation != r.from.incarnation
-                || !m.node.peerAddress.equals(r.from.peerAddress)
-                || m.node.serving != r.from.serving
-                || m.node.grace != r.from.grace
-                || m.node.wire != r.from.wire
-                || m.node.fenced != r.from.fenced
-                || !m.node.clientAddress.equals(r.from.clientAddress)) {
-            var c = new Commands.MemberPut();
-            c.node = r.from;
-            propose(c, x -> {
-                if (x.kind == 0) grantRenewal(r, port.now(), then);
+        if (!renewal.leaving) pushStaleTopics(renewal, now);
+        var member = records.rows().members.get(renewal.from.name);
+        if (member != null) directory.replaced(member.node, renewal.from);
+        var outranking = findOutrankingNode(renewal.from, member);
+        if (outranking != null) {
+            var reply = newRenewReply(renewal, Kind.STALE_MEMBER.code());
+            reply.incarnation = outranking.incarnation;
+            reply.known = outranking;
+            onReply.accept(reply);
+        } else if (renewal.leaving) {
+            removeMember(renewal, member);
+        } else if (member == null
+                || member.lapsed
+                || member.node.incarnation != renewal.from.incarnation
+                || !member.node.peerAddress.equals(renewal.from.peerAddress)
+                || member.node.serving != renewal.from.serving
+                || member.node.grace != renewal.from.grace
+                || member.node.wire != renewal.from.wire
+                || member.node.fenced != renewal.from.fenced
+                || !member.node.clientAddress.equals(renewal.from.clientAddress)) {
+            var command = new Commands.MemberPut();
+            command.node = renewal.from;
+            propose(command, result -> {
+                if (result.kind == 0) grantRenewal(renewal, port.now(), onReply);
             });
         } else {
-            grantRenewal(r, now, then);
+            grantRenewal(renewal, now, onReply);
         }
     }
 
     /** The life of this name that a renewal would have to outrank: the one on record, else one that this store has heard. */
-    private Node findOutrankingNode(Node from, Rows.Member m) {
-        var n = m != null ? m.node : from.life == 0 ? null : directory.named(from.name);
-        if (n == null) return null;
-        var later = n.incarnation > from.incarnation;
-        return later || m != null && n.incarnation == from.incarnation && n.otherLife(from) ? n : null;
+    private Node findOutrankingNode(Node sender, Rows.Member member) {
+        var known = member != null ? member.node : sender.life == 0 ? null : directory.named(sender.name);
+        if (known == null) return null;
+        var isNewer = known.incarnation > sender.incarnation;
+        return isNewer || member != null && known.incarnation == sender.incarnation && known.otherLife(sender)
+                ? known
+                : null;
     }
 
-    private void removeMember(Renew r, Rows.Member m) {
-        if (m == null) return;
-        var c = new Commands.MemberGone();
-        c.name = r.from.name;
-        c.incarnation = r.from.incarnation;
-        propose(c);
+    private void removeMember(Renew renewal, Rows.Member member) {
+        if (member == null) return;
+        var command = new Commands.MemberGone();
+        command.name = renewal.from.name;
+        command.incarnation = renewal.from.incarnation;
+        propose(command);
     }
 
-    private RenewReply newRenewReply(Renew r, int kind) {
-        var v = new RenewReply();
-        v.part = part;
-        v.kind = kind;
-        v.incarnation = r.from.incarnation;
-        v.stamp = r.stamp;
-        return v;
+    private RenewReply newRenewReply(Renew renewal, int kind) {
+        var reply = new RenewReply();
+        reply.part = part;
+        reply.kind = kind;
+        reply.incarnation = renewal.from.incarnation;
+        reply.stamp = renewal.stamp;
+        return reply;
     }
 
     /** Sends the news of a topic to whoever has nothing of it yet, or has been behind for long. */
-    private void pushStaleTopics(Renew r, long now) {
-        pushedAtByTarget.values().removeIf(at -> now - at > PUSH_INTERVAL_MICROS);
-        for (var t : topicNames()) {
-            var i = r.topics.indexOf(t);
-            var have = i < 0 ? 0 : r.versions.get(i);
-            if (i < 0 && r.members >= 0
-                    || have >= topicVersion(t)
-                    || have > 0
-                            && now - publishedAtByTopic.getOrDefault(t, leaderSince) < STALE_TOPIC_PUSH_DELAY_MICROS)
-                continue;
-            if (pushedAtByTarget.putIfAbsent(r.from.peerAddress + " " + t, now) == null)
-                port.send(r.from.peerAddress, newNews(t));
+    private void pushStaleTopics(Renew renewal, long now) {
+        pushedAtByTarget.values().removeIf(sentAt -> now - sentAt > PUSH_INTERVAL_MICROS);
+        for (var topic : topicNames()) {
+            var index = renewal.topics.indexOf(topic);
+            var reportedVersion = index < 0 ? 0 : renewal.versions.get(index);
+            if (index < 0 && renewal.members >= 0
+                    || reportedVersion >= topicVersion(topic)
+                    || reportedVersion > 0
+                            && now - publishedAtByTopic.getOrDefault(topic, leaderSince)
+                                    < STALE_TOPIC_PUSH_DELAY_MICROS) continue;
+            if (pushedAtByTarget.putIfAbsent(renewal.from.peerAddress + " " + topic, now) == null)
+                port.send(renewal.from.peerAddress, newNews(topic));
         }
     }
 
-    private void grantRenewal(Renew r, long now, Consumer<RenewReply> then) {
-        memberLeases.recordRenewal(r, now);
-        for (var g : r.signals) cellSignals.add(g.service, g.cell, g.runs, g.problems, g.firstMicros, now);
-        var v = newRenewReply(r, 0);
-        v.leader = directory.self();
-        v.grace = r.from.grace;
-        v.membersVersion = records.rows().membersVersion;
-        if (v.membersVersion != r.members)
-            v.members = new ArrayList<>(records.rows().members.values().stream()
-                    .filter(m -> !m.lapsed)
-                    .map(m -> m.node)
+    private void grantRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
+        memberLeases.recordRenewal(renewal, now);
+        for (var signal : renewal.signals)
+            cellSignals.add(signal.service, signal.cell, signal.runs, signal.problems, signal.firstMicros, now);
+        var reply = newRenewReply(renewal, 0);
+        reply.leader = directory.self();
+        reply.grace = renewal.from.grace;
+        reply.membersVersion = records.rows().membersVersion;
+        if (reply.membersVersion != renewal.members)
+            reply.members = new ArrayList<>(records.rows().members.values().stream()
+                    .filter(member -> !member.lapsed)
+                    .map(member -> member.node)
                     .toList());
-        for (var t : topicNames()) {
-            var i = r.topics.indexOf(t);
-            if (timing.lowTraffic() && i >= 0 && r.versions.get(i) == topicVersion(t)) continue;
-            v.topics.add(t);
-            v.versions.add(topicVersion(t));
+        for (var topic : topicNames()) {
+            var index = renewal.topics.indexOf(topic);
+            if (timing.lowTraffic() && index >= 0 && renewal.versions.get(index) == topicVersion(topic)) continue;
+            reply.topics.add(topic);
+            reply.versions.add(topicVersion(topic));
         }
-        then.accept(v);
+        onReply.accept(reply);
     }
 
     private List<String> topicNames() {
-        var all = new ArrayList<>(records.rows().services.keySet());
-        if (part == Parts.MANIFEST) all.add(Parts.MANIFEST_TOPIC);
-        return all;
+        var names = new ArrayList<>(records.rows().services.keySet());
+        if (part == Parts.MANIFEST) names.add(Parts.MANIFEST_TOPIC);
+        return names;
     }
 
     private long topicVersion(String topic) {
         if (topic.equals(Parts.MANIFEST_TOPIC)) return records.rows().manifest.topicVersion;
-        var s = records.rows().services.get(topic);
-        return s == null ? 0 : s.newsVersion;
+        var service = records.rows().services.get(topic);
+        return service == null ? 0 : service.newsVersion;
     }
 
     private News newNews(String topic) {
-        var n = new News();
-        n.topic = topic;
-        n.version = topicVersion(topic);
-        n.body = Codec.write(
+        var news = new News();
+        news.topic = topic;
+        news.version = topicVersion(topic);
+        news.body = Codec.write(
                 topic.equals(Parts.MANIFEST_TOPIC)
                         ? records.rows().manifest.inForce()
                         : records.rows().services.get(topic));
-        return n;
+        return news;
     }
 
-    private void addSubscriber(Subscribe s, long now) {
-        if (!group.hasLease(now) || topicVersion(s.topic) == 0) return;
-        subscribersByTopic.computeIfAbsent(s.topic, k -> new HashMap<>()).put(s.from.peerAddress, now);
-        if (topicVersion(s.topic) > s.have) port.send(s.from.peerAddress, newNews(s.topic));
+    private void addSubscriber(Subscribe subscription, long now) {
+        if (!group.hasLease(now) || topicVersion(subscription.topic) == 0) return;
+        subscribersByTopic
+                .computeIfAbsent(subscription.topic, topic -> new HashMap<>())
+                .put(subscription.from.peerAddress, now);
+        if (topicVersion(subscription.topic) > subscription.have)
+            port.send(subscription.from.peerAddress, newNews(subscription.topic));
     }
 
     private void publishNews(long now) {
         if (!group.hasLease(now)) return;
-        for (var t : topicNames()) {
-            var v = topicVersion(t);
-            if (publishedVersionByTopic.getOrDefault(t, 0L) >= v) continue;
-            publishedVersionByTopic.put(t, v);
-            publishedAtByTopic.put(t, now);
-            var all = subscribersByTopic.getOrDefault(t, Map.of());
-            all.values().removeIf(at -> now - at > SUBSCRIPTION_TTL_MICROS);
-            if (all.isEmpty()) continue;
-            var n = newNews(t);
-            all.keySet().forEach(a -> port.send(a, n));
+        for (var topic : topicNames()) {
+            var version = topicVersion(topic);
+            if (publishedVersionByTopic.getOrDefault(topic, 0L) >= version) continue;
+            publishedVersionByTopic.put(topic, version);
+            publishedAtByTopic.put(topic, now);
+            var subscribers = subscribersByTopic.getOrDefault(topic, Map.of());
+            subscribers.values().removeIf(renewedAt -> now - renewedAt > SUBSCRIPTION_TTL_MICROS);
+            if (subscribers.isEmpty()) continue;
+            var news = newNews(topic);
+            subscribers.keySet().forEach(address -> port.send(address, news));
         }
     }
 
     private void scanMembers(long now) {
-        for (var m : List.copyOf(records.rows().members.values())) {
-            if (!m.lapsed && memberLeases.hasLapsed(m.node, now)) proposeLapse(m);
-            else if (m.lapsed && memberLeases.isForgettable(m.node, now)) proposeRemoval(m);
+        for (var member : List.copyOf(records.rows().members.values())) {
+            if (!member.lapsed && memberLeases.hasLapsed(member.node, now)) proposeLapse(member);
+            else if (member.lapsed && memberLeases.isForgettable(member.node, now)) proposeRemoval(member);
         }
     }
 
-    private void proposeLapse(Rows.Member m) {
-        var c = new Commands.MemberLapsed();
-        c.name = m.node.name;
-        c.incarnation = m.node.incarnation;
-        if (wasAlreadyProposed("lapse/" + c.name + "/" + c.incarnation)) return;
-        port.note(Event.MEMBER_LAPSED, m.node.name + " at part " + part);
-        propose(c, v -> openProposalKeys.remove("lapse/" + c.name + "/" + c.incarnation));
+    private void proposeLapse(Rows.Member member) {
+        var command = new Commands.MemberLapsed();
+        command.name = member.node.name;
+        command.incarnation = member.node.incarnation;
+        if (wasAlreadyProposed("lapse/" + command.name + "/" + command.incarnation)) return;
+        port.note(Event.MEMBER_LAPSED, member.node.name + " at part " + part);
+        propose(command, result -> openProposalKeys.remove("lapse/" + command.name + "/" + command.incarnation));
     }
 
-    private void proposeRemoval(Rows.Member m) {
-        var c = new Commands.MemberGone();
-        c.name = m.node.name;
-        c.incarnation = m.node.incarnation;
-        if (wasAlreadyProposed("gone/" + c.name)) return;
-        propose(c, v -> openProposalKeys.remove("gone/" + c.name));
+    private void proposeRemoval(Rows.Member member) {
+        var command = new Commands.MemberGone();
+        command.name = member.node.name;
+        command.incarnation = member.node.incarnation;
+        if (wasAlreadyProposed("gone/" + command.name)) return;
+        propose(command, result -> openProposalKeys.remove("gone/" + command.name));
     }
 
     private boolean wasAlreadyProposed(String key) {
@@ -647,41 +676,42 @@
     }
 
     private void scanRunners(long now) {
-        for (var s : records.rows().services.values())
-            for (var r : s.runners.values()) {
-                var k = s.name + "/" + r.name;
-                var seen = runnerHeardAt.computeIfAbsent(k, x -> now);
-                if (!r.up() || now - seen <= settings.dark() || wasAlreadyProposed("dark/" + k)) continue;
-                var c = new Commands.RunnerMark();
-                c.service = s.name;
-                c.runner = r.name;
-                c.incarnation = r.incarnation;
-                c.state = Rows.Runner.DARK;
-                port.note(Event.RUNNER_DARK, k);
-                propose(c, v -> openProposalKeys.remove("dark/" + k));
+        for (var service : records.rows().services.values())
+            for (var runner : service.runners.values()) {
+                var key = service.name + "/" + runner.name;
+                var heardAt = runnerHeardAt.computeIfAbsent(key, absentKey -> now);
+                if (!runner.up() || now - heardAt <= settings.dark() || wasAlreadyProposed("dark/" + key)) continue;
+                var command = new Commands.RunnerMark();
+                command.service = service.name;
+                command.runner = runner.name;
+                command.incarnation = runner.incarnation;
+                command.state = Rows.Runner.DARK;
+                port.note(Event.RUNNER_DARK, key);
+                propose(command, result -> openProposalKeys.remove("dark/" + key));
             }
     }
 
-    private void handleJoin(Join j, long now) {
-        if (j.answer) plannedLeave.recordAnswer(j.mayGo, now);
-        else if (group.hasLease(now) && j.leaving) handleLeaveRequest(j, now);
-        else if (group.hasLease(now) && !group.members().isMember(j.from.storeId))
-            membershipChanges.wants(j.from.storeId, j.from.zone, now + JOIN_REQUEST_TTL_MICROS);
+    private void handleJoin(Join request, long now) {
+        if (request.answer) plannedLeave.recordAnswer(request.mayGo, now);
+        else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
+        else if (group.hasLease(now) && !group.members().isMember(request.from.storeId))
+            membershipChanges.wants(request.from.storeId, request.from.zone, now + JOIN_REQUEST_TTL_MICROS);
     }
 
-    private void handleLeaveRequest(Join j, long now) {
-        membershipChanges.leaves(j.from.storeId, now + JOIN_REQUEST_TTL_MICROS);
-        var a = new Join();
-        a.part = part;
-        a.from = directory.self();
-        a.answer = true;
-        a.mayGo = membershipChanges.mayGo(j.from.storeId, group.members(), leaderSince, now);
-        port.send(j.from.peerAddress, a);
+    private void handleLeaveRequest(Join request, long now) {
+        membershipChanges.leaves(request.from.storeId, now + JOIN_REQUEST_TTL_MICROS);
+        var answer = new Join();
+        answer.part = part;
+        answer.from = directory.self();
+        answer.answer = true;
+        answer.mayGo = membershipChanges.mayGo(request.from.storeId, group.members(), leaderSince, now);
+        port.send(request.from.peerAddress, answer);
     }
 
     /** Whether this store, which has been stopping since then, is still needed here. */
-    public boolean needed(long since, long now) {
-        return plannedLeave.isNeeded(since, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
+    public boolean needed(long stoppingSince, long now) {
+        return plannedLeave.isNeeded(
+                stoppingSince, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
     }
 
     private void proposeMembershipChange(long now) {
@@ -711,139 +741,150 @@
         }
     }
 
-    private static long voterInZone(Members m, String zone) {
-        for (var i = 0; i < m.voters.length; i++) if (m.zones[i].equals(zone)) return m.voters[i];
+    private static long voterInZone(Members members, String zone) {
+        for (var i = 0; i < members.voters.length; i++) if (members.zones[i].equals(zone)) return members.voters[i];
         return 0;
     }
 
     private void proposeAging(long now) {
         if (now - lastAgedAt < AGING_INTERVAL_MICROS) return;
-        var r = records.rows();
-        var held = r.services.values().stream().anyMatch(s -> !s.heldUntil.isEmpty());
-        var ended = settings.forgotten() > 0
-                && r.services.values().stream()
-                        .anyMatch(s -> s.runners.values().stream().anyMatch(x -> !x.up()));
-        if (held || ended || r.claimsLost || !r.claims.isEmpty() || !r.quotas.isEmpty()) {
-            var c = new Commands.Age();
-            c.micros = now - lastAgedAt;
-            c.forgotten = settings.forgotten();
-            var m = membership.view().manifest();
-            c.retention = m == null ? 86_400_000_000L : m.claimRetention();
-            propose(c);
+        var rows = records.rows();
+        var anyCellHeld = rows.services.values().stream().anyMatch(service -> !service.heldUntil.isEmpty());
+        var anyRunnerEnded = settings.forgotten() > 0
+                && rows.services.values().stream()
+                        .anyMatch(service -> service.runners.values().stream().anyMatch(runner -> !runner.up()));
+        if (anyCellHeld || anyRunnerEnded || rows.claimsLost || !rows.claims.isEmpty() || !rows.quotas.isEmpty()) {
+            var command = new Commands.Age();
+            command.micros = now - lastAgedAt;
+            command.forgotten = settings.forgotten();
+            var manifest = membership.view().manifest();
+            command.retention = manifest == null ? 86_400_000_000L : manifest.claimRetention();
+            propose(command);
         }
         lastAgedAt = now;
     }
 
     private void proposeServiceSyncs() {
-        var v = membership.view();
-        if (v.manifest() == null || part == Parts.MANIFEST) return;
-        for (var s : v.manifest().services().values()) {
-            if (Parts.of(s.name()) != part) continue;
-            var row = records.rows().services.get(s.name());
-            if (row != null && row.manifestVersion >= v.topic().version || wasAlreadyProposed("sync/" + s.name()))
-                continue;
+        var view = membership.view();
+        if (view.manifest() == null || part == Parts.MANIFEST) return;
+        for (var service : view.manifest().services().values()) {
+            if (Parts.of(service.name()) != part) continue;
+            var row = records.rows().services.get(service.name());
+            if (row != null && row.manifestVersion >= view.topic().version
+                    || wasAlreadyProposed("sync/" + service.name())) continue;
             propose(
-                    newServiceSync(s, v.manifest(), v.topic().version),
-                    x -> openProposalKeys.remove("sync/" + s.name()));
+                    newServiceSync(service, view.manifest(), view.topic().version),
+                    result -> openProposalKeys.remove("sync/" + service.name()));
         }
     }
 
-    private static Commands.ServiceSync newServiceSync(Manifest.Service s, Manifest m, long version) {
-        var c = new Commands.ServiceSync();
-        c.service = s.name();
-        c.manifestVersion = version;
-        c.bySlots = s.bySlots();
-        c.bound.addAll(m.routes().bound(s.name()));
-        c.regions.addAll(m.regions());
-        for (var x : s.cells()) {
-            c.cells.add(x.name());
-            c.zones.add(x.zone());
-            c.cellRegions.add(m.regionOfZone(x.zone()));
-            c.weights.add(x.weight());
+    private static Commands.ServiceSync newServiceSync(
+            Manifest.Service service, Manifest manifest, long manifestVersion) {
+        var command = new Commands.ServiceSync();
+        command.service = service.name();
+        command.manifestVersion = manifestVersion;
+        command.bySlots = service.bySlots();
+        command.bound.addAll(manifest.routes().bound(service.name()));
+        command.regions.addAll(manifest.regions());
+        for (var cell : service.cells()) {
+            command.cells.add(cell.name());
+            command.zones.add(cell.zone());
+            command.cellRegions.add(manifest.regionOfZone(cell.zone()));
+            command.weights.add(cell.weight());
         }
-        return c;
+        return command;
     }
 
     private void proposeMoves(long now) {
-        var v = membership.view();
-        if (v.manifest() == null) return;
-        for (var s : records.rows().services.values()) {
-            loadHistory.record(s.name, totalLoad(s), now);
-            if (openProposalKeys.contains("step/" + s.name)) continue;
-            var step = nextStepCommand(s, v, now);
-            if (step == null) continue;
-            openProposalKeys.add("step/" + s.name);
-            propose(step, x -> {
-                openProposalKeys.remove("step/" + s.name);
-                if (x.kind == 0) logStep(s.name, step);
+        var view = membership.view();
+        if (view.manifest() == null) return;
+        for (var service : records.rows().services.values()) {
+            loadHistory.record(service.name, totalLoad(service), now);
+            if (openProposalKeys.contains("step/" + service.name)) continue;
+            var command = nextStepCommand(service, view, now);
+            if (command == null) continue;
+            openProposalKeys.add("step/" + service.name);
+            propose(command, result -> {
+                openProposalKeys.remove("step/" + service.name);
+                if (result.kind == 0) logStep(service.name, command);
             });
         }
     }
 
-    private int totalLoad(Rows.Service s) {
-        return s.runners.values().stream()
+    private int totalLoad(Rows.Service service) {
+        return service.runners.values().stream()
                 .filter(Rows.Runner::up)
-                .mapToInt(r -> loadByRunner.getOrDefault(s.name + "/" + r.name, 0))
+                .mapToInt(runner -> loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
     }
 
-    private Object nextStepCommand(Rows.Service s, Membership.View v, long now) {
-        var open = unitMover.open(s, v.topic().marks, now);
-        var judged = stepWatcher.judge(s, cellSignals, open, now);
-        if (judged != null) return judged;
+    private Object nextStepCommand(Rows.Service service, Membership.View view, long now) {
+        var openCells = unitMover.open(service, view.topic().marks, now);
+        var stepMark = stepWatcher.judge(service, cellSignals, openCells, now);
+        if (stepMark != null) return stepMark;
         var step = unitMover.step(
-                s, v.manifest().service(s.name), v.topic().marks, (c, i) -> isZoneStoreSynced(s, c, i, now), now);
-        if (lowestWireVersion() < Node.STEPS) return step instanceof Commands.StepAsk a ? Mover.plain(a) : step;
-        return step != null ? step : pressureRelief.ask(s, loadByRunner, open, now);
+                service,
+                view.manifest().service(service.name),
+                view.topic().marks,
+                (cell, index) -> isZoneStoreSynced(service, cell, index, now),
+                now);
+        if (lowestWireVersion() < Node.STEPS)
+            return step instanceof Commands.StepAsk stepAsk ? Mover.plain(stepAsk) : step;
+        return step != null ? step : pressureRelief.ask(service, loadByRunner, openCells, now);
     }
 
     private int lowestWireVersion() {
         return records.rows().members.values().stream()
-                .mapToInt(m -> m.node.wire)
+                .mapToInt(member -> member.node.wire)
                 .min()
                 .orElse(0);
     }
 
-    private void logStep(String service, Object step) {
-        var s = records.rows().services.get(service);
-        if (step instanceof Commands.Displace d)
+    private void logStep(String service, Object command) {
+        var row = records.rows().services.get(service);
+        if (command instanceof Commands.Displace displacement)
             port.note(
                     Event.PRESSURE,
-                    service + " " + d.units.length + " units "
-                            + (d.cells[0] < 0 ? "may go back" : "to " + s.cells.get(d.cells[0])));
-        if (!(step instanceof Commands.StepMark m)) return;
-        var x = s.step(m.id);
-        var text = service + " step " + x.id + " " + x.units.length + " units to " + s.cells.get(x.to) + ": "
-                + x.stateName() + ", " + x.cause + ", table version " + s.tableVersion;
+                    service + " " + displacement.units.length + " units "
+                            + (displacement.cells[0] < 0
+                                    ? "may go back"
+                                    : "to " + row.cells.get(displacement.cells[0])));
+        if (!(command instanceof Commands.StepMark mark)) return;
+        var step = row.step(mark.id);
+        var detail = service + " step " + step.id + " " + step.units.length + " units to " + row.cells.get(step.to)
+                + ": " + step.stateName() + ", " + step.cause + ", table version " + row.tableVersion;
         port.note(
-                m.state == Rows.Step.TAKEN_BACK || m.state == Rows.Step.DROPPED ? Event.MOVE_STOPPED : Event.MOVE_STEP,
-                text);
+                mark.state == Rows.Step.TAKEN_BACK || mark.state == Rows.Step.DROPPED
+                        ? Event.MOVE_STOPPED
+                        : Event.MOVE_STEP,
+                detail);
     }
 
-    private boolean isZoneStoreSynced(Rows.Service s, int cell, long index, long now) {
-        var id = voterInZone(group.members(), s.zones.get(cell));
-        return id == 0
-                || id == directory.self().storeId
-                || now - group.heardFrom(id) > REACHABLE_STORE_WINDOW_MICROS
-                || group.matchOf(id) >= index;
+    private boolean isZoneStoreSynced(Rows.Service service, int cell, long index, long now) {
+        var storeId = voterInZone(group.members(), service.zones.get(cell));
+        return storeId == 0
+                || storeId == directory.self().storeId
+                || now - group.heardFrom(storeId) > REACHABLE_STORE_WINDOW_MICROS
+                || group.matchOf(storeId) >= index;
     }
 
     private void balanceLeaders(long now) {
         if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.settled())) return;
-        var m = group.members();
-        var to = preferredLeader(m);
-        if (membershipChanges.mayLead(to, m, now) && directory.store(to) != null) group.transferLeadership(to, now);
+        var members = group.members();
+        var preferred = preferredLeader(members);
+        if (membershipChanges.mayLead(preferred, members, now) && directory.store(preferred) != null)
+            group.transferLeadership(preferred, now);
     }
 
-    private long preferredLeader(Members m) {
-        if (!timing.lowTraffic()) return membershipChanges.preferredLeader(m, part);
-        var first = part == Parts.MANIFEST ? null : membership.leader(Parts.MANIFEST);
-        return first != null && m.isVoter(first.storeId) ? first.storeId : 0;
+    private long preferredLeader(Members members) {
+        if (!timing.lowTraffic()) return membershipChanges.preferredLeader(members, part);
+        var manifestLeader = part == Parts.MANIFEST ? null : membership.leader(Parts.MANIFEST);
+        return manifestLeader != null && members.isVoter(manifestLeader.storeId) ? manifestLeader.storeId : 0;
     }
 
     private void transferLeadership(long now) {
         if (!group.ready()) return;
-        var heir = membershipChanges.heir(group.members(), now);
-        if (heir != 0) group.transferLeadership(heir, now);
+        var successor = membershipChanges.heir(group.members(), now);
+        if (successor != 0) group.transferLeadership(successor, now);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
+++ b/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
@@ -13,21 +13,21 @@
     private boolean mayLeave;
 
     /** The leader has answered. */
-    synchronized void recordAnswer(boolean may, long now) {
+    synchronized void recordAnswer(boolean mayLeaveNow, long now) {
         answeredAt = now;
-        mayLeave = may;
+        mayLeave = mayLeaveNow;
     }
 
     /** Whether it is needed, with the stop begun at that time, given whether it leads the part and whether a leader is heard. */
-    synchronized boolean isNeeded(long since, boolean leads, boolean leaderHeard, long now) {
-        if (leads || !leaderHeard) askingSince = now;
-        if (leads) return now - since < WAIT_TIMEOUT_MICROS;
+    synchronized boolean isNeeded(long stoppingSince, boolean isLeader, boolean leaderHeard, long now) {
+        if (isLeader || !leaderHeard) askingSince = now;
+        if (isLeader) return now - stoppingSince < WAIT_TIMEOUT_MICROS;
         if (!leaderHeard) {
             if (leaderlessSince == 0) leaderlessSince = now;
             return now - leaderlessSince < WAIT_TIMEOUT_MICROS;
         }
         leaderlessSince = 0;
-        var asked = Math.max(since, askingSince);
-        return answeredAt > asked ? !mayLeave : now - asked < WAIT_TIMEOUT_MICROS;
+        var askedAt = Math.max(stoppingSince, askingSince);
+        return answeredAt > askedAt ? !mayLeave : now - askedAt < WAIT_TIMEOUT_MICROS;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Quorum.java
+++ b/lib/control/src/main/java/craneway/control/store/Quorum.java
@@ -19,34 +19,34 @@
 
     /** How unevenly stores in these zones are spread over regions, then zones; less is better. */
     int unevenness(List<String> zones) {
-        var r = new HashMap<String, Integer>();
-        var z = new HashMap<String, Integer>();
-        for (var x : zones) {
-            r.merge(regions.getOrDefault(x, x), 1, Integer::sum);
-            z.merge(x, 1, Integer::sum);
+        var storesByRegion = new HashMap<String, Integer>();
+        var storesByZone = new HashMap<String, Integer>();
+        for (var zone : zones) {
+            storesByRegion.merge(regions.getOrDefault(zone, zone), 1, Integer::sum);
+            storesByZone.merge(zone, 1, Integer::sum);
         }
-        return REGION_WEIGHT * sumOfSquares(r) + sumOfSquares(z);
+        return REGION_WEIGHT * sumOfSquares(storesByRegion) + sumOfSquares(storesByZone);
     }
 
-    private static int sumOfSquares(Map<String, Integer> m) {
-        return m.values().stream().mapToInt(n -> n * n).sum();
+    private static int sumOfSquares(Map<String, Integer> counts) {
+        return counts.values().stream().mapToInt(n -> n * n).sum();
     }
 
     int unevennessWith(String[] zones, String zone) {
-        var all = new ArrayList<>(Arrays.asList(zones));
-        all.add(zone);
-        return unevenness(all);
+        var allZones = new ArrayList<>(Arrays.asList(zones));
+        allZones.add(zone);
+        return unevenness(allZones);
     }
 
-    int unevennessWithout(String[] zones, int i) {
-        var all = new ArrayList<>(Arrays.asList(zones));
-        all.remove(i);
-        return unevenness(all);
+    int unevennessWithout(String[] zones, int index) {
+        var remainingZones = new ArrayList<>(Arrays.asList(zones));
+        remainingZones.remove(index);
+        return unevenness(remainingZones);
     }
 
-    int unevennessAfterSwap(String[] zones, int i, String zone) {
-        var all = zones.clone();
-        all[i] = zone;
-        return unevenness(Arrays.asList(all));
+    int unevennessAfterSwap(String[] zones, int index, String zone) {
+        var swappedZones = zones.clone();
+        swappedZones[index] = zone;
+        return unevenness(Arrays.asList(swappedZones));
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Rebuild.java
+++ b/lib/control/src/main/java/craneway/control/store/Rebuild.java
@@ -7,22 +7,22 @@
 import java.util.List;
 
 public record Rebuild(String token, int generation, List<String> kept, List<String> mayBeLost) {
-    static Rebuild of(Founding f, PartReplica[] replicas) {
-        var h = f.coreId;
+    static Rebuild of(Founding founding, PartReplica[] replicas) {
+        var hash = founding.coreId;
         var kept = new ArrayList<String>();
-        for (var k : replicas) {
-            var g = k.group();
-            h = Hash.of(h, Hash.of(g.lastIndex(), g.term()));
-            var rows = k.records().rows();
-            kept.add("part " + g.part() + ": " + g.lastIndex() + " entries of term " + g.term() + ", "
+        for (var replica : replicas) {
+            var group = replica.group();
+            hash = Hash.of(hash, Hash.of(group.lastIndex(), group.term()));
+            var rows = replica.records().rows();
+            kept.add("part " + group.part() + ": " + group.lastIndex() + " entries of term " + group.term() + ", "
                     + rows.claims.size() + " claims, " + rows.quotas.size() + " quotas"
-                    + (g.part() == Parts.MANIFEST
+                    + (group.part() == Parts.MANIFEST
                             ? ", manifest " + rows.manifest.version + " and its marks"
                             : ", tables of " + rows.services.keySet()));
         }
         return new Rebuild(
-                Long.toHexString(h),
-                f.generation + 1,
+                Long.toHexString(hash),
+                founding.generation + 1,
                 kept,
                 List.of(
                         "whatever the other stores said yes to and this one does not have",
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -28,11 +28,11 @@
         outstandingReplies = asked.parts.size();
     }
 
-    synchronized void add(RenewReply v) {
-        if (v.incarnation == request.from.incarnation) v.incarnation = 0;
-        v.stamp = v.grace = 0;
-        if (v.kind == 0) v.leader = null;
-        collectedReplies.add(v);
+    synchronized void add(RenewReply reply) {
+        if (reply.incarnation == request.from.incarnation) reply.incarnation = 0;
+        reply.stamp = reply.grace = 0;
+        if (reply.kind == 0) reply.leader = null;
+        collectedReplies.add(reply);
         outstandingReplies--;
         if (timedOut || outstandingReplies == 0) send();
     }
@@ -47,13 +47,13 @@
     }
 
     private void send() {
-        var all = new RenewReplies();
-        all.stamp = request.stamp;
-        all.incarnation = request.from.incarnation;
-        all.grace = request.from.grace;
-        if (request.leader != self.incarnation) all.leader = self;
-        all.parts.addAll(collectedReplies);
+        var message = new RenewReplies();
+        message.stamp = request.stamp;
+        message.incarnation = request.from.incarnation;
+        message.grace = request.from.grace;
+        if (request.leader != self.incarnation) message.leader = self;
+        message.parts.addAll(collectedReplies);
         collectedReplies.clear();
-        port.send(request.from.peerAddress, all);
+        port.send(request.from.peerAddress, message);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Rules.java
+++ b/lib/control/src/main/java/craneway/control/store/Rules.java
@@ -9,15 +9,15 @@
  * has a thread of its own holds up nobody else while its disk hangs.
  */
 public record Rules(Settings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
-    public Rules(int expected, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
-        this(Settings.of(expected), quorum, timing, executors);
+    public Rules(int founderCount, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
+        this(Settings.of(founderCount), quorum, timing, executors);
     }
 
-    public static Rules of(int expected) {
+    public static Rules of(int founderCount) {
         return new Rules(
-                expected,
-                expected > 3 ? new Quorum(expected, Quorum.THREE.regions()) : Quorum.THREE,
+                founderCount,
+                founderCount > 3 ? new Quorum(founderCount, Quorum.THREE.regions()) : Quorum.THREE,
                 TimingProfile.STANDARD,
-                p -> Runnable::run);
+                part -> Runnable::run);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Settings.java
+++ b/lib/control/src/main/java/craneway/control/store/Settings.java
@@ -12,7 +12,7 @@
 public record Settings(int founders, boolean seedsOnly, boolean firstStart, long dark, long forgotten) {
     private static final long DEFAULT_DARK_AFTER_MICROS = 3_000_000;
 
-    public static Settings of(int founders) {
-        return new Settings(founders, false, true, DEFAULT_DARK_AFTER_MICROS, 0);
+    public static Settings of(int founderCount) {
+        return new Settings(founderCount, false, true, DEFAULT_DARK_AFTER_MICROS, 0);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -76,8 +76,8 @@
     private volatile long leavingSince;
     private volatile long savedIncarnation;
 
-    public Store(Port port, Folder folder, Node self, List<String> seeds, int expected, Random random) {
-        this(port, folder, self, seeds, Rules.of(expected), random);
+    public Store(Port port, Folder folder, Node self, List<String> seeds, int founderCount, Random random) {
+        this(port, folder, self, seeds, Rules.of(founderCount), random);
     }
 
     public Store(Port port, Folder folder, Node self, List<String> seeds, Rules rules, Random random) {
@@ -99,17 +99,17 @@
 
     private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
-        var b = folder.read(FOUNDERS_FILE);
-        if (b == null && settings.firstStart())
-            folder.replace(FOUNDERS_FILE, b = String.join("\n", seeds).getBytes());
-        return b == null ? Set.of() : Set.of(new String(b).split("\n"));
+        var bytes = folder.read(FOUNDERS_FILE);
+        if (bytes == null && settings.firstStart())
+            folder.replace(FOUNDERS_FILE, bytes = String.join("\n", seeds).getBytes());
+        return bytes == null ? Set.of() : Set.of(new String(bytes).split("\n"));
     }
 
-    private boolean mayFound(Node n) {
+    private boolean mayFound(Node node) {
         return !settings.seedsOnly()
                 || (founderAddresses.isEmpty()
-                        ? seeds.contains(n.peerAddress)
-                        : founderAddresses.contains(n.peerAddress));
+                        ? seeds.contains(node.peerAddress)
+                        : founderAddresses.contains(node.peerAddress));
     }
 
     public Directory directory() {
@@ -129,27 +129,29 @@
     }
 
     private long loadOrCreateIdentity() {
-        var b = folder.read(IDENTITY_FILE);
+        var bytes = folder.read(IDENTITY_FILE);
         try {
-            if (b != null) return ByteBuffer.wrap(Seal.open(IDENTITY_FILE, b)).getLong();
-            if (!folder.names().stream().allMatch(n -> n.startsWith(LOST_FILE_PREFIX)))
+            if (bytes != null)
+                return ByteBuffer.wrap(Seal.open(IDENTITY_FILE, bytes)).getLong();
+            if (!folder.names().stream().allMatch(name -> name.startsWith(LOST_FILE_PREFIX)))
                 setAllFilesAside("the identity is missing");
         } catch (DiskLostException e) {
             setAllFilesAside(e.getMessage());
         }
-        var id = random.nextLong() >>> 1 | 1;
+        var storeId = random.nextLong() >>> 1 | 1;
         folder.replace(
-                IDENTITY_FILE, Seal.close(ByteBuffer.allocate(8).putLong(id).array()));
-        return id;
+                IDENTITY_FILE,
+                Seal.close(ByteBuffer.allocate(8).putLong(storeId).array()));
+        return storeId;
     }
 
     /** The incarnation that the last process on this disk told of; 0 where that is not known. */
     private long loadLastIncarnation() {
-        var b = folder.read(INCARNATION_FILE);
+        var bytes = folder.read(INCARNATION_FILE);
         try {
-            return b == null
+            return bytes == null
                     ? 0
-                    : ByteBuffer.wrap(Seal.open(INCARNATION_FILE, b)).getLong();
+                    : ByteBuffer.wrap(Seal.open(INCARNATION_FILE, bytes)).getLong();
         } catch (DiskLostException e) {
             port.note(Event.DISK_FAILED, INCARNATION_FILE + ": " + e.getMessage());
             return 0;
@@ -174,28 +176,31 @@
     private void setAllFilesAside(String cause) {
         port.note(Event.DISK_LOST, cause);
         if (folder.read(IDENTITY_FILE) != null) setAsideFile(IDENTITY_FILE);
-        for (var n : folder.names()) if (!n.startsWith(LOST_FILE_PREFIX)) setAsideFile(n);
+        for (var name : folder.names()) if (!name.startsWith(LOST_FILE_PREFIX)) setAsideFile(name);
     }
 
     /** An earlier file set aside under this name stays: it gets a number. */
     private void setAsideFile(String name) {
-        var to = LOST_FILE_PREFIX + name;
-        for (var i = 2; folder.read(to) != null; i++) to = LOST_FILE_PREFIX + i + "." + name;
-        folder.rename(name, to);
+        var target = LOST_FILE_PREFIX + name;
+        for (var copyNumber = 2; folder.read(target) != null; copyNumber++)
+            target = LOST_FILE_PREFIX + copyNumber + "." + name;
+        folder.rename(name, target);
     }
 
     private List<String> withKnownStores(List<String> seeds) {
-        var all = new ArrayList<>(seeds);
-        var b = folder.read(KNOWN_STORES_FILE);
-        if (b != null) for (var a : new String(b).split("\n")) if (!a.isBlank() && !all.contains(a)) all.add(a);
-        return all;
+        var addresses = new ArrayList<>(seeds);
+        var bytes = folder.read(KNOWN_STORES_FILE);
+        if (bytes != null)
+            for (var address : new String(bytes).split("\n"))
+                if (!address.isBlank() && !addresses.contains(address)) addresses.add(address);
+        return addresses;
     }
 
     private void reopenCore() {
-        var b = folder.read(CORE_FILE);
-        if (b == null) return;
+        var bytes = folder.read(CORE_FILE);
+        if (bytes == null) return;
         try {
-            startReplicas(Codec.read(Founding.class, Seal.open(CORE_FILE, b)));
+            startReplicas(Codec.read(Founding.class, Seal.open(CORE_FILE, bytes)));
         } catch (DiskLostException | BadMessageException e) {
             setAllFilesAside(e.getMessage());
             directory.self().storeId = loadOrCreateIdentity();
@@ -204,21 +209,29 @@
         }
     }
 
-    private void startReplicas(Founding f) {
-        var self = directory.self().storeId;
-        directory.founding(f, f.coreId);
-        var first = f.has(self) ? Members.of(f.stores, f.zones) : new Members();
-        first.generation = f.has(self) ? f.generation : 0;
-        var all = new PartReplica[Parts.COUNT];
-        for (var p = 0; p < all.length; p++)
-            all[p] = new PartReplica(
-                    p, self, folder, first, port, directory, membership, rules, new Random(random.nextLong()));
-        replicas = all;
+    private void startReplicas(Founding founding) {
+        var selfId = directory.self().storeId;
+        directory.founding(founding, founding.coreId);
+        var initialMembers = founding.has(selfId) ? Members.of(founding.stores, founding.zones) : new Members();
+        initialMembers.generation = founding.has(selfId) ? founding.generation : 0;
+        var started = new PartReplica[Parts.COUNT];
+        for (var part = 0; part < started.length; part++)
+            started[part] = new PartReplica(
+                    part,
+                    selfId,
+                    folder,
+                    initialMembers,
+                    port,
+                    directory,
+                    membership,
+                    rules,
+                    new Random(random.nextLong()));
+        replicas = started;
     }
 
     public void tick() {
         tickNode();
-        for (var p = 0; p < Parts.COUNT; p++) tickPart(p);
+        for (var part = 0; part < Parts.COUNT; part++) tickPart(part);
     }
 
     public void tickPart(int part) {
@@ -232,22 +245,23 @@
         if (directory.self().coreId == 0) tryFoundCore(now);
         membership.tick(now);
         coreClient.tick(now);
-        replyBatches.removeIf(b -> b.flushIfOverdue(now));
+        replyBatches.removeIf(batch -> batch.flushIfOverdue(now));
         if (now >= nextJoinAt) sendJoinRequests(now);
         if (now >= nextSaveAt) saveKnownStores(now);
     }
 
     private void closeReplicas() {
-        for (var k : replicas) k.close();
+        for (var replica : replicas) replica.close();
         replicas = new PartReplica[0];
     }
 
-    private void followNewerCore(Founding f) {
-        port.note(Event.SURRENDERED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
+    private void followNewerCore(Founding founding) {
+        port.note(
+                Event.SURRENDERED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         closeReplicas();
-        setAllFilesAside("generation " + f.generation + " of the core lives");
+        setAllFilesAside("generation " + founding.generation + " of the core lives");
         founderAddresses = Set.of();
-        directory.follow(f);
+        directory.follow(founding);
         directory.self().storeId = loadOrCreateIdentity();
         directory.self().coreId = 0;
         membership.follow();
@@ -255,180 +269,194 @@
 
     public Either<Problem, Rebuild> rebuild() {
         var now = port.now();
-        var f = directory.founding();
-        if (replicas.length == 0 || f == null)
+        var founding = directory.founding();
+        if (replicas.length == 0 || founding == null)
             return Either.left(Problem.of(Kind.BAD_INTENT, "this store holds no core to rebuild from"));
-        for (var k : replicas) {
-            var p = k.group().part();
-            var heard = 0;
-            for (var v : k.group().members().voters) {
-                var n = directory.store(v);
-                if (v == directory.self().storeId || n != null && directory.heard(n.name, now)) heard++;
+        for (var replica : replicas) {
+            var part = replica.group().part();
+            var reachableVoters = 0;
+            for (var voter : replica.group().members().voters) {
+                var node = directory.store(voter);
+                if (voter == directory.self().storeId || node != null && directory.heard(node.name, now))
+                    reachableVoters++;
             }
-            if (k.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
-                    || heard >= k.group().members().majority() && k.group().members().voters.length > 1)
+            if (replica.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
+                    || reachableVoters >= replica.group().members().majority()
+                            && replica.group().members().voters.length > 1)
                 return Either.left(
-                        Problem.of(Kind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
+                        Problem.of(Kind.BAD_INTENT, "a majority of part " + part + " lives; nothing is to be rebuilt"));
         }
-        return Either.right(Rebuild.of(f, replicas));
+        return Either.right(Rebuild.of(founding, replicas));
     }
 
     public Either<Problem, Rebuild> rebuild(String token) {
-        var r = rebuild();
-        if (r.isLeft()) return r;
-        if (!r.get().token().equals(token))
+        var proposal = rebuild();
+        if (proposal.isLeft()) return proposal;
+        if (!proposal.get().token().equals(token))
             return Either.left(Problem.of(Kind.STALE_PLAN, "this store's state moved since; look again"));
         var self = directory.self();
-        var f = new Founding();
-        f.origin = directory.founding().origin();
-        f.generation = directory.founding().generation + 1;
-        f.coreId = Hash.of(Hash.of(f.origin, f.generation), self.storeId) | 1;
-        f.stores = new long[] {self.storeId};
-        f.zones = new String[] {self.zone};
+        var founding = new Founding();
+        founding.origin = directory.founding().origin();
+        founding.generation = directory.founding().generation + 1;
+        founding.coreId = Hash.of(Hash.of(founding.origin, founding.generation), self.storeId) | 1;
+        founding.stores = new long[] {self.storeId};
+        founding.zones = new String[] {self.zone};
         closeReplicas();
-        folder.replace(CORE_FILE, Seal.close(Codec.write(f)));
-        port.note(Event.REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        directory.follow(f);
+        folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
+        port.note(Event.REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        directory.follow(founding);
         membership.follow();
-        startReplicas(f);
-        return r;
+        startReplicas(founding);
+        return proposal;
     }
 
     private void sendJoinRequests(long now) {
         nextJoinAt = now + (rules.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
-        for (var k : replicas) {
+        for (var replica : replicas) {
             var leaving = leavingSince != 0;
-            if (!leaving && !k.shouldJoin(now)) continue;
-            var to = coreClient.leader(k.group().part());
-            if (to == null || to.name.equals(directory.self().name)) continue;
-            var j = new Join();
-            j.part = k.group().part();
-            j.from = directory.self();
-            j.leaving = leaving;
-            port.send(to.peerAddress, j);
+            if (!leaving && !replica.shouldJoin(now)) continue;
+            var leader = coreClient.leader(replica.group().part());
+            if (leader == null || leader.name.equals(directory.self().name)) continue;
+            var request = new Join();
+            request.part = replica.group().part();
+            request.from = directory.self();
+            request.leaving = leaving;
+            port.send(leader.peerAddress, request);
         }
     }
 
     private void saveKnownStores(long now) {
         nextSaveAt = now + SAVE_INTERVAL_MICROS;
-        var text = String.join(
+        var addresses = String.join(
                 "\n",
-                directory.stores().stream().map(n -> n.peerAddress).sorted().toList());
-        var life = directory.self().incarnation;
-        if (life != savedIncarnation) saveExecutor.execute(() -> saveIncarnation(life));
-        if (!text.equals(savedKnownStores)) saveExecutor.execute(() -> saveKnownStores(text));
+                directory.stores().stream()
+                        .map(node -> node.peerAddress)
+                        .sorted()
+                        .toList());
+        var incarnation = directory.self().incarnation;
+        if (incarnation != savedIncarnation) saveExecutor.execute(() -> saveIncarnation(incarnation));
+        if (!addresses.equals(savedKnownStores)) saveExecutor.execute(() -> saveKnownStores(addresses));
     }
 
-    private void saveKnownStores(String text) {
+    private void saveKnownStores(String addresses) {
         try {
-            folder.replace(KNOWN_STORES_FILE, text.getBytes());
-            savedKnownStores = text;
+            folder.replace(KNOWN_STORES_FILE, addresses.getBytes());
+            savedKnownStores = addresses;
         } catch (DiskException e) {
             port.note(Event.DISK_FAILED, KNOWN_STORES_FILE + ": " + e.getMessage());
         }
     }
 
     private void tryFoundCore(long now) {
-        var heard = directory.known().stream()
-                .filter(k -> now - k.heard < Directory.STALE)
+        var recentlyHeard = directory.known().stream()
+                .filter(known -> now - known.heard < Directory.STALE)
                 .toList();
-        var f = directory.founding();
-        if (f != null) {
-            adoptCore(f);
+        var founding = directory.founding();
+        if (founding != null) {
+            adoptCore(founding);
             return;
         }
-        if (heard.stream().anyMatch(k -> k.node.coreId != 0)) return;
-        var empty = new ArrayList<Node>();
+        if (recentlyHeard.stream().anyMatch(known -> known.node.coreId != 0)) return;
+        var emptyStores = new ArrayList<Node>();
         if (!mayFound(directory.self())) return;
-        empty.add(directory.self());
-        heard.stream()
-                .map(k -> k.node)
-                .filter(n -> n.kind.equals(Node.STORE) && mayFound(n))
-                .forEach(empty::add);
-        empty.sort(Comparator.comparingLong(n -> n.storeId));
-        var digest = digestOf(empty);
+        emptyStores.add(directory.self());
+        recentlyHeard.stream()
+                .map(known -> known.node)
+                .filter(node -> node.kind.equals(Node.STORE) && mayFound(node))
+                .forEach(emptyStores::add);
+        emptyStores.sort(Comparator.comparingLong(node -> node.storeId));
+        var digest = digestOf(emptyStores);
         directory.seen(digest);
-        var agreed = heard.stream()
-                .filter(k -> k.node.kind.equals(Node.STORE) && mayFound(k.node))
-                .allMatch(k -> k.seen == digest);
-        var may = !settings.seedsOnly() || !founderAddresses.isEmpty();
-        if (may && empty.size() == settings.founders() && agreed) adoptCore(newFounding(empty, digest));
-        else if (now >= nextWaitingLogAt) logWaitingToFound(empty, now);
+        var allAgree = recentlyHeard.stream()
+                .filter(known -> known.node.kind.equals(Node.STORE) && mayFound(known.node))
+                .allMatch(known -> known.seen == digest);
+        var mayFoundCore = !settings.seedsOnly() || !founderAddresses.isEmpty();
+        if (mayFoundCore && emptyStores.size() == settings.founders() && allAgree)
+            adoptCore(newFounding(emptyStores, digest));
+        else if (now >= nextWaitingLogAt) logWaitingToFound(emptyStores, now);
     }
 
-    private void logWaitingToFound(List<Node> empty, long now) {
+    private void logWaitingToFound(List<Node> emptyStores, long now) {
         nextWaitingLogAt = now + WAITING_LOG_INTERVAL_MICROS;
         port.note(
                 Event.WAITING_TO_FOUND,
-                "sees " + empty.size() + " empty stores "
-                        + empty.stream().map(n -> n.name).toList() + " and needs exactly " + settings.founders()
+                "sees " + emptyStores.size() + " empty stores "
+                        + emptyStores.stream().map(node -> node.name).toList() + " and needs exactly "
+                        + settings.founders()
                         + " that see one another");
     }
 
     private static long digestOf(List<Node> stores) {
-        var h = 1L;
-        for (var s : stores) h = Hash.of(h, s.storeId);
-        return h | 1;
+        var hash = 1L;
+        for (var store : stores) hash = Hash.of(hash, store.storeId);
+        return hash | 1;
     }
 
     private static Founding newFounding(List<Node> stores, long digest) {
-        var f = new Founding();
-        f.coreId = digest;
-        f.stores = stores.stream().mapToLong(n -> n.storeId).toArray();
-        f.zones = stores.stream().map(n -> n.zone).toArray(String[]::new);
-        return f;
+        var founding = new Founding();
+        founding.coreId = digest;
+        founding.stores = stores.stream().mapToLong(store -> store.storeId).toArray();
+        founding.zones = stores.stream().map(store -> store.zone).toArray(String[]::new);
+        return founding;
     }
 
-    private void adoptCore(Founding f) {
-        folder.replace(CORE_FILE, Seal.close(Codec.write(f)));
+    private void adoptCore(Founding founding) {
+        folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
         port.note(
-                f.has(directory.self().storeId) ? Event.FOUNDED : Event.JOINED_CORE,
-                "core " + Long.toHexString(f.coreId));
-        startReplicas(f);
+                founding.has(directory.self().storeId) ? Event.FOUNDED : Event.JOINED_CORE,
+                "core " + Long.toHexString(founding.coreId));
+        startReplicas(founding);
     }
 
-    public void receive(Object m) {
+    public void receive(Object message) {
         var now = port.now();
-        if (m instanceof Hello h) directory.receive(h, now);
-        else if (m instanceof RenewReply v) membership.receive(v, now);
-        else if (m instanceof News n) membership.receive(n, now);
-        else if (m instanceof CommandResult v) coreClient.receive(v);
-        else if (m instanceof PartMessage p) withReplica(p.part, k -> k.receive(p));
-        else if (m instanceof CommandRequest a) handleCommandRequest(a);
-        else if (m instanceof RenewReplies v) membership.receive(v, now);
-        else if (m instanceof Renewals r) handleRenewals(r, now);
-        else if (m instanceof Renew r) withReplica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
-        else if (m instanceof Subscribe s) withReplica(Parts.of(s.topic), k -> k.receive(s));
-        else if (m instanceof Join j) withReplica(j.part, k -> k.receive(j));
-        else port.note(Event.BAD_MESSAGE, "a store takes no " + m.getClass().getSimpleName());
-    }
-
-    private void handleRenewals(Renewals all, long now) {
-        if (all.from == null) return;
-        var b = new RenewReplyBatch(port, directory.self(), all);
-        replyBatches.add(b);
-        for (var r : all.parts) {
-            r.from = all.from;
-            r.stamp = all.stamp;
-            r.leaving = all.leaving;
-            withReplica(r.part, k -> k.receive(r, b::add));
+        if (message instanceof Hello hello) directory.receive(hello, now);
+        else if (message instanceof RenewReply reply) membership.receive(reply, now);
+        else if (message instanceof News news) membership.receive(news, now);
+        else if (message instanceof CommandResult reply) coreClient.receive(reply);
+        else if (message instanceof PartMessage partMessage)
+            withReplica(partMessage.part, replica -> replica.receive(partMessage));
+        else if (message instanceof CommandRequest request) handleCommandRequest(request);
+        else if (message instanceof RenewReplies reply) membership.receive(reply, now);
+        else if (message instanceof Renewals renewal) handleRenewals(renewal, now);
+        else if (message instanceof Renew renewal)
+            withReplica(
+                    renewal.part,
+                    replica -> replica.receive(renewal, reply -> port.send(renewal.from.peerAddress, reply)));
+        else if (message instanceof Subscribe subscription)
+            withReplica(Parts.of(subscription.topic), replica -> replica.receive(subscription));
+        else if (message instanceof Join join) withReplica(join.part, replica -> replica.receive(join));
+        else
+            port.note(
+                    Event.BAD_MESSAGE, "a store takes no " + message.getClass().getSimpleName());
+    }
+
+    private void handleRenewals(Renewals renewals, long now) {
+        if (renewals.from == null) return;
+        var batch = new RenewReplyBatch(port, directory.self(), renewals);
+        replyBatches.add(batch);
+        for (var renewal : renewals.parts) {
+            renewal.from = renewals.from;
+            renewal.stamp = renewals.stamp;
+            renewal.leaving = renewals.leaving;
+            withReplica(renewal.part, replica -> replica.receive(renewal, batch::add));
         }
     }
 
-    private void handleCommandRequest(CommandRequest a) {
+    private void handleCommandRequest(CommandRequest request) {
         if (replicas.length > 0) {
-            withReplica(a.part, k -> k.receive(a));
+            withReplica(request.part, replica -> replica.receive(request));
             return;
         }
-        var v = Records.failure(Kind.NOT_OWNER, "");
-        v.id = a.id;
-        v.life = a.life;
-        port.send(a.from.peerAddress, v);
+        var result = Records.failure(Kind.NOT_OWNER, "");
+        result.id = request.id;
+        result.life = request.life;
+        port.send(request.from.peerAddress, result);
     }
 
-    private void withReplica(int part, Consumer<PartReplica> then) {
-        var all = replicas;
-        if (part >= 0 && part < all.length) then.accept(all[part]);
+    private void withReplica(int part, Consumer<PartReplica> action) {
+        var current = replicas;
+        if (part >= 0 && part < current.length) action.accept(current[part]);
     }
 
     /**
@@ -442,18 +470,18 @@
             leavingSince = now;
             nextJoinAt = now;
         }
-        var needed = now - leavingSince < HANDOVER_TIMEOUT_MICROS && transferLeadership();
-        for (var k : replicas) needed |= k.needed(leavingSince, now);
-        return needed;
+        var stillNeeded = now - leavingSince < HANDOVER_TIMEOUT_MICROS && transferLeadership();
+        for (var replica : replicas) stillNeeded |= replica.needed(leavingSince, now);
+        return stillNeeded;
     }
 
     public boolean transferLeadership() {
-        var leads = false;
-        for (var k : replicas) {
-            if (!k.leads()) continue;
-            leads = true;
-            k.transferLeadership();
+        var leadsAny = false;
+        for (var replica : replicas) {
+            if (!replica.leads()) continue;
+            leadsAny = true;
+            replica.transferLeadership();
         }
-        return leads;
+        return leadsAny;
     }
 }
