--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -7,21 +7,29 @@
 import java.util.Map;
 
 /**
- * Decides at a part's leader whether a command is proposed. A command names the term and the bound, by that term's leader's
- * steady clock, until which its asker waits: one that comes later, or was bound by the clock of another leader, has no effect.
- * As an entry is appended when it is proposed and an entry of a deposed leader is never committed behind one of its successor,
- * nothing takes effect behind what was acknowledged after the bound. No I/O; one for each part.
+ * Decides, on the leader of a part, whether a command may be proposed. A command names a term and a bound: the time,
+ * by the steady clock of that term's leader, until which its sender waits. A command that arrives after its bound, or
+ * whose bound refers to the clock of another leader, has no effect.
+ *
+ * <p>An entry is appended when it is proposed, and an entry of a deposed leader is never committed after one of its
+ * successor. So no command takes effect after something that was acknowledged later than its bound. One fence for
+ * each part; it does no I/O. A "life" is the random identity of one run of a process.
  */
 final class CommandFence {
+    /**
+     * What to do with a command: propose it, or decline it as late or as coming from a process that has not received
+     * this leader's clock.
+     */
     enum Admission {
         ADMITTED,
         LATE,
         UNKNOWN_LIFE
     }
 
-    /** No asker waits longer; a bound beyond it is none. */
+    /** No sender waits longer; a bound farther ahead is invalid. */
     static final long MAX_WAIT_MICROS = 60_000_000;
 
+    /** The processes that were sent the clock are remembered up to this number, the most recently used ones. */
     private static final int MAX_KNOWN_LIVES = 1_024;
 
     private final Map<Long, Boolean> livesKnowingClock = new LinkedHashMap<>(16, 0.75f, true) {
@@ -33,26 +41,27 @@
 
     private final Map<String, Long> latestBoundByZone = new HashMap<>();
 
-    /** Forgets to whom the clock was told, and the bounds by it; for each new term. */
+    /** Forgets which processes know the clock, and all bounds; for each new term. */
     void reset() {
         livesKnowingClock.clear();
         latestBoundByZone.clear();
     }
 
-    /** The leader tells this life its clock. */
+    /** Records that the leader sends its clock to this process. */
     void recordClockSent(long life) {
         livesKnowingClock.put(life, true);
     }
 
-    /** Rules on a command of a process that tells its life. */
+    /** Checks the term and the bound of a command from a process that names its life. */
     Admission check(CommandRequest request, long term, long now) {
         if (request.term != term || now > request.bound || request.bound > now + MAX_WAIT_MICROS) return Admission.LATE;
         return livesKnowingClock.get(request.life) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
     }
 
     /**
-     * Whether an order for the zone with a later bound was taken before: every caller waits equally long, so this one was sent
-     * earlier, was long on its way, and its caller may have had the later one acknowledged meanwhile. Else takes note of its bound.
+     * Whether an order for the zone with a later bound was admitted before; if not, records this bound. All callers
+     * wait equally long, so an order with an earlier bound was sent earlier and was delayed on its way, and its
+     * caller may have had the later order acknowledged meanwhile.
      */
     boolean isOvertaken(String zone, long bound) {
         if (bound < latestBoundByZone.getOrDefault(zone, bound)) return true;
@@ -60,7 +69,10 @@
         return false;
     }
 
-    /** Claims carry an identity of their own: holder, incarnation and try. */
+    /**
+     * Wraps a command with the identity of its sender, so that it is applied once. Claims are left as they are:
+     * holder, incarnation and attempt already identify them.
+     */
     static Object withIdentity(CommandRequest request, Object command, byte[] body) {
         if (request.life == 0 || command instanceof Commands.Claim || command instanceof Commands.Finish)
             return command;
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -7,30 +7,41 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the leader of a part knows of its members' leases: when it heard each last, and which versions each has. */
+/**
+ * The leases that the leader of a part has granted to members: when each renewed last and which topic versions it
+ * reported. Kept in memory only; used from the replica's events.
+ */
 final class LeaseTable {
+    /**
+     * A member counts as lapsed this long after its last renewal: the length of a lease and 300 ms for the way of the
+     * messages.
+     */
     private static final long LAPSE_AFTER_MICROS = Membership.LEASE + 300_000;
+    /** A lapsed member is removed this long, and its grace, after its last renewal. */
     private static final long FORGET_AFTER_MICROS = 60_000_000;
 
+    /** The lease of one member name. */
     private static final class Lease {
         String address;
         long incarnation;
         long graceMicros;
         long renewedAt;
+        /** Until when a process that held this name at another address may still act on its lease. */
         long earlierInstanceUntil = Long.MIN_VALUE;
+
         final Map<String, Long> versionByTopic = new HashMap<>();
     }
 
     private final Map<String, Lease> leaseByMember = new TreeMap<>();
     private long clearedAt;
 
-    /** Forgets all; members that have not renewed yet count as heard at this moment. */
+    /** Removes all leases, for a new leader; members that have not renewed yet count as renewed at this moment. */
     void clear(long now) {
         leaseByMember.clear();
         clearedAt = now;
     }
 
-    /** Takes a renewal that was granted. */
+    /** Records a renewal that was granted. */
     void recordRenewal(Renew renewal, long now) {
         var lease = leaseByMember.computeIfAbsent(renewal.from.name, name -> new Lease());
         if (lease.address != null && !lease.address.equals(renewal.from.peerAddress))
@@ -44,7 +55,7 @@
             lease.versionByTopic.put(renewal.topics.get(i), renewal.versions.get(i));
     }
 
-    /** The version of a topic that the member said it has. */
+    /** The version of a topic that the member reported last; 0 if none. */
     long reportedVersion(String name, String topic) {
         var lease = leaseByMember.get(name);
         return lease == null ? 0 : lease.versionByTopic.getOrDefault(topic, 0L);
@@ -55,22 +66,24 @@
         return lease == null ? clearedAt : lease.renewedAt;
     }
 
-    /** Whether the member's lease, and the grace after it, may still run. */
+    /** Whether the member, or an earlier process of its name, may still act on its lease or on the grace after it. */
     boolean mayStillAct(Node member, long graceMicros, long now) {
         return now - lastRenewedAt(member.name) < LAPSE_AFTER_MICROS + graceMicros
                 || earlierInstanceMayAct(member, now);
     }
 
-    /** Whether an earlier life of this name at another address may still hold a lease. */
+    /** Whether an earlier process of this name at another address may still hold a lease. */
     boolean earlierInstanceMayAct(Node member, long now) {
         var lease = leaseByMember.get(member.name);
         return lease != null && now < lease.earlierInstanceUntil;
     }
 
+    /** Whether the lease of the member is over, apart from its grace. */
     boolean hasLapsed(Node member, long now) {
         return now - lastRenewedAt(member.name) > LAPSE_AFTER_MICROS;
     }
 
+    /** Whether the member has been silent for so long that its row can be removed. */
     boolean isForgettable(Node member, long now) {
         return now - lastRenewedAt(member.name) > FORGET_AFTER_MICROS + member.grace;
     }
--- a/lib/control/src/main/java/craneway/control/store/LoadHistory.java
+++ b/lib/control/src/main/java/craneway/control/store/LoadHistory.java
@@ -4,10 +4,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
+/**
+ * The highest load of each service in each of the last two hours' minutes, as the leader of its part has seen it. Not
+ * safe for several threads.
+ */
 final class LoadHistory {
+    /** How many minutes are remembered. */
     static final int HISTORY_MINUTES = 120;
+
     private static final long MINUTE_MICROS = 60_000_000;
 
+    /** A ring of peaks, indexed by minute modulo the length of the history. */
     private static final class MinutePeaks {
         final int[] peakByMinute = new int[HISTORY_MINUTES];
         final long firstMinute;
@@ -20,6 +27,7 @@
 
     private final Map<String, MinutePeaks> peaksByService = new HashMap<>();
 
+    /** Records the current load of a service; minutes without a record count as 0. */
     void record(String service, int load, long now) {
         var currentMinute = now / MINUTE_MICROS;
         var peaks = peaksByService.computeIfAbsent(service, name -> new MinutePeaks(currentMinute));
@@ -28,6 +36,7 @@
         peaks.peakByMinute[slot] = Math.max(peaks.peakByMinute[slot], load);
     }
 
+    /** The peak load of each minute, the current minute first; empty for an unknown service. */
     int[] peaksNewestFirst(String service) {
         var peaks = peaksByService.get(service);
         if (peaks == null) return new int[0];
@@ -38,6 +47,7 @@
         return newestFirst;
     }
 
+    /** Forgets everything. */
     void clear() {
         peaksByService.clear();
     }
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -9,15 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * Decides, at the leader of a part, which change of the part's members comes next: one at a time, a lost disk out first, a new
- * store as a learner before it votes, and the store that is to go only once the one in its place counts. A decider without I/O:
- * it is told who asks and what the leader knows of each store, and names the members to propose.
+ * Decides, on the leader of a part, which change of the group's members is due next. Changes are made one at a time:
+ * a member with a lost disk is removed first, a new store joins as a learner before it votes, and a store that is to
+ * leave is removed only once its replacement is a voter.
+ *
+ * <p>This class does no I/O. Its caller reports who asks to join or leave, provides what the leader knows of each
+ * store, and proposes the members it returns. Not safe for several threads. Times are microseconds.
  */
 public final class MembershipChanges {
-    /** How long a leader has to have led before its knowledge of who wants to join is complete. */
+    /**
+     * A leader knows of all stores that want to join once it has led for this long, since they repeat their requests.
+     */
     private static final long JOIN_REQUESTS_COMPLETE_AFTER_MICROS = 1_000_000;
 
-    /** What the leader knows of a store. Times are microseconds. */
+    /** What the leader knows of the stores of its group. Times are microseconds. */
     public interface Knowledge {
         /** Whether the disk of this store is known to be lost. */
         boolean diskLost(long store);
@@ -25,13 +30,14 @@
         /** When the leader last heard the store. */
         long heardFrom(long store);
 
-        /** Whether the store's catch-up rounds have become short. */
+        /** Whether the store's replication is close enough to the end of the log for it to vote or to lead. */
         boolean caughtUp(long store);
 
         /** Whether the store holds every entry that the leader holds. */
         boolean level(long store);
     }
 
+    /** A request to join from a zone, valid until a time. */
     private record JoinRequest(String zone, long validUntil) {}
 
     private final long self;
@@ -41,7 +47,7 @@
     private final Map<Long, JoinRequest> joinRequestByStore = new TreeMap<>();
     private final Map<Long, Long> leavingUntilByStore = new TreeMap<>();
 
-    /** A decider for a leader with this store id. */
+    /** Creates the changes for a leader with this store id. */
     public MembershipChanges(long self, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
         this.self = self;
         this.quorum = quorum;
@@ -49,24 +55,26 @@
         this.storeStatus = knowledge;
     }
 
-    /** A store that is no member asks to become one; it asks again before that time if it still does. */
+    /**
+     * Records that a store outside the group asks to join. The request has to be repeated before {@code validUntil}.
+     */
     public void wants(long store, String zone, long validUntil) {
         leavingUntilByStore.remove(store);
         joinRequestByStore.put(store, new JoinRequest(zone, validUntil));
     }
 
-    /** A store is about to stop; it says so again before that time while it still waits. */
+    /** Records that a store is about to stop. It has to be repeated before {@code validUntil}. */
     public void leaves(long store, long validUntil) {
         joinRequestByStore.remove(store);
         leavingUntilByStore.put(store, validUntil);
     }
 
-    /** Whether a store has said lately that it is about to stop. */
+    /** Whether a store is about to stop. */
     public boolean leaving(long store) {
         return leavingUntilByStore.containsKey(store);
     }
 
-    /** The members to propose next, if any change is due. */
+    /** The members to propose next; empty if no change is due. */
     public Optional<Members> next(Members members, long leadingSince, long now) {
         dropExpired(members, now);
         var lostStore = memberWithLostDisk(members);
@@ -76,6 +84,7 @@
         return admitLearner(members, now);
     }
 
+    /** Drops requests that were not repeated, are fulfilled or come from a store with a lost disk. */
     private void dropExpired(Members members, long now) {
         leavingUntilByStore.values().removeIf(validUntil -> now > validUntil);
         joinRequestByStore
@@ -85,12 +94,14 @@
                         || storeStatus.diskLost(entry.getKey()));
     }
 
+    /** A member other than this leader whose disk is lost; 0 if there is none. */
     private long memberWithLostDisk(Members members) {
         if (members.learner != 0 && storeStatus.diskLost(members.learner)) return members.learner;
         for (var voter : members.voters) if (voter != self && storeStatus.diskLost(voter)) return voter;
         return 0;
     }
 
+    /** Promotes a learner that has caught up; removes one that leaves or has been silent for too long. */
     private Optional<Members> resolveLearner(Members members, long leadingSince, long now) {
         var leadingForMicros = now - leadingSince;
         if (leaving(members.learner) || isSilent(members.learner, now) && leadingForMicros > timing.replace())
@@ -101,8 +112,8 @@
     }
 
     /**
-     * The group with its caught-up learner as a voter. A silent voter that it replaces goes first: beside it the group would need
-     * one store more, and the loss of the new voter in that moment would leave no majority.
+     * The members with the learner as a voter. A silent voter that it replaces is removed first: with both, the group
+     * would need one store more for a majority, and losing the new voter at that moment would leave none.
      */
     private Members withLearnerPromoted(Members members, long now) {
         if (members.voters.length < quorum.voters()) return members.promoted();
@@ -114,6 +125,7 @@
         return store != self && now - storeStatus.heardFrom(store) >= timing.replace();
     }
 
+    /** Removes the voter that the group can best do without. */
     private Optional<Members> removeSurplusVoter(Members members, long now) {
         var candidate = -1;
         for (var i = 0; i < members.voters.length; i++) {
@@ -123,13 +135,17 @@
         return candidate < 0 ? Optional.empty() : Optional.of(members.without(members.voters[candidate]));
     }
 
-    /** The least goes first: silent ones, then those about to stop, then whoever crowds a region most. */
+    /**
+     * The voter with the lowest rank is removed first: a silent one, then one that leaves, then one in a crowded
+     * region.
+     */
     private int removalRank(Members members, int index, long now) {
         var rank = quorum.unevennessWithout(members.zones, index);
         if (isSilent(members.voters[index], now)) return rank - (1 << 28);
         return leaving(members.voters[index]) ? rank - (1 << 27) : rank;
     }
 
+    /** Adds the store that asks to join and spreads the group best, if a voter is missing or the spread improves. */
     private Optional<Members> admitLearner(Members members, long now) {
         var bestRequest = joinRequestByStore.entrySet().stream()
                 .min(Comparator.comparingInt(entry -> quorum.unevennessWith(members.zones, entry.getValue().zone)))
@@ -140,6 +156,10 @@
         return Optional.of(members.withLearner(bestRequest.getKey(), zone));
     }
 
+    /**
+     * Whether a store in this zone would spread the voters more evenly in place of one of them, or as evenly in place
+     * of one that is silent or leaves.
+     */
     private boolean improvesSpread(Members members, String zone, long now) {
         var unevennessNow = quorum.unevenness(Arrays.asList(members.zones));
         for (var i = 0; i < members.voters.length; i++) {
@@ -152,8 +172,8 @@
     }
 
     /**
-     * Whether a store that is about to stop may go now: it is no member any more; or nobody could take its place, and every other
-     * voter holds all that it helped to acknowledge.
+     * Whether a store that is about to stop may do so now: it is no longer a member; or no store is there to replace
+     * it, and every other voter holds all entries that this one helped to commit.
      */
     public boolean mayGo(long store, Members members, long leadingSince, long now) {
         if (!members.isMember(store)) return true;
@@ -165,7 +185,10 @@
                 .allMatch(voter -> voter == store || voter == self || leaving(voter) || storeStatus.level(voter));
     }
 
-    /** The voter that should lead in this leader's place, by the order of the parts; 0 for none. */
+    /**
+     * The voter that should lead, chosen by the number of the part so that leaders are spread over the stores; 0 if
+     * there is none.
+     */
     public long preferredLeader(Members members, int part) {
         var candidates = Arrays.stream(members.voters)
                 .filter(voter -> !leaving(voter))
@@ -174,7 +197,7 @@
         return candidates.length == 0 ? 0 : candidates[part % candidates.length];
     }
 
-    /** Whether the group is whole and leadership may go to this voter now. */
+    /** Whether the group is complete and leadership may be transferred to this voter now. */
     public boolean mayLead(long store, Members members, long now) {
         if (store == 0 || store == self || leaving(store) || !members.isVoter(store)) return false;
         return members.voters.length == quorum.voters()
@@ -183,7 +206,10 @@
                 && storeStatus.caughtUp(store);
     }
 
-    /** The voter to hand over to when this store stops: one that is near, and rather none that stops too; 0 for none. */
+    /**
+     * The voter to transfer leadership to when this store stops: one heard lately that does not stop itself, if
+     * possible one that has caught up; 0 if there is none.
+     */
     public long heir(Members members, long now) {
         var reachable = Arrays.stream(members.voters)
                 .filter(voter -> voter != self && wasHeardRecently(voter, now))
@@ -197,6 +223,7 @@
                         .orElse(0));
     }
 
+    /** Whether the store was heard within an election timeout. */
     private boolean wasHeardRecently(long store, long now) {
         return now - storeStatus.heardFrom(store) < timing.electionTimeout();
     }
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -45,20 +45,54 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
 
+/**
+ * One store's replica of a part: the replicated log ({@link Group}) with its state ({@link Records}), and what the
+ * part's leader does beside it. The leader grants leases to members, publishes news of the part's topics, marks
+ * silent runners as dark, moves units between cells, and adjusts the group's members.
+ *
+ * <p>All input arrives as events that run one at a time, on the part's executor and under its lock. After each batch
+ * of events the log is synced and pending messages are sent, so that nothing is sent before what it depends on is on
+ * disk. What only the leader keeps in memory (leases, subscriptions, loads) is cleared whenever leadership changes.
+ * Times are microseconds of the process's monotonic clock.
+ */
 public final class PartReplica implements GroupListener {
-    private static final long SUBSCRIPTION_TTL_MICROS = 2_000_000,
-            AGING_INTERVAL_MICROS = 1_000_000,
-            JOIN_REQUEST_TTL_MICROS = 2_000_000;
-    private static final long REACHABLE_STORE_WINDOW_MICROS = 3_000_000,
-            LOW_TRAFFIC_BALANCE_DELAY_MICROS = 3_500_000,
-            STALE_TOPIC_PUSH_DELAY_MICROS = 300_000,
-            PUSH_INTERVAL_MICROS = 150_000;
+    /** How long a subscription to a topic lasts unless it is renewed. */
+    private static final long SUBSCRIPTION_TTL_MICROS = 2_000_000;
+
+    /** How often the leader advances the replicated age by which claims, quotas, holds and ended runners expire. */
+    private static final long AGING_INTERVAL_MICROS = 1_000_000;
+
+    /** How long a request to join or to leave the group counts unless it is repeated. */
+    private static final long JOIN_REQUEST_TTL_MICROS = 2_000_000;
+
+    /** A move to a cell does not wait for the store in that cell's zone once it has been silent for this long. */
+    private static final long REACHABLE_STORE_WINDOW_MICROS = 3_000_000;
+
+    /** With the low-traffic profile, how long a new leader waits before it gives leadership to the preferred store. */
+    private static final long LOW_TRAFFIC_BALANCE_DELAY_MICROS = 3_500_000;
+
+    /** A member behind on a topic gets it pushed if the current version has been published for this long. */
+    private static final long STALE_TOPIC_PUSH_DELAY_MICROS = 300_000;
+
+    /** A topic is pushed to the same member at most once in this time. */
+    private static final long PUSH_INTERVAL_MICROS = 150_000;
+
+    /** Events that arrive while this many are queued are dropped; senders repeat unanswered messages. */
     private static final int MAX_QUEUED_EVENTS = 20_000;
-    /** How long a leader rests after it looked through its members and runners, for each of them, and at most. */
-    private static final long SCAN_PAUSE_PER_MEMBER_MICROS = 250,
-            SCAN_PAUSE_PER_RUNNER_MICROS = 40,
-            MAX_SCAN_PAUSE_MICROS = 500_000;
 
+    /** The pause between two scans of the members grows by this much for each member, which bounds the scan's cost. */
+    private static final long SCAN_PAUSE_PER_MEMBER_MICROS = 250;
+
+    /** The pause between two scans of the runners grows by this much for each runner. */
+    private static final long SCAN_PAUSE_PER_RUNNER_MICROS = 40;
+
+    /** The longest pause between two scans of members or runners. */
+    private static final long MAX_SCAN_PAUSE_MICROS = 500_000;
+
+    /**
+     * A command in the log whose outcome the proposer waits for; a different term at its index means that it was
+     * replaced.
+     */
     private record PendingProposal(long term, Consumer<CommandResult> onResult) {}
 
     private final int part;
@@ -82,14 +116,21 @@
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
     private final LeaseTable memberLeases = new LeaseTable();
+    /** By service and runner, "service/runner", as the next two. */
     private final Map<String, Long> runnerHeardAt = new HashMap<>();
+
     private final Map<String, Long> lastSequenceByRunner = new HashMap<>();
     private final Map<String, Integer> loadByRunner = new HashMap<>();
+    /** By topic, the address of each subscriber and when it last subscribed. */
     private final Map<String, Map<String, Long>> subscribersByTopic = new HashMap<>();
+
     private final Map<String, Long> publishedVersionByTopic = new HashMap<>();
     private final Map<String, Long> publishedAtByTopic = new HashMap<>();
+    /** When a topic was last pushed, by "address topic". */
     private final Map<String, Long> pushedAtByTarget = new HashMap<>();
+    /** Proposals of this leader that are not applied yet; keeps it from proposing the same change on each tick. */
     private final Set<String> openProposalKeys = new HashSet<>();
+
     private final MembershipChanges membershipChanges;
     private final PlannedLeave plannedLeave = new PlannedLeave();
     private boolean closed;
@@ -98,6 +139,10 @@
     private long nextMemberScanAt;
     private long nextRunnerScanAt;
 
+    /**
+     * Opens the replica from its folder; {@code initialMembers} are empty unless this store founded or rebuilt the
+     * core.
+     */
     public PartReplica(
             int part,
             long self,
@@ -130,10 +175,18 @@
         membershipChanges = new MembershipChanges(self, quorum, timing, new GroupStoreStatus());
     }
 
+    /**
+     * Queues an event and schedules the executor if it is not scheduled yet; drops the event if the queue is full.
+     * Safe for several threads.
+     */
     public void offer(Runnable event) {
         if (eventQueue.offer(event) && drainScheduled.compareAndSet(false, true)) executor.execute(this::drainEvents);
     }
 
+    /**
+     * Runs queued events, then syncs the log and sends. If another thread holds the lock, that thread runs the
+     * events.
+     */
     private void drainEvents() {
         drainScheduled.set(false);
         while (!eventQueue.isEmpty() && lock.tryLock()) {
@@ -149,54 +202,73 @@
         }
     }
 
+    /** Stops the replica: events still queued or queued later are discarded. Waits for a running event. */
     public void close() {
         lock.lock();
         closed = true;
         lock.unlock();
     }
 
+    /** Queues the periodic work: elections, heartbeats and, on the leader, scans and proposals. */
     public void tick() {
         offer(() -> tick(port.now()));
     }
 
+    /** Queues a message of the replicated log. */
     public void receive(PartMessage message) {
         offer(() -> group.receive(message, port.now()));
     }
 
+    /** Queues a query or command; the result is sent to the address in the request. */
     public void receive(CommandRequest request) {
         offer(() -> handleCommandRequest(request, port.now()));
     }
 
+    /**
+     * Queues a lease renewal; {@code onReply} is not called for a member that leaves or whose row could not be
+     * written.
+     */
     public void receive(Renew renewal, Consumer<RenewReply> onReply) {
         offer(() -> handleRenewal(renewal, port.now(), onReply));
     }
 
+    /** Queues a subscription to a topic of this part. */
     public void receive(Subscribe subscription) {
         offer(() -> addSubscriber(subscription, port.now()));
     }
 
+    /**
+     * Queues a request to join or to leave the group, or the leader's answer to this store's own request to leave.
+     */
     public void receive(Join request) {
         offer(() -> handleJoin(request, port.now()));
     }
 
+    /** Queues the transfer of leadership to another store, if this one leads. */
     public void transferLeadership() {
         offer(() -> transferLeadership(port.now()));
     }
 
-    /** Whether this store should ask to take part: it is no member, or its leader has been silent towards it. */
+    /**
+     * Whether this store should ask to join the group: it is not a member, or it has not heard a leader for two
+     * election timeouts.
+     */
     public boolean shouldJoin(long now) {
         return !group.members().isMember(directory.self().storeId)
                 || !group.leaderHeard(now, 2 * timing.electionTimeout());
     }
 
+    /** Whether this store leads the part and has applied everything that earlier terms committed. */
     public boolean leads() {
         return group.ready();
     }
 
+    /** The replicated log; it is not safe for use outside the replica's events. */
     public Group group() {
         return group;
     }
 
+    /** The replicated state; it is not safe for use outside the replica's events. */
     public Records records() {
         return records;
     }
@@ -214,7 +286,8 @@
         proposal.onResult.accept(
                 proposal.term == term
                         ? (CommandResult) result
-                        : Records.failure(Kind.UNCERTAIN, "the part changed its leader"));
+                        : Records.failure(
+                                Kind.UNCERTAIN, "the leader of the part changed before the command was committed"));
     }
 
     @Override
@@ -246,6 +319,7 @@
         port.note(event, detail);
     }
 
+    /** Drives the log; a leader with a lease also scans members and runners and proposes the changes that are due. */
     private void tick(long now) {
         group.tick(now);
         if (!group.hasLease(now)) return;
@@ -274,11 +348,16 @@
         balanceLeaders(now);
     }
 
+    /** The leader to redirect a sender to; null if none is known or if this store is the one that last led. */
     private Node otherLeader() {
         var leaderId = group.leader();
         return leaderId == 0 || leaderId == directory.self().storeId ? null : directory.store(leaderId);
     }
 
+    /**
+     * Appends a command as the leader; {@code onResult} gets NOT_OWNER at once if this store may not, else the
+     * outcome once it is applied.
+     */
     private void propose(Object command, Consumer<CommandResult> onResult) {
         var index = group.propose(Codec.writeTagged(command), port.now());
         if (index < 0) {
@@ -292,6 +371,7 @@
         propose(command, result -> {});
     }
 
+    /** Answers a query or command as the leader; an empty body only asks for the leader's clock. */
     private void handleCommandRequest(CommandRequest request, long now) {
         if (!group.hasLease(now)) {
             var result = Records.failure(Kind.NOT_OWNER, "");
@@ -311,6 +391,10 @@
         }
     }
 
+    /**
+     * Passes on a query, or a command that the fence admits. A repeated command that was applied gets its earlier
+     * result.
+     */
     private void admitOrDecline(CommandRequest request, Object body, long now) {
         if (request.life == 0 || !Commands.is(body)) {
             dispatch(request, body, now);
@@ -337,15 +421,19 @@
 
     private String describeCommand(CommandRequest request, Object body) {
         return body.getClass().getSimpleName() + " of " + request.from.name + " life " + Long.toHexString(request.life)
-                + " ask " + request.id + " term " + request.term + ", at part " + part + " term " + group.term();
+                + " request " + request.id + " term " + request.term + ", at part " + part + " term " + group.term();
     }
 
-    /** Refuses a command without effect; its sender learns the leader's clock and may ask anew within its patience. */
+    /**
+     * Declines a command without effect. The reply carries the leader's clock, so that the sender may send it again,
+     * with a new bound, before its deadline.
+     */
     private void declineCommand(CommandRequest request, Kind kind) {
         commandFence.recordClockSent(request.life);
         reply(request, Records.failure(kind, kind.text()));
     }
 
+    /** Sends a result to the sender of a request, with the term and clock of this store if it leads. */
     private void reply(CommandRequest request, CommandResult result) {
         var response = new CommandResult();
         response.id = request.id;
@@ -375,18 +463,23 @@
         else proposeCommand(request, body, result -> reply(request, result));
     }
 
+    /**
+     * Proposes a command of another process, with its identity as soon as every member can read commands that carry
+     * one.
+     */
     private void proposeCommand(CommandRequest request, Object command, Consumer<CommandResult> onResult) {
         propose(
                 allMembersReadFencedCommands() ? CommandFence.withIdentity(request, command, request.body) : command,
                 onResult);
     }
 
-    /** Whether each member, and so each replica, reads commands under an identity. */
+    /** Whether all members, and so all replicas, can read commands that carry the identity of their sender. */
     private boolean allMembersReadFencedCommands() {
         var members = records.rows().members.values();
         return !members.isEmpty() && members.stream().allMatch(member -> member.node.fenced);
     }
 
+    /** Whether some service of this part has a runner of this name that is not leaving. */
     private boolean isActiveRunner(String runner) {
         return records.rows().services.values().stream()
                 .map(service -> service.runners.get(runner))
@@ -404,6 +497,10 @@
         return plan == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + query.plan) : okWithBody(plan);
     }
 
+    /**
+     * Proposes a manifest. One without a number of its own is validated first; one with a number was validated by its
+     * sender.
+     */
     private void putManifest(CommandRequest request, Commands.ManifestPut command) {
         var parsed = command.number > 0 ? null : ManifestReader.read(command.text);
         if (parsed != null && parsed.isLeft())
@@ -413,6 +510,10 @@
         else proposeCommand(request, command, result -> reply(request, result));
     }
 
+    /**
+     * Takes a runner's heartbeat. Only a heartbeat that changes the runner's row is written to the log; the others
+     * just update its load and when it was heard. Heartbeats that arrive out of order are acknowledged and ignored.
+     */
     private void putRunner(CommandRequest request, Commands.RunnerPut command, long now) {
         var service = records.rows().services.get(command.service);
         var known = service == null ? null : service.runners.get(command.runner);
@@ -483,6 +584,10 @@
         return node == null ? "unreached" : node.name;
     }
 
+    /**
+     * Reports which members have not confirmed a version of the manifest topic, and which of those are routers whose
+     * lease, or the grace after it, may still run. With a zone given, only routers of that zone get a grace.
+     */
     private CommandResult rolloutStatusResult(Queries.RolloutGet query, long now) {
         var status = new RolloutStatus();
         for (var member : records.rows().members.values()) {
@@ -498,6 +603,10 @@
         return okWithBody(status);
     }
 
+    /**
+     * Grants or refuses a lease renewal as the leader. A member whose row is missing, lapsed or different is written
+     * to the log first.
+     */
     private void handleRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
         if (!group.hasLease(now)) {
             var reply = newRenewReply(renewal, Kind.NOT_OWNER.code());
@@ -535,7 +644,10 @@
         }
     }
 
-    /** The life of this name that a renewal would have to outrank: the one on record, else one that this store has heard. */
+    /**
+     * The incarnation that a renewal would have to outrank: the recorded member, else a node of this name that this
+     * store has heard. Null if the sender may renew.
+     */
     private Node findOutrankingNode(Node sender, Rows.Member member) {
         var known = member != null ? member.node : sender.life == 0 ? null : directory.named(sender.name);
         if (known == null) return null;
@@ -562,7 +674,10 @@
         return reply;
     }
 
-    /** Sends the news of a topic to whoever has nothing of it yet, or has been behind for long. */
+    /**
+     * Sends the topics that a new member does not have yet, or that a member has been behind on for a while, without
+     * waiting for its subscription.
+     */
     private void pushStaleTopics(Renew renewal, long now) {
         pushedAtByTarget.values().removeIf(sentAt -> now - sentAt > PUSH_INTERVAL_MICROS);
         for (var topic : topicNames()) {
@@ -574,10 +689,11 @@
                             && now - publishedAtByTopic.getOrDefault(topic, leaderSince)
                                     < STALE_TOPIC_PUSH_DELAY_MICROS) continue;
             if (pushedAtByTarget.putIfAbsent(renewal.from.peerAddress + " " + topic, now) == null)
-                port.send(renewal.from.peerAddress, newNews(topic));
+                port.send(renewal.from.peerAddress, buildNews(topic));
         }
     }
 
+    /** Records a renewal and its signals, and replies with the members if they changed and the topic versions. */
     private void grantRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
         memberLeases.recordRenewal(renewal, now);
         for (var signal : renewal.signals)
@@ -600,19 +716,22 @@
         onReply.accept(reply);
     }
 
+    /** The topics of this part: one for each service, and the manifest topic on the manifest part. */
     private List<String> topicNames() {
         var names = new ArrayList<>(records.rows().services.keySet());
         if (part == Parts.MANIFEST) names.add(Parts.MANIFEST_TOPIC);
         return names;
     }
 
+    /** The current version of a topic; 0 if it is unknown. */
     private long topicVersion(String topic) {
         if (topic.equals(Parts.MANIFEST_TOPIC)) return records.rows().manifest.topicVersion;
         var service = records.rows().services.get(topic);
         return service == null ? 0 : service.newsVersion;
     }
 
-    private News newNews(String topic) {
+    /** A message with the current version and content of a topic. */
+    private News buildNews(String topic) {
         var news = new News();
         news.topic = topic;
         news.version = topicVersion(topic);
@@ -623,15 +742,17 @@
         return news;
     }
 
+    /** Adds or renews a subscription, and sends the topic if the subscriber has an older version. */
     private void addSubscriber(Subscribe subscription, long now) {
         if (!group.hasLease(now) || topicVersion(subscription.topic) == 0) return;
         subscribersByTopic
                 .computeIfAbsent(subscription.topic, topic -> new HashMap<>())
                 .put(subscription.from.peerAddress, now);
         if (topicVersion(subscription.topic) > subscription.have)
-            port.send(subscription.from.peerAddress, newNews(subscription.topic));
+            port.send(subscription.from.peerAddress, buildNews(subscription.topic));
     }
 
+    /** Sends every topic that changed since the last call to its subscribers. */
     private void publishNews(long now) {
         if (!group.hasLease(now)) return;
         for (var topic : topicNames()) {
@@ -642,11 +763,12 @@
             var subscribers = subscribersByTopic.getOrDefault(topic, Map.of());
             subscribers.values().removeIf(renewedAt -> now - renewedAt > SUBSCRIPTION_TTL_MICROS);
             if (subscribers.isEmpty()) continue;
-            var news = newNews(topic);
+            var news = buildNews(topic);
             subscribers.keySet().forEach(address -> port.send(address, news));
         }
     }
 
+    /** Proposes to mark members whose lease has lapsed, and to remove those that lapsed long ago. */
     private void scanMembers(long now) {
         for (var member : List.copyOf(records.rows().members.values())) {
             if (!member.lapsed && memberLeases.hasLapsed(member.node, now)) proposeLapse(member);
@@ -671,10 +793,12 @@
         propose(command, result -> openProposalKeys.remove("gone/" + command.name));
     }
 
+    /** Whether a proposal with this key is open; if not, registers it as open. */
     private boolean wasAlreadyProposed(String key) {
         return !openProposalKeys.add(key);
     }
 
+    /** Proposes to mark runners as dark that have not been heard for too long. */
     private void scanRunners(long now) {
         for (var service : records.rows().services.values())
             for (var runner : service.runners.values()) {
@@ -691,6 +815,7 @@
             }
     }
 
+    /** Takes a request to join or leave, or the leader's answer to a request to leave. */
     private void handleJoin(Join request, long now) {
         if (request.answer) plannedLeave.recordAnswer(request.mayGo, now);
         else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
@@ -708,7 +833,10 @@
         port.send(request.from.peerAddress, answer);
     }
 
-    /** Whether this store, which has been stopping since then, is still needed here. */
+    /**
+     * Whether this store, which has been stopping since {@code stoppingSince}, still has to stay for the sake of this
+     * part.
+     */
     public boolean needed(long stoppingSince, long now) {
         return plannedLeave.isNeeded(
                 stoppingSince, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
@@ -718,7 +846,7 @@
         membershipChanges.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
     }
 
-    /** What this leader knows of the other stores of its part. */
+    /** What this leader knows of the other stores of its group. */
     private final class GroupStoreStatus implements MembershipChanges.Knowledge {
         @Override
         public boolean diskLost(long store) {
@@ -741,11 +869,15 @@
         }
     }
 
+    /** The id of a voter in the zone; 0 if there is none. */
     private static long voterInZone(Members members, String zone) {
         for (var i = 0; i < members.voters.length; i++) if (members.zones[i].equals(zone)) return members.voters[i];
         return 0;
     }
 
+    /**
+     * Advances the replicated age if anything depends on it. Until a manifest is known, claims are kept for a day.
+     */
     private void proposeAging(long now) {
         if (now - lastAgedAt < AGING_INTERVAL_MICROS) return;
         var rows = records.rows();
@@ -764,6 +896,7 @@
         lastAgedAt = now;
     }
 
+    /** Proposes to copy services of a newer manifest version into the rows of this part. */
     private void proposeServiceSyncs() {
         var view = membership.view();
         if (view.manifest() == null || part == Parts.MANIFEST) return;
@@ -795,6 +928,7 @@
         return command;
     }
 
+    /** Proposes the next step of moving units, at most one open proposal for each service. */
     private void proposeMoves(long now) {
         var view = membership.view();
         if (view.manifest() == null) return;
@@ -818,6 +952,11 @@
                 .sum();
     }
 
+    /**
+     * The next command for a service: a verdict on a step under watch, a step to the wanted homes, or a displacement
+     * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table
+     * steps.
+     */
     private Object nextStepCommand(Rows.Service service, Membership.View view, long now) {
         var openCells = unitMover.open(service, view.topic().marks, now);
         var stepMark = stepWatcher.judge(service, cellSignals, openCells, now);
@@ -840,6 +979,7 @@
                 .orElse(0);
     }
 
+    /** Logs a step or displacement that was applied. */
     private void logStep(String service, Object command) {
         var row = records.rows().services.get(service);
         if (command instanceof Commands.Displace displacement)
@@ -860,6 +1000,10 @@
                 detail);
     }
 
+    /**
+     * Whether the voter in the zone of a cell holds the log up to an index; true as well if there is no voter or it
+     * is silent.
+     */
     private boolean isZoneStoreSynced(Rows.Service service, int cell, long index, long now) {
         var storeId = voterInZone(group.members(), service.zones.get(cell));
         return storeId == 0
@@ -868,6 +1012,7 @@
                 || group.matchOf(storeId) >= index;
     }
 
+    /** Transfers leadership to the preferred store once this leader has led for a while. */
     private void balanceLeaders(long now) {
         if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.settled())) return;
         var members = group.members();
@@ -876,12 +1021,17 @@
             group.transferLeadership(preferred, now);
     }
 
+    /**
+     * The store that should lead this part, 0 if none: with the low-traffic profile the leader of the manifest part,
+     * so that members renew all leases at one store; else a voter chosen by the number of the part.
+     */
     private long preferredLeader(Members members) {
         if (!timing.lowTraffic()) return membershipChanges.preferredLeader(members, part);
         var manifestLeader = part == Parts.MANIFEST ? null : membership.leader(Parts.MANIFEST);
         return manifestLeader != null && members.isVoter(manifestLeader.storeId) ? manifestLeader.storeId : 0;
     }
 
+    /** Transfers leadership to the best successor, if there is one. */
     private void transferLeadership(long now) {
         if (!group.ready()) return;
         var successor = membershipChanges.heir(group.members(), now);
--- a/lib/control/src/main/java/craneway/control/store/PartStatus.java
+++ b/lib/control/src/main/java/craneway/control/store/PartStatus.java
@@ -6,6 +6,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
+/**
+ * The state of one part as its leader reports it to operators; sent between processes, so the fields keep their order
+ * and types.
+ */
 public final class PartStatus {
     public int part;
     public String leader;
@@ -13,15 +17,21 @@
     public long applied;
     public int claims;
     public Rows.Manifest manifest;
+    /** The voters and the learner, each as "name (zone)". */
     public List<String> group = new ArrayList<>();
+
     public List<Rows.Member> members = new ArrayList<>();
     public List<Rows.Service> services = new ArrayList<>();
+    /** The load of each runner as it reported it, by "service/runner". */
     public TreeMap<String, Integer> loads = new TreeMap<>();
+
     public List<Plan> plans = new ArrayList<>();
     public List<Peaks> peaks = new ArrayList<>();
 
+    /** The peak loads of one service. */
     public static final class Peaks {
         public String service;
+        /** The peak of each minute, the current minute first. */
         public int[] minutes = {};
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
+++ b/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
@@ -1,10 +1,12 @@
 package craneway.control.store;
 
 /**
- * Whether a store that was told to stop is still needed at one part. It goes once the part's leader says that it may; where there
- * is no leader, or one that gives no answer (as an earlier version gives none), it waits a while for each. Times are microseconds.
+ * Tracks whether a store that is stopping is still needed by one part. It may stop once the leader of the part says
+ * so. If there is no leader, or one that does not answer (as in earlier versions), the store waits for a limited
+ * time. Safe for several threads. Times are microseconds.
  */
 final class PlannedLeave {
+    /** How long to wait for each: to hand over leadership, for a leader, and for its answer. */
     private static final long WAIT_TIMEOUT_MICROS = 2_000_000;
 
     private long askingSince;
@@ -12,13 +14,19 @@
     private long answeredAt;
     private boolean mayLeave;
 
-    /** The leader has answered. */
+    /** Records the leader's answer. */
     synchronized void recordAnswer(boolean mayLeaveNow, long now) {
         answeredAt = now;
         mayLeave = mayLeaveNow;
     }
 
-    /** Whether it is needed, with the stop begun at that time, given whether it leads the part and whether a leader is heard. */
+    /**
+     * Whether the store is still needed.
+     *
+     * @param stoppingSince when the stop began
+     * @param isLeader whether this store leads the part
+     * @param leaderHeard whether a leader of the part has been heard lately
+     */
     synchronized boolean isNeeded(long stoppingSince, boolean isLeader, boolean leaderHeard, long now) {
         if (isLeader || !leaderHeard) askingSince = now;
         if (isLeader) return now - stoppingSince < WAIT_TIMEOUT_MICROS;
--- a/lib/control/src/main/java/craneway/control/store/Rebuild.java
+++ b/lib/control/src/main/java/craneway/control/store/Rebuild.java
@@ -6,7 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
+/**
+ * A proposal to rebuild the core from one store's data, as shown to the operator who confirms it.
+ *
+ * @param token identifies the state that was shown; to be sent back to confirm the rebuild
+ * @param generation the generation that the rebuilt core will have
+ * @param kept what this store holds, one line for each part
+ * @param mayBeLost what may be lost
+ */
 public record Rebuild(String token, int generation, List<String> kept, List<String> mayBeLost) {
+    /** The proposal for the current state of the replicas. */
     static Rebuild of(Founding founding, PartReplica[] replicas) {
         var hash = founding.coreId;
         var kept = new ArrayList<String>();
@@ -25,7 +34,7 @@
                 founding.generation + 1,
                 kept,
                 List.of(
-                        "whatever the other stores said yes to and this one does not have",
-                        "claims of run-once work: none is taken until claimRetentionMs has passed or an operator accepts it (craneway core accept-claims)"));
+                        "writes that other stores acknowledged and this store does not hold",
+                        "claims of run-once work: new claims are declined until claimRetentionMs has passed or an operator accepts the loss (craneway core accept-claims)"));
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -8,8 +8,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The replies to the renewals of one message: they go back together, but none waits long for a part that is held up. */
+/**
+ * Collects the replies to the renewals that came in one message and sends them in one message. If a part is slow, the
+ * replies collected so far are sent after a timeout, and the later ones on their own. Safe for several threads.
+ */
 final class RenewReplyBatch {
+    /** How long the first replies wait for the others. */
     private static final long COLLECT_TIMEOUT_MICROS = 15_000;
 
     private final Port port;
@@ -28,6 +32,10 @@
         outstandingReplies = asked.parts.size();
     }
 
+    /**
+     * Adds the reply of a part, without what the message as a whole already says, and sends if nothing else is to be
+     * waited for.
+     */
     synchronized void add(RenewReply reply) {
         if (reply.incarnation == request.from.incarnation) reply.incarnation = 0;
         reply.stamp = reply.grace = 0;
@@ -37,7 +45,10 @@
         if (timedOut || outstandingReplies == 0) send();
     }
 
-    /** Sends what is ready after a while; whether nothing more is to be waited for. */
+    /**
+     * Sends the replies collected so far once the timeout is over. Returns whether the batch is done and needs no
+     * further call.
+     */
     synchronized boolean flushIfOverdue(long now) {
         if (outstandingReplies == 0) return true;
         if (now - receivedAt < COLLECT_TIMEOUT_MICROS) return false;
--- a/lib/control/src/main/java/craneway/control/store/Rules.java
+++ b/lib/control/src/main/java/craneway/control/store/Rules.java
@@ -5,14 +5,24 @@
 import java.util.function.IntFunction;
 
 /**
- * What a store goes by: how many empty stores found a core, who votes, the pace, and where each part works. A part whose executor
- * has a thread of its own holds up nobody else while its disk hangs.
+ * The options of a store process.
+ *
+ * @param settings how the core is founded and how long runners are remembered
+ * @param quorum how many stores vote and how they are spread
+ * @param timing the intervals of heartbeats, elections, renewals and the like
+ * @param executors the executor on which each part works; with a thread of its own, a part whose disk hangs
+ *     delays no other
  */
 public record Rules(Settings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
+    /** Options with the default settings for this number of founders. */
     public Rules(int founderCount, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
         this(Settings.of(founderCount), quorum, timing, executors);
     }
 
+    /**
+     * Standard options: all parts run on the calling thread, and three stores vote, or all founders if there are
+     * more.
+     */
     public static Rules of(int founderCount) {
         return new Rules(
                 founderCount,
--- a/lib/control/src/main/java/craneway/control/store/Settings.java
+++ b/lib/control/src/main/java/craneway/control/store/Settings.java
@@ -1,17 +1,19 @@
 package craneway.control.store;
 
 /**
- * How a store keeps its core. Times are microseconds.
+ * How a store founds its core and how long it remembers runners. Times are microseconds.
  *
  * @param founders how many empty stores found a core
- * @param seedsOnly whether only the seeds named at the first start may found it, and only stores started at that time
- * @param firstStart whether this is that time
- * @param dark after how long a silent runner counts as gone
- * @param forgotten after how long a runner that is leaving or gone is forgotten; 0: never
+ * @param seedsOnly whether only the seeds named at the first start may found the core, and only stores started at
+ *     that time
+ * @param firstStart whether this is the first start of the system
+ * @param dark how long a runner may be silent before it is marked as dark
+ * @param forgotten how long after its end a runner that left or went dark is forgotten; 0 for never
  */
 public record Settings(int founders, boolean seedsOnly, boolean firstStart, long dark, long forgotten) {
     private static final long DEFAULT_DARK_AFTER_MICROS = 3_000_000;
 
+    /** Default settings: any store may be a founder, and runners are never forgotten. */
     public static Settings of(int founderCount) {
         return new Settings(founderCount, false, true, DEFAULT_DARK_AFTER_MICROS, 0);
     }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -42,18 +42,45 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
+/**
+ * A store process: it founds a core together with other empty stores or joins an existing one, holds a replica of
+ * each part, and takes part in the core as a node with leases of its own.
+ *
+ * <p>The owner calls {@link #tick}, or {@link #tickNode} and {@link #tickPart} from several threads, every few
+ * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link Rules}.
+ */
 public final class Store {
-    private static final String IDENTITY_FILE = "identity",
-            CORE_FILE = "core",
-            KNOWN_STORES_FILE = "known",
-            INCARNATION_FILE = "life",
-            FOUNDERS_FILE = "founders",
-            LOST_FILE_PREFIX = "lost.";
-    private static final long JOIN_INTERVAL_MICROS = 500_000,
-            WAITING_LOG_INTERVAL_MICROS = 5_000_000,
-            SAVE_INTERVAL_MICROS = 5_000_000,
-            LEADER_ALIVE_WINDOW_MICROS = 3_000_000;
-    /** How long a store that stops tries to hand over what it leads. */
+    /** Holds the id of this store, drawn at random when its folder was empty. */
+    private static final String IDENTITY_FILE = "identity";
+
+    /** Holds the core's founding record; its absence means that this store belongs to no core yet. */
+    private static final String CORE_FILE = "core";
+
+    /** Holds the addresses of all stores known, which are contacted like seeds after a restart. */
+    private static final String KNOWN_STORES_FILE = "known";
+
+    /** Holds the last incarnation used by a process on this folder. */
+    private static final String INCARNATION_FILE = "life";
+
+    /** Holds the addresses of the seeds at the first start, if only those may found the core. */
+    private static final String FOUNDERS_FILE = "founders";
+
+    /** Files of a damaged or replaced folder are kept under names with this prefix. */
+    private static final String LOST_FILE_PREFIX = "lost.";
+
+    /** How often requests to join or leave are repeated; half of it with the low-traffic profile. */
+    private static final long JOIN_INTERVAL_MICROS = 500_000;
+
+    /** How often a store that cannot found a core yet logs what it waits for. */
+    private static final long WAITING_LOG_INTERVAL_MICROS = 5_000_000;
+
+    /** How often the known stores and the incarnation are saved if they changed. */
+    private static final long SAVE_INTERVAL_MICROS = 5_000_000;
+
+    /** A core may be rebuilt only if no leader has been heard for this long. */
+    private static final long LEADER_ALIVE_WINDOW_MICROS = 3_000_000;
+
+    /** How long a store that stops tries to transfer the leadership of its parts. */
     private static final long HANDOVER_TIMEOUT_MICROS = 2_000_000;
 
     private final Port port;
@@ -76,10 +103,18 @@
     private volatile long leavingSince;
     private volatile long savedIncarnation;
 
+    /** Opens a store with default rules that founds a core with {@code founderCount} empty stores. */
     public Store(Port port, Folder folder, Node self, List<String> seeds, int founderCount, Random random) {
         this(port, folder, self, seeds, Rules.of(founderCount), random);
     }
 
+    /**
+     * Opens a store on its folder. Sets the store id of {@code self} from the folder and raises its incarnation above
+     * the last one saved there.
+     *
+     * @param seeds addresses of stores to contact first
+     * @param random also the source of the ids of this store and of its client
+     */
     public Store(Port port, Folder folder, Node self, List<String> seeds, Rules rules, Random random) {
         this.port = port;
         this.folder = folder;
@@ -97,6 +132,10 @@
         founderAddresses = loadFounders();
     }
 
+    /**
+     * The addresses that may found the core; empty if any store may, or if this store was not started at the first
+     * start.
+     */
     private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
         var bytes = folder.read(FOUNDERS_FILE);
@@ -105,6 +144,7 @@
         return bytes == null ? Set.of() : Set.of(new String(bytes).split("\n"));
     }
 
+    /** Whether a store may be among those that found the core. */
     private boolean mayFound(Node node) {
         return !settings.seedsOnly()
                 || (founderAddresses.isEmpty()
@@ -112,29 +152,37 @@
                         : founderAddresses.contains(node.peerAddress));
     }
 
+    /** The nodes that this store knows. */
     public Directory directory() {
         return directory;
     }
 
+    /** Sends commands and queries of this process to the leaders of the parts. */
     public CoreClient coreClient() {
         return coreClient;
     }
 
+    /** This store's own leases and the manifest and tables it follows. */
     public Membership membership() {
         return membership;
     }
 
+    /** The replicas by part; empty as long as this store belongs to no core. */
     public PartReplica[] replicas() {
         return replicas;
     }
 
+    /**
+     * Reads the id of this store. A folder without a readable identity counts as lost: its files are set aside and a
+     * new id is drawn, since the votes and entries of the old one may be missing.
+     */
     private long loadOrCreateIdentity() {
         var bytes = folder.read(IDENTITY_FILE);
         try {
             if (bytes != null)
                 return ByteBuffer.wrap(Seal.open(IDENTITY_FILE, bytes)).getLong();
             if (!folder.names().stream().allMatch(name -> name.startsWith(LOST_FILE_PREFIX)))
-                setAllFilesAside("the identity is missing");
+                setAllFilesAside("the file with the identity of the store is missing");
         } catch (DiskLostException e) {
             setAllFilesAside(e.getMessage());
         }
@@ -145,7 +193,7 @@
         return storeId;
     }
 
-    /** The incarnation that the last process on this disk told of; 0 where that is not known. */
+    /** The incarnation that the last process on this folder saved; 0 if there is none or it cannot be read. */
     private long loadLastIncarnation() {
         var bytes = folder.read(INCARNATION_FILE);
         try {
@@ -170,8 +218,8 @@
     }
 
     /**
-     * Renames all files, the identity first: whatever a crash leaves, no start takes the rest for a store that still has
-     * its votes and entries.
+     * Renames all files, the identity first: after a crash at any point no start mistakes the remaining files for a
+     * store that still has its votes and entries.
      */
     private void setAllFilesAside(String cause) {
         port.note(Event.DISK_LOST, cause);
@@ -179,7 +227,7 @@
         for (var name : folder.names()) if (!name.startsWith(LOST_FILE_PREFIX)) setAsideFile(name);
     }
 
-    /** An earlier file set aside under this name stays: it gets a number. */
+    /** Renames a file; if one of that name was set aside before, the new one gets a number. */
     private void setAsideFile(String name) {
         var target = LOST_FILE_PREFIX + name;
         for (var copyNumber = 2; folder.read(target) != null; copyNumber++)
@@ -187,6 +235,7 @@
         folder.rename(name, target);
     }
 
+    /** The seeds and the addresses saved earlier. */
     private List<String> withKnownStores(List<String> seeds) {
         var addresses = new ArrayList<>(seeds);
         var bytes = folder.read(KNOWN_STORES_FILE);
@@ -196,6 +245,10 @@
         return addresses;
     }
 
+    /**
+     * Starts the replicas of the core that this store belongs to; sets the folder aside if the record or a log is
+     * damaged.
+     */
     private void reopenCore() {
         var bytes = folder.read(CORE_FILE);
         if (bytes == null) return;
@@ -209,6 +262,7 @@
         }
     }
 
+    /** Opens a replica of each part. A store that is not among the founders starts with no members and joins. */
     private void startReplicas(Founding founding) {
         var selfId = directory.self().storeId;
         directory.founding(founding, founding.coreId);
@@ -229,15 +283,21 @@
         replicas = started;
     }
 
+    /** Does the periodic work of the node and of all parts. */
     public void tick() {
         tickNode();
         for (var part = 0; part < Parts.COUNT; part++) tickPart(part);
     }
 
+    /** Does the periodic work of one part. */
     public void tickPart(int part) {
         withReplica(part, PartReplica::tick);
     }
 
+    /**
+     * Does the periodic work of the node: greetings, founding, leases, retries of commands, requests to join, and
+     * saving.
+     */
     public void tickNode() {
         var now = port.now();
         if (directory.newer() != null) followNewerCore(directory.newer());
@@ -255,11 +315,15 @@
         replicas = new PartReplica[0];
     }
 
+    /**
+     * Gives up the data of this store, because a newer generation of its core was rebuilt elsewhere, and joins that
+     * one as an empty store.
+     */
     private void followNewerCore(Founding founding) {
         port.note(
                 Event.SURRENDERED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         closeReplicas();
-        setAllFilesAside("generation " + founding.generation + " of the core lives");
+        setAllFilesAside("generation " + founding.generation + " of the core replaces this one");
         founderAddresses = Set.of();
         directory.follow(founding);
         directory.self().storeId = loadOrCreateIdentity();
@@ -267,11 +331,15 @@
         membership.follow();
     }
 
+    /**
+     * Proposes to rebuild the core from this store alone. Refused if a leader was heard lately or a majority of a
+     * part can be reached.
+     */
     public Either<Problem, Rebuild> rebuild() {
         var now = port.now();
         var founding = directory.founding();
         if (replicas.length == 0 || founding == null)
-            return Either.left(Problem.of(Kind.BAD_INTENT, "this store holds no core to rebuild from"));
+            return Either.left(Problem.of(Kind.BAD_INTENT, "this store has no core data to rebuild from"));
         for (var replica : replicas) {
             var part = replica.group().part();
             var reachableVoters = 0;
@@ -283,17 +351,23 @@
             if (replica.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
                     || reachableVoters >= replica.group().members().majority()
                             && replica.group().members().voters.length > 1)
-                return Either.left(
-                        Problem.of(Kind.BAD_INTENT, "a majority of part " + part + " lives; nothing is to be rebuilt"));
+                return Either.left(Problem.of(
+                        Kind.BAD_INTENT, "a majority of part " + part + " is alive; there is nothing to rebuild"));
         }
         return Either.right(Rebuild.of(founding, replicas));
     }
 
+    /**
+     * Rebuilds the core from this store's data as a new generation with this store as its only member. The token must
+     * be that of the current proposal, so that an operator confirms the state that was shown.
+     */
     public Either<Problem, Rebuild> rebuild(String token) {
         var proposal = rebuild();
         if (proposal.isLeft()) return proposal;
         if (!proposal.get().token().equals(token))
-            return Either.left(Problem.of(Kind.STALE_PLAN, "this store's state moved since; look again"));
+            return Either.left(Problem.of(
+                    Kind.STALE_PLAN,
+                    "the state of this store changed after the rebuild was proposed; request a new proposal"));
         var self = directory.self();
         var founding = new Founding();
         founding.origin = directory.founding().origin();
@@ -310,6 +384,10 @@
         return proposal;
     }
 
+    /**
+     * Asks the leaders to let this store join the groups it is missing from, or, while it stops, whether it may
+     * leave.
+     */
     private void sendJoinRequests(long now) {
         nextJoinAt = now + (rules.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
         for (var replica : replicas) {
@@ -325,6 +403,9 @@
         }
     }
 
+    /**
+     * Saves the known stores and the incarnation on the save executor, so that a slow disk does not delay the tick.
+     */
     private void saveKnownStores(long now) {
         nextSaveAt = now + SAVE_INTERVAL_MICROS;
         var addresses = String.join(
@@ -347,6 +428,11 @@
         }
     }
 
+    /**
+     * Founds a core once the expected number of empty stores see each other: every store greets with a digest of the
+     * empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as one is heard
+     * of.
+     */
     private void tryFoundCore(long now) {
         var recentlyHeard = directory.known().stream()
                 .filter(known -> now - known.heard < Directory.STALE)
@@ -383,9 +469,10 @@
                 "sees " + emptyStores.size() + " empty stores "
                         + emptyStores.stream().map(node -> node.name).toList() + " and needs exactly "
                         + settings.founders()
-                        + " that see one another");
+                        + " that see each other");
     }
 
+    /** A non-zero hash over the ids of stores in their order; it becomes the id of the core they found. */
     private static long digestOf(List<Node> stores) {
         var hash = 1L;
         for (var store : stores) hash = Hash.of(hash, store.storeId);
@@ -400,6 +487,7 @@
         return founding;
     }
 
+    /** Records the core on disk, as a founder or as a store that joins, and starts the replicas. */
     private void adoptCore(Founding founding) {
         folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
         port.note(
@@ -408,17 +496,18 @@
         startReplicas(founding);
     }
 
+    /** Takes a message from another process and passes it on. */
     public void receive(Object message) {
         var now = port.now();
         if (message instanceof Hello hello) directory.receive(hello, now);
         else if (message instanceof RenewReply reply) membership.receive(reply, now);
         else if (message instanceof News news) membership.receive(news, now);
-        else if (message instanceof CommandResult reply) coreClient.receive(reply);
+        else if (message instanceof CommandResult result) coreClient.receive(result);
         else if (message instanceof PartMessage partMessage)
             withReplica(partMessage.part, replica -> replica.receive(partMessage));
         else if (message instanceof CommandRequest request) handleCommandRequest(request);
-        else if (message instanceof RenewReplies reply) membership.receive(reply, now);
-        else if (message instanceof Renewals renewal) handleRenewals(renewal, now);
+        else if (message instanceof RenewReplies replies) membership.receive(replies, now);
+        else if (message instanceof Renewals renewals) handleRenewals(renewals, now);
         else if (message instanceof Renew renewal)
             withReplica(
                     renewal.part,
@@ -428,9 +517,12 @@
         else if (message instanceof Join join) withReplica(join.part, replica -> replica.receive(join));
         else
             port.note(
-                    Event.BAD_MESSAGE, "a store takes no " + message.getClass().getSimpleName());
+                    Event.BAD_MESSAGE,
+                    "a store does not accept messages of type "
+                            + message.getClass().getSimpleName());
     }
 
+    /** Passes the renewals of one message to the replicas and collects their replies for one message. */
     private void handleRenewals(Renewals renewals, long now) {
         if (renewals.from == null) return;
         var batch = new RenewReplyBatch(port, directory.self(), renewals);
@@ -443,6 +535,7 @@
         }
     }
 
+    /** Passes a command to the replica of its part; a store without a core answers that it does not lead. */
     private void handleCommandRequest(CommandRequest request) {
         if (replicas.length > 0) {
             withReplica(request.part, replica -> replica.receive(request));
@@ -454,15 +547,19 @@
         port.send(request.from.peerAddress, result);
     }
 
+    /** Runs an action on the replica of a part, if there is one. */
     private void withReplica(int part, Consumer<PartReplica> action) {
         var current = replicas;
         if (part >= 0 && part < current.length) action.accept(current[part]);
     }
 
     /**
-     * Begins or goes on with a planned stop: hands over what this store leads and tells the leaders that it is about to stop.
-     * Whether it is still needed, because it leads, or because its successor does not count yet, or because another voter lacks
-     * what this one holds. To be called again until it is not, or until the time to stop is over.
+     * Starts or continues a planned stop: transfers the leadership of the parts this store leads, and tells the
+     * leaders that it is about to stop. Call it repeatedly until it returns false or the time allowed for the stop is
+     * over.
+     *
+     * <p>@return whether this store is still needed: it leads a part, its replacement is not a voter yet, or another
+     * voter lacks entries that this one holds
      */
     public boolean leave() {
         var now = port.now();
@@ -475,6 +572,7 @@
         return stillNeeded;
     }
 
+    /** Starts to transfer the leadership of every part this store leads; returns whether it led any. */
     public boolean transferLeadership() {
         var leadsAny = false;
         for (var replica : replicas) {
--- a/lib/control/src/main/java/craneway/control/store/package-info.java
+++ b/lib/control/src/main/java/craneway/control/store/package-info.java
@@ -1,6 +1,8 @@
 /**
- * A store: founding a core, and a replica of each part with its leases, news, runners and members.
+ * The store process: founding a core, and a replica of each part with the leases, news, runners and members that its
+ * leader manages beside the replicated log.
  *
- * <p>Each part works on an executor of its own under a lock of its own, so that a hanging disk stops no other part.
+ * <p>Each part works on an executor of its own under a lock of its own, so that a disk that hangs in one part does not
+ * stop the others.
  */
 package craneway.control.store;
