--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -16,27 +16,47 @@
 import java.util.function.Consumer;
 
 /**
- * Asks the leader of a part, again where no answer comes. All copies of an ask carry one identity (the life of this process
- * and a rising id), so that a command is applied once, and a bound by the leader's clock, so that a copy that comes later than
- * the asker's patience has no effect.
+ * Sends queries and commands to the leader of a part and repeats them until a result arrives. All copies of a request
+ * carry one identity, the life of this process and a rising id, so that a command is applied once. Commands also
+ * carry a bound by the leader's clock, so that a copy that arrives after the caller's deadline has no effect.
+ *
+ * <p>Safe for several threads. Results are delivered on the thread that calls {@link #receive} or {@link #tick}.
+ * Times are microseconds.
  */
 public final class CoreClient {
+    /**
+     * How long to wait for an answer before the request is sent again; a quarter of it after an answer without
+     * effect.
+     */
     private static final long RETRY_DELAY_MICROS = 400_000;
+    /** After this many answers that a copy was late, further copies wait for the retry delay. */
     private static final int MAX_IMMEDIATE_RESENDS = 2;
+    /** The empty body of a request that only asks for the leader's clock. */
     private static final byte[] CLOCK_REQUEST_BODY = {};
 
+    /** A request that waits for its result. */
     private static final class PendingRequest {
         long id;
         int part;
         byte[] body;
+        /** Commands change the state and carry a bound; queries do not. */
         boolean isCommand;
+
+        /** Whether the last copy only asked for the leader's clock. */
         boolean clockOnly;
+
+        /** Whether the store cannot read clock requests, so that the command is sent without a bound. */
         boolean sendUnbound;
+
         long nextSendAt;
         long deadline;
         int storeTurn;
+        /** How many copies were declined as late or unknown. */
         int declines;
+
+        /** Whether any copy was sent; if not, the request surely had no effect. */
         boolean sent;
+
         Consumer<CommandResult> onResult;
     }
 
@@ -48,7 +68,9 @@
     private final Map<Integer, LeaderClock> clockByPart = new HashMap<>();
     private long nextId;
 
-    /** The life must be random, all 64 bits of it: no other process may have had the same. */
+    /**
+     * Creates a client. The life identifies this process: it must be 64 random bits that no other process ever used.
+     */
     public CoreClient(Port port, Directory directory, long life) {
         this.port = port;
         this.directory = directory;
@@ -56,23 +78,29 @@
         this.nextId = life >>> 8;
     }
 
-    /** The store that is thought to lead the part; null where none is known. */
+    /** The store believed to lead the part; null if it is unknown. */
     public synchronized Node leader(int part) {
         return leaderByPart.get(part);
     }
 
-    /** Takes note of who leads the part; null: nobody known. */
+    /** Records which store leads the part; null for unknown. */
     public synchronized void leader(int part, Node node) {
         if (node != null) leaderByPart.put(part, node);
         else leaderByPart.remove(part);
     }
 
-    /** Asks the leader of the part; the verdict comes once, within the patience, in microseconds. */
+    /**
+     * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, at the latest about
+     * {@code timeoutMicros} from now.
+     */
     public void ask(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
         askUntil(part, body, port.now() + timeoutMicros, onResult);
     }
 
-    /** Asks for one who waits until then, by the steady clock of this process, and not from now on. */
+    /**
+     * Like {@link #ask}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If it
+     * has passed, nothing is sent and the next tick reports the failure.
+     */
     public void askUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
         var pending = new PendingRequest();
         pending.part = part;
@@ -97,7 +125,10 @@
         port.send(store.peerAddress, buildRequest(pending, store, now));
     }
 
-    /** Where no reading of the leader's clock is at hand, a command's first copy only asks for one. */
+    /**
+     * Builds a copy of a request. Without a recent reading of the leader's clock, the first copy of a command only
+     * asks for one.
+     */
     private CommandRequest buildRequest(PendingRequest pending, Node store, long now) {
         var request = new CommandRequest();
         request.id = pending.id;
@@ -119,15 +150,18 @@
         return request;
     }
 
+    /** A store to try while the leader is unknown; null if no store is known. */
     private Node storeInTurn(int turn) {
         var stores = directory.stores();
         return stores.isEmpty() ? null : stores.get(Math.floorMod(turn, stores.size()));
     }
 
-    /** Takes a verdict from another process, or from this one. */
+    /**
+     * Takes a result. Results for an earlier process at this address and for requests no longer pending are dropped.
+     */
     public void receive(CommandResult result) {
         if (result.life != 0 && result.life != life) {
-            port.note(Event.STALE_VERDICT, "life " + Long.toHexString(result.life) + " ask " + result.id);
+            port.note(Event.STALE_VERDICT, "life " + Long.toHexString(result.life) + " request " + result.id);
             return;
         }
         PendingRequest pending;
@@ -157,6 +191,7 @@
         pending.onResult.accept(result);
     }
 
+    /** Records the leader that a store named, and resends at once if that is news. */
     private void redirect(PendingRequest pending, Node hint) {
         var previous = leaderByPart.get(pending.part);
         leader(pending.part, hint);
@@ -167,7 +202,10 @@
         else pending.nextSendAt = Math.min(pending.nextSendAt, port.now() + RETRY_DELAY_MICROS / 4);
     }
 
-    /** The copy had no effect and its answer brought a reading of the leader's clock: the next copy is bound by that. */
+    /**
+     * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock by which
+     * the next copy is bound.
+     */
     private void resendRebound(PendingRequest pending) {
         var now = port.now();
         if (now >= pending.deadline) return;
@@ -175,7 +213,10 @@
         else pending.nextSendAt = Math.min(pending.nextSendAt, now + RETRY_DELAY_MICROS / 4);
     }
 
-    /** Sends again what got no answer, and gives up what is over. */
+    /**
+     * Resends requests without an answer, and fails those whose deadline has passed: with UNCERTAIN if any copy was
+     * sent.
+     */
     public void tick(long now) {
         List<PendingRequest> expired = new ArrayList<>();
         synchronized (this) {
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -14,17 +14,38 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
+/**
+ * The nodes that this process knows, how it finds them, and what it tells them about itself. Processes greet seeds
+ * and known stores at intervals; greetings carry the sender, the nodes it has heard lately and the record of its
+ * core.
+ *
+ * <p>Safe for several threads: fields are volatile or concurrent, and changes to {@link #self()} are synchronized.
+ */
 public final class Directory {
-    public static final long STALE = 3_000_000, FORGET = 60_000_000;
+    /** A node counts as heard recently, in microseconds, if a greeting of it arrived within this time. */
+    public static final long STALE = 3_000_000;
+
+    /** A node is forgotten after this many microseconds without a greeting. */
+    public static final long FORGET = 60_000_000;
+
+    /** With the low-traffic profile, how often a process without a core or without a live store greets. */
     private static final long SEARCH_INTERVAL_MICROS = 80_000;
 
+    /** A node that this process knows. */
     public static final class Known {
         public volatile Node node;
+        /** When a greeting of this node itself arrived last. */
         public volatile long heard = Long.MIN_VALUE / 2;
+        /** When this process first learned of the node; 0 until then. */
         public volatile long learned;
+        /** The digest of the empty stores that this node sees; see {@link Directory#seen}. */
         public volatile long seen;
+        /** The digest of the list of stores that this node sent last, which it need not send again. */
         private volatile long listDigest;
-        /** The life before this one, until this one has been heard itself: hearsay may be old and condemns no disk. */
+        /**
+         * The node with another store id that this one replaces, kept until this one has been heard itself. What
+         * other nodes report may be outdated, so it is no proof that a disk was lost.
+         */
         private volatile Node earlierNode;
     }
 
@@ -40,10 +61,12 @@
     private volatile long nextGreetingAt;
     private int greetingRound;
 
+    /** Creates a directory with the standard timing. */
     public Directory(Port port, Node self, List<String> seeds) {
         this(port, self, seeds, TimingProfile.STANDARD);
     }
 
+    /** Creates a directory for a process; {@code seeds} are addresses to greet before any node is known. */
     public Directory(Port port, Node self, List<String> seeds, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
@@ -51,43 +74,49 @@
         this.seeds = seeds;
     }
 
+    /** The node of this process; replaced when its incarnation, serving state or grace changes. */
     public Node self() {
         return self;
     }
 
-    /** Raises this process's incarnation above the known one and tells the others at the next tick. */
+    /** Raises the incarnation of this process above a known one and greets at the next tick. */
     public synchronized void raise(long knownIncarnation) {
         if (self.incarnation > knownIncarnation) return;
         self = self.with(self.above(knownIncarnation), self.serving);
         greetSoon();
     }
 
-    /** Says whether this process serves. */
+    /** Sets whether this process serves. */
     public synchronized void updateServing(boolean serving) {
         self = self.with(self.incarnation, serving);
     }
 
-    /** Says how long this process acts on after its lease. */
+    /** Sets how long, in microseconds, this process may act after its lease has lapsed. */
     public synchronized void grace(long graceMicros) {
         self = self.with(graceMicros);
     }
 
+    /** Sets the digest of the empty stores that this store sees; greetings carry it until a core is founded. */
     public void seen(long digest) {
         foundersDigest = digest;
     }
 
+    /** The record of the core that this process belongs to or has heard of; null if there is none. */
     public Founding founding() {
         return founding;
     }
 
+    /** A newer generation of this core that was heard of, which this process has to follow; null if there is none. */
     public Founding newer() {
         return newer;
     }
 
+    /** Whether the sender belongs to the same core, of whatever generation. */
     public boolean sameOrigin(Hello hello) {
         return founding != null && founding.sameOrigin(hello.founding);
     }
 
+    /** Changes to a newer generation of the core; this process does not serve until it is current there. */
     public synchronized void follow(Founding successor) {
         newer = null;
         founding = successor;
@@ -95,31 +124,37 @@
         self.coreId = successor.coreId;
     }
 
+    /** Sets the core that this process belongs to. */
     public synchronized void founding(Founding newFounding, long coreId) {
         founding = newFounding;
         self.coreId = coreId;
     }
 
+    /** Leaves the core, after its data on disk turned out to be damaged. */
     public synchronized void forgetCore() {
         founding = null;
         self.coreId = 0;
     }
 
+    /** All known nodes, without this one. */
     public Collection<Known> known() {
         return knownByName.values();
     }
 
+    /** Whether a greeting of the node arrived recently. */
     public boolean heard(String name, long now) {
         var entry = knownByName.get(name);
         return entry != null && now - entry.heard < STALE;
     }
 
+    /** The node with this name, this one included; null if it is unknown. */
     public Node named(String name) {
         if (name.equals(self.name)) return self;
         var entry = knownByName.get(name);
         return entry == null ? null : entry.node;
     }
 
+    /** The node with this store id, the one heard last if several claim it; null if it is unknown. */
     public Node store(long storeId) {
         if (self.storeId == storeId) return self;
         Known best = null;
@@ -128,6 +163,7 @@
         return best == null ? null : best.node;
     }
 
+    /** All known stores, this one included if it is a store. */
     public List<Node> stores() {
         var stores = new ArrayList<Node>();
         if (self.kind.equals(Node.STORE)) stores.add(self);
@@ -135,11 +171,15 @@
         return stores;
     }
 
-    /** Whether the disk of this store is known to be lost: its node has come back with another. */
+    /** Whether the disk of this store is known to be lost: its node came back with another store id. */
     public boolean gone(long storeId) {
         return lostDiskStores.contains(storeId);
     }
 
+    /**
+     * Records that a newer process has taken the place of a node. If its store id differs, the disk of the old one is
+     * lost.
+     */
     public void replaced(Node oldNode, Node newNode) {
         var isSuccessor = oldNode.name.equals(newNode.name) && newNode.incarnation > oldNode.incarnation;
         if (!isSuccessor || oldNode.storeId == 0 || newNode.storeId == 0 || oldNode.storeId == newNode.storeId) return;
@@ -147,6 +187,7 @@
         lostDiskStores.remove(newNode.storeId);
     }
 
+    /** Takes in a node that was heard of from another one; null is ignored. */
     public void learn(Node node, long now) {
         if (node == null) return;
         if (node.name.equals(self.name)) {
@@ -158,7 +199,7 @@
         if (entry.learned == 0) entry.learned = now;
     }
 
-    /** Tells the others at the next tick. */
+    /** Lets the next tick greet. */
     public void greetSoon() {
         nextGreetingAt = 0;
     }
@@ -168,13 +209,17 @@
         entry.node = node;
     }
 
-    /** An earlier life at this very address has ended, since this process holds the address now. */
+    /**
+     * Raises the incarnation above that of a node with this name at this address: it must be an earlier process that
+     * has ended, since this process holds the address now.
+     */
     private void outrankEarlierLife(Node node) {
         var outranksThis =
                 node.incarnation > self.incarnation || node.incarnation == self.incarnation && node.otherLife(self);
         if (outranksThis && node.peerAddress.equals(self.peerAddress)) raise(node.incarnation);
     }
 
+    /** Greets other nodes and forgets silent ones, if it is time. */
     public void tick(long now) {
         if (now < nextGreetingAt) return;
         if (knownByName.values().removeIf(entry -> now - Math.max(entry.heard, entry.learned) > FORGET))
@@ -183,6 +228,7 @@
         else greet(now);
     }
 
+    /** Greets all seeds and stores, and all known nodes until this process belongs to a core. */
     private void greet(long now) {
         nextGreetingAt = now + timing.hello();
         var addresses = new LinkedHashSet<>(seeds);
@@ -193,6 +239,10 @@
         addresses.forEach(address -> port.send(address, hello));
     }
 
+    /**
+     * Greets fewer nodes: stores greet all stores and one seed in turn, routers one store in turn. A process without
+     * a core or a live store greets all seeds and stores.
+     */
     private void greetLowTraffic(long now) {
         var stores = knownByName.values().stream()
                 .filter(entry -> entry.node.kind.equals(Node.STORE))
@@ -211,6 +261,7 @@
         addresses.forEach(address -> port.send(address, lowTrafficHello(true, knownByAddress(address))));
     }
 
+    /** The known node at an address; null if there is none. */
     private Known knownByAddress(String address) {
         return knownByName.values().stream()
                 .filter(entry -> entry.node.peerAddress.equals(address))
@@ -218,6 +269,9 @@
                 .orElse(null);
     }
 
+    /**
+     * A greeting without the list of known stores, which a reply carries only if the recipient does not have it yet.
+     */
     private Hello lowTrafficHello(boolean wantsReply, Known recipient) {
         var hello = new Hello();
         hello.from = self;
@@ -229,6 +283,7 @@
         return hello;
     }
 
+    /** The reply to a greeting; it names a later process of the same name if one is known. */
     private Hello replyTo(Hello hello, long now) {
         var entry = knownByName.get(hello.from.name);
         if (!hello.lowTraffic) {
@@ -254,6 +309,7 @@
         self.coreId = coreId;
     }
 
+    /** A non-zero digest of a sorted list of stores. */
     private static long digestOf(List<Node> stores) {
         var digest = 1L;
         for (var node : stores)
@@ -263,6 +319,7 @@
         return digest | 1;
     }
 
+    /** A greeting with all nodes heard recently. */
     private Hello fullHello(boolean wantsReply, long now) {
         var hello = new Hello();
         hello.from = self;
@@ -273,6 +330,10 @@
         return hello;
     }
 
+    /**
+     * Takes a greeting and replies if the sender wants it. A greeting from another core is ignored, unless it shows
+     * that one side is an older generation.
+     */
     public void receive(Hello hello, long now) {
         if (hello.from == null || hello.from.name.equals(self.name)) return;
         if (hello.from.coreId != 0 && self.coreId != 0 && hello.from.coreId != self.coreId) {
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -11,13 +11,24 @@
 import java.util.TreeMap;
 import java.util.function.IntFunction;
 
-/** Sends the renewals of a process's leases, those of several parts to one leader in one message with the low-traffic profile. */
+/**
+ * Sends the renewals of a process's leases. With the low-traffic profile, those of several parts go to a common
+ * leader in one message. Not synchronized; {@link Membership} guards it.
+ */
 final class LeaseRenewer {
+    /** After this many renewals without an answer the leader counts as unknown. */
     static final int MAX_UNANSWERED_RENEWALS = 2;
+    /**
+     * With the low-traffic profile, how often a renewal is repeated while no answer came or the part is not current.
+     */
     static final long SEARCH_INTERVAL_MICROS = 80_000;
+    /** The retry delay after the largest number of unanswered renewals. */
     private static final long SILENT_CORE_RETRY_MICROS = 300_000;
+    /** How long to wait for the answer to the regular renewal of a current part. */
     private static final long RETRY_DELAY_MICROS = 200_000;
+    /** With more unanswered renewals than this the retry delay doubles. */
     private static final int UNANSWERED_BEFORE_SLOW_RETRY = 8;
+    /** With more unanswered renewals than this the retry delay is {@link #SILENT_CORE_RETRY_MICROS}. */
     private static final int UNANSWERED_BEFORE_SLOWEST_RETRY = 24;
 
     private final Port port;
@@ -44,11 +55,12 @@
         this.topics = topics;
     }
 
+    /** Sets where the signals of a part come from. */
     void setSignalSource(IntFunction<List<Signal>> source) {
         signalSource = source;
     }
 
-    /** From now on each renewal says that this process leaves. */
+    /** Lets every further renewal say that this process leaves. */
     void leave() {
         isLeaving = true;
     }
@@ -61,6 +73,10 @@
         batchByAddress.forEach(port::send);
     }
 
+    /**
+     * Sends the renewal of one part to its leader. While the leader is unknown it goes to all stores with the
+     * low-traffic profile, else to one store in turn.
+     */
     private void renew(int part, long now, Map<String, Renewals> batchByAddress) {
         var lease = partLeases[part];
         if (lease.unansweredRenewals >= MAX_UNANSWERED_RENEWALS) coreClient.leader(part, null);
@@ -69,7 +85,7 @@
         lease.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(lease, part) : timing.renew());
         if (stores.isEmpty()) return;
         lease.unansweredRenewals++;
-        var renewal = newRenewal(part, lease);
+        var renewal = renewalFor(part, lease);
         lease.sentToAllStores = timing.lowTraffic() && leader == null;
         var recipients =
                 lease.sentToAllStores ? stores : List.of(stores.get(Math.floorMod(lease.storeTurn++, stores.size())));
@@ -83,17 +99,22 @@
         }
     }
 
-    /** The answer leaves out a leader that the message names, so it names one only where that is the leader of all its parts. */
+    /**
+     * Adds a renewal to a message. The reply leaves out the leader that the message names, so the message may name
+     * one only if it leads all parts in it.
+     */
     private static void addToBatch(Renew renewal, Node leader, Renewals batch) {
         if (batch.leader != incarnationOf(leader)) batch.leader = 0;
         batch.parts.add(renewal);
     }
 
+    /** The incarnation of a leader; 0 if it is unknown. */
     private static long incarnationOf(Node leader) {
         return leader == null ? 0 : leader.incarnation;
     }
 
-    private Renew newRenewal(int part, PartLease lease) {
+    /** The renewal of one part, without the fields that a message for several parts carries once. */
+    private Renew renewalFor(int part, PartLease lease) {
         var renewal = new Renew();
         renewal.part = part;
         renewal.members = lease.membersVersion;
@@ -114,6 +135,7 @@
         return batch;
     }
 
+    /** Sends a renewal in a message of its own. */
     private void sendSingle(Renew renewal, Node store, long now) {
         var message = new Renew();
         message.part = renewal.part;
@@ -127,19 +149,24 @@
         port.send(store.peerAddress, message);
     }
 
-    /** Until an answer comes: soon for a part that is not current, the less often the longer all are silent. */
+    /**
+     * How long to wait for an answer: short for a part that is not current, longer the more renewals went unanswered.
+     */
     private long retryDelay(PartLease lease, int part) {
         if (lease.unansweredRenewals > UNANSWERED_BEFORE_SLOWEST_RETRY) return SILENT_CORE_RETRY_MICROS;
         if (lease.unansweredRenewals > UNANSWERED_BEFORE_SLOW_RETRY) return 2 * SEARCH_INTERVAL_MICROS;
         return lease.unansweredRenewals > 0 || !isCurrent(part) ? SEARCH_INTERVAL_MICROS : RETRY_DELAY_MICROS;
     }
 
-    /** Whether a part's lease is held and every topic of it has been told once. */
+    /** Whether the lease of a part is held and every topic of it has been received. */
     boolean isCurrent(int part) {
         return partLeases[part].held && !topics.hasUnknownTopic(part);
     }
 
-    /** How long until the next renewal of a part that is current; all processes of a name keep to one beat. */
+    /**
+     * How long until the next renewal of a current part. Renewals fall on fixed times that depend on the process's
+     * name, so that those of all parts go out together.
+     */
     long delayToNextRenewal(long now) {
         return timing.renew() - Math.floorMod(now - Hash.of(directory.self().name), timing.renew());
     }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -5,9 +5,9 @@
 import craneway.state.message.Node;
 
 /**
- * Which life of a process's name stands. A process whose incarnation is refused raises it above the known one, as long as the
- * part has not granted it yet or the known life had the very address that this process holds; else a later life elsewhere
- * has taken its place.
+ * Resolves which process may use a name if several have used it. A process whose incarnation is refused raises it
+ * above the known one as long as the part has not granted the current one yet, or if the known process had this
+ * process's address and so must have ended. Otherwise a later process elsewhere has taken its place.
  */
 final class LifeClaim {
     private final Directory directory;
@@ -18,16 +18,20 @@
         this.directory = directory;
     }
 
+    /** Whether another process has taken over the name; this one must stop. */
     boolean isSuperseded() {
         return superseded;
     }
 
-    /** A part has taken this process in under its present incarnation. */
+    /** Records that a part accepted this process under its current incarnation. */
     void recordGrant(int part) {
         grantedIncarnations[part] = directory.self().incarnation;
     }
 
-    /** A part has refused; whether the incarnation was raised, so that all parts are to be asked again. */
+    /**
+     * Handles the refusal of a part. Returns whether the incarnation was raised, so that all leases have to be
+     * renewed again.
+     */
     boolean handleRefusal(RenewReply refusal) {
         var self = directory.self();
         if (refusal.incarnation < self.incarnation || namesThisLife(refusal, self)) return false;
@@ -40,7 +44,10 @@
         return true;
     }
 
-    /** The refusal of a late message of an earlier life names the life that stands: this one. */
+    /**
+     * Whether the incarnation that the refusal names is that of this process: then it answers a late message of an
+     * earlier process.
+     */
     private static boolean namesThisLife(RenewReply refusal, Node self) {
         return refusal.incarnation == self.incarnation && (refusal.known == null || !refusal.known.otherLife(self));
     }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -17,11 +17,33 @@
 import java.util.Map;
 import java.util.function.IntFunction;
 
+/**
+ * Keeps the leases of this process at all parts and follows the manifest and the tables. A lease is extended only
+ * while the topics of its part are current, so that a process that holds it does not act on outdated tables.
+ *
+ * <p>Methods are synchronized; {@link #view()} reads an immutable snapshot without a lock. Times are microseconds.
+ */
 public final class Membership {
-    public static final long LEASE = 2_000_000, SETTLED = 1_500_000;
+    /** The length of a lease in microseconds, counted from when the renewal was sent. */
+    public static final long LEASE = 2_000_000;
+
+    /** A lease counts as settled once it has been held for this many microseconds. */
+    public static final long SETTLED = 1_500_000;
+
+    /** How soon a renewal is sent again after a store has named another leader. */
     private static final long LEADER_CHANGE_RETRY_MICROS = 20_000;
 
-    /** What the rest of a process sees of the core: the news it follows and the ends of its leases. */
+    /**
+     * What the rest of the process sees of the core. Arrays and lists are indexed by part and must not be changed.
+     *
+     * @param topic the content of the manifest topic
+     * @param manifest the manifest in force; null before the first
+     * @param services the services by name
+     * @param leases the end of the lease at each part
+     * @param members the members that the leader of each part reported last
+     * @param grace how long this process may act after a lease has lapsed; the smallest over all parts
+     * @param heldSince since when the lease at each part has been held
+     */
     public record View(
             Rows.Manifest topic,
             Manifest manifest,
@@ -30,14 +52,17 @@
             List<List<Node>> members,
             long grace,
             long[] heldSince) {
+        /** Whether the lease at a part is valid and has been held for a while. */
         public boolean settled(int part, long now) {
             return leased(part, now) && now >= heldSince[part] + SETTLED;
         }
 
+        /** Whether the lease at a part is valid. */
         public boolean leased(int part, long now) {
             return now < leases[part];
         }
 
+        /** When the lease at a part ends or ended. */
         public long leaseEnd(int part) {
             return leases[part];
         }
@@ -55,10 +80,12 @@
     private boolean markedUnready;
     private volatile View view;
 
+    /** Creates the membership of a process with the standard timing. */
     public Membership(Port port, Directory directory, CoreClient coreClient) {
         this(port, directory, coreClient, TimingProfile.STANDARD);
     }
 
+    /** Creates the membership of a process. */
     public Membership(Port port, Directory directory, CoreClient coreClient, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
@@ -71,10 +98,15 @@
         publishView();
     }
 
+    /** The current view; replaced whenever something in it changes. */
     public View view() {
         return view;
     }
 
+    /**
+     * Starts over with a newer generation of the core: drops leases, versions and leaders, but keeps the contents of
+     * topics.
+     */
     public synchronized void follow() {
         for (var lease : partLeases) lease.reset();
         topics.resetVersions();
@@ -82,23 +114,28 @@
         publishView();
     }
 
+    /** Sets where the signals that renewals carry come from, by part. */
     public synchronized void signals(IntFunction<List<Signal>> source) {
         renewer.setSignalSource(source);
     }
 
+    /** The store believed to lead a part; null if it is unknown. */
     public Node leader(int part) {
         return coreClient.leader(part);
     }
 
+    /** Whether another process has taken over the name of this one, which must stop. */
     public synchronized boolean superseded() {
         return lifeClaim.isSuperseded();
     }
 
+    /** Whether all leases are held and all topics are current. */
     public synchronized boolean current() {
         for (var lease : partLeases) if (!lease.held) return false;
         return topics.isCurrent();
     }
 
+    /** Marks a router as no longer serving, ahead of a planned stop, and tells the core at once. */
     public synchronized void unready() {
         markedUnready = true;
         updateServing();
@@ -106,6 +143,7 @@
         directory.greetSoon();
     }
 
+    /** Marks a router as serving once it has been current, until it is marked as unready. */
     private void updateServing() {
         var serving = !markedUnready && (directory.self().serving || current());
         var self = directory.self();
@@ -114,12 +152,17 @@
         if (timing.lowTraffic()) for (var lease : partLeases) lease.nextRenewalAt = 0;
     }
 
+    /**
+     * Whether this process may take requests: it has a manifest, and its lease at the manifest part ended at most a
+     * lease, or its grace, ago.
+     */
     public boolean usable(long now) {
         var currentView = view;
         return currentView.manifest() != null
                 && now < currentView.leaseEnd(Parts.MANIFEST) + Math.max(LEASE, currentView.grace());
     }
 
+    /** Gives up all leases and tells the leaders. */
     public synchronized void leave(long now) {
         isLeaving = true;
         renewer.leave();
@@ -131,6 +174,7 @@
         publishView();
     }
 
+    /** Notices lapsed leases, sends due renewals and renews subscriptions. */
     public synchronized void tick(long now) {
         if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
@@ -145,10 +189,12 @@
         topics.renewSubscriptions(now);
     }
 
+    /** Sends due renewals, if this process belongs to a core and has not been superseded. */
     private void sendDueRenewals(long now) {
         if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
+    /** Takes the replies to the renewals that were sent in one message. */
     public synchronized void receive(RenewReplies replies, long now) {
         for (var reply : replies.parts) {
             reply.stamp = replies.stamp;
@@ -164,6 +210,7 @@
         sendDueRenewals(now);
     }
 
+    /** Takes the reply of a part to a renewal. */
     public synchronized void receive(RenewReply reply, long now) {
         if (reply.part < 0 || reply.part >= partLeases.length) return;
         var lease = partLeases[reply.part];
@@ -195,6 +242,7 @@
         acceptOffer(reply.part, now);
     }
 
+    /** Handles the reply of a store that does not lead: renews soon at the leader that it names, if that is news. */
     private void handleNotLeader(RenewReply reply, PartLease lease, long now) {
         lease.unansweredRenewals =
                 Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
@@ -210,6 +258,7 @@
                 Math.min(lease.nextRenewalAt, timing.lowTraffic() ? now : now + LEADER_CHANGE_RETRY_MICROS);
     }
 
+    /** Accepts the lease that the leader granted, if it is longer and the topics of the part are current enough. */
     private void acceptOffer(int part, long now) {
         var lease = partLeases[part];
         if (lease.offeredUntil <= lease.validUntil || topics.isTooFarBehind(part, lease.held, now)) return;
@@ -222,10 +271,12 @@
         publishView();
     }
 
+    /** Takes a subscription of another router. */
     public synchronized void receive(Subscribe subscription, long now) {
         topics.addSubscriber(subscription, now);
     }
 
+    /** Takes a new version of a topic, and accepts a lease that waited for it. */
     public synchronized void receive(News news, long now) {
         if (!topics.accept(news)) return;
         if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
@@ -236,12 +287,13 @@
         topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
     }
 
-    /** A manifest may name services of parts whose topics have never been told: these parts renew at once. */
+    /** Renews at once at the parts that hold services which the manifest names and this process does not know yet. */
     private void renewPartsWithUnknownTopics() {
         for (var part = 0; part < partLeases.length; part++)
             if (topics.hasUnknownTopic(part)) partLeases[part].nextRenewalAt = 0;
     }
 
+    /** Replaces the view. */
     private void publishView() {
         var leaseEnds = new long[partLeases.length];
         var heldSince = new long[partLeases.length];
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -19,19 +19,28 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * The topics that a process follows, the manifest and one for each service: their newest versions, whom they are asked from and
- * who asks this process for them. Not synchronised; {@link Membership} guards it.
+ * The topics that a process follows, the manifest and one for each service: their versions, the nodes they are
+ * subscribed from, and the subscribers of this process. Routers of a zone share subscriptions: each topic is fetched
+ * by one of them, which passes it on to the others. Not synchronized; {@link Membership} guards it.
  */
 final class TopicTable {
+    /** A topic that has been behind for this long is requested from the leader, at most once in this time. */
     private static final long PULL_FROM_LEADER_AFTER_MICROS = 300_000;
+    /** A lease is not extended once a topic of its part has been behind for this long. */
     private static final long MAX_BEHIND_MICROS = 1_000_000;
+    /** How long a subscription lasts unless it is renewed. */
     private static final long SUBSCRIPTION_TTL_MICROS = 2_000_000;
 
+    /** The state of one topic. */
     private static final class Topic {
         long version;
         byte[] body;
+        /** The newest version that a leader has announced; {@code version} is what this process has. */
         long newestVersion;
+
+        /** Since when a newer version is known to exist; 0 if this one is current. */
         long behindSince;
+
         long nextSubscribeAt;
         long lastPullAt;
         final Map<String, Long> subscribedAtByAddress = new HashMap<>();
@@ -63,6 +72,7 @@
         topics.put(Parts.MANIFEST_TOPIC, new Topic());
     }
 
+    /** The content of the manifest topic: the manifest text, its version and the marks. */
     Rows.Manifest manifestTopic() {
         return manifestTopic;
     }
@@ -72,13 +82,13 @@
         return manifest;
     }
 
-    /** The services as last told; the same map until one of them changes. */
+    /** The services as last received; the same map until one of them changes. */
     Map<String, Rows.Service> services() {
         if (servicesSnapshot == null) servicesSnapshot = Map.copyOf(services);
         return servicesSnapshot;
     }
 
-    /** Forgets which versions another core had told, and keeps what they said until the new ones come. */
+    /** Forgets the versions, which belong to another core, and keeps the contents until new ones arrive. */
     void resetVersions() {
         topics.values().forEach(topic -> {
             topic.version = topic.newestVersion = topic.behindSince = 0;
@@ -86,27 +96,29 @@
         });
     }
 
-    /** Whether every topic has been told in the newest version known, a manifest among them. */
+    /** Whether there is a manifest and every topic has the newest version known. */
     boolean isCurrent() {
         return manifest != null
                 && topics.values().stream()
                         .noneMatch(topic -> topic.version == 0 || topic.version < topic.newestVersion);
     }
 
-    /** Whether some topic of a part has never been told. */
+    /** Whether some topic of a part has never been received. */
     boolean hasUnknownTopic(int part) {
         return topics.entrySet().stream()
                 .anyMatch(entry -> Parts.of(entry.getKey()) == part && entry.getValue().version == 0);
     }
 
-    /** Tells the versions of a part's topics. */
+    /** Passes the name and version of each topic of a part to the consumer. */
     void forEachVersion(int part, ObjLongConsumer<String> consumer) {
         topics.forEach((name, topic) -> {
             if (Parts.of(name) == part) consumer.accept(name, topic.version);
         });
     }
 
-    /** Whether a part's topics are too far behind for its lease to be taken, or kept where it is held. */
+    /**
+     * Whether the topics of a part are too far behind for its lease to be taken, or, if it is held, to be extended.
+     */
     boolean isTooFarBehind(int part, boolean isHeld, long now) {
         return topics.entrySet().stream()
                 .filter(entry -> Parts.of(entry.getKey()) == part)
@@ -114,7 +126,7 @@
                 .anyMatch(topic -> topic.behindSince != 0 && (!isHeld || now - topic.behindSince > MAX_BEHIND_MICROS));
     }
 
-    /** Hears that a topic has reached a version. */
+    /** Records that a leader has announced a version of a topic. */
     void recordAdvertisedVersion(String name, long version, long now) {
         var topic = topics.get(name);
         if (topic == null) return;
@@ -122,11 +134,15 @@
         if (topic.newestVersion > topic.version && topic.behindSince == 0) topic.behindSince = now;
     }
 
-    /** Asks for every topic that is due. */
+    /** Subscribes to every topic whose subscription is due. */
     void renewSubscriptions(long now) {
         topics.forEach((name, topic) -> renewSubscriptions(name, topic, now));
     }
 
+    /**
+     * Subscribes to a topic at the router that fetches it for this zone, else, or if the topic is overdue, at the
+     * leader of its part.
+     */
     private void renewSubscriptions(String name, Topic topic, long now) {
         topic.subscribedAtByAddress.values().removeIf(subscribedAt -> now - subscribedAt > SUBSCRIPTION_TTL_MICROS);
         var isOverdue = topic.behindSince != 0
@@ -145,6 +161,10 @@
         port.send(source.peerAddress, request);
     }
 
+    /**
+     * The serving router of this zone that fetches the topic, chosen by rendezvous hashing; null if this process is
+     * not a router.
+     */
     private Node subscriptionSource(String topic) {
         if (!directory.self().isRouter()) return null;
         var candidates = new TreeMap<String, Node>();
@@ -155,16 +175,17 @@
         return candidates.get(Rendezvous.pick(topic, candidates.keySet()));
     }
 
-    /** Takes in a subscriber and sends it what it lacks. */
+    /** Adds a subscriber and sends it the topic if it has an older version. */
     void addSubscriber(Subscribe request, long now) {
         var topic = topics.get(request.topic);
         if (topic == null || request.from == null) return;
         topic.subscribedAtByAddress.put(request.from.peerAddress, now);
         if (topic.body != null && topic.version > request.have)
-            port.send(request.from.peerAddress, newNews(request.topic, topic));
+            port.send(request.from.peerAddress, newsOf(request.topic, topic));
     }
 
-    private static News newNews(String name, Topic topic) {
+    /** A message with the content of a topic. */
+    private static News newsOf(String name, Topic topic) {
         var news = new News();
         news.topic = name;
         news.version = topic.version;
@@ -172,7 +193,10 @@
         return news;
     }
 
-    /** Takes news, if they are newer, and passes them on; whether they were. */
+    /**
+     * Takes news that are newer than what this process has and passes them on to its subscribers. Returns whether
+     * they were newer.
+     */
     boolean accept(News news) {
         var topic = topics.get(news.topic);
         if (topic == null && timing.lowTraffic() && manifest == null)
@@ -184,11 +208,14 @@
         topic.newestVersion = Math.max(topic.newestVersion, news.version);
         topic.body = news.body;
         if (topic.version >= topic.newestVersion) topic.behindSince = 0;
-        topic.subscribedAtByAddress.keySet().forEach(a -> port.send(a, newNews(news.topic, topic)));
+        topic.subscribedAtByAddress.keySet().forEach(a -> port.send(a, newsOf(news.topic, topic)));
         return true;
     }
 
-    /** News of services that came before the manifest that names them; empty until it is there. */
+    /**
+     * Returns and removes the news of services that arrived before the manifest that names them; empty until the
+     * manifest is there.
+     */
     List<News> takeDeferredNews() {
         if (manifest == null || newsBeforeManifest.isEmpty()) return List.of();
         var deferred = List.copyOf(newsBeforeManifest.values());
@@ -196,6 +223,7 @@
         return deferred;
     }
 
+    /** Puts a manifest in force; topics of services that it no longer names are dropped. */
     private void acceptManifest(Rows.Manifest row) {
         manifestTopic = row;
         if (row.text.isEmpty()) return;
