--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intents.java
@@ -21,9 +21,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 
+/**
+ * Turns an intent into a plan: the marks it sets, the units that would move, the load of each cell, and warnings.
+ * Refuses an intent that would leave a tenant without an open cell, or the running load without slots.
+ */
 public final class Intents {
     private Intents() {}
 
+    /** The plan for an intent, from the manifest row and the status of all parts. */
     public static Either<Problem, Plan> plan(Intent intent, Rows.Manifest manifestRow, List<PartStatus> statuses) {
         if (manifestRow.text.isEmpty()) return problem(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
         var manifest = ManifestReader.read(manifestRow.text)
@@ -32,9 +37,10 @@
                 .flatMap(marks -> buildPlan(intent, manifest, manifestRow, marks, statuses));
     }
 
+    /** The marks that an intent sets; an empty value removes a mark. */
     private static Either<Problem, TreeMap<String, String>> marksFor(
             Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
-        if (intent.intent() == null) return badIntent("name an intent");
+        if (intent.intent() == null) return badIntent("the intent is missing");
         return switch (intent.intent()) {
             case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zoneMarks(intent, manifest, manifestRow);
             case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cellMarks(intent, manifest, manifestRow);
@@ -46,7 +52,7 @@
     private static Either<Problem, TreeMap<String, String>> zoneMarks(
             Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
         if (intent.zone() == null || !manifest.zones().containsKey(intent.zone()))
-            return badIntent("no zone " + intent.zone());
+            return badIntent("the manifest has no zone " + intent.zone());
         return singleMark(
                 MarkKey.zone(intent.zone()),
                 intent.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "",
@@ -56,7 +62,7 @@
     private static Either<Problem, TreeMap<String, String>> cellMarks(
             Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
         if (intent.service() == null || manifest.service(intent.service()) == null)
-            return badIntent("no service " + intent.service());
+            return badIntent("the manifest has no service " + intent.service());
         if (intent.cell() == null || manifest.service(intent.service()).cell(intent.cell()) == null)
             return badIntent("service " + intent.service() + " has no cell " + intent.cell());
         return singleMark(
@@ -68,29 +74,31 @@
     private static Either<Problem, TreeMap<String, String>> tenantMarks(
             Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
         if (intent.tenant() == null || manifest.tenant(intent.tenant()) == null)
-            return badIntent("no tenant " + intent.tenant());
+            return badIntent("the manifest has no tenant " + intent.tenant());
         if (intent.intent().equals(Intent.RELEASE_TENANT))
             return singleMark(MarkKey.tenant(intent.tenant()), "", manifestRow);
         if (intent.regions() == null || intent.regions().isEmpty())
-            return badIntent("name the regions to keep the tenant in");
+            return badIntent("the regions to keep the tenant in are missing");
         var homeRegions = manifest.homeRegions(intent.tenant());
         for (var region : intent.regions())
             if (!homeRegions.contains(region))
-                return badIntent("region " + region + " is none of the home regions " + homeRegions + " of tenant "
+                return badIntent("region " + region + " is not one of the home regions " + homeRegions + " of tenant "
                         + intent.tenant());
         return singleMark(MarkKey.tenant(intent.tenant()), String.join(",", intent.regions()), manifestRow);
     }
 
+    /** One mark; a problem if it is set to that value already. */
     private static Either<Problem, TreeMap<String, String>> singleMark(
             MarkKey markKey, String value, Rows.Manifest manifestRow) {
         var key = markKey.text();
         if (value.equals(manifestRow.marks.getOrDefault(key, "")))
-            return badIntent(key + " is " + (value.isEmpty() ? "not marked" : value) + " already");
+            return badIntent(key + " is already " + (value.isEmpty() ? "not marked" : value) + " in the current state");
         var marks = new TreeMap<String, String>();
         marks.put(key, value);
         return Either.right(marks);
     }
 
+    /** The plan that puts the marks in force. */
     private static Either<Problem, Plan> buildPlan(
             Intent intent,
             Manifest manifest,
@@ -114,10 +122,11 @@
                 var problem = planService(plan, service, manifestService, manifest, marksAfter, status.loads);
                 if (problem != null) return badIntent(problem);
             }
-        if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; the mark alone is set");
+        if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; only the mark is set");
         return Either.right(plan);
     }
 
+    /** Adds what a service would do to the plan; returns why it cannot, or null. */
     private static String planService(
             Plan plan,
             Rows.Service service,
@@ -138,18 +147,21 @@
         return checkCapacity(plan, service, openCells, wantedHomes, loadByRunner);
     }
 
+    /** Names a region set in use that no open cell would serve; null if all are served. */
     private static String findUnservedRegions(
             Rows.Service service, Manifest manifest, Map<String, String> marks, BitSet openCells) {
         for (var regionSet : regionSetsInUse(service, manifest, marks)) {
             var hasOpenCell = openCells.stream()
                     .anyMatch(cell -> Units.allows(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
             if (!hasOpenCell)
-                return "service " + service.name + ": no open cell with a runner is left for tenants at home in "
+                return "service " + service.name
+                        + ": no open cell with a running runner would be left for tenants with the home regions "
                         + regionNames(service, regionSet);
         }
         return null;
     }
 
+    /** The region sets of the manifest as a whole and of each tenant, as bits. */
     private static Set<Integer> regionSetsInUse(Rows.Service service, Manifest manifest, Map<String, String> marks) {
         var sets = new HashSet<Integer>();
         sets.add(regionMask(service, manifest.regions()));
@@ -161,12 +173,14 @@
         return sets;
     }
 
+    /** A set of regions as bits over the regions of the service. */
     private static int regionMask(Rows.Service service, List<String> regions) {
         var mask = 0;
         for (var region : regions) if (service.regions.contains(region)) mask |= 1 << service.regions.indexOf(region);
         return mask;
     }
 
+    /** The names of the regions in a set. */
     private static List<String> regionNames(Rows.Service service, int regionSet) {
         var names = new ArrayList<String>();
         for (var region = 0; region < service.regions.size(); region++)
@@ -174,6 +188,7 @@
         return names;
     }
 
+    /** Adds the moves of a service to the plan, by old and new home. */
     private static void addSteps(Plan plan, Rows.Service service, Manifest.Service manifestService, int[] wantedHomes) {
         var moves = new TreeMap<String, Integer>();
         for (var unit = Units.SLICES; unit < wantedHomes.length; unit++)
@@ -193,16 +208,20 @@
         return cell == Table.NOWHERE ? "nowhere" : service.cells.get(cell);
     }
 
+    /**
+     * Adds the load of each cell and warnings to the plan; returns why the open cells cannot carry the running load,
+     * or null.
+     */
     private static String checkCapacity(
             Plan plan, Rows.Service service, BitSet openCells, int[] wantedHomes, Map<String, Integer> loadByRunner) {
         var load = service.runners.values().stream()
                 .filter(Rows.Runner::up)
-                .mapToInt(r -> loadByRunner.getOrDefault(service.name + "/" + r.name, 0))
+                .mapToInt(runner -> loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
         var slots = slotCount(service, openCells);
         if (load > slots)
-            return "service " + service.name + ": " + load + " streams run now and the open cells have " + slots
-                    + " slots";
+            return "service " + service.name + ": " + load + " streams are running, but the open cells would have only "
+                    + slots + " slots";
         if (load * 5 > slots * 4)
             plan.warnings.add("service " + service.name + ": " + load + " of " + slots + " slots would be in use");
         for (var cell = 0; cell < service.cells.size(); cell++) {
@@ -213,16 +232,17 @@
             plan.loads.add(service.name + "/" + service.cells.get(cell) + ": " + units + " units, "
                     + (openCells.get(cell) ? slotCount(service, thisCell) : 0) + " slots");
         }
-        for (var r : service.regions) {
+        for (var region : service.regions) {
             var hasOpenCell = openCells.stream()
-                    .anyMatch(cell -> service.cellRegions.get(cell).equals(r));
+                    .anyMatch(cell -> service.cellRegions.get(cell).equals(region));
             if (!hasOpenCell)
                 plan.warnings.add(
-                        "service " + service.name + ": transactions pinned to " + r + " alone will be declined");
+                        "service " + service.name + ": transactions pinned to " + region + " alone will be declined");
         }
         return null;
     }
 
+    /** The slots of the running runners in some cells. */
     private static int slotCount(Rows.Service service, BitSet cells) {
         return service.runners.values().stream()
                 .filter(runner -> runner.up() && cells.get(service.cells.indexOf(runner.cell)))
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/Operator.java
@@ -21,13 +21,30 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
+/**
+ * Executes the requests of operators against the core: manifests, plans and their rollout, status, and lost claims.
+ * Every callback gets exactly one result. Safe for several threads; the owner calls {@link #tick} regularly.
+ */
 public final class Operator {
-    private static final long REQUEST_TIMEOUT_MICROS = 5_000_000,
-            ROLLOUT_TIMEOUT_MICROS = 3_000_000,
-            ROLLOUT_POLL_MICROS = 50_000;
+    /** How long to wait for the answer to a query or command. */
+    private static final long REQUEST_TIMEOUT_MICROS = 5_000_000;
 
+    /** How long to wait for a change to reach the members before the state is reported as it is. */
+    private static final long ROLLOUT_TIMEOUT_MICROS = 3_000_000;
+
+    /** How often the state of a rollout is queried. */
+    private static final long ROLLOUT_POLL_MICROS = 50_000;
+
+    /**
+     * How far a change has reached the members.
+     *
+     * @param version the number of the manifest, or the id of the plan
+     * @param missing members that have not confirmed the change
+     * @param able those of them that are routers and may still act on the old state
+     */
     public record Carried(long version, List<String> missing, List<String> able) {}
 
+    /** A caller that waits for a change to reach the members. */
     private static final class RolloutWatch {
         long topicVersion;
         long version;
@@ -43,11 +60,13 @@
     private final CoreClient coreClient;
     private final ConcurrentLinkedQueue<RolloutWatch> openWatches = new ConcurrentLinkedQueue<>();
 
+    /** Creates an operator that sends through the given client. */
     public Operator(Port port, CoreClient coreClient) {
         this.port = port;
         this.coreClient = coreClient;
     }
 
+    /** Queries the state of the rollouts that callers wait for. */
     public void tick(long now) {
         for (var watch : openWatches) {
             if (now >= watch.deadline) finish(watch);
@@ -55,11 +74,13 @@
         }
     }
 
+    /** Reports the state of a rollout to its caller, once. */
     private void finish(RolloutWatch watch) {
         if (openWatches.remove(watch))
             watch.onResult.accept(new Carried(watch.version, watch.lastStatus.missing, watch.lastStatus.able));
     }
 
+    /** Queries the state of a rollout and finishes it if it has come far enough. */
     private void poll(RolloutWatch watch, long now) {
         watch.nextPollAt = now + ROLLOUT_POLL_MICROS;
         var query = new Queries.RolloutGet();
@@ -72,6 +93,10 @@
         });
     }
 
+    /**
+     * Reports how far a version of the manifest topic has come, once {@code doneWhen} accepts the state or the time
+     * is over.
+     */
     private void awaitRollout(
             long topicVersion,
             long version,
@@ -92,6 +117,7 @@
         return new Problem(Kind.of(result.kind), result.detail, result.retryAfter);
     }
 
+    /** Reads the current manifest and marks from their leader. */
     public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
                 Parts.MANIFEST,
@@ -103,6 +129,7 @@
                                 : Either.left(toProblem(result))));
     }
 
+    /** Sends a manifest that was written against {@code baseVersion}, and waits for all members to confirm it. */
     public void send(long baseVersion, String text, Consumer<Either<Problem, Carried>> onResult) {
         var command = new Commands.ManifestPut();
         command.base = baseVersion;
@@ -119,13 +146,14 @@
         });
     }
 
+    /** Waits until no member may still act on a manifest older than {@code version}. */
     public void watchManifest(long version, Consumer<Either<Problem, Carried>> onResult) {
         manifest(manifest -> {
             if (manifest.isLeft()) onResult.accept(Either.left(manifest.getLeft()));
             else if (manifest.get().version < version)
                 onResult.accept(Either.left(Problem.of(
                         Kind.BAD_OPERATOR_INPUT,
-                        "no manifest " + version + "; in force is " + manifest.get().version)));
+                        "manifest " + version + " does not exist; the current one is " + manifest.get().version)));
             else
                 awaitRollout(
                         manifest.get().topicVersion,
@@ -136,6 +164,7 @@
         });
     }
 
+    /** Reads the status of all parts; parts that do not answer are left out. */
     public void status(Consumer<List<PartStatus>> onResult) {
         var statusByPart = new PartStatus[Parts.COUNT];
         var outstanding = new int[] {Parts.COUNT};
@@ -151,12 +180,14 @@
         }
     }
 
+    /** The statuses of the parts that answered. */
     private static List<PartStatus> reachedParts(PartStatus[] statusByPart) {
         var reached = new ArrayList<PartStatus>();
         for (var status : statusByPart) if (status != null) reached.add(status);
         return reached;
     }
 
+    /** Plans what an intent would change, and stores the plan for confirmation. Fails if a part does not answer. */
     public void plan(Intent intent, Consumer<Either<Problem, Plan>> onResult) {
         status(parts -> {
             if (parts.size() < Parts.COUNT) {
@@ -170,6 +201,7 @@
         });
     }
 
+    /** Estimates for each cell whether it could be emptied. Fails if a part does not answer. */
     public void quiet(Consumer<Either<Problem, List<Quiet>>> onResult) {
         status(parts -> {
             if (parts.size() < Parts.COUNT)
@@ -179,6 +211,7 @@
         });
     }
 
+    /** Stores a plan and sets the id that the leader gives it. */
     private void putPlan(Plan plan, Consumer<Either<Problem, Plan>> onResult) {
         var command = new Commands.PlanPut();
         command.plan = plan;
@@ -188,6 +221,7 @@
         });
     }
 
+    /** Reads a plan. */
     public void show(long planId, Consumer<Either<Problem, Plan>> onResult) {
         var query = new Queries.PlanGet();
         query.plan = planId;
@@ -201,6 +235,7 @@
                                 : Either.left(toProblem(result))));
     }
 
+    /** Confirms a plan, which puts its marks in force, and waits until no router may still act on the old state. */
     public void confirm(long planId, Consumer<Either<Problem, Carried>> onResult) {
         show(planId, found -> {
             if (found.isLeft()) {
@@ -222,6 +257,7 @@
         });
     }
 
+    /** Waits until no router may still act on the state before a confirmed plan. */
     public void watch(long planId, Consumer<Either<Problem, Carried>> onResult) {
         show(planId, found -> {
             if (found.isLeft()) onResult.accept(Either.left(found.getLeft()));
@@ -238,6 +274,10 @@
         });
     }
 
+    /**
+     * The zone that a plan marks, whose routers get their grace before the change counts as complete; empty if it
+     * marks none.
+     */
     private static String markedZone(Plan plan) {
         for (var text : plan.marks.keySet()) {
             var key = MarkKey.read(text);
@@ -246,6 +286,10 @@
         return "";
     }
 
+    /**
+     * Accepts at all parts that claims may have been lost in a rebuild, so that run-once work is taken again. Returns
+     * the number of parts.
+     */
     public void acceptClaims(Consumer<Either<Problem, Integer>> onResult) {
         var outstanding = new int[] {Parts.COUNT};
         var failure = new CommandResult[1];
@@ -259,6 +303,7 @@
             });
     }
 
+    /** Stops a plan. */
     public void stop(long planId, Consumer<Either<Problem, Long>> onResult) {
         var command = new Commands.PlanStop();
         command.plan = planId;
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -15,20 +15,24 @@
 import java.util.function.Consumer;
 
 /**
- * What a platform asks of the core; every call is answered within 0.8 s, with a problem where the core gives no reply. A change
- * is bound by {@code since}, the steady time at which its caller was last known to wait: it has no effect 0.8 s after that.
+ * The commands of a platform that manages the processes from outside. Every call gets a result within 0.8 s, a
+ * problem if the core does not answer.
+ *
+ * <p>A change is bound by {@code callerWaitingSince}, the time by the monotonic clock when its caller was last known
+ * to wait, in microseconds: it has no effect later than 0.8 s after that.
  */
 public final class PlatformCommands {
+    /** How long to wait for the core. */
     private static final long REQUEST_TIMEOUT_MICROS = 800_000;
 
     private final CoreClient coreClient;
 
-    /** Asks by way of the given asker. */
+    /** Creates the commands; they are sent through the given client. */
     public PlatformCommands(CoreClient coreClient) {
         this.coreClient = coreClient;
     }
 
-    /** Reads the newest configuration from its leader. */
+    /** Reads the current manifest and marks from their leader. */
     public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
                 Parts.MANIFEST,
@@ -38,7 +42,13 @@
                         onResult.accept(toResult(result).map(ignored -> Codec.read(Rows.Manifest.class, result.body))));
     }
 
-    /** The text must have been checked; RACE_LOST and BAD_MANIFEST are final, any other problem leaves open whether it was taken. */
+    /**
+     * Puts a manifest in force. Its text must have been validated. RACE_LOST and BAD_MANIFEST are final; any other
+     * problem leaves open whether it was taken.
+     *
+     * @param number the number that the platform gives the manifest; 0 for the next one
+     * @param source the text as the platform sent it, if that differs from {@code text}
+     */
     public void put(
             long baseVersion,
             long number,
@@ -54,7 +64,7 @@
         submitChange(Parts.MANIFEST, command, callerWaitingSince, onResult);
     }
 
-    /** Empties a zone or takes it back. */
+    /** Marks a zone as emptied, or takes the mark back. */
     public void mark(String zone, boolean emptied, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         var command = new Commands.ZoneMark();
         command.zone = zone;
@@ -62,7 +72,10 @@
         submitChange(Parts.MANIFEST, command, callerWaitingSince, onResult);
     }
 
-    /** A call that came too late to count is as good as taken. */
+    /**
+     * Reports a heartbeat of a runner. One that arrives too late to count, since a later process of the runner is
+     * known, is reported as a success.
+     */
     public void beat(Commands.RunnerPut command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         coreClient.askUntil(Parts.of(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind == Kind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
@@ -73,7 +86,10 @@
         });
     }
 
-    /** Marks a life as leaving, whichever service it belongs to; one that no part knows is as good as gone. */
+    /**
+     * Marks a runner as leaving in whichever service it belongs to. A runner that no part knows counts as gone
+     * already.
+     */
     public void left(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         var outstanding = new AtomicInteger(Parts.COUNT - 1);
         var failure = new AtomicReference<Problem>();
--- a/lib/control/src/main/java/craneway/control/operator/Quiet.java
+++ b/lib/control/src/main/java/craneway/control/operator/Quiet.java
@@ -7,9 +7,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
+/**
+ * Whether a cell could be emptied now, judged by the recent load of its service.
+ *
+ * @param load the current load of the cell
+ * @param slots the slots of the cell
+ * @param slotsLeft the slots of the other open cells of the service
+ * @param minutes for how many of the last minutes without a gap the load of the service would have fitted into 80
+ *     % of those slots; 0 if the cell cannot be emptied
+ * @param cause why it cannot be emptied, or else the warnings of the plan that would empty it
+ */
 public record Quiet(String service, String cell, int load, int slots, int slotsLeft, int minutes, List<String> cause) {
+    /** The share of the remaining slots that the load may take. */
     private static final double USABLE_SLOT_SHARE = 0.8;
 
+    /** Estimates for all cells with running runners; empty if there is no valid manifest. */
     static List<Quiet> of(Rows.Manifest manifestRow, List<PartStatus> parts) {
         var parsed = ManifestReader.read(manifestRow.text);
         var estimates = new ArrayList<Quiet>();
@@ -22,6 +34,7 @@
         return estimates;
     }
 
+    /** The estimate for one cell. */
     private static Quiet of(
             Rows.Service service, int cell, Rows.Manifest manifestRow, List<PartStatus> parts, PartStatus status) {
         var cellName = service.cells.get(cell);
@@ -45,10 +58,12 @@
                 plan.isLeft() ? List.of(plan.getLeft().detail()) : plan.get().warnings);
     }
 
+    /** Whether the cell of a runner is not closed by a mark. */
     private static boolean isOpen(Rows.Service service, Rows.Runner runner, Rows.Manifest manifestRow) {
         return !Mover.closed(service, manifestRow.marks).get(service.cells.indexOf(runner.cell));
     }
 
+    /** How many minutes back, starting now, the load stayed within the usable share of the slots. */
     private static int minutesFitted(String service, int remainingSlots, PartStatus status) {
         for (var peaks : status.peaks) {
             if (!peaks.service.equals(service)) continue;
--- a/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
@@ -1,20 +1,23 @@
 package craneway.control.operator;
 
 /**
- * Decides whether the caller of an order that was read just now can still be waiting for it. A process that stood still (a
- * freeze, a starved machine, a long pause of the virtual machine) finds in its sockets what callers sent meanwhile; after a
- * second of silence they have sent the order to another node and perhaps its reverse since. Standing still shows as a gap
- * between ticks, by the steady clock. After a gap, nothing is admitted for a while, in which all that waited in sockets and in
- * the queue of new connections is read; then the first order on each connection that was used before the gap is refused as
- * well. What is refused costs its caller a call to another node. No I/O.
+ * Decides whether the caller of an order that was just read can still be waiting for it. A process that stood still
+ * (frozen, starved of CPU, or in a long pause of the virtual machine) then finds in its sockets what callers sent
+ * meanwhile. After a second without an answer they have sent the order to another node, and perhaps its reverse
+ * since.
+ *
+ * <p>A pause shows as a gap between ticks of the steady clock. For a while after a gap no order is admitted, so that
+ * everything that waited in sockets and in the queue of new connections is read first; after that, the first order on
+ * each connection that was used before the gap is refused as well. A refusal costs the caller a call to another node.
+ * No I/O; safe for several threads. Times are microseconds.
  */
 public final class WakeGuard {
-    /** Ticks farther apart than this are a gap; callers wait for longer. */
+    /** Ticks that are farther apart than this many microseconds show a pause; callers wait for longer than that. */
     public static final long GAP = 400_000;
-    /** How long after a gap nothing is admitted. */
+    /** For how many microseconds after a pause no order is admitted. */
     public static final long SETTLE = 500_000;
 
-    /** Where a connection stands towards this guard; one for each. */
+    /** What the guard remembers of a connection; one for each. */
     public static final class Connection {
         private static final long NEVER = Long.MIN_VALUE;
         private long lastUsedAt = NEVER;
@@ -23,19 +26,25 @@
     private long lastTickAt;
     private long resumedAt;
 
-    /** A guard of a process that starts now, which no caller can have waited for. */
+    /** Creates the guard of a process that starts now, which no caller can have waited for. */
     public WakeGuard(long now) {
         lastTickAt = now;
         resumedAt = now - SETTLE;
     }
 
-    /** Called every 20 ms or so, and by nothing that can wait. */
+    /** Notices a pause. To be called about every 20 ms by a thread that never blocks. */
     public synchronized void tick(long now) {
         if (now - lastTickAt > GAP) resumedAt = now;
         lastTickAt = Math.max(lastTickAt, now);
     }
 
-    /** Whether an order may be passed on that came over this connection, was begun to be read then, and is whole now. */
+    /**
+     * Whether an order may be passed on.
+     *
+     * @param connection the connection it came over
+     * @param readStartedAt when reading it began
+     * @param now the current time, when it has been read completely
+     */
     public synchronized boolean admits(Connection connection, long readStartedAt, long now) {
         tick(now);
         var previousUse = connection.lastUsedAt;
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -15,8 +15,16 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * Moves units to their wanted homes step by step, on the leader of a part. A step moves a few units to one cell. It
+ * is first asked for in the log, and raised (put in force) once the store in the zone of the new home holds that
+ * entry; {@link Watcher} then watches it. Units without a home, or that lose theirs, are changed at once by a plain
+ * table step.
+ */
 public final class Mover {
+    /** A cell without units counts as healthy once it has had a running runner for this many microseconds. */
     public static final long HOLD = 3_000_000;
+    /** A step that the store of its new home has not confirmed after this time is dropped. */
     private static final long CONFIRM_TIMEOUT_MICROS = 5_000_000;
 
     private final Map<String, Long> healthySinceByCell = new HashMap<>();
@@ -24,9 +32,11 @@
     private final Map<String, Long> askedAtByStep = new HashMap<>();
     private final Map<String, WantedHomes> wantedHomesByService = new HashMap<>();
 
+    /** Wanted homes with the inputs they were computed from. */
     private record WantedHomes(
             long newsVersion, int heldCellCount, BitSet closedCells, BitSet healthyCells, int[] homes) {}
 
+    /** Forgets everything, for a new leader. */
     public void reset() {
         healthySinceByCell.clear();
         nextStepAtByService.clear();
@@ -34,10 +44,17 @@
         askedAtByStep.clear();
     }
 
+    /** Tells whether the store in the zone of a cell holds the log up to an index. */
     public interface StoreReady {
+        /** Whether the store in the zone of the cell holds the log up to the index, or is not to be waited for. */
         boolean test(int cell, long index);
     }
 
+    /**
+     * The next command for a service: a {@code StepMark} for a step that has been asked for, a {@code StepAsk} or a
+     * {@code TableStep}. Null if no unit has to move, the pause between steps is not over, or the service is not in
+     * the manifest.
+     */
     public Object step(
             Rows.Service service,
             Manifest.Service manifestService,
@@ -71,6 +88,10 @@
                 : newStepAsk(service, batch, wantedHomes, closedCells, healthyCells);
     }
 
+    /**
+     * Raises a step that was asked for once the store of the new home has confirmed it. Drops it if the wanted home
+     * changed or no confirmation came in time; null while it waits.
+     */
     private StepMark resolveAskedStep(
             Rows.Service service, Rows.Step step, int[] wantedHomes, StoreReady storeReady, long now) {
         var askedAt = askedAtByStep.computeIfAbsent(service.name + "/" + step.id, key -> now);
@@ -83,10 +104,16 @@
         mark.id = step.id;
         mark.state = isConfirmed ? Rows.Step.RAISED : Rows.Step.DROPPED;
         if (!isConfirmed)
-            mark.cause = isStillWanted ? "the new home's store did not confirm" : "the wanted home changed";
+            mark.cause = isStillWanted
+                    ? "the store in the zone of the new home did not confirm the step in time"
+                    : "the wanted home changed before the step was confirmed";
         return mark;
     }
 
+    /**
+     * A request for a step, with the reason for the move: pressure, an emptied home, a lost home, or the return to
+     * the regular home.
+     */
     private static StepAsk newStepAsk(
             Rows.Service service, List<Integer> units, int[] wantedHomes, BitSet closedCells, BitSet healthyCells) {
         var ask = new StepAsk();
@@ -103,6 +130,7 @@
         return ask;
     }
 
+    /** The same move as a plain table step, for members that cannot read step commands. */
     public static TableStep plain(StepAsk ask) {
         var tableStep = new TableStep();
         tableStep.service = ask.service;
@@ -112,12 +140,14 @@
         return tableStep;
     }
 
+    /** The cells that may take units: healthy and not closed. */
     public BitSet open(Rows.Service service, Map<String, String> marks, long now) {
         var openCells = healthyCells(service, now);
         openCells.andNot(closed(service, marks));
         return openCells;
     }
 
+    /** The wanted homes, computed again only if something they depend on has changed. */
     private int[] cachedWantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
         var cached = wantedHomesByService.get(service.name);
         if (cached == null
@@ -136,6 +166,9 @@
         return cached.homes;
     }
 
+    /**
+     * How long to pause after a step to a cell; at least a tenth of the warm-up time if the cell has a cold runner.
+     */
     private static long stepPause(Rows.Service service, int cell, Manifest.Service manifestService) {
         if (cell == Table.NOWHERE) return manifestService.stepPause();
         var hasColdRunner = service.runners.values().stream()
@@ -146,6 +179,7 @@
                 : manifestService.stepPause();
     }
 
+    /** A table step that gives the units their wanted homes. */
     private static TableStep newTableStep(Rows.Service service, List<Integer> units, int[] wantedHomes) {
         var tableStep = new TableStep();
         tableStep.service = service.name;
@@ -155,6 +189,7 @@
         return tableStep;
     }
 
+    /** The cells that are closed by the marks of operators: emptied themselves or in an emptied zone. */
     public static BitSet closed(Rows.Service service, Map<String, String> marks) {
         var closedCells = new BitSet();
         for (var cell = 0; cell < service.cells.size(); cell++)
@@ -164,6 +199,7 @@
         return closedCells;
     }
 
+    /** The cells with a running runner, either for a while or with units at home there. */
     private BitSet healthyCells(Rows.Service service, long now) {
         var healthy = new BitSet();
         var runnersUp = service.runnersUp();
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/Planner.java
@@ -6,9 +6,14 @@
 import craneway.state.record.Rows;
 import java.util.BitSet;
 
+/**
+ * Computes the wanted home of each unit by weighted rendezvous hashing over the cells that may have it, so that few
+ * units move when cells come and go.
+ */
 public final class Planner {
     private Planner() {}
 
+    /** The wanted home of each unit as an index of a cell, or {@link Table#NOWHERE}. */
     public static int[] wanted(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
         var unitCount = service.homes.length;
         var homes = new int[unitCount];
@@ -18,6 +23,11 @@
         return homes;
     }
 
+    /**
+     * The wanted home of one unit: the cell it is displaced to, while that is open; its current home, if the best
+     * cell is held back after a step was taken back; else the best open cell. If no cell is open, the unit stays
+     * where it is unless its home is closed.
+     */
     private static int wantedHome(
             Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
         var currentHome = service.homes[unit];
@@ -40,16 +50,22 @@
         return selectCell(service, unit, closedCells, null, weights);
     }
 
+    /** The weight of each cell. */
     private static int[] cellWeights(Rows.Service service) {
         var weights = new int[service.cells.size()];
         for (var cell = 0; cell < weights.length; cell++) weights[cell] = service.weight(cell);
         return weights;
     }
 
+    /** The home that a unit would have if all cells were open. */
     static int homeWithAllCellsOpen(Rows.Service service, int unit) {
         return selectCell(service, unit, new BitSet(), null, cellWeights(service));
     }
 
+    /**
+     * The cell with the highest score for a unit among those that may have it and are not closed; null for {@code
+     * healthyCells} lets any cell count as healthy.
+     */
     private static int selectCell(
             Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
         var bestCell = Table.NOWHERE;
@@ -70,16 +86,24 @@
         return bestCell;
     }
 
-    /** Narrower sets come first where they share a region. */
+    /**
+     * Squares the number of region sets in use that share a region. Dividing the weight by it gives narrower sets
+     * precedence where they share a region.
+     */
     private static double square(int n) {
         return n * n;
     }
 
+    /** Whether a cell is in use and lies in one of the unit's regions. */
     private static boolean isAllowed(Rows.Service service, int unit, int cell) {
         return service.live(cell)
                 && Units.allows(Units.regionSet(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
+    /**
+     * The score of a cell for a unit by weighted rendezvous hashing; the unit with the same slice in another region
+     * set gets the same hash.
+     */
     private static double score(int unit, String cell, double weight) {
         var hash = Hash.of(Units.slice(unit), Hash.of(cell)) >>> 11;
         return weight / -StrictMath.log((hash + 0.5) / (1L << 53));
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/Pressure.java
@@ -11,17 +11,43 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
+/**
+ * Relieves full cells, on the leader of a part. Units of a cell that stays full are displaced to the cell with the
+ * lowest utilization, and may go back once their regular home has been calm for a while. Utilization is load over
+ * slots, smoothed over time.
+ */
 public final class Pressure {
-    public static final double FULL = 0.8, CALM = 0.6, ROOM = 0.6;
-    public static final long FULL_FOR = 3_000_000, CALM_FOR = 15_000_000, SETTLE = 4_000_000;
+    /** From this utilization on a cell is full. */
+    public static final double FULL = 0.8;
+
+    /** Up to this utilization a cell is calm. */
+    public static final double CALM = 0.6;
+
+    /** Up to this utilization a cell takes displaced units. */
+    public static final double ROOM = 0.6;
+
+    /** Units are displaced from a cell that has been full for this many microseconds. */
+    public static final long FULL_FOR = 3_000_000;
+
+    /** Units may go back to a cell that has been calm for this many microseconds. */
+    public static final long CALM_FOR = 15_000_000;
+
+    /** The pause between two commands for a service, and after a new leader starts, in microseconds. */
+    public static final long SETTLE = 4_000_000;
+
+    /** The time constant of the smoothing. */
     private static final double SMOOTHING_MICROS = 5_000_000;
+    /** How many units one command displaces or returns at most. */
     private static final int MAX_UNITS_PER_COMMAND = 8;
 
+    /** By cell, the smoothed utilization and when it was updated. */
     private final Map<String, double[]> smoothedUtilization = new HashMap<>();
+
     private final Map<String, Long> fullSinceByCell = new HashMap<>();
     private final Map<String, Long> calmSinceByCell = new HashMap<>();
     private final Map<String, Long> nextCommandAtByService = new HashMap<>();
 
+    /** Forgets what was measured, for a new leader. */
     public void reset(long now) {
         smoothedUtilization.clear();
         fullSinceByCell.clear();
@@ -29,6 +55,10 @@
         nextCommandAtByService.replaceAll((service, dueAt) -> now + SETTLE);
     }
 
+    /**
+     * The next displacement or return for a service, null if nothing is due. To be called at each scan, since it also
+     * updates the utilization.
+     */
     public Displace ask(Rows.Service service, Map<String, Integer> loadByRunner, BitSet openCells, long now) {
         var utilization = utilizationByCell(service, loadByRunner);
         for (var cell = 0; cell < utilization.length; cell++) {
@@ -46,6 +76,7 @@
         return displacement;
     }
 
+    /** Adds a measurement and returns the smoothed value. */
     private double smoothUtilization(String key, double utilization, long now) {
         var smoothed = smoothedUtilization.computeIfAbsent(key, absentKey -> new double[] {utilization, now});
         smoothed[0] += (utilization - smoothed[0]) * Math.min(1, (now - smoothed[1]) / SMOOTHING_MICROS);
@@ -53,11 +84,13 @@
         return smoothed[0];
     }
 
+    /** Records since when a condition has held without interruption. */
     private static void trackSince(Map<String, Long> sinceByCell, String key, boolean holds, long now) {
         if (holds) sinceByCell.putIfAbsent(key, now);
         else sinceByCell.remove(key);
     }
 
+    /** The utilization of each cell as its runners report it; 1 for a cell without slots. */
     private static double[] utilizationByCell(Rows.Service service, Map<String, Integer> loadByRunner) {
         var cellNumbers = service.cellNumbers();
         var loadOfCell = new long[service.cells.size()];
@@ -73,12 +106,14 @@
                 .toArray();
     }
 
+    /** Whether a condition has held for long enough. */
     private boolean hasLasted(
             Map<String, Long> sinceByCell, Rows.Service service, int cell, long holdMicros, long now) {
         var since = sinceByCell.get(service.name + "/" + cell);
         return since != null && now - since >= holdMicros;
     }
 
+    /** Displaces units from the first cell that has been full for long enough and for which another cell has room. */
     private Displace displaceFromFullCell(Rows.Service service, double[] utilization, BitSet openCells, long now) {
         for (var cell = 0; cell < utilization.length; cell++) {
             if (!hasLasted(fullSinceByCell, service, cell, FULL_FOR, now)) continue;
@@ -96,6 +131,10 @@
         return null;
     }
 
+    /**
+     * The open cell with the lowest utilization that has room and is not held back; {@link Table#NOWHERE} if there is
+     * none.
+     */
     private static int leastUtilizedCell(Rows.Service service, double[] utilization, BitSet openCells, int excluded) {
         var bestCell = Table.NOWHERE;
         for (var cell = 0; cell < utilization.length; cell++) {
@@ -108,10 +147,12 @@
         return bestCell;
     }
 
+    /** Whether a cell lies in one of the unit's regions. */
     private static boolean isAllowed(Rows.Service service, int unit, int cell) {
         return Units.allows(Units.regionSet(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
+    /** Ends the displacement of units whose regular home has been calm for long enough. */
     private Displace returnToCalmHome(Rows.Service service, long now) {
         var units = new ArrayList<Integer>();
         for (var unit : service.displacedUnits) {
@@ -123,6 +164,7 @@
         return units.isEmpty() ? null : newDisplace(service, units, Table.NOWHERE);
     }
 
+    /** A command that displaces units to a cell, or ends their displacement. */
     private static Displace newDisplace(Rows.Service service, List<Integer> units, int target) {
         var command = new Displace();
         command.service = service.name;
--- a/lib/control/src/main/java/craneway/control/plan/Signals.java
+++ b/lib/control/src/main/java/craneway/control/plan/Signals.java
@@ -3,20 +3,35 @@
 import java.util.HashMap;
 import java.util.Map;
 
+/**
+ * Runs, problems and times to first token of each cell over the last 4 s, as members report them with their renewals.
+ */
 public final class Signals {
+    /** How many time slots are kept. */
     private static final int SLOT_COUNT = 8;
+    /** The length of a time slot. */
     private static final long SLOT_MICROS = 500_000;
 
+    /**
+     * What happened in a cell over some time.
+     *
+     * @param runs requests that ran
+     * @param problems requests that failed
+     * @param firstMicros the sum of the times to first token of the runs, in microseconds
+     */
     public record Rate(long runs, long problems, long firstMicros) {
+        /** The share of requests that failed; 0 if there were none. */
         public double share() {
             return runs + problems == 0 ? 0 : problems / (double) (runs + problems);
         }
 
+        /** The mean time to first token in microseconds; 0 if nothing ran. */
         public double first() {
             return runs == 0 ? 0 : firstMicros / (double) runs;
         }
     }
 
+    /** Sums by time slot, in a ring; {@code slotNumbers} tells which slot an entry holds. */
     private static final class SlotRing {
         final long[] slotNumbers = new long[SLOT_COUNT];
         final long[] runs = new long[SLOT_COUNT];
@@ -26,6 +41,7 @@
 
     private final Map<String, SlotRing> ringByCell = new HashMap<>();
 
+    /** Adds what a member reported for a cell to the current slot. */
     public void add(String service, String cell, long runs, long problems, long firstMicros, long now) {
         var ring = ringByCell.computeIfAbsent(service + "/" + cell, key -> new SlotRing());
         var slot = now / SLOT_MICROS;
@@ -39,6 +55,7 @@
         ring.firstTokenMicros[index] += firstMicros;
     }
 
+    /** The sums for a cell since {@code from}, as far back as slots are kept. */
     public Rate since(String service, String cell, long from, long now) {
         var ring = ringByCell.get(service + "/" + cell);
         long runs = 0, problems = 0, firstTokenMicros = 0;
@@ -51,6 +68,7 @@
         return new Rate(runs, problems, firstTokenMicros);
     }
 
+    /** Forgets everything. */
     public void clear() {
         ringByCell.clear();
     }
--- a/lib/control/src/main/java/craneway/control/plan/Watcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/Watcher.java
@@ -7,19 +7,38 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
+/**
+ * Watches each raised step for a while, on the leader of a part. If the new home has more problems or a longer time
+ * to first token than before, the units are taken back and the cell is held: no regular home moves there for some
+ * time.
+ */
 public final class Watcher {
-    public static final long WATCH = 2_000_000, HELD = 30_000_000;
-    private static final long BASELINE_WINDOW_MICROS = 3_000_000, SLOW_FIRST_TOKEN_MICROS = 1_000_000;
+    /** How long a step is watched, in microseconds, before it is kept. */
+    public static final long WATCH = 2_000_000;
+
+    /** How long a cell is held after a step to it was taken back, in microseconds. */
+    public static final long HELD = 30_000_000;
+
+    /** The time before a step over which the state of the new home is measured for comparison. */
+    private static final long BASELINE_WINDOW_MICROS = 3_000_000;
+
+    /** A mean time to first token up to this is never a reason to take a step back. */
+    private static final long SLOW_FIRST_TOKEN_MICROS = 1_000_000;
+
+    /** With fewer runs or problems than this nothing is concluded. */
     private static final int MIN_SAMPLES = 5;
 
+    /** When a step was first watched, and the state of its new home before. */
     private record WatchedStep(long since, Signals.Rate baseline) {}
 
     private final Map<String, WatchedStep> watchedSteps = new HashMap<>();
 
+    /** Forgets all steps, for a new leader. */
     public void reset() {
         watchedSteps.clear();
     }
 
+    /** The verdict on the first step of a service that can be decided: kept or taken back. Null if there is none. */
     public StepMark judge(Rows.Service service, Signals signals, BitSet openCells, long now) {
         for (var step : service.steps) {
             if (step.state != Rows.Step.RAISED) continue;
@@ -37,6 +56,10 @@
         return null;
     }
 
+    /**
+     * Starts to watch a step. Steps to the same cell that are watched at the same time share the earliest baseline,
+     * which none of them has affected.
+     */
     private WatchedStep watchedStep(Rows.Service service, Rows.Step step, Signals signals, long now) {
         var existing = watchedSteps.get(service.name + "/" + step.id);
         if (existing != null) return existing;
@@ -52,6 +75,7 @@
         return watched;
     }
 
+    /** The units of a step whose old home is open. */
     private static int[] returnableUnits(Rows.Step step, BitSet openCells) {
         return IntStream.range(0, step.units.length)
                 .filter(index -> step.from[index] >= 0 && openCells.get(step.from[index]))
@@ -59,9 +83,10 @@
                 .toArray();
     }
 
+    /** Describes how a cell got worse; null if it did not. */
     private static String describeDegradation(Signals.Rate baseline, Signals.Rate current) {
         if (current.problems() >= MIN_SAMPLES && current.share() > 0.1 + 2 * baseline.share())
-            return String.format("problems rose from %.2f to %.2f of its work", baseline.share(), current.share());
+            return String.format("problems rose from %.2f to %.2f of its requests", baseline.share(), current.share());
         if (current.runs() >= MIN_SAMPLES
                 && baseline.runs() >= MIN_SAMPLES
                 && current.first() > SLOW_FIRST_TOKEN_MICROS
@@ -71,6 +96,7 @@
         return null;
     }
 
+    /** The verdict on a step as a command. */
     private static StepMark newStepMark(Rows.Service service, Rows.Step step, String degradation, int[] units) {
         var mark = new StepMark();
         mark.service = service.name;
