--- a/lib/control/src/test/java/craneway/control/operator/WakeGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/WakeGuardTest.java
@@ -5,102 +5,110 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Checks that a process that stood still refuses the orders that piled up meanwhile: their callers have given up, and
+ * may have had the reverse order acknowledged elsewhere.
+ */
 class WakeGuardTest {
-    private static final long START = -7_000_000, TICK = 20_000;
+    private static final long START_MICROS = -7_000_000;
+    private static final long TICK_MICROS = 20_000;
 
-    private final WakeGuard guard = new WakeGuard(START);
+    private final WakeGuard guard = new WakeGuard(START_MICROS);
     private final WakeGuard.Connection connection = new WakeGuard.Connection();
-    private long now = START;
+    private long now = START_MICROS;
 
-    private void ticks(long micros) {
-        for (var until = now + micros; now < until; guard.tick(now)) now += TICK;
+    /** Lets time pass with regular ticks. */
+    private void tickFor(long micros) {
+        for (var until = now + micros; now < until; guard.tick(now)) now += TICK_MICROS;
     }
 
-    private void freeze(long micros) {
+    /** Lets time pass without a tick. */
+    private void standStill(long micros) {
         now += micros;
     }
 
-    private boolean admits(WakeGuard.Connection c) {
-        return guard.admits(c, now, now);
+    private boolean admitsNow(WakeGuard.Connection fromConnection) {
+        return guard.admits(fromConnection, now, now);
     }
 
     @Test
-    void aProcessThatRunsAdmitsAll() {
-        assertTrue(admits(connection));
-        ticks(3_000_000);
-        assertTrue(admits(connection));
-        assertTrue(admits(new WakeGuard.Connection()));
+    void aRunningProcessAdmitsEveryOrder() {
+        assertTrue(admitsNow(connection));
+        tickFor(3_000_000);
+        assertTrue(admitsNow(connection));
+        assertTrue(admitsNow(new WakeGuard.Connection()));
     }
 
     @Test
-    void whatIsReadBeforeTheFirstTickAfterAFreezeIsRefused() {
-        ticks(1_000_000);
-        freeze(1_000_000);
-        assertFalse(admits(new WakeGuard.Connection()));
-        assertFalse(admits(connection));
+    void refusesOrdersReadBeforeTheFirstTickAfterAPause() {
+        tickFor(1_000_000);
+        standStill(1_000_000);
+        assertFalse(admitsNow(new WakeGuard.Connection()));
+        assertFalse(admitsNow(connection));
     }
 
     @Test
-    void whatIsReadAfterTheFirstTickAfterAFreezeIsRefusedToo() {
-        ticks(1_000_000);
-        freeze(1_000_000);
+    void refusesOrdersReadSoonAfterTheFirstTickAfterAPause() {
+        tickFor(1_000_000);
+        standStill(1_000_000);
         guard.tick(now);
-        assertFalse(admits(connection));
-        ticks(WakeGuard.SETTLE - 2 * TICK);
-        assertFalse(admits(new WakeGuard.Connection()));
+        assertFalse(admitsNow(connection));
+        tickFor(WakeGuard.SETTLE - 2 * TICK_MICROS);
+        assertFalse(admitsNow(new WakeGuard.Connection()));
     }
 
     @Test
-    void newConnectionsAreAdmittedAgainAWhileAfterAFreeze() {
-        ticks(1_000_000);
-        freeze(20_000_000);
-        ticks(WakeGuard.SETTLE + 2 * TICK);
-        assertTrue(admits(new WakeGuard.Connection()));
+    void admitsNewConnectionsOnceThePauseHasSettled() {
+        tickFor(1_000_000);
+        standStill(20_000_000);
+        tickFor(WakeGuard.SETTLE + 2 * TICK_MICROS);
+        assertTrue(admitsNow(new WakeGuard.Connection()));
     }
 
     @Test
-    void theFirstOrderOnAConnectionUsedBeforeAFreezeIsRefusedAndTheNextIsNot() {
-        assertTrue(admits(connection));
-        freeze(3_000_000);
-        ticks(10_000_000);
-        assertFalse(admits(connection));
-        ticks(TICK);
-        assertTrue(admits(connection));
+    void refusesOnlyTheFirstOrderOnAConnectionUsedBeforeAPause() {
+        assertTrue(admitsNow(connection));
+        standStill(3_000_000);
+        tickFor(10_000_000);
+        assertFalse(admitsNow(connection));
+        tickFor(TICK_MICROS);
+        assertTrue(admitsNow(connection));
     }
 
     @Test
-    void anOrderWhoseBodyWasReadAcrossAFreezeIsRefused() {
-        ticks(1_000_000);
-        var began = now;
-        freeze(2_000_000);
-        ticks(WakeGuard.SETTLE + 2 * TICK);
-        assertFalse(guard.admits(new WakeGuard.Connection(), began, now));
+    void refusesAnOrderWhoseBodyWasReadAcrossAPause() {
+        tickFor(1_000_000);
+        var readStartedAt = now;
+        standStill(2_000_000);
+        tickFor(WakeGuard.SETTLE + 2 * TICK_MICROS);
+        assertFalse(guard.admits(new WakeGuard.Connection(), readStartedAt, now));
     }
 
     @Test
-    void anOrderWhoseBodyComesSlowlyWithoutAFreezeIsAdmitted() {
-        var began = now;
-        ticks(5_000_000);
-        assertTrue(guard.admits(connection, began, now));
+    void admitsAnOrderWhoseBodyArrivesSlowlyWithoutAPause() {
+        var readStartedAt = now;
+        tickFor(5_000_000);
+        assertTrue(guard.admits(connection, readStartedAt, now));
     }
 
     @Test
-    void ticksThatAreALittleLateAreNoFreeze() {
-        for (var i = 0; i < 50; i++) {
-            freeze(WakeGuard.GAP - TICK);
+    void slightlyLateTicksAreNoPause() {
+        for (var round = 0; round < 50; round++) {
+            standStill(WakeGuard.GAP - TICK_MICROS);
             guard.tick(now);
-            assertTrue(admits(connection));
+            assertTrue(admitsNow(connection));
         }
     }
 
     @Test
-    void everyFreezeThatOutlastsACallersTimeoutIsSeenWhereverItFalls() {
-        for (var at = 0L; at <= 100_000; at += 1_000) {
-            var g = new WakeGuard(START);
-            var t = START;
-            while (t + TICK <= START + at) g.tick(t += TICK);
-            var woke = START + at + 1_000_000;
-            assertFalse(g.admits(new WakeGuard.Connection(), woke, woke), "frozen after " + at);
+    void detectsEveryPauseLongerThanACallerWaitsWhereverItFallsBetweenTicks() {
+        for (var runningFor = 0L; runningFor <= 100_000; runningFor += 1_000) {
+            var pausedGuard = new WakeGuard(START_MICROS);
+            var lastTick = START_MICROS;
+            while (lastTick + TICK_MICROS <= START_MICROS + runningFor) pausedGuard.tick(lastTick += TICK_MICROS);
+            var resumedAt = START_MICROS + runningFor + 1_000_000;
+            assertFalse(
+                    pausedGuard.admits(new WakeGuard.Connection(), resumedAt, resumedAt), "frozen after " + runningFor);
         }
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -14,91 +14,95 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Checks that a command that arrives late, or was overtaken by a newer one, is declined on the leader. */
 class CommandFenceTest {
-    private static final long LIFE = 77, TERM = 5, NOW = -3_000_000;
+    private static final long LIFE = 77;
+    private static final long TERM = 5;
+    private static final long NOW_MICROS = -3_000_000;
 
     private final CommandFence fence = new CommandFence();
 
     @BeforeEach
-    void begin() {
+    void sendClock() {
         fence.recordClockSent(LIFE);
     }
 
-    private static CommandRequest onCommandRequest(long life, long term, long bound) {
-        var a = new CommandRequest();
-        a.id = 12;
-        a.lowest = 11;
-        a.life = life;
-        a.term = term;
-        a.bound = bound;
-        return a;
+    private static CommandRequest command(long life, long term, long bound) {
+        var request = new CommandRequest();
+        request.id = 12;
+        request.lowest = 11;
+        request.life = life;
+        request.term = term;
+        request.bound = bound;
+        return request;
     }
 
     @Test
-    void aCommandWithinItsBoundIsTaken() {
-        assertEquals(ADMITTED, fence.check(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
-        assertEquals(ADMITTED, fence.check(onCommandRequest(LIFE, TERM, NOW), TERM, NOW));
+    void admitsACommandWithinItsBound() {
+        assertEquals(ADMITTED, fence.check(command(LIFE, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(ADMITTED, fence.check(command(LIFE, TERM, NOW_MICROS), TERM, NOW_MICROS));
     }
 
     @Test
-    void aCommandAfterItsBoundIsLate() {
-        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM, NOW - 1), TERM, NOW));
+    void declinesACommandAfterItsBound() {
+        assertEquals(LATE, fence.check(command(LIFE, TERM, NOW_MICROS - 1), TERM, NOW_MICROS));
     }
 
     @Test
-    void aBoundByAnotherLeadersClockIsNone() {
-        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM - 1, NOW + 1), TERM, NOW));
-        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM + 1, NOW + 1), TERM, NOW));
-        assertEquals(LATE, fence.check(onCommandRequest(LIFE, 0, 0), TERM, NOW));
+    void declinesABoundByAnotherLeadersClock() {
+        assertEquals(LATE, fence.check(command(LIFE, TERM - 1, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(LIFE, TERM + 1, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(LIFE, 0, 0), TERM, NOW_MICROS));
     }
 
     @Test
-    void aBoundFartherThanAnyCoreClientWaitsIsNone() {
+    void declinesABoundFartherAheadThanAnyClientWaits() {
         assertEquals(
-                LATE, fence.check(onCommandRequest(LIFE, TERM, NOW + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW));
-        assertEquals(LATE, fence.check(onCommandRequest(LIFE, TERM, Long.MAX_VALUE), TERM, NOW));
+                LATE,
+                fence.check(command(LIFE, TERM, NOW_MICROS + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(LIFE, TERM, Long.MAX_VALUE), TERM, NOW_MICROS));
     }
 
     @Test
-    void aZoneOrderWithAnEarlierBoundThanOneTakenIsOvertaken() {
-        assertFalse(fence.isOvertaken("z1", NOW + 500));
-        assertFalse(fence.isOvertaken("z1", NOW + 500));
-        assertTrue(fence.isOvertaken("z1", NOW + 499));
-        assertFalse(fence.isOvertaken("z2", NOW + 499));
-        assertFalse(fence.isOvertaken("z1", NOW + 501));
+    void aZoneOrderIsOvertakenByAnAdmittedOneWithALaterBound() {
+        assertFalse(fence.isOvertaken("z1", NOW_MICROS + 500));
+        assertFalse(fence.isOvertaken("z1", NOW_MICROS + 500));
+        assertTrue(fence.isOvertaken("z1", NOW_MICROS + 499));
+        assertFalse(fence.isOvertaken("z2", NOW_MICROS + 499));
+        assertFalse(fence.isOvertaken("z1", NOW_MICROS + 501));
         fence.reset();
-        assertFalse(fence.isOvertaken("z1", NOW + 1));
+        assertFalse(fence.isOvertaken("z1", NOW_MICROS + 1));
     }
 
     @Test
-    void aLifeThatTheLeaderNeverToldItsClockIsUnknown() {
-        assertEquals(UNKNOWN_LIFE, fence.check(onCommandRequest(LIFE + 1, TERM, NOW + 1), TERM, NOW));
+    void aProcessThatWasNotSentTheClockIsUnknown() {
+        assertEquals(UNKNOWN_LIFE, fence.check(command(LIFE + 1, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
         fence.reset();
-        assertEquals(UNKNOWN_LIFE, fence.check(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
+        assertEquals(UNKNOWN_LIFE, fence.check(command(LIFE, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
         fence.recordClockSent(LIFE);
-        assertEquals(ADMITTED, fence.check(onCommandRequest(LIFE, TERM, NOW + 1), TERM, NOW));
+        assertEquals(ADMITTED, fence.check(command(LIFE, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
     }
 
     @Test
-    void livesThatAreToldAreBounded() {
+    void remembersABoundedNumberOfProcesses() {
         for (var i = 0; i < 2_000; i++) fence.recordClockSent(1_000 + i);
-        assertEquals(UNKNOWN_LIFE, fence.check(onCommandRequest(LIFE, TERM, NOW), TERM, NOW));
-        assertEquals(ADMITTED, fence.check(onCommandRequest(2_999, TERM, NOW), TERM, NOW));
+        assertEquals(UNKNOWN_LIFE, fence.check(command(LIFE, TERM, NOW_MICROS), TERM, NOW_MICROS));
+        assertEquals(ADMITTED, fence.check(command(2_999, TERM, NOW_MICROS), TERM, NOW_MICROS));
     }
 
     @Test
-    void aCommandIsLoggedUnderItsIdentityUnlessItHasOneOfItsOwn() {
+    void wrapsACommandWithItsIdentityUnlessItHasItsOwn() {
         var body = new byte[] {1, 2, 3};
-        var f = assertInstanceOf(
+        var fenced = assertInstanceOf(
                 Commands.Fenced.class,
-                CommandFence.withIdentity(onCommandRequest(LIFE, TERM, NOW), new Commands.ZoneMark(), body));
-        assertEquals(LIFE, f.life);
-        assertEquals(12, f.sequence);
-        assertEquals(11, f.lowest);
-        assertSame(body, f.body);
+                CommandFence.withIdentity(command(LIFE, TERM, NOW_MICROS), new Commands.ZoneMark(), body));
+        assertEquals(LIFE, fenced.life);
+        assertEquals(12, fenced.sequence);
+        assertEquals(11, fenced.lowest);
+        assertSame(body, fenced.body);
         var claim = new Commands.Claim();
-        assertSame(claim, CommandFence.withIdentity(onCommandRequest(LIFE, TERM, NOW), claim, body));
-        var old = new Commands.ZoneMark();
-        assertSame(old, CommandFence.withIdentity(onCommandRequest(0, 0, 0), old, body));
+        assertSame(claim, CommandFence.withIdentity(command(LIFE, TERM, NOW_MICROS), claim, body));
+        var unidentified = new Commands.ZoneMark();
+        assertSame(unidentified, CommandFence.withIdentity(command(0, 0, 0), unidentified, body));
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
+++ b/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
@@ -13,126 +13,131 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Checks the order in which members are removed, admitted and promoted, so that a group keeps its majority while
+ * stores come, go and fail.
+ */
 class MembershipChangesTest {
-    private static final long SECOND = 1_000_000;
-    private static final long NOW = 100 * SECOND;
-    private static final long LONG_AGO = 50 * SECOND;
-    private static final long SOON = NOW + SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long NOW_MICROS = 100 * SECOND_MICROS;
+    private static final long LONG_AGO_MICROS = 50 * SECOND_MICROS;
+    private static final long SOON_MICROS = NOW_MICROS + SECOND_MICROS;
 
-    private static final class Stores implements MembershipChanges.Knowledge {
-        final Set<Long> lost = new HashSet<>();
-        final Set<Long> behind = new HashSet<>();
-        final Map<Long, Long> heard = new HashMap<>();
+    /** Stores that are healthy and were just heard, apart from those named here. */
+    private static final class FakeStoreStatus implements MembershipChanges.Knowledge {
+        final Set<Long> lostDisks = new HashSet<>();
+        final Set<Long> lagging = new HashSet<>();
+        final Map<Long, Long> heardAt = new HashMap<>();
 
         @Override
         public boolean diskLost(long store) {
-            return lost.contains(store);
+            return lostDisks.contains(store);
         }
 
         @Override
         public long heardFrom(long store) {
-            return heard.getOrDefault(store, NOW);
+            return heardAt.getOrDefault(store, NOW_MICROS);
         }
 
         @Override
         public boolean caughtUp(long store) {
-            return !behind.contains(store);
+            return !lagging.contains(store);
         }
 
         @Override
         public boolean level(long store) {
-            return !behind.contains(store);
+            return !lagging.contains(store);
         }
     }
 
-    private final Stores stores = new Stores();
+    private final FakeStoreStatus stores = new FakeStoreStatus();
     private final MembershipChanges changes = new MembershipChanges(1, Quorum.THREE, TimingProfile.LOW_TRAFFIC, stores);
-    private final Members three = Members.of(new long[] {1, 2, 3}, new String[] {"a", "b", "c"});
+    private final Members threeVoters = Members.of(new long[] {1, 2, 3}, new String[] {"a", "b", "c"});
 
-    private Members next(Members m) {
-        return changes.next(m, LONG_AGO, NOW).orElse(null);
+    private Members next(Members members) {
+        return changes.next(members, LONG_AGO_MICROS, NOW_MICROS).orElse(null);
     }
 
     @Test
-    void aWholeGroupStaysAsItIs() {
-        assertEquals(null, next(three));
-        changes.wants(4, "b", SOON);
-        assertEquals(null, next(three));
+    void aCompleteGroupIsNotChanged() {
+        assertEquals(null, next(threeVoters));
+        changes.wants(4, "b", SOON_MICROS);
+        assertEquals(null, next(threeVoters));
     }
 
     @Test
-    void aLostDiskGoesBeforeAnythingElse() {
-        changes.wants(4, "b", SOON);
-        changes.leaves(3, SOON);
-        stores.lost.add(2L);
-        assertArrayEquals(new long[] {1, 3}, next(three).voters);
+    void removesAVoterWithALostDiskFirst() {
+        changes.wants(4, "b", SOON_MICROS);
+        changes.leaves(3, SOON_MICROS);
+        stores.lostDisks.add(2L);
+        assertArrayEquals(new long[] {1, 3}, next(threeVoters).voters);
     }
 
     @Test
-    void aLearnerThatIsBehindIsNotPromoted() {
-        var m = three.without(3).withLearner(4, "c");
-        stores.behind.add(4L);
-        assertEquals(null, next(m));
-        stores.behind.clear();
-        assertArrayEquals(new long[] {1, 2, 4}, next(m).voters);
-        assertEquals(null, changes.next(m, NOW, NOW).orElse(null));
+    void promotesALearnerOnlyOnceItHasCaughtUp() {
+        var members = threeVoters.without(3).withLearner(4, "c");
+        stores.lagging.add(4L);
+        assertEquals(null, next(members));
+        stores.lagging.clear();
+        assertArrayEquals(new long[] {1, 2, 4}, next(members).voters);
+        assertEquals(null, changes.next(members, NOW_MICROS, NOW_MICROS).orElse(null));
     }
 
     @Test
-    void aSilentOrLeavingLearnerGivesUpItsPlace() {
-        var m = three.without(3).withLearner(4, "c");
-        changes.leaves(4, SOON);
-        assertEquals(0, next(m).learner);
-        changes.wants(4, "c", SOON);
-        stores.heard.put(4L, LONG_AGO);
-        assertEquals(0, next(m).learner);
+    void removesALearnerThatIsSilentOrLeaves() {
+        var members = threeVoters.without(3).withLearner(4, "c");
+        changes.leaves(4, SOON_MICROS);
+        assertEquals(0, next(members).learner);
+        changes.wants(4, "c", SOON_MICROS);
+        stores.heardAt.put(4L, LONG_AGO_MICROS);
+        assertEquals(0, next(members).learner);
     }
 
     @Test
-    void aStoreThatStopsIsReplacedBeforeItGoes() {
-        changes.wants(4, "b", SOON);
-        changes.leaves(2, SOON);
-        assertFalse(changes.mayGo(2, three, LONG_AGO, NOW));
-        var learning = next(three);
-        assertEquals(4, learning.learner);
-        assertTrue(learning.isVoter(2));
-        assertFalse(changes.mayGo(2, learning, LONG_AGO, NOW));
-        var four = next(learning);
-        assertArrayEquals(new long[] {1, 2, 3, 4}, four.voters);
-        assertFalse(changes.mayGo(2, four, LONG_AGO, NOW));
-        var without = next(four);
-        assertArrayEquals(new long[] {1, 3, 4}, without.voters);
-        assertTrue(changes.mayGo(2, without, LONG_AGO, NOW));
-        assertEquals(null, next(without));
+    void replacesAStoppingStoreBeforeItLeaves() {
+        changes.wants(4, "b", SOON_MICROS);
+        changes.leaves(2, SOON_MICROS);
+        assertFalse(changes.mayGo(2, threeVoters, LONG_AGO_MICROS, NOW_MICROS));
+        var withLearner = next(threeVoters);
+        assertEquals(4, withLearner.learner);
+        assertTrue(withLearner.isVoter(2));
+        assertFalse(changes.mayGo(2, withLearner, LONG_AGO_MICROS, NOW_MICROS));
+        var fourVoters = next(withLearner);
+        assertArrayEquals(new long[] {1, 2, 3, 4}, fourVoters.voters);
+        assertFalse(changes.mayGo(2, fourVoters, LONG_AGO_MICROS, NOW_MICROS));
+        var withoutStoppingStore = next(fourVoters);
+        assertArrayEquals(new long[] {1, 3, 4}, withoutStoppingStore.voters);
+        assertTrue(changes.mayGo(2, withoutStoppingStore, LONG_AGO_MICROS, NOW_MICROS));
+        assertEquals(null, next(withoutStoppingStore));
     }
 
     @Test
-    void withoutASuccessorAStoreGoesOnceTheOthersHoldAll() {
-        changes.leaves(2, SOON);
-        stores.behind.add(3L);
-        assertFalse(changes.mayGo(2, three, LONG_AGO, NOW));
-        stores.behind.clear();
-        assertTrue(changes.mayGo(2, three, LONG_AGO, NOW));
-        assertFalse(changes.mayGo(2, three, NOW, NOW));
+    void withoutAReplacementAStoreMayLeaveOnceTheOthersHoldAllEntries() {
+        changes.leaves(2, SOON_MICROS);
+        stores.lagging.add(3L);
+        assertFalse(changes.mayGo(2, threeVoters, LONG_AGO_MICROS, NOW_MICROS));
+        stores.lagging.clear();
+        assertTrue(changes.mayGo(2, threeVoters, LONG_AGO_MICROS, NOW_MICROS));
+        assertFalse(changes.mayGo(2, threeVoters, NOW_MICROS, NOW_MICROS));
     }
 
     @Test
-    void whatWasSaidIsForgottenUnlessItIsSaidAgain() {
-        changes.leaves(2, NOW - 1);
-        changes.wants(4, "b", NOW - 1);
-        assertEquals(null, next(three));
+    void requestsExpireUnlessTheyAreRepeated() {
+        changes.leaves(2, NOW_MICROS - 1);
+        changes.wants(4, "b", NOW_MICROS - 1);
+        assertEquals(null, next(threeVoters));
         assertFalse(changes.leaving(2));
     }
 
     @Test
-    void noStoreThatStopsIsMadeLeader() {
-        assertEquals(2, changes.preferredLeader(three, 1));
-        changes.leaves(2, SOON);
-        assertEquals(3, changes.preferredLeader(three, 1));
-        assertFalse(changes.mayLead(2, three, NOW));
-        assertTrue(changes.mayLead(3, three, NOW));
-        assertEquals(3, changes.heir(three, NOW));
-        changes.leaves(3, SOON);
-        assertEquals(0, changes.heir(three, NOW));
+    void aStoppingStoreIsNeverMadeLeader() {
+        assertEquals(2, changes.preferredLeader(threeVoters, 1));
+        changes.leaves(2, SOON_MICROS);
+        assertEquals(3, changes.preferredLeader(threeVoters, 1));
+        assertFalse(changes.mayLead(2, threeVoters, NOW_MICROS));
+        assertTrue(changes.mayLead(3, threeVoters, NOW_MICROS));
+        assertEquals(3, changes.heir(threeVoters, NOW_MICROS));
+        changes.leaves(3, SOON_MICROS);
+        assertEquals(0, changes.heir(threeVoters, NOW_MICROS));
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/QuorumTest.java
+++ b/lib/control/src/test/java/craneway/control/store/QuorumTest.java
@@ -7,31 +7,33 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Checks how the spread of voters over regions and zones is compared. */
 class QuorumTest {
-    private final Quorum five = Quorum.of(2, Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b", "c1", "c", "c2", "c"));
+    private final Quorum fiveVoters =
+            Quorum.of(2, Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b", "c1", "c", "c2", "c"));
 
     @Test
-    void twoLossesWantFiveVoters() {
-        assertEquals(5, five.voters());
+    void toleratingTwoLossesTakesFiveVoters() {
+        assertEquals(5, fiveVoters.voters());
     }
 
     @Test
-    void regionsCountBeforeZones() {
-        assertTrue(five.unevenness(List.of("a1", "b1", "c1", "a1", "b1"))
-                < five.unevenness(List.of("a1", "a2", "b1", "b2", "a1")));
-        assertTrue(five.unevenness(List.of("a1", "a2", "b1", "b2", "c1"))
-                < five.unevenness(List.of("a1", "a1", "b1", "b2", "c1")));
+    void spreadOverRegionsCountsBeforeSpreadOverZones() {
+        assertTrue(fiveVoters.unevenness(List.of("a1", "b1", "c1", "a1", "b1"))
+                < fiveVoters.unevenness(List.of("a1", "a2", "b1", "b2", "a1")));
+        assertTrue(fiveVoters.unevenness(List.of("a1", "a2", "b1", "b2", "c1"))
+                < fiveVoters.unevenness(List.of("a1", "a1", "b1", "b2", "c1")));
     }
 
     @Test
-    void aSwapIntoAFullRegionIsWorse() {
+    void aSwapIntoACrowdedRegionIncreasesUnevenness() {
         var zones = new String[] {"a1", "a2", "b1", "b2", "c1"};
-        assertTrue(five.unevennessAfterSwap(zones, 0, "b1") > five.unevenness(List.of(zones)));
-        assertEquals(five.unevenness(List.of(zones)), five.unevennessAfterSwap(zones, 0, "c2"));
+        assertTrue(fiveVoters.unevennessAfterSwap(zones, 0, "b1") > fiveVoters.unevenness(List.of(zones)));
+        assertEquals(fiveVoters.unevenness(List.of(zones)), fiveVoters.unevennessAfterSwap(zones, 0, "c2"));
     }
 
     @Test
-    void withoutRegionsEachZoneIsItsOwn() {
+    void withoutRegionsEachZoneCountsAsARegion() {
         assertTrue(Quorum.THREE.unevenness(List.of("x", "y", "z")) < Quorum.THREE.unevenness(List.of("x", "x", "z")));
     }
 }
