--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -57,7 +57,7 @@
     private volatile Node self;
     private volatile Founding founding;
     private volatile Founding newer;
-    private volatile long foundersDigest;
+    private volatile long emptyStoresDigest;
     private volatile long nextGreetingAt;
     private int greetingRound;
 
@@ -98,7 +98,7 @@
 
     /** Sets the digest of the empty stores that this store sees; greetings carry it until a core is founded. */
     public void seen(long digest) {
-        foundersDigest = digest;
+        emptyStoresDigest = digest;
     }
 
     /** The record of the core that this process belongs to or has heard of; null if there is none. */
@@ -276,7 +276,7 @@
         var hello = new Hello();
         hello.from = self;
         hello.wantsReply = wantsReply;
-        hello.seen = foundersDigest;
+        hello.seen = emptyStoresDigest;
         hello.lowTraffic = true;
         if (recipient == null || recipient.node.coreId != self.coreId) hello.founding = founding;
         if (recipient != null) hello.have = recipient.listDigest;
@@ -324,7 +324,7 @@
         var hello = new Hello();
         hello.from = self;
         hello.wantsReply = wantsReply;
-        hello.seen = foundersDigest;
+        hello.seen = emptyStoresDigest;
         hello.founding = founding;
         for (var entry : knownByName.values()) if (now - entry.heard < STALE) hello.known.add(entry.node);
         return hello;
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -108,7 +108,7 @@
     private final Mover unitMover = new Mover();
     private final Watcher stepWatcher = new Watcher();
     private final Pressure pressureRelief = new Pressure();
-    private final Signals cellSignals = new Signals();
+    private final Signals signalHistory = new Signals();
     private final LoadHistory loadHistory = new LoadHistory();
     private final CommandFence commandFence = new CommandFence();
     private final ReentrantLock lock = new ReentrantLock();
@@ -305,7 +305,7 @@
         unitMover.reset();
         stepWatcher.reset();
         pressureRelief.reset(port.now());
-        cellSignals.clear();
+        signalHistory.clear();
         loadHistory.clear();
         leaderSince = lastAgedAt = nextMemberScanAt = nextRunnerScanAt = port.now();
         if (leads) return;
@@ -697,7 +697,7 @@
     private void grantRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
         memberLeases.recordRenewal(renewal, now);
         for (var signal : renewal.signals)
-            cellSignals.add(signal.service, signal.cell, signal.runs, signal.problems, signal.firstMicros, now);
+            signalHistory.add(signal.service, signal.cell, signal.runs, signal.problems, signal.firstMicros, now);
         var reply = newRenewReply(renewal, 0);
         reply.leader = directory.self();
         reply.grace = renewal.from.grace;
@@ -959,7 +959,7 @@
      */
     private Object nextStepCommand(Rows.Service service, Membership.View view, long now) {
         var openCells = unitMover.open(service, view.topic().marks, now);
-        var stepMark = stepWatcher.judge(service, cellSignals, openCells, now);
+        var stepMark = stepWatcher.judge(service, signalHistory, openCells, now);
         if (stepMark != null) return stepMark;
         var step = unitMover.step(
                 service,
