--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -192,13 +192,13 @@
     }
 
     /** Records the leader that a store named, and resends at once if that is news. */
-    private void redirect(PendingRequest pending, Node hint) {
+    private void redirect(PendingRequest pending, Node namedLeader) {
         var previous = leaderByPart.get(pending.part);
-        leader(pending.part, hint);
-        if (hint != null
+        leader(pending.part, namedLeader);
+        if (namedLeader != null
                 && (previous == null
-                        || !previous.name.equals(hint.name)
-                        || !previous.peerAddress.equals(hint.peerAddress))) send(pending);
+                        || !previous.name.equals(namedLeader.name)
+                        || !previous.peerAddress.equals(namedLeader.peerAddress))) send(pending);
         else pending.nextSendAt = Math.min(pending.nextSendAt, port.now() + RETRY_DELAY_MICROS / 4);
     }
 
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -101,12 +101,17 @@
         emptyStoresDigest = digest;
     }
 
-    /** The record of the core that this process belongs to or has heard of; null if there is none. */
+    /**
+     * The record of the core that this process belongs to or has been told about by a greeting; null if there is
+     * none.
+     */
     public Founding founding() {
         return founding;
     }
 
-    /** A newer generation of this core that was heard of, which this process has to follow; null if there is none. */
+    /**
+     * A newer generation of this core, known from a greeting, that this process has to follow; null if there is none.
+     */
     public Founding newer() {
         return newer;
     }
@@ -187,7 +192,7 @@
         lostDiskStores.remove(newNode.storeId);
     }
 
-    /** Takes in a node that was heard of from another one; null is ignored. */
+    /** Records a node that another node reported, or that sent a greeting; null is ignored. */
     public void learn(Node node, long now) {
         if (node == null) return;
         if (node.name.equals(self.name)) {
@@ -204,6 +209,7 @@
         nextGreetingAt = 0;
     }
 
+    /** Replaces the node of an entry, and remembers the old one if its store id differs. */
     private void replaceNode(Known entry, Node node) {
         if (entry.node != null && entry.node.storeId != node.storeId) entry.earlierNode = entry.node;
         entry.node = node;
@@ -305,6 +311,7 @@
         return reply;
     }
 
+    /** Makes a router part of the core of a node that greeted it. */
     private synchronized void joinCore(long coreId) {
         self.coreId = coreId;
     }
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -45,13 +45,13 @@
             Directory directory,
             CoreClient coreClient,
             TimingProfile timing,
-            PartLease[] leases,
+            PartLease[] partLeases,
             TopicTable topics) {
         this.port = port;
         this.directory = directory;
         this.coreClient = coreClient;
         this.timing = timing;
-        this.partLeases = leases;
+        this.partLeases = partLeases;
         this.topics = topics;
     }
 
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -18,8 +18,8 @@
 /**
  * Moves units to their wanted homes step by step, on the leader of a part. A step moves a few units to one cell. It
  * is first asked for in the log, and raised (put in force) once the store in the zone of the new home holds that
- * entry; {@link Watcher} then watches it. Units without a home, or that lose theirs, are changed at once by a plain
- * table step.
+ * entry; {@link Watcher} then watches it. Plain table steps, which are neither confirmed nor watched, give units
+ * without a home their first one, and take the home from units that no cell may serve.
  */
 public final class Mover {
     /** A cell without units counts as healthy once it has had a running runner for this many microseconds. */
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -40,7 +40,7 @@
     /** A request to join from a zone, valid until a time. */
     private record JoinRequest(String zone, long validUntil) {}
 
-    private final long self;
+    private final long selfId;
     private final Quorum quorum;
     private final TimingProfile timing;
     private final Knowledge storeStatus;
@@ -48,8 +48,8 @@
     private final Map<Long, Long> leavingUntilByStore = new TreeMap<>();
 
     /** Creates the changes for a leader with this store id. */
-    public MembershipChanges(long self, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
-        this.self = self;
+    public MembershipChanges(long selfId, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
+        this.selfId = selfId;
         this.quorum = quorum;
         this.timing = timing;
         this.storeStatus = knowledge;
@@ -97,7 +97,7 @@
     /** A member other than this leader whose disk is lost; 0 if there is none. */
     private long memberWithLostDisk(Members members) {
         if (members.learner != 0 && storeStatus.diskLost(members.learner)) return members.learner;
-        for (var voter : members.voters) if (voter != self && storeStatus.diskLost(voter)) return voter;
+        for (var voter : members.voters) if (voter != selfId && storeStatus.diskLost(voter)) return voter;
         return 0;
     }
 
@@ -122,14 +122,14 @@
     }
 
     private boolean isSilent(long store, long now) {
-        return store != self && now - storeStatus.heardFrom(store) >= timing.replace();
+        return store != selfId && now - storeStatus.heardFrom(store) >= timing.replace();
     }
 
     /** Removes the voter that the group can best do without. */
     private Optional<Members> removeSurplusVoter(Members members, long now) {
         var candidate = -1;
         for (var i = 0; i < members.voters.length; i++) {
-            if (members.voters[i] == self) continue;
+            if (members.voters[i] == selfId) continue;
             if (candidate < 0 || removalRank(members, i, now) < removalRank(members, candidate, now)) candidate = i;
         }
         return candidate < 0 ? Optional.empty() : Optional.of(members.without(members.voters[candidate]));
@@ -163,7 +163,7 @@
     private boolean improvesSpread(Members members, String zone, long now) {
         var unevennessNow = quorum.unevenness(Arrays.asList(members.zones));
         for (var i = 0; i < members.voters.length; i++) {
-            if (members.voters[i] == self) continue;
+            if (members.voters[i] == selfId) continue;
             var unevennessAfter = quorum.unevennessAfterSwap(members.zones, i, zone);
             var isGoingAway = isSilent(members.voters[i], now) || leaving(members.voters[i]);
             if (unevennessAfter < unevennessNow || unevennessAfter <= unevennessNow && isGoingAway) return true;
@@ -182,7 +182,7 @@
                 || admitLearner(members, now).isPresent();
         if (changing || now - leadingSince < JOIN_REQUESTS_COMPLETE_AFTER_MICROS) return false;
         return Arrays.stream(members.voters)
-                .allMatch(voter -> voter == store || voter == self || leaving(voter) || storeStatus.level(voter));
+                .allMatch(voter -> voter == store || voter == selfId || leaving(voter) || storeStatus.level(voter));
     }
 
     /**
@@ -199,7 +199,7 @@
 
     /** Whether the group is complete and leadership may be transferred to this voter now. */
     public boolean mayLead(long store, Members members, long now) {
-        if (store == 0 || store == self || leaving(store) || !members.isVoter(store)) return false;
+        if (store == 0 || store == selfId || leaving(store) || !members.isVoter(store)) return false;
         return members.voters.length == quorum.voters()
                 && members.learner == 0
                 && wasHeardRecently(store, now)
@@ -212,7 +212,7 @@
      */
     public long heir(Members members, long now) {
         var reachable = Arrays.stream(members.voters)
-                .filter(voter -> voter != self && wasHeardRecently(voter, now))
+                .filter(voter -> voter != selfId && wasHeardRecently(voter, now))
                 .toArray();
         return Arrays.stream(reachable)
                 .filter(voter -> !leaving(voter) && storeStatus.caughtUp(voter))
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -145,7 +145,7 @@
      */
     public PartReplica(
             int part,
-            long self,
+            long selfId,
             Folder folder,
             Members initialMembers,
             Port port,
@@ -163,7 +163,7 @@
         this.membership = membership;
         this.group = new Group(
                 part,
-                self,
+                selfId,
                 directory.founding().origin(),
                 folder,
                 initialMembers,
@@ -172,7 +172,7 @@
                 this,
                 timing,
                 port.now());
-        membershipChanges = new MembershipChanges(self, quorum, timing, new GroupStoreStatus());
+        membershipChanges = new MembershipChanges(selfId, quorum, timing, new GroupStoreStatus());
     }
 
     /**
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -24,12 +24,12 @@
     private int outstandingReplies;
     private boolean timedOut;
 
-    RenewReplyBatch(Port port, Node self, Renewals asked) {
+    RenewReplyBatch(Port port, Node self, Renewals request) {
         this.port = port;
         this.self = self;
-        this.request = asked;
+        this.request = request;
         receivedAt = port.now();
-        outstandingReplies = asked.parts.size();
+        outstandingReplies = request.parts.size();
     }
 
     /**
