--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -1,7 +1,7 @@
 package craneway.control.node;
 
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandRequest;
@@ -161,7 +161,7 @@
      */
     public void receive(CommandResult result) {
         if (result.life != 0 && result.life != life) {
-            port.note(Event.STALE_VERDICT, "life " + Long.toHexString(result.life) + " request " + result.id);
+            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(result.life) + " request " + result.id);
             return;
         }
         PendingRequest pending;
@@ -173,15 +173,15 @@
                         pending.part,
                         new LeaderClock(result.term, result.clock, port.now()),
                         LeaderClock::moreAccurate);
-            if (result.kind == Kind.NOT_OWNER.code() || result.kind == Kind.UNCERTAIN.code()) {
+            if (result.kind == ProblemKind.NOT_OWNER.code() || result.kind == ProblemKind.UNCERTAIN.code()) {
                 redirect(pending, result.leader);
                 return;
             }
-            if (result.kind == Kind.LATE_COMMAND.code() || result.kind == Kind.UNKNOWN_LIFE.code()) {
+            if (result.kind == ProblemKind.LATE_COMMAND.code() || result.kind == ProblemKind.UNKNOWN_LIFE.code()) {
                 resendRebound(pending);
                 return;
             }
-            if (pending.clockOnly && result.kind == Kind.BAD_MESSAGE.code()) {
+            if (pending.clockOnly && result.kind == ProblemKind.BAD_MESSAGE.code()) {
                 pending.sendUnbound = true;
                 send(pending);
                 return;
@@ -233,7 +233,7 @@
         for (var pending : expired)
             pending.onResult.accept(
                     pending.sent
-                            ? Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())
-                            : Records.failure(Kind.NO_OWNER, "no store is known"));
+                            ? Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())
+                            : Records.failure(ProblemKind.NO_OWNER, "no store is known"));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -236,7 +236,7 @@
 
     /** Greets all seeds and stores, and all known nodes until this process belongs to a core. */
     private void greet(long now) {
-        nextGreetingAt = now + timing.hello();
+        nextGreetingAt = now + timing.helloInterval();
         var addresses = new LinkedHashSet<>(seeds);
         for (var entry : knownByName.values())
             if (self.coreId == 0 || entry.node.kind.equals(Node.STORE)) addresses.add(entry.node.peerAddress);
@@ -254,7 +254,7 @@
                 .filter(entry -> entry.node.kind.equals(Node.STORE))
                 .toList();
         var isDisconnected = self.coreId == 0 || stores.stream().noneMatch(entry -> now - entry.heard < STALE);
-        nextGreetingAt = now + (isDisconnected ? Math.min(SEARCH_INTERVAL_MICROS, timing.hello()) : timing.hello());
+        nextGreetingAt = now + (isDisconnected ? Math.min(SEARCH_INTERVAL_MICROS, timing.helloInterval()) : timing.helloInterval());
         var addresses = new LinkedHashSet<String>();
         if (isDisconnected) addresses.addAll(seeds);
         else if (!seeds.isEmpty() && !self.isRouter())
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -82,7 +82,7 @@
         if (lease.unansweredRenewals >= MAX_UNANSWERED_RENEWALS) coreClient.leader(part, null);
         var leader = coreClient.leader(part);
         var stores = leader == null ? directory.stores() : List.of(leader);
-        lease.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(lease, part) : timing.renew());
+        lease.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(lease, part) : timing.leaseRenewalInterval());
         if (stores.isEmpty()) return;
         lease.unansweredRenewals++;
         var renewal = renewalFor(part, lease);
@@ -168,6 +168,6 @@
      * name, so that those of all parts go out together.
      */
     long delayToNextRenewal(long now) {
-        return timing.renew() - Math.floorMod(now - Hash.of(directory.self().name), timing.renew());
+        return timing.leaseRenewalInterval() - Math.floorMod(now - Hash.of(directory.self().name), timing.leaseRenewalInterval());
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -2,7 +2,7 @@
 
 import craneway.model.event.Event;
 import craneway.model.manifest.Manifest;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Messages.News;
@@ -159,7 +159,7 @@
     public boolean usable(long now) {
         var currentView = view;
         return currentView.manifest() != null
-                && now < currentView.leaseEnd(Parts.MANIFEST) + Math.max(LEASE, currentView.grace());
+                && now < currentView.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE, currentView.grace());
     }
 
     /** Gives up all leases and tells the leaders. */
@@ -182,7 +182,7 @@
             var lease = partLeases[part];
             if (lease.held && now >= lease.validUntil) {
                 lease.held = false;
-                port.note(Event.LEASE_LAPSED, "part " + part);
+                port.logEvent(Event.LEASE_LAPSED, "part " + part);
             }
         }
         sendDueRenewals(now);
@@ -214,12 +214,12 @@
     public synchronized void receive(RenewReply reply, long now) {
         if (reply.part < 0 || reply.part >= partLeases.length) return;
         var lease = partLeases[reply.part];
-        if (reply.kind == Kind.NOT_OWNER.code()) {
+        if (reply.kind == ProblemKind.NOT_OWNER.code()) {
             handleNotLeader(reply, lease, now);
             return;
         }
         lease.unansweredRenewals = 0;
-        if (reply.kind == Kind.STALE_MEMBER.code()) {
+        if (reply.kind == ProblemKind.STALE_MEMBER.code()) {
             if (!isLeaving && lifeClaim.handleRefusal(reply)) for (var other : partLeases) other.nextRenewalAt = now;
             return;
         }
@@ -265,7 +265,7 @@
         if (!lease.held && now < lease.offeredUntil) {
             lease.held = true;
             lease.heldSince = now;
-            port.note(Event.LEASE_TAKEN, "part " + part);
+            port.logEvent(Event.LEASE_ACQUIRED, "part " + part);
         }
         lease.acceptOffer();
         publishView();
@@ -281,8 +281,8 @@
         if (!topics.accept(news)) return;
         if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
         publishView();
-        partLeases[Parts.of(news.topic)].nextRenewalAt = now;
-        acceptOffer(Parts.of(news.topic), now);
+        partLeases[Parts.partOf(news.topic)].nextRenewalAt = now;
+        acceptOffer(Parts.partOf(news.topic), now);
         if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
         topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
     }
@@ -299,7 +299,7 @@
         var heldSince = new long[partLeases.length];
         var members = new ArrayList<List<Node>>();
         var manifest = topics.manifest();
-        var grace = manifest == null ? 0 : manifest.lapsedGrace();
+        var grace = manifest == null ? 0 : manifest.lapsedLeaseGrace();
         for (var part = 0; part < leaseEnds.length; part++) {
             leaseEnds[part] = partLeases[part].validUntil;
             heldSince[part] = partLeases[part].heldSince;
--- a/lib/control/src/main/java/craneway/control/node/Port.java
+++ b/lib/control/src/main/java/craneway/control/node/Port.java
@@ -1,12 +1,12 @@
 package craneway.control.node;
 
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 
 /**
  * The clock, the network and the log of one process, as far as the control plane needs them. Implementations are safe
  * for several threads.
  */
-public interface Port extends Log {
+public interface Port extends EventSink {
     /** The monotonic clock of the process, in microseconds; its origin is arbitrary. */
     long now();
 
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -4,7 +4,7 @@
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
 import craneway.model.unit.Parts;
-import craneway.model.unit.Rendezvous;
+import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.News;
@@ -106,13 +106,13 @@
     /** Whether some topic of a part has never been received. */
     boolean hasUnknownTopic(int part) {
         return topics.entrySet().stream()
-                .anyMatch(entry -> Parts.of(entry.getKey()) == part && entry.getValue().version == 0);
+                .anyMatch(entry -> Parts.partOf(entry.getKey()) == part && entry.getValue().version == 0);
     }
 
     /** Passes the name and version of each topic of a part to the consumer. */
     void forEachVersion(int part, ObjLongConsumer<String> consumer) {
         topics.forEach((name, topic) -> {
-            if (Parts.of(name) == part) consumer.accept(name, topic.version);
+            if (Parts.partOf(name) == part) consumer.accept(name, topic.version);
         });
     }
 
@@ -121,7 +121,7 @@
      */
     boolean isTooFarBehind(int part, boolean isHeld, long now) {
         return topics.entrySet().stream()
-                .filter(entry -> Parts.of(entry.getKey()) == part)
+                .filter(entry -> Parts.partOf(entry.getKey()) == part)
                 .map(Map.Entry::getValue)
                 .anyMatch(topic -> topic.behindSince != 0 && (!isHeld || now - topic.behindSince > MAX_BEHIND_MICROS));
     }
@@ -150,10 +150,10 @@
                 && now - topic.lastPullAt > PULL_FROM_LEADER_AFTER_MICROS;
         if (now < topic.nextSubscribeAt && !isOverdue || timing.lowTraffic() && topic.version == 0) return;
         var source = isOverdue ? null : subscriptionSource(name);
-        if (source == null || source.name.equals(directory.self().name)) source = coreClient.leader(Parts.of(name));
+        if (source == null || source.name.equals(directory.self().name)) source = coreClient.leader(Parts.partOf(name));
         if (isOverdue) topic.lastPullAt = now;
         if (source == null) return;
-        topic.nextSubscribeAt = now + timing.subscribe();
+        topic.nextSubscribeAt = now + timing.subscriptionRenewalInterval();
         var request = new Subscribe();
         request.from = directory.self();
         request.topic = name;
@@ -169,10 +169,10 @@
         if (!directory.self().isRouter()) return null;
         var candidates = new TreeMap<String, Node>();
         candidates.put(directory.self().name, directory.self());
-        for (var member : membersOfPart.apply(Parts.of(topic)))
+        for (var member : membersOfPart.apply(Parts.partOf(topic)))
             if (member.isRouter() && member.serving && member.zone.equals(directory.self().zone))
                 candidates.put(member.name, member);
-        return candidates.get(Rendezvous.pick(topic, candidates.keySet()));
+        return candidates.get(RendezvousHash.pick(topic, candidates.keySet()));
     }
 
     /** Adds a subscriber and sends it the topic if it has an older version. */
@@ -227,10 +227,10 @@
     private void acceptManifest(Rows.Manifest row) {
         manifestTopic = row;
         if (row.text.isEmpty()) return;
-        manifest = ManifestReader.readChecked(row.text)
+        manifest = ManifestReader.readValidated(row.text)
                 .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
-        directory.grace(manifest.lapsedGrace());
-        port.note(Event.MANIFEST_TAKEN, "version " + row.version + " marks " + row.marks);
+        directory.grace(manifest.lapsedLeaseGrace());
+        port.logEvent(Event.MANIFEST_APPLIED, "version " + row.version + " marks " + row.marks);
         for (var service : manifest.services().keySet()) topics.computeIfAbsent(service, name -> new Topic());
         topics.keySet()
                 .removeIf(name -> !name.equals(Parts.MANIFEST_TOPIC)
@@ -243,6 +243,6 @@
         var previous = services.put(service.name, service);
         servicesSnapshot = null;
         if (previous == null || previous.tableVersion != service.tableVersion)
-            port.note(Event.TABLE_TAKEN, service.name + " version " + service.tableVersion);
+            port.logEvent(Event.TABLE_APPLIED, service.name + " version " + service.tableVersion);
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intents.java
@@ -5,9 +5,9 @@
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.MarkKey;
 import craneway.state.message.Plan;
@@ -30,7 +30,7 @@
 
     /** The plan for an intent, from the manifest row and the status of all parts. */
     public static Either<Problem, Plan> plan(Intent intent, Rows.Manifest manifestRow, List<PartStatus> statuses) {
-        if (manifestRow.text.isEmpty()) return problem(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
+        if (manifestRow.text.isEmpty()) return problem(ProblemKind.NO_MANIFEST, ProblemKind.NO_MANIFEST.text());
         var manifest = ManifestReader.read(manifestRow.text)
                 .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
         return marksFor(intent, manifest, manifestRow)
@@ -152,7 +152,7 @@
             Rows.Service service, Manifest manifest, Map<String, String> marks, BitSet openCells) {
         for (var regionSet : regionSetsInUse(service, manifest, marks)) {
             var hasOpenCell = openCells.stream()
-                    .anyMatch(cell -> Units.allows(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
+                    .anyMatch(cell -> Units.containsRegion(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
             if (!hasOpenCell)
                 return "service " + service.name
                         + ": no open cell with a running runner would be left for tenants with the home regions "
@@ -184,14 +184,14 @@
     private static List<String> regionNames(Rows.Service service, int regionSet) {
         var names = new ArrayList<String>();
         for (var region = 0; region < service.regions.size(); region++)
-            if (Units.allows(regionSet, region)) names.add(service.regions.get(region));
+            if (Units.containsRegion(regionSet, region)) names.add(service.regions.get(region));
         return names;
     }
 
     /** Adds the moves of a service to the plan, by old and new home. */
     private static void addSteps(Plan plan, Rows.Service service, Manifest.Service manifestService, int[] wantedHomes) {
         var moves = new TreeMap<String, Integer>();
-        for (var unit = Units.SLICES; unit < wantedHomes.length; unit++)
+        for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++)
             if (wantedHomes[unit] != service.homes[unit])
                 moves.merge(
                         cellName(service, service.homes[unit]) + " to " + cellName(service, wantedHomes[unit]),
@@ -199,13 +199,13 @@
                         Integer::sum);
         moves.forEach((route, count) -> plan.steps.add(
                 (plan.steps.size() + 1) + ". service " + service.name + ": " + count + " units from " + route
-                        + " in steps of " + manifestService.stepUnits() + " ("
-                        + (count + manifestService.stepUnits() - 1) / manifestService.stepUnits()
+                        + " in steps of " + manifestService.unitsPerStep() + " ("
+                        + (count + manifestService.unitsPerStep() - 1) / manifestService.unitsPerStep()
                         + " steps, table from version " + service.tableVersion + ")"));
     }
 
     private static String cellName(Rows.Service service, int cell) {
-        return cell == Table.NOWHERE ? "nowhere" : service.cells.get(cell);
+        return cell == PlacementTable.NOWHERE ? "nowhere" : service.cells.get(cell);
     }
 
     /**
@@ -228,7 +228,7 @@
             var thisCell = new BitSet();
             thisCell.set(cell);
             var units = 0;
-            for (var unit = Units.SLICES; unit < wantedHomes.length; unit++) if (wantedHomes[unit] == cell) units++;
+            for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) if (wantedHomes[unit] == cell) units++;
             plan.loads.add(service.name + "/" + service.cells.get(cell) + ": " + units + " units, "
                     + (openCells.get(cell) ? slotCount(service, thisCell) : 0) + " slots");
         }
@@ -251,10 +251,10 @@
     }
 
     private static <T> Either<Problem, T> badIntent(String detail) {
-        return problem(Kind.BAD_INTENT, detail);
+        return problem(ProblemKind.BAD_INTENT, detail);
     }
 
-    private static <T> Either<Problem, T> problem(Kind kind, String detail) {
+    private static <T> Either<Problem, T> problem(ProblemKind kind, String detail) {
         return Either.left(Problem.of(kind, detail));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/Operator.java
@@ -4,7 +4,7 @@
 import craneway.control.node.Port;
 import craneway.control.store.PartStatus;
 import craneway.control.store.RolloutStatus;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
@@ -86,7 +86,7 @@
         var query = new Queries.RolloutGet();
         query.version = watch.topicVersion;
         query.zone = watch.zone;
-        coreClient.ask(Parts.MANIFEST, query, REQUEST_TIMEOUT_MICROS, result -> {
+        coreClient.ask(Parts.MANIFEST_PART, query, REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind != 0) return;
             watch.lastStatus = Codec.read(RolloutStatus.class, result.body);
             if (watch.doneWhen.test(watch.lastStatus)) finish(watch);
@@ -114,13 +114,13 @@
     }
 
     private static Problem toProblem(CommandResult result) {
-        return new Problem(Kind.of(result.kind), result.detail, result.retryAfter);
+        return new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter);
     }
 
     /** Reads the current manifest and marks from their leader. */
     public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
                 result -> onResult.accept(
@@ -134,7 +134,7 @@
         var command = new Commands.ManifestPut();
         command.base = baseVersion;
         command.text = text;
-        coreClient.ask(Parts.MANIFEST, command, REQUEST_TIMEOUT_MICROS, result -> {
+        coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
             else
                 awaitRollout(
@@ -152,7 +152,7 @@
             if (manifest.isLeft()) onResult.accept(Either.left(manifest.getLeft()));
             else if (manifest.get().version < version)
                 onResult.accept(Either.left(Problem.of(
-                        Kind.BAD_OPERATOR_INPUT,
+                        ProblemKind.BAD_OPERATOR_INPUT,
                         "manifest " + version + " does not exist; the current one is " + manifest.get().version)));
             else
                 awaitRollout(
@@ -192,10 +192,10 @@
         status(parts -> {
             if (parts.size() < Parts.COUNT) {
                 onResult.accept(Either.left(Problem.of(
-                        Kind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
                 return;
             }
-            var plan = Intents.plan(intent, parts.get(Parts.MANIFEST).manifest, parts);
+            var plan = Intents.plan(intent, parts.get(Parts.MANIFEST_PART).manifest, parts);
             if (plan.isLeft()) onResult.accept(plan);
             else putPlan(plan.get(), onResult);
         });
@@ -206,8 +206,8 @@
         status(parts -> {
             if (parts.size() < Parts.COUNT)
                 onResult.accept(Either.left(Problem.of(
-                        Kind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
-            else onResult.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST).manifest, parts)));
+                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+            else onResult.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
         });
     }
 
@@ -215,7 +215,7 @@
     private void putPlan(Plan plan, Consumer<Either<Problem, Plan>> onResult) {
         var command = new Commands.PlanPut();
         command.plan = plan;
-        coreClient.ask(Parts.MANIFEST, command, REQUEST_TIMEOUT_MICROS, result -> {
+        coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
             plan.id = result.version;
             onResult.accept(result.kind == 0 ? Either.right(plan) : Either.left(toProblem(result)));
         });
@@ -226,7 +226,7 @@
         var query = new Queries.PlanGet();
         query.plan = planId;
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 query,
                 REQUEST_TIMEOUT_MICROS,
                 result -> onResult.accept(
@@ -244,7 +244,7 @@
             }
             var command = new Commands.PlanConfirm();
             command.plan = planId;
-            coreClient.ask(Parts.MANIFEST, command, REQUEST_TIMEOUT_MICROS, result -> {
+            coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
                 if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
                 else
                     awaitRollout(
@@ -263,7 +263,7 @@
             if (found.isLeft()) onResult.accept(Either.left(found.getLeft()));
             else if (found.get().state != Plan.CONFIRMED)
                 onResult.accept(Either.left(Problem.of(
-                        Kind.STALE_PLAN, "plan " + planId + " is " + found.get().stateName())));
+                        ProblemKind.STALE_PLAN, "plan " + planId + " is " + found.get().stateName())));
             else
                 awaitRollout(
                         found.get().confirmedTopic,
@@ -309,7 +309,7 @@
         command.plan = planId;
         command.cause = "stopped by an operator";
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 command,
                 REQUEST_TIMEOUT_MICROS,
                 result -> onResult.accept(result.kind == 0 ? Either.right(planId) : Either.left(toProblem(result))));
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -1,7 +1,7 @@
 package craneway.control.operator;
 
 import craneway.control.node.CoreClient;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
@@ -35,7 +35,7 @@
     /** Reads the current manifest and marks from their leader. */
     public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
                 result ->
@@ -61,7 +61,7 @@
         command.number = number;
         command.text = text;
         command.source = source;
-        submitChange(Parts.MANIFEST, command, callerWaitingSince, onResult);
+        submitChange(Parts.MANIFEST_PART, command, callerWaitingSince, onResult);
     }
 
     /** Marks a zone as emptied, or takes the mark back. */
@@ -69,7 +69,7 @@
         var command = new Commands.ZoneMark();
         command.zone = zone;
         command.emptied = emptied;
-        submitChange(Parts.MANIFEST, command, callerWaitingSince, onResult);
+        submitChange(Parts.MANIFEST_PART, command, callerWaitingSince, onResult);
     }
 
     /**
@@ -77,12 +77,12 @@
      * known, is reported as a success.
      */
     public void beat(Commands.RunnerPut command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
-        coreClient.askUntil(Parts.of(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
-            if (result.kind == Kind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
+        coreClient.askUntil(Parts.partOf(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind == ProblemKind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
             else if (result.kind == 0) onResult.accept(toResult(result));
             else
                 onResult.accept(Either.left(
-                        Problem.of(Kind.NO_OWNER, Kind.of(result.kind).text() + ": " + result.detail)));
+                        Problem.of(ProblemKind.NO_OWNER, ProblemKind.of(result.kind).text() + ": " + result.detail)));
         });
     }
 
@@ -94,7 +94,7 @@
         var outstanding = new AtomicInteger(Parts.COUNT - 1);
         var failure = new AtomicReference<Problem>();
         for (var part = 0; part < Parts.COUNT; part++) {
-            if (part == Parts.MANIFEST) continue;
+            if (part == Parts.MANIFEST_PART) continue;
             var command = new Commands.RunnerLeft();
             command.runner = runner;
             coreClient.askUntil(part, command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
@@ -117,6 +117,6 @@
     private static Either<Problem, Void> toResult(CommandResult result) {
         return result.kind == 0
                 ? Either.right(null)
-                : Either.left(new Problem(Kind.of(result.kind), result.detail, result.retryAfter));
+                : Either.left(new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -1,7 +1,7 @@
 package craneway.control.plan;
 
 import craneway.model.manifest.Manifest;
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Commands.StepAsk;
 import craneway.state.message.Commands.StepMark;
@@ -69,10 +69,10 @@
             if (step.state == Rows.Step.ASKED) return resolveAskedStep(service, step, wantedHomes, storeReady, now);
         var units = new ArrayList<Integer>();
         var allUnassigned = true;
-        for (var unit = Units.SLICES; unit < wantedHomes.length; unit++) {
+        for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) {
             if (wantedHomes[unit] == service.homes[unit]) continue;
             units.add(unit);
-            allUnassigned &= service.homes[unit] == Table.NOWHERE;
+            allUnassigned &= service.homes[unit] == PlacementTable.NOWHERE;
         }
         if (units.isEmpty()) return null;
         if (allUnassigned) return newTableStep(service, units, wantedHomes);
@@ -80,10 +80,10 @@
             return null;
         var batch = units.stream()
                 .filter(unit -> wantedHomes[unit] == wantedHomes[units.get(0)])
-                .limit(manifestService.stepUnits())
+                .limit(manifestService.unitsPerStep())
                 .toList();
         nextStepAtByService.put(service.name, now + stepPause(service, wantedHomes[batch.get(0)], manifestService));
-        return wantedHomes[batch.get(0)] == Table.NOWHERE
+        return wantedHomes[batch.get(0)] == PlacementTable.NOWHERE
                 ? newTableStep(service, batch, wantedHomes)
                 : newStepAsk(service, batch, wantedHomes, closedCells, healthyCells);
     }
@@ -124,9 +124,9 @@
         var currentHome = service.homes[units.get(0)];
         ask.cause = service.displaced(units.get(0)) == ask.to
                 ? "pressure"
-                : currentHome != Table.NOWHERE && closedCells.get(currentHome)
+                : currentHome != PlacementTable.NOWHERE && closedCells.get(currentHome)
                         ? "emptied"
-                        : currentHome != Table.NOWHERE && !healthyCells.get(currentHome) ? "lost" : "home";
+                        : currentHome != PlacementTable.NOWHERE && !healthyCells.get(currentHome) ? "lost" : "home";
         return ask;
     }
 
@@ -170,12 +170,12 @@
      * How long to pause after a step to a cell; at least a tenth of the warm-up time if the cell has a cold runner.
      */
     private static long stepPause(Rows.Service service, int cell, Manifest.Service manifestService) {
-        if (cell == Table.NOWHERE) return manifestService.stepPause();
+        if (cell == PlacementTable.NOWHERE) return manifestService.stepPause();
         var hasColdRunner = service.runners.values().stream()
                 .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
                 .anyMatch(runner -> runner.cold);
         return hasColdRunner
-                ? Math.max(manifestService.stepPause(), manifestService.warmUp() / 10)
+                ? Math.max(manifestService.stepPause(), manifestService.warmUpTime() / 10)
                 : manifestService.stepPause();
     }
 
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/Planner.java
@@ -1,7 +1,7 @@
 package craneway.control.plan;
 
 import craneway.model.unit.Hash;
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.record.Rows;
 import java.util.BitSet;
@@ -13,7 +13,7 @@
 public final class Planner {
     private Planner() {}
 
-    /** The wanted home of each unit as an index of a cell, or {@link Table#NOWHERE}. */
+    /** The wanted home of each unit as an index of a cell, or {@link PlacementTable#NOWHERE}. */
     public static int[] wanted(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
         var unitCount = service.homes.length;
         var homes = new int[unitCount];
@@ -32,20 +32,20 @@
             Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
         var currentHome = service.homes[unit];
         var displacedTo = service.displaced(unit);
-        if (displacedTo != Table.NOWHERE
+        if (displacedTo != PlacementTable.NOWHERE
                 && isAllowed(service, unit, displacedTo)
                 && !closedCells.get(displacedTo)
                 && healthyCells.get(displacedTo)) return displacedTo;
         var bestCell = selectCell(service, unit, closedCells, healthyCells, weights);
         if (bestCell != currentHome
-                && bestCell != Table.NOWHERE
-                && currentHome != Table.NOWHERE
+                && bestCell != PlacementTable.NOWHERE
+                && currentHome != PlacementTable.NOWHERE
                 && service.heldUntil.containsKey(service.cells.get(bestCell))
                 && isAllowed(service, unit, currentHome)
                 && !closedCells.get(currentHome)
                 && healthyCells.get(currentHome)) return currentHome;
-        if (bestCell != Table.NOWHERE) return bestCell;
-        if (currentHome != Table.NOWHERE && isAllowed(service, unit, currentHome) && !closedCells.get(currentHome))
+        if (bestCell != PlacementTable.NOWHERE) return bestCell;
+        if (currentHome != PlacementTable.NOWHERE && isAllowed(service, unit, currentHome) && !closedCells.get(currentHome))
             return currentHome;
         return selectCell(service, unit, closedCells, null, weights);
     }
@@ -68,7 +68,7 @@
      */
     private static int selectCell(
             Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
-        var bestCell = Table.NOWHERE;
+        var bestCell = PlacementTable.NOWHERE;
         var bestScore = Double.NEGATIVE_INFINITY;
         for (var cell = 0; cell < service.cells.size(); cell++) {
             if (!isAllowed(service, unit, cell)
@@ -77,7 +77,7 @@
             var score = score(
                     unit,
                     service.cells.get(cell),
-                    weights[cell] / square(service.sharing(cell, Units.regionSet(unit))));
+                    weights[cell] / square(service.sharing(cell, Units.regionSetOf(unit))));
             if (score > bestScore) {
                 bestScore = score;
                 bestCell = cell;
@@ -97,7 +97,7 @@
     /** Whether a cell is in use and lies in one of the unit's regions. */
     private static boolean isAllowed(Rows.Service service, int unit, int cell) {
         return service.live(cell)
-                && Units.allows(Units.regionSet(unit), service.regions.indexOf(service.cellRegions.get(cell)));
+                && Units.containsRegion(Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
     /**
@@ -105,7 +105,7 @@
      * set gets the same hash.
      */
     private static double score(int unit, String cell, double weight) {
-        var hash = Hash.of(Units.slice(unit), Hash.of(cell)) >>> 11;
+        var hash = Hash.of(Units.sliceOf(unit), Hash.of(cell)) >>> 11;
         return weight / -StrictMath.log((hash + 0.5) / (1L << 53));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/Pressure.java
@@ -1,6 +1,6 @@
 package craneway.control.plan;
 
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Commands.Displace;
 import craneway.state.record.Rows;
@@ -118,13 +118,13 @@
         for (var cell = 0; cell < utilization.length; cell++) {
             if (!hasLasted(fullSinceByCell, service, cell, FULL_FOR, now)) continue;
             var target = leastUtilizedCell(service, utilization, openCells, cell);
-            if (target == Table.NOWHERE) continue;
+            if (target == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
             for (var unit = service.homes.length - 1;
-                    unit >= Units.SLICES && units.size() < MAX_UNITS_PER_COMMAND;
+                    unit >= Units.SLICE_COUNT && units.size() < MAX_UNITS_PER_COMMAND;
                     unit--)
                 if (service.homes[unit] == cell
-                        && service.displaced(unit) == Table.NOWHERE
+                        && service.displaced(unit) == PlacementTable.NOWHERE
                         && isAllowed(service, unit, target)) units.add(unit);
             if (!units.isEmpty()) return newDisplace(service, units, target);
         }
@@ -132,24 +132,24 @@
     }
 
     /**
-     * The open cell with the lowest utilization that has room and is not held back; {@link Table#NOWHERE} if there is
+     * The open cell with the lowest utilization that has room and is not held back; {@link PlacementTable#NOWHERE} if there is
      * none.
      */
     private static int leastUtilizedCell(Rows.Service service, double[] utilization, BitSet openCells, int excluded) {
-        var bestCell = Table.NOWHERE;
+        var bestCell = PlacementTable.NOWHERE;
         for (var cell = 0; cell < utilization.length; cell++) {
             if (cell == excluded
                     || !openCells.get(cell)
                     || utilization[cell] > ROOM
                     || service.heldUntil.containsKey(service.cells.get(cell))) continue;
-            if (bestCell == Table.NOWHERE || utilization[cell] < utilization[bestCell]) bestCell = cell;
+            if (bestCell == PlacementTable.NOWHERE || utilization[cell] < utilization[bestCell]) bestCell = cell;
         }
         return bestCell;
     }
 
     /** Whether a cell lies in one of the unit's regions. */
     private static boolean isAllowed(Rows.Service service, int unit, int cell) {
-        return Units.allows(Units.regionSet(unit), service.regions.indexOf(service.cellRegions.get(cell)));
+        return Units.containsRegion(Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
     /** Ends the displacement of units whose regular home has been calm for long enough. */
@@ -158,10 +158,10 @@
         for (var unit : service.displacedUnits) {
             var home = Planner.homeWithAllCellsOpen(service, unit);
             if (units.size() < MAX_UNITS_PER_COMMAND
-                    && home != Table.NOWHERE
+                    && home != PlacementTable.NOWHERE
                     && hasLasted(calmSinceByCell, service, home, CALM_FOR, now)) units.add(unit);
         }
-        return units.isEmpty() ? null : newDisplace(service, units, Table.NOWHERE);
+        return units.isEmpty() ? null : newDisplace(service, units, PlacementTable.NOWHERE);
     }
 
     /** A command that displaces units to a cell, or ends their displacement. */
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -104,9 +104,9 @@
     /** Promotes a learner that has caught up; removes one that leaves or has been silent for too long. */
     private Optional<Members> resolveLearner(Members members, long leadingSince, long now) {
         var leadingForMicros = now - leadingSince;
-        if (leaving(members.learner) || isSilent(members.learner, now) && leadingForMicros > timing.replace())
+        if (leaving(members.learner) || isSilent(members.learner, now) && leadingForMicros > timing.storeReplacementDelay())
             return Optional.of(members.without(members.learner));
-        if (storeStatus.caughtUp(members.learner) && leadingForMicros > timing.settled())
+        if (storeStatus.caughtUp(members.learner) && leadingForMicros > timing.leaderSettleTime())
             return Optional.of(withLearnerPromoted(members, now));
         return Optional.empty();
     }
@@ -122,7 +122,7 @@
     }
 
     private boolean isSilent(long store, long now) {
-        return store != selfId && now - storeStatus.heardFrom(store) >= timing.replace();
+        return store != selfId && now - storeStatus.heardFrom(store) >= timing.storeReplacementDelay();
     }
 
     /** Removes the voter that the group can best do without. */
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -10,7 +10,7 @@
 import craneway.model.event.Event;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
 import craneway.state.disk.Folder;
@@ -287,12 +287,12 @@
                 proposal.term == term
                         ? (CommandResult) result
                         : Records.failure(
-                                Kind.UNCERTAIN, "the leader of the part changed before the command was committed"));
+                                ProblemKind.UNCERTAIN, "the leader of the part changed before the command was committed"));
     }
 
     @Override
     public void leadershipChanged(boolean leads, long term) {
-        port.note(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
+        port.logEvent(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
         commandFence.reset();
         memberLeases.clear(port.now());
         runnerHeardAt.clear();
@@ -311,12 +311,12 @@
         if (leads) return;
         var orphaned = List.copyOf(pendingProposals.values());
         pendingProposals.clear();
-        orphaned.forEach(proposal -> proposal.onResult.accept(Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())));
+        orphaned.forEach(proposal -> proposal.onResult.accept(Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())));
     }
 
     @Override
     public void note(Event event, String detail) {
-        port.note(event, detail);
+        port.logEvent(event, detail);
     }
 
     /** Drives the log; a leader with a lease also scans members and runners and proposes the changes that are due. */
@@ -361,7 +361,7 @@
     private void propose(Object command, Consumer<CommandResult> onResult) {
         var index = group.propose(Codec.writeTagged(command), port.now());
         if (index < 0) {
-            onResult.accept(Records.failure(Kind.NOT_OWNER, ""));
+            onResult.accept(Records.failure(ProblemKind.NOT_OWNER, ""));
         } else {
             pendingProposals.put(index, new PendingProposal(group.term(), onResult));
         }
@@ -374,20 +374,20 @@
     /** Answers a query or command as the leader; an empty body only asks for the leader's clock. */
     private void handleCommandRequest(CommandRequest request, long now) {
         if (!group.hasLease(now)) {
-            var result = Records.failure(Kind.NOT_OWNER, "");
+            var result = Records.failure(ProblemKind.NOT_OWNER, "");
             result.leader = otherLeader();
             reply(request, result);
             return;
         }
         if (request.life != 0 && request.body != null && request.body.length == 0) {
-            declineCommand(request, Kind.LATE_COMMAND);
+            declineCommand(request, ProblemKind.LATE_COMMAND);
             return;
         }
         try {
             admitOrDecline(request, Codec.readTagged(request.body), now);
         } catch (BadMessageException e) {
-            port.note(Event.BAD_MESSAGE, e.getMessage());
-            reply(request, Records.failure(Kind.BAD_MESSAGE, e.getMessage()));
+            port.logEvent(Event.BAD_MESSAGE, e.getMessage());
+            reply(request, Records.failure(ProblemKind.BAD_MESSAGE, e.getMessage()));
         }
     }
 
@@ -414,8 +414,8 @@
         else {
             var isLate = admission == CommandFence.Admission.LATE;
             if (request.term != 0)
-                port.note(isLate ? Event.LATE_COMMAND : Event.UNKNOWN_LIFE, describeCommand(request, body));
-            declineCommand(request, isLate ? Kind.LATE_COMMAND : Kind.UNKNOWN_LIFE);
+                port.logEvent(isLate ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describeCommand(request, body));
+            declineCommand(request, isLate ? ProblemKind.LATE_COMMAND : ProblemKind.UNKNOWN_LIFE);
         }
     }
 
@@ -428,7 +428,7 @@
      * Declines a command without effect. The reply carries the leader's clock, so that the sender may send it again,
      * with a new bound, before its deadline.
      */
-    private void declineCommand(CommandRequest request, Kind kind) {
+    private void declineCommand(CommandRequest request, ProblemKind kind) {
         commandFence.recordClockSent(request.life);
         reply(request, Records.failure(kind, kind.text()));
     }
@@ -494,7 +494,7 @@
 
     private CommandResult planResult(Queries.PlanGet query) {
         var plan = records.rows().plans.get(query.plan);
-        return plan == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + query.plan) : okWithBody(plan);
+        return plan == null ? Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + query.plan) : okWithBody(plan);
     }
 
     /**
@@ -537,16 +537,16 @@
             loadByRunner.put(key, command.load);
         }
         var cellIndex = service == null ? -1 : service.cells.indexOf(command.cell);
-        if (service == null) reply(request, Records.failure(Kind.UNKNOWN_SERVICE, "no service " + command.service));
+        if (service == null) reply(request, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service));
         else if (cellIndex < 0 || !service.live(cellIndex))
             reply(
                     request,
-                    Records.failure(Kind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell));
+                    Records.failure(ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell));
         else if (isUnchanged) reply(request, Records.ok());
         else
             proposeCommand(request, command, result -> {
                 if (result.kind == 0)
-                    port.note(
+                    port.logEvent(
                             command.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
                             command.runner + " incarnation " + command.incarnation + (command.cold ? " cold" : ""));
                 reply(request, result);
@@ -609,7 +609,7 @@
      */
     private void handleRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
         if (!group.hasLease(now)) {
-            var reply = newRenewReply(renewal, Kind.NOT_OWNER.code());
+            var reply = newRenewReply(renewal, ProblemKind.NOT_OWNER.code());
             reply.leader = otherLeader();
             onReply.accept(reply);
             return;
@@ -619,7 +619,7 @@
         if (member != null) directory.replaced(member.node, renewal.from);
         var outranking = findOutrankingNode(renewal.from, member);
         if (outranking != null) {
-            var reply = newRenewReply(renewal, Kind.STALE_MEMBER.code());
+            var reply = newRenewReply(renewal, ProblemKind.STALE_MEMBER.code());
             reply.incarnation = outranking.incarnation;
             reply.known = outranking;
             onReply.accept(reply);
@@ -719,7 +719,7 @@
     /** The topics of this part: one for each service, and the manifest topic on the manifest part. */
     private List<String> topicNames() {
         var names = new ArrayList<>(records.rows().services.keySet());
-        if (part == Parts.MANIFEST) names.add(Parts.MANIFEST_TOPIC);
+        if (part == Parts.MANIFEST_PART) names.add(Parts.MANIFEST_TOPIC);
         return names;
     }
 
@@ -781,7 +781,7 @@
         command.name = member.node.name;
         command.incarnation = member.node.incarnation;
         if (wasAlreadyProposed("lapse/" + command.name + "/" + command.incarnation)) return;
-        port.note(Event.MEMBER_LAPSED, member.node.name + " at part " + part);
+        port.logEvent(Event.MEMBER_LEASE_LAPSED, member.node.name + " at part " + part);
         propose(command, result -> openProposalKeys.remove("lapse/" + command.name + "/" + command.incarnation));
     }
 
@@ -810,7 +810,7 @@
                 command.runner = runner.name;
                 command.incarnation = runner.incarnation;
                 command.state = Rows.Runner.DARK;
-                port.note(Event.RUNNER_DARK, key);
+                port.logEvent(Event.RUNNER_DARK, key);
                 propose(command, result -> openProposalKeys.remove("dark/" + key));
             }
     }
@@ -899,9 +899,9 @@
     /** Proposes to copy services of a newer manifest version into the rows of this part. */
     private void proposeServiceSyncs() {
         var view = membership.view();
-        if (view.manifest() == null || part == Parts.MANIFEST) return;
+        if (view.manifest() == null || part == Parts.MANIFEST_PART) return;
         for (var service : view.manifest().services().values()) {
-            if (Parts.of(service.name()) != part) continue;
+            if (Parts.partOf(service.name()) != part) continue;
             var row = records.rows().services.get(service.name());
             if (row != null && row.manifestVersion >= view.topic().version
                     || wasAlreadyProposed("sync/" + service.name())) continue;
@@ -916,8 +916,8 @@
         var command = new Commands.ServiceSync();
         command.service = service.name();
         command.manifestVersion = manifestVersion;
-        command.bySlots = service.bySlots();
-        command.bound.addAll(manifest.routes().bound(service.name()));
+        command.bySlots = service.weightedBySlots();
+        command.bound.addAll(manifest.routes().regionSetsOf(service.name()));
         command.regions.addAll(manifest.regions());
         for (var cell : service.cells()) {
             command.cells.add(cell.name());
@@ -983,8 +983,8 @@
     private void logStep(String service, Object command) {
         var row = records.rows().services.get(service);
         if (command instanceof Commands.Displace displacement)
-            port.note(
-                    Event.PRESSURE,
+            port.logEvent(
+                    Event.CELL_LOAD_CHANGED,
                     service + " " + displacement.units.length + " units "
                             + (displacement.cells[0] < 0
                                     ? "may go back"
@@ -993,9 +993,9 @@
         var step = row.step(mark.id);
         var detail = service + " step " + step.id + " " + step.units.length + " units to " + row.cells.get(step.to)
                 + ": " + step.stateName() + ", " + step.cause + ", table version " + row.tableVersion;
-        port.note(
+        port.logEvent(
                 mark.state == Rows.Step.TAKEN_BACK || mark.state == Rows.Step.DROPPED
-                        ? Event.MOVE_STOPPED
+                        ? Event.MOVE_STEP_CANCELLED
                         : Event.MOVE_STEP,
                 detail);
     }
@@ -1014,7 +1014,7 @@
 
     /** Transfers leadership to the preferred store once this leader has led for a while. */
     private void balanceLeaders(long now) {
-        if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.settled())) return;
+        if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.leaderSettleTime())) return;
         var members = group.members();
         var preferred = preferredLeader(members);
         if (membershipChanges.mayLead(preferred, members, now) && directory.store(preferred) != null)
@@ -1027,7 +1027,7 @@
      */
     private long preferredLeader(Members members) {
         if (!timing.lowTraffic()) return membershipChanges.preferredLeader(members, part);
-        var manifestLeader = part == Parts.MANIFEST ? null : membership.leader(Parts.MANIFEST);
+        var manifestLeader = part == Parts.MANIFEST_PART ? null : membership.leader(Parts.MANIFEST_PART);
         return manifestLeader != null && members.isVoter(manifestLeader.storeId) ? manifestLeader.storeId : 0;
     }
 
--- a/lib/control/src/main/java/craneway/control/store/Rebuild.java
+++ b/lib/control/src/main/java/craneway/control/store/Rebuild.java
@@ -25,7 +25,7 @@
             var rows = replica.records().rows();
             kept.add("part " + group.part() + ": " + group.lastIndex() + " entries of term " + group.term() + ", "
                     + rows.claims.size() + " claims, " + rows.quotas.size() + " quotas"
-                    + (group.part() == Parts.MANIFEST
+                    + (group.part() == Parts.MANIFEST_PART
                             ? ", manifest " + rows.manifest.version + " and its marks"
                             : ", tables of " + rows.services.keySet()));
         }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -5,7 +5,7 @@
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
@@ -119,7 +119,7 @@
         this.port = port;
         this.folder = folder;
         this.rules = rules;
-        saveExecutor = rules.executors().apply(Parts.MANIFEST);
+        saveExecutor = rules.executors().apply(Parts.MANIFEST_PART);
         settings = rules.settings();
         this.seeds = seeds;
         this.random = random;
@@ -201,7 +201,7 @@
                     ? 0
                     : ByteBuffer.wrap(Seal.open(INCARNATION_FILE, bytes)).getLong();
         } catch (DiskLostException e) {
-            port.note(Event.DISK_FAILED, INCARNATION_FILE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, INCARNATION_FILE + ": " + e.getMessage());
             return 0;
         }
     }
@@ -213,7 +213,7 @@
                     Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
             savedIncarnation = incarnation;
         } catch (DiskException e) {
-            port.note(Event.DISK_FAILED, INCARNATION_FILE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, INCARNATION_FILE + ": " + e.getMessage());
         }
     }
 
@@ -222,7 +222,7 @@
      * store that still has its votes and entries.
      */
     private void setAllFilesAside(String cause) {
-        port.note(Event.DISK_LOST, cause);
+        port.logEvent(Event.DATA_DIRECTORY_DAMAGED, cause);
         if (folder.read(IDENTITY_FILE) != null) setAsideFile(IDENTITY_FILE);
         for (var name : folder.names()) if (!name.startsWith(LOST_FILE_PREFIX)) setAsideFile(name);
     }
@@ -320,8 +320,8 @@
      * one as an empty store.
      */
     private void followNewerCore(Founding founding) {
-        port.note(
-                Event.SURRENDERED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        port.logEvent(
+                Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         closeReplicas();
         setAllFilesAside("generation " + founding.generation + " of the core replaces this one");
         founderAddresses = Set.of();
@@ -339,7 +339,7 @@
         var now = port.now();
         var founding = directory.founding();
         if (replicas.length == 0 || founding == null)
-            return Either.left(Problem.of(Kind.BAD_INTENT, "this store has no core data to rebuild from"));
+            return Either.left(Problem.of(ProblemKind.BAD_INTENT, "this store has no core data to rebuild from"));
         for (var replica : replicas) {
             var part = replica.group().part();
             var reachableVoters = 0;
@@ -352,7 +352,7 @@
                     || reachableVoters >= replica.group().members().majority()
                             && replica.group().members().voters.length > 1)
                 return Either.left(Problem.of(
-                        Kind.BAD_INTENT, "a majority of part " + part + " is alive; there is nothing to rebuild"));
+                        ProblemKind.BAD_INTENT, "a majority of part " + part + " is alive; there is nothing to rebuild"));
         }
         return Either.right(Rebuild.of(founding, replicas));
     }
@@ -366,7 +366,7 @@
         if (proposal.isLeft()) return proposal;
         if (!proposal.get().token().equals(token))
             return Either.left(Problem.of(
-                    Kind.STALE_PLAN,
+                    ProblemKind.STALE_PLAN,
                     "the state of this store changed after the rebuild was proposed; request a new proposal"));
         var self = directory.self();
         var founding = new Founding();
@@ -377,7 +377,7 @@
         founding.zones = new String[] {self.zone};
         closeReplicas();
         folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
-        port.note(Event.REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         directory.follow(founding);
         membership.follow();
         startReplicas(founding);
@@ -424,7 +424,7 @@
             folder.replace(KNOWN_STORES_FILE, addresses.getBytes());
             savedKnownStores = addresses;
         } catch (DiskException e) {
-            port.note(Event.DISK_FAILED, KNOWN_STORES_FILE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, KNOWN_STORES_FILE + ": " + e.getMessage());
         }
     }
 
@@ -464,8 +464,8 @@
 
     private void logWaitingToFound(List<Node> emptyStores, long now) {
         nextWaitingLogAt = now + WAITING_LOG_INTERVAL_MICROS;
-        port.note(
-                Event.WAITING_TO_FOUND,
+        port.logEvent(
+                Event.WAITING_TO_BOOTSTRAP,
                 "sees " + emptyStores.size() + " empty stores "
                         + emptyStores.stream().map(node -> node.name).toList() + " and needs exactly "
                         + settings.founders()
@@ -490,8 +490,8 @@
     /** Records the core on disk, as a founder or as a store that joins, and starts the replicas. */
     private void adoptCore(Founding founding) {
         folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
-        port.note(
-                founding.has(directory.self().storeId) ? Event.FOUNDED : Event.JOINED_CORE,
+        port.logEvent(
+                founding.has(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
                 "core " + Long.toHexString(founding.coreId));
         startReplicas(founding);
     }
@@ -513,10 +513,10 @@
                     renewal.part,
                     replica -> replica.receive(renewal, reply -> port.send(renewal.from.peerAddress, reply)));
         else if (message instanceof Subscribe subscription)
-            withReplica(Parts.of(subscription.topic), replica -> replica.receive(subscription));
+            withReplica(Parts.partOf(subscription.topic), replica -> replica.receive(subscription));
         else if (message instanceof Join join) withReplica(join.part, replica -> replica.receive(join));
         else
-            port.note(
+            port.logEvent(
                     Event.BAD_MESSAGE,
                     "a store does not accept messages of type "
                             + message.getClass().getSimpleName());
@@ -541,7 +541,7 @@
             withReplica(request.part, replica -> replica.receive(request));
             return;
         }
-        var result = Records.failure(Kind.NOT_OWNER, "");
+        var result = Records.failure(ProblemKind.NOT_OWNER, "");
         result.id = request.id;
         result.life = request.life;
         port.send(request.from.peerAddress, result);
--- a/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
+++ b/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandRequest;
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void note(Event event, String detail) {
+        public void logEvent(Event event, String detail) {
             events.add(event);
         }
     };
@@ -93,7 +93,7 @@
         assertEquals(0, lastSent().body.length);
         assertEquals(0, lastSent().term);
         now += 70_000;
-        coreClient.receive(resultFor(lastSent(), Kind.LATE_COMMAND.code(), 3, 9_000_000));
+        coreClient.receive(resultFor(lastSent(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000));
         assertEquals(2, sent.size());
         assertTrue(lastSent().body.length > 0);
         assertEquals(3, lastSent().term);
@@ -111,7 +111,7 @@
         now += 400_000;
         coreClient.tick(now);
         now += 10_000;
-        coreClient.receive(resultFor(lastSent(), Kind.UNCERTAIN.code(), 0, 0));
+        coreClient.receive(resultFor(lastSent(), ProblemKind.UNCERTAIN.code(), 0, 0));
         now += 100_000;
         coreClient.tick(now);
         assertTrue(sent.size() >= 3);
@@ -183,7 +183,7 @@
         sendZoneOrder();
         var result = new CommandResult();
         result.id = lastSent().id;
-        result.kind = Kind.BAD_MESSAGE.code();
+        result.kind = ProblemKind.BAD_MESSAGE.code();
         coreClient.receive(result);
         assertTrue(results.isEmpty());
         assertTrue(lastSent().body.length > 0);
@@ -197,7 +197,7 @@
         result.life = LIFE + 1;
         coreClient.receive(result);
         assertTrue(results.isEmpty());
-        assertEquals(List.of(Event.STALE_VERDICT), events);
+        assertEquals(List.of(Event.STALE_REPLY), events);
         result.life = LIFE;
         coreClient.receive(result);
         assertEquals(1, results.size());
@@ -232,11 +232,11 @@
         learnLeaderClock(3, 9_000_000);
         sendZoneOrder();
         for (var i = 0; i < 100; i++)
-            coreClient.receive(resultFor(lastSent(), Kind.LATE_COMMAND.code(), 3, 9_000_000 + i));
+            coreClient.receive(resultFor(lastSent(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000 + i));
         assertTrue(sent.size() <= 3, "copies " + sent.size());
         now += TIMEOUT_MICROS;
         coreClient.tick(now);
-        assertEquals(Kind.UNCERTAIN.code(), results.get(0).kind);
+        assertEquals(ProblemKind.UNCERTAIN.code(), results.get(0).kind);
     }
 
     @Test
