--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -16,176 +16,223 @@
 import java.util.function.Consumer;
 
 /**
- * Asks the leader of a part, again where no answer comes. All copies of an ask carry one identity (the life of this process
- * and a rising id), so that a command is applied once, and a bound by the leader's clock, so that a copy that comes later than
- * the asker's patience has no effect.
+ * Sends queries and commands to the leader of a part and repeats them until a result arrives. All copies of a request
+ * carry one identity, the life of this process and a rising id, so that a command is applied once. Commands also
+ * carry a bound by the leader's clock, so that a copy that arrives after the caller's deadline has no effect.
+ *
+ * <p>Safe for several threads. Results are delivered on the thread that calls {@link #receive} or {@link #tick}.
+ * Times are microseconds.
  */
 public final class CoreClient {
-    private static final long RETRY_AFTER = 400_000;
-    private static final int AT_ONCE = 2;
-    private static final byte[] CLOCK_ONLY = {};
-
+    /**
+     * How long to wait for an answer before the request is sent again; a quarter of it after an answer without
+     * effect.
+     */
+    private static final long RETRY_DELAY_MICROS = 400_000;
+    /** After this many answers that a copy was late, further copies wait for the retry delay. */
+    private static final int MAX_IMMEDIATE_RESENDS = 2;
+    /** The empty body of a request that only asks for the leader's clock. */
+    private static final byte[] CLOCK_REQUEST_BODY = {};
+
+    /** A request that waits for its result. */
     private static final class PendingRequest {
         long id;
         int part;
         byte[] body;
-        boolean command;
+        /** Commands change the state and carry a bound; queries do not. */
+        boolean isCommand;
+
+        /** Whether the last copy only asked for the leader's clock. */
         boolean clockOnly;
-        boolean plain;
-        long due;
-        long until;
-        int turn;
-        int lapses;
-        boolean delivered;
-        Consumer<CommandResult> then;
+
+        /** Whether the store cannot read clock requests, so that the command is sent without a bound. */
+        boolean sendUnbound;
+
+        long nextSendAt;
+        long deadline;
+        int storeTurn;
+        /** How many copies were declined as late or unknown. */
+        int declines;
+
+        /** Whether any copy was sent; if not, the request surely had no effect. */
+        boolean sent;
+
+        Consumer<CommandResult> onResult;
     }
 
     private final Port port;
     private final Directory directory;
     private final long life;
-    private final TreeMap<Long, PendingRequest> open = new TreeMap<>();
-    private final Map<Integer, Node> leaders = new HashMap<>();
-    private final Map<Integer, LeaderClock> clocks = new HashMap<>();
-    private long next;
-
-    /** The life must be random, all 64 bits of it: no other process may have had the same. */
+    private final TreeMap<Long, PendingRequest> pendingById = new TreeMap<>();
+    private final Map<Integer, Node> leaderByPart = new HashMap<>();
+    private final Map<Integer, LeaderClock> clockByPart = new HashMap<>();
+    private long nextId;
+
+    /**
+     * Creates a client. The life identifies this process: it must be 64 random bits that no other process ever used.
+     */
     public CoreClient(Port port, Directory directory, long life) {
         this.port = port;
         this.directory = directory;
         this.life = life == 0 ? 1 : life;
-        this.next = life >>> 8;
+        this.nextId = life >>> 8;
     }
 
-    /** The store that is thought to lead the part; null where none is known. */
+    /** The store believed to lead the part; null if it is unknown. */
     public synchronized Node leader(int part) {
-        return leaders.get(part);
+        return leaderByPart.get(part);
     }
 
-    /** Takes note of who leads the part; null: nobody known. */
-    public synchronized void leader(int part, Node n) {
-        if (n != null) leaders.put(part, n);
-        else leaders.remove(part);
+    /** Records which store leads the part; null for unknown. */
+    public synchronized void leader(int part, Node node) {
+        if (node != null) leaderByPart.put(part, node);
+        else leaderByPart.remove(part);
     }
 
-    /** Asks the leader of the part; the verdict comes once, within the patience, in microseconds. */
-    public void ask(int part, Object body, long timeout, Consumer<CommandResult> then) {
-        askUntil(part, body, port.now() + timeout, then);
+    /**
+     * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, at the latest about
+     * {@code timeoutMicros} from now.
+     */
+    public void ask(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
+        askUntil(part, body, port.now() + timeoutMicros, onResult);
     }
 
-    /** Asks for one who waits until then, by the steady clock of this process, and not from now on. */
-    public void askUntil(int part, Object body, long until, Consumer<CommandResult> then) {
-        var o = new PendingRequest();
-        o.part = part;
-        o.body = Codec.writeTagged(body);
-        o.command = Commands.is(body);
-        o.until = until;
-        o.then = then;
+    /**
+     * Like {@link #ask}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If it
+     * has passed, nothing is sent and the next tick reports the failure.
+     */
+    public void askUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
+        var pending = new PendingRequest();
+        pending.part = part;
+        pending.body = Codec.writeTagged(body);
+        pending.isCommand = Commands.is(body);
+        pending.deadline = deadline;
+        pending.onResult = onResult;
         synchronized (this) {
-            o.id = next++;
-            open.put(o.id, o);
-            if (port.now() < until) send(o);
+            pending.id = nextId++;
+            pendingById.put(pending.id, pending);
+            if (port.now() < deadline) send(pending);
         }
     }
 
-    private void send(PendingRequest o) {
+    private void send(PendingRequest pending) {
         var now = port.now();
-        o.due = now + RETRY_AFTER;
-        var to = leaders.get(o.part);
-        if (to == null) to = anyStore(o.turn++);
-        if (to == null) return;
-        o.delivered = true;
-        port.send(to.peerAddress, copy(o, to, now));
+        pending.nextSendAt = now + RETRY_DELAY_MICROS;
+        var store = leaderByPart.get(pending.part);
+        if (store == null) store = storeInTurn(pending.storeTurn++);
+        if (store == null) return;
+        pending.sent = true;
+        port.send(store.peerAddress, buildRequest(pending, store, now));
     }
 
-    /** Where no reading of the leader's clock is at hand, a command's first copy only asks for one. */
-    private CommandRequest copy(PendingRequest o, Node to, long now) {
-        var a = new CommandRequest();
-        a.id = o.id;
-        a.part = o.part;
-        a.from = directory.self();
-        a.life = life;
-        a.lowest = open.firstKey();
-        a.body = o.body;
-        o.clockOnly = false;
-        if (!o.command) return a;
-        var c = clocks.get(o.part);
-        if (c != null && c.fresh(now)) {
-            a.term = c.term();
-            a.bound = c.at(o.until);
-        } else if (to.fenced && !o.plain) {
-            o.clockOnly = true;
-            a.body = CLOCK_ONLY;
+    /**
+     * Builds a copy of a request. Without a recent reading of the leader's clock, the first copy of a command only
+     * asks for one.
+     */
+    private CommandRequest buildRequest(PendingRequest pending, Node store, long now) {
+        var request = new CommandRequest();
+        request.id = pending.id;
+        request.part = pending.part;
+        request.from = directory.self();
+        request.life = life;
+        request.lowest = pendingById.firstKey();
+        request.body = pending.body;
+        pending.clockOnly = false;
+        if (!pending.isCommand) return request;
+        var clock = clockByPart.get(pending.part);
+        if (clock != null && clock.isFresh(now)) {
+            request.term = clock.term();
+            request.bound = clock.leaderTimeAt(pending.deadline);
+        } else if (store.fenced && !pending.sendUnbound) {
+            pending.clockOnly = true;
+            request.body = CLOCK_REQUEST_BODY;
         }
-        return a;
+        return request;
     }
 
-    private Node anyStore(int turn) {
-        var all = directory.stores();
-        return all.isEmpty() ? null : all.get(Math.floorMod(turn, all.size()));
+    /** A store to try while the leader is unknown; null if no store is known. */
+    private Node storeInTurn(int turn) {
+        var stores = directory.stores();
+        return stores.isEmpty() ? null : stores.get(Math.floorMod(turn, stores.size()));
     }
 
-    /** Takes a verdict from another process, or from this one. */
-    public void receive(CommandResult v) {
-        if (v.life != 0 && v.life != life) {
-            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(v.life) + " ask " + v.id);
+    /**
+     * Takes a result. Results for an earlier process at this address and for requests no longer pending are dropped.
+     */
+    public void receive(CommandResult result) {
+        if (result.life != 0 && result.life != life) {
+            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(result.life) + " request " + result.id);
             return;
         }
-        PendingRequest o;
+        PendingRequest pending;
         synchronized (this) {
-            o = open.get(v.id);
-            if (o == null) return;
-            if (v.term != 0) clocks.merge(o.part, new LeaderClock(v.term, v.clock, port.now()), LeaderClock::better);
-            if (v.kind == ProblemKind.NOT_OWNER.code() || v.kind == ProblemKind.UNCERTAIN.code()) {
-                redirect(o, v.leader);
+            pending = pendingById.get(result.id);
+            if (pending == null) return;
+            if (result.term != 0)
+                clockByPart.merge(
+                        pending.part,
+                        new LeaderClock(result.term, result.clock, port.now()),
+                        LeaderClock::moreAccurate);
+            if (result.kind == ProblemKind.NOT_OWNER.code() || result.kind == ProblemKind.UNCERTAIN.code()) {
+                redirect(pending, result.leader);
                 return;
             }
-            if (v.kind == ProblemKind.LATE_COMMAND.code() || v.kind == ProblemKind.UNKNOWN_LIFE.code()) {
-                anew(o);
+            if (result.kind == ProblemKind.LATE_COMMAND.code() || result.kind == ProblemKind.UNKNOWN_LIFE.code()) {
+                resendRebound(pending);
                 return;
             }
-            if (o.clockOnly && v.kind == ProblemKind.BAD_MESSAGE.code()) {
-                o.plain = true;
-                send(o);
+            if (pending.clockOnly && result.kind == ProblemKind.BAD_MESSAGE.code()) {
+                pending.sendUnbound = true;
+                send(pending);
                 return;
             }
-            open.remove(v.id);
+            pendingById.remove(result.id);
         }
-        o.then.accept(v);
+        pending.onResult.accept(result);
     }
 
-    private void redirect(PendingRequest o, Node hint) {
-        var had = leaders.get(o.part);
-        leader(o.part, hint);
-        if (hint != null && (had == null || !had.name.equals(hint.name) || !had.peerAddress.equals(hint.peerAddress)))
-            send(o);
-        else o.due = Math.min(o.due, port.now() + RETRY_AFTER / 4);
+    /** Records the leader that a store named, and resends at once if that is news. */
+    private void redirect(PendingRequest pending, Node namedLeader) {
+        var previous = leaderByPart.get(pending.part);
+        leader(pending.part, namedLeader);
+        if (namedLeader != null
+                && (previous == null
+                        || !previous.name.equals(namedLeader.name)
+                        || !previous.peerAddress.equals(namedLeader.peerAddress))) send(pending);
+        else pending.nextSendAt = Math.min(pending.nextSendAt, port.now() + RETRY_DELAY_MICROS / 4);
     }
 
-    /** The copy had no effect and its answer brought a reading of the leader's clock: the next copy is bound by that. */
-    private void anew(PendingRequest o) {
+    /**
+     * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock by which
+     * the next copy is bound.
+     */
+    private void resendRebound(PendingRequest pending) {
         var now = port.now();
-        if (now >= o.until) return;
-        if (o.lapses++ < AT_ONCE) send(o);
-        else o.due = Math.min(o.due, now + RETRY_AFTER / 4);
+        if (now >= pending.deadline) return;
+        if (pending.declines++ < MAX_IMMEDIATE_RESENDS) send(pending);
+        else pending.nextSendAt = Math.min(pending.nextSendAt, now + RETRY_DELAY_MICROS / 4);
     }
 
-    /** Sends again what got no answer, and gives up what is over. */
+    /**
+     * Resends requests without an answer, and fails those whose deadline has passed: with UNCERTAIN if any copy was
+     * sent.
+     */
     public void tick(long now) {
-        List<PendingRequest> over = new ArrayList<>();
+        List<PendingRequest> expired = new ArrayList<>();
         synchronized (this) {
-            for (var o : List.copyOf(open.values())) {
-                if (now >= o.until) {
-                    open.remove(o.id);
-                    over.add(o);
-                } else if (now >= o.due) {
-                    leaders.remove(o.part);
-                    send(o);
+            for (var pending : List.copyOf(pendingById.values())) {
+                if (now >= pending.deadline) {
+                    pendingById.remove(pending.id);
+                    expired.add(pending);
+                } else if (now >= pending.nextSendAt) {
+                    leaderByPart.remove(pending.part);
+                    send(pending);
                 }
             }
         }
-        for (var o : over)
-            o.then.accept(
-                    o.delivered
+        for (var pending : expired)
+            pending.onResult.accept(
+                    pending.sent
                             ? Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())
                             : Records.failure(ProblemKind.NO_OWNER, "no store is known"));
     }
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -14,36 +14,59 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
+/**
+ * The nodes that this process knows, how it finds them, and what it tells them about itself. Processes greet seeds
+ * and known stores at intervals; greetings carry the sender, the nodes it has heard lately and the record of its
+ * core.
+ *
+ * <p>Safe for several threads: fields are volatile or concurrent, and changes to {@link #self()} are synchronized.
+ */
 public final class Directory {
-    public static final long STALE = 3_000_000, FORGET = 60_000_000;
-    private static final long SEARCH = 80_000;
+    /** A node counts as heard recently, in microseconds, if a greeting of it arrived within this time. */
+    public static final long STALE = 3_000_000;
 
+    /** A node is forgotten after this many microseconds without a greeting. */
+    public static final long FORGET = 60_000_000;
+
+    /** With the low-traffic profile, how often a process without a core or without a live store greets. */
+    private static final long SEARCH_INTERVAL_MICROS = 80_000;
+
+    /** A node that this process knows. */
     public static final class Known {
         public volatile Node node;
+        /** When a greeting of this node itself arrived last. */
         public volatile long heard = Long.MIN_VALUE / 2;
+        /** When this process first learned of the node; 0 until then. */
         public volatile long learned;
+        /** The digest of the empty stores that this node sees; see {@link Directory#seen}. */
         public volatile long seen;
-        private volatile long list;
-        /** The life before this one, until this one has been heard itself: hearsay may be old and condemns no disk. */
-        private volatile Node earlier;
+        /** The digest of the list of stores that this node sent last, which it need not send again. */
+        private volatile long listDigest;
+        /**
+         * The node with another store id that this one replaces, kept until this one has been heard itself. What
+         * other nodes report may be outdated, so it is no proof that a disk was lost.
+         */
+        private volatile Node earlierNode;
     }
 
     private final Port port;
     private final List<String> seeds;
     private final TimingProfile timing;
-    private final Set<Long> gone = ConcurrentHashMap.newKeySet();
-    private final Map<String, Known> known = new ConcurrentHashMap<>();
+    private final Set<Long> lostDiskStores = ConcurrentHashMap.newKeySet();
+    private final Map<String, Known> knownByName = new ConcurrentHashMap<>();
     private volatile Node self;
     private volatile Founding founding;
     private volatile Founding newer;
-    private volatile long seen;
-    private volatile long due;
-    private int turn;
+    private volatile long emptyStoresDigest;
+    private volatile long nextGreetingAt;
+    private int greetingRound;
 
+    /** Creates a directory with the standard timing. */
     public Directory(Port port, Node self, List<String> seeds) {
         this(port, self, seeds, TimingProfile.STANDARD);
     }
 
+    /** Creates a directory for a process; {@code seeds} are addresses to greet before any node is known. */
     public Directory(Port port, Node self, List<String> seeds, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
@@ -51,240 +74,293 @@
         this.seeds = seeds;
     }
 
+    /** The node of this process; replaced when its incarnation, serving state or grace changes. */
     public Node self() {
         return self;
     }
 
-    /** Raises this process's incarnation above the known one and tells the others at the next tick. */
-    public synchronized void raise(long known) {
-        if (self.incarnation > known) return;
-        self = self.with(self.above(known), self.serving);
+    /** Raises the incarnation of this process above a known one and greets at the next tick. */
+    public synchronized void raise(long knownIncarnation) {
+        if (self.incarnation > knownIncarnation) return;
+        self = self.with(self.above(knownIncarnation), self.serving);
         greetSoon();
     }
 
-    /** Says whether this process serves. */
-    public synchronized void updateServing(boolean is) {
-        self = self.with(self.incarnation, is);
+    /** Sets whether this process serves. */
+    public synchronized void updateServing(boolean serving) {
+        self = self.with(self.incarnation, serving);
     }
 
-    /** Says how long this process acts on after its lease. */
-    public synchronized void grace(long micros) {
-        self = self.with(micros);
+    /** Sets how long, in microseconds, this process may act after its lease has lapsed. */
+    public synchronized void grace(long graceMicros) {
+        self = self.with(graceMicros);
     }
 
+    /** Sets the digest of the empty stores that this store sees; greetings carry it until a core is founded. */
     public void seen(long digest) {
-        seen = digest;
+        emptyStoresDigest = digest;
     }
 
+    /**
+     * The record of the core that this process belongs to or has been told about by a greeting; null if there is
+     * none.
+     */
     public Founding founding() {
         return founding;
     }
 
+    /**
+     * A newer generation of this core, known from a greeting, that this process has to follow; null if there is none.
+     */
     public Founding newer() {
         return newer;
     }
 
-    public boolean sameOrigin(Hello h) {
-        return founding != null && founding.sameOrigin(h.founding);
+    /** Whether the sender belongs to the same core, of whatever generation. */
+    public boolean sameOrigin(Hello hello) {
+        return founding != null && founding.sameOrigin(hello.founding);
     }
 
-    public synchronized void follow(Founding f) {
+    /** Changes to a newer generation of the core; this process does not serve until it is current there. */
+    public synchronized void follow(Founding successor) {
         newer = null;
-        founding = f;
+        founding = successor;
         self = self.with(self.incarnation, false);
-        self.coreId = f.coreId;
+        self.coreId = successor.coreId;
     }
 
-    public synchronized void founding(Founding f, long coreId) {
-        founding = f;
+    /** Sets the core that this process belongs to. */
+    public synchronized void founding(Founding newFounding, long coreId) {
+        founding = newFounding;
         self.coreId = coreId;
     }
 
+    /** Leaves the core, after its data on disk turned out to be damaged. */
     public synchronized void forgetCore() {
         founding = null;
         self.coreId = 0;
     }
 
+    /** All known nodes, without this one. */
     public Collection<Known> known() {
-        return known.values();
+        return knownByName.values();
     }
 
+    /** Whether a greeting of the node arrived recently. */
     public boolean heard(String name, long now) {
-        var k = known.get(name);
-        return k != null && now - k.heard < STALE;
+        var entry = knownByName.get(name);
+        return entry != null && now - entry.heard < STALE;
     }
 
+    /** The node with this name, this one included; null if it is unknown. */
     public Node named(String name) {
         if (name.equals(self.name)) return self;
-        var k = known.get(name);
-        return k == null ? null : k.node;
+        var entry = knownByName.get(name);
+        return entry == null ? null : entry.node;
     }
 
-    public Node store(long id) {
-        if (self.storeId == id) return self;
+    /** The node with this store id, the one heard last if several claim it; null if it is unknown. */
+    public Node store(long storeId) {
+        if (self.storeId == storeId) return self;
         Known best = null;
-        for (var k : known.values()) if (k.node.storeId == id && (best == null || k.heard > best.heard)) best = k;
+        for (var entry : knownByName.values())
+            if (entry.node.storeId == storeId && (best == null || entry.heard > best.heard)) best = entry;
         return best == null ? null : best.node;
     }
 
+    /** All known stores, this one included if it is a store. */
     public List<Node> stores() {
-        var all = new ArrayList<Node>();
-        if (self.kind.equals(Node.STORE)) all.add(self);
-        for (var k : known.values()) if (k.node.kind.equals(Node.STORE)) all.add(k.node);
-        return all;
+        var stores = new ArrayList<Node>();
+        if (self.kind.equals(Node.STORE)) stores.add(self);
+        for (var entry : knownByName.values()) if (entry.node.kind.equals(Node.STORE)) stores.add(entry.node);
+        return stores;
     }
 
-    /** Whether the disk of this store is known to be lost: its node has come back with another. */
+    /** Whether the disk of this store is known to be lost: its node came back with another store id. */
     public boolean gone(long storeId) {
-        return gone.contains(storeId);
+        return lostDiskStores.contains(storeId);
     }
 
-    public void replaced(Node old, Node by) {
-        var newer = old.name.equals(by.name) && by.incarnation > old.incarnation;
-        if (!newer || old.storeId == 0 || by.storeId == 0 || old.storeId == by.storeId) return;
-        gone.add(old.storeId);
-        gone.remove(by.storeId);
+    /**
+     * Records that a newer process has taken the place of a node. If its store id differs, the disk of the old one is
+     * lost.
+     */
+    public void replaced(Node oldNode, Node newNode) {
+        var isSuccessor = oldNode.name.equals(newNode.name) && newNode.incarnation > oldNode.incarnation;
+        if (!isSuccessor || oldNode.storeId == 0 || newNode.storeId == 0 || oldNode.storeId == newNode.storeId) return;
+        lostDiskStores.add(oldNode.storeId);
+        lostDiskStores.remove(newNode.storeId);
     }
 
-    public void learn(Node n, long now) {
-        if (n == null) return;
-        if (n.name.equals(self.name)) {
-            raiseIncarnation(n);
+    /** Records a node that another node reported, or that sent a greeting; null is ignored. */
+    public void learn(Node node, long now) {
+        if (node == null) return;
+        if (node.name.equals(self.name)) {
+            outrankEarlierLife(node);
             return;
         }
-        var k = known.computeIfAbsent(n.name, x -> new Known());
-        if (k.node == null || n.incarnation > k.node.incarnation) put(k, n);
-        if (k.learned == 0) k.learned = now;
+        var entry = knownByName.computeIfAbsent(node.name, name -> new Known());
+        if (entry.node == null || node.incarnation > entry.node.incarnation) replaceNode(entry, node);
+        if (entry.learned == 0) entry.learned = now;
     }
 
-    /** Tells the others at the next tick. */
+    /** Lets the next tick greet. */
     public void greetSoon() {
-        due = 0;
+        nextGreetingAt = 0;
     }
 
-    private void put(Known k, Node n) {
-        if (k.node != null && k.node.storeId != n.storeId) k.earlier = k.node;
-        k.node = n;
+    /** Replaces the node of an entry, and remembers the old one if its store id differs. */
+    private void replaceNode(Known entry, Node node) {
+        if (entry.node != null && entry.node.storeId != node.storeId) entry.earlierNode = entry.node;
+        entry.node = node;
     }
 
-    /** An earlier life at this very address has ended, since this process holds the address now. */
-    private void raiseIncarnation(Node n) {
-        var earlier = n.incarnation > self.incarnation || n.incarnation == self.incarnation && n.otherLife(self);
-        if (earlier && n.peerAddress.equals(self.peerAddress)) raise(n.incarnation);
+    /**
+     * Raises the incarnation above that of a node with this name at this address: it must be an earlier process that
+     * has ended, since this process holds the address now.
+     */
+    private void outrankEarlierLife(Node node) {
+        var outranksThis =
+                node.incarnation > self.incarnation || node.incarnation == self.incarnation && node.otherLife(self);
+        if (outranksThis && node.peerAddress.equals(self.peerAddress)) raise(node.incarnation);
     }
 
+    /** Greets other nodes and forgets silent ones, if it is time. */
     public void tick(long now) {
-        if (now < due) return;
-        if (known.values().removeIf(k -> now - Math.max(k.heard, k.learned) > FORGET))
-            known.values().forEach(k -> k.list = 0);
+        if (now < nextGreetingAt) return;
+        if (knownByName.values().removeIf(entry -> now - Math.max(entry.heard, entry.learned) > FORGET))
+            knownByName.values().forEach(entry -> entry.listDigest = 0);
         if (timing.lowTraffic()) greetLowTraffic(now);
         else greet(now);
     }
 
+    /** Greets all seeds and stores, and all known nodes until this process belongs to a core. */
     private void greet(long now) {
-        due = now + timing.helloInterval();
-        var to = new LinkedHashSet<>(seeds);
-        for (var k : known.values()) if (self.coreId == 0 || k.node.kind.equals(Node.STORE)) to.add(k.node.peerAddress);
-        to.remove(self.peerAddress);
-        var h = hello(true, now);
-        to.forEach(a -> port.send(a, h));
-    }
-
+        nextGreetingAt = now + timing.helloInterval();
+        var addresses = new LinkedHashSet<>(seeds);
+        for (var entry : knownByName.values())
+            if (self.coreId == 0 || entry.node.kind.equals(Node.STORE)) addresses.add(entry.node.peerAddress);
+        addresses.remove(self.peerAddress);
+        var hello = fullHello(true, now);
+        addresses.forEach(address -> port.send(address, hello));
+    }
+
+    /**
+     * Greets fewer nodes: stores greet all stores and one seed in turn, routers one store in turn. A process without
+     * a core or a live store greets all seeds and stores.
+     */
     private void greetLowTraffic(long now) {
-        var stores = known.values().stream()
-                .filter(k -> k.node.kind.equals(Node.STORE))
+        var stores = knownByName.values().stream()
+                .filter(entry -> entry.node.kind.equals(Node.STORE))
                 .toList();
-        var lost = self.coreId == 0 || stores.stream().noneMatch(k -> now - k.heard < STALE);
-        due = now + (lost ? Math.min(SEARCH, timing.helloInterval()) : timing.helloInterval());
-        var to = new LinkedHashSet<String>();
-        if (lost) to.addAll(seeds);
-        else if (!seeds.isEmpty() && !self.isRouter()) to.add(seeds.get(Math.floorMod(turn, seeds.size())));
-        if (self.isRouter() && !lost) to.add(stores.get(Math.floorMod(turn, stores.size())).node.peerAddress);
-        else stores.forEach(k -> to.add(k.node.peerAddress));
-        turn++;
-        to.remove(self.peerAddress);
-        to.forEach(a -> port.send(a, lowTraffic(true, at(a))));
-    }
-
-    private Known at(String address) {
-        return known.values().stream()
-                .filter(k -> k.node.peerAddress.equals(address))
+        var isDisconnected = self.coreId == 0 || stores.stream().noneMatch(entry -> now - entry.heard < STALE);
+        nextGreetingAt = now + (isDisconnected ? Math.min(SEARCH_INTERVAL_MICROS, timing.helloInterval()) : timing.helloInterval());
+        var addresses = new LinkedHashSet<String>();
+        if (isDisconnected) addresses.addAll(seeds);
+        else if (!seeds.isEmpty() && !self.isRouter())
+            addresses.add(seeds.get(Math.floorMod(greetingRound, seeds.size())));
+        if (self.isRouter() && !isDisconnected)
+            addresses.add(stores.get(Math.floorMod(greetingRound, stores.size())).node.peerAddress);
+        else stores.forEach(entry -> addresses.add(entry.node.peerAddress));
+        greetingRound++;
+        addresses.remove(self.peerAddress);
+        addresses.forEach(address -> port.send(address, lowTrafficHello(true, knownByAddress(address))));
+    }
+
+    /** The known node at an address; null if there is none. */
+    private Known knownByAddress(String address) {
+        return knownByName.values().stream()
+                .filter(entry -> entry.node.peerAddress.equals(address))
                 .findFirst()
                 .orElse(null);
     }
 
-    private Hello lowTraffic(boolean asks, Known to) {
-        var h = new Hello();
-        h.from = self;
-        h.wantsReply = asks;
-        h.seen = seen;
-        h.lowTraffic = true;
-        if (to == null || to.node.coreId != self.coreId) h.founding = founding;
-        if (to != null) h.have = to.list;
-        return h;
-    }
-
-    private Hello answer(Hello h, long now) {
-        var k = known.get(h.from.name);
-        if (!h.lowTraffic) {
-            var full = hello(false, now);
-            if (k != null && k.node.incarnation > h.from.incarnation) full.known.add(k.node);
-            return full;
+    /**
+     * A greeting without the list of known stores, which a reply carries only if the recipient does not have it yet.
+     */
+    private Hello lowTrafficHello(boolean wantsReply, Known recipient) {
+        var hello = new Hello();
+        hello.from = self;
+        hello.wantsReply = wantsReply;
+        hello.seen = emptyStoresDigest;
+        hello.lowTraffic = true;
+        if (recipient == null || recipient.node.coreId != self.coreId) hello.founding = founding;
+        if (recipient != null) hello.have = recipient.listDigest;
+        return hello;
+    }
+
+    /** The reply to a greeting; it names a later process of the same name if one is known. */
+    private Hello replyTo(Hello hello, long now) {
+        var entry = knownByName.get(hello.from.name);
+        if (!hello.lowTraffic) {
+            var reply = fullHello(false, now);
+            if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.known.add(entry.node);
+            return reply;
         }
-        var a = lowTraffic(false, k);
-        if (h.from.coreId != self.coreId || k != null && k.node.incarnation > h.from.incarnation) a.founding = founding;
-        var stores = known.values().stream()
-                .filter(x -> now - x.heard < STALE && x.node.kind.equals(Node.STORE))
-                .map(x -> x.node)
-                .sorted(Comparator.comparing(n -> n.name))
+        var reply = lowTrafficHello(false, entry);
+        if (hello.from.coreId != self.coreId || entry != null && entry.node.incarnation > hello.from.incarnation)
+            reply.founding = founding;
+        var stores = knownByName.values().stream()
+                .filter(other -> now - other.heard < STALE && other.node.kind.equals(Node.STORE))
+                .map(other -> other.node)
+                .sorted(Comparator.comparing(node -> node.name))
                 .toList();
-        a.list = digest(stores);
-        if (a.list != h.have) a.known.addAll(stores);
-        if (k != null && k.node.incarnation > h.from.incarnation) a.known.add(k.node);
-        return a;
+        reply.list = digestOf(stores);
+        if (reply.list != hello.have) reply.known.addAll(stores);
+        if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.known.add(entry.node);
+        return reply;
     }
 
-    private synchronized void join(long coreId) {
+    /** Makes a router part of the core of a node that greeted it. */
+    private synchronized void joinCore(long coreId) {
         self.coreId = coreId;
     }
 
-    private static long digest(List<Node> stores) {
-        var d = 1L;
-        for (var n : stores)
-            d = Hash.of(Hash.of(d, Hash.of(n.name + " " + n.peerAddress)), Hash.of(n.incarnation, n.storeId));
-        return d | 1;
-    }
-
-    private Hello hello(boolean asks, long now) {
-        var h = new Hello();
-        h.from = self;
-        h.wantsReply = asks;
-        h.seen = seen;
-        h.founding = founding;
-        for (var k : known.values()) if (now - k.heard < STALE) h.known.add(k.node);
-        return h;
-    }
-
-    public void receive(Hello h, long now) {
-        if (h.from == null || h.from.name.equals(self.name)) return;
-        if (h.from.coreId != 0 && self.coreId != 0 && h.from.coreId != self.coreId) {
-            if (sameOrigin(h) && h.founding.newerThan(founding)) newer = h.founding;
-            else if (sameOrigin(h) && h.wantsReply) port.send(h.from.peerAddress, hello(false, now));
+    /** A non-zero digest of a sorted list of stores. */
+    private static long digestOf(List<Node> stores) {
+        var digest = 1L;
+        for (var node : stores)
+            digest = Hash.of(
+                    Hash.of(digest, Hash.of(node.name + " " + node.peerAddress)),
+                    Hash.of(node.incarnation, node.storeId));
+        return digest | 1;
+    }
+
+    /** A greeting with all nodes heard recently. */
+    private Hello fullHello(boolean wantsReply, long now) {
+        var hello = new Hello();
+        hello.from = self;
+        hello.wantsReply = wantsReply;
+        hello.seen = emptyStoresDigest;
+        hello.founding = founding;
+        for (var entry : knownByName.values()) if (now - entry.heard < STALE) hello.known.add(entry.node);
+        return hello;
+    }
+
+    /**
+     * Takes a greeting and replies if the sender wants it. A greeting from another core is ignored, unless it shows
+     * that one side is an older generation.
+     */
+    public void receive(Hello hello, long now) {
+        if (hello.from == null || hello.from.name.equals(self.name)) return;
+        if (hello.from.coreId != 0 && self.coreId != 0 && hello.from.coreId != self.coreId) {
+            if (sameOrigin(hello) && hello.founding.newerThan(founding)) newer = hello.founding;
+            else if (sameOrigin(hello) && hello.wantsReply) port.send(hello.from.peerAddress, fullHello(false, now));
             return;
         }
-        learn(h.from, now);
-        var k = known.get(h.from.name);
-        if (k.node.incarnation == h.from.incarnation) {
-            put(k, h.from);
-            if (k.earlier != null) replaced(k.earlier, h.from);
-            k.earlier = null;
-            k.heard = now;
-            k.seen = h.seen;
-            if (h.list != 0) k.list = h.list;
+        learn(hello.from, now);
+        var entry = knownByName.get(hello.from.name);
+        if (entry.node.incarnation == hello.from.incarnation) {
+            replaceNode(entry, hello.from);
+            if (entry.earlierNode != null) replaced(entry.earlierNode, hello.from);
+            entry.earlierNode = null;
+            entry.heard = now;
+            entry.seen = hello.seen;
+            if (hello.list != 0) entry.listDigest = hello.list;
         }
-        h.known.forEach(n -> learn(n, now));
-        if (founding == null && h.founding != null) founding = h.founding;
-        if (self.coreId == 0 && self.isRouter() && h.from.coreId != 0) join(h.from.coreId);
-        if (h.wantsReply) port.send(h.from.peerAddress, answer(h, now));
+        hello.known.forEach(node -> learn(node, now));
+        if (founding == null && hello.founding != null) founding = hello.founding;
+        if (self.coreId == 0 && self.isRouter() && hello.from.coreId != 0) joinCore(hello.from.coreId);
+        if (hello.wantsReply) port.send(hello.from.peerAddress, replyTo(hello, now));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -11,132 +11,163 @@
 import java.util.TreeMap;
 import java.util.function.IntFunction;
 
-/** Sends the renewals of a process's leases, those of several parts to one leader in one message with the low-traffic profile. */
+/**
+ * Sends the renewals of a process's leases. With the low-traffic profile, those of several parts go to a common
+ * leader in one message. Not synchronized; {@link Membership} guards it.
+ */
 final class LeaseRenewer {
-    static final int MAX_UNANSWERED = 2;
-    static final long SEARCH = 80_000;
-    private static final long IMPATIENT = 300_000;
-    private static final long RETRY_AFTER = 200_000;
-    private static final int MANY_SILENCES = 8;
-    private static final int MOST_SILENCES = 24;
+    /** After this many renewals without an answer the leader counts as unknown. */
+    static final int MAX_UNANSWERED_RENEWALS = 2;
+    /**
+     * With the low-traffic profile, how often a renewal is repeated while no answer came or the part is not current.
+     */
+    static final long SEARCH_INTERVAL_MICROS = 80_000;
+    /** The retry delay after the largest number of unanswered renewals. */
+    private static final long SILENT_CORE_RETRY_MICROS = 300_000;
+    /** How long to wait for the answer to the regular renewal of a current part. */
+    private static final long RETRY_DELAY_MICROS = 200_000;
+    /** With more unanswered renewals than this the retry delay doubles. */
+    private static final int UNANSWERED_BEFORE_SLOW_RETRY = 8;
+    /** With more unanswered renewals than this the retry delay is {@link #SILENT_CORE_RETRY_MICROS}. */
+    private static final int UNANSWERED_BEFORE_SLOWEST_RETRY = 24;
 
     private final Port port;
     private final Directory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
-    private final PartLease[] leases;
+    private final PartLease[] partLeases;
     private final TopicTable topics;
-    private IntFunction<List<Signal>> signals = p -> List.of();
-    private boolean leaving;
+    private IntFunction<List<Signal>> signalSource = part -> List.of();
+    private boolean isLeaving;
 
     LeaseRenewer(
             Port port,
             Directory directory,
             CoreClient coreClient,
             TimingProfile timing,
-            PartLease[] leases,
+            PartLease[] partLeases,
             TopicTable topics) {
         this.port = port;
         this.directory = directory;
         this.coreClient = coreClient;
         this.timing = timing;
-        this.leases = leases;
+        this.partLeases = partLeases;
         this.topics = topics;
     }
 
-    void signals(IntFunction<List<Signal>> from) {
-        signals = from;
+    /** Sets where the signals of a part come from. */
+    void setSignalSource(IntFunction<List<Signal>> source) {
+        signalSource = source;
     }
 
-    /** From now on each renewal says that this process leaves. */
+    /** Lets every further renewal say that this process leaves. */
     void leave() {
-        leaving = true;
+        isLeaving = true;
     }
 
     /** Sends the renewals that are due. */
-    void send(long now) {
-        var all = new TreeMap<String, Renewals>();
-        for (var p = 0; p < leases.length; p++) if (now >= leases[p].due) renew(p, now, all);
-        all.forEach(port::send);
+    void sendDue(long now) {
+        var batchByAddress = new TreeMap<String, Renewals>();
+        for (var part = 0; part < partLeases.length; part++)
+            if (now >= partLeases[part].nextRenewalAt) renew(part, now, batchByAddress);
+        batchByAddress.forEach(port::send);
     }
 
-    private void renew(int part, long now, Map<String, Renewals> all) {
-        var l = leases[part];
-        if (l.unanswered >= MAX_UNANSWERED) coreClient.leader(part, null);
+    /**
+     * Sends the renewal of one part to its leader. While the leader is unknown it goes to all stores with the
+     * low-traffic profile, else to one store in turn.
+     */
+    private void renew(int part, long now, Map<String, Renewals> batchByAddress) {
+        var lease = partLeases[part];
+        if (lease.unansweredRenewals >= MAX_UNANSWERED_RENEWALS) coreClient.leader(part, null);
         var leader = coreClient.leader(part);
         var stores = leader == null ? directory.stores() : List.of(leader);
-        l.due = now + (timing.lowTraffic() ? again(l, part) : timing.leaseRenewalInterval());
+        lease.nextRenewalAt = now + (timing.lowTraffic() ? retryDelay(lease, part) : timing.leaseRenewalInterval());
         if (stores.isEmpty()) return;
-        l.unanswered++;
-        var r = renewal(part, l);
-        l.spread = timing.lowTraffic() && leader == null;
-        var to = l.spread ? stores : List.of(stores.get(Math.floorMod(l.turn++, stores.size())));
-        for (var s : to) {
-            if (timing.lowTraffic() && s.renewals)
-                join(r, leader, all.computeIfAbsent(s.peerAddress, a -> renewals(leader, now)));
-            else alone(r, s, now);
+        lease.unansweredRenewals++;
+        var renewal = renewalFor(part, lease);
+        lease.sentToAllStores = timing.lowTraffic() && leader == null;
+        var recipients =
+                lease.sentToAllStores ? stores : List.of(stores.get(Math.floorMod(lease.storeTurn++, stores.size())));
+        for (var store : recipients) {
+            if (timing.lowTraffic() && store.renewals)
+                addToBatch(
+                        renewal,
+                        leader,
+                        batchByAddress.computeIfAbsent(store.peerAddress, address -> newBatch(leader, now)));
+            else sendSingle(renewal, store, now);
         }
     }
 
-    /** The answer leaves out a leader that the message names, so it names one only where that is the leader of all its parts. */
-    private static void join(Renew part, Node leader, Renewals to) {
-        if (to.leader != incarnation(leader)) to.leader = 0;
-        to.parts.add(part);
+    /**
+     * Adds a renewal to a message. The reply leaves out the leader that the message names, so the message may name
+     * one only if it leads all parts in it.
+     */
+    private static void addToBatch(Renew renewal, Node leader, Renewals batch) {
+        if (batch.leader != incarnationOf(leader)) batch.leader = 0;
+        batch.parts.add(renewal);
     }
 
-    private static long incarnation(Node leader) {
+    /** The incarnation of a leader; 0 if it is unknown. */
+    private static long incarnationOf(Node leader) {
         return leader == null ? 0 : leader.incarnation;
     }
 
-    private Renew renewal(int part, PartLease l) {
-        var r = new Renew();
-        r.part = part;
-        r.members = l.membersVersion;
-        r.signals.addAll(signals.apply(part));
-        topics.versions(part, (name, version) -> {
-            r.topics.add(name);
-            r.versions.add(version);
+    /** The renewal of one part, without the fields that a message for several parts carries once. */
+    private Renew renewalFor(int part, PartLease lease) {
+        var renewal = new Renew();
+        renewal.part = part;
+        renewal.members = lease.membersVersion;
+        renewal.signals.addAll(signalSource.apply(part));
+        topics.forEachVersion(part, (name, version) -> {
+            renewal.topics.add(name);
+            renewal.versions.add(version);
         });
-        return r;
+        return renewal;
     }
 
-    private Renewals renewals(Node leader, long now) {
-        var r = new Renewals();
-        r.from = directory.self();
-        r.stamp = now;
-        r.leaving = leaving;
-        r.leader = incarnation(leader);
-        return r;
+    private Renewals newBatch(Node leader, long now) {
+        var batch = new Renewals();
+        batch.from = directory.self();
+        batch.stamp = now;
+        batch.leaving = isLeaving;
+        batch.leader = incarnationOf(leader);
+        return batch;
     }
 
-    private void alone(Renew part, Node to, long now) {
-        var r = new Renew();
-        r.part = part.part;
-        r.members = part.members;
-        r.topics = part.topics;
-        r.versions = part.versions;
-        r.signals = part.signals;
-        r.from = directory.self();
-        r.stamp = now;
-        r.leaving = leaving;
-        port.send(to.peerAddress, r);
+    /** Sends a renewal in a message of its own. */
+    private void sendSingle(Renew renewal, Node store, long now) {
+        var message = new Renew();
+        message.part = renewal.part;
+        message.members = renewal.members;
+        message.topics = renewal.topics;
+        message.versions = renewal.versions;
+        message.signals = renewal.signals;
+        message.from = directory.self();
+        message.stamp = now;
+        message.leaving = isLeaving;
+        port.send(store.peerAddress, message);
     }
 
-    /** Until an answer comes: soon for a part that is not current, the less often the longer all are silent. */
-    private long again(PartLease l, int part) {
-        if (l.unanswered > MOST_SILENCES) return IMPATIENT;
-        if (l.unanswered > MANY_SILENCES) return 2 * SEARCH;
-        return l.unanswered > 0 || !current(part) ? SEARCH : RETRY_AFTER;
+    /**
+     * How long to wait for an answer: short for a part that is not current, longer the more renewals went unanswered.
+     */
+    private long retryDelay(PartLease lease, int part) {
+        if (lease.unansweredRenewals > UNANSWERED_BEFORE_SLOWEST_RETRY) return SILENT_CORE_RETRY_MICROS;
+        if (lease.unansweredRenewals > UNANSWERED_BEFORE_SLOW_RETRY) return 2 * SEARCH_INTERVAL_MICROS;
+        return lease.unansweredRenewals > 0 || !isCurrent(part) ? SEARCH_INTERVAL_MICROS : RETRY_DELAY_MICROS;
     }
 
-    /** Whether a part's lease is held and every topic of it has been told once. */
-    boolean current(int part) {
-        return leases[part].held && !topics.untold(part);
+    /** Whether the lease of a part is held and every topic of it has been received. */
+    boolean isCurrent(int part) {
+        return partLeases[part].held && !topics.hasUnknownTopic(part);
     }
 
-    /** How long until the next renewal of a part that is current; all processes of a name keep to one beat. */
-    long pause(long now) {
-        return timing.leaseRenewalInterval()
-                - Math.floorMod(now - Hash.of(directory.self().name), timing.leaseRenewalInterval());
+    /**
+     * How long until the next renewal of a current part. Renewals fall on fixed times that depend on the process's
+     * name, so that those of all parts go out together.
+     */
+    long delayToNextRenewal(long now) {
+        return timing.leaseRenewalInterval() - Math.floorMod(now - Hash.of(directory.self().name), timing.leaseRenewalInterval());
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -5,43 +5,50 @@
 import craneway.state.message.Node;
 
 /**
- * Which life of a process's name stands. A process whose incarnation is refused raises it above the known one, as long as the
- * part has not granted it yet or the known life had the very address that this process holds; else a later life elsewhere
- * has taken its place.
+ * Resolves which process may use a name if several have used it. A process whose incarnation is refused raises it
+ * above the known one as long as the part has not granted the current one yet, or if the known process had this
+ * process's address and so must have ended. Otherwise a later process elsewhere has taken its place.
  */
 final class LifeClaim {
     private final Directory directory;
-    private final long[] granted = new long[Parts.COUNT];
+    private final long[] grantedIncarnations = new long[Parts.COUNT];
     private boolean superseded;
 
     LifeClaim(Directory directory) {
         this.directory = directory;
     }
 
-    boolean superseded() {
+    /** Whether another process has taken over the name; this one must stop. */
+    boolean isSuperseded() {
         return superseded;
     }
 
-    /** A part has taken this process in under its present incarnation. */
-    void granted(int part) {
-        granted[part] = directory.self().incarnation;
+    /** Records that a part accepted this process under its current incarnation. */
+    void recordGrant(int part) {
+        grantedIncarnations[part] = directory.self().incarnation;
     }
 
-    /** A part has refused; whether the incarnation was raised, so that all parts are to be asked again. */
-    boolean refused(RenewReply v) {
+    /**
+     * Handles the refusal of a part. Returns whether the incarnation was raised, so that all leases have to be
+     * renewed again.
+     */
+    boolean handleRefusal(RenewReply refusal) {
         var self = directory.self();
-        if (v.incarnation < self.incarnation || own(v, self)) return false;
-        var here = v.known != null && v.known.peerAddress.equals(self.peerAddress);
-        if (!here && granted[v.part] == self.incarnation) {
+        if (refusal.incarnation < self.incarnation || namesThisLife(refusal, self)) return false;
+        var isSameAddress = refusal.known != null && refusal.known.peerAddress.equals(self.peerAddress);
+        if (!isSameAddress && grantedIncarnations[refusal.part] == self.incarnation) {
             superseded = true;
             return false;
         }
-        directory.raise(v.incarnation);
+        directory.raise(refusal.incarnation);
         return true;
     }
 
-    /** The refusal of a late message of an earlier life names the life that stands: this one. */
-    private static boolean own(RenewReply v, Node self) {
-        return v.incarnation == self.incarnation && (v.known == null || !v.known.otherLife(self));
+    /**
+     * Whether the incarnation that the refusal names is that of this process: then it answers a late message of an
+     * earlier process.
+     */
+    private static boolean namesThisLife(RenewReply refusal, Node self) {
+        return refusal.incarnation == self.incarnation && (refusal.known == null || !refusal.known.otherLife(self));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -17,11 +17,33 @@
 import java.util.Map;
 import java.util.function.IntFunction;
 
+/**
+ * Keeps the leases of this process at all parts and follows the manifest and the tables. A lease is extended only
+ * while the topics of its part are current, so that a process that holds it does not act on outdated tables.
+ *
+ * <p>Methods are synchronized; {@link #view()} reads an immutable snapshot without a lock. Times are microseconds.
+ */
 public final class Membership {
-    public static final long LEASE = 2_000_000, SETTLED = 1_500_000;
-    private static final long SOON = 20_000;
+    /** The length of a lease in microseconds, counted from when the renewal was sent. */
+    public static final long LEASE = 2_000_000;
 
-    /** What the rest of a process sees of the core: the news it follows and the ends of its leases. */
+    /** A lease counts as settled once it has been held for this many microseconds. */
+    public static final long SETTLED = 1_500_000;
+
+    /** How soon a renewal is sent again after a store has named another leader. */
+    private static final long LEADER_CHANGE_RETRY_MICROS = 20_000;
+
+    /**
+     * What the rest of the process sees of the core. Arrays and lists are indexed by part and must not be changed.
+     *
+     * @param topic the content of the manifest topic
+     * @param manifest the manifest in force; null before the first
+     * @param services the services by name
+     * @param leases the end of the lease at each part
+     * @param members the members that the leader of each part reported last
+     * @param grace how long this process may act after a lease has lapsed; the smallest over all parts
+     * @param heldSince since when the lease at each part has been held
+     */
     public record View(
             Rows.Manifest topic,
             Manifest manifest,
@@ -30,14 +52,17 @@
             List<List<Node>> members,
             long grace,
             long[] heldSince) {
+        /** Whether the lease at a part is valid and has been held for a while. */
         public boolean settled(int part, long now) {
             return leased(part, now) && now >= heldSince[part] + SETTLED;
         }
 
+        /** Whether the lease at a part is valid. */
         public boolean leased(int part, long now) {
             return now < leases[part];
         }
 
+        /** When the lease at a part ends or ended. */
         public long leaseEnd(int part) {
             return leases[part];
         }
@@ -47,206 +72,240 @@
     private final Directory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
-    private final PartLease[] leases = new PartLease[Parts.COUNT];
+    private final PartLease[] partLeases = new PartLease[Parts.COUNT];
     private final TopicTable topics;
     private final LeaseRenewer renewer;
-    private final LifeClaim claim;
-    private boolean leaving;
-    private boolean unready;
+    private final LifeClaim lifeClaim;
+    private boolean isLeaving;
+    private boolean markedUnready;
     private volatile View view;
 
+    /** Creates the membership of a process with the standard timing. */
     public Membership(Port port, Directory directory, CoreClient coreClient) {
         this(port, directory, coreClient, TimingProfile.STANDARD);
     }
 
+    /** Creates the membership of a process. */
     public Membership(Port port, Directory directory, CoreClient coreClient, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
         this.directory = directory;
         this.coreClient = coreClient;
-        claim = new LifeClaim(directory);
-        for (var i = 0; i < leases.length; i++) leases[i] = new PartLease();
-        topics = new TopicTable(port, directory, coreClient, timing, part -> leases[part].members);
-        renewer = new LeaseRenewer(port, directory, coreClient, timing, leases, topics);
-        publish();
+        lifeClaim = new LifeClaim(directory);
+        for (var part = 0; part < partLeases.length; part++) partLeases[part] = new PartLease();
+        topics = new TopicTable(port, directory, coreClient, timing, part -> partLeases[part].members);
+        renewer = new LeaseRenewer(port, directory, coreClient, timing, partLeases, topics);
+        publishView();
     }
 
+    /** The current view; replaced whenever something in it changes. */
     public View view() {
         return view;
     }
 
+    /**
+     * Starts over with a newer generation of the core: drops leases, versions and leaders, but keeps the contents of
+     * topics.
+     */
     public synchronized void follow() {
-        for (var l : leases) l.forget();
-        topics.forget();
-        for (var p = 0; p < leases.length; p++) coreClient.leader(p, null);
-        publish();
+        for (var lease : partLeases) lease.reset();
+        topics.resetVersions();
+        for (var part = 0; part < partLeases.length; part++) coreClient.leader(part, null);
+        publishView();
     }
 
-    public synchronized void signals(IntFunction<List<Signal>> from) {
-        renewer.signals(from);
+    /** Sets where the signals that renewals carry come from, by part. */
+    public synchronized void signals(IntFunction<List<Signal>> source) {
+        renewer.setSignalSource(source);
     }
 
+    /** The store believed to lead a part; null if it is unknown. */
     public Node leader(int part) {
         return coreClient.leader(part);
     }
 
+    /** Whether another process has taken over the name of this one, which must stop. */
     public synchronized boolean superseded() {
-        return claim.superseded();
+        return lifeClaim.isSuperseded();
     }
 
+    /** Whether all leases are held and all topics are current. */
     public synchronized boolean current() {
-        for (var l : leases) if (!l.held) return false;
-        return topics.current();
+        for (var lease : partLeases) if (!lease.held) return false;
+        return topics.isCurrent();
     }
 
+    /** Marks a router as no longer serving, ahead of a planned stop, and tells the core at once. */
     public synchronized void unready() {
-        unready = true;
+        markedUnready = true;
         updateServing();
-        for (var l : leases) l.due = 0;
+        for (var lease : partLeases) lease.nextRenewalAt = 0;
         directory.greetSoon();
     }
 
+    /** Marks a router as serving once it has been current, until it is marked as unready. */
     private void updateServing() {
-        var is = !unready && (directory.self().serving || current());
+        var serving = !markedUnready && (directory.self().serving || current());
         var self = directory.self();
-        if (!self.isRouter() || self.serving == is) return;
-        directory.updateServing(is);
-        if (timing.lowTraffic()) for (var l : leases) l.due = 0;
+        if (!self.isRouter() || self.serving == serving) return;
+        directory.updateServing(serving);
+        if (timing.lowTraffic()) for (var lease : partLeases) lease.nextRenewalAt = 0;
     }
 
+    /**
+     * Whether this process may take requests: it has a manifest, and its lease at the manifest part ended at most a
+     * lease, or its grace, ago.
+     */
     public boolean usable(long now) {
-        var v = view;
-        return v.manifest() != null && now < v.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE, v.grace());
+        var currentView = view;
+        return currentView.manifest() != null
+                && now < currentView.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE, currentView.grace());
     }
 
+    /** Gives up all leases and tells the leaders. */
     public synchronized void leave(long now) {
-        leaving = true;
+        isLeaving = true;
         renewer.leave();
-        for (var p = 0; p < leases.length; p++) {
-            leases[p].until = now;
-            leases[p].due = now;
+        for (var part = 0; part < partLeases.length; part++) {
+            partLeases[part].validUntil = now;
+            partLeases[part].nextRenewalAt = now;
         }
-        renewDue(now);
-        publish();
+        sendDueRenewals(now);
+        publishView();
     }
 
+    /** Notices lapsed leases, sends due renewals and renews subscriptions. */
     public synchronized void tick(long now) {
-        if (claim.superseded() || leaving || directory.self().coreId == 0) return;
+        if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
-        for (var p = 0; p < leases.length; p++) {
-            var l = leases[p];
-            if (l.held && now >= l.until) {
-                l.held = false;
-                port.logEvent(Event.LEASE_LAPSED, "part " + p);
+        for (var part = 0; part < partLeases.length; part++) {
+            var lease = partLeases[part];
+            if (lease.held && now >= lease.validUntil) {
+                lease.held = false;
+                port.logEvent(Event.LEASE_LAPSED, "part " + part);
             }
         }
-        renewDue(now);
-        topics.follow(now);
+        sendDueRenewals(now);
+        topics.renewSubscriptions(now);
     }
 
-    private void renewDue(long now) {
-        if (!claim.superseded() && directory.self().coreId != 0) renewer.send(now);
+    /** Sends due renewals, if this process belongs to a core and has not been superseded. */
+    private void sendDueRenewals(long now) {
+        if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
-    public synchronized void receive(RenewReplies all, long now) {
-        for (var v : all.parts) {
-            v.stamp = all.stamp;
-            if (v.incarnation == 0) v.incarnation = all.incarnation;
-            if (v.kind == 0) {
-                v.leader = all.leader;
-                v.grace = all.grace;
+    /** Takes the replies to the renewals that were sent in one message. */
+    public synchronized void receive(RenewReplies replies, long now) {
+        for (var reply : replies.parts) {
+            reply.stamp = replies.stamp;
+            if (reply.incarnation == 0) reply.incarnation = replies.incarnation;
+            if (reply.kind == 0) {
+                reply.leader = replies.leader;
+                reply.grace = replies.grace;
             }
-            receive(v, now);
+            receive(reply, now);
         }
-        if (leaving) return;
+        if (isLeaving) return;
         updateServing();
-        renewDue(now);
+        sendDueRenewals(now);
     }
 
-    public synchronized void receive(RenewReply v, long now) {
-        if (v.part < 0 || v.part >= leases.length) return;
-        var l = leases[v.part];
-        if (v.kind == ProblemKind.NOT_OWNER.code()) {
-            notLeader(v, l, now);
+    /** Takes the reply of a part to a renewal. */
+    public synchronized void receive(RenewReply reply, long now) {
+        if (reply.part < 0 || reply.part >= partLeases.length) return;
+        var lease = partLeases[reply.part];
+        if (reply.kind == ProblemKind.NOT_OWNER.code()) {
+            handleNotLeader(reply, lease, now);
             return;
         }
-        l.unanswered = 0;
-        if (v.kind == ProblemKind.STALE_MEMBER.code()) {
-            if (!leaving && claim.refused(v)) for (var x : leases) x.due = now;
+        lease.unansweredRenewals = 0;
+        if (reply.kind == ProblemKind.STALE_MEMBER.code()) {
+            if (!isLeaving && lifeClaim.handleRefusal(reply)) for (var other : partLeases) other.nextRenewalAt = now;
             return;
         }
-        if (v.kind != 0 || v.incarnation != directory.self().incarnation) return;
-        claim.granted(v.part);
-        if (v.leader != null) coreClient.leader(v.part, v.leader);
-        for (var i = 0; i < v.topics.size(); i++) topics.heard(v.topics.get(i), v.versions.get(i), now);
-        if (v.members != null) {
-            l.membersVersion = v.membersVersion;
-            l.members = List.copyOf(v.members);
-            v.members.forEach(n -> directory.learn(n, now));
+        if (reply.kind != 0 || reply.incarnation != directory.self().incarnation) return;
+        lifeClaim.recordGrant(reply.part);
+        if (reply.leader != null) coreClient.leader(reply.part, reply.leader);
+        for (var i = 0; i < reply.topics.size(); i++)
+            topics.recordAdvertisedVersion(reply.topics.get(i), reply.versions.get(i), now);
+        if (reply.members != null) {
+            lease.membersVersion = reply.membersVersion;
+            lease.members = List.copyOf(reply.members);
+            reply.members.forEach(member -> directory.learn(member, now));
         }
-        l.offered = Math.max(l.offered, v.stamp + LEASE);
-        l.offeredGrace = v.grace;
-        if (timing.lowTraffic() && l.due > now)
-            l.due = renewer.current(v.part) ? now + renewer.pause(now) : now + LeaseRenewer.SEARCH;
-        take(v.part, now);
+        lease.offeredUntil = Math.max(lease.offeredUntil, reply.stamp + LEASE);
+        lease.offeredGrace = reply.grace;
+        if (timing.lowTraffic() && lease.nextRenewalAt > now)
+            lease.nextRenewalAt = renewer.isCurrent(reply.part)
+                    ? now + renewer.delayToNextRenewal(now)
+                    : now + LeaseRenewer.SEARCH_INTERVAL_MICROS;
+        acceptOffer(reply.part, now);
     }
 
-    private void notLeader(RenewReply v, PartLease l, long now) {
-        l.unanswered = Math.min(l.unanswered, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED : 0);
-        if (l.spread) {
-            directory.learn(v.leader, now);
+    /** Handles the reply of a store that does not lead: renews soon at the leader that it names, if that is news. */
+    private void handleNotLeader(RenewReply reply, PartLease lease, long now) {
+        lease.unansweredRenewals =
+                Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
+        if (lease.sentToAllStores) {
+            directory.learn(reply.leader, now);
             return;
         }
-        var had = coreClient.leader(v.part);
-        coreClient.leader(v.part, v.leader);
-        if (v.leader == null || had != null && had.name.equals(v.leader.name)) return;
-        l.unanswered = 0;
-        l.due = Math.min(l.due, timing.lowTraffic() ? now : now + SOON);
-    }
-
-    private void take(int part, long now) {
-        var l = leases[part];
-        if (l.offered <= l.until || topics.tooFarBehind(part, l.held, now)) return;
-        if (!l.held && now < l.offered) {
-            l.held = true;
-            l.heldSince = now;
+        var previous = coreClient.leader(reply.part);
+        coreClient.leader(reply.part, reply.leader);
+        if (reply.leader == null || previous != null && previous.name.equals(reply.leader.name)) return;
+        lease.unansweredRenewals = 0;
+        lease.nextRenewalAt =
+                Math.min(lease.nextRenewalAt, timing.lowTraffic() ? now : now + LEADER_CHANGE_RETRY_MICROS);
+    }
+
+    /** Accepts the lease that the leader granted, if it is longer and the topics of the part are current enough. */
+    private void acceptOffer(int part, long now) {
+        var lease = partLeases[part];
+        if (lease.offeredUntil <= lease.validUntil || topics.isTooFarBehind(part, lease.held, now)) return;
+        if (!lease.held && now < lease.offeredUntil) {
+            lease.held = true;
+            lease.heldSince = now;
             port.logEvent(Event.LEASE_ACQUIRED, "part " + part);
         }
-        l.take();
-        publish();
+        lease.acceptOffer();
+        publishView();
     }
 
-    public synchronized void receive(Subscribe s, long now) {
-        topics.subscribe(s, now);
+    /** Takes a subscription of another router. */
+    public synchronized void receive(Subscribe subscription, long now) {
+        topics.addSubscriber(subscription, now);
     }
 
-    public synchronized void receive(News n, long now) {
-        if (!topics.take(n)) return;
-        if (n.topic.equals(Parts.MANIFEST_TOPIC)) renewUntold();
-        publish();
-        leases[Parts.partOf(n.topic)].due = now;
-        take(Parts.partOf(n.topic), now);
-        if (!timing.lowTraffic() && !leaving) renewDue(now);
-        topics.waiting().forEach(x -> receive(x, now));
+    /** Takes a new version of a topic, and accepts a lease that waited for it. */
+    public synchronized void receive(News news, long now) {
+        if (!topics.accept(news)) return;
+        if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
+        publishView();
+        partLeases[Parts.partOf(news.topic)].nextRenewalAt = now;
+        acceptOffer(Parts.partOf(news.topic), now);
+        if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
+        topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
     }
 
-    /** A manifest may name services of parts whose topics have never been told: these parts renew at once. */
-    private void renewUntold() {
-        for (var p = 0; p < leases.length; p++) if (topics.untold(p)) leases[p].due = 0;
+    /** Renews at once at the parts that hold services which the manifest names and this process does not know yet. */
+    private void renewPartsWithUnknownTopics() {
+        for (var part = 0; part < partLeases.length; part++)
+            if (topics.hasUnknownTopic(part)) partLeases[part].nextRenewalAt = 0;
     }
 
-    private void publish() {
-        var until = new long[leases.length];
-        var since = new long[leases.length];
-        var all = new ArrayList<List<Node>>();
+    /** Replaces the view. */
+    private void publishView() {
+        var leaseEnds = new long[partLeases.length];
+        var heldSince = new long[partLeases.length];
+        var members = new ArrayList<List<Node>>();
         var manifest = topics.manifest();
         var grace = manifest == null ? 0 : manifest.lapsedLeaseGrace();
-        for (var i = 0; i < until.length; i++) {
-            until[i] = leases[i].until;
-            since[i] = leases[i].heldSince;
-            all.add(leases[i].members);
-            grace = Math.min(grace, leases[i].grace);
+        for (var part = 0; part < leaseEnds.length; part++) {
+            leaseEnds[part] = partLeases[part].validUntil;
+            heldSince[part] = partLeases[part].heldSince;
+            members.add(partLeases[part].members);
+            grace = Math.min(grace, partLeases[part].grace);
         }
-        view = new View(topics.manifestTopic(), manifest, topics.services(), until, all, grace, since);
+        view = new View(topics.manifestTopic(), manifest, topics.services(), leaseEnds, members, grace, heldSince);
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/PartLease.java
+++ b/lib/control/src/main/java/craneway/control/node/PartLease.java
@@ -3,16 +3,20 @@
 import craneway.state.message.Node;
 import java.util.List;
 
-/** What a process knows of its lease at one part. Times are microseconds. */
+/** A process's lease at one part. Times are microseconds. */
 final class PartLease {
-    long until = Long.MIN_VALUE / 2;
-    long due;
-    int turn;
-    int unanswered;
-    /** Whether the last renewal went to all stores, since the leader was unknown. */
-    boolean spread;
+    long validUntil = Long.MIN_VALUE / 2;
+    long nextRenewalAt;
+    /** Which store is tried next while the leader is unknown. */
+    int storeTurn;
+
+    int unansweredRenewals;
+    /** Whether the last renewal went to all stores, because the leader was unknown. */
+    boolean sentToAllStores;
+
+    /** The end of the lease that the leader granted last; accepted once the topics of the part are current enough. */
+    long offeredUntil = Long.MIN_VALUE / 2;
 
-    long offered = Long.MIN_VALUE / 2;
     long offeredGrace;
     boolean held;
     long grace;
@@ -20,16 +24,16 @@
     long membersVersion = -1;
     List<Node> members = List.of();
 
-    /** Forgets what another core had told. */
-    void forget() {
+    /** Forgets what the leader of another core granted. */
+    void reset() {
         held = false;
         membersVersion = -1;
-        due = 0;
+        nextRenewalAt = 0;
     }
 
-    /** Takes up what the leader offered. */
-    void take() {
+    /** Accepts the lease that the leader granted. */
+    void acceptOffer() {
         grace = offeredGrace;
-        until = offered;
+        validUntil = offeredUntil;
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -19,33 +19,42 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * The topics that a process follows, the manifest and one for each service: their newest versions, whom they are asked from and
- * who asks this process for them. Not synchronised; {@link Membership} guards it.
+ * The topics that a process follows, the manifest and one for each service: their versions, the nodes they are
+ * subscribed from, and the subscribers of this process. Routers of a zone share subscriptions: each topic is fetched
+ * by one of them, which passes it on to the others. Not synchronized; {@link Membership} guards it.
  */
 final class TopicTable {
-    private static final long IMPATIENT = 300_000;
-    private static final long TIMEOUT = 1_000_000;
-    private static final long SUBSCRIBED = 2_000_000;
-
+    /** A topic that has been behind for this long is requested from the leader, at most once in this time. */
+    private static final long PULL_FROM_LEADER_AFTER_MICROS = 300_000;
+    /** A lease is not extended once a topic of its part has been behind for this long. */
+    private static final long MAX_BEHIND_MICROS = 1_000_000;
+    /** How long a subscription lasts unless it is renewed. */
+    private static final long SUBSCRIPTION_TTL_MICROS = 2_000_000;
+
+    /** The state of one topic. */
     private static final class Topic {
         long version;
         byte[] body;
-        long newest;
+        /** The newest version that a leader has announced; {@code version} is what this process has. */
+        long newestVersion;
+
+        /** Since when a newer version is known to exist; 0 if this one is current. */
         long behindSince;
-        long due;
-        long pulled;
-        final Map<String, Long> subscribers = new HashMap<>();
+
+        long nextSubscribeAt;
+        long lastPullAt;
+        final Map<String, Long> subscribedAtByAddress = new HashMap<>();
     }
 
     private final Port port;
     private final Directory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
-    private final IntFunction<List<Node>> members;
+    private final IntFunction<List<Node>> membersOfPart;
     private final Map<String, Topic> topics = new TreeMap<>();
     private final Map<String, Rows.Service> services = new TreeMap<>();
-    private final Map<String, News> early = new HashMap<>();
-    private Map<String, Rows.Service> servicesNow;
+    private final Map<String, News> newsBeforeManifest = new HashMap<>();
+    private Map<String, Rows.Service> servicesSnapshot;
     private Rows.Manifest manifestTopic = new Rows.Manifest();
     private Manifest manifest;
 
@@ -59,10 +68,11 @@
         this.directory = directory;
         this.coreClient = coreClient;
         this.timing = timing;
-        this.members = members;
+        this.membersOfPart = members;
         topics.put(Parts.MANIFEST_TOPIC, new Topic());
     }
 
+    /** The content of the manifest topic: the manifest text, its version and the marks. */
     Rows.Manifest manifestTopic() {
         return manifestTopic;
     }
@@ -72,141 +82,167 @@
         return manifest;
     }
 
-    /** The services as last told; the same map until one of them changes. */
+    /** The services as last received; the same map until one of them changes. */
     Map<String, Rows.Service> services() {
-        if (servicesNow == null) servicesNow = Map.copyOf(services);
-        return servicesNow;
+        if (servicesSnapshot == null) servicesSnapshot = Map.copyOf(services);
+        return servicesSnapshot;
     }
 
-    /** Forgets which versions another core had told, and keeps what they said until the new ones come. */
-    void forget() {
-        topics.values().forEach(t -> {
-            t.version = t.newest = t.behindSince = 0;
-            t.body = null;
+    /** Forgets the versions, which belong to another core, and keeps the contents until new ones arrive. */
+    void resetVersions() {
+        topics.values().forEach(topic -> {
+            topic.version = topic.newestVersion = topic.behindSince = 0;
+            topic.body = null;
         });
     }
 
-    /** Whether every topic has been told in the newest version known, a manifest among them. */
-    boolean current() {
-        return manifest != null && topics.values().stream().noneMatch(t -> t.version == 0 || t.version < t.newest);
+    /** Whether there is a manifest and every topic has the newest version known. */
+    boolean isCurrent() {
+        return manifest != null
+                && topics.values().stream()
+                        .noneMatch(topic -> topic.version == 0 || topic.version < topic.newestVersion);
     }
 
-    /** Whether some topic of a part has never been told. */
-    boolean untold(int part) {
-        return topics.entrySet().stream().anyMatch(e -> Parts.partOf(e.getKey()) == part && e.getValue().version == 0);
+    /** Whether some topic of a part has never been received. */
+    boolean hasUnknownTopic(int part) {
+        return topics.entrySet().stream()
+                .anyMatch(entry -> Parts.partOf(entry.getKey()) == part && entry.getValue().version == 0);
     }
 
-    /** Tells the versions of a part's topics. */
-    void versions(int part, ObjLongConsumer<String> to) {
-        topics.forEach((n, t) -> {
-            if (Parts.partOf(n) == part) to.accept(n, t.version);
+    /** Passes the name and version of each topic of a part to the consumer. */
+    void forEachVersion(int part, ObjLongConsumer<String> consumer) {
+        topics.forEach((name, topic) -> {
+            if (Parts.partOf(name) == part) consumer.accept(name, topic.version);
         });
     }
 
-    /** Whether a part's topics are too far behind for its lease to be taken, or kept where it is held. */
-    boolean tooFarBehind(int part, boolean held, long now) {
+    /**
+     * Whether the topics of a part are too far behind for its lease to be taken, or, if it is held, to be extended.
+     */
+    boolean isTooFarBehind(int part, boolean isHeld, long now) {
         return topics.entrySet().stream()
-                .filter(e -> Parts.partOf(e.getKey()) == part)
+                .filter(entry -> Parts.partOf(entry.getKey()) == part)
                 .map(Map.Entry::getValue)
-                .anyMatch(t -> t.behindSince != 0 && (!held || now - t.behindSince > TIMEOUT));
-    }
-
-    /** Hears that a topic has reached a version. */
-    void heard(String topic, long version, long now) {
-        var t = topics.get(topic);
-        if (t == null) return;
-        t.newest = Math.max(t.newest, version);
-        if (t.newest > t.version && t.behindSince == 0) t.behindSince = now;
-    }
-
-    /** Asks for every topic that is due. */
-    void follow(long now) {
-        topics.forEach((n, t) -> follow(n, t, now));
-    }
-
-    private void follow(String name, Topic t, long now) {
-        t.subscribers.values().removeIf(at -> now - at > SUBSCRIBED);
-        var late = t.behindSince != 0 && now - t.behindSince > IMPATIENT && now - t.pulled > IMPATIENT;
-        if (now < t.due && !late || timing.lowTraffic() && t.version == 0) return;
-        var home = late ? null : homeOf(name);
-        if (home == null || home.name.equals(directory.self().name)) home = coreClient.leader(Parts.partOf(name));
-        if (late) t.pulled = now;
-        if (home == null) return;
-        t.due = now + timing.subscriptionRenewalInterval();
-        var s = new Subscribe();
-        s.from = directory.self();
-        s.topic = name;
-        s.have = t.version;
-        port.send(home.peerAddress, s);
-    }
-
-    private Node homeOf(String topic) {
+                .anyMatch(topic -> topic.behindSince != 0 && (!isHeld || now - topic.behindSince > MAX_BEHIND_MICROS));
+    }
+
+    /** Records that a leader has announced a version of a topic. */
+    void recordAdvertisedVersion(String name, long version, long now) {
+        var topic = topics.get(name);
+        if (topic == null) return;
+        topic.newestVersion = Math.max(topic.newestVersion, version);
+        if (topic.newestVersion > topic.version && topic.behindSince == 0) topic.behindSince = now;
+    }
+
+    /** Subscribes to every topic whose subscription is due. */
+    void renewSubscriptions(long now) {
+        topics.forEach((name, topic) -> renewSubscriptions(name, topic, now));
+    }
+
+    /**
+     * Subscribes to a topic at the router that fetches it for this zone, else, or if the topic is overdue, at the
+     * leader of its part.
+     */
+    private void renewSubscriptions(String name, Topic topic, long now) {
+        topic.subscribedAtByAddress.values().removeIf(subscribedAt -> now - subscribedAt > SUBSCRIPTION_TTL_MICROS);
+        var isOverdue = topic.behindSince != 0
+                && now - topic.behindSince > PULL_FROM_LEADER_AFTER_MICROS
+                && now - topic.lastPullAt > PULL_FROM_LEADER_AFTER_MICROS;
+        if (now < topic.nextSubscribeAt && !isOverdue || timing.lowTraffic() && topic.version == 0) return;
+        var source = isOverdue ? null : subscriptionSource(name);
+        if (source == null || source.name.equals(directory.self().name)) source = coreClient.leader(Parts.partOf(name));
+        if (isOverdue) topic.lastPullAt = now;
+        if (source == null) return;
+        topic.nextSubscribeAt = now + timing.subscriptionRenewalInterval();
+        var request = new Subscribe();
+        request.from = directory.self();
+        request.topic = name;
+        request.have = topic.version;
+        port.send(source.peerAddress, request);
+    }
+
+    /**
+     * The serving router of this zone that fetches the topic, chosen by rendezvous hashing; null if this process is
+     * not a router.
+     */
+    private Node subscriptionSource(String topic) {
         if (!directory.self().isRouter()) return null;
-        var mine = new TreeMap<String, Node>();
-        mine.put(directory.self().name, directory.self());
-        for (var n : members.apply(Parts.partOf(topic)))
-            if (n.isRouter() && n.serving && n.zone.equals(directory.self().zone)) mine.put(n.name, n);
-        return mine.get(RendezvousHash.pick(topic, mine.keySet()));
-    }
-
-    /** Takes in a subscriber and sends it what it lacks. */
-    void subscribe(Subscribe s, long now) {
-        var t = topics.get(s.topic);
-        if (t == null || s.from == null) return;
-        t.subscribers.put(s.from.peerAddress, now);
-        if (t.body != null && t.version > s.have) port.send(s.from.peerAddress, news(s.topic, t));
-    }
-
-    private static News news(String name, Topic t) {
-        var n = new News();
-        n.topic = name;
-        n.version = t.version;
-        n.body = t.body;
-        return n;
-    }
-
-    /** Takes news, if they are newer, and passes them on; whether they were. */
-    boolean take(News n) {
-        var t = topics.get(n.topic);
-        if (t == null && timing.lowTraffic() && manifest == null)
-            early.merge(n.topic, n, (a, b) -> a.version < b.version ? b : a);
-        if (t == null || n.version <= t.version) return false;
-        if (n.topic.equals(Parts.MANIFEST_TOPIC)) takeManifest(Codec.read(Rows.Manifest.class, n.body));
-        else takeService(Codec.read(Rows.Service.class, n.body));
-        t.version = n.version;
-        t.newest = Math.max(t.newest, n.version);
-        t.body = n.body;
-        if (t.version >= t.newest) t.behindSince = 0;
-        t.subscribers.keySet().forEach(a -> port.send(a, news(n.topic, t)));
+        var candidates = new TreeMap<String, Node>();
+        candidates.put(directory.self().name, directory.self());
+        for (var member : membersOfPart.apply(Parts.partOf(topic)))
+            if (member.isRouter() && member.serving && member.zone.equals(directory.self().zone))
+                candidates.put(member.name, member);
+        return candidates.get(RendezvousHash.pick(topic, candidates.keySet()));
+    }
+
+    /** Adds a subscriber and sends it the topic if it has an older version. */
+    void addSubscriber(Subscribe request, long now) {
+        var topic = topics.get(request.topic);
+        if (topic == null || request.from == null) return;
+        topic.subscribedAtByAddress.put(request.from.peerAddress, now);
+        if (topic.body != null && topic.version > request.have)
+            port.send(request.from.peerAddress, newsOf(request.topic, topic));
+    }
+
+    /** A message with the content of a topic. */
+    private static News newsOf(String name, Topic topic) {
+        var news = new News();
+        news.topic = name;
+        news.version = topic.version;
+        news.body = topic.body;
+        return news;
+    }
+
+    /**
+     * Takes news that are newer than what this process has and passes them on to its subscribers. Returns whether
+     * they were newer.
+     */
+    boolean accept(News news) {
+        var topic = topics.get(news.topic);
+        if (topic == null && timing.lowTraffic() && manifest == null)
+            newsBeforeManifest.merge(news.topic, news, (a, b) -> a.version < b.version ? b : a);
+        if (topic == null || news.version <= topic.version) return false;
+        if (news.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.read(Rows.Manifest.class, news.body));
+        else acceptService(Codec.read(Rows.Service.class, news.body));
+        topic.version = news.version;
+        topic.newestVersion = Math.max(topic.newestVersion, news.version);
+        topic.body = news.body;
+        if (topic.version >= topic.newestVersion) topic.behindSince = 0;
+        topic.subscribedAtByAddress.keySet().forEach(a -> port.send(a, newsOf(news.topic, topic)));
         return true;
     }
 
-    /** News of services that came before the manifest that names them; empty until it is there. */
-    List<News> waiting() {
-        if (manifest == null || early.isEmpty()) return List.of();
-        var waiting = List.copyOf(early.values());
-        early.clear();
-        return waiting;
+    /**
+     * Returns and removes the news of services that arrived before the manifest that names them; empty until the
+     * manifest is there.
+     */
+    List<News> takeDeferredNews() {
+        if (manifest == null || newsBeforeManifest.isEmpty()) return List.of();
+        var deferred = List.copyOf(newsBeforeManifest.values());
+        newsBeforeManifest.clear();
+        return deferred;
     }
 
-    private void takeManifest(Rows.Manifest m) {
-        manifestTopic = m;
-        if (m.text.isEmpty()) return;
-        manifest = ManifestReader.readValidated(m.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
+    /** Puts a manifest in force; topics of services that it no longer names are dropped. */
+    private void acceptManifest(Rows.Manifest row) {
+        manifestTopic = row;
+        if (row.text.isEmpty()) return;
+        manifest = ManifestReader.readValidated(row.text)
+                .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
         directory.grace(manifest.lapsedLeaseGrace());
-        port.logEvent(Event.MANIFEST_APPLIED, "version " + m.version + " marks " + m.marks);
-        for (var s : manifest.services().keySet()) topics.computeIfAbsent(s, k -> new Topic());
+        port.logEvent(Event.MANIFEST_APPLIED, "version " + row.version + " marks " + row.marks);
+        for (var service : manifest.services().keySet()) topics.computeIfAbsent(service, name -> new Topic());
         topics.keySet()
-                .removeIf(k ->
-                        !k.equals(Parts.MANIFEST_TOPIC) && !manifest.services().containsKey(k));
-        services.keySet().removeIf(k -> !manifest.services().containsKey(k));
-        servicesNow = null;
+                .removeIf(name -> !name.equals(Parts.MANIFEST_TOPIC)
+                        && !manifest.services().containsKey(name));
+        services.keySet().removeIf(name -> !manifest.services().containsKey(name));
+        servicesSnapshot = null;
     }
 
-    private void takeService(Rows.Service s) {
-        var old = services.put(s.name, s);
-        servicesNow = null;
-        if (old == null || old.tableVersion != s.tableVersion)
-            port.logEvent(Event.TABLE_APPLIED, s.name + " version " + s.tableVersion);
+    private void acceptService(Rows.Service service) {
+        var previous = services.put(service.name, service);
+        servicesSnapshot = null;
+        if (previous == null || previous.tableVersion != service.tableVersion)
+            port.logEvent(Event.TABLE_APPLIED, service.name + " version " + service.tableVersion);
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intents.java
@@ -5,8 +5,8 @@
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.Problem;
 import craneway.model.problem.ProblemKind;
+import craneway.model.problem.Problem;
 import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.MarkKey;
@@ -21,184 +21,240 @@
 import java.util.Set;
 import java.util.TreeMap;
 
+/**
+ * Turns an intent into a plan: the marks it sets, the units that would move, the load of each cell, and warnings.
+ * Refuses an intent that would leave a tenant without an open cell, or the running load without slots.
+ */
 public final class Intents {
     private Intents() {}
 
-    public static Either<Problem, Plan> plan(Intent i, Rows.Manifest topic, List<PartStatus> parts) {
-        if (topic.text.isEmpty()) return no(ProblemKind.NO_MANIFEST, ProblemKind.NO_MANIFEST.text());
-        var m = ManifestReader.read(topic.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
-        return marks(i, m, topic).flatMap(marks -> planned(i, m, topic, marks, parts));
+    /** The plan for an intent, from the manifest row and the status of all parts. */
+    public static Either<Problem, Plan> plan(Intent intent, Rows.Manifest manifestRow, List<PartStatus> statuses) {
+        if (manifestRow.text.isEmpty()) return problem(ProblemKind.NO_MANIFEST, ProblemKind.NO_MANIFEST.text());
+        var manifest = ManifestReader.read(manifestRow.text)
+                .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
+        return marksFor(intent, manifest, manifestRow)
+                .flatMap(marks -> buildPlan(intent, manifest, manifestRow, marks, statuses));
     }
 
-    private static Either<Problem, TreeMap<String, String>> marks(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.intent() == null) return bad("name an intent");
-        return switch (i.intent()) {
-            case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zone(i, m, topic);
-            case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cell(i, m, topic);
-            case Intent.KEEP_TENANT, Intent.RELEASE_TENANT -> tenant(i, m, topic);
-            default -> bad("unknown intent " + i.intent());
+    /** The marks that an intent sets; an empty value removes a mark. */
+    private static Either<Problem, TreeMap<String, String>> marksFor(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.intent() == null) return badIntent("the intent is missing");
+        return switch (intent.intent()) {
+            case Intent.EMPTY_ZONE, Intent.TAKE_BACK_ZONE -> zoneMarks(intent, manifest, manifestRow);
+            case Intent.EMPTY_CELL, Intent.TAKE_BACK_CELL -> cellMarks(intent, manifest, manifestRow);
+            case Intent.KEEP_TENANT, Intent.RELEASE_TENANT -> tenantMarks(intent, manifest, manifestRow);
+            default -> badIntent("unknown intent " + intent.intent());
         };
     }
 
-    private static Either<Problem, TreeMap<String, String>> zone(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.zone() == null || !m.zones().containsKey(i.zone())) return bad("no zone " + i.zone());
-        return mark(MarkKey.zone(i.zone()), i.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "", topic);
-    }
-
-    private static Either<Problem, TreeMap<String, String>> cell(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.service() == null || m.service(i.service()) == null) return bad("no service " + i.service());
-        if (i.cell() == null || m.service(i.service()).cell(i.cell()) == null)
-            return bad("service " + i.service() + " has no cell " + i.cell());
-        return mark(
-                MarkKey.cell(i.service(), i.cell()), i.intent().equals(Intent.EMPTY_CELL) ? Plan.EMPTIED : "", topic);
-    }
-
-    private static Either<Problem, TreeMap<String, String>> tenant(Intent i, Manifest m, Rows.Manifest topic) {
-        if (i.tenant() == null || m.tenant(i.tenant()) == null) return bad("no tenant " + i.tenant());
-        if (i.intent().equals(Intent.RELEASE_TENANT)) return mark(MarkKey.tenant(i.tenant()), "", topic);
-        if (i.regions() == null || i.regions().isEmpty()) return bad("name the regions to keep the tenant in");
-        var home = m.homeRegions(i.tenant());
-        for (var r : i.regions())
-            if (!home.contains(r))
-                return bad("region " + r + " is none of the home regions " + home + " of tenant " + i.tenant());
-        return mark(MarkKey.tenant(i.tenant()), String.join(",", i.regions()), topic);
-    }
-
-    private static Either<Problem, TreeMap<String, String>> mark(MarkKey mark, String value, Rows.Manifest topic) {
-        var key = mark.text();
-        if (value.equals(topic.marks.getOrDefault(key, "")))
-            return bad(key + " is " + (value.isEmpty() ? "not marked" : value) + " already");
-        var t = new TreeMap<String, String>();
-        t.put(key, value);
-        return Either.right(t);
-    }
-
-    private static Either<Problem, Plan> planned(
-            Intent i, Manifest m, Rows.Manifest topic, TreeMap<String, String> marks, List<PartStatus> parts) {
-        var p = new Plan();
-        p.intent = i.text();
-        p.manifestVersion = topic.version;
-        p.marksVersion = topic.marksVersion;
-        p.marks = marks;
-        var after = new TreeMap<>(topic.marks);
-        marks.forEach((k, v) -> {
-            if (v.isEmpty()) after.remove(k);
-            else after.put(k, v);
+    private static Either<Problem, TreeMap<String, String>> zoneMarks(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.zone() == null || !manifest.zones().containsKey(intent.zone()))
+            return badIntent("the manifest has no zone " + intent.zone());
+        return singleMark(
+                MarkKey.zone(intent.zone()),
+                intent.intent().equals(Intent.EMPTY_ZONE) ? Plan.EMPTIED : "",
+                manifestRow);
+    }
+
+    private static Either<Problem, TreeMap<String, String>> cellMarks(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.service() == null || manifest.service(intent.service()) == null)
+            return badIntent("the manifest has no service " + intent.service());
+        if (intent.cell() == null || manifest.service(intent.service()).cell(intent.cell()) == null)
+            return badIntent("service " + intent.service() + " has no cell " + intent.cell());
+        return singleMark(
+                MarkKey.cell(intent.service(), intent.cell()),
+                intent.intent().equals(Intent.EMPTY_CELL) ? Plan.EMPTIED : "",
+                manifestRow);
+    }
+
+    private static Either<Problem, TreeMap<String, String>> tenantMarks(
+            Intent intent, Manifest manifest, Rows.Manifest manifestRow) {
+        if (intent.tenant() == null || manifest.tenant(intent.tenant()) == null)
+            return badIntent("the manifest has no tenant " + intent.tenant());
+        if (intent.intent().equals(Intent.RELEASE_TENANT))
+            return singleMark(MarkKey.tenant(intent.tenant()), "", manifestRow);
+        if (intent.regions() == null || intent.regions().isEmpty())
+            return badIntent("the regions to keep the tenant in are missing");
+        var homeRegions = manifest.homeRegions(intent.tenant());
+        for (var region : intent.regions())
+            if (!homeRegions.contains(region))
+                return badIntent("region " + region + " is not one of the home regions " + homeRegions + " of tenant "
+                        + intent.tenant());
+        return singleMark(MarkKey.tenant(intent.tenant()), String.join(",", intent.regions()), manifestRow);
+    }
+
+    /** One mark; a problem if it is set to that value already. */
+    private static Either<Problem, TreeMap<String, String>> singleMark(
+            MarkKey markKey, String value, Rows.Manifest manifestRow) {
+        var key = markKey.text();
+        if (value.equals(manifestRow.marks.getOrDefault(key, "")))
+            return badIntent(key + " is already " + (value.isEmpty() ? "not marked" : value) + " in the current state");
+        var marks = new TreeMap<String, String>();
+        marks.put(key, value);
+        return Either.right(marks);
+    }
+
+    /** The plan that puts the marks in force. */
+    private static Either<Problem, Plan> buildPlan(
+            Intent intent,
+            Manifest manifest,
+            Rows.Manifest manifestRow,
+            TreeMap<String, String> marks,
+            List<PartStatus> statuses) {
+        var plan = new Plan();
+        plan.intent = intent.describe();
+        plan.manifestVersion = manifestRow.version;
+        plan.marksVersion = manifestRow.marksVersion;
+        plan.marks = marks;
+        var marksAfter = new TreeMap<>(manifestRow.marks);
+        marks.forEach((key, value) -> {
+            if (value.isEmpty()) marksAfter.remove(key);
+            else marksAfter.put(key, value);
         });
-        for (var part : parts)
-            for (var s : part.services) {
-                var ms = m.service(s.name);
-                if (ms == null) continue;
-                var wrong = service(p, s, ms, m, after, part.loads);
-                if (wrong != null) return bad(wrong);
+        for (var status : statuses)
+            for (var service : status.services) {
+                var manifestService = manifest.service(service.name);
+                if (manifestService == null) continue;
+                var problem = planService(plan, service, manifestService, manifest, marksAfter, status.loads);
+                if (problem != null) return badIntent(problem);
             }
-        if (p.steps.isEmpty()) p.steps.add("1. no unit moves; the mark alone is set");
-        return Either.right(p);
+        if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; only the mark is set");
+        return Either.right(plan);
     }
 
-    private static String service(
-            Plan p,
-            Rows.Service s,
-            Manifest.Service ms,
-            Manifest m,
+    /** Adds what a service would do to the plan; returns why it cannot, or null. */
+    private static String planService(
+            Plan plan,
+            Rows.Service service,
+            Manifest.Service manifestService,
+            Manifest manifest,
             Map<String, String> marks,
-            Map<String, Integer> loads) {
-        var closed = Mover.closed(s, marks);
-        var well = new BitSet();
-        for (var c = 0; c < s.cells.size(); c++) if (s.live(c) && s.runnersUp(c) > 0) well.set(c);
-        var open = (BitSet) well.clone();
-        open.andNot(closed);
-        var unmet = unmet(s, m, marks, open);
-        if (unmet != null) return unmet;
-        var wanted = Planner.wanted(s, closed, well);
-        steps(p, s, ms, wanted);
-        return carry(p, s, open, wanted, loads);
-    }
-
-    private static String unmet(Rows.Service s, Manifest m, Map<String, String> marks, BitSet open) {
-        for (var set : sets(s, m, marks)) {
-            var held = open.stream().anyMatch(c -> Units.containsRegion(set, s.regions.indexOf(s.cellRegions.get(c))));
-            if (!held)
-                return "service " + s.name + ": no open cell with a runner is left for tenants at home in "
-                        + names(s, set);
+            Map<String, Integer> loadByRunner) {
+        var closedCells = Mover.closed(service, marks);
+        var healthyCells = new BitSet();
+        for (var cell = 0; cell < service.cells.size(); cell++)
+            if (service.live(cell) && service.runnersUp(cell) > 0) healthyCells.set(cell);
+        var openCells = (BitSet) healthyCells.clone();
+        openCells.andNot(closedCells);
+        var unserved = findUnservedRegions(service, manifest, marks, openCells);
+        if (unserved != null) return unserved;
+        var wantedHomes = Planner.wanted(service, closedCells, healthyCells);
+        addSteps(plan, service, manifestService, wantedHomes);
+        return checkCapacity(plan, service, openCells, wantedHomes, loadByRunner);
+    }
+
+    /** Names a region set in use that no open cell would serve; null if all are served. */
+    private static String findUnservedRegions(
+            Rows.Service service, Manifest manifest, Map<String, String> marks, BitSet openCells) {
+        for (var regionSet : regionSetsInUse(service, manifest, marks)) {
+            var hasOpenCell = openCells.stream()
+                    .anyMatch(cell -> Units.containsRegion(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
+            if (!hasOpenCell)
+                return "service " + service.name
+                        + ": no open cell with a running runner would be left for tenants with the home regions "
+                        + regionNames(service, regionSet);
         }
         return null;
     }
 
-    private static Set<Integer> sets(Rows.Service s, Manifest m, Map<String, String> marks) {
-        var all = new HashSet<Integer>();
-        all.add(mask(s, m.regions()));
-        for (var t : m.tenants().keySet()) {
-            var kept = marks.get(MarkKey.tenant(t).text());
-            all.add(mask(s, kept == null ? m.homeRegions(t) : List.of(kept.split(","))));
+    /** The region sets of the manifest as a whole and of each tenant, as bits. */
+    private static Set<Integer> regionSetsInUse(Rows.Service service, Manifest manifest, Map<String, String> marks) {
+        var sets = new HashSet<Integer>();
+        sets.add(regionMask(service, manifest.regions()));
+        for (var tenant : manifest.tenants().keySet()) {
+            var keptRegions = marks.get(MarkKey.tenant(tenant).text());
+            sets.add(regionMask(
+                    service, keptRegions == null ? manifest.homeRegions(tenant) : List.of(keptRegions.split(","))));
         }
-        return all;
+        return sets;
     }
 
-    private static int mask(Rows.Service s, List<String> regions) {
-        var x = 0;
-        for (var r : regions) if (s.regions.contains(r)) x |= 1 << s.regions.indexOf(r);
-        return x;
+    /** A set of regions as bits over the regions of the service. */
+    private static int regionMask(Rows.Service service, List<String> regions) {
+        var mask = 0;
+        for (var region : regions) if (service.regions.contains(region)) mask |= 1 << service.regions.indexOf(region);
+        return mask;
     }
 
-    private static List<String> names(Rows.Service s, int set) {
-        var all = new ArrayList<String>();
-        for (var r = 0; r < s.regions.size(); r++) if (Units.containsRegion(set, r)) all.add(s.regions.get(r));
-        return all;
+    /** The names of the regions in a set. */
+    private static List<String> regionNames(Rows.Service service, int regionSet) {
+        var names = new ArrayList<String>();
+        for (var region = 0; region < service.regions.size(); region++)
+            if (Units.containsRegion(regionSet, region)) names.add(service.regions.get(region));
+        return names;
     }
 
-    private static void steps(Plan p, Rows.Service s, Manifest.Service ms, int[] wanted) {
+    /** Adds the moves of a service to the plan, by old and new home. */
+    private static void addSteps(Plan plan, Rows.Service service, Manifest.Service manifestService, int[] wantedHomes) {
         var moves = new TreeMap<String, Integer>();
-        for (var u = Units.SLICE_COUNT; u < wanted.length; u++)
-            if (wanted[u] != s.homes[u])
-                moves.merge(name(s, s.homes[u]) + " to " + name(s, wanted[u]), 1, Integer::sum);
-        moves.forEach((k, n) -> p.steps.add((p.steps.size() + 1) + ". service " + s.name + ": " + n + " units from " + k
-                + " in steps of " + ms.unitsPerStep() + " (" + (n + ms.unitsPerStep() - 1) / ms.unitsPerStep()
-                + " steps, table from version " + s.tableVersion + ")"));
+        for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++)
+            if (wantedHomes[unit] != service.homes[unit])
+                moves.merge(
+                        cellName(service, service.homes[unit]) + " to " + cellName(service, wantedHomes[unit]),
+                        1,
+                        Integer::sum);
+        moves.forEach((route, count) -> plan.steps.add(
+                (plan.steps.size() + 1) + ". service " + service.name + ": " + count + " units from " + route
+                        + " in steps of " + manifestService.unitsPerStep() + " ("
+                        + (count + manifestService.unitsPerStep() - 1) / manifestService.unitsPerStep()
+                        + " steps, table from version " + service.tableVersion + ")"));
     }
 
-    private static String name(Rows.Service s, int cell) {
-        return cell == PlacementTable.NOWHERE ? "nowhere" : s.cells.get(cell);
+    private static String cellName(Rows.Service service, int cell) {
+        return cell == PlacementTable.NOWHERE ? "nowhere" : service.cells.get(cell);
     }
 
-    private static String carry(Plan p, Rows.Service s, BitSet open, int[] wanted, Map<String, Integer> loads) {
-        var load = s.runners.values().stream()
+    /**
+     * Adds the load of each cell and warnings to the plan; returns why the open cells cannot carry the running load,
+     * or null.
+     */
+    private static String checkCapacity(
+            Plan plan, Rows.Service service, BitSet openCells, int[] wantedHomes, Map<String, Integer> loadByRunner) {
+        var load = service.runners.values().stream()
                 .filter(Rows.Runner::up)
-                .mapToInt(r -> loads.getOrDefault(s.name + "/" + r.name, 0))
+                .mapToInt(runner -> loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
-        var slots = slots(s, open);
+        var slots = slotCount(service, openCells);
         if (load > slots)
-            return "service " + s.name + ": " + load + " streams run now and the open cells have " + slots + " slots";
+            return "service " + service.name + ": " + load + " streams are running, but the open cells would have only "
+                    + slots + " slots";
         if (load * 5 > slots * 4)
-            p.warnings.add("service " + s.name + ": " + load + " of " + slots + " slots would be in use");
-        for (var c = 0; c < s.cells.size(); c++) {
-            var one = new BitSet();
-            one.set(c);
+            plan.warnings.add("service " + service.name + ": " + load + " of " + slots + " slots would be in use");
+        for (var cell = 0; cell < service.cells.size(); cell++) {
+            var thisCell = new BitSet();
+            thisCell.set(cell);
             var units = 0;
-            for (var u = Units.SLICE_COUNT; u < wanted.length; u++) if (wanted[u] == c) units++;
-            p.loads.add(s.name + "/" + s.cells.get(c) + ": " + units + " units, " + (open.get(c) ? slots(s, one) : 0)
-                    + " slots");
+            for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) if (wantedHomes[unit] == cell) units++;
+            plan.loads.add(service.name + "/" + service.cells.get(cell) + ": " + units + " units, "
+                    + (openCells.get(cell) ? slotCount(service, thisCell) : 0) + " slots");
         }
-        for (var r : s.regions) {
-            var left = open.stream().anyMatch(c -> s.cellRegions.get(c).equals(r));
-            if (!left)
-                p.warnings.add("service " + s.name + ": transactions pinned to " + r + " alone will be declined");
+        for (var region : service.regions) {
+            var hasOpenCell = openCells.stream()
+                    .anyMatch(cell -> service.cellRegions.get(cell).equals(region));
+            if (!hasOpenCell)
+                plan.warnings.add(
+                        "service " + service.name + ": transactions pinned to " + region + " alone will be declined");
         }
         return null;
     }
 
-    private static int slots(Rows.Service s, BitSet cells) {
-        return s.runners.values().stream()
-                .filter(r -> r.up() && cells.get(s.cells.indexOf(r.cell)))
-                .mapToInt(r -> r.slots)
+    /** The slots of the running runners in some cells. */
+    private static int slotCount(Rows.Service service, BitSet cells) {
+        return service.runners.values().stream()
+                .filter(runner -> runner.up() && cells.get(service.cells.indexOf(runner.cell)))
+                .mapToInt(runner -> runner.slots)
                 .sum();
     }
 
-    private static <T> Either<Problem, T> bad(String detail) {
-        return no(ProblemKind.BAD_INTENT, detail);
+    private static <T> Either<Problem, T> badIntent(String detail) {
+        return problem(ProblemKind.BAD_INTENT, detail);
     }
 
-    private static <T> Either<Problem, T> no(ProblemKind k, String detail) {
-        return Either.left(Problem.of(k, detail));
+    private static <T> Either<Problem, T> problem(ProblemKind kind, String detail) {
+        return Either.left(Problem.of(kind, detail));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/Operator.java
@@ -4,8 +4,8 @@
 import craneway.control.node.Port;
 import craneway.control.store.PartStatus;
 import craneway.control.store.RolloutStatus;
-import craneway.model.problem.Problem;
 import craneway.model.problem.ProblemKind;
+import craneway.model.problem.Problem;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
@@ -21,230 +21,297 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
+/**
+ * Executes the requests of operators against the core: manifests, plans and their rollout, status, and lost claims.
+ * Every callback gets exactly one result. Safe for several threads; the owner calls {@link #tick} regularly.
+ */
 public final class Operator {
-    private static final long TIMEOUT = 5_000_000, SPREAD = 3_000_000, LOOK = 50_000;
+    /** How long to wait for the answer to a query or command. */
+    private static final long REQUEST_TIMEOUT_MICROS = 5_000_000;
+
+    /** How long to wait for a change to reach the members before the state is reported as it is. */
+    private static final long ROLLOUT_TIMEOUT_MICROS = 3_000_000;
 
+    /** How often the state of a rollout is queried. */
+    private static final long ROLLOUT_POLL_MICROS = 50_000;
+
+    /**
+     * How far a change has reached the members.
+     *
+     * @param version the number of the manifest, or the id of the plan
+     * @param missing members that have not confirmed the change
+     * @param able those of them that are routers and may still act on the old state
+     */
     public record Carried(long version, List<String> missing, List<String> able) {}
 
-    private static final class Watch {
-        long topic;
+    /** A caller that waits for a change to reach the members. */
+    private static final class RolloutWatch {
+        long topicVersion;
         long version;
         String zone;
-        long due;
-        long until;
-        Predicate<RolloutStatus> enough;
-        RolloutStatus last = new RolloutStatus();
-        Consumer<Carried> then;
+        long nextPollAt;
+        long deadline;
+        Predicate<RolloutStatus> doneWhen;
+        RolloutStatus lastStatus = new RolloutStatus();
+        Consumer<Carried> onResult;
     }
 
     private final Port port;
     private final CoreClient coreClient;
-    private final ConcurrentLinkedQueue<Watch> watches = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<RolloutWatch> openWatches = new ConcurrentLinkedQueue<>();
 
+    /** Creates an operator that sends through the given client. */
     public Operator(Port port, CoreClient coreClient) {
         this.port = port;
         this.coreClient = coreClient;
     }
 
+    /** Queries the state of the rollouts that callers wait for. */
     public void tick(long now) {
-        for (var w : watches) {
-            if (now >= w.until) close(w);
-            else if (now >= w.due) look(w, now);
+        for (var watch : openWatches) {
+            if (now >= watch.deadline) finish(watch);
+            else if (now >= watch.nextPollAt) poll(watch, now);
         }
     }
 
-    private void close(Watch w) {
-        if (watches.remove(w)) w.then.accept(new Carried(w.version, w.last.missing, w.last.able));
+    /** Reports the state of a rollout to its caller, once. */
+    private void finish(RolloutWatch watch) {
+        if (openWatches.remove(watch))
+            watch.onResult.accept(new Carried(watch.version, watch.lastStatus.missing, watch.lastStatus.able));
     }
 
-    private void look(Watch w, long now) {
-        w.due = now + LOOK;
-        var q = new Queries.RolloutGet();
-        q.version = w.topic;
-        q.zone = w.zone;
-        coreClient.ask(Parts.MANIFEST_PART, q, TIMEOUT, v -> {
-            if (v.kind != 0) return;
-            w.last = Codec.read(RolloutStatus.class, v.body);
-            if (w.enough.test(w.last)) close(w);
+    /** Queries the state of a rollout and finishes it if it has come far enough. */
+    private void poll(RolloutWatch watch, long now) {
+        watch.nextPollAt = now + ROLLOUT_POLL_MICROS;
+        var query = new Queries.RolloutGet();
+        query.version = watch.topicVersion;
+        query.zone = watch.zone;
+        coreClient.ask(Parts.MANIFEST_PART, query, REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind != 0) return;
+            watch.lastStatus = Codec.read(RolloutStatus.class, result.body);
+            if (watch.doneWhen.test(watch.lastStatus)) finish(watch);
         });
     }
 
-    private void watch(long topic, long version, String zone, Predicate<RolloutStatus> enough, Consumer<Carried> then) {
-        var w = new Watch();
-        w.topic = topic;
-        w.version = version;
-        w.zone = zone;
-        w.enough = enough;
-        w.then = then;
-        w.until = port.now() + SPREAD;
-        watches.add(w);
+    /**
+     * Reports how far a version of the manifest topic has come, once {@code doneWhen} accepts the state or the time
+     * is over.
+     */
+    private void awaitRollout(
+            long topicVersion,
+            long version,
+            String zone,
+            Predicate<RolloutStatus> doneWhen,
+            Consumer<Carried> onResult) {
+        var watch = new RolloutWatch();
+        watch.topicVersion = topicVersion;
+        watch.version = version;
+        watch.zone = zone;
+        watch.doneWhen = doneWhen;
+        watch.onResult = onResult;
+        watch.deadline = port.now() + ROLLOUT_TIMEOUT_MICROS;
+        openWatches.add(watch);
     }
 
-    private static Problem problem(CommandResult v) {
-        return new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter);
+    private static Problem toProblem(CommandResult result) {
+        return new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter);
     }
 
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
+    /** Reads the current manifest and marks from their leader. */
+    public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
-                TIMEOUT,
-                v -> then.accept(
-                        v.kind == 0 ? Either.right(Codec.read(Rows.Manifest.class, v.body)) : Either.left(problem(v))));
+                REQUEST_TIMEOUT_MICROS,
+                result -> onResult.accept(
+                        result.kind == 0
+                                ? Either.right(Codec.read(Rows.Manifest.class, result.body))
+                                : Either.left(toProblem(result))));
     }
 
-    public void send(long base, String text, Consumer<Either<Problem, Carried>> then) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.text = text;
-        coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
-            if (v.kind != 0) then.accept(Either.left(problem(v)));
+    /** Sends a manifest that was written against {@code baseVersion}, and waits for all members to confirm it. */
+    public void send(long baseVersion, String text, Consumer<Either<Problem, Carried>> onResult) {
+        var command = new Commands.ManifestPut();
+        command.base = baseVersion;
+        command.text = text;
+        coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
             else
-                watch(
-                        v.version,
-                        Long.parseLong(v.detail),
+                awaitRollout(
+                        result.version,
+                        Long.parseLong(result.detail),
                         "",
-                        s -> s.missing.isEmpty(),
-                        r -> then.accept(Either.right(r)));
+                        status -> status.missing.isEmpty(),
+                        rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
-    public void watchManifest(long version, Consumer<Either<Problem, Carried>> then) {
-        manifest(m -> {
-            if (m.isLeft()) then.accept(Either.left(m.getLeft()));
-            else if (m.get().version < version)
-                then.accept(Either.left(Problem.of(
+    /** Waits until no member may still act on a manifest older than {@code version}. */
+    public void watchManifest(long version, Consumer<Either<Problem, Carried>> onResult) {
+        manifest(manifest -> {
+            if (manifest.isLeft()) onResult.accept(Either.left(manifest.getLeft()));
+            else if (manifest.get().version < version)
+                onResult.accept(Either.left(Problem.of(
                         ProblemKind.BAD_OPERATOR_INPUT,
-                        "no manifest " + version + "; in force is " + m.get().version)));
-            else watch(m.get().topicVersion, version, "", s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+                        "manifest " + version + " does not exist; the current one is " + manifest.get().version)));
+            else
+                awaitRollout(
+                        manifest.get().topicVersion,
+                        version,
+                        "",
+                        status -> status.able.isEmpty(),
+                        rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
-    public void status(Consumer<List<PartStatus>> then) {
-        var all = new PartStatus[Parts.COUNT];
-        var open = new int[] {Parts.COUNT};
-        for (var p = 0; p < Parts.COUNT; p++) {
-            var part = p;
-            coreClient.ask(p, new Queries.Status(), TIMEOUT, v -> {
-                synchronized (all) {
-                    if (v.kind == 0) all[part] = Codec.read(PartStatus.class, v.body);
-                    if (--open[0] > 0) return;
+    /** Reads the status of all parts; parts that do not answer are left out. */
+    public void status(Consumer<List<PartStatus>> onResult) {
+        var statusByPart = new PartStatus[Parts.COUNT];
+        var outstanding = new int[] {Parts.COUNT};
+        for (var index = 0; index < Parts.COUNT; index++) {
+            var part = index;
+            coreClient.ask(index, new Queries.Status(), REQUEST_TIMEOUT_MICROS, result -> {
+                synchronized (statusByPart) {
+                    if (result.kind == 0) statusByPart[part] = Codec.read(PartStatus.class, result.body);
+                    if (--outstanding[0] > 0) return;
                 }
-                then.accept(reached(all));
+                onResult.accept(reachedParts(statusByPart));
             });
         }
     }
 
-    private static List<PartStatus> reached(PartStatus[] all) {
-        var r = new ArrayList<PartStatus>();
-        for (var s : all) if (s != null) r.add(s);
-        return r;
+    /** The statuses of the parts that answered. */
+    private static List<PartStatus> reachedParts(PartStatus[] statusByPart) {
+        var reached = new ArrayList<PartStatus>();
+        for (var status : statusByPart) if (status != null) reached.add(status);
+        return reached;
     }
 
-    public void plan(Intent i, Consumer<Either<Problem, Plan>> then) {
+    /** Plans what an intent would change, and stores the plan for confirmation. Fails if a part does not answer. */
+    public void plan(Intent intent, Consumer<Either<Problem, Plan>> onResult) {
         status(parts -> {
             if (parts.size() < Parts.COUNT) {
-                then.accept(Either.left(Problem.of(
-                        ProblemKind.NO_OWNER,
-                        "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+                onResult.accept(Either.left(Problem.of(
+                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
                 return;
             }
-            var p = Intents.plan(i, parts.get(Parts.MANIFEST_PART).manifest, parts);
-            if (p.isLeft()) then.accept(p);
-            else put(p.get(), then);
+            var plan = Intents.plan(intent, parts.get(Parts.MANIFEST_PART).manifest, parts);
+            if (plan.isLeft()) onResult.accept(plan);
+            else putPlan(plan.get(), onResult);
         });
     }
 
-    public void quiet(Consumer<Either<Problem, List<Quiet>>> then) {
+    /** Estimates for each cell whether it could be emptied. Fails if a part does not answer. */
+    public void quiet(Consumer<Either<Problem, List<Quiet>>> onResult) {
         status(parts -> {
             if (parts.size() < Parts.COUNT)
-                then.accept(Either.left(Problem.of(
-                        ProblemKind.NO_OWNER,
-                        "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
-            else then.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
+                onResult.accept(Either.left(Problem.of(
+                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+            else onResult.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
         });
     }
 
-    private void put(Plan p, Consumer<Either<Problem, Plan>> then) {
-        var c = new Commands.PlanPut();
-        c.plan = p;
-        coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
-            p.id = v.version;
-            then.accept(v.kind == 0 ? Either.right(p) : Either.left(problem(v)));
+    /** Stores a plan and sets the id that the leader gives it. */
+    private void putPlan(Plan plan, Consumer<Either<Problem, Plan>> onResult) {
+        var command = new Commands.PlanPut();
+        command.plan = plan;
+        coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
+            plan.id = result.version;
+            onResult.accept(result.kind == 0 ? Either.right(plan) : Either.left(toProblem(result)));
         });
     }
 
-    public void show(long plan, Consumer<Either<Problem, Plan>> then) {
-        var q = new Queries.PlanGet();
-        q.plan = plan;
+    /** Reads a plan. */
+    public void show(long planId, Consumer<Either<Problem, Plan>> onResult) {
+        var query = new Queries.PlanGet();
+        query.plan = planId;
         coreClient.ask(
                 Parts.MANIFEST_PART,
-                q,
-                TIMEOUT,
-                v -> then.accept(v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(problem(v))));
+                query,
+                REQUEST_TIMEOUT_MICROS,
+                result -> onResult.accept(
+                        result.kind == 0
+                                ? Either.right(Codec.read(Plan.class, result.body))
+                                : Either.left(toProblem(result))));
     }
 
-    public void confirm(long plan, Consumer<Either<Problem, Carried>> then) {
-        show(plan, p -> {
-            if (p.isLeft()) {
-                then.accept(Either.left(p.getLeft()));
+    /** Confirms a plan, which puts its marks in force, and waits until no router may still act on the old state. */
+    public void confirm(long planId, Consumer<Either<Problem, Carried>> onResult) {
+        show(planId, found -> {
+            if (found.isLeft()) {
+                onResult.accept(Either.left(found.getLeft()));
                 return;
             }
-            var c = new Commands.PlanConfirm();
-            c.plan = plan;
-            coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
-                if (v.kind != 0) then.accept(Either.left(problem(v)));
-                else watch(v.version, plan, zone(p.get()), s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+            var command = new Commands.PlanConfirm();
+            command.plan = planId;
+            coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
+                if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
+                else
+                    awaitRollout(
+                            result.version,
+                            planId,
+                            markedZone(found.get()),
+                            status -> status.able.isEmpty(),
+                            rollout -> onResult.accept(Either.right(rollout)));
             });
         });
     }
 
-    public void watch(long plan, Consumer<Either<Problem, Carried>> then) {
-        show(plan, p -> {
-            if (p.isLeft()) then.accept(Either.left(p.getLeft()));
-            else if (p.get().state != Plan.CONFIRMED)
-                then.accept(Either.left(Problem.of(
-                        ProblemKind.STALE_PLAN,
-                        "plan " + plan + " is " + p.get().stateName())));
+    /** Waits until no router may still act on the state before a confirmed plan. */
+    public void watch(long planId, Consumer<Either<Problem, Carried>> onResult) {
+        show(planId, found -> {
+            if (found.isLeft()) onResult.accept(Either.left(found.getLeft()));
+            else if (found.get().state != Plan.CONFIRMED)
+                onResult.accept(Either.left(Problem.of(
+                        ProblemKind.STALE_PLAN, "plan " + planId + " is " + found.get().stateName())));
             else
-                watch(
-                        p.get().confirmedTopic,
-                        plan,
-                        zone(p.get()),
-                        s -> s.able.isEmpty(),
-                        r -> then.accept(Either.right(r)));
+                awaitRollout(
+                        found.get().confirmedTopic,
+                        planId,
+                        markedZone(found.get()),
+                        status -> status.able.isEmpty(),
+                        rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
-    private static String zone(Plan p) {
-        for (var k : p.marks.keySet()) {
-            var key = MarkKey.read(k);
+    /**
+     * The zone that a plan marks, whose routers get their grace before the change counts as complete; empty if it
+     * marks none.
+     */
+    private static String markedZone(Plan plan) {
+        for (var text : plan.marks.keySet()) {
+            var key = MarkKey.read(text);
             if (key != null && key.target() == MarkKey.Target.ZONE) return key.name();
         }
         return "";
     }
 
-    public void acceptClaims(Consumer<Either<Problem, Integer>> then) {
-        var open = new int[] {Parts.COUNT};
-        var wrong = new CommandResult[1];
-        for (var p = 0; p < Parts.COUNT; p++)
-            coreClient.ask(p, new Commands.ClaimsAccepted(), TIMEOUT, v -> {
-                synchronized (open) {
-                    if (v.kind != 0) wrong[0] = v;
-                    if (--open[0] > 0) return;
+    /**
+     * Accepts at all parts that claims may have been lost in a rebuild, so that run-once work is taken again. Returns
+     * the number of parts.
+     */
+    public void acceptClaims(Consumer<Either<Problem, Integer>> onResult) {
+        var outstanding = new int[] {Parts.COUNT};
+        var failure = new CommandResult[1];
+        for (var part = 0; part < Parts.COUNT; part++)
+            coreClient.ask(part, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, result -> {
+                synchronized (outstanding) {
+                    if (result.kind != 0) failure[0] = result;
+                    if (--outstanding[0] > 0) return;
                 }
-                then.accept(wrong[0] == null ? Either.right(Parts.COUNT) : Either.left(problem(wrong[0])));
+                onResult.accept(failure[0] == null ? Either.right(Parts.COUNT) : Either.left(toProblem(failure[0])));
             });
     }
 
-    public void stop(long plan, Consumer<Either<Problem, Long>> then) {
-        var c = new Commands.PlanStop();
-        c.plan = plan;
-        c.cause = "stopped by an operator";
+    /** Stops a plan. */
+    public void stop(long planId, Consumer<Either<Problem, Long>> onResult) {
+        var command = new Commands.PlanStop();
+        command.plan = planId;
+        command.cause = "stopped by an operator";
         coreClient.ask(
                 Parts.MANIFEST_PART,
-                c,
-                TIMEOUT,
-                v -> then.accept(v.kind == 0 ? Either.right(plan) : Either.left(problem(v))));
+                command,
+                REQUEST_TIMEOUT_MICROS,
+                result -> onResult.accept(result.kind == 0 ? Either.right(planId) : Either.left(toProblem(result))));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -1,8 +1,8 @@
 package craneway.control.operator;
 
 import craneway.control.node.CoreClient;
-import craneway.model.problem.Problem;
 import craneway.model.problem.ProblemKind;
+import craneway.model.problem.Problem;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
@@ -15,81 +15,108 @@
 import java.util.function.Consumer;
 
 /**
- * What a platform asks of the core; every call is answered within 0.8 s, with a problem where the core gives no reply. A change
- * is bound by {@code since}, the steady time at which its caller was last known to wait: it has no effect 0.8 s after that.
+ * The commands of a platform that manages the processes from outside. Every call gets a result within 0.8 s, a
+ * problem if the core does not answer.
+ *
+ * <p>A change is bound by {@code callerWaitingSince}, the time by the monotonic clock when its caller was last known
+ * to wait, in microseconds: it has no effect later than 0.8 s after that.
  */
 public final class PlatformCommands {
-    private static final long TIMEOUT = 800_000;
+    /** How long to wait for the core. */
+    private static final long REQUEST_TIMEOUT_MICROS = 800_000;
 
     private final CoreClient coreClient;
 
-    /** Asks by way of the given asker. */
+    /** Creates the commands; they are sent through the given client. */
     public PlatformCommands(CoreClient coreClient) {
         this.coreClient = coreClient;
     }
 
-    /** Reads the newest configuration from its leader. */
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
+    /** Reads the current manifest and marks from their leader. */
+    public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
         coreClient.ask(
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
-                TIMEOUT,
-                v -> then.accept(reply(v).map(x -> Codec.read(Rows.Manifest.class, v.body))));
+                REQUEST_TIMEOUT_MICROS,
+                result ->
+                        onResult.accept(toResult(result).map(ignored -> Codec.read(Rows.Manifest.class, result.body))));
     }
 
-    /** The text must have been checked; RACE_LOST and BAD_MANIFEST are final, any other problem leaves open whether it was taken. */
+    /**
+     * Puts a manifest in force. Its text must have been validated. RACE_LOST and BAD_MANIFEST are final; any other
+     * problem leaves open whether it was taken.
+     *
+     * @param number the number that the platform gives the manifest; 0 for the next one
+     * @param source the text as the platform sent it, if that differs from {@code text}
+     */
     public void put(
-            long base, long number, String text, String source, long since, Consumer<Either<Problem, Void>> then) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
-        c.text = text;
-        c.source = source;
-        ask(Parts.MANIFEST_PART, c, since, then);
+            long baseVersion,
+            long number,
+            String text,
+            String source,
+            long callerWaitingSince,
+            Consumer<Either<Problem, Void>> onResult) {
+        var command = new Commands.ManifestPut();
+        command.base = baseVersion;
+        command.number = number;
+        command.text = text;
+        command.source = source;
+        submitChange(Parts.MANIFEST_PART, command, callerWaitingSince, onResult);
     }
 
-    /** Empties a zone or takes it back. */
-    public void mark(String zone, boolean emptied, long since, Consumer<Either<Problem, Void>> then) {
-        var c = new Commands.ZoneMark();
-        c.zone = zone;
-        c.emptied = emptied;
-        ask(Parts.MANIFEST_PART, c, since, then);
+    /** Marks a zone as emptied, or takes the mark back. */
+    public void mark(String zone, boolean emptied, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        var command = new Commands.ZoneMark();
+        command.zone = zone;
+        command.emptied = emptied;
+        submitChange(Parts.MANIFEST_PART, command, callerWaitingSince, onResult);
     }
 
-    /** A call that came too late to count is as good as taken. */
-    public void beat(Commands.RunnerPut c, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(Parts.partOf(c.service), c, since + TIMEOUT, v -> {
-            if (v.kind == ProblemKind.STALE_RUNNER.code()) then.accept(Either.right(null));
-            else if (v.kind == 0) then.accept(reply(v));
+    /**
+     * Reports a heartbeat of a runner. One that arrives too late to count, since a later process of the runner is
+     * known, is reported as a success.
+     */
+    public void beat(Commands.RunnerPut command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        coreClient.askUntil(Parts.partOf(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+            if (result.kind == ProblemKind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
+            else if (result.kind == 0) onResult.accept(toResult(result));
             else
-                then.accept(Either.left(
-                        Problem.of(ProblemKind.NO_OWNER, ProblemKind.of(v.kind).text() + ": " + v.detail)));
+                onResult.accept(Either.left(
+                        Problem.of(ProblemKind.NO_OWNER, ProblemKind.of(result.kind).text() + ": " + result.detail)));
         });
     }
 
-    /** Marks a life as leaving, whichever service it belongs to; one that no part knows is as good as gone. */
-    public void left(String runner, long since, Consumer<Either<Problem, Void>> then) {
-        var open = new AtomicInteger(Parts.COUNT - 1);
-        var wrong = new AtomicReference<Problem>();
-        for (var p = 0; p < Parts.COUNT; p++) {
-            if (p == Parts.MANIFEST_PART) continue;
-            var c = new Commands.RunnerLeft();
-            c.runner = runner;
-            coreClient.askUntil(p, c, since + TIMEOUT, v -> {
-                reply(v).peekLeft(wrong::set);
-                if (open.decrementAndGet() == 0)
-                    then.accept(wrong.get() == null ? Either.right(null) : Either.left(wrong.get()));
+    /**
+     * Marks a runner as leaving in whichever service it belongs to. A runner that no part knows counts as gone
+     * already.
+     */
+    public void left(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        var outstanding = new AtomicInteger(Parts.COUNT - 1);
+        var failure = new AtomicReference<Problem>();
+        for (var part = 0; part < Parts.COUNT; part++) {
+            if (part == Parts.MANIFEST_PART) continue;
+            var command = new Commands.RunnerLeft();
+            command.runner = runner;
+            coreClient.askUntil(part, command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+                toResult(result).peekLeft(failure::set);
+                if (outstanding.decrementAndGet() == 0)
+                    onResult.accept(failure.get() == null ? Either.right(null) : Either.left(failure.get()));
             });
         }
     }
 
-    private void ask(int part, Object command, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(part, command, since + TIMEOUT, v -> then.accept(reply(v)));
+    private void submitChange(
+            int part, Object command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        coreClient.askUntil(
+                part,
+                command,
+                callerWaitingSince + REQUEST_TIMEOUT_MICROS,
+                result -> onResult.accept(toResult(result)));
     }
 
-    private static Either<Problem, Void> reply(CommandResult v) {
-        return v.kind == 0
+    private static Either<Problem, Void> toResult(CommandResult result) {
+        return result.kind == 0
                 ? Either.right(null)
-                : Either.left(new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter));
+                : Either.left(new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -15,150 +15,205 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * Moves units to their wanted homes step by step, on the leader of a part. A step moves a few units to one cell. It
+ * is first asked for in the log, and raised (put in force) once the store in the zone of the new home holds that
+ * entry; {@link Watcher} then watches it. Plain table steps, which are neither confirmed nor watched, give units
+ * without a home their first one, and take the home from units that no cell may serve.
+ */
 public final class Mover {
+    /** A cell without units counts as healthy once it has had a running runner for this many microseconds. */
     public static final long HOLD = 3_000_000;
-    private static final long CONFIRM = 5_000_000;
+    /** A step that the store of its new home has not confirmed after this time is dropped. */
+    private static final long CONFIRM_TIMEOUT_MICROS = 5_000_000;
 
-    private final Map<String, Long> wellSince = new HashMap<>();
-    private final Map<String, Long> due = new HashMap<>();
-    private final Map<String, Long> asked = new HashMap<>();
-    private final Map<String, Wanted> wanted = new HashMap<>();
+    private final Map<String, Long> healthySinceByCell = new HashMap<>();
+    private final Map<String, Long> nextStepAtByService = new HashMap<>();
+    private final Map<String, Long> askedAtByStep = new HashMap<>();
+    private final Map<String, WantedHomes> wantedHomesByService = new HashMap<>();
 
-    private record Wanted(long newsVersion, int held, BitSet closed, BitSet well, int[] homes) {}
+    /** Wanted homes with the inputs they were computed from. */
+    private record WantedHomes(
+            long newsVersion, int heldCellCount, BitSet closedCells, BitSet healthyCells, int[] homes) {}
 
+    /** Forgets everything, for a new leader. */
     public void reset() {
-        wellSince.clear();
-        due.clear();
-        wanted.clear();
-        asked.clear();
+        healthySinceByCell.clear();
+        nextStepAtByService.clear();
+        wantedHomesByService.clear();
+        askedAtByStep.clear();
     }
 
+    /** Tells whether the store in the zone of a cell holds the log up to an index. */
     public interface StoreReady {
+        /** Whether the store in the zone of the cell holds the log up to the index, or is not to be waited for. */
         boolean test(int cell, long index);
     }
 
-    public Object step(Rows.Service s, Manifest.Service m, Map<String, String> marks, StoreReady ready, long now) {
-        if (m == null) return null;
-        var well = well(s, now);
-        var closed = closed(s, marks);
-        var wanted = wanted(s, closed, well);
-        for (var x : s.steps) if (x.state == Rows.Step.ASKED) return settle(s, x, wanted, ready, now);
+    /**
+     * The next command for a service: a {@code StepMark} for a step that has been asked for, a {@code StepAsk} or a
+     * {@code TableStep}. Null if no unit has to move, the pause between steps is not over, or the service is not in
+     * the manifest.
+     */
+    public Object step(
+            Rows.Service service,
+            Manifest.Service manifestService,
+            Map<String, String> marks,
+            StoreReady storeReady,
+            long now) {
+        if (manifestService == null) return null;
+        var healthyCells = healthyCells(service, now);
+        var closedCells = closed(service, marks);
+        var wantedHomes = cachedWantedHomes(service, closedCells, healthyCells);
+        for (var step : service.steps)
+            if (step.state == Rows.Step.ASKED) return resolveAskedStep(service, step, wantedHomes, storeReady, now);
         var units = new ArrayList<Integer>();
-        var fresh = true;
-        for (var u = Units.SLICE_COUNT; u < wanted.length; u++) {
-            if (wanted[u] == s.homes[u]) continue;
-            units.add(u);
-            fresh &= s.homes[u] == PlacementTable.NOWHERE;
+        var allUnassigned = true;
+        for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) {
+            if (wantedHomes[unit] == service.homes[unit]) continue;
+            units.add(unit);
+            allUnassigned &= service.homes[unit] == PlacementTable.NOWHERE;
         }
         if (units.isEmpty()) return null;
-        if (fresh) return command(s, units, wanted);
-        if (now < due.computeIfAbsent(s.name, k -> now + m.stepPause())) return null;
-        var take = units.stream()
-                .filter(u -> wanted[u] == wanted[units.get(0)])
-                .limit(m.unitsPerStep())
+        if (allUnassigned) return newTableStep(service, units, wantedHomes);
+        if (now < nextStepAtByService.computeIfAbsent(service.name, name -> now + manifestService.stepPause()))
+            return null;
+        var batch = units.stream()
+                .filter(unit -> wantedHomes[unit] == wantedHomes[units.get(0)])
+                .limit(manifestService.unitsPerStep())
                 .toList();
-        due.put(s.name, now + pause(s, wanted[take.get(0)], m));
-        return wanted[take.get(0)] == PlacementTable.NOWHERE
-                ? command(s, take, wanted)
-                : ask(s, take, wanted, closed, well);
+        nextStepAtByService.put(service.name, now + stepPause(service, wantedHomes[batch.get(0)], manifestService));
+        return wantedHomes[batch.get(0)] == PlacementTable.NOWHERE
+                ? newTableStep(service, batch, wantedHomes)
+                : newStepAsk(service, batch, wantedHomes, closedCells, healthyCells);
     }
 
-    private StepMark settle(Rows.Service s, Rows.Step x, int[] wanted, StoreReady ready, long now) {
-        var since = asked.computeIfAbsent(s.name + "/" + x.id, k -> now);
-        var still = Arrays.stream(x.units).allMatch(u -> wanted[u] == x.to);
-        var go = still && ready.test(x.to, x.index);
-        if (!go && still && now - since < CONFIRM) return null;
-        asked.remove(s.name + "/" + x.id);
-        var m = new StepMark();
-        m.service = s.name;
-        m.id = x.id;
-        m.state = go ? Rows.Step.RAISED : Rows.Step.DROPPED;
-        if (!go) m.cause = still ? "the new home's store did not confirm" : "the wanted home changed";
-        return m;
+    /**
+     * Raises a step that was asked for once the store of the new home has confirmed it. Drops it if the wanted home
+     * changed or no confirmation came in time; null while it waits.
+     */
+    private StepMark resolveAskedStep(
+            Rows.Service service, Rows.Step step, int[] wantedHomes, StoreReady storeReady, long now) {
+        var askedAt = askedAtByStep.computeIfAbsent(service.name + "/" + step.id, key -> now);
+        var isStillWanted = Arrays.stream(step.units).allMatch(unit -> wantedHomes[unit] == step.to);
+        var isConfirmed = isStillWanted && storeReady.test(step.to, step.index);
+        if (!isConfirmed && isStillWanted && now - askedAt < CONFIRM_TIMEOUT_MICROS) return null;
+        askedAtByStep.remove(service.name + "/" + step.id);
+        var mark = new StepMark();
+        mark.service = service.name;
+        mark.id = step.id;
+        mark.state = isConfirmed ? Rows.Step.RAISED : Rows.Step.DROPPED;
+        if (!isConfirmed)
+            mark.cause = isStillWanted
+                    ? "the store in the zone of the new home did not confirm the step in time"
+                    : "the wanted home changed before the step was confirmed";
+        return mark;
     }
 
-    private static StepAsk ask(Rows.Service s, List<Integer> units, int[] wanted, BitSet closed, BitSet well) {
-        var a = new StepAsk();
-        a.service = s.name;
-        a.tableVersion = s.tableVersion;
-        a.units = units.stream().mapToInt(u -> u).toArray();
-        a.to = wanted[units.get(0)];
-        var from = s.homes[units.get(0)];
-        a.cause = s.displaced(units.get(0)) == a.to
+    /**
+     * A request for a step, with the reason for the move: pressure, an emptied home, a lost home, or the return to
+     * the regular home.
+     */
+    private static StepAsk newStepAsk(
+            Rows.Service service, List<Integer> units, int[] wantedHomes, BitSet closedCells, BitSet healthyCells) {
+        var ask = new StepAsk();
+        ask.service = service.name;
+        ask.tableVersion = service.tableVersion;
+        ask.units = units.stream().mapToInt(unit -> unit).toArray();
+        ask.to = wantedHomes[units.get(0)];
+        var currentHome = service.homes[units.get(0)];
+        ask.cause = service.displaced(units.get(0)) == ask.to
                 ? "pressure"
-                : from != PlacementTable.NOWHERE && closed.get(from)
+                : currentHome != PlacementTable.NOWHERE && closedCells.get(currentHome)
                         ? "emptied"
-                        : from != PlacementTable.NOWHERE && !well.get(from) ? "lost" : "home";
-        return a;
+                        : currentHome != PlacementTable.NOWHERE && !healthyCells.get(currentHome) ? "lost" : "home";
+        return ask;
     }
 
-    public static TableStep plain(StepAsk a) {
-        var t = new TableStep();
-        t.service = a.service;
-        t.tableVersion = a.tableVersion;
-        t.units = a.units;
-        t.cells = Arrays.stream(a.units).map(u -> a.to).toArray();
-        return t;
+    /** The same move as a plain table step, for members that cannot read step commands. */
+    public static TableStep plain(StepAsk ask) {
+        var tableStep = new TableStep();
+        tableStep.service = ask.service;
+        tableStep.tableVersion = ask.tableVersion;
+        tableStep.units = ask.units;
+        tableStep.cells = Arrays.stream(ask.units).map(unit -> ask.to).toArray();
+        return tableStep;
     }
 
-    public BitSet open(Rows.Service s, Map<String, String> marks, long now) {
-        var b = well(s, now);
-        b.andNot(closed(s, marks));
-        return b;
+    /** The cells that may take units: healthy and not closed. */
+    public BitSet open(Rows.Service service, Map<String, String> marks, long now) {
+        var openCells = healthyCells(service, now);
+        openCells.andNot(closed(service, marks));
+        return openCells;
     }
 
-    private int[] wanted(Rows.Service s, BitSet closed, BitSet well) {
-        var w = wanted.get(s.name);
-        if (w == null
-                || w.newsVersion != s.newsVersion
-                || w.held != s.heldUntil.size()
-                || !w.closed.equals(closed)
-                || !w.well.equals(well)) {
-            w = new Wanted(s.newsVersion, s.heldUntil.size(), closed, well, Planner.wanted(s, closed, well));
-            wanted.put(s.name, w);
+    /** The wanted homes, computed again only if something they depend on has changed. */
+    private int[] cachedWantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
+        var cached = wantedHomesByService.get(service.name);
+        if (cached == null
+                || cached.newsVersion != service.newsVersion
+                || cached.heldCellCount != service.heldUntil.size()
+                || !cached.closedCells.equals(closedCells)
+                || !cached.healthyCells.equals(healthyCells)) {
+            cached = new WantedHomes(
+                    service.newsVersion,
+                    service.heldUntil.size(),
+                    closedCells,
+                    healthyCells,
+                    Planner.wanted(service, closedCells, healthyCells));
+            wantedHomesByService.put(service.name, cached);
         }
-        return w.homes;
+        return cached.homes;
     }
 
-    private static long pause(Rows.Service s, int cell, Manifest.Service m) {
-        if (cell == PlacementTable.NOWHERE) return m.stepPause();
-        var cold = s.runners.values().stream()
-                .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
-                .anyMatch(r -> r.cold);
-        return cold ? Math.max(m.stepPause(), m.warmUpTime() / 10) : m.stepPause();
+    /**
+     * How long to pause after a step to a cell; at least a tenth of the warm-up time if the cell has a cold runner.
+     */
+    private static long stepPause(Rows.Service service, int cell, Manifest.Service manifestService) {
+        if (cell == PlacementTable.NOWHERE) return manifestService.stepPause();
+        var hasColdRunner = service.runners.values().stream()
+                .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
+                .anyMatch(runner -> runner.cold);
+        return hasColdRunner
+                ? Math.max(manifestService.stepPause(), manifestService.warmUpTime() / 10)
+                : manifestService.stepPause();
     }
 
-    private static TableStep command(Rows.Service s, List<Integer> units, int[] wanted) {
-        var t = new TableStep();
-        t.service = s.name;
-        t.tableVersion = s.tableVersion;
-        t.units = units.stream().mapToInt(u -> u).toArray();
-        t.cells = units.stream().mapToInt(u -> wanted[u]).toArray();
-        return t;
+    /** A table step that gives the units their wanted homes. */
+    private static TableStep newTableStep(Rows.Service service, List<Integer> units, int[] wantedHomes) {
+        var tableStep = new TableStep();
+        tableStep.service = service.name;
+        tableStep.tableVersion = service.tableVersion;
+        tableStep.units = units.stream().mapToInt(unit -> unit).toArray();
+        tableStep.cells = units.stream().mapToInt(unit -> wantedHomes[unit]).toArray();
+        return tableStep;
     }
 
-    public static BitSet closed(Rows.Service s, Map<String, String> marks) {
-        var b = new BitSet();
-        for (var c = 0; c < s.cells.size(); c++)
-            if (Plan.EMPTIED.equals(marks.get("zone:" + s.zones.get(c)))
-                    || Plan.EMPTIED.equals(marks.get("cell:" + s.name + "/" + s.cells.get(c)))) b.set(c);
-        return b;
+    /** The cells that are closed by the marks of operators: emptied themselves or in an emptied zone. */
+    public static BitSet closed(Rows.Service service, Map<String, String> marks) {
+        var closedCells = new BitSet();
+        for (var cell = 0; cell < service.cells.size(); cell++)
+            if (Plan.EMPTIED.equals(marks.get("zone:" + service.zones.get(cell)))
+                    || Plan.EMPTIED.equals(marks.get("cell:" + service.name + "/" + service.cells.get(cell))))
+                closedCells.set(cell);
+        return closedCells;
     }
 
-    private BitSet well(Rows.Service s, long now) {
-        var b = new BitSet();
-        var up = s.runnersUp();
-        var housing = new BitSet();
-        for (var h : s.homes) if (h >= 0) housing.set(h);
-        for (var c = 0; c < up.length; c++) {
-            var k = s.name + "/" + s.cells.get(c);
-            if (up[c] == 0) {
-                wellSince.remove(k);
+    /** The cells with a running runner, either for a while or with units at home there. */
+    private BitSet healthyCells(Rows.Service service, long now) {
+        var healthy = new BitSet();
+        var runnersUp = service.runnersUp();
+        var cellsWithUnits = new BitSet();
+        for (var home : service.homes) if (home >= 0) cellsWithUnits.set(home);
+        for (var cell = 0; cell < runnersUp.length; cell++) {
+            var key = service.name + "/" + service.cells.get(cell);
+            if (runnersUp[cell] == 0) {
+                healthySinceByCell.remove(key);
                 continue;
             }
-            wellSince.putIfAbsent(k, now);
-            if (now - wellSince.get(k) >= HOLD || housing.get(c)) b.set(c);
+            healthySinceByCell.putIfAbsent(key, now);
+            if (now - healthySinceByCell.get(key) >= HOLD || cellsWithUnits.get(cell)) healthy.set(cell);
         }
-        return b;
+        return healthy;
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/Planner.java
@@ -6,71 +6,106 @@
 import craneway.state.record.Rows;
 import java.util.BitSet;
 
+/**
+ * Computes the wanted home of each unit by weighted rendezvous hashing over the cells that may have it, so that few
+ * units move when cells come and go.
+ */
 public final class Planner {
     private Planner() {}
 
-    public static int[] wanted(Rows.Service s, BitSet closed, BitSet well) {
-        var n = s.homes.length;
-        var w = new int[n];
-        var weights = weights(s);
-        for (var u = 0; u < n; u++) w[u] = wanted(s, u, closed, well, weights);
-        return w;
+    /** The wanted home of each unit as an index of a cell, or {@link PlacementTable#NOWHERE}. */
+    public static int[] wanted(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
+        var unitCount = service.homes.length;
+        var homes = new int[unitCount];
+        var weights = cellWeights(service);
+        for (var unit = 0; unit < unitCount; unit++)
+            homes[unit] = wantedHome(service, unit, closedCells, healthyCells, weights);
+        return homes;
     }
 
-    private static int wanted(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
-        var now = s.homes[unit];
-        var away = s.displaced(unit);
-        if (away != PlacementTable.NOWHERE && allowed(s, unit, away) && !closed.get(away) && well.get(away))
-            return away;
-        var best = pick(s, unit, closed, well, weights);
-        if (best != now
-                && best != PlacementTable.NOWHERE
-                && now != PlacementTable.NOWHERE
-                && s.heldUntil.containsKey(s.cells.get(best))
-                && allowed(s, unit, now)
-                && !closed.get(now)
-                && well.get(now)) return now;
-        if (best != PlacementTable.NOWHERE) return best;
-        if (now != PlacementTable.NOWHERE && allowed(s, unit, now) && !closed.get(now)) return now;
-        return pick(s, unit, closed, null, weights);
+    /**
+     * The wanted home of one unit: the cell it is displaced to, while that is open; its current home, if the best
+     * cell is held back after a step was taken back; else the best open cell. If no cell is open, the unit stays
+     * where it is unless its home is closed.
+     */
+    private static int wantedHome(
+            Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
+        var currentHome = service.homes[unit];
+        var displacedTo = service.displaced(unit);
+        if (displacedTo != PlacementTable.NOWHERE
+                && isAllowed(service, unit, displacedTo)
+                && !closedCells.get(displacedTo)
+                && healthyCells.get(displacedTo)) return displacedTo;
+        var bestCell = selectCell(service, unit, closedCells, healthyCells, weights);
+        if (bestCell != currentHome
+                && bestCell != PlacementTable.NOWHERE
+                && currentHome != PlacementTable.NOWHERE
+                && service.heldUntil.containsKey(service.cells.get(bestCell))
+                && isAllowed(service, unit, currentHome)
+                && !closedCells.get(currentHome)
+                && healthyCells.get(currentHome)) return currentHome;
+        if (bestCell != PlacementTable.NOWHERE) return bestCell;
+        if (currentHome != PlacementTable.NOWHERE && isAllowed(service, unit, currentHome) && !closedCells.get(currentHome))
+            return currentHome;
+        return selectCell(service, unit, closedCells, null, weights);
     }
 
-    private static int[] weights(Rows.Service s) {
-        var w = new int[s.cells.size()];
-        for (var c = 0; c < w.length; c++) w[c] = s.weight(c);
-        return w;
+    /** The weight of each cell. */
+    private static int[] cellWeights(Rows.Service service) {
+        var weights = new int[service.cells.size()];
+        for (var cell = 0; cell < weights.length; cell++) weights[cell] = service.weight(cell);
+        return weights;
     }
 
-    static int home(Rows.Service s, int unit) {
-        return pick(s, unit, new BitSet(), null, weights(s));
+    /** The home that a unit would have if all cells were open. */
+    static int homeWithAllCellsOpen(Rows.Service service, int unit) {
+        return selectCell(service, unit, new BitSet(), null, cellWeights(service));
     }
 
-    private static int pick(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
-        var best = PlacementTable.NOWHERE;
-        var most = Double.NEGATIVE_INFINITY;
-        for (var c = 0; c < s.cells.size(); c++) {
-            if (!allowed(s, unit, c) || closed.get(c) || well != null && !well.get(c)) continue;
-            var score = score(unit, s.cells.get(c), weights[c] / squared(s.sharing(c, Units.regionSetOf(unit))));
-            if (score > most) {
-                most = score;
-                best = c;
+    /**
+     * The cell with the highest score for a unit among those that may have it and are not closed; null for {@code
+     * healthyCells} lets any cell count as healthy.
+     */
+    private static int selectCell(
+            Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
+        var bestCell = PlacementTable.NOWHERE;
+        var bestScore = Double.NEGATIVE_INFINITY;
+        for (var cell = 0; cell < service.cells.size(); cell++) {
+            if (!isAllowed(service, unit, cell)
+                    || closedCells.get(cell)
+                    || healthyCells != null && !healthyCells.get(cell)) continue;
+            var score = score(
+                    unit,
+                    service.cells.get(cell),
+                    weights[cell] / square(service.sharing(cell, Units.regionSetOf(unit))));
+            if (score > bestScore) {
+                bestScore = score;
+                bestCell = cell;
             }
         }
-        return best;
+        return bestCell;
     }
 
-    /** Narrower sets come first where they share a region. */
-    private static double squared(int n) {
+    /**
+     * Squares the number of region sets in use that share a region. Dividing the weight by it gives narrower sets
+     * precedence where they share a region.
+     */
+    private static double square(int n) {
         return n * n;
     }
 
-    private static boolean allowed(Rows.Service s, int unit, int cell) {
-        return s.live(cell)
-                && Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+    /** Whether a cell is in use and lies in one of the unit's regions. */
+    private static boolean isAllowed(Rows.Service service, int unit, int cell) {
+        return service.live(cell)
+                && Units.containsRegion(Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
+    /**
+     * The score of a cell for a unit by weighted rendezvous hashing; the unit with the same slice in another region
+     * set gets the same hash.
+     */
     private static double score(int unit, String cell, double weight) {
-        var h = Hash.of(Units.sliceOf(unit), Hash.of(cell)) >>> 11;
-        return weight / -StrictMath.log((h + 0.5) / (1L << 53));
+        var hash = Hash.of(Units.sliceOf(unit), Hash.of(cell)) >>> 11;
+        return weight / -StrictMath.log((hash + 0.5) / (1L << 53));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/Pressure.java
@@ -11,113 +11,166 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
+/**
+ * Relieves full cells, on the leader of a part. Units of a cell that stays full are displaced to the cell with the
+ * lowest utilization, and may go back once their regular home has been calm for a while. Utilization is load over
+ * slots, smoothed over time.
+ */
 public final class Pressure {
-    public static final double FULL = 0.8, CALM = 0.6, ROOM = 0.6;
-    public static final long FULL_FOR = 3_000_000, CALM_FOR = 15_000_000, SETTLE = 4_000_000;
-    private static final double SMOOTH = 5_000_000;
-    private static final int MOST = 8;
+    /** From this utilization on a cell is full. */
+    public static final double FULL = 0.8;
 
-    private final Map<String, double[]> uses = new HashMap<>();
-    private final Map<String, Long> fullSince = new HashMap<>();
-    private final Map<String, Long> calmSince = new HashMap<>();
-    private final Map<String, Long> due = new HashMap<>();
+    /** Up to this utilization a cell is calm. */
+    public static final double CALM = 0.6;
 
+    /** Up to this utilization a cell takes displaced units. */
+    public static final double ROOM = 0.6;
+
+    /** Units are displaced from a cell that has been full for this many microseconds. */
+    public static final long FULL_FOR = 3_000_000;
+
+    /** Units may go back to a cell that has been calm for this many microseconds. */
+    public static final long CALM_FOR = 15_000_000;
+
+    /** The pause between two commands for a service, and after a new leader starts, in microseconds. */
+    public static final long SETTLE = 4_000_000;
+
+    /** The time constant of the smoothing. */
+    private static final double SMOOTHING_MICROS = 5_000_000;
+    /** How many units one command displaces or returns at most. */
+    private static final int MAX_UNITS_PER_COMMAND = 8;
+
+    /** By cell, the smoothed utilization and when it was updated. */
+    private final Map<String, double[]> smoothedUtilization = new HashMap<>();
+
+    private final Map<String, Long> fullSinceByCell = new HashMap<>();
+    private final Map<String, Long> calmSinceByCell = new HashMap<>();
+    private final Map<String, Long> nextCommandAtByService = new HashMap<>();
+
+    /** Forgets what was measured, for a new leader. */
     public void reset(long now) {
-        uses.clear();
-        fullSince.clear();
-        calmSince.clear();
-        due.replaceAll((k, v) -> now + SETTLE);
+        smoothedUtilization.clear();
+        fullSinceByCell.clear();
+        calmSinceByCell.clear();
+        nextCommandAtByService.replaceAll((service, dueAt) -> now + SETTLE);
     }
 
-    public Displace ask(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
-        var use = use(s, loads);
-        for (var c = 0; c < use.length; c++) {
-            use[c] = smooth(s.name + "/" + c, use[c], now);
-            since(fullSince, s.name + "/" + c, open.get(c) && use[c] >= FULL, now);
-            since(calmSince, s.name + "/" + c, open.get(c) && use[c] <= CALM, now);
+    /**
+     * The next displacement or return for a service, null if nothing is due. To be called at each scan, since it also
+     * updates the utilization.
+     */
+    public Displace ask(Rows.Service service, Map<String, Integer> loadByRunner, BitSet openCells, long now) {
+        var utilization = utilizationByCell(service, loadByRunner);
+        for (var cell = 0; cell < utilization.length; cell++) {
+            utilization[cell] = smoothUtilization(service.name + "/" + cell, utilization[cell], now);
+            trackSince(
+                    fullSinceByCell, service.name + "/" + cell, openCells.get(cell) && utilization[cell] >= FULL, now);
+            trackSince(
+                    calmSinceByCell, service.name + "/" + cell, openCells.get(cell) && utilization[cell] <= CALM, now);
         }
-        if (now < due.computeIfAbsent(s.name, k -> now) || s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED))
-            return null;
-        var d = away(s, use, open, now);
-        if (d == null) d = back(s, now);
-        if (d != null) due.put(s.name, now + SETTLE);
-        return d;
+        if (now < nextCommandAtByService.computeIfAbsent(service.name, name -> now)
+                || service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED)) return null;
+        var displacement = displaceFromFullCell(service, utilization, openCells, now);
+        if (displacement == null) displacement = returnToCalmHome(service, now);
+        if (displacement != null) nextCommandAtByService.put(service.name, now + SETTLE);
+        return displacement;
     }
 
-    private double smooth(String k, double use, long now) {
-        var u = uses.computeIfAbsent(k, x -> new double[] {use, now});
-        u[0] += (use - u[0]) * Math.min(1, (now - u[1]) / SMOOTH);
-        u[1] = now;
-        return u[0];
+    /** Adds a measurement and returns the smoothed value. */
+    private double smoothUtilization(String key, double utilization, long now) {
+        var smoothed = smoothedUtilization.computeIfAbsent(key, absentKey -> new double[] {utilization, now});
+        smoothed[0] += (utilization - smoothed[0]) * Math.min(1, (now - smoothed[1]) / SMOOTHING_MICROS);
+        smoothed[1] = now;
+        return smoothed[0];
     }
 
-    private static void since(Map<String, Long> map, String k, boolean is, long now) {
-        if (is) map.putIfAbsent(k, now);
-        else map.remove(k);
+    /** Records since when a condition has held without interruption. */
+    private static void trackSince(Map<String, Long> sinceByCell, String key, boolean holds, long now) {
+        if (holds) sinceByCell.putIfAbsent(key, now);
+        else sinceByCell.remove(key);
     }
 
-    private static double[] use(Rows.Service s, Map<String, Integer> loads) {
-        var at = s.cellNumbers();
-        var load = new long[s.cells.size()];
-        var slots = new long[load.length];
-        for (var r : s.runners.values()) {
-            var c = at.get(r.cell);
-            if (!r.up() || c == null) continue;
-            load[c] += Math.min(r.slots, loads.getOrDefault(s.name + "/" + r.name, 0));
-            slots[c] += r.slots;
+    /** The utilization of each cell as its runners report it; 1 for a cell without slots. */
+    private static double[] utilizationByCell(Rows.Service service, Map<String, Integer> loadByRunner) {
+        var cellNumbers = service.cellNumbers();
+        var loadOfCell = new long[service.cells.size()];
+        var slotsOfCell = new long[loadOfCell.length];
+        for (var runner : service.runners.values()) {
+            var cell = cellNumbers.get(runner.cell);
+            if (!runner.up() || cell == null) continue;
+            loadOfCell[cell] += Math.min(runner.slots, loadByRunner.getOrDefault(service.name + "/" + runner.name, 0));
+            slotsOfCell[cell] += runner.slots;
         }
-        return IntStream.range(0, load.length)
-                .mapToDouble(c -> slots[c] == 0 ? 1 : load[c] / (double) slots[c])
+        return IntStream.range(0, loadOfCell.length)
+                .mapToDouble(cell -> slotsOfCell[cell] == 0 ? 1 : loadOfCell[cell] / (double) slotsOfCell[cell])
                 .toArray();
     }
 
-    private boolean lasted(Map<String, Long> map, Rows.Service s, int cell, long hold, long now) {
-        var t = map.get(s.name + "/" + cell);
-        return t != null && now - t >= hold;
+    /** Whether a condition has held for long enough. */
+    private boolean hasLasted(
+            Map<String, Long> sinceByCell, Rows.Service service, int cell, long holdMicros, long now) {
+        var since = sinceByCell.get(service.name + "/" + cell);
+        return since != null && now - since >= holdMicros;
     }
 
-    private Displace away(Rows.Service s, double[] use, BitSet open, long now) {
-        for (var c = 0; c < use.length; c++) {
-            if (!lasted(fullSince, s, c, FULL_FOR, now)) continue;
-            var to = roomiest(s, use, open, c);
-            if (to == PlacementTable.NOWHERE) continue;
+    /** Displaces units from the first cell that has been full for long enough and for which another cell has room. */
+    private Displace displaceFromFullCell(Rows.Service service, double[] utilization, BitSet openCells, long now) {
+        for (var cell = 0; cell < utilization.length; cell++) {
+            if (!hasLasted(fullSinceByCell, service, cell, FULL_FOR, now)) continue;
+            var target = leastUtilizedCell(service, utilization, openCells, cell);
+            if (target == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
-            for (var u = s.homes.length - 1; u >= Units.SLICE_COUNT && units.size() < MOST; u--)
-                if (s.homes[u] == c && s.displaced(u) == PlacementTable.NOWHERE && allows(s, u, to)) units.add(u);
-            if (!units.isEmpty()) return command(s, units, to);
+            for (var unit = service.homes.length - 1;
+                    unit >= Units.SLICE_COUNT && units.size() < MAX_UNITS_PER_COMMAND;
+                    unit--)
+                if (service.homes[unit] == cell
+                        && service.displaced(unit) == PlacementTable.NOWHERE
+                        && isAllowed(service, unit, target)) units.add(unit);
+            if (!units.isEmpty()) return newDisplace(service, units, target);
         }
         return null;
     }
 
-    private static int roomiest(Rows.Service s, double[] use, BitSet open, int but) {
-        var best = PlacementTable.NOWHERE;
-        for (var c = 0; c < use.length; c++) {
-            if (c == but || !open.get(c) || use[c] > ROOM || s.heldUntil.containsKey(s.cells.get(c))) continue;
-            if (best == PlacementTable.NOWHERE || use[c] < use[best]) best = c;
+    /**
+     * The open cell with the lowest utilization that has room and is not held back; {@link PlacementTable#NOWHERE} if there is
+     * none.
+     */
+    private static int leastUtilizedCell(Rows.Service service, double[] utilization, BitSet openCells, int excluded) {
+        var bestCell = PlacementTable.NOWHERE;
+        for (var cell = 0; cell < utilization.length; cell++) {
+            if (cell == excluded
+                    || !openCells.get(cell)
+                    || utilization[cell] > ROOM
+                    || service.heldUntil.containsKey(service.cells.get(cell))) continue;
+            if (bestCell == PlacementTable.NOWHERE || utilization[cell] < utilization[bestCell]) bestCell = cell;
         }
-        return best;
+        return bestCell;
     }
 
-    private static boolean allows(Rows.Service s, int unit, int cell) {
-        return Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+    /** Whether a cell lies in one of the unit's regions. */
+    private static boolean isAllowed(Rows.Service service, int unit, int cell) {
+        return Units.containsRegion(Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
-    private Displace back(Rows.Service s, long now) {
+    /** Ends the displacement of units whose regular home has been calm for long enough. */
+    private Displace returnToCalmHome(Rows.Service service, long now) {
         var units = new ArrayList<Integer>();
-        for (var u : s.displacedUnits) {
-            var home = Planner.home(s, u);
-            if (units.size() < MOST && home != PlacementTable.NOWHERE && lasted(calmSince, s, home, CALM_FOR, now))
-                units.add(u);
+        for (var unit : service.displacedUnits) {
+            var home = Planner.homeWithAllCellsOpen(service, unit);
+            if (units.size() < MAX_UNITS_PER_COMMAND
+                    && home != PlacementTable.NOWHERE
+                    && hasLasted(calmSinceByCell, service, home, CALM_FOR, now)) units.add(unit);
         }
-        return units.isEmpty() ? null : command(s, units, PlacementTable.NOWHERE);
+        return units.isEmpty() ? null : newDisplace(service, units, PlacementTable.NOWHERE);
     }
 
-    private static Displace command(Rows.Service s, List<Integer> units, int to) {
-        var d = new Displace();
-        d.service = s.name;
-        d.tableVersion = s.tableVersion;
-        d.units = units.stream().mapToInt(u -> u).toArray();
-        d.cells = units.stream().mapToInt(u -> to).toArray();
-        return d;
+    /** A command that displaces units to a cell, or ends their displacement. */
+    private static Displace newDisplace(Rows.Service service, List<Integer> units, int target) {
+        var command = new Displace();
+        command.service = service.name;
+        command.tableVersion = service.tableVersion;
+        command.units = units.stream().mapToInt(unit -> unit).toArray();
+        command.cells = units.stream().mapToInt(unit -> target).toArray();
+        return command;
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Signals.java
+++ b/lib/control/src/main/java/craneway/control/plan/Signals.java
@@ -3,55 +3,73 @@
 import java.util.HashMap;
 import java.util.Map;
 
+/**
+ * Runs, problems and times to first token of each cell over the last 4 s, as members report them with their renewals.
+ */
 public final class Signals {
-    private static final int SLOTS = 8;
-    private static final long SLOT = 500_000;
+    /** How many time slots are kept. */
+    private static final int SLOT_COUNT = 8;
+    /** The length of a time slot. */
+    private static final long SLOT_MICROS = 500_000;
 
+    /**
+     * What happened in a cell over some time.
+     *
+     * @param runs requests that ran
+     * @param problems requests that failed
+     * @param firstMicros the sum of the times to first token of the runs, in microseconds
+     */
     public record Rate(long runs, long problems, long firstMicros) {
+        /** The share of requests that failed; 0 if there were none. */
         public double share() {
             return runs + problems == 0 ? 0 : problems / (double) (runs + problems);
         }
 
+        /** The mean time to first token in microseconds; 0 if nothing ran. */
         public double first() {
             return runs == 0 ? 0 : firstMicros / (double) runs;
         }
     }
 
-    private static final class Ring {
-        final long[] at = new long[SLOTS];
-        final long[] runs = new long[SLOTS];
-        final long[] problems = new long[SLOTS];
-        final long[] first = new long[SLOTS];
+    /** Sums by time slot, in a ring; {@code slotNumbers} tells which slot an entry holds. */
+    private static final class SlotRing {
+        final long[] slotNumbers = new long[SLOT_COUNT];
+        final long[] runs = new long[SLOT_COUNT];
+        final long[] problems = new long[SLOT_COUNT];
+        final long[] firstTokenMicros = new long[SLOT_COUNT];
     }
 
-    private final Map<String, Ring> rings = new HashMap<>();
+    private final Map<String, SlotRing> ringByCell = new HashMap<>();
 
+    /** Adds what a member reported for a cell to the current slot. */
     public void add(String service, String cell, long runs, long problems, long firstMicros, long now) {
-        var r = rings.computeIfAbsent(service + "/" + cell, k -> new Ring());
-        var slot = now / SLOT;
-        var i = (int) (slot % SLOTS);
-        if (r.at[i] != slot) {
-            r.at[i] = slot;
-            r.runs[i] = r.problems[i] = r.first[i] = 0;
+        var ring = ringByCell.computeIfAbsent(service + "/" + cell, key -> new SlotRing());
+        var slot = now / SLOT_MICROS;
+        var index = (int) (slot % SLOT_COUNT);
+        if (ring.slotNumbers[index] != slot) {
+            ring.slotNumbers[index] = slot;
+            ring.runs[index] = ring.problems[index] = ring.firstTokenMicros[index] = 0;
         }
-        r.runs[i] += runs;
-        r.problems[i] += problems;
-        r.first[i] += firstMicros;
+        ring.runs[index] += runs;
+        ring.problems[index] += problems;
+        ring.firstTokenMicros[index] += firstMicros;
     }
 
+    /** The sums for a cell since {@code from}, as far back as slots are kept. */
     public Rate since(String service, String cell, long from, long now) {
-        var r = rings.get(service + "/" + cell);
-        long runs = 0, problems = 0, first = 0;
-        for (var i = 0; r != null && i < SLOTS; i++) {
-            if (r.at[i] < Math.max(from / SLOT, now / SLOT - SLOTS + 1)) continue;
-            runs += r.runs[i];
-            problems += r.problems[i];
-            first += r.first[i];
+        var ring = ringByCell.get(service + "/" + cell);
+        long runs = 0, problems = 0, firstTokenMicros = 0;
+        for (var index = 0; ring != null && index < SLOT_COUNT; index++) {
+            if (ring.slotNumbers[index] < Math.max(from / SLOT_MICROS, now / SLOT_MICROS - SLOT_COUNT + 1)) continue;
+            runs += ring.runs[index];
+            problems += ring.problems[index];
+            firstTokenMicros += ring.firstTokenMicros[index];
         }
-        return new Rate(runs, problems, first);
+        return new Rate(runs, problems, firstTokenMicros);
     }
 
+    /** Forgets everything. */
     public void clear() {
-        rings.clear();
+        ringByCell.clear();
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Watcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/Watcher.java
@@ -7,74 +7,104 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
+/**
+ * Watches each raised step for a while, on the leader of a part. If the new home has more problems or a longer time
+ * to first token than before, the units are taken back and the cell is held: no regular home moves there for some
+ * time.
+ */
 public final class Watcher {
-    public static final long WATCH = 2_000_000, HELD = 30_000_000;
-    private static final long BEFORE = 3_000_000, SLOW = 1_000_000;
-    private static final int ENOUGH = 5;
+    /** How long a step is watched, in microseconds, before it is kept. */
+    public static final long WATCH = 2_000_000;
 
-    private record Watched(long since, Signals.Rate before) {}
+    /** How long a cell is held after a step to it was taken back, in microseconds. */
+    public static final long HELD = 30_000_000;
 
-    private final Map<String, Watched> watched = new HashMap<>();
+    /** The time before a step over which the state of the new home is measured for comparison. */
+    private static final long BASELINE_WINDOW_MICROS = 3_000_000;
 
+    /** A mean time to first token up to this is never a reason to take a step back. */
+    private static final long SLOW_FIRST_TOKEN_MICROS = 1_000_000;
+
+    /** With fewer runs or problems than this nothing is concluded. */
+    private static final int MIN_SAMPLES = 5;
+
+    /** When a step was first watched, and the state of its new home before. */
+    private record WatchedStep(long since, Signals.Rate baseline) {}
+
+    private final Map<String, WatchedStep> watchedSteps = new HashMap<>();
+
+    /** Forgets all steps, for a new leader. */
     public void reset() {
-        watched.clear();
+        watchedSteps.clear();
     }
 
-    public StepMark judge(Rows.Service s, Signals g, BitSet open, long now) {
-        for (var x : s.steps) {
-            if (x.state != Rows.Step.RAISED) continue;
-            var w = watched(s, x, g, now);
-            var units = canGoBack(x, open);
-            var worse = units.length > 0 ? worse(w.before, g.since(s.name, s.cells.get(x.to), w.since, now)) : null;
-            if (worse == null && now - w.since < WATCH) continue;
-            watched.remove(s.name + "/" + x.id);
-            return mark(s, x, worse, units);
+    /** The verdict on the first step of a service that can be decided: kept or taken back. Null if there is none. */
+    public StepMark judge(Rows.Service service, Signals signals, BitSet openCells, long now) {
+        for (var step : service.steps) {
+            if (step.state != Rows.Step.RAISED) continue;
+            var watched = watchedStep(service, step, signals, now);
+            var units = returnableUnits(step, openCells);
+            var degradation = units.length > 0
+                    ? describeDegradation(
+                            watched.baseline,
+                            signals.since(service.name, service.cells.get(step.to), watched.since, now))
+                    : null;
+            if (degradation == null && now - watched.since < WATCH) continue;
+            watchedSteps.remove(service.name + "/" + step.id);
+            return newStepMark(service, step, degradation, units);
         }
         return null;
     }
 
-    private Watched watched(Rows.Service s, Rows.Step x, Signals g, long now) {
-        var has = watched.get(s.name + "/" + x.id);
-        if (has != null) return has;
-        var before = g.since(s.name, s.cells.get(x.to), now - BEFORE, now);
-        for (var o : s.steps) {
-            var w = watched.get(s.name + "/" + o.id);
-            if (w == null || o.to != x.to) continue;
-            before = w.before;
+    /**
+     * Starts to watch a step. Steps to the same cell that are watched at the same time share the earliest baseline,
+     * which none of them has affected.
+     */
+    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, Signals signals, long now) {
+        var existing = watchedSteps.get(service.name + "/" + step.id);
+        if (existing != null) return existing;
+        var baseline = signals.since(service.name, service.cells.get(step.to), now - BASELINE_WINDOW_MICROS, now);
+        for (var other : service.steps) {
+            var watched = watchedSteps.get(service.name + "/" + other.id);
+            if (watched == null || other.to != step.to) continue;
+            baseline = watched.baseline;
             break;
         }
-        var w = new Watched(now, before);
-        watched.put(s.name + "/" + x.id, w);
-        return w;
+        var watched = new WatchedStep(now, baseline);
+        watchedSteps.put(service.name + "/" + step.id, watched);
+        return watched;
     }
 
-    private static int[] canGoBack(Rows.Step x, BitSet open) {
-        return IntStream.range(0, x.units.length)
-                .filter(i -> x.from[i] >= 0 && open.get(x.from[i]))
-                .map(i -> x.units[i])
+    /** The units of a step whose old home is open. */
+    private static int[] returnableUnits(Rows.Step step, BitSet openCells) {
+        return IntStream.range(0, step.units.length)
+                .filter(index -> step.from[index] >= 0 && openCells.get(step.from[index]))
+                .map(index -> step.units[index])
                 .toArray();
     }
 
-    private static String worse(Signals.Rate before, Signals.Rate after) {
-        if (after.problems() >= ENOUGH && after.share() > 0.1 + 2 * before.share())
-            return String.format("problems rose from %.2f to %.2f of its work", before.share(), after.share());
-        if (after.runs() >= ENOUGH
-                && before.runs() >= ENOUGH
-                && after.first() > SLOW
-                && after.first() > 3 * before.first())
+    /** Describes how a cell got worse; null if it did not. */
+    private static String describeDegradation(Signals.Rate baseline, Signals.Rate current) {
+        if (current.problems() >= MIN_SAMPLES && current.share() > 0.1 + 2 * baseline.share())
+            return String.format("problems rose from %.2f to %.2f of its requests", baseline.share(), current.share());
+        if (current.runs() >= MIN_SAMPLES
+                && baseline.runs() >= MIN_SAMPLES
+                && current.first() > SLOW_FIRST_TOKEN_MICROS
+                && current.first() > 3 * baseline.first())
             return String.format(
-                    "time to first token rose from %.0f to %.0f ms", before.first() / 1000, after.first() / 1000);
+                    "time to first token rose from %.0f to %.0f ms", baseline.first() / 1000, current.first() / 1000);
         return null;
     }
 
-    private static StepMark mark(Rows.Service s, Rows.Step x, String worse, int[] units) {
-        var m = new StepMark();
-        m.service = s.name;
-        m.id = x.id;
-        m.state = worse == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
-        m.cause = worse == null ? "" : s.cells.get(x.to) + ": " + worse;
-        m.heldMicros = HELD;
-        m.units = units;
-        return m;
+    /** The verdict on a step as a command. */
+    private static StepMark newStepMark(Rows.Service service, Rows.Step step, String degradation, int[] units) {
+        var mark = new StepMark();
+        mark.service = service.name;
+        mark.id = step.id;
+        mark.state = degradation == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
+        mark.cause = degradation == null ? "" : service.cells.get(step.to) + ": " + degradation;
+        mark.heldMicros = HELD;
+        mark.units = units;
+        return mark;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/LoadHistory.java
+++ b/lib/control/src/main/java/craneway/control/store/LoadHistory.java
@@ -4,40 +4,51 @@
 import java.util.HashMap;
 import java.util.Map;
 
+/**
+ * The highest load of each service in each of the last two hours' minutes, as the leader of its part has seen it. Not
+ * safe for several threads.
+ */
 final class LoadHistory {
-    static final int MINUTES = 120;
-    private static final long MINUTE = 60_000_000;
+    /** How many minutes are remembered. */
+    static final int HISTORY_MINUTES = 120;
 
-    private static final class Peaks {
-        final int[] most = new int[MINUTES];
-        final long first;
-        long minute;
+    private static final long MINUTE_MICROS = 60_000_000;
 
-        Peaks(long minute) {
-            this.first = this.minute = minute;
+    /** A ring of peaks, indexed by minute modulo the length of the history. */
+    private static final class MinutePeaks {
+        final int[] peakByMinute = new int[HISTORY_MINUTES];
+        final long firstMinute;
+        long lastMinute;
+
+        MinutePeaks(long minute) {
+            this.firstMinute = this.lastMinute = minute;
         }
     }
 
-    private final Map<String, Peaks> services = new HashMap<>();
+    private final Map<String, MinutePeaks> peaksByService = new HashMap<>();
 
-    void see(String service, int load, long now) {
-        var m = now / MINUTE;
-        var p = services.computeIfAbsent(service, k -> new Peaks(m));
-        while (p.minute < m) p.most[(int) (++p.minute % MINUTES)] = 0;
-        var i = (int) (m % MINUTES);
-        p.most[i] = Math.max(p.most[i], load);
+    /** Records the current load of a service; minutes without a record count as 0. */
+    void record(String service, int load, long now) {
+        var currentMinute = now / MINUTE_MICROS;
+        var peaks = peaksByService.computeIfAbsent(service, name -> new MinutePeaks(currentMinute));
+        while (peaks.lastMinute < currentMinute) peaks.peakByMinute[(int) (++peaks.lastMinute % HISTORY_MINUTES)] = 0;
+        var slot = (int) (currentMinute % HISTORY_MINUTES);
+        peaks.peakByMinute[slot] = Math.max(peaks.peakByMinute[slot], load);
     }
 
-    int[] newestFirst(String service) {
-        var p = services.get(service);
-        if (p == null) return new int[0];
-        var n = (int) Math.min(MINUTES, p.minute - p.first + 1);
-        var all = new int[n];
-        Arrays.setAll(all, i -> p.most[(int) Math.floorMod(p.minute - i, (long) MINUTES)]);
-        return all;
+    /** The peak load of each minute, the current minute first; empty for an unknown service. */
+    int[] peaksNewestFirst(String service) {
+        var peaks = peaksByService.get(service);
+        if (peaks == null) return new int[0];
+        var count = (int) Math.min(HISTORY_MINUTES, peaks.lastMinute - peaks.firstMinute + 1);
+        var newestFirst = new int[count];
+        Arrays.setAll(newestFirst, minutesAgo -> peaks.peakByMinute[
+                (int) Math.floorMod(peaks.lastMinute - minutesAgo, (long) HISTORY_MINUTES)]);
+        return newestFirst;
     }
 
+    /** Forgets everything. */
     void clear() {
-        services.clear();
+        peaksByService.clear();
     }
 }
