--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -9,15 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * Decides, at the leader of a part, which change of the part's members comes next: one at a time, a lost disk out first, a new
- * store as a learner before it votes, and the store that is to go only once the one in its place counts. A decider without I/O:
- * it is told who asks and what the leader knows of each store, and names the members to propose.
+ * Decides, on the leader of a part, which change of the group's members is due next. Changes are made one at a time:
+ * a member with a lost disk is removed first, a new store joins as a learner before it votes, and a store that is to
+ * leave is removed only once its replacement is a voter.
+ *
+ * <p>This class does no I/O. Its caller reports who asks to join or leave, provides what the leader knows of each
+ * store, and proposes the members it returns. Not safe for several threads. Times are microseconds.
  */
 public final class MembershipChanges {
-    /** How long a leader has to have led before its knowledge of who wants to join is complete. */
-    private static final long HEARD_ALL = 1_000_000;
+    /**
+     * A leader knows of all stores that want to join once it has led for this long, since they repeat their requests.
+     */
+    private static final long JOIN_REQUESTS_COMPLETE_AFTER_MICROS = 1_000_000;
 
-    /** What the leader knows of a store. Times are microseconds. */
+    /** What the leader knows of the stores of its group. Times are microseconds. */
     public interface Knowledge {
         /** Whether the disk of this store is known to be lost. */
         boolean diskLost(long store);
@@ -25,165 +30,201 @@
         /** When the leader last heard the store. */
         long heardFrom(long store);
 
-        /** Whether the store's catch-up rounds have become short. */
+        /** Whether the store's replication is close enough to the end of the log for it to vote or to lead. */
         boolean caughtUp(long store);
 
         /** Whether the store holds every entry that the leader holds. */
         boolean level(long store);
     }
 
-    private record JoinRequest(String zone, long until) {}
+    /** A request to join from a zone, valid until a time. */
+    private record JoinRequest(String zone, long validUntil) {}
 
-    private final long self;
+    private final long selfId;
     private final Quorum quorum;
     private final TimingProfile timing;
-    private final Knowledge knowledge;
-    private final Map<Long, JoinRequest> joinRequests = new TreeMap<>();
-    private final Map<Long, Long> leaving = new TreeMap<>();
+    private final Knowledge storeStatus;
+    private final Map<Long, JoinRequest> joinRequestByStore = new TreeMap<>();
+    private final Map<Long, Long> leavingUntilByStore = new TreeMap<>();
 
-    /** A decider for a leader with this store id. */
-    public MembershipChanges(long self, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
-        this.self = self;
+    /** Creates the changes for a leader with this store id. */
+    public MembershipChanges(long selfId, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
+        this.selfId = selfId;
         this.quorum = quorum;
         this.timing = timing;
-        this.knowledge = knowledge;
+        this.storeStatus = knowledge;
     }
 
-    /** A store that is no member asks to become one; it asks again before that time if it still does. */
-    public void wants(long store, String zone, long until) {
-        leaving.remove(store);
-        joinRequests.put(store, new JoinRequest(zone, until));
+    /**
+     * Records that a store outside the group asks to join. The request has to be repeated before {@code validUntil}.
+     */
+    public void wants(long store, String zone, long validUntil) {
+        leavingUntilByStore.remove(store);
+        joinRequestByStore.put(store, new JoinRequest(zone, validUntil));
     }
 
-    /** A store is about to stop; it says so again before that time while it still waits. */
-    public void leaves(long store, long until) {
-        joinRequests.remove(store);
-        leaving.put(store, until);
+    /** Records that a store is about to stop. It has to be repeated before {@code validUntil}. */
+    public void leaves(long store, long validUntil) {
+        joinRequestByStore.remove(store);
+        leavingUntilByStore.put(store, validUntil);
     }
 
-    /** Whether a store has said lately that it is about to stop. */
+    /** Whether a store is about to stop. */
     public boolean leaving(long store) {
-        return leaving.containsKey(store);
+        return leavingUntilByStore.containsKey(store);
     }
 
-    /** The members to propose next, if any change is due. */
-    public Optional<Members> next(Members m, long leadingSince, long now) {
-        forget(m, now);
-        var lost = lostDisk(m);
-        if (lost != 0) return Optional.of(m.without(lost));
-        if (m.learner != 0) return settleLearner(m, leadingSince, now);
-        if (m.voters.length > quorum.voters()) return drop(m, now);
-        return admit(m, now);
+    /** The members to propose next; empty if no change is due. */
+    public Optional<Members> next(Members members, long leadingSince, long now) {
+        dropExpired(members, now);
+        var lostStore = memberWithLostDisk(members);
+        if (lostStore != 0) return Optional.of(members.without(lostStore));
+        if (members.learner != 0) return resolveLearner(members, leadingSince, now);
+        if (members.voters.length > quorum.voters()) return removeSurplusVoter(members, now);
+        return admitLearner(members, now);
     }
 
-    private void forget(Members m, long now) {
-        leaving.values().removeIf(until -> now > until);
-        joinRequests
+    /** Drops requests that were not repeated, are fulfilled or come from a store with a lost disk. */
+    private void dropExpired(Members members, long now) {
+        leavingUntilByStore.values().removeIf(validUntil -> now > validUntil);
+        joinRequestByStore
                 .entrySet()
-                .removeIf(e -> now > e.getValue().until || m.isMember(e.getKey()) || knowledge.diskLost(e.getKey()));
+                .removeIf(entry -> now > entry.getValue().validUntil
+                        || members.isMember(entry.getKey())
+                        || storeStatus.diskLost(entry.getKey()));
     }
 
-    private long lostDisk(Members m) {
-        if (m.learner != 0 && knowledge.diskLost(m.learner)) return m.learner;
-        for (var v : m.voters) if (v != self && knowledge.diskLost(v)) return v;
+    /** A member other than this leader whose disk is lost; 0 if there is none. */
+    private long memberWithLostDisk(Members members) {
+        if (members.learner != 0 && storeStatus.diskLost(members.learner)) return members.learner;
+        for (var voter : members.voters) if (voter != selfId && storeStatus.diskLost(voter)) return voter;
         return 0;
     }
 
-    private Optional<Members> settleLearner(Members m, long leadingSince, long now) {
-        var led = now - leadingSince;
-        if (leaving(m.learner) || silent(m.learner, now) && led > timing.storeReplacementDelay())
-            return Optional.of(m.without(m.learner));
-        if (knowledge.caughtUp(m.learner) && led > timing.leaderSettleTime()) return Optional.of(promoted(m, now));
+    /** Promotes a learner that has caught up; removes one that leaves or has been silent for too long. */
+    private Optional<Members> resolveLearner(Members members, long leadingSince, long now) {
+        var leadingForMicros = now - leadingSince;
+        if (leaving(members.learner) || isSilent(members.learner, now) && leadingForMicros > timing.storeReplacementDelay())
+            return Optional.of(members.without(members.learner));
+        if (storeStatus.caughtUp(members.learner) && leadingForMicros > timing.leaderSettleTime())
+            return Optional.of(withLearnerPromoted(members, now));
         return Optional.empty();
     }
 
     /**
-     * The group with its caught-up learner as a voter. A silent voter that it replaces goes first: beside it the group would need
-     * one store more, and the loss of the new voter in that moment would leave no majority.
+     * The members with the learner as a voter. A silent voter that it replaces is removed first: with both, the group
+     * would need one store more for a majority, and losing the new voter at that moment would leave none.
      */
-    private Members promoted(Members m, long now) {
-        if (m.voters.length < quorum.voters()) return m.promoted();
-        for (var v : m.voters) if (silent(v, now)) return m.without(v);
-        return m.promoted();
+    private Members withLearnerPromoted(Members members, long now) {
+        if (members.voters.length < quorum.voters()) return members.promoted();
+        for (var voter : members.voters) if (isSilent(voter, now)) return members.without(voter);
+        return members.promoted();
     }
 
-    private boolean silent(long store, long now) {
-        return store != self && now - knowledge.heardFrom(store) >= timing.storeReplacementDelay();
+    private boolean isSilent(long store, long now) {
+        return store != selfId && now - storeStatus.heardFrom(store) >= timing.storeReplacementDelay();
     }
 
-    private Optional<Members> drop(Members m, long now) {
-        var worst = -1;
-        for (var i = 0; i < m.voters.length; i++) {
-            if (m.voters[i] == self) continue;
-            if (worst < 0 || rank(m, i, now) < rank(m, worst, now)) worst = i;
+    /** Removes the voter that the group can best do without. */
+    private Optional<Members> removeSurplusVoter(Members members, long now) {
+        var candidate = -1;
+        for (var i = 0; i < members.voters.length; i++) {
+            if (members.voters[i] == selfId) continue;
+            if (candidate < 0 || removalRank(members, i, now) < removalRank(members, candidate, now)) candidate = i;
         }
-        return worst < 0 ? Optional.empty() : Optional.of(m.without(m.voters[worst]));
+        return candidate < 0 ? Optional.empty() : Optional.of(members.without(members.voters[candidate]));
     }
 
-    /** The least goes first: silent ones, then those about to stop, then whoever crowds a region most. */
-    private int rank(Members m, int i, long now) {
-        var rank = quorum.crowdWithout(m.zones, i);
-        if (silent(m.voters[i], now)) return rank - (1 << 28);
-        return leaving(m.voters[i]) ? rank - (1 << 27) : rank;
+    /**
+     * The voter with the lowest rank is removed first: a silent one, then one that leaves, then one in a crowded
+     * region.
+     */
+    private int removalRank(Members members, int index, long now) {
+        var rank = quorum.unevennessWithout(members.zones, index);
+        if (isSilent(members.voters[index], now)) return rank - (1 << 28);
+        return leaving(members.voters[index]) ? rank - (1 << 27) : rank;
     }
 
-    private Optional<Members> admit(Members m, long now) {
-        var best = joinRequests.entrySet().stream()
-                .min(Comparator.comparingInt(e -> quorum.crowdWith(m.zones, e.getValue().zone)))
+    /** Adds the store that asks to join and spreads the group best, if a voter is missing or the spread improves. */
+    private Optional<Members> admitLearner(Members members, long now) {
+        var bestRequest = joinRequestByStore.entrySet().stream()
+                .min(Comparator.comparingInt(entry -> quorum.unevennessWith(members.zones, entry.getValue().zone)))
                 .orElse(null);
-        if (best == null) return Optional.empty();
-        var zone = best.getValue().zone;
-        if (m.voters.length == quorum.voters() && !improves(m, zone, now)) return Optional.empty();
-        return Optional.of(m.withLearner(best.getKey(), zone));
-    }
-
-    private boolean improves(Members m, String zone, long now) {
-        var is = quorum.crowd(Arrays.asList(m.zones));
-        for (var i = 0; i < m.voters.length; i++) {
-            if (m.voters[i] == self) continue;
-            var then = quorum.crowdSwapped(m.zones, i, zone);
-            var goes = silent(m.voters[i], now) || leaving(m.voters[i]);
-            if (then < is || then <= is && goes) return true;
+        if (bestRequest == null) return Optional.empty();
+        var zone = bestRequest.getValue().zone;
+        if (members.voters.length == quorum.voters() && !improvesSpread(members, zone, now)) return Optional.empty();
+        return Optional.of(members.withLearner(bestRequest.getKey(), zone));
+    }
+
+    /**
+     * Whether a store in this zone would spread the voters more evenly in place of one of them, or as evenly in place
+     * of one that is silent or leaves.
+     */
+    private boolean improvesSpread(Members members, String zone, long now) {
+        var unevennessNow = quorum.unevenness(Arrays.asList(members.zones));
+        for (var i = 0; i < members.voters.length; i++) {
+            if (members.voters[i] == selfId) continue;
+            var unevennessAfter = quorum.unevennessAfterSwap(members.zones, i, zone);
+            var isGoingAway = isSilent(members.voters[i], now) || leaving(members.voters[i]);
+            if (unevennessAfter < unevennessNow || unevennessAfter <= unevennessNow && isGoingAway) return true;
         }
         return false;
     }
 
     /**
-     * Whether a store that is about to stop may go now: it is no member any more; or nobody could take its place, and every other
-     * voter holds all that it helped to acknowledge.
+     * Whether a store that is about to stop may do so now: it is no longer a member; or no store is there to replace
+     * it, and every other voter holds all entries that this one helped to commit.
      */
-    public boolean mayGo(long store, Members m, long leadingSince, long now) {
-        if (!m.isMember(store)) return true;
-        var changing = m.learner != 0
-                || m.voters.length > quorum.voters()
-                || admit(m, now).isPresent();
-        if (changing || now - leadingSince < HEARD_ALL) return false;
-        return Arrays.stream(m.voters).allMatch(v -> v == store || v == self || leaving(v) || knowledge.level(v));
+    public boolean mayGo(long store, Members members, long leadingSince, long now) {
+        if (!members.isMember(store)) return true;
+        var changing = members.learner != 0
+                || members.voters.length > quorum.voters()
+                || admitLearner(members, now).isPresent();
+        if (changing || now - leadingSince < JOIN_REQUESTS_COMPLETE_AFTER_MICROS) return false;
+        return Arrays.stream(members.voters)
+                .allMatch(voter -> voter == store || voter == selfId || leaving(voter) || storeStatus.level(voter));
     }
 
-    /** The voter that should lead in this leader's place, by the order of the parts; 0 for none. */
-    public long preferredLeader(Members m, int part) {
-        var order = Arrays.stream(m.voters).filter(v -> !leaving(v)).sorted().toArray();
-        return order.length == 0 ? 0 : order[part % order.length];
+    /**
+     * The voter that should lead, chosen by the number of the part so that leaders are spread over the stores; 0 if
+     * there is none.
+     */
+    public long preferredLeader(Members members, int part) {
+        var candidates = Arrays.stream(members.voters)
+                .filter(voter -> !leaving(voter))
+                .sorted()
+                .toArray();
+        return candidates.length == 0 ? 0 : candidates[part % candidates.length];
     }
 
-    /** Whether the group is whole and leadership may go to this voter now. */
-    public boolean mayLead(long store, Members m, long now) {
-        if (store == 0 || store == self || leaving(store) || !m.isVoter(store)) return false;
-        return m.voters.length == quorum.voters() && m.learner == 0 && near(store, now) && knowledge.caughtUp(store);
+    /** Whether the group is complete and leadership may be transferred to this voter now. */
+    public boolean mayLead(long store, Members members, long now) {
+        if (store == 0 || store == selfId || leaving(store) || !members.isVoter(store)) return false;
+        return members.voters.length == quorum.voters()
+                && members.learner == 0
+                && wasHeardRecently(store, now)
+                && storeStatus.caughtUp(store);
     }
 
-    /** The voter to hand over to when this store stops: one that is near, and rather none that stops too; 0 for none. */
-    public long heir(Members m, long now) {
-        var near =
-                Arrays.stream(m.voters).filter(v -> v != self && near(v, now)).toArray();
-        return Arrays.stream(near)
-                .filter(v -> !leaving(v) && knowledge.caughtUp(v))
+    /**
+     * The voter to transfer leadership to when this store stops: one heard lately that does not stop itself, if
+     * possible one that has caught up; 0 if there is none.
+     */
+    public long heir(Members members, long now) {
+        var reachable = Arrays.stream(members.voters)
+                .filter(voter -> voter != selfId && wasHeardRecently(voter, now))
+                .toArray();
+        return Arrays.stream(reachable)
+                .filter(voter -> !leaving(voter) && storeStatus.caughtUp(voter))
                 .findFirst()
-                .orElse(Arrays.stream(near).filter(v -> !leaving(v)).findFirst().orElse(0));
+                .orElse(Arrays.stream(reachable)
+                        .filter(voter -> !leaving(voter))
+                        .findFirst()
+                        .orElse(0));
     }
 
-    private boolean near(long store, long now) {
-        return now - knowledge.heardFrom(store) < timing.electionTimeout();
+    /** Whether the store was heard within an election timeout. */
+    private boolean wasHeardRecently(long store, long now) {
+        return now - storeStatus.heardFrom(store) < timing.electionTimeout();
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -45,14 +45,55 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
 
+/**
+ * One store's replica of a part: the replicated log ({@link Group}) with its state ({@link Records}), and what the
+ * part's leader does beside it. The leader grants leases to members, publishes news of the part's topics, marks
+ * silent runners as dark, moves units between cells, and adjusts the group's members.
+ *
+ * <p>All input arrives as events that run one at a time, on the part's executor and under its lock. After each batch
+ * of events the log is synced and pending messages are sent, so that nothing is sent before what it depends on is on
+ * disk. What only the leader keeps in memory (leases, subscriptions, loads) is cleared whenever leadership changes.
+ * Times are microseconds of the process's monotonic clock.
+ */
 public final class PartReplica implements GroupListener {
-    private static final long SUBSCRIBED = 2_000_000, AGE = 1_000_000, JOIN_REQUEST_KEPT = 2_000_000;
-    private static final long SYNCED = 3_000_000, GATHER = 3_500_000, IMPATIENT = 300_000, PUSHED = 150_000;
-    private static final int BUFFER = 20_000;
-    /** How long a leader rests after it looked through its members and runners, for each of them, and at most. */
-    private static final long MEMBER = 250, RUNNER = 40, REST = 500_000;
+    /** How long a subscription to a topic lasts unless it is renewed. */
+    private static final long SUBSCRIPTION_TTL_MICROS = 2_000_000;
 
-    private record Waiting(long term, Consumer<CommandResult> then) {}
+    /** How often the leader advances the replicated age by which claims, quotas, holds and ended runners expire. */
+    private static final long AGING_INTERVAL_MICROS = 1_000_000;
+
+    /** How long a request to join or to leave the group counts unless it is repeated. */
+    private static final long JOIN_REQUEST_TTL_MICROS = 2_000_000;
+
+    /** A move to a cell does not wait for the store in that cell's zone once it has been silent for this long. */
+    private static final long REACHABLE_STORE_WINDOW_MICROS = 3_000_000;
+
+    /** With the low-traffic profile, how long a new leader waits before it gives leadership to the preferred store. */
+    private static final long LOW_TRAFFIC_BALANCE_DELAY_MICROS = 3_500_000;
+
+    /** A member behind on a topic gets it pushed if the current version has been published for this long. */
+    private static final long STALE_TOPIC_PUSH_DELAY_MICROS = 300_000;
+
+    /** A topic is pushed to the same member at most once in this time. */
+    private static final long PUSH_INTERVAL_MICROS = 150_000;
+
+    /** Events that arrive while this many are queued are dropped; senders repeat unanswered messages. */
+    private static final int MAX_QUEUED_EVENTS = 20_000;
+
+    /** The pause between two scans of the members grows by this much for each member, which bounds the scan's cost. */
+    private static final long SCAN_PAUSE_PER_MEMBER_MICROS = 250;
+
+    /** The pause between two scans of the runners grows by this much for each runner. */
+    private static final long SCAN_PAUSE_PER_RUNNER_MICROS = 40;
+
+    /** The longest pause between two scans of members or runners. */
+    private static final long MAX_SCAN_PAUSE_MICROS = 500_000;
+
+    /**
+     * A command in the log whose outcome the proposer waits for; a different term at its index means that it was
+     * replaced.
+     */
+    private record PendingProposal(long term, Consumer<CommandResult> onResult) {}
 
     private final int part;
     private final Settings settings;
@@ -64,38 +105,49 @@
     private final Executor executor;
     private final Group group;
     private final Records records = new Records();
-    private final Mover mover = new Mover();
-    private final Watcher watcher = new Watcher();
-    private final Pressure pressure = new Pressure();
-    private final Signals signals = new Signals();
-    private final LoadHistory history = new LoadHistory();
-    private final CommandFence fence = new CommandFence();
+    private final Mover unitMover = new Mover();
+    private final Watcher stepWatcher = new Watcher();
+    private final Pressure pressureRelief = new Pressure();
+    private final Signals signalHistory = new Signals();
+    private final LoadHistory loadHistory = new LoadHistory();
+    private final CommandFence commandFence = new CommandFence();
     private final ReentrantLock lock = new ReentrantLock();
-    private final LinkedBlockingQueue<Runnable> buffer = new LinkedBlockingQueue<>(BUFFER);
-    private final AtomicBoolean scheduled = new AtomicBoolean();
-    private final Map<Long, Waiting> waiting = new HashMap<>();
-    private final LeaseTable leases = new LeaseTable();
-    private final Map<String, Long> runnersSeen = new HashMap<>();
-    private final Map<String, Long> runnerSequences = new HashMap<>();
-    private final Map<String, Integer> runnerLoads = new HashMap<>();
-    private final Map<String, Map<String, Long>> subscribers = new HashMap<>();
-    private final Map<String, Long> publishedVersions = new HashMap<>();
-    private final Map<String, Long> publishedAt = new HashMap<>();
-    private final Map<String, Long> pushedAt = new HashMap<>();
-    private final Set<String> proposed = new HashSet<>();
-    private final MembershipChanges changes;
-    private final PlannedLeave leave = new PlannedLeave();
+    private final LinkedBlockingQueue<Runnable> eventQueue = new LinkedBlockingQueue<>(MAX_QUEUED_EVENTS);
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
+    private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
+    private final LeaseTable memberLeases = new LeaseTable();
+    /** By service and runner, "service/runner", as the next two. */
+    private final Map<String, Long> runnerHeardAt = new HashMap<>();
+
+    private final Map<String, Long> lastSequenceByRunner = new HashMap<>();
+    private final Map<String, Integer> loadByRunner = new HashMap<>();
+    /** By topic, the address of each subscriber and when it last subscribed. */
+    private final Map<String, Map<String, Long>> subscribersByTopic = new HashMap<>();
+
+    private final Map<String, Long> publishedVersionByTopic = new HashMap<>();
+    private final Map<String, Long> publishedAtByTopic = new HashMap<>();
+    /** When a topic was last pushed, by "address topic". */
+    private final Map<String, Long> pushedAtByTarget = new HashMap<>();
+    /** Proposals of this leader that are not applied yet; keeps it from proposing the same change on each tick. */
+    private final Set<String> openProposalKeys = new HashSet<>();
+
+    private final MembershipChanges membershipChanges;
+    private final PlannedLeave plannedLeave = new PlannedLeave();
     private boolean closed;
     private long leaderSince;
-    private long aged;
-    private long membersDue;
-    private long runnersDue;
-
+    private long lastAgedAt;
+    private long nextMemberScanAt;
+    private long nextRunnerScanAt;
+
+    /**
+     * Opens the replica from its folder; {@code initialMembers} are empty unless this store founded or rebuilt the
+     * core.
+     */
     public PartReplica(
             int part,
-            long self,
+            long selfId,
             Folder folder,
-            Members first,
+            Members initialMembers,
             Port port,
             Directory directory,
             Membership membership,
@@ -110,20 +162,37 @@
         this.directory = directory;
         this.membership = membership;
         this.group = new Group(
-                part, self, directory.founding().origin(), folder, first, records, random, this, timing, port.now());
-        changes = new MembershipChanges(self, quorum, timing, new Known());
-    }
-
+                part,
+                selfId,
+                directory.founding().origin(),
+                folder,
+                initialMembers,
+                records,
+                random,
+                this,
+                timing,
+                port.now());
+        membershipChanges = new MembershipChanges(selfId, quorum, timing, new GroupStoreStatus());
+    }
+
+    /**
+     * Queues an event and schedules the executor if it is not scheduled yet; drops the event if the queue is full.
+     * Safe for several threads.
+     */
     public void offer(Runnable event) {
-        if (buffer.offer(event) && scheduled.compareAndSet(false, true)) executor.execute(this::work);
+        if (eventQueue.offer(event) && drainScheduled.compareAndSet(false, true)) executor.execute(this::drainEvents);
     }
 
-    private void work() {
-        scheduled.set(false);
-        while (!buffer.isEmpty() && lock.tryLock()) {
+    /**
+     * Runs queued events, then syncs the log and sends. If another thread holds the lock, that thread runs the
+     * events.
+     */
+    private void drainEvents() {
+        drainScheduled.set(false);
+        while (!eventQueue.isEmpty() && lock.tryLock()) {
             try {
-                if (closed) buffer.clear();
-                for (var e = buffer.poll(); e != null; e = buffer.poll()) e.run();
+                if (closed) eventQueue.clear();
+                for (var event = eventQueue.poll(); event != null; event = eventQueue.poll()) event.run();
                 if (closed) return;
                 group.syncAndSend(port.now());
                 publishNews(port.now());
@@ -133,549 +202,652 @@
         }
     }
 
+    /** Stops the replica: events still queued or queued later are discarded. Waits for a running event. */
     public void close() {
         lock.lock();
         closed = true;
         lock.unlock();
     }
 
+    /** Queues the periodic work: elections, heartbeats and, on the leader, scans and proposals. */
     public void tick() {
         offer(() -> tick(port.now()));
     }
 
-    public void receive(PartMessage m) {
-        offer(() -> group.receive(m, port.now()));
+    /** Queues a message of the replicated log. */
+    public void receive(PartMessage message) {
+        offer(() -> group.receive(message, port.now()));
     }
 
-    public void receive(CommandRequest a) {
-        offer(() -> onCommandRequest(a, port.now()));
+    /** Queues a query or command; the result is sent to the address in the request. */
+    public void receive(CommandRequest request) {
+        offer(() -> handleCommandRequest(request, port.now()));
     }
 
-    public void receive(Renew r, Consumer<RenewReply> then) {
-        offer(() -> renew(r, port.now(), then));
+    /**
+     * Queues a lease renewal; {@code onReply} is not called for a member that leaves or whose row could not be
+     * written.
+     */
+    public void receive(Renew renewal, Consumer<RenewReply> onReply) {
+        offer(() -> handleRenewal(renewal, port.now(), onReply));
     }
 
-    public void receive(Subscribe s) {
-        offer(() -> subscribe(s, port.now()));
+    /** Queues a subscription to a topic of this part. */
+    public void receive(Subscribe subscription) {
+        offer(() -> addSubscriber(subscription, port.now()));
     }
 
-    public void receive(Join j) {
-        offer(() -> join(j, port.now()));
+    /**
+     * Queues a request to join or to leave the group, or the leader's answer to this store's own request to leave.
+     */
+    public void receive(Join request) {
+        offer(() -> handleJoin(request, port.now()));
     }
 
+    /** Queues the transfer of leadership to another store, if this one leads. */
     public void transferLeadership() {
         offer(() -> transferLeadership(port.now()));
     }
 
-    /** Whether this store should ask to take part: it is no member, or its leader has been silent towards it. */
+    /**
+     * Whether this store should ask to join the group: it is not a member, or it has not heard a leader for two
+     * election timeouts.
+     */
     public boolean shouldJoin(long now) {
         return !group.members().isMember(directory.self().storeId)
                 || !group.leaderHeard(now, 2 * timing.electionTimeout());
     }
 
+    /** Whether this store leads the part and has applied everything that earlier terms committed. */
     public boolean leads() {
         return group.ready();
     }
 
+    /** The replicated log; it is not safe for use outside the replica's events. */
     public Group group() {
         return group;
     }
 
+    /** The replicated state; it is not safe for use outside the replica's events. */
     public Records records() {
         return records;
     }
 
     @Override
-    public void send(PartMessage m) {
-        var to = directory.store(m.to);
-        if (to != null) port.send(to.peerAddress, m);
+    public void send(PartMessage message) {
+        var recipient = directory.store(message.to);
+        if (recipient != null) port.send(recipient.peerAddress, message);
     }
 
     @Override
     public void applied(long index, long term, Object result) {
-        var w = waiting.remove(index);
-        if (w == null) return;
-        w.then.accept(
-                w.term == term
+        var proposal = pendingProposals.remove(index);
+        if (proposal == null) return;
+        proposal.onResult.accept(
+                proposal.term == term
                         ? (CommandResult) result
-                        : Records.failure(ProblemKind.UNCERTAIN, "the part changed its leader"));
+                        : Records.failure(
+                                ProblemKind.UNCERTAIN, "the leader of the part changed before the command was committed"));
     }
 
     @Override
     public void leadershipChanged(boolean leads, long term) {
         port.logEvent(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
-        fence.reset();
-        leases.clear(port.now());
-        runnersSeen.clear();
-        runnerSequences.clear();
-        runnerLoads.clear();
-        publishedVersions.clear();
-        publishedAt.clear();
-        pushedAt.clear();
-        proposed.clear();
-        mover.reset();
-        watcher.reset();
-        pressure.reset(port.now());
-        signals.clear();
-        history.clear();
-        leaderSince = aged = membersDue = runnersDue = port.now();
+        commandFence.reset();
+        memberLeases.clear(port.now());
+        runnerHeardAt.clear();
+        lastSequenceByRunner.clear();
+        loadByRunner.clear();
+        publishedVersionByTopic.clear();
+        publishedAtByTopic.clear();
+        pushedAtByTarget.clear();
+        openProposalKeys.clear();
+        unitMover.reset();
+        stepWatcher.reset();
+        pressureRelief.reset(port.now());
+        signalHistory.clear();
+        loadHistory.clear();
+        leaderSince = lastAgedAt = nextMemberScanAt = nextRunnerScanAt = port.now();
         if (leads) return;
-        var all = List.copyOf(waiting.values());
-        waiting.clear();
-        all.forEach(w -> w.then.accept(Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())));
+        var orphaned = List.copyOf(pendingProposals.values());
+        pendingProposals.clear();
+        orphaned.forEach(proposal -> proposal.onResult.accept(Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())));
     }
 
     @Override
-    public void note(Event e, String detail) {
-        port.logEvent(e, detail);
+    public void note(Event event, String detail) {
+        port.logEvent(event, detail);
     }
 
+    /** Drives the log; a leader with a lease also scans members and runners and proposes the changes that are due. */
     private void tick(long now) {
         group.tick(now);
         if (!group.hasLease(now)) return;
-        if (now >= membersDue) {
-            watchMembers(now);
-            membersDue = now + Math.min(REST, MEMBER * records.rows().members.size());
+        if (now >= nextMemberScanAt) {
+            scanMembers(now);
+            nextMemberScanAt = now
+                    + Math.min(
+                            MAX_SCAN_PAUSE_MICROS,
+                            SCAN_PAUSE_PER_MEMBER_MICROS
+                                    * records.rows().members.size());
         }
-        adjustMembers(now);
-        age(now);
-        syncServices();
-        if (now >= runnersDue) {
-            watchRunners(now);
-            move(now);
-            runnersDue = now
+        proposeMembershipChange(now);
+        proposeAging(now);
+        proposeServiceSyncs();
+        if (now >= nextRunnerScanAt) {
+            scanRunners(now);
+            proposeMoves(now);
+            nextRunnerScanAt = now
                     + Math.min(
-                            REST,
-                            RUNNER
+                            MAX_SCAN_PAUSE_MICROS,
+                            SCAN_PAUSE_PER_RUNNER_MICROS
                                     * records.rows().services.values().stream()
-                                            .mapToLong(s -> s.runners.size())
+                                            .mapToLong(service -> service.runners.size())
                                             .sum());
         }
         balanceLeaders(now);
     }
 
+    /** The leader to redirect a sender to; null if none is known or if this store is the one that last led. */
     private Node otherLeader() {
-        var id = group.leader();
-        return id == 0 || id == directory.self().storeId ? null : directory.store(id);
-    }
-
-    private void propose(Object command, Consumer<CommandResult> then) {
-        var i = group.propose(Codec.writeTagged(command), port.now());
-        if (i < 0) {
-            then.accept(Records.failure(ProblemKind.NOT_OWNER, ""));
+        var leaderId = group.leader();
+        return leaderId == 0 || leaderId == directory.self().storeId ? null : directory.store(leaderId);
+    }
+
+    /**
+     * Appends a command as the leader; {@code onResult} gets NOT_OWNER at once if this store may not, else the
+     * outcome once it is applied.
+     */
+    private void propose(Object command, Consumer<CommandResult> onResult) {
+        var index = group.propose(Codec.writeTagged(command), port.now());
+        if (index < 0) {
+            onResult.accept(Records.failure(ProblemKind.NOT_OWNER, ""));
         } else {
-            waiting.put(i, new Waiting(group.term(), then));
+            pendingProposals.put(index, new PendingProposal(group.term(), onResult));
         }
     }
 
     private void propose(Object command) {
-        propose(command, v -> {});
+        propose(command, result -> {});
     }
 
-    private void onCommandRequest(CommandRequest a, long now) {
+    /** Answers a query or command as the leader; an empty body only asks for the leader's clock. */
+    private void handleCommandRequest(CommandRequest request, long now) {
         if (!group.hasLease(now)) {
-            var v = Records.failure(ProblemKind.NOT_OWNER, "");
-            v.leader = otherLeader();
-            reply(a, v);
+            var result = Records.failure(ProblemKind.NOT_OWNER, "");
+            result.leader = otherLeader();
+            reply(request, result);
             return;
         }
-        if (a.life != 0 && a.body != null && a.body.length == 0) {
-            decline(a, ProblemKind.LATE_COMMAND);
+        if (request.life != 0 && request.body != null && request.body.length == 0) {
+            declineCommand(request, ProblemKind.LATE_COMMAND);
             return;
         }
         try {
-            decide(a, Codec.readTagged(a.body), now);
+            admitOrDecline(request, Codec.readTagged(request.body), now);
         } catch (BadMessageException e) {
             port.logEvent(Event.BAD_MESSAGE, e.getMessage());
-            reply(a, Records.failure(ProblemKind.BAD_MESSAGE, e.getMessage()));
+            reply(request, Records.failure(ProblemKind.BAD_MESSAGE, e.getMessage()));
         }
     }
 
-    private void decide(CommandRequest a, Object body, long now) {
-        if (a.life == 0 || !Commands.is(body)) {
-            dispatch(a, body, now);
+    /**
+     * Passes on a query, or a command that the fence admits. A repeated command that was applied gets its earlier
+     * result.
+     */
+    private void admitOrDecline(CommandRequest request, Object body, long now) {
+        if (request.life == 0 || !Commands.is(body)) {
+            dispatch(request, body, now);
             return;
         }
-        var ruling = fence.rule(a, group.term(), now);
-        var first = records.verdict(a.life, a.id);
-        if (ruling == CommandFence.Ruling.TAKEN && first != null) {
-            reply(a, first);
+        var admission = commandFence.check(request, group.term(), now);
+        var earlierResult = records.verdict(request.life, request.id);
+        if (admission == CommandFence.Admission.ADMITTED && earlierResult != null) {
+            reply(request, earlierResult);
             return;
         }
-        var order = body instanceof Commands.ZoneMark mark ? mark : null;
-        if (ruling == CommandFence.Ruling.TAKEN && order != null && fence.overtaken(order.zone, a.bound))
-            ruling = CommandFence.Ruling.LATE;
-        if (ruling == CommandFence.Ruling.TAKEN) dispatch(a, body, now);
+        var zoneOrder = body instanceof Commands.ZoneMark mark ? mark : null;
+        if (admission == CommandFence.Admission.ADMITTED
+                && zoneOrder != null
+                && commandFence.isOvertaken(zoneOrder.zone, request.bound)) admission = CommandFence.Admission.LATE;
+        if (admission == CommandFence.Admission.ADMITTED) dispatch(request, body, now);
         else {
-            var late = ruling == CommandFence.Ruling.LATE;
-            if (a.term != 0) port.logEvent(late ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describe(a, body));
-            decline(a, late ? ProblemKind.LATE_COMMAND : ProblemKind.UNKNOWN_LIFE);
+            var isLate = admission == CommandFence.Admission.LATE;
+            if (request.term != 0)
+                port.logEvent(isLate ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describeCommand(request, body));
+            declineCommand(request, isLate ? ProblemKind.LATE_COMMAND : ProblemKind.UNKNOWN_LIFE);
         }
     }
 
-    private String describe(CommandRequest a, Object body) {
-        return body.getClass().getSimpleName() + " of " + a.from.name + " life " + Long.toHexString(a.life) + " ask "
-                + a.id + " term " + a.term + ", at part " + part + " term " + group.term();
-    }
-
-    /** Refuses a command without effect; its sender learns the leader's clock and may ask anew within its patience. */
-    private void decline(CommandRequest a, ProblemKind kind) {
-        fence.tell(a.life);
-        reply(a, Records.failure(kind, kind.text()));
-    }
-
-    private void reply(CommandRequest a, CommandResult v) {
-        var r = new CommandResult();
-        r.id = a.id;
-        r.kind = v.kind;
-        r.detail = v.detail;
-        r.retryAfter = v.retryAfter;
-        r.leader = v.leader;
-        r.version = v.version;
-        r.body = v.body;
-        r.life = a.life;
-        if (a.life != 0 && group.ready()) {
-            r.term = group.term();
-            r.clock = port.now();
+    private String describeCommand(CommandRequest request, Object body) {
+        return body.getClass().getSimpleName() + " of " + request.from.name + " life " + Long.toHexString(request.life)
+                + " request " + request.id + " term " + request.term + ", at part " + part + " term " + group.term();
+    }
+
+    /**
+     * Declines a command without effect. The reply carries the leader's clock, so that the sender may send it again,
+     * with a new bound, before its deadline.
+     */
+    private void declineCommand(CommandRequest request, ProblemKind kind) {
+        commandFence.recordClockSent(request.life);
+        reply(request, Records.failure(kind, kind.text()));
+    }
+
+    /** Sends a result to the sender of a request, with the term and clock of this store if it leads. */
+    private void reply(CommandRequest request, CommandResult result) {
+        var response = new CommandResult();
+        response.id = request.id;
+        response.kind = result.kind;
+        response.detail = result.detail;
+        response.retryAfter = result.retryAfter;
+        response.leader = result.leader;
+        response.version = result.version;
+        response.body = result.body;
+        response.life = request.life;
+        if (request.life != 0 && group.ready()) {
+            response.term = group.term();
+            response.clock = port.now();
         }
-        port.send(a.from.peerAddress, r);
+        port.send(request.from.peerAddress, response);
     }
 
-    private void dispatch(CommandRequest a, Object body, long now) {
-        if (body instanceof Queries.Status) reply(a, status());
-        else if (body instanceof Queries.ManifestGet) reply(a, withBody(records.rows().manifest));
-        else if (body instanceof Queries.RolloutGet q) reply(a, rolloutStatus(q, now));
-        else if (body instanceof Queries.PlanGet q) reply(a, plan(q));
-        else if (body instanceof Commands.ManifestPut c) putManifest(a, c);
-        else if (body instanceof Commands.RunnerPut c) putRunner(a, c, now);
-        else if (body instanceof Commands.RunnerLeft c && !knows(c.runner)) reply(a, Records.ok());
-        else proposeFor(a, body, v -> reply(a, v));
+    private void dispatch(CommandRequest request, Object body, long now) {
+        if (body instanceof Queries.Status) reply(request, statusResult());
+        else if (body instanceof Queries.ManifestGet) reply(request, okWithBody(records.rows().manifest));
+        else if (body instanceof Queries.RolloutGet query) reply(request, rolloutStatusResult(query, now));
+        else if (body instanceof Queries.PlanGet query) reply(request, planResult(query));
+        else if (body instanceof Commands.ManifestPut command) putManifest(request, command);
+        else if (body instanceof Commands.RunnerPut command) putRunner(request, command, now);
+        else if (body instanceof Commands.RunnerLeft command && !isActiveRunner(command.runner))
+            reply(request, Records.ok());
+        else proposeCommand(request, body, result -> reply(request, result));
     }
 
-    private void proposeFor(CommandRequest a, Object command, Consumer<CommandResult> then) {
-        propose(allFenced() ? CommandFence.identified(a, command, a.body) : command, then);
+    /**
+     * Proposes a command of another process, with its identity as soon as every member can read commands that carry
+     * one.
+     */
+    private void proposeCommand(CommandRequest request, Object command, Consumer<CommandResult> onResult) {
+        propose(
+                allMembersReadFencedCommands() ? CommandFence.withIdentity(request, command, request.body) : command,
+                onResult);
     }
 
-    /** Whether each member, and so each replica, reads commands under an identity. */
-    private boolean allFenced() {
-        var all = records.rows().members.values();
-        return !all.isEmpty() && all.stream().allMatch(m -> m.node.fenced);
+    /** Whether all members, and so all replicas, can read commands that carry the identity of their sender. */
+    private boolean allMembersReadFencedCommands() {
+        var members = records.rows().members.values();
+        return !members.isEmpty() && members.stream().allMatch(member -> member.node.fenced);
     }
 
-    private boolean knows(String runner) {
+    /** Whether some service of this part has a runner of this name that is not leaving. */
+    private boolean isActiveRunner(String runner) {
         return records.rows().services.values().stream()
-                .map(s -> s.runners.get(runner))
-                .anyMatch(r -> r != null && r.state != Rows.Runner.LEAVING);
-    }
-
-    private static CommandResult withBody(Object o) {
-        var v = Records.ok();
-        v.body = Codec.write(o);
-        return v;
-    }
-
-    private CommandResult plan(Queries.PlanGet q) {
-        var p = records.rows().plans.get(q.plan);
-        return p == null ? Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + q.plan) : withBody(p);
-    }
-
-    private void putManifest(CommandRequest a, Commands.ManifestPut c) {
-        var m = c.number > 0 ? null : ManifestReader.read(c.text);
-        if (m != null && m.isLeft())
-            reply(a, Records.failure(m.getLeft().kind(), m.getLeft().detail()));
-        else proposeFor(a, c, v -> reply(a, v));
-    }
-
-    private void putRunner(CommandRequest a, Commands.RunnerPut c, long now) {
-        var s = records.rows().services.get(c.service);
-        var r = s == null ? null : s.runners.get(c.runner);
-        var k = c.service + "/" + c.runner;
-        var late = c.sequence < runnerSequences.getOrDefault(k, 0L) && c.state == Rows.Runner.UP;
-        if (late) {
-            reply(a, Records.ok());
+                .map(service -> service.runners.get(runner))
+                .anyMatch(row -> row != null && row.state != Rows.Runner.LEAVING);
+    }
+
+    private static CommandResult okWithBody(Object body) {
+        var result = Records.ok();
+        result.body = Codec.write(body);
+        return result;
+    }
+
+    private CommandResult planResult(Queries.PlanGet query) {
+        var plan = records.rows().plans.get(query.plan);
+        return plan == null ? Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + query.plan) : okWithBody(plan);
+    }
+
+    /**
+     * Proposes a manifest. One without a number of its own is validated first; one with a number was validated by its
+     * sender.
+     */
+    private void putManifest(CommandRequest request, Commands.ManifestPut command) {
+        var parsed = command.number > 0 ? null : ManifestReader.read(command.text);
+        if (parsed != null && parsed.isLeft())
+            reply(
+                    request,
+                    Records.failure(parsed.getLeft().kind(), parsed.getLeft().detail()));
+        else proposeCommand(request, command, result -> reply(request, result));
+    }
+
+    /**
+     * Takes a runner's heartbeat. Only a heartbeat that changes the runner's row is written to the log; the others
+     * just update its load and when it was heard. Heartbeats that arrive out of order are acknowledged and ignored.
+     */
+    private void putRunner(CommandRequest request, Commands.RunnerPut command, long now) {
+        var service = records.rows().services.get(command.service);
+        var known = service == null ? null : service.runners.get(command.runner);
+        var key = command.service + "/" + command.runner;
+        var isStale = command.sequence < lastSequenceByRunner.getOrDefault(key, 0L) && command.state == Rows.Runner.UP;
+        if (isStale) {
+            reply(request, Records.ok());
             return;
         }
-        var same = r != null
-                && r.state == c.state
-                && (r.up() || r.state == Rows.Runner.LEAVING)
-                && r.incarnation == c.incarnation
-                && r.cold == c.cold
-                && r.slots == c.slots
-                && r.cell.equals(c.cell)
-                && r.address.equals(c.address);
-        if (r == null || c.incarnation >= r.incarnation) {
-            runnersSeen.put(k, now);
-            runnerSequences.merge(k, c.sequence, Math::max);
-            runnerLoads.put(k, c.load);
+        var isUnchanged = known != null
+                && known.state == command.state
+                && (known.up() || known.state == Rows.Runner.LEAVING)
+                && known.incarnation == command.incarnation
+                && known.cold == command.cold
+                && known.slots == command.slots
+                && known.cell.equals(command.cell)
+                && known.address.equals(command.address);
+        if (known == null || command.incarnation >= known.incarnation) {
+            runnerHeardAt.put(key, now);
+            lastSequenceByRunner.merge(key, command.sequence, Math::max);
+            loadByRunner.put(key, command.load);
         }
-        var cell = s == null ? -1 : s.cells.indexOf(c.cell);
-        if (s == null) reply(a, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service));
-        else if (cell < 0 || !s.live(cell))
-            reply(a, Records.failure(ProblemKind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell));
-        else if (same) reply(a, Records.ok());
+        var cellIndex = service == null ? -1 : service.cells.indexOf(command.cell);
+        if (service == null) reply(request, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service));
+        else if (cellIndex < 0 || !service.live(cellIndex))
+            reply(
+                    request,
+                    Records.failure(ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell));
+        else if (isUnchanged) reply(request, Records.ok());
         else
-            proposeFor(a, c, v -> {
-                if (v.kind == 0)
+            proposeCommand(request, command, result -> {
+                if (result.kind == 0)
                     port.logEvent(
-                            c.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
-                            c.runner + " incarnation " + c.incarnation + (c.cold ? " cold" : ""));
-                reply(a, v);
+                            command.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
+                            command.runner + " incarnation " + command.incarnation + (command.cold ? " cold" : ""));
+                reply(request, result);
             });
     }
 
-    private CommandResult status() {
-        var s = new PartStatus();
-        s.part = part;
-        s.leader = directory.self().name;
-        s.term = group.term();
-        s.applied = group.applied();
-        var m = group.members();
-        for (var i = 0; i < m.voters.length; i++) s.group.add(storeName(m.voters[i]) + " (" + m.zones[i] + ")");
-        if (m.learner != 0) s.group.add(storeName(m.learner) + " (" + m.learnerZone + ", learner)");
-        s.members.addAll(records.rows().members.values());
-        s.services.addAll(records.rows().services.values());
-        s.plans.addAll(records.rows().plans.values());
-        s.manifest = records.rows().manifest;
-        s.loads.putAll(runnerLoads);
-        for (var n : records.rows().services.keySet()) {
-            var p = new PartStatus.Peaks();
-            p.service = n;
-            p.minutes = history.newestFirst(n);
-            s.peaks.add(p);
+    private CommandResult statusResult() {
+        var status = new PartStatus();
+        status.part = part;
+        status.leader = directory.self().name;
+        status.term = group.term();
+        status.applied = group.applied();
+        var members = group.members();
+        for (var i = 0; i < members.voters.length; i++)
+            status.group.add(storeName(members.voters[i]) + " (" + members.zones[i] + ")");
+        if (members.learner != 0)
+            status.group.add(storeName(members.learner) + " (" + members.learnerZone + ", learner)");
+        status.members.addAll(records.rows().members.values());
+        status.services.addAll(records.rows().services.values());
+        status.plans.addAll(records.rows().plans.values());
+        status.manifest = records.rows().manifest;
+        status.loads.putAll(loadByRunner);
+        for (var serviceName : records.rows().services.keySet()) {
+            var peaks = new PartStatus.Peaks();
+            peaks.service = serviceName;
+            peaks.minutes = loadHistory.peaksNewestFirst(serviceName);
+            status.peaks.add(peaks);
         }
-        s.claims = records.rows().claims.size();
-        return withBody(s);
-    }
-
-    private String storeName(long id) {
-        var n = directory.store(id);
-        return n == null ? "unreached" : n.name;
-    }
-
-    private CommandResult rolloutStatus(Queries.RolloutGet q, long now) {
-        var s = new RolloutStatus();
-        for (var m : records.rows().members.values()) {
-            var have = leases.version(m.node.name, Parts.MANIFEST_TOPIC);
-            if (have >= q.version && !m.lapsed && !leases.earlierMayAct(m.node, now)) continue;
-            s.missing.add(m.node.name);
-            var grace = q.zone.isEmpty() || m.node.zone.equals(q.zone) ? m.node.grace : 0;
-            if (m.node.isRouter() && leases.mayAct(m.node, grace, now)) s.able.add(m.node.name);
+        status.claims = records.rows().claims.size();
+        return okWithBody(status);
+    }
+
+    private String storeName(long storeId) {
+        var node = directory.store(storeId);
+        return node == null ? "unreached" : node.name;
+    }
+
+    /**
+     * Reports which members have not confirmed a version of the manifest topic, and which of those are routers whose
+     * lease, or the grace after it, may still run. With a zone given, only routers of that zone get a grace.
+     */
+    private CommandResult rolloutStatusResult(Queries.RolloutGet query, long now) {
+        var status = new RolloutStatus();
+        for (var member : records.rows().members.values()) {
+            var reportedVersion = memberLeases.reportedVersion(member.node.name, Parts.MANIFEST_TOPIC);
+            if (reportedVersion >= query.version
+                    && !member.lapsed
+                    && !memberLeases.earlierInstanceMayAct(member.node, now)) continue;
+            status.missing.add(member.node.name);
+            var grace = query.zone.isEmpty() || member.node.zone.equals(query.zone) ? member.node.grace : 0;
+            if (member.node.isRouter() && memberLeases.mayStillAct(member.node, grace, now))
+                status.able.add(member.node.name);
         }
-        return withBody(s);
+        return okWithBody(status);
     }
 
-    private void renew(Renew r, long now, Consumer<RenewReply> then) {
+    /**
+     * Grants or refuses a lease renewal as the leader. A member whose row is missing, lapsed or different is written
+     * to the log first.
+     */
+    private void handleRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
         if (!group.hasLease(now)) {
-            var v = reply(r, ProblemKind.NOT_OWNER.code());
-            v.leader = otherLeader();
-            then.accept(v);
+            var reply = newRenewReply(renewal, ProblemKind.NOT_OWNER.code());
+            reply.leader = otherLeader();
+            onReply.accept(reply);
             return;
         }
-        if (!r.leaving) push(r, now);
-        var m = records.rows().members.get(r.from.name);
-        if (m != null) directory.replaced(m.node, r.from);
-        var standing = outranking(r.from, m);
-        if (standing != null) {
-            var v = reply(r, ProblemKind.STALE_MEMBER.code());
-            v.incarnation = standing.incarnation;
-            v.known = standing;
-            then.accept(v);
-        } else if (r.leaving) {
-            leave(r, m);
-        } else if (m == null
-                || m.lapsed
-                || m.node.incarnation != r.from.incarnation
-                || !m.node.peerAddress.equals(r.from.peerAddress)
-                || m.node.serving != r.from.serving
-                || m.node.grace != r.from.grace
-                || m.node.wire != r.from.wire
-                || m.node.fenced != r.from.fenced
-                || !m.node.clientAddress.equals(r.from.clientAddress)) {
-            var c = new Commands.MemberPut();
-            c.node = r.from;
-            propose(c, x -> {
-                if (x.kind == 0) renewed(r, port.now(), then);
+        if (!renewal.leaving) pushStaleTopics(renewal, now);
+        var member = records.rows().members.get(renewal.from.name);
+        if (member != null) directory.replaced(member.node, renewal.from);
+        var outranking = findOutrankingNode(renewal.from, member);
+        if (outranking != null) {
+            var reply = newRenewReply(renewal, ProblemKind.STALE_MEMBER.code());
+            reply.incarnation = outranking.incarnation;
+            reply.known = outranking;
+            onReply.accept(reply);
+        } else if (renewal.leaving) {
+            removeMember(renewal, member);
+        } else if (member == null
+                || member.lapsed
+                || member.node.incarnation != renewal.from.incarnation
+                || !member.node.peerAddress.equals(renewal.from.peerAddress)
+                || member.node.serving != renewal.from.serving
+                || member.node.grace != renewal.from.grace
+                || member.node.wire != renewal.from.wire
+                || member.node.fenced != renewal.from.fenced
+                || !member.node.clientAddress.equals(renewal.from.clientAddress)) {
+            var command = new Commands.MemberPut();
+            command.node = renewal.from;
+            propose(command, result -> {
+                if (result.kind == 0) grantRenewal(renewal, port.now(), onReply);
             });
         } else {
-            renewed(r, now, then);
+            grantRenewal(renewal, now, onReply);
         }
     }
 
-    /** The life of this name that a renewal would have to outrank: the one on record, else one that this store has heard. */
-    private Node outranking(Node from, Rows.Member m) {
-        var n = m != null ? m.node : from.life == 0 ? null : directory.named(from.name);
-        if (n == null) return null;
-        var later = n.incarnation > from.incarnation;
-        return later || m != null && n.incarnation == from.incarnation && n.otherLife(from) ? n : null;
-    }
-
-    private void leave(Renew r, Rows.Member m) {
-        if (m == null) return;
-        var c = new Commands.MemberGone();
-        c.name = r.from.name;
-        c.incarnation = r.from.incarnation;
-        propose(c);
-    }
-
-    private RenewReply reply(Renew r, int kind) {
-        var v = new RenewReply();
-        v.part = part;
-        v.kind = kind;
-        v.incarnation = r.from.incarnation;
-        v.stamp = r.stamp;
-        return v;
-    }
-
-    /** Sends the news of a topic to whoever has nothing of it yet, or has been behind for long. */
-    private void push(Renew r, long now) {
-        pushedAt.values().removeIf(at -> now - at > PUSHED);
-        for (var t : topicNames()) {
-            var i = r.topics.indexOf(t);
-            var have = i < 0 ? 0 : r.versions.get(i);
-            if (i < 0 && r.members >= 0
-                    || have >= version(t)
-                    || have > 0 && now - publishedAt.getOrDefault(t, leaderSince) < IMPATIENT) continue;
-            if (pushedAt.putIfAbsent(r.from.peerAddress + " " + t, now) == null) port.send(r.from.peerAddress, news(t));
+    /**
+     * The incarnation that a renewal would have to outrank: the recorded member, else a node of this name that this
+     * store has heard. Null if the sender may renew.
+     */
+    private Node findOutrankingNode(Node sender, Rows.Member member) {
+        var known = member != null ? member.node : sender.life == 0 ? null : directory.named(sender.name);
+        if (known == null) return null;
+        var isNewer = known.incarnation > sender.incarnation;
+        return isNewer || member != null && known.incarnation == sender.incarnation && known.otherLife(sender)
+                ? known
+                : null;
+    }
+
+    private void removeMember(Renew renewal, Rows.Member member) {
+        if (member == null) return;
+        var command = new Commands.MemberGone();
+        command.name = renewal.from.name;
+        command.incarnation = renewal.from.incarnation;
+        propose(command);
+    }
+
+    private RenewReply newRenewReply(Renew renewal, int kind) {
+        var reply = new RenewReply();
+        reply.part = part;
+        reply.kind = kind;
+        reply.incarnation = renewal.from.incarnation;
+        reply.stamp = renewal.stamp;
+        return reply;
+    }
+
+    /**
+     * Sends the topics that a new member does not have yet, or that a member has been behind on for a while, without
+     * waiting for its subscription.
+     */
+    private void pushStaleTopics(Renew renewal, long now) {
+        pushedAtByTarget.values().removeIf(sentAt -> now - sentAt > PUSH_INTERVAL_MICROS);
+        for (var topic : topicNames()) {
+            var index = renewal.topics.indexOf(topic);
+            var reportedVersion = index < 0 ? 0 : renewal.versions.get(index);
+            if (index < 0 && renewal.members >= 0
+                    || reportedVersion >= topicVersion(topic)
+                    || reportedVersion > 0
+                            && now - publishedAtByTopic.getOrDefault(topic, leaderSince)
+                                    < STALE_TOPIC_PUSH_DELAY_MICROS) continue;
+            if (pushedAtByTarget.putIfAbsent(renewal.from.peerAddress + " " + topic, now) == null)
+                port.send(renewal.from.peerAddress, buildNews(topic));
         }
     }
 
-    private void renewed(Renew r, long now, Consumer<RenewReply> then) {
-        leases.renewed(r, now);
-        for (var g : r.signals) signals.add(g.service, g.cell, g.runs, g.problems, g.firstMicros, now);
-        var v = reply(r, 0);
-        v.leader = directory.self();
-        v.grace = r.from.grace;
-        v.membersVersion = records.rows().membersVersion;
-        if (v.membersVersion != r.members)
-            v.members = new ArrayList<>(records.rows().members.values().stream()
-                    .filter(m -> !m.lapsed)
-                    .map(m -> m.node)
+    /** Records a renewal and its signals, and replies with the members if they changed and the topic versions. */
+    private void grantRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
+        memberLeases.recordRenewal(renewal, now);
+        for (var signal : renewal.signals)
+            signalHistory.add(signal.service, signal.cell, signal.runs, signal.problems, signal.firstMicros, now);
+        var reply = newRenewReply(renewal, 0);
+        reply.leader = directory.self();
+        reply.grace = renewal.from.grace;
+        reply.membersVersion = records.rows().membersVersion;
+        if (reply.membersVersion != renewal.members)
+            reply.members = new ArrayList<>(records.rows().members.values().stream()
+                    .filter(member -> !member.lapsed)
+                    .map(member -> member.node)
                     .toList());
-        for (var t : topicNames()) {
-            var i = r.topics.indexOf(t);
-            if (timing.lowTraffic() && i >= 0 && r.versions.get(i) == version(t)) continue;
-            v.topics.add(t);
-            v.versions.add(version(t));
+        for (var topic : topicNames()) {
+            var index = renewal.topics.indexOf(topic);
+            if (timing.lowTraffic() && index >= 0 && renewal.versions.get(index) == topicVersion(topic)) continue;
+            reply.topics.add(topic);
+            reply.versions.add(topicVersion(topic));
         }
-        then.accept(v);
+        onReply.accept(reply);
     }
 
+    /** The topics of this part: one for each service, and the manifest topic on the manifest part. */
     private List<String> topicNames() {
-        var all = new ArrayList<>(records.rows().services.keySet());
-        if (part == Parts.MANIFEST_PART) all.add(Parts.MANIFEST_TOPIC);
-        return all;
+        var names = new ArrayList<>(records.rows().services.keySet());
+        if (part == Parts.MANIFEST_PART) names.add(Parts.MANIFEST_TOPIC);
+        return names;
     }
 
-    private long version(String topic) {
+    /** The current version of a topic; 0 if it is unknown. */
+    private long topicVersion(String topic) {
         if (topic.equals(Parts.MANIFEST_TOPIC)) return records.rows().manifest.topicVersion;
-        var s = records.rows().services.get(topic);
-        return s == null ? 0 : s.newsVersion;
+        var service = records.rows().services.get(topic);
+        return service == null ? 0 : service.newsVersion;
     }
 
-    private News news(String topic) {
-        var n = new News();
-        n.topic = topic;
-        n.version = version(topic);
-        n.body = Codec.write(
+    /** A message with the current version and content of a topic. */
+    private News buildNews(String topic) {
+        var news = new News();
+        news.topic = topic;
+        news.version = topicVersion(topic);
+        news.body = Codec.write(
                 topic.equals(Parts.MANIFEST_TOPIC)
                         ? records.rows().manifest.inForce()
                         : records.rows().services.get(topic));
-        return n;
+        return news;
     }
 
-    private void subscribe(Subscribe s, long now) {
-        if (!group.hasLease(now) || version(s.topic) == 0) return;
-        subscribers.computeIfAbsent(s.topic, k -> new HashMap<>()).put(s.from.peerAddress, now);
-        if (version(s.topic) > s.have) port.send(s.from.peerAddress, news(s.topic));
+    /** Adds or renews a subscription, and sends the topic if the subscriber has an older version. */
+    private void addSubscriber(Subscribe subscription, long now) {
+        if (!group.hasLease(now) || topicVersion(subscription.topic) == 0) return;
+        subscribersByTopic
+                .computeIfAbsent(subscription.topic, topic -> new HashMap<>())
+                .put(subscription.from.peerAddress, now);
+        if (topicVersion(subscription.topic) > subscription.have)
+            port.send(subscription.from.peerAddress, buildNews(subscription.topic));
     }
 
+    /** Sends every topic that changed since the last call to its subscribers. */
     private void publishNews(long now) {
         if (!group.hasLease(now)) return;
-        for (var t : topicNames()) {
-            var v = version(t);
-            if (publishedVersions.getOrDefault(t, 0L) >= v) continue;
-            publishedVersions.put(t, v);
-            publishedAt.put(t, now);
-            var all = subscribers.getOrDefault(t, Map.of());
-            all.values().removeIf(at -> now - at > SUBSCRIBED);
-            if (all.isEmpty()) continue;
-            var n = news(t);
-            all.keySet().forEach(a -> port.send(a, n));
+        for (var topic : topicNames()) {
+            var version = topicVersion(topic);
+            if (publishedVersionByTopic.getOrDefault(topic, 0L) >= version) continue;
+            publishedVersionByTopic.put(topic, version);
+            publishedAtByTopic.put(topic, now);
+            var subscribers = subscribersByTopic.getOrDefault(topic, Map.of());
+            subscribers.values().removeIf(renewedAt -> now - renewedAt > SUBSCRIPTION_TTL_MICROS);
+            if (subscribers.isEmpty()) continue;
+            var news = buildNews(topic);
+            subscribers.keySet().forEach(address -> port.send(address, news));
         }
     }
 
-    private void watchMembers(long now) {
-        for (var m : List.copyOf(records.rows().members.values())) {
-            if (!m.lapsed && leases.lapsed(m.node, now)) lapse(m);
-            else if (m.lapsed && leases.forgotten(m.node, now)) forget(m);
+    /** Proposes to mark members whose lease has lapsed, and to remove those that lapsed long ago. */
+    private void scanMembers(long now) {
+        for (var member : List.copyOf(records.rows().members.values())) {
+            if (!member.lapsed && memberLeases.hasLapsed(member.node, now)) proposeLapse(member);
+            else if (member.lapsed && memberLeases.isForgettable(member.node, now)) proposeRemoval(member);
         }
     }
 
-    private void lapse(Rows.Member m) {
-        var c = new Commands.MemberLapsed();
-        c.name = m.node.name;
-        c.incarnation = m.node.incarnation;
-        if (proposedOnce("lapse/" + c.name + "/" + c.incarnation)) return;
-        port.logEvent(Event.MEMBER_LEASE_LAPSED, m.node.name + " at part " + part);
-        propose(c, v -> proposed.remove("lapse/" + c.name + "/" + c.incarnation));
-    }
-
-    private void forget(Rows.Member m) {
-        var c = new Commands.MemberGone();
-        c.name = m.node.name;
-        c.incarnation = m.node.incarnation;
-        if (proposedOnce("gone/" + c.name)) return;
-        propose(c, v -> proposed.remove("gone/" + c.name));
-    }
-
-    private boolean proposedOnce(String key) {
-        return !proposed.add(key);
-    }
-
-    private void watchRunners(long now) {
-        for (var s : records.rows().services.values())
-            for (var r : s.runners.values()) {
-                var k = s.name + "/" + r.name;
-                var seen = runnersSeen.computeIfAbsent(k, x -> now);
-                if (!r.up() || now - seen <= settings.dark() || proposedOnce("dark/" + k)) continue;
-                var c = new Commands.RunnerMark();
-                c.service = s.name;
-                c.runner = r.name;
-                c.incarnation = r.incarnation;
-                c.state = Rows.Runner.DARK;
-                port.logEvent(Event.RUNNER_DARK, k);
-                propose(c, v -> proposed.remove("dark/" + k));
+    private void proposeLapse(Rows.Member member) {
+        var command = new Commands.MemberLapsed();
+        command.name = member.node.name;
+        command.incarnation = member.node.incarnation;
+        if (wasAlreadyProposed("lapse/" + command.name + "/" + command.incarnation)) return;
+        port.logEvent(Event.MEMBER_LEASE_LAPSED, member.node.name + " at part " + part);
+        propose(command, result -> openProposalKeys.remove("lapse/" + command.name + "/" + command.incarnation));
+    }
+
+    private void proposeRemoval(Rows.Member member) {
+        var command = new Commands.MemberGone();
+        command.name = member.node.name;
+        command.incarnation = member.node.incarnation;
+        if (wasAlreadyProposed("gone/" + command.name)) return;
+        propose(command, result -> openProposalKeys.remove("gone/" + command.name));
+    }
+
+    /** Whether a proposal with this key is open; if not, registers it as open. */
+    private boolean wasAlreadyProposed(String key) {
+        return !openProposalKeys.add(key);
+    }
+
+    /** Proposes to mark runners as dark that have not been heard for too long. */
+    private void scanRunners(long now) {
+        for (var service : records.rows().services.values())
+            for (var runner : service.runners.values()) {
+                var key = service.name + "/" + runner.name;
+                var heardAt = runnerHeardAt.computeIfAbsent(key, absentKey -> now);
+                if (!runner.up() || now - heardAt <= settings.dark() || wasAlreadyProposed("dark/" + key)) continue;
+                var command = new Commands.RunnerMark();
+                command.service = service.name;
+                command.runner = runner.name;
+                command.incarnation = runner.incarnation;
+                command.state = Rows.Runner.DARK;
+                port.logEvent(Event.RUNNER_DARK, key);
+                propose(command, result -> openProposalKeys.remove("dark/" + key));
             }
     }
 
-    private void join(Join j, long now) {
-        if (j.answer) leave.answered(j.mayGo, now);
-        else if (group.hasLease(now) && j.leaving) leaveAsked(j, now);
-        else if (group.hasLease(now) && !group.members().isMember(j.from.storeId))
-            changes.wants(j.from.storeId, j.from.zone, now + JOIN_REQUEST_KEPT);
+    /** Takes a request to join or leave, or the leader's answer to a request to leave. */
+    private void handleJoin(Join request, long now) {
+        if (request.answer) plannedLeave.recordAnswer(request.mayGo, now);
+        else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
+        else if (group.hasLease(now) && !group.members().isMember(request.from.storeId))
+            membershipChanges.wants(request.from.storeId, request.from.zone, now + JOIN_REQUEST_TTL_MICROS);
     }
 
-    private void leaveAsked(Join j, long now) {
-        changes.leaves(j.from.storeId, now + JOIN_REQUEST_KEPT);
-        var a = new Join();
-        a.part = part;
-        a.from = directory.self();
-        a.answer = true;
-        a.mayGo = changes.mayGo(j.from.storeId, group.members(), leaderSince, now);
-        port.send(j.from.peerAddress, a);
+    private void handleLeaveRequest(Join request, long now) {
+        membershipChanges.leaves(request.from.storeId, now + JOIN_REQUEST_TTL_MICROS);
+        var answer = new Join();
+        answer.part = part;
+        answer.from = directory.self();
+        answer.answer = true;
+        answer.mayGo = membershipChanges.mayGo(request.from.storeId, group.members(), leaderSince, now);
+        port.send(request.from.peerAddress, answer);
     }
 
-    /** Whether this store, which has been stopping since then, is still needed here. */
-    public boolean needed(long since, long now) {
-        return leave.needed(since, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
+    /**
+     * Whether this store, which has been stopping since {@code stoppingSince}, still has to stay for the sake of this
+     * part.
+     */
+    public boolean needed(long stoppingSince, long now) {
+        return plannedLeave.isNeeded(
+                stoppingSince, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
     }
 
-    private void adjustMembers(long now) {
-        changes.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
+    private void proposeMembershipChange(long now) {
+        membershipChanges.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
     }
 
-    /** What this leader knows of the other stores of its part. */
-    private final class Known implements MembershipChanges.Knowledge {
+    /** What this leader knows of the other stores of its group. */
+    private final class GroupStoreStatus implements MembershipChanges.Knowledge {
         @Override
         public boolean diskLost(long store) {
             return directory.gone(store);
@@ -697,138 +869,172 @@
         }
     }
 
-    private static long voterIn(Members m, String zone) {
-        for (var i = 0; i < m.voters.length; i++) if (m.zones[i].equals(zone)) return m.voters[i];
+    /** The id of a voter in the zone; 0 if there is none. */
+    private static long voterInZone(Members members, String zone) {
+        for (var i = 0; i < members.voters.length; i++) if (members.zones[i].equals(zone)) return members.voters[i];
         return 0;
     }
 
-    private void age(long now) {
-        if (now - aged < AGE) return;
-        var r = records.rows();
-        var held = r.services.values().stream().anyMatch(s -> !s.heldUntil.isEmpty());
-        var ended = settings.forgotten() > 0
-                && r.services.values().stream()
-                        .anyMatch(s -> s.runners.values().stream().anyMatch(x -> !x.up()));
-        if (held || ended || r.claimsLost || !r.claims.isEmpty() || !r.quotas.isEmpty()) {
-            var c = new Commands.Age();
-            c.micros = now - aged;
-            c.forgotten = settings.forgotten();
-            var m = membership.view().manifest();
-            c.retention = m == null ? 86_400_000_000L : m.claimRetention();
-            propose(c);
+    /**
+     * Advances the replicated age if anything depends on it. Until a manifest is known, claims are kept for a day.
+     */
+    private void proposeAging(long now) {
+        if (now - lastAgedAt < AGING_INTERVAL_MICROS) return;
+        var rows = records.rows();
+        var anyCellHeld = rows.services.values().stream().anyMatch(service -> !service.heldUntil.isEmpty());
+        var anyRunnerEnded = settings.forgotten() > 0
+                && rows.services.values().stream()
+                        .anyMatch(service -> service.runners.values().stream().anyMatch(runner -> !runner.up()));
+        if (anyCellHeld || anyRunnerEnded || rows.claimsLost || !rows.claims.isEmpty() || !rows.quotas.isEmpty()) {
+            var command = new Commands.Age();
+            command.micros = now - lastAgedAt;
+            command.forgotten = settings.forgotten();
+            var manifest = membership.view().manifest();
+            command.retention = manifest == null ? 86_400_000_000L : manifest.claimRetention();
+            propose(command);
         }
-        aged = now;
-    }
-
-    private void syncServices() {
-        var v = membership.view();
-        if (v.manifest() == null || part == Parts.MANIFEST_PART) return;
-        for (var s : v.manifest().services().values()) {
-            if (Parts.partOf(s.name()) != part) continue;
-            var row = records.rows().services.get(s.name());
-            if (row != null && row.manifestVersion >= v.topic().version || proposedOnce("sync/" + s.name())) continue;
-            propose(serviceSync(s, v.manifest(), v.topic().version), x -> proposed.remove("sync/" + s.name()));
+        lastAgedAt = now;
+    }
+
+    /** Proposes to copy services of a newer manifest version into the rows of this part. */
+    private void proposeServiceSyncs() {
+        var view = membership.view();
+        if (view.manifest() == null || part == Parts.MANIFEST_PART) return;
+        for (var service : view.manifest().services().values()) {
+            if (Parts.partOf(service.name()) != part) continue;
+            var row = records.rows().services.get(service.name());
+            if (row != null && row.manifestVersion >= view.topic().version
+                    || wasAlreadyProposed("sync/" + service.name())) continue;
+            propose(
+                    newServiceSync(service, view.manifest(), view.topic().version),
+                    result -> openProposalKeys.remove("sync/" + service.name()));
         }
     }
 
-    private static Commands.ServiceSync serviceSync(Manifest.Service s, Manifest m, long version) {
-        var c = new Commands.ServiceSync();
-        c.service = s.name();
-        c.manifestVersion = version;
-        c.bySlots = s.weightedBySlots();
-        c.bound.addAll(m.routes().regionSetsOf(s.name()));
-        c.regions.addAll(m.regions());
-        for (var x : s.cells()) {
-            c.cells.add(x.name());
-            c.zones.add(x.zone());
-            c.cellRegions.add(m.regionOfZone(x.zone()));
-            c.weights.add(x.weight());
+    private static Commands.ServiceSync newServiceSync(
+            Manifest.Service service, Manifest manifest, long manifestVersion) {
+        var command = new Commands.ServiceSync();
+        command.service = service.name();
+        command.manifestVersion = manifestVersion;
+        command.bySlots = service.weightedBySlots();
+        command.bound.addAll(manifest.routes().regionSetsOf(service.name()));
+        command.regions.addAll(manifest.regions());
+        for (var cell : service.cells()) {
+            command.cells.add(cell.name());
+            command.zones.add(cell.zone());
+            command.cellRegions.add(manifest.regionOfZone(cell.zone()));
+            command.weights.add(cell.weight());
         }
-        return c;
-    }
-
-    private void move(long now) {
-        var v = membership.view();
-        if (v.manifest() == null) return;
-        for (var s : records.rows().services.values()) {
-            history.see(s.name, load(s), now);
-            if (proposed.contains("step/" + s.name)) continue;
-            var step = next(s, v, now);
-            if (step == null) continue;
-            proposed.add("step/" + s.name);
-            propose(step, x -> {
-                proposed.remove("step/" + s.name);
-                if (x.kind == 0) noteStep(s.name, step);
+        return command;
+    }
+
+    /** Proposes the next step of moving units, at most one open proposal for each service. */
+    private void proposeMoves(long now) {
+        var view = membership.view();
+        if (view.manifest() == null) return;
+        for (var service : records.rows().services.values()) {
+            loadHistory.record(service.name, totalLoad(service), now);
+            if (openProposalKeys.contains("step/" + service.name)) continue;
+            var command = nextStepCommand(service, view, now);
+            if (command == null) continue;
+            openProposalKeys.add("step/" + service.name);
+            propose(command, result -> {
+                openProposalKeys.remove("step/" + service.name);
+                if (result.kind == 0) logStep(service.name, command);
             });
         }
     }
 
-    private int load(Rows.Service s) {
-        return s.runners.values().stream()
+    private int totalLoad(Rows.Service service) {
+        return service.runners.values().stream()
                 .filter(Rows.Runner::up)
-                .mapToInt(r -> runnerLoads.getOrDefault(s.name + "/" + r.name, 0))
+                .mapToInt(runner -> loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
     }
 
-    private Object next(Rows.Service s, Membership.View v, long now) {
-        var open = mover.open(s, v.topic().marks, now);
-        var judged = watcher.judge(s, signals, open, now);
-        if (judged != null) return judged;
-        var step =
-                mover.step(s, v.manifest().service(s.name), v.topic().marks, (c, i) -> storeSynced(s, c, i, now), now);
-        if (lowestWire() < Node.STEPS) return step instanceof Commands.StepAsk a ? Mover.plain(a) : step;
-        return step != null ? step : pressure.ask(s, runnerLoads, open, now);
-    }
-
-    private int lowestWire() {
+    /**
+     * The next command for a service: a verdict on a step under watch, a step to the wanted homes, or a displacement
+     * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table
+     * steps.
+     */
+    private Object nextStepCommand(Rows.Service service, Membership.View view, long now) {
+        var openCells = unitMover.open(service, view.topic().marks, now);
+        var stepMark = stepWatcher.judge(service, signalHistory, openCells, now);
+        if (stepMark != null) return stepMark;
+        var step = unitMover.step(
+                service,
+                view.manifest().service(service.name),
+                view.topic().marks,
+                (cell, index) -> isZoneStoreSynced(service, cell, index, now),
+                now);
+        if (lowestWireVersion() < Node.STEPS)
+            return step instanceof Commands.StepAsk stepAsk ? Mover.plain(stepAsk) : step;
+        return step != null ? step : pressureRelief.ask(service, loadByRunner, openCells, now);
+    }
+
+    private int lowestWireVersion() {
         return records.rows().members.values().stream()
-                .mapToInt(m -> m.node.wire)
+                .mapToInt(member -> member.node.wire)
                 .min()
                 .orElse(0);
     }
 
-    private void noteStep(String service, Object step) {
-        var s = records.rows().services.get(service);
-        if (step instanceof Commands.Displace d)
+    /** Logs a step or displacement that was applied. */
+    private void logStep(String service, Object command) {
+        var row = records.rows().services.get(service);
+        if (command instanceof Commands.Displace displacement)
             port.logEvent(
                     Event.CELL_LOAD_CHANGED,
-                    service + " " + d.units.length + " units "
-                            + (d.cells[0] < 0 ? "may go back" : "to " + s.cells.get(d.cells[0])));
-        if (!(step instanceof Commands.StepMark m)) return;
-        var x = s.step(m.id);
-        var text = service + " step " + x.id + " " + x.units.length + " units to " + s.cells.get(x.to) + ": "
-                + x.stateName() + ", " + x.cause + ", table version " + s.tableVersion;
+                    service + " " + displacement.units.length + " units "
+                            + (displacement.cells[0] < 0
+                                    ? "may go back"
+                                    : "to " + row.cells.get(displacement.cells[0])));
+        if (!(command instanceof Commands.StepMark mark)) return;
+        var step = row.step(mark.id);
+        var detail = service + " step " + step.id + " " + step.units.length + " units to " + row.cells.get(step.to)
+                + ": " + step.stateName() + ", " + step.cause + ", table version " + row.tableVersion;
         port.logEvent(
-                m.state == Rows.Step.TAKEN_BACK || m.state == Rows.Step.DROPPED
+                mark.state == Rows.Step.TAKEN_BACK || mark.state == Rows.Step.DROPPED
                         ? Event.MOVE_STEP_CANCELLED
                         : Event.MOVE_STEP,
-                text);
+                detail);
     }
 
-    private boolean storeSynced(Rows.Service s, int cell, long index, long now) {
-        var id = voterIn(group.members(), s.zones.get(cell));
-        return id == 0
-                || id == directory.self().storeId
-                || now - group.heardFrom(id) > SYNCED
-                || group.matchOf(id) >= index;
+    /**
+     * Whether the voter in the zone of a cell holds the log up to an index; true as well if there is no voter or it
+     * is silent.
+     */
+    private boolean isZoneStoreSynced(Rows.Service service, int cell, long index, long now) {
+        var storeId = voterInZone(group.members(), service.zones.get(cell));
+        return storeId == 0
+                || storeId == directory.self().storeId
+                || now - group.heardFrom(storeId) > REACHABLE_STORE_WINDOW_MICROS
+                || group.matchOf(storeId) >= index;
     }
 
+    /** Transfers leadership to the preferred store once this leader has led for a while. */
     private void balanceLeaders(long now) {
-        if (now - leaderSince < (timing.lowTraffic() ? GATHER : timing.leaderSettleTime())) return;
-        var m = group.members();
-        var to = preferredLeader(m);
-        if (changes.mayLead(to, m, now) && directory.store(to) != null) group.transferLeadership(to, now);
+        if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.leaderSettleTime())) return;
+        var members = group.members();
+        var preferred = preferredLeader(members);
+        if (membershipChanges.mayLead(preferred, members, now) && directory.store(preferred) != null)
+            group.transferLeadership(preferred, now);
     }
 
-    private long preferredLeader(Members m) {
-        if (!timing.lowTraffic()) return changes.preferredLeader(m, part);
-        var first = part == Parts.MANIFEST_PART ? null : membership.leader(Parts.MANIFEST_PART);
-        return first != null && m.isVoter(first.storeId) ? first.storeId : 0;
+    /**
+     * The store that should lead this part, 0 if none: with the low-traffic profile the leader of the manifest part,
+     * so that members renew all leases at one store; else a voter chosen by the number of the part.
+     */
+    private long preferredLeader(Members members) {
+        if (!timing.lowTraffic()) return membershipChanges.preferredLeader(members, part);
+        var manifestLeader = part == Parts.MANIFEST_PART ? null : membership.leader(Parts.MANIFEST_PART);
+        return manifestLeader != null && members.isVoter(manifestLeader.storeId) ? manifestLeader.storeId : 0;
     }
 
+    /** Transfers leadership to the best successor, if there is one. */
     private void transferLeadership(long now) {
         if (!group.ready()) return;
-        var heir = changes.heir(group.members(), now);
-        if (heir != 0) group.transferLeadership(heir, now);
+        var successor = membershipChanges.heir(group.members(), now);
+        if (successor != 0) group.transferLeadership(successor, now);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
+++ b/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
@@ -1,33 +1,41 @@
 package craneway.control.store;
 
 /**
- * Whether a store that was told to stop is still needed at one part. It goes once the part's leader says that it may; where there
- * is no leader, or one that gives no answer (as an earlier version gives none), it waits a while for each. Times are microseconds.
+ * Tracks whether a store that is stopping is still needed by one part. It may stop once the leader of the part says
+ * so. If there is no leader, or one that does not answer (as in earlier versions), the store waits for a limited
+ * time. Safe for several threads. Times are microseconds.
  */
 final class PlannedLeave {
-    private static final long TIMEOUT = 2_000_000;
+    /** How long to wait for each: to hand over leadership, for a leader, and for its answer. */
+    private static final long WAIT_TIMEOUT_MICROS = 2_000_000;
 
-    private long asksSince;
+    private long askingSince;
     private long leaderlessSince;
     private long answeredAt;
-    private boolean mayGo;
+    private boolean mayLeave;
 
-    /** The leader has answered. */
-    synchronized void answered(boolean may, long now) {
+    /** Records the leader's answer. */
+    synchronized void recordAnswer(boolean mayLeaveNow, long now) {
         answeredAt = now;
-        mayGo = may;
+        mayLeave = mayLeaveNow;
     }
 
-    /** Whether it is needed, with the stop begun at that time, given whether it leads the part and whether a leader is heard. */
-    synchronized boolean needed(long since, boolean leads, boolean leaderHeard, long now) {
-        if (leads || !leaderHeard) asksSince = now;
-        if (leads) return now - since < TIMEOUT;
+    /**
+     * Whether the store is still needed.
+     *
+     * @param stoppingSince when the stop began
+     * @param isLeader whether this store leads the part
+     * @param leaderHeard whether a leader of the part has been heard lately
+     */
+    synchronized boolean isNeeded(long stoppingSince, boolean isLeader, boolean leaderHeard, long now) {
+        if (isLeader || !leaderHeard) askingSince = now;
+        if (isLeader) return now - stoppingSince < WAIT_TIMEOUT_MICROS;
         if (!leaderHeard) {
             if (leaderlessSince == 0) leaderlessSince = now;
-            return now - leaderlessSince < TIMEOUT;
+            return now - leaderlessSince < WAIT_TIMEOUT_MICROS;
         }
         leaderlessSince = 0;
-        var asked = Math.max(since, asksSince);
-        return answeredAt > asked ? !mayGo : now - asked < TIMEOUT;
+        var askedAt = Math.max(stoppingSince, askingSince);
+        return answeredAt > askedAt ? !mayLeave : now - askedAt < WAIT_TIMEOUT_MICROS;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Quorum.java
+++ b/lib/control/src/main/java/craneway/control/store/Quorum.java
@@ -6,47 +6,57 @@
 import java.util.List;
 import java.util.Map;
 
-/** How many stores vote on each part, and which region each zone lies in; a zone not named is its own region. */
+/**
+ * How many stores vote in each part, and how evenly they are spread over regions.
+ *
+ * @param voters the number of voters in each group
+ * @param regions the region of each zone, by zone; a zone without an entry counts as a region of its own
+ */
 public record Quorum(int voters, Map<String, String> regions) {
-    private static final int REGION = 1_000;
+    /** Makes the spread over regions count before the spread over zones, whose sum of squares is far smaller. */
+    private static final int REGION_WEIGHT = 1_000;
 
+    /** Three voters, each zone a region of its own. */
     public static final Quorum THREE = new Quorum(3, Map.of());
 
-    /** Voters enough that this many may lose their disks at once. */
+    /** Enough voters to keep a majority when {@code losses} stores lose their disks at the same time. */
     public static Quorum of(int losses, Map<String, String> regions) {
         return new Quorum(2 * losses + 1, regions);
     }
 
-    /** How unevenly stores in these zones are spread over regions, then zones; less is better. */
-    int crowd(List<String> zones) {
-        var r = new HashMap<String, Integer>();
-        var z = new HashMap<String, Integer>();
-        for (var x : zones) {
-            r.merge(regions.getOrDefault(x, x), 1, Integer::sum);
-            z.merge(x, 1, Integer::sum);
+    /** How unevenly stores in these zones are spread over regions, and then over zones; lower is more even. */
+    int unevenness(List<String> zones) {
+        var storesByRegion = new HashMap<String, Integer>();
+        var storesByZone = new HashMap<String, Integer>();
+        for (var zone : zones) {
+            storesByRegion.merge(regions.getOrDefault(zone, zone), 1, Integer::sum);
+            storesByZone.merge(zone, 1, Integer::sum);
         }
-        return REGION * squares(r) + squares(z);
+        return REGION_WEIGHT * sumOfSquares(storesByRegion) + sumOfSquares(storesByZone);
     }
 
-    private static int squares(Map<String, Integer> m) {
-        return m.values().stream().mapToInt(n -> n * n).sum();
+    private static int sumOfSquares(Map<String, Integer> counts) {
+        return counts.values().stream().mapToInt(n -> n * n).sum();
     }
 
-    int crowdWith(String[] zones, String zone) {
-        var all = new ArrayList<>(Arrays.asList(zones));
-        all.add(zone);
-        return crowd(all);
+    /** The unevenness with one more store in a zone. */
+    int unevennessWith(String[] zones, String zone) {
+        var allZones = new ArrayList<>(Arrays.asList(zones));
+        allZones.add(zone);
+        return unevenness(allZones);
     }
 
-    int crowdWithout(String[] zones, int i) {
-        var all = new ArrayList<>(Arrays.asList(zones));
-        all.remove(i);
-        return crowd(all);
+    /** The unevenness without the store at an index. */
+    int unevennessWithout(String[] zones, int index) {
+        var remainingZones = new ArrayList<>(Arrays.asList(zones));
+        remainingZones.remove(index);
+        return unevenness(remainingZones);
     }
 
-    int crowdSwapped(String[] zones, int i, String zone) {
-        var all = zones.clone();
-        all[i] = zone;
-        return crowd(Arrays.asList(all));
+    /** The unevenness with the store at an index replaced by one in another zone. */
+    int unevennessAfterSwap(String[] zones, int index, String zone) {
+        var swappedZones = zones.clone();
+        swappedZones[index] = zone;
+        return unevenness(Arrays.asList(swappedZones));
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -8,52 +8,63 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The replies to the renewals of one message: they go back together, but none waits long for a part that is held up. */
+/**
+ * Collects the replies to the renewals that came in one message and sends them in one message. If a part is slow, the
+ * replies collected so far are sent after a timeout, and the later ones on their own. Safe for several threads.
+ */
 final class RenewReplyBatch {
-    private static final long TIMEOUT = 15_000;
+    /** How long the first replies wait for the others. */
+    private static final long COLLECT_TIMEOUT_MICROS = 15_000;
 
     private final Port port;
     private final Node self;
-    private final Renewals asked;
-    private final long since;
-    private final List<RenewReply> ready = new ArrayList<>();
-    private int open;
-    private boolean late;
+    private final Renewals request;
+    private final long receivedAt;
+    private final List<RenewReply> collectedReplies = new ArrayList<>();
+    private int outstandingReplies;
+    private boolean timedOut;
 
-    RenewReplyBatch(Port port, Node self, Renewals asked) {
+    RenewReplyBatch(Port port, Node self, Renewals request) {
         this.port = port;
         this.self = self;
-        this.asked = asked;
-        since = port.now();
-        open = asked.parts.size();
+        this.request = request;
+        receivedAt = port.now();
+        outstandingReplies = request.parts.size();
     }
 
-    synchronized void add(RenewReply v) {
-        if (v.incarnation == asked.from.incarnation) v.incarnation = 0;
-        v.stamp = v.grace = 0;
-        if (v.kind == 0) v.leader = null;
-        ready.add(v);
-        open--;
-        if (late || open == 0) send();
+    /**
+     * Adds the reply of a part, without what the message as a whole already says, and sends if nothing else is to be
+     * waited for.
+     */
+    synchronized void add(RenewReply reply) {
+        if (reply.incarnation == request.from.incarnation) reply.incarnation = 0;
+        reply.stamp = reply.grace = 0;
+        if (reply.kind == 0) reply.leader = null;
+        collectedReplies.add(reply);
+        outstandingReplies--;
+        if (timedOut || outstandingReplies == 0) send();
     }
 
-    /** Sends what is ready after a while; whether nothing more is to be waited for. */
-    synchronized boolean over(long now) {
-        if (open == 0) return true;
-        if (now - since < TIMEOUT) return false;
-        late = true;
-        if (!ready.isEmpty()) send();
+    /**
+     * Sends the replies collected so far once the timeout is over. Returns whether the batch is done and needs no
+     * further call.
+     */
+    synchronized boolean flushIfOverdue(long now) {
+        if (outstandingReplies == 0) return true;
+        if (now - receivedAt < COLLECT_TIMEOUT_MICROS) return false;
+        timedOut = true;
+        if (!collectedReplies.isEmpty()) send();
         return true;
     }
 
     private void send() {
-        var all = new RenewReplies();
-        all.stamp = asked.stamp;
-        all.incarnation = asked.from.incarnation;
-        all.grace = asked.from.grace;
-        if (asked.leader != self.incarnation) all.leader = self;
-        all.parts.addAll(ready);
-        ready.clear();
-        port.send(asked.from.peerAddress, all);
+        var message = new RenewReplies();
+        message.stamp = request.stamp;
+        message.incarnation = request.from.incarnation;
+        message.grace = request.from.grace;
+        if (request.leader != self.incarnation) message.leader = self;
+        message.parts.addAll(collectedReplies);
+        collectedReplies.clear();
+        port.send(request.from.peerAddress, message);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -5,8 +5,8 @@
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.model.event.Event;
-import craneway.model.problem.Problem;
 import craneway.model.problem.ProblemKind;
+import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
 import craneway.state.disk.DiskException;
@@ -42,409 +42,544 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
+/**
+ * A store process: it founds a core together with other empty stores or joins an existing one, holds a replica of
+ * each part, and takes part in the core as a node with leases of its own.
+ *
+ * <p>The owner calls {@link #tick}, or {@link #tickNode} and {@link #tickPart} from several threads, every few
+ * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link Rules}.
+ */
 public final class Store {
-    private static final String IDENTITY = "identity",
-            CORE = "core",
-            KNOWN = "known",
-            LIFE = "life",
-            FOUNDERS = "founders",
-            LOST = "lost.";
-    private static final long JOIN = 500_000, SAY = 5_000_000, SAVE = 5_000_000, ALIVE = 3_000_000;
-    /** How long a store that stops tries to hand over what it leads. */
-    private static final long HAND_OVER = 2_000_000;
+    /** Holds the id of this store, drawn at random when its folder was empty. */
+    private static final String IDENTITY_FILE = "identity";
+
+    /** Holds the core's founding record; its absence means that this store belongs to no core yet. */
+    private static final String CORE_FILE = "core";
+
+    /** Holds the addresses of all stores known, which are contacted like seeds after a restart. */
+    private static final String KNOWN_STORES_FILE = "known";
+
+    /** Holds the last incarnation used by a process on this folder. */
+    private static final String INCARNATION_FILE = "life";
+
+    /** Holds the addresses of the seeds at the first start, if only those may found the core. */
+    private static final String FOUNDERS_FILE = "founders";
+
+    /** Files of a damaged or replaced folder are kept under names with this prefix. */
+    private static final String LOST_FILE_PREFIX = "lost.";
+
+    /** How often requests to join or leave are repeated; half of it with the low-traffic profile. */
+    private static final long JOIN_INTERVAL_MICROS = 500_000;
+
+    /** How often a store that cannot found a core yet logs what it waits for. */
+    private static final long WAITING_LOG_INTERVAL_MICROS = 5_000_000;
+
+    /** How often the known stores and the incarnation are saved if they changed. */
+    private static final long SAVE_INTERVAL_MICROS = 5_000_000;
+
+    /** A core may be rebuilt only if no leader has been heard for this long. */
+    private static final long LEADER_ALIVE_WINDOW_MICROS = 3_000_000;
+
+    /** How long a store that stops tries to transfer the leadership of its parts. */
+    private static final long HANDOVER_TIMEOUT_MICROS = 2_000_000;
 
     private final Port port;
     private final Folder folder;
     private final Rules rules;
-    private final Executor saver;
+    private final Executor saveExecutor;
     private final Settings settings;
     private final List<String> seeds;
-    private Set<String> founders;
+    private Set<String> founderAddresses;
     private final Random random;
     private final Directory directory;
     private final CoreClient coreClient;
     private final Membership membership;
     private final Queue<RenewReplyBatch> replyBatches = new ConcurrentLinkedQueue<>();
     private volatile PartReplica[] replicas = {};
-    private long joinDue;
-    private long sayDue;
-    private long saveDue;
-    private volatile String savedKnown = "";
+    private long nextJoinAt;
+    private long nextWaitingLogAt;
+    private long nextSaveAt;
+    private volatile String savedKnownStores = "";
     private volatile long leavingSince;
-    private volatile long savedLife;
+    private volatile long savedIncarnation;
 
-    public Store(Port port, Folder folder, Node self, List<String> seeds, int expected, Random random) {
-        this(port, folder, self, seeds, Rules.of(expected), random);
+    /** Opens a store with default rules that founds a core with {@code founderCount} empty stores. */
+    public Store(Port port, Folder folder, Node self, List<String> seeds, int founderCount, Random random) {
+        this(port, folder, self, seeds, Rules.of(founderCount), random);
     }
 
+    /**
+     * Opens a store on its folder. Sets the store id of {@code self} from the folder and raises its incarnation above
+     * the last one saved there.
+     *
+     * @param seeds addresses of stores to contact first
+     * @param random also the source of the ids of this store and of its client
+     */
     public Store(Port port, Folder folder, Node self, List<String> seeds, Rules rules, Random random) {
         this.port = port;
         this.folder = folder;
         this.rules = rules;
-        saver = rules.executors().apply(Parts.MANIFEST_PART);
+        saveExecutor = rules.executors().apply(Parts.MANIFEST_PART);
         settings = rules.settings();
         this.seeds = seeds;
         this.random = random;
-        self.storeId = identity();
-        if (self.life != 0) self.incarnation = self.above(lastLife());
-        directory = new Directory(port, self, withKnown(seeds), rules.timing());
+        self.storeId = loadOrCreateIdentity();
+        if (self.life != 0) self.incarnation = self.above(loadLastIncarnation());
+        directory = new Directory(port, self, withKnownStores(seeds), rules.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, rules.timing());
-        reopen();
-        founders = founders();
+        reopenCore();
+        founderAddresses = loadFounders();
     }
 
-    private Set<String> founders() {
+    /**
+     * The addresses that may found the core; empty if any store may, or if this store was not started at the first
+     * start.
+     */
+    private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
-        var b = folder.read(FOUNDERS);
-        if (b == null && settings.firstStart())
-            folder.replace(FOUNDERS, b = String.join("\n", seeds).getBytes());
-        return b == null ? Set.of() : Set.of(new String(b).split("\n"));
+        var bytes = folder.read(FOUNDERS_FILE);
+        if (bytes == null && settings.firstStart())
+            folder.replace(FOUNDERS_FILE, bytes = String.join("\n", seeds).getBytes());
+        return bytes == null ? Set.of() : Set.of(new String(bytes).split("\n"));
     }
 
-    private boolean founds(Node n) {
+    /** Whether a store may be among those that found the core. */
+    private boolean mayFound(Node node) {
         return !settings.seedsOnly()
-                || (founders.isEmpty() ? seeds.contains(n.peerAddress) : founders.contains(n.peerAddress));
+                || (founderAddresses.isEmpty()
+                        ? seeds.contains(node.peerAddress)
+                        : founderAddresses.contains(node.peerAddress));
     }
 
+    /** The nodes that this store knows. */
     public Directory directory() {
         return directory;
     }
 
+    /** Sends commands and queries of this process to the leaders of the parts. */
     public CoreClient coreClient() {
         return coreClient;
     }
 
+    /** This store's own leases and the manifest and tables it follows. */
     public Membership membership() {
         return membership;
     }
 
+    /** The replicas by part; empty as long as this store belongs to no core. */
     public PartReplica[] replicas() {
         return replicas;
     }
 
-    private long identity() {
-        var b = folder.read(IDENTITY);
+    /**
+     * Reads the id of this store. A folder without a readable identity counts as lost: its files are set aside and a
+     * new id is drawn, since the votes and entries of the old one may be missing.
+     */
+    private long loadOrCreateIdentity() {
+        var bytes = folder.read(IDENTITY_FILE);
         try {
-            if (b != null) return ByteBuffer.wrap(Seal.open(IDENTITY, b)).getLong();
-            if (!folder.names().stream().allMatch(n -> n.startsWith(LOST))) setAside("the identity is missing");
+            if (bytes != null)
+                return ByteBuffer.wrap(Seal.open(IDENTITY_FILE, bytes)).getLong();
+            if (!folder.names().stream().allMatch(name -> name.startsWith(LOST_FILE_PREFIX)))
+                setAllFilesAside("the file with the identity of the store is missing");
         } catch (DiskLostException e) {
-            setAside(e.getMessage());
+            setAllFilesAside(e.getMessage());
         }
-        var id = random.nextLong() >>> 1 | 1;
-        folder.replace(IDENTITY, Seal.close(ByteBuffer.allocate(8).putLong(id).array()));
-        return id;
+        var storeId = random.nextLong() >>> 1 | 1;
+        folder.replace(
+                IDENTITY_FILE,
+                Seal.close(ByteBuffer.allocate(8).putLong(storeId).array()));
+        return storeId;
     }
 
-    /** The incarnation that the last process on this disk told of; 0 where that is not known. */
-    private long lastLife() {
-        var b = folder.read(LIFE);
+    /** The incarnation that the last process on this folder saved; 0 if there is none or it cannot be read. */
+    private long loadLastIncarnation() {
+        var bytes = folder.read(INCARNATION_FILE);
         try {
-            return b == null ? 0 : ByteBuffer.wrap(Seal.open(LIFE, b)).getLong();
+            return bytes == null
+                    ? 0
+                    : ByteBuffer.wrap(Seal.open(INCARNATION_FILE, bytes)).getLong();
         } catch (DiskLostException e) {
-            port.logEvent(Event.DISK_WRITE_FAILED, LIFE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, INCARNATION_FILE + ": " + e.getMessage());
             return 0;
         }
     }
 
-    private void saveLife(long incarnation) {
+    private void saveIncarnation(long incarnation) {
         try {
             folder.replace(
-                    LIFE, Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
-            savedLife = incarnation;
+                    INCARNATION_FILE,
+                    Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
+            savedIncarnation = incarnation;
         } catch (DiskException e) {
-            port.logEvent(Event.DISK_WRITE_FAILED, LIFE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, INCARNATION_FILE + ": " + e.getMessage());
         }
     }
 
     /**
-     * Renames all files, the identity first: whatever a crash leaves, no start takes the rest for a store that still has
-     * its votes and entries.
+     * Renames all files, the identity first: after a crash at any point no start mistakes the remaining files for a
+     * store that still has its votes and entries.
      */
-    private void setAside(String cause) {
+    private void setAllFilesAside(String cause) {
         port.logEvent(Event.DATA_DIRECTORY_DAMAGED, cause);
-        if (folder.read(IDENTITY) != null) setAsideFile(IDENTITY);
-        for (var n : folder.names()) if (!n.startsWith(LOST)) setAsideFile(n);
+        if (folder.read(IDENTITY_FILE) != null) setAsideFile(IDENTITY_FILE);
+        for (var name : folder.names()) if (!name.startsWith(LOST_FILE_PREFIX)) setAsideFile(name);
     }
 
-    /** An earlier file set aside under this name stays: it gets a number. */
+    /** Renames a file; if one of that name was set aside before, the new one gets a number. */
     private void setAsideFile(String name) {
-        var to = LOST + name;
-        for (var i = 2; folder.read(to) != null; i++) to = LOST + i + "." + name;
-        folder.rename(name, to);
+        var target = LOST_FILE_PREFIX + name;
+        for (var copyNumber = 2; folder.read(target) != null; copyNumber++)
+            target = LOST_FILE_PREFIX + copyNumber + "." + name;
+        folder.rename(name, target);
     }
 
-    private List<String> withKnown(List<String> seeds) {
-        var all = new ArrayList<>(seeds);
-        var b = folder.read(KNOWN);
-        if (b != null) for (var a : new String(b).split("\n")) if (!a.isBlank() && !all.contains(a)) all.add(a);
-        return all;
+    /** The seeds and the addresses saved earlier. */
+    private List<String> withKnownStores(List<String> seeds) {
+        var addresses = new ArrayList<>(seeds);
+        var bytes = folder.read(KNOWN_STORES_FILE);
+        if (bytes != null)
+            for (var address : new String(bytes).split("\n"))
+                if (!address.isBlank() && !addresses.contains(address)) addresses.add(address);
+        return addresses;
     }
 
-    private void reopen() {
-        var b = folder.read(CORE);
-        if (b == null) return;
+    /**
+     * Starts the replicas of the core that this store belongs to; sets the folder aside if the record or a log is
+     * damaged.
+     */
+    private void reopenCore() {
+        var bytes = folder.read(CORE_FILE);
+        if (bytes == null) return;
         try {
-            start(Codec.read(Founding.class, Seal.open(CORE, b)));
+            startReplicas(Codec.read(Founding.class, Seal.open(CORE_FILE, bytes)));
         } catch (DiskLostException | BadMessageException e) {
-            setAside(e.getMessage());
-            directory.self().storeId = identity();
+            setAllFilesAside(e.getMessage());
+            directory.self().storeId = loadOrCreateIdentity();
             directory.forgetCore();
             replicas = new PartReplica[0];
         }
     }
 
-    private void start(Founding f) {
-        var self = directory.self().storeId;
-        directory.founding(f, f.coreId);
-        var first = f.has(self) ? Members.of(f.stores, f.zones) : new Members();
-        first.generation = f.has(self) ? f.generation : 0;
-        var all = new PartReplica[Parts.COUNT];
-        for (var p = 0; p < all.length; p++)
-            all[p] = new PartReplica(
-                    p, self, folder, first, port, directory, membership, rules, new Random(random.nextLong()));
-        replicas = all;
-    }
-
+    /** Opens a replica of each part. A store that is not among the founders starts with no members and joins. */
+    private void startReplicas(Founding founding) {
+        var selfId = directory.self().storeId;
+        directory.founding(founding, founding.coreId);
+        var initialMembers = founding.has(selfId) ? Members.of(founding.stores, founding.zones) : new Members();
+        initialMembers.generation = founding.has(selfId) ? founding.generation : 0;
+        var started = new PartReplica[Parts.COUNT];
+        for (var part = 0; part < started.length; part++)
+            started[part] = new PartReplica(
+                    part,
+                    selfId,
+                    folder,
+                    initialMembers,
+                    port,
+                    directory,
+                    membership,
+                    rules,
+                    new Random(random.nextLong()));
+        replicas = started;
+    }
+
+    /** Does the periodic work of the node and of all parts. */
     public void tick() {
         tickNode();
-        for (var p = 0; p < Parts.COUNT; p++) tickPart(p);
+        for (var part = 0; part < Parts.COUNT; part++) tickPart(part);
     }
 
+    /** Does the periodic work of one part. */
     public void tickPart(int part) {
-        replica(part, PartReplica::tick);
+        withReplica(part, PartReplica::tick);
     }
 
+    /**
+     * Does the periodic work of the node: greetings, founding, leases, retries of commands, requests to join, and
+     * saving.
+     */
     public void tickNode() {
         var now = port.now();
-        if (directory.newer() != null) surrender(directory.newer());
+        if (directory.newer() != null) followNewerCore(directory.newer());
         directory.tick(now);
-        if (directory.self().coreId == 0) tryFound(now);
+        if (directory.self().coreId == 0) tryFoundCore(now);
         membership.tick(now);
         coreClient.tick(now);
-        replyBatches.removeIf(b -> b.over(now));
-        if (now >= joinDue) join(now);
-        if (now >= saveDue) saveKnown(now);
+        replyBatches.removeIf(batch -> batch.flushIfOverdue(now));
+        if (now >= nextJoinAt) sendJoinRequests(now);
+        if (now >= nextSaveAt) saveKnownStores(now);
     }
 
-    private void closeAll() {
-        for (var k : replicas) k.close();
+    private void closeReplicas() {
+        for (var replica : replicas) replica.close();
         replicas = new PartReplica[0];
     }
 
-    private void surrender(Founding f) {
+    /**
+     * Gives up the data of this store, because a newer generation of its core was rebuilt elsewhere, and joins that
+     * one as an empty store.
+     */
+    private void followNewerCore(Founding founding) {
         port.logEvent(
-                Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        closeAll();
-        setAside("generation " + f.generation + " of the core lives");
-        founders = Set.of();
-        directory.follow(f);
-        directory.self().storeId = identity();
+                Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        closeReplicas();
+        setAllFilesAside("generation " + founding.generation + " of the core replaces this one");
+        founderAddresses = Set.of();
+        directory.follow(founding);
+        directory.self().storeId = loadOrCreateIdentity();
         directory.self().coreId = 0;
         membership.follow();
     }
 
+    /**
+     * Proposes to rebuild the core from this store alone. Refused if a leader was heard lately or a majority of a
+     * part can be reached.
+     */
     public Either<Problem, Rebuild> rebuild() {
         var now = port.now();
-        var f = directory.founding();
-        if (replicas.length == 0 || f == null)
-            return Either.left(Problem.of(ProblemKind.BAD_INTENT, "this store holds no core to rebuild from"));
-        for (var k : replicas) {
-            var p = k.group().part();
-            var heard = 0;
-            for (var v : k.group().members().voters) {
-                var n = directory.store(v);
-                if (v == directory.self().storeId || n != null && directory.heard(n.name, now)) heard++;
+        var founding = directory.founding();
+        if (replicas.length == 0 || founding == null)
+            return Either.left(Problem.of(ProblemKind.BAD_INTENT, "this store has no core data to rebuild from"));
+        for (var replica : replicas) {
+            var part = replica.group().part();
+            var reachableVoters = 0;
+            for (var voter : replica.group().members().voters) {
+                var node = directory.store(voter);
+                if (voter == directory.self().storeId || node != null && directory.heard(node.name, now))
+                    reachableVoters++;
             }
-            if (k.group().leaderHeard(now, ALIVE)
-                    || heard >= k.group().members().majority() && k.group().members().voters.length > 1)
+            if (replica.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
+                    || reachableVoters >= replica.group().members().majority()
+                            && replica.group().members().voters.length > 1)
                 return Either.left(Problem.of(
-                        ProblemKind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
+                        ProblemKind.BAD_INTENT, "a majority of part " + part + " is alive; there is nothing to rebuild"));
         }
-        return Either.right(Rebuild.of(f, replicas));
+        return Either.right(Rebuild.of(founding, replicas));
     }
 
+    /**
+     * Rebuilds the core from this store's data as a new generation with this store as its only member. The token must
+     * be that of the current proposal, so that an operator confirms the state that was shown.
+     */
     public Either<Problem, Rebuild> rebuild(String token) {
-        var r = rebuild();
-        if (r.isLeft()) return r;
-        if (!r.get().token().equals(token))
-            return Either.left(Problem.of(ProblemKind.STALE_PLAN, "this store's state moved since; look again"));
+        var proposal = rebuild();
+        if (proposal.isLeft()) return proposal;
+        if (!proposal.get().token().equals(token))
+            return Either.left(Problem.of(
+                    ProblemKind.STALE_PLAN,
+                    "the state of this store changed after the rebuild was proposed; request a new proposal"));
         var self = directory.self();
-        var f = new Founding();
-        f.origin = directory.founding().origin();
-        f.generation = directory.founding().generation + 1;
-        f.coreId = Hash.of(Hash.of(f.origin, f.generation), self.storeId) | 1;
-        f.stores = new long[] {self.storeId};
-        f.zones = new String[] {self.zone};
-        closeAll();
-        folder.replace(CORE, Seal.close(Codec.write(f)));
-        port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        directory.follow(f);
+        var founding = new Founding();
+        founding.origin = directory.founding().origin();
+        founding.generation = directory.founding().generation + 1;
+        founding.coreId = Hash.of(Hash.of(founding.origin, founding.generation), self.storeId) | 1;
+        founding.stores = new long[] {self.storeId};
+        founding.zones = new String[] {self.zone};
+        closeReplicas();
+        folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
+        port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        directory.follow(founding);
         membership.follow();
-        start(f);
-        return r;
+        startReplicas(founding);
+        return proposal;
     }
 
-    private void join(long now) {
-        joinDue = now + (rules.timing().lowTraffic() ? JOIN / 2 : JOIN);
-        for (var k : replicas) {
+    /**
+     * Asks the leaders to let this store join the groups it is missing from, or, while it stops, whether it may
+     * leave.
+     */
+    private void sendJoinRequests(long now) {
+        nextJoinAt = now + (rules.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
+        for (var replica : replicas) {
             var leaving = leavingSince != 0;
-            if (!leaving && !k.shouldJoin(now)) continue;
-            var to = coreClient.leader(k.group().part());
-            if (to == null || to.name.equals(directory.self().name)) continue;
-            var j = new Join();
-            j.part = k.group().part();
-            j.from = directory.self();
-            j.leaving = leaving;
-            port.send(to.peerAddress, j);
+            if (!leaving && !replica.shouldJoin(now)) continue;
+            var leader = coreClient.leader(replica.group().part());
+            if (leader == null || leader.name.equals(directory.self().name)) continue;
+            var request = new Join();
+            request.part = replica.group().part();
+            request.from = directory.self();
+            request.leaving = leaving;
+            port.send(leader.peerAddress, request);
         }
     }
 
-    private void saveKnown(long now) {
-        saveDue = now + SAVE;
-        var text = String.join(
+    /**
+     * Saves the known stores and the incarnation on the save executor, so that a slow disk does not delay the tick.
+     */
+    private void saveKnownStores(long now) {
+        nextSaveAt = now + SAVE_INTERVAL_MICROS;
+        var addresses = String.join(
                 "\n",
-                directory.stores().stream().map(n -> n.peerAddress).sorted().toList());
-        var life = directory.self().incarnation;
-        if (life != savedLife) saver.execute(() -> saveLife(life));
-        if (!text.equals(savedKnown)) saver.execute(() -> saveKnown(text));
+                directory.stores().stream()
+                        .map(node -> node.peerAddress)
+                        .sorted()
+                        .toList());
+        var incarnation = directory.self().incarnation;
+        if (incarnation != savedIncarnation) saveExecutor.execute(() -> saveIncarnation(incarnation));
+        if (!addresses.equals(savedKnownStores)) saveExecutor.execute(() -> saveKnownStores(addresses));
     }
 
-    private void saveKnown(String text) {
+    private void saveKnownStores(String addresses) {
         try {
-            folder.replace(KNOWN, text.getBytes());
-            savedKnown = text;
+            folder.replace(KNOWN_STORES_FILE, addresses.getBytes());
+            savedKnownStores = addresses;
         } catch (DiskException e) {
-            port.logEvent(Event.DISK_WRITE_FAILED, KNOWN + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, KNOWN_STORES_FILE + ": " + e.getMessage());
         }
     }
 
-    private void tryFound(long now) {
-        var heard = directory.known().stream()
-                .filter(k -> now - k.heard < Directory.STALE)
+    /**
+     * Founds a core once the expected number of empty stores see each other: every store greets with a digest of the
+     * empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as one is heard
+     * of.
+     */
+    private void tryFoundCore(long now) {
+        var recentlyHeard = directory.known().stream()
+                .filter(known -> now - known.heard < Directory.STALE)
                 .toList();
-        var f = directory.founding();
-        if (f != null) {
-            adopt(f);
+        var founding = directory.founding();
+        if (founding != null) {
+            adoptCore(founding);
             return;
         }
-        if (heard.stream().anyMatch(k -> k.node.coreId != 0)) return;
-        var empty = new ArrayList<Node>();
-        if (!founds(directory.self())) return;
-        empty.add(directory.self());
-        heard.stream()
-                .map(k -> k.node)
-                .filter(n -> n.kind.equals(Node.STORE) && founds(n))
-                .forEach(empty::add);
-        empty.sort(Comparator.comparingLong(n -> n.storeId));
-        var digest = digest(empty);
+        if (recentlyHeard.stream().anyMatch(known -> known.node.coreId != 0)) return;
+        var emptyStores = new ArrayList<Node>();
+        if (!mayFound(directory.self())) return;
+        emptyStores.add(directory.self());
+        recentlyHeard.stream()
+                .map(known -> known.node)
+                .filter(node -> node.kind.equals(Node.STORE) && mayFound(node))
+                .forEach(emptyStores::add);
+        emptyStores.sort(Comparator.comparingLong(node -> node.storeId));
+        var digest = digestOf(emptyStores);
         directory.seen(digest);
-        var agreed = heard.stream()
-                .filter(k -> k.node.kind.equals(Node.STORE) && founds(k.node))
-                .allMatch(k -> k.seen == digest);
-        var may = !settings.seedsOnly() || !founders.isEmpty();
-        if (may && empty.size() == settings.founders() && agreed) adopt(founding(empty, digest));
-        else if (now >= sayDue) sayWaiting(empty, now);
+        var allAgree = recentlyHeard.stream()
+                .filter(known -> known.node.kind.equals(Node.STORE) && mayFound(known.node))
+                .allMatch(known -> known.seen == digest);
+        var mayFoundCore = !settings.seedsOnly() || !founderAddresses.isEmpty();
+        if (mayFoundCore && emptyStores.size() == settings.founders() && allAgree)
+            adoptCore(newFounding(emptyStores, digest));
+        else if (now >= nextWaitingLogAt) logWaitingToFound(emptyStores, now);
     }
 
-    private void sayWaiting(List<Node> empty, long now) {
-        sayDue = now + SAY;
+    private void logWaitingToFound(List<Node> emptyStores, long now) {
+        nextWaitingLogAt = now + WAITING_LOG_INTERVAL_MICROS;
         port.logEvent(
                 Event.WAITING_TO_BOOTSTRAP,
-                "sees " + empty.size() + " empty stores "
-                        + empty.stream().map(n -> n.name).toList() + " and needs exactly " + settings.founders()
-                        + " that see one another");
+                "sees " + emptyStores.size() + " empty stores "
+                        + emptyStores.stream().map(node -> node.name).toList() + " and needs exactly "
+                        + settings.founders()
+                        + " that see each other");
     }
 
-    private static long digest(List<Node> stores) {
-        var h = 1L;
-        for (var s : stores) h = Hash.of(h, s.storeId);
-        return h | 1;
+    /** A non-zero hash over the ids of stores in their order; it becomes the id of the core they found. */
+    private static long digestOf(List<Node> stores) {
+        var hash = 1L;
+        for (var store : stores) hash = Hash.of(hash, store.storeId);
+        return hash | 1;
     }
 
-    private static Founding founding(List<Node> stores, long digest) {
-        var f = new Founding();
-        f.coreId = digest;
-        f.stores = stores.stream().mapToLong(n -> n.storeId).toArray();
-        f.zones = stores.stream().map(n -> n.zone).toArray(String[]::new);
-        return f;
+    private static Founding newFounding(List<Node> stores, long digest) {
+        var founding = new Founding();
+        founding.coreId = digest;
+        founding.stores = stores.stream().mapToLong(store -> store.storeId).toArray();
+        founding.zones = stores.stream().map(store -> store.zone).toArray(String[]::new);
+        return founding;
     }
 
-    private void adopt(Founding f) {
-        folder.replace(CORE, Seal.close(Codec.write(f)));
+    /** Records the core on disk, as a founder or as a store that joins, and starts the replicas. */
+    private void adoptCore(Founding founding) {
+        folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
         port.logEvent(
-                f.has(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
-                "core " + Long.toHexString(f.coreId));
-        start(f);
+                founding.has(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
+                "core " + Long.toHexString(founding.coreId));
+        startReplicas(founding);
     }
 
-    public void receive(Object m) {
+    /** Takes a message from another process and passes it on. */
+    public void receive(Object message) {
         var now = port.now();
-        if (m instanceof Hello h) directory.receive(h, now);
-        else if (m instanceof RenewReply v) membership.receive(v, now);
-        else if (m instanceof News n) membership.receive(n, now);
-        else if (m instanceof CommandResult v) coreClient.receive(v);
-        else if (m instanceof PartMessage p) replica(p.part, k -> k.receive(p));
-        else if (m instanceof CommandRequest a) onCommandRequest(a);
-        else if (m instanceof RenewReplies v) membership.receive(v, now);
-        else if (m instanceof Renewals r) renewals(r, now);
-        else if (m instanceof Renew r) replica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
-        else if (m instanceof Subscribe s) replica(Parts.partOf(s.topic), k -> k.receive(s));
-        else if (m instanceof Join j) replica(j.part, k -> k.receive(j));
-        else port.logEvent(Event.BAD_MESSAGE, "a store takes no " + m.getClass().getSimpleName());
-    }
-
-    private void renewals(Renewals all, long now) {
-        if (all.from == null) return;
-        var b = new RenewReplyBatch(port, directory.self(), all);
-        replyBatches.add(b);
-        for (var r : all.parts) {
-            r.from = all.from;
-            r.stamp = all.stamp;
-            r.leaving = all.leaving;
-            replica(r.part, k -> k.receive(r, b::add));
+        if (message instanceof Hello hello) directory.receive(hello, now);
+        else if (message instanceof RenewReply reply) membership.receive(reply, now);
+        else if (message instanceof News news) membership.receive(news, now);
+        else if (message instanceof CommandResult result) coreClient.receive(result);
+        else if (message instanceof PartMessage partMessage)
+            withReplica(partMessage.part, replica -> replica.receive(partMessage));
+        else if (message instanceof CommandRequest request) handleCommandRequest(request);
+        else if (message instanceof RenewReplies replies) membership.receive(replies, now);
+        else if (message instanceof Renewals renewals) handleRenewals(renewals, now);
+        else if (message instanceof Renew renewal)
+            withReplica(
+                    renewal.part,
+                    replica -> replica.receive(renewal, reply -> port.send(renewal.from.peerAddress, reply)));
+        else if (message instanceof Subscribe subscription)
+            withReplica(Parts.partOf(subscription.topic), replica -> replica.receive(subscription));
+        else if (message instanceof Join join) withReplica(join.part, replica -> replica.receive(join));
+        else
+            port.logEvent(
+                    Event.BAD_MESSAGE,
+                    "a store does not accept messages of type "
+                            + message.getClass().getSimpleName());
+    }
+
+    /** Passes the renewals of one message to the replicas and collects their replies for one message. */
+    private void handleRenewals(Renewals renewals, long now) {
+        if (renewals.from == null) return;
+        var batch = new RenewReplyBatch(port, directory.self(), renewals);
+        replyBatches.add(batch);
+        for (var renewal : renewals.parts) {
+            renewal.from = renewals.from;
+            renewal.stamp = renewals.stamp;
+            renewal.leaving = renewals.leaving;
+            withReplica(renewal.part, replica -> replica.receive(renewal, batch::add));
         }
     }
 
-    private void onCommandRequest(CommandRequest a) {
+    /** Passes a command to the replica of its part; a store without a core answers that it does not lead. */
+    private void handleCommandRequest(CommandRequest request) {
         if (replicas.length > 0) {
-            replica(a.part, k -> k.receive(a));
+            withReplica(request.part, replica -> replica.receive(request));
             return;
         }
-        var v = Records.failure(ProblemKind.NOT_OWNER, "");
-        v.id = a.id;
-        v.life = a.life;
-        port.send(a.from.peerAddress, v);
+        var result = Records.failure(ProblemKind.NOT_OWNER, "");
+        result.id = request.id;
+        result.life = request.life;
+        port.send(request.from.peerAddress, result);
     }
 
-    private void replica(int part, Consumer<PartReplica> then) {
-        var all = replicas;
-        if (part >= 0 && part < all.length) then.accept(all[part]);
+    /** Runs an action on the replica of a part, if there is one. */
+    private void withReplica(int part, Consumer<PartReplica> action) {
+        var current = replicas;
+        if (part >= 0 && part < current.length) action.accept(current[part]);
     }
 
     /**
-     * Begins or goes on with a planned stop: hands over what this store leads and tells the leaders that it is about to stop.
-     * Whether it is still needed, because it leads, or because its successor does not count yet, or because another voter lacks
-     * what this one holds. To be called again until it is not, or until the time to stop is over.
+     * Starts or continues a planned stop: transfers the leadership of the parts this store leads, and tells the
+     * leaders that it is about to stop. Call it repeatedly until it returns false or the time allowed for the stop is
+     * over.
+     *
+     * <p>@return whether this store is still needed: it leads a part, its replacement is not a voter yet, or another
+     * voter lacks entries that this one holds
      */
     public boolean leave() {
         var now = port.now();
         if (leavingSince == 0) {
             leavingSince = now;
-            joinDue = now;
+            nextJoinAt = now;
         }
-        var needed = now - leavingSince < HAND_OVER && transferLeadership();
-        for (var k : replicas) needed |= k.needed(leavingSince, now);
-        return needed;
+        var stillNeeded = now - leavingSince < HANDOVER_TIMEOUT_MICROS && transferLeadership();
+        for (var replica : replicas) stillNeeded |= replica.needed(leavingSince, now);
+        return stillNeeded;
     }
 
+    /** Starts to transfer the leadership of every part this store leads; returns whether it led any. */
     public boolean transferLeadership() {
-        var leads = false;
-        for (var k : replicas) {
-            if (!k.leads()) continue;
-            leads = true;
-            k.transferLeadership();
+        var leadsAny = false;
+        for (var replica : replicas) {
+            if (!replica.leads()) continue;
+            leadsAny = true;
+            replica.transferLeadership();
         }
-        return leads;
+        return leadsAny;
     }
 }
