--- a/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
@@ -50,14 +50,14 @@
     }
 
     private List<Node> serving() {
-        return store.membership().view().members().get(Parts.MANIFEST_PART).stream()
+        return store.membership().view().membersByPart().get(Parts.MANIFEST_PART).stream()
                 .filter(n -> n.isRouter() && n.serving && !n.clientAddress.isEmpty() && !isStopping(n))
                 .toList();
     }
 
     /** Returns whether the router's own messages say that it no longer serves, although its membership still does. */
     private boolean isStopping(Node member) {
-        var announced = store.directory().named(member.name);
+        var announced = store.directory().nodeByName(member.name);
         return announced != null && announced.incarnation >= member.incarnation && !announced.serving;
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import craneway.control.operator.DrainEstimate;
 import craneway.control.operator.Intent;
-import craneway.control.operator.Operator;
-import craneway.control.operator.Quiet;
-import craneway.control.store.Rebuild;
+import craneway.control.operator.OperatorCommands;
+import craneway.control.store.RebuildProposal;
 import craneway.control.store.Store;
 import craneway.http.HeaderNames;
 import craneway.http.JsonResponses;
@@ -31,7 +31,7 @@
     private static final Pattern MANIFEST_WATCH_PATH = Pattern.compile("/v1/manifest/(\\d{1,18})/watch");
 
     private final String node;
-    private final Operator operator;
+    private final OperatorCommands operator;
     private final Supplier<String> metrics;
     private final LongFunction<String> usage;
     private final Store store;
@@ -45,7 +45,7 @@
      * @param store the store of this process; null on a router
      */
     public OperatorHandler(
-            String node, Operator operator, Supplier<String> metrics, LongFunction<String> usage, Store store) {
+            String node, OperatorCommands operator, Supplier<String> metrics, LongFunction<String> usage, Store store) {
         this.node = node;
         this.operator = operator;
         this.metrics = metrics;
@@ -112,12 +112,12 @@
                 rebuild -> toJson(rebuild, !token.isEmpty()));
     }
 
-    private static ObjectNode toJson(Rebuild rebuild, boolean done) {
+    private static ObjectNode toJson(RebuildProposal rebuild, boolean done) {
         var json = JsonResponses.JSON
                 .createObjectNode()
                 .put("state", done ? "rebuilt" : "proposed")
                 .put("generation", rebuild.generation())
-                .put("token", rebuild.token());
+                .put("token", rebuild.confirmationToken());
         rebuild.kept().forEach(json.putArray("kept")::add);
         rebuild.mayBeLost().forEach(json.putArray("mayBeLost")::add);
         return json;
@@ -146,16 +146,16 @@
 
     private void sendStatus(HttpServerExchange exchange) {
         exchange.dispatch();
-        operator.status(parts ->
+        operator.readStatus(parts ->
                 JsonResponses.sendJson(exchange, StatusJson.of(node, parts).toPrettyString()));
     }
 
     private void sendQuietCells(HttpServerExchange exchange) {
         exchange.dispatch();
-        operator.quiet(result -> reply(exchange, result, OperatorHandler::quietCells));
+        operator.estimateDrains(result -> reply(exchange, result, OperatorHandler::quietCells));
     }
 
-    private static ObjectNode quietCells(List<Quiet> quietCells) {
+    private static ObjectNode quietCells(List<DrainEstimate> quietCells) {
         var json = JsonResponses.JSON.createObjectNode();
         var cells = json.putArray("cells");
         for (var quiet : quietCells) {
@@ -164,16 +164,16 @@
                     .put("cell", quiet.cell())
                     .put("load", quiet.load())
                     .put("slots", quiet.slots())
-                    .put("slotsLeft", quiet.slotsLeft())
-                    .put("minutesItWouldHaveFitted", quiet.minutes());
-            quiet.cause().forEach(cell.putArray("because")::add);
+                    .put("slotsLeft", quiet.remainingSlots())
+                    .put("minutesItWouldHaveFitted", quiet.minutesThatFit());
+            quiet.concerns().forEach(cell.putArray("because")::add);
         }
         return json;
     }
 
     private void sendManifest(HttpServerExchange exchange) {
         exchange.dispatch();
-        operator.manifest(result -> {
+        operator.readManifest(result -> {
             if (result.isLeft()) JsonResponses.sendProblem(exchange, result.getLeft());
             else if (result.get().text.isEmpty())
                 JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.NO_MANIFEST));
@@ -195,7 +195,7 @@
                                     + HeaderNames.BASE_VERSION));
             return;
         }
-        operator.send(
+        operator.putManifest(
                 Long.parseLong(base),
                 new String(body, StandardCharsets.UTF_8),
                 result -> reply(exchange, result, OperatorHandler::manifestRollout));
@@ -206,26 +206,28 @@
         operator.watchManifest(version, result -> reply(exchange, result, OperatorHandler::manifestRollout));
     }
 
-    private static ObjectNode manifestRollout(Operator.Carried rollout) {
+    private static ObjectNode manifestRollout(OperatorCommands.RolloutResult rollout) {
         var json = JsonResponses.JSON.createObjectNode();
         json.put("version", rollout.version())
-                .put("state", rollout.able().isEmpty() ? "confirmed" : "pending")
-                .put("everywhere", rollout.missing().isEmpty());
-        rollout.missing().forEach(json.putArray("notReached")::add);
-        rollout.able().forEach(json.putArray("notAcknowledged")::add);
+                .put("state", rollout.routersStillActing().isEmpty() ? "confirmed" : "pending")
+                .put("everywhere", rollout.unconfirmedMembers().isEmpty());
+        rollout.unconfirmedMembers().forEach(json.putArray("notReached")::add);
+        rollout.routersStillActing().forEach(json.putArray("notAcknowledged")::add);
         return json;
     }
 
-    private static ObjectNode planRollout(Operator.Carried rollout) {
+    private static ObjectNode planRollout(OperatorCommands.RolloutResult rollout) {
         var json = JsonResponses.JSON.createObjectNode();
-        json.put("plan", rollout.version()).put("state", rollout.able().isEmpty() ? "confirmed" : "pending");
-        rollout.able().forEach(json.putArray("notAcknowledged")::add);
+        json.put("plan", rollout.version())
+                .put("state", rollout.routersStillActing().isEmpty() ? "confirmed" : "pending");
+        rollout.routersStillActing().forEach(json.putArray("notAcknowledged")::add);
         return json;
     }
 
     private void planIntent(HttpServerExchange exchange, byte[] body) {
         try {
-            operator.plan(JSON.readValue(body, Intent.class), result -> reply(exchange, result, StatusJson::plan));
+            operator.createPlan(
+                    JSON.readValue(body, Intent.class), result -> reply(exchange, result, StatusJson::plan));
         } catch (JsonProcessingException e) {
             JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
         } catch (IOException e) {
@@ -236,12 +238,12 @@
     private void handlePlan(HttpServerExchange exchange, long id, String action) {
         exchange.dispatch();
         switch (exchange.getRequestMethod() + action) {
-            case "GET" -> operator.show(id, result -> reply(exchange, result, StatusJson::plan));
+            case "GET" -> operator.readPlan(id, result -> reply(exchange, result, StatusJson::plan));
             case "POST/confirm" ->
-                operator.confirm(id, result -> reply(exchange, result, OperatorHandler::planRollout));
-            case "GET/watch" -> operator.watch(id, result -> reply(exchange, result, OperatorHandler::planRollout));
+                operator.confirmPlan(id, result -> reply(exchange, result, OperatorHandler::planRollout));
+            case "GET/watch" -> operator.watchPlan(id, result -> reply(exchange, result, OperatorHandler::planRollout));
             case "POST/stop" ->
-                operator.stop(
+                operator.stopPlan(
                         id,
                         result -> reply(exchange, result, plan -> JsonResponses.JSON
                                 .createObjectNode()
--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -72,7 +72,7 @@
             case "GET" ->
                 Exchanges.dispatch(
                         exchange,
-                        () -> commands.manifest(
+                        () -> commands.readManifest(
                                 result -> sendConfiguration(exchange, result.map(manifest -> manifest.source))));
             case "PUT" -> Exchanges.readBody(exchange, configurationExecutor, body -> putConfiguration(exchange, body));
             default -> Exchanges.sendMethodNotAllowed(exchange);
@@ -99,7 +99,7 @@
                             "name the version that this configuration is based on in the header If-Match"));
         else if (configuration.isLeft()) sendProblem(exchange, configuration.getLeft());
         else
-            commands.put(
+            commands.putManifest(
                     base,
                     configuration.get().version(),
                     configuration.get().manifest(),
@@ -121,7 +121,7 @@
         else
             ifCallerWaits(
                     exchange,
-                    receivedAt -> commands.mark(
+                    receivedAt -> commands.markZone(
                             zone, method.equals("POST"), receivedAt, result -> complete(exchange, result, "")));
     }
 
@@ -133,7 +133,8 @@
             case "DELETE" ->
                 ifCallerWaits(
                         exchange,
-                        receivedAt -> commands.left(name, receivedAt, result -> complete(exchange, result, "")));
+                        receivedAt ->
+                                commands.markRunnerLeaving(name, receivedAt, result -> complete(exchange, result, "")));
             default -> Exchanges.sendMethodNotAllowed(exchange);
         }
     }
@@ -142,7 +143,7 @@
         var heartbeat = formats.readHeartbeat(name, body);
         if (heartbeat.isLeft()) sendProblem(exchange, heartbeat.getLeft());
         else
-            commands.beat(
+            commands.reportRunnerHeartbeat(
                     toCommand(heartbeat.get()),
                     callers.now(),
                     result -> complete(exchange, result, formats.heartbeatResponse()));
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -26,9 +26,9 @@
             group.put("part", part.part)
                     .put("owner", part.leader)
                     .put("term", part.term)
-                    .put("applied", part.applied)
-                    .put("claims", part.claims);
-            part.group.forEach(group.putArray("group")::add);
+                    .put("applied", part.appliedIndex)
+                    .put("claims", part.claimCount);
+            part.groupMembers.forEach(group.putArray("group")::add);
             for (var member : part.members) members.merge(member.node.name, memberJson(member), StatusJson::lapsedOf);
             if (part.part == Parts.MANIFEST_PART) addManifest(root, part);
         }
@@ -97,7 +97,7 @@
                     .put("address", runner.address)
                     .put("state", runner.stateName())
                     .put("slots", runner.slots)
-                    .put("load", part.loads.getOrDefault(service.name + "/" + runner.name, 0))
+                    .put("load", part.loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                     .put("cold", runner.cold)
                     .put("incarnation", runner.incarnation);
     }
@@ -107,7 +107,7 @@
         return service.runners.values().stream()
                 .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
                 .mapToInt(runner ->
-                        countSlots ? runner.slots : part.loads.getOrDefault(service.name + "/" + runner.name, 0))
+                        countSlots ? runner.slots : part.loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
     }
 
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -61,7 +61,7 @@
     }
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final long life;
     private final TreeMap<Long, PendingRequest> pendingById = new TreeMap<>();
     private final Map<Integer, Node> leaderByPart = new HashMap<>();
@@ -71,7 +71,7 @@
     /**
      * Creates a client. The life identifies this process: it must be 64 random bits that no other process ever used.
      */
-    public CoreClient(Port port, Directory directory, long life) {
+    public CoreClient(Port port, NodeDirectory directory, long life) {
         this.port = port;
         this.directory = directory;
         this.life = life == 0 ? 1 : life;
@@ -93,15 +93,15 @@
      * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, at the latest about
      * {@code timeoutMicros} from now.
      */
-    public void ask(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
-        askUntil(part, body, port.now() + timeoutMicros, onResult);
+    public void request(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
+        requestUntil(part, body, port.now() + timeoutMicros, onResult);
     }
 
     /**
-     * Like {@link #ask}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If it
+     * Like {@link #request}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If it
      * has passed, nothing is sent and the next tick reports the failure.
      */
-    public void askUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
+    public void requestUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
         var pending = new PendingRequest();
         pending.part = part;
         pending.body = Codec.writeTagged(body);
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -32,7 +32,7 @@
     private static final int UNANSWERED_BEFORE_SLOWEST_RETRY = 24;
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
     private final PartLease[] partLeases;
@@ -42,7 +42,7 @@
 
     LeaseRenewer(
             Port port,
-            Directory directory,
+            NodeDirectory directory,
             CoreClient coreClient,
             TimingProfile timing,
             PartLease[] partLeases,
@@ -168,6 +168,7 @@
      * name, so that those of all parts go out together.
      */
     long delayToNextRenewal(long now) {
-        return timing.leaseRenewalInterval() - Math.floorMod(now - Hash.of(directory.self().name), timing.leaseRenewalInterval());
+        return timing.leaseRenewalInterval()
+                - Math.floorMod(now - Hash.of(directory.self().name), timing.leaseRenewalInterval());
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -10,11 +10,11 @@
  * process's address and so must have ended. Otherwise a later process elsewhere has taken its place.
  */
 final class LifeClaim {
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final long[] grantedIncarnations = new long[Parts.COUNT];
     private boolean superseded;
 
-    LifeClaim(Directory directory) {
+    LifeClaim(NodeDirectory directory) {
         this.directory = directory;
     }
 
@@ -40,7 +40,7 @@
             superseded = true;
             return false;
         }
-        directory.raise(refusal.incarnation);
+        directory.raiseIncarnation(refusal.incarnation);
         return true;
     }
 
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -25,10 +25,10 @@
  */
 public final class Membership {
     /** The length of a lease in microseconds, counted from when the renewal was sent. */
-    public static final long LEASE = 2_000_000;
+    public static final long LEASE_MICROS = 2_000_000;
 
     /** A lease counts as settled once it has been held for this many microseconds. */
-    public static final long SETTLED = 1_500_000;
+    public static final long SETTLED_AFTER_MICROS = 1_500_000;
 
     /** How soon a renewal is sent again after a store has named another leader. */
     private static final long LEADER_CHANGE_RETRY_MICROS = 20_000;
@@ -44,32 +44,32 @@
      * @param grace how long this process may act after a lease has lapsed; the smallest over all parts
      * @param heldSince since when the lease at each part has been held
      */
-    public record View(
-            Rows.Manifest topic,
+    public record CoreView(
+            Rows.Manifest manifestRow,
             Manifest manifest,
             Map<String, Rows.Service> services,
-            long[] leases,
-            List<List<Node>> members,
-            long grace,
-            long[] heldSince) {
+            long[] leaseEnds,
+            List<List<Node>> membersByPart,
+            long graceMicros,
+            long[] heldSinceByPart) {
         /** Whether the lease at a part is valid and has been held for a while. */
-        public boolean settled(int part, long now) {
-            return leased(part, now) && now >= heldSince[part] + SETTLED;
+        public boolean isSettled(int part, long now) {
+            return hasLease(part, now) && now >= heldSinceByPart[part] + SETTLED_AFTER_MICROS;
         }
 
         /** Whether the lease at a part is valid. */
-        public boolean leased(int part, long now) {
-            return now < leases[part];
+        public boolean hasLease(int part, long now) {
+            return now < leaseEnds[part];
         }
 
         /** When the lease at a part ends or ended. */
         public long leaseEnd(int part) {
-            return leases[part];
+            return leaseEnds[part];
         }
     }
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
     private final PartLease[] partLeases = new PartLease[Parts.COUNT];
@@ -78,15 +78,15 @@
     private final LifeClaim lifeClaim;
     private boolean isLeaving;
     private boolean markedUnready;
-    private volatile View view;
+    private volatile CoreView view;
 
     /** Creates the membership of a process with the standard timing. */
-    public Membership(Port port, Directory directory, CoreClient coreClient) {
+    public Membership(Port port, NodeDirectory directory, CoreClient coreClient) {
         this(port, directory, coreClient, TimingProfile.STANDARD);
     }
 
     /** Creates the membership of a process. */
-    public Membership(Port port, Directory directory, CoreClient coreClient, TimingProfile timing) {
+    public Membership(Port port, NodeDirectory directory, CoreClient coreClient, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
         this.directory = directory;
@@ -99,7 +99,7 @@
     }
 
     /** The current view; replaced whenever something in it changes. */
-    public View view() {
+    public CoreView view() {
         return view;
     }
 
@@ -107,7 +107,7 @@
      * Starts over with a newer generation of the core: drops leases, versions and leaders, but keeps the contents of
      * topics.
      */
-    public synchronized void follow() {
+    public synchronized void followCore() {
         for (var lease : partLeases) lease.reset();
         topics.resetVersions();
         for (var part = 0; part < partLeases.length; part++) coreClient.leader(part, null);
@@ -115,7 +115,7 @@
     }
 
     /** Sets where the signals that renewals carry come from, by part. */
-    public synchronized void signals(IntFunction<List<Signal>> source) {
+    public synchronized void setSignalSource(IntFunction<List<Signal>> source) {
         renewer.setSignalSource(source);
     }
 
@@ -125,30 +125,30 @@
     }
 
     /** Whether another process has taken over the name of this one, which must stop. */
-    public synchronized boolean superseded() {
+    public synchronized boolean isSuperseded() {
         return lifeClaim.isSuperseded();
     }
 
     /** Whether all leases are held and all topics are current. */
-    public synchronized boolean current() {
+    public synchronized boolean isCurrent() {
         for (var lease : partLeases) if (!lease.held) return false;
         return topics.isCurrent();
     }
 
     /** Marks a router as no longer serving, ahead of a planned stop, and tells the core at once. */
-    public synchronized void unready() {
+    public synchronized void stopServing() {
         markedUnready = true;
         updateServing();
         for (var lease : partLeases) lease.nextRenewalAt = 0;
-        directory.greetSoon();
+        directory.greetAtNextTick();
     }
 
     /** Marks a router as serving once it has been current, until it is marked as unready. */
     private void updateServing() {
-        var serving = !markedUnready && (directory.self().serving || current());
+        var serving = !markedUnready && (directory.self().serving || isCurrent());
         var self = directory.self();
         if (!self.isRouter() || self.serving == serving) return;
-        directory.updateServing(serving);
+        directory.setServing(serving);
         if (timing.lowTraffic()) for (var lease : partLeases) lease.nextRenewalAt = 0;
     }
 
@@ -156,10 +156,10 @@
      * Whether this process may take requests: it has a manifest, and its lease at the manifest part ended at most a
      * lease, or its grace, ago.
      */
-    public boolean usable(long now) {
+    public boolean isUsable(long now) {
         var currentView = view;
         return currentView.manifest() != null
-                && now < currentView.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE, currentView.grace());
+                && now < currentView.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE_MICROS, currentView.graceMicros());
     }
 
     /** Gives up all leases and tells the leaders. */
@@ -231,9 +231,9 @@
         if (reply.members != null) {
             lease.membersVersion = reply.membersVersion;
             lease.members = List.copyOf(reply.members);
-            reply.members.forEach(member -> directory.learn(member, now));
+            reply.members.forEach(member -> directory.learnNode(member, now));
         }
-        lease.offeredUntil = Math.max(lease.offeredUntil, reply.stamp + LEASE);
+        lease.offeredUntil = Math.max(lease.offeredUntil, reply.stamp + LEASE_MICROS);
         lease.offeredGrace = reply.grace;
         if (timing.lowTraffic() && lease.nextRenewalAt > now)
             lease.nextRenewalAt = renewer.isCurrent(reply.part)
@@ -247,7 +247,7 @@
         lease.unansweredRenewals =
                 Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
         if (lease.sentToAllStores) {
-            directory.learn(reply.leader, now);
+            directory.learnNode(reply.leader, now);
             return;
         }
         var previous = coreClient.leader(reply.part);
@@ -306,6 +306,6 @@
             members.add(partLeases[part].members);
             grace = Math.min(grace, partLeases[part].grace);
         }
-        view = new View(topics.manifestTopic(), manifest, topics.services(), leaseEnds, members, grace, heldSince);
+        view = new CoreView(topics.manifestTopic(), manifest, topics.services(), leaseEnds, members, grace, heldSince);
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -21,25 +21,25 @@
  *
  * <p>Safe for several threads: fields are volatile or concurrent, and changes to {@link #self()} are synchronized.
  */
-public final class Directory {
+public final class NodeDirectory {
     /** A node counts as heard recently, in microseconds, if a greeting of it arrived within this time. */
-    public static final long STALE = 3_000_000;
+    public static final long RECENTLY_HEARD_MICROS = 3_000_000;
 
     /** A node is forgotten after this many microseconds without a greeting. */
-    public static final long FORGET = 60_000_000;
+    public static final long FORGET_AFTER_MICROS = 60_000_000;
 
     /** With the low-traffic profile, how often a process without a core or without a live store greets. */
     private static final long SEARCH_INTERVAL_MICROS = 80_000;
 
     /** A node that this process knows. */
-    public static final class Known {
+    public static final class KnownNode {
         public volatile Node node;
         /** When a greeting of this node itself arrived last. */
-        public volatile long heard = Long.MIN_VALUE / 2;
+        public volatile long lastHeardAt = Long.MIN_VALUE / 2;
         /** When this process first learned of the node; 0 until then. */
-        public volatile long learned;
-        /** The digest of the empty stores that this node sees; see {@link Directory#seen}. */
-        public volatile long seen;
+        public volatile long learnedAt;
+        /** The digest of the empty stores that this node sees; see {@link NodeDirectory#setEmptyStoresDigest}. */
+        public volatile long emptyStoresDigest;
         /** The digest of the list of stores that this node sent last, which it need not send again. */
         private volatile long listDigest;
         /**
@@ -53,21 +53,21 @@
     private final List<String> seeds;
     private final TimingProfile timing;
     private final Set<Long> lostDiskStores = ConcurrentHashMap.newKeySet();
-    private final Map<String, Known> knownByName = new ConcurrentHashMap<>();
+    private final Map<String, KnownNode> knownByName = new ConcurrentHashMap<>();
     private volatile Node self;
     private volatile Founding founding;
-    private volatile Founding newer;
+    private volatile Founding newerFounding;
     private volatile long emptyStoresDigest;
     private volatile long nextGreetingAt;
     private int greetingRound;
 
     /** Creates a directory with the standard timing. */
-    public Directory(Port port, Node self, List<String> seeds) {
+    public NodeDirectory(Port port, Node self, List<String> seeds) {
         this(port, self, seeds, TimingProfile.STANDARD);
     }
 
     /** Creates a directory for a process; {@code seeds} are addresses to greet before any node is known. */
-    public Directory(Port port, Node self, List<String> seeds, TimingProfile timing) {
+    public NodeDirectory(Port port, Node self, List<String> seeds, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
         this.self = self;
@@ -80,24 +80,24 @@
     }
 
     /** Raises the incarnation of this process above a known one and greets at the next tick. */
-    public synchronized void raise(long knownIncarnation) {
+    public synchronized void raiseIncarnation(long knownIncarnation) {
         if (self.incarnation > knownIncarnation) return;
         self = self.with(self.above(knownIncarnation), self.serving);
-        greetSoon();
+        greetAtNextTick();
     }
 
     /** Sets whether this process serves. */
-    public synchronized void updateServing(boolean serving) {
+    public synchronized void setServing(boolean serving) {
         self = self.with(self.incarnation, serving);
     }
 
     /** Sets how long, in microseconds, this process may act after its lease has lapsed. */
-    public synchronized void grace(long graceMicros) {
+    public synchronized void setGraceMicros(long graceMicros) {
         self = self.with(graceMicros);
     }
 
     /** Sets the digest of the empty stores that this store sees; greetings carry it until a core is founded. */
-    public void seen(long digest) {
+    public void setEmptyStoresDigest(long digest) {
         emptyStoresDigest = digest;
     }
 
@@ -112,18 +112,18 @@
     /**
      * A newer generation of this core, known from a greeting, that this process has to follow; null if there is none.
      */
-    public Founding newer() {
-        return newer;
+    public Founding newerFounding() {
+        return newerFounding;
     }
 
     /** Whether the sender belongs to the same core, of whatever generation. */
-    public boolean sameOrigin(Hello hello) {
+    public boolean hasSameOrigin(Hello hello) {
         return founding != null && founding.sameOrigin(hello.founding);
     }
 
     /** Changes to a newer generation of the core; this process does not serve until it is current there. */
-    public synchronized void follow(Founding successor) {
-        newer = null;
+    public synchronized void followCore(Founding successor) {
+        newerFounding = null;
         founding = successor;
         self = self.with(self.incarnation, false);
         self.coreId = successor.coreId;
@@ -142,29 +142,29 @@
     }
 
     /** All known nodes, without this one. */
-    public Collection<Known> known() {
+    public Collection<KnownNode> knownNodes() {
         return knownByName.values();
     }
 
     /** Whether a greeting of the node arrived recently. */
-    public boolean heard(String name, long now) {
+    public boolean wasHeardRecently(String name, long now) {
         var entry = knownByName.get(name);
-        return entry != null && now - entry.heard < STALE;
+        return entry != null && now - entry.lastHeardAt < RECENTLY_HEARD_MICROS;
     }
 
     /** The node with this name, this one included; null if it is unknown. */
-    public Node named(String name) {
+    public Node nodeByName(String name) {
         if (name.equals(self.name)) return self;
         var entry = knownByName.get(name);
         return entry == null ? null : entry.node;
     }
 
     /** The node with this store id, the one heard last if several claim it; null if it is unknown. */
-    public Node store(long storeId) {
+    public Node storeById(long storeId) {
         if (self.storeId == storeId) return self;
-        Known best = null;
+        KnownNode best = null;
         for (var entry : knownByName.values())
-            if (entry.node.storeId == storeId && (best == null || entry.heard > best.heard)) best = entry;
+            if (entry.node.storeId == storeId && (best == null || entry.lastHeardAt > best.lastHeardAt)) best = entry;
         return best == null ? null : best.node;
     }
 
@@ -177,7 +177,7 @@
     }
 
     /** Whether the disk of this store is known to be lost: its node came back with another store id. */
-    public boolean gone(long storeId) {
+    public boolean isDiskLost(long storeId) {
         return lostDiskStores.contains(storeId);
     }
 
@@ -185,7 +185,7 @@
      * Records that a newer process has taken the place of a node. If its store id differs, the disk of the old one is
      * lost.
      */
-    public void replaced(Node oldNode, Node newNode) {
+    public void recordReplacement(Node oldNode, Node newNode) {
         var isSuccessor = oldNode.name.equals(newNode.name) && newNode.incarnation > oldNode.incarnation;
         if (!isSuccessor || oldNode.storeId == 0 || newNode.storeId == 0 || oldNode.storeId == newNode.storeId) return;
         lostDiskStores.add(oldNode.storeId);
@@ -193,24 +193,24 @@
     }
 
     /** Records a node that another node reported, or that sent a greeting; null is ignored. */
-    public void learn(Node node, long now) {
+    public void learnNode(Node node, long now) {
         if (node == null) return;
         if (node.name.equals(self.name)) {
             outrankEarlierLife(node);
             return;
         }
-        var entry = knownByName.computeIfAbsent(node.name, name -> new Known());
+        var entry = knownByName.computeIfAbsent(node.name, name -> new KnownNode());
         if (entry.node == null || node.incarnation > entry.node.incarnation) replaceNode(entry, node);
-        if (entry.learned == 0) entry.learned = now;
+        if (entry.learnedAt == 0) entry.learnedAt = now;
     }
 
     /** Lets the next tick greet. */
-    public void greetSoon() {
+    public void greetAtNextTick() {
         nextGreetingAt = 0;
     }
 
     /** Replaces the node of an entry, and remembers the old one if its store id differs. */
-    private void replaceNode(Known entry, Node node) {
+    private void replaceNode(KnownNode entry, Node node) {
         if (entry.node != null && entry.node.storeId != node.storeId) entry.earlierNode = entry.node;
         entry.node = node;
     }
@@ -222,13 +222,15 @@
     private void outrankEarlierLife(Node node) {
         var outranksThis =
                 node.incarnation > self.incarnation || node.incarnation == self.incarnation && node.otherLife(self);
-        if (outranksThis && node.peerAddress.equals(self.peerAddress)) raise(node.incarnation);
+        if (outranksThis && node.peerAddress.equals(self.peerAddress)) raiseIncarnation(node.incarnation);
     }
 
     /** Greets other nodes and forgets silent ones, if it is time. */
     public void tick(long now) {
         if (now < nextGreetingAt) return;
-        if (knownByName.values().removeIf(entry -> now - Math.max(entry.heard, entry.learned) > FORGET))
+        if (knownByName
+                .values()
+                .removeIf(entry -> now - Math.max(entry.lastHeardAt, entry.learnedAt) > FORGET_AFTER_MICROS))
             knownByName.values().forEach(entry -> entry.listDigest = 0);
         if (timing.lowTraffic()) greetLowTraffic(now);
         else greet(now);
@@ -253,8 +255,10 @@
         var stores = knownByName.values().stream()
                 .filter(entry -> entry.node.kind.equals(Node.STORE))
                 .toList();
-        var isDisconnected = self.coreId == 0 || stores.stream().noneMatch(entry -> now - entry.heard < STALE);
-        nextGreetingAt = now + (isDisconnected ? Math.min(SEARCH_INTERVAL_MICROS, timing.helloInterval()) : timing.helloInterval());
+        var isDisconnected =
+                self.coreId == 0 || stores.stream().noneMatch(entry -> now - entry.lastHeardAt < RECENTLY_HEARD_MICROS);
+        nextGreetingAt = now
+                + (isDisconnected ? Math.min(SEARCH_INTERVAL_MICROS, timing.helloInterval()) : timing.helloInterval());
         var addresses = new LinkedHashSet<String>();
         if (isDisconnected) addresses.addAll(seeds);
         else if (!seeds.isEmpty() && !self.isRouter())
@@ -268,7 +272,7 @@
     }
 
     /** The known node at an address; null if there is none. */
-    private Known knownByAddress(String address) {
+    private KnownNode knownByAddress(String address) {
         return knownByName.values().stream()
                 .filter(entry -> entry.node.peerAddress.equals(address))
                 .findFirst()
@@ -278,7 +282,7 @@
     /**
      * A greeting without the list of known stores, which a reply carries only if the recipient does not have it yet.
      */
-    private Hello lowTrafficHello(boolean wantsReply, Known recipient) {
+    private Hello lowTrafficHello(boolean wantsReply, KnownNode recipient) {
         var hello = new Hello();
         hello.from = self;
         hello.wantsReply = wantsReply;
@@ -301,7 +305,7 @@
         if (hello.from.coreId != self.coreId || entry != null && entry.node.incarnation > hello.from.incarnation)
             reply.founding = founding;
         var stores = knownByName.values().stream()
-                .filter(other -> now - other.heard < STALE && other.node.kind.equals(Node.STORE))
+                .filter(other -> now - other.lastHeardAt < RECENTLY_HEARD_MICROS && other.node.kind.equals(Node.STORE))
                 .map(other -> other.node)
                 .sorted(Comparator.comparing(node -> node.name))
                 .toList();
@@ -333,7 +337,8 @@
         hello.wantsReply = wantsReply;
         hello.seen = emptyStoresDigest;
         hello.founding = founding;
-        for (var entry : knownByName.values()) if (now - entry.heard < STALE) hello.known.add(entry.node);
+        for (var entry : knownByName.values())
+            if (now - entry.lastHeardAt < RECENTLY_HEARD_MICROS) hello.known.add(entry.node);
         return hello;
     }
 
@@ -344,21 +349,21 @@
     public void receive(Hello hello, long now) {
         if (hello.from == null || hello.from.name.equals(self.name)) return;
         if (hello.from.coreId != 0 && self.coreId != 0 && hello.from.coreId != self.coreId) {
-            if (sameOrigin(hello) && hello.founding.newerThan(founding)) newer = hello.founding;
-            else if (sameOrigin(hello) && hello.wantsReply) port.send(hello.from.peerAddress, fullHello(false, now));
+            if (hasSameOrigin(hello) && hello.founding.newerThan(founding)) newerFounding = hello.founding;
+            else if (hasSameOrigin(hello) && hello.wantsReply) port.send(hello.from.peerAddress, fullHello(false, now));
             return;
         }
-        learn(hello.from, now);
+        learnNode(hello.from, now);
         var entry = knownByName.get(hello.from.name);
         if (entry.node.incarnation == hello.from.incarnation) {
             replaceNode(entry, hello.from);
-            if (entry.earlierNode != null) replaced(entry.earlierNode, hello.from);
+            if (entry.earlierNode != null) recordReplacement(entry.earlierNode, hello.from);
             entry.earlierNode = null;
-            entry.heard = now;
-            entry.seen = hello.seen;
+            entry.lastHeardAt = now;
+            entry.emptyStoresDigest = hello.seen;
             if (hello.list != 0) entry.listDigest = hello.list;
         }
-        hello.known.forEach(node -> learn(node, now));
+        hello.known.forEach(node -> learnNode(node, now));
         if (founding == null && hello.founding != null) founding = hello.founding;
         if (self.coreId == 0 && self.isRouter() && hello.from.coreId != 0) joinCore(hello.from.coreId);
         if (hello.wantsReply) port.send(hello.from.peerAddress, replyTo(hello, now));
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -47,7 +47,7 @@
     }
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
     private final IntFunction<List<Node>> membersOfPart;
@@ -60,7 +60,7 @@
 
     TopicTable(
             Port port,
-            Directory directory,
+            NodeDirectory directory,
             CoreClient coreClient,
             TimingProfile timing,
             IntFunction<List<Node>> members) {
@@ -229,7 +229,7 @@
         if (row.text.isEmpty()) return;
         manifest = ManifestReader.readValidated(row.text)
                 .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
-        directory.grace(manifest.lapsedLeaseGrace());
+        directory.setGraceMicros(manifest.lapsedLeaseGrace());
         port.logEvent(Event.MANIFEST_APPLIED, "version " + row.version + " marks " + row.marks);
         for (var service : manifest.services().keySet()) topics.computeIfAbsent(service, name -> new Topic());
         topics.keySet()
--- a/lib/control/src/main/java/craneway/control/operator/Quiet.java
+++ b/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
@@ -1,6 +1,6 @@
 package craneway.control.operator;
 
-import craneway.control.plan.Mover;
+import craneway.control.plan.UnitMover;
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.ManifestReader;
 import craneway.state.record.Rows;
@@ -17,14 +17,21 @@
  *     % of those slots; 0 if the cell cannot be emptied
  * @param cause why it cannot be emptied, or else the warnings of the plan that would empty it
  */
-public record Quiet(String service, String cell, int load, int slots, int slotsLeft, int minutes, List<String> cause) {
+public record DrainEstimate(
+        String service,
+        String cell,
+        int load,
+        int slots,
+        int remainingSlots,
+        int minutesThatFit,
+        List<String> concerns) {
     /** The share of the remaining slots that the load may take. */
     private static final double USABLE_SLOT_SHARE = 0.8;
 
     /** Estimates for all cells with running runners; empty if there is no valid manifest. */
-    static List<Quiet> of(Rows.Manifest manifestRow, List<PartStatus> parts) {
+    static List<DrainEstimate> of(Rows.Manifest manifestRow, List<PartStatus> parts) {
         var parsed = ManifestReader.read(manifestRow.text);
-        var estimates = new ArrayList<Quiet>();
+        var estimates = new ArrayList<DrainEstimate>();
         if (parsed.isLeft()) return estimates;
         for (var status : parts)
             for (var service : status.services)
@@ -35,20 +42,20 @@
     }
 
     /** The estimate for one cell. */
-    private static Quiet of(
+    private static DrainEstimate of(
             Rows.Service service, int cell, Rows.Manifest manifestRow, List<PartStatus> parts, PartStatus status) {
         var cellName = service.cells.get(cell);
-        var plan = Intents.plan(
+        var plan = IntentPlanner.createPlan(
                 new Intent(Intent.EMPTY_CELL, null, service.name, cellName, null, null), manifestRow, parts);
         int load = 0, slots = 0, remainingSlots = 0;
         for (var runner : service.runners.values()) {
             if (!runner.up()) continue;
             if (runner.cell.equals(cellName)) {
-                load += status.loads.getOrDefault(service.name + "/" + runner.name, 0);
+                load += status.loadByRunner.getOrDefault(service.name + "/" + runner.name, 0);
                 slots += runner.slots;
             } else if (isOpen(service, runner, manifestRow)) remainingSlots += runner.slots;
         }
-        return new Quiet(
+        return new DrainEstimate(
                 service.name,
                 cellName,
                 load,
@@ -60,7 +67,7 @@
 
     /** Whether the cell of a runner is not closed by a mark. */
     private static boolean isOpen(Rows.Service service, Rows.Runner runner, Rows.Manifest manifestRow) {
-        return !Mover.closed(service, manifestRow.marks).get(service.cells.indexOf(runner.cell));
+        return !UnitMover.closedCells(service, manifestRow.marks).get(service.cells.indexOf(runner.cell));
     }
 
     /** How many minutes back, starting now, the load stayed within the usable share of the slots. */
@@ -68,8 +75,8 @@
         for (var peaks : status.peaks) {
             if (!peaks.service.equals(service)) continue;
             var fitted = 0;
-            while (fitted < peaks.minutes.length && peaks.minutes[fitted] <= remainingSlots * USABLE_SLOT_SHARE)
-                fitted++;
+            while (fitted < peaks.peakByMinute.length
+                    && peaks.peakByMinute[fitted] <= remainingSlots * USABLE_SLOT_SHARE) fitted++;
             return fitted;
         }
         return 0;
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
@@ -1,12 +1,12 @@
 package craneway.control.operator;
 
-import craneway.control.plan.Mover;
-import craneway.control.plan.Planner;
+import craneway.control.plan.HomePlanner;
+import craneway.control.plan.UnitMover;
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.MarkKey;
@@ -25,11 +25,12 @@
  * Turns an intent into a plan: the marks it sets, the units that would move, the load of each cell, and warnings.
  * Refuses an intent that would leave a tenant without an open cell, or the running load without slots.
  */
-public final class Intents {
-    private Intents() {}
+public final class IntentPlanner {
+    private IntentPlanner() {}
 
     /** The plan for an intent, from the manifest row and the status of all parts. */
-    public static Either<Problem, Plan> plan(Intent intent, Rows.Manifest manifestRow, List<PartStatus> statuses) {
+    public static Either<Problem, Plan> createPlan(
+            Intent intent, Rows.Manifest manifestRow, List<PartStatus> statuses) {
         if (manifestRow.text.isEmpty()) return problem(ProblemKind.NO_MANIFEST, ProblemKind.NO_MANIFEST.text());
         var manifest = ManifestReader.read(manifestRow.text)
                 .getOrElseThrow(problem -> new IllegalStateException(problem.detail()));
@@ -119,7 +120,7 @@
             for (var service : status.services) {
                 var manifestService = manifest.service(service.name);
                 if (manifestService == null) continue;
-                var problem = planService(plan, service, manifestService, manifest, marksAfter, status.loads);
+                var problem = planService(plan, service, manifestService, manifest, marksAfter, status.loadByRunner);
                 if (problem != null) return badIntent(problem);
             }
         if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; only the mark is set");
@@ -134,7 +135,7 @@
             Manifest manifest,
             Map<String, String> marks,
             Map<String, Integer> loadByRunner) {
-        var closedCells = Mover.closed(service, marks);
+        var closedCells = UnitMover.closedCells(service, marks);
         var healthyCells = new BitSet();
         for (var cell = 0; cell < service.cells.size(); cell++)
             if (service.live(cell) && service.runnersUp(cell) > 0) healthyCells.set(cell);
@@ -142,7 +143,7 @@
         openCells.andNot(closedCells);
         var unserved = findUnservedRegions(service, manifest, marks, openCells);
         if (unserved != null) return unserved;
-        var wantedHomes = Planner.wanted(service, closedCells, healthyCells);
+        var wantedHomes = HomePlanner.wantedHomes(service, closedCells, healthyCells);
         addSteps(plan, service, manifestService, wantedHomes);
         return checkCapacity(plan, service, openCells, wantedHomes, loadByRunner);
     }
@@ -152,7 +153,8 @@
             Rows.Service service, Manifest manifest, Map<String, String> marks, BitSet openCells) {
         for (var regionSet : regionSetsInUse(service, manifest, marks)) {
             var hasOpenCell = openCells.stream()
-                    .anyMatch(cell -> Units.containsRegion(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
+                    .anyMatch(cell ->
+                            Units.containsRegion(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
             if (!hasOpenCell)
                 return "service " + service.name
                         + ": no open cell with a running runner would be left for tenants with the home regions "
@@ -228,7 +230,8 @@
             var thisCell = new BitSet();
             thisCell.set(cell);
             var units = 0;
-            for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) if (wantedHomes[unit] == cell) units++;
+            for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++)
+                if (wantedHomes[unit] == cell) units++;
             plan.loads.add(service.name + "/" + service.cells.get(cell) + ": " + units + " units, "
                     + (openCells.get(cell) ? slotCount(service, thisCell) : 0) + " slots");
         }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -4,8 +4,8 @@
 import craneway.control.node.Port;
 import craneway.control.store.PartStatus;
 import craneway.control.store.RolloutStatus;
-import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
@@ -25,7 +25,7 @@
  * Executes the requests of operators against the core: manifests, plans and their rollout, status, and lost claims.
  * Every callback gets exactly one result. Safe for several threads; the owner calls {@link #tick} regularly.
  */
-public final class Operator {
+public final class OperatorCommands {
     /** How long to wait for the answer to a query or command. */
     private static final long REQUEST_TIMEOUT_MICROS = 5_000_000;
 
@@ -42,7 +42,7 @@
      * @param missing members that have not confirmed the change
      * @param able those of them that are routers and may still act on the old state
      */
-    public record Carried(long version, List<String> missing, List<String> able) {}
+    public record RolloutResult(long version, List<String> unconfirmedMembers, List<String> routersStillActing) {}
 
     /** A caller that waits for a change to reach the members. */
     private static final class RolloutWatch {
@@ -53,7 +53,7 @@
         long deadline;
         Predicate<RolloutStatus> doneWhen;
         RolloutStatus lastStatus = new RolloutStatus();
-        Consumer<Carried> onResult;
+        Consumer<RolloutResult> onResult;
     }
 
     private final Port port;
@@ -61,7 +61,7 @@
     private final ConcurrentLinkedQueue<RolloutWatch> openWatches = new ConcurrentLinkedQueue<>();
 
     /** Creates an operator that sends through the given client. */
-    public Operator(Port port, CoreClient coreClient) {
+    public OperatorCommands(Port port, CoreClient coreClient) {
         this.port = port;
         this.coreClient = coreClient;
     }
@@ -77,7 +77,8 @@
     /** Reports the state of a rollout to its caller, once. */
     private void finish(RolloutWatch watch) {
         if (openWatches.remove(watch))
-            watch.onResult.accept(new Carried(watch.version, watch.lastStatus.missing, watch.lastStatus.able));
+            watch.onResult.accept(new RolloutResult(
+                    watch.version, watch.lastStatus.unconfirmedMembers, watch.lastStatus.routersStillActing));
     }
 
     /** Queries the state of a rollout and finishes it if it has come far enough. */
@@ -86,7 +87,7 @@
         var query = new Queries.RolloutGet();
         query.version = watch.topicVersion;
         query.zone = watch.zone;
-        coreClient.ask(Parts.MANIFEST_PART, query, REQUEST_TIMEOUT_MICROS, result -> {
+        coreClient.request(Parts.MANIFEST_PART, query, REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind != 0) return;
             watch.lastStatus = Codec.read(RolloutStatus.class, result.body);
             if (watch.doneWhen.test(watch.lastStatus)) finish(watch);
@@ -102,7 +103,7 @@
             long version,
             String zone,
             Predicate<RolloutStatus> doneWhen,
-            Consumer<Carried> onResult) {
+            Consumer<RolloutResult> onResult) {
         var watch = new RolloutWatch();
         watch.topicVersion = topicVersion;
         watch.version = version;
@@ -118,8 +119,8 @@
     }
 
     /** Reads the current manifest and marks from their leader. */
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
-        coreClient.ask(
+    public void readManifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
@@ -130,25 +131,25 @@
     }
 
     /** Sends a manifest that was written against {@code baseVersion}, and waits for all members to confirm it. */
-    public void send(long baseVersion, String text, Consumer<Either<Problem, Carried>> onResult) {
+    public void putManifest(long baseVersion, String text, Consumer<Either<Problem, RolloutResult>> onResult) {
         var command = new Commands.ManifestPut();
         command.base = baseVersion;
         command.text = text;
-        coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
+        coreClient.request(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
             else
                 awaitRollout(
                         result.version,
                         Long.parseLong(result.detail),
                         "",
-                        status -> status.missing.isEmpty(),
+                        status -> status.unconfirmedMembers.isEmpty(),
                         rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
     /** Waits until no member may still act on a manifest older than {@code version}. */
-    public void watchManifest(long version, Consumer<Either<Problem, Carried>> onResult) {
-        manifest(manifest -> {
+    public void watchManifest(long version, Consumer<Either<Problem, RolloutResult>> onResult) {
+        readManifest(manifest -> {
             if (manifest.isLeft()) onResult.accept(Either.left(manifest.getLeft()));
             else if (manifest.get().version < version)
                 onResult.accept(Either.left(Problem.of(
@@ -159,18 +160,18 @@
                         manifest.get().topicVersion,
                         version,
                         "",
-                        status -> status.able.isEmpty(),
+                        status -> status.routersStillActing.isEmpty(),
                         rollout -> onResult.accept(Either.right(rollout)));
         });
     }
 
     /** Reads the status of all parts; parts that do not answer are left out. */
-    public void status(Consumer<List<PartStatus>> onResult) {
+    public void readStatus(Consumer<List<PartStatus>> onResult) {
         var statusByPart = new PartStatus[Parts.COUNT];
         var outstanding = new int[] {Parts.COUNT};
         for (var index = 0; index < Parts.COUNT; index++) {
             var part = index;
-            coreClient.ask(index, new Queries.Status(), REQUEST_TIMEOUT_MICROS, result -> {
+            coreClient.request(index, new Queries.Status(), REQUEST_TIMEOUT_MICROS, result -> {
                 synchronized (statusByPart) {
                     if (result.kind == 0) statusByPart[part] = Codec.read(PartStatus.class, result.body);
                     if (--outstanding[0] > 0) return;
@@ -188,26 +189,28 @@
     }
 
     /** Plans what an intent would change, and stores the plan for confirmation. Fails if a part does not answer. */
-    public void plan(Intent intent, Consumer<Either<Problem, Plan>> onResult) {
-        status(parts -> {
+    public void createPlan(Intent intent, Consumer<Either<Problem, Plan>> onResult) {
+        readStatus(parts -> {
             if (parts.size() < Parts.COUNT) {
                 onResult.accept(Either.left(Problem.of(
-                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+                        ProblemKind.NO_OWNER,
+                        "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
                 return;
             }
-            var plan = Intents.plan(intent, parts.get(Parts.MANIFEST_PART).manifest, parts);
+            var plan = IntentPlanner.createPlan(intent, parts.get(Parts.MANIFEST_PART).manifest, parts);
             if (plan.isLeft()) onResult.accept(plan);
             else putPlan(plan.get(), onResult);
         });
     }
 
     /** Estimates for each cell whether it could be emptied. Fails if a part does not answer. */
-    public void quiet(Consumer<Either<Problem, List<Quiet>>> onResult) {
-        status(parts -> {
+    public void estimateDrains(Consumer<Either<Problem, List<DrainEstimate>>> onResult) {
+        readStatus(parts -> {
             if (parts.size() < Parts.COUNT)
                 onResult.accept(Either.left(Problem.of(
-                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
-            else onResult.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
+                        ProblemKind.NO_OWNER,
+                        "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+            else onResult.accept(Either.right(DrainEstimate.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
         });
     }
 
@@ -215,17 +218,17 @@
     private void putPlan(Plan plan, Consumer<Either<Problem, Plan>> onResult) {
         var command = new Commands.PlanPut();
         command.plan = plan;
-        coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
+        coreClient.request(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
             plan.id = result.version;
             onResult.accept(result.kind == 0 ? Either.right(plan) : Either.left(toProblem(result)));
         });
     }
 
     /** Reads a plan. */
-    public void show(long planId, Consumer<Either<Problem, Plan>> onResult) {
+    public void readPlan(long planId, Consumer<Either<Problem, Plan>> onResult) {
         var query = new Queries.PlanGet();
         query.plan = planId;
-        coreClient.ask(
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 query,
                 REQUEST_TIMEOUT_MICROS,
@@ -236,40 +239,41 @@
     }
 
     /** Confirms a plan, which puts its marks in force, and waits until no router may still act on the old state. */
-    public void confirm(long planId, Consumer<Either<Problem, Carried>> onResult) {
-        show(planId, found -> {
+    public void confirmPlan(long planId, Consumer<Either<Problem, RolloutResult>> onResult) {
+        readPlan(planId, found -> {
             if (found.isLeft()) {
                 onResult.accept(Either.left(found.getLeft()));
                 return;
             }
             var command = new Commands.PlanConfirm();
             command.plan = planId;
-            coreClient.ask(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
+            coreClient.request(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
                 if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
                 else
                     awaitRollout(
                             result.version,
                             planId,
                             markedZone(found.get()),
-                            status -> status.able.isEmpty(),
+                            status -> status.routersStillActing.isEmpty(),
                             rollout -> onResult.accept(Either.right(rollout)));
             });
         });
     }
 
     /** Waits until no router may still act on the state before a confirmed plan. */
-    public void watch(long planId, Consumer<Either<Problem, Carried>> onResult) {
-        show(planId, found -> {
+    public void watchPlan(long planId, Consumer<Either<Problem, RolloutResult>> onResult) {
+        readPlan(planId, found -> {
             if (found.isLeft()) onResult.accept(Either.left(found.getLeft()));
             else if (found.get().state != Plan.CONFIRMED)
                 onResult.accept(Either.left(Problem.of(
-                        ProblemKind.STALE_PLAN, "plan " + planId + " is " + found.get().stateName())));
+                        ProblemKind.STALE_PLAN,
+                        "plan " + planId + " is " + found.get().stateName())));
             else
                 awaitRollout(
                         found.get().confirmedTopic,
                         planId,
                         markedZone(found.get()),
-                        status -> status.able.isEmpty(),
+                        status -> status.routersStillActing.isEmpty(),
                         rollout -> onResult.accept(Either.right(rollout)));
         });
     }
@@ -294,7 +298,7 @@
         var outstanding = new int[] {Parts.COUNT};
         var failure = new CommandResult[1];
         for (var part = 0; part < Parts.COUNT; part++)
-            coreClient.ask(part, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, result -> {
+            coreClient.request(part, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, result -> {
                 synchronized (outstanding) {
                     if (result.kind != 0) failure[0] = result;
                     if (--outstanding[0] > 0) return;
@@ -304,11 +308,11 @@
     }
 
     /** Stops a plan. */
-    public void stop(long planId, Consumer<Either<Problem, Long>> onResult) {
+    public void stopPlan(long planId, Consumer<Either<Problem, Long>> onResult) {
         var command = new Commands.PlanStop();
         command.plan = planId;
         command.cause = "stopped by an operator";
-        coreClient.ask(
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 command,
                 REQUEST_TIMEOUT_MICROS,
--- a/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
@@ -11,11 +11,11 @@
  * each connection that was used before the gap is refused as well. A refusal costs the caller a call to another node.
  * No I/O; safe for several threads. Times are microseconds.
  */
-public final class WakeGuard {
+public final class PauseGuard {
     /** Ticks that are farther apart than this many microseconds show a pause; callers wait for longer than that. */
-    public static final long GAP = 400_000;
+    public static final long MAX_TICK_GAP_MICROS = 400_000;
     /** For how many microseconds after a pause no order is admitted. */
-    public static final long SETTLE = 500_000;
+    public static final long SETTLE_MICROS = 500_000;
 
     /** What the guard remembers of a connection; one for each. */
     public static final class Connection {
@@ -27,14 +27,14 @@
     private long resumedAt;
 
     /** Creates the guard of a process that starts now, which no caller can have waited for. */
-    public WakeGuard(long now) {
+    public PauseGuard(long now) {
         lastTickAt = now;
-        resumedAt = now - SETTLE;
+        resumedAt = now - SETTLE_MICROS;
     }
 
     /** Notices a pause. To be called about every 20 ms by a thread that never blocks. */
     public synchronized void tick(long now) {
-        if (now - lastTickAt > GAP) resumedAt = now;
+        if (now - lastTickAt > MAX_TICK_GAP_MICROS) resumedAt = now;
         lastTickAt = Math.max(lastTickAt, now);
     }
 
@@ -49,8 +49,8 @@
         tick(now);
         var previousUse = connection.lastUsedAt;
         connection.lastUsedAt = now;
-        var readAcrossPause = now - readStartedAt > GAP && resumedAt >= readStartedAt;
+        var readAcrossPause = now - readStartedAt > MAX_TICK_GAP_MICROS && resumedAt >= readStartedAt;
         var usedBeforePause = previousUse != Connection.NEVER && previousUse < resumedAt;
-        return now - resumedAt >= SETTLE && !readAcrossPause && !usedBeforePause;
+        return now - resumedAt >= SETTLE_MICROS && !readAcrossPause && !usedBeforePause;
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -1,8 +1,8 @@
 package craneway.control.operator;
 
 import craneway.control.node.CoreClient;
-import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
@@ -33,8 +33,8 @@
     }
 
     /** Reads the current manifest and marks from their leader. */
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
-        coreClient.ask(
+    public void readManifest(Consumer<Either<Problem, Rows.Manifest>> onResult) {
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
@@ -49,7 +49,7 @@
      * @param number the number that the platform gives the manifest; 0 for the next one
      * @param source the text as the platform sent it, if that differs from {@code text}
      */
-    public void put(
+    public void putManifest(
             long baseVersion,
             long number,
             String text,
@@ -65,7 +65,8 @@
     }
 
     /** Marks a zone as emptied, or takes the mark back. */
-    public void mark(String zone, boolean emptied, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+    public void markZone(
+            String zone, boolean emptied, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         var command = new Commands.ZoneMark();
         command.zone = zone;
         command.emptied = emptied;
@@ -76,28 +77,31 @@
      * Reports a heartbeat of a runner. One that arrives too late to count, since a later process of the runner is
      * known, is reported as a success.
      */
-    public void beat(Commands.RunnerPut command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
-        coreClient.askUntil(Parts.partOf(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
-            if (result.kind == ProblemKind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
-            else if (result.kind == 0) onResult.accept(toResult(result));
-            else
-                onResult.accept(Either.left(
-                        Problem.of(ProblemKind.NO_OWNER, ProblemKind.of(result.kind).text() + ": " + result.detail)));
-        });
+    public void reportRunnerHeartbeat(
+            Commands.RunnerPut command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+        coreClient.requestUntil(
+                Parts.partOf(command.service), command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+                    if (result.kind == ProblemKind.STALE_RUNNER.code()) onResult.accept(Either.right(null));
+                    else if (result.kind == 0) onResult.accept(toResult(result));
+                    else
+                        onResult.accept(Either.left(Problem.of(
+                                ProblemKind.NO_OWNER,
+                                ProblemKind.of(result.kind).text() + ": " + result.detail)));
+                });
     }
 
     /**
      * Marks a runner as leaving in whichever service it belongs to. A runner that no part knows counts as gone
      * already.
      */
-    public void left(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
+    public void markRunnerLeaving(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         var outstanding = new AtomicInteger(Parts.COUNT - 1);
         var failure = new AtomicReference<Problem>();
         for (var part = 0; part < Parts.COUNT; part++) {
             if (part == Parts.MANIFEST_PART) continue;
             var command = new Commands.RunnerLeft();
             command.runner = runner;
-            coreClient.askUntil(part, command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
+            coreClient.requestUntil(part, command, callerWaitingSince + REQUEST_TIMEOUT_MICROS, result -> {
                 toResult(result).peekLeft(failure::set);
                 if (outstanding.decrementAndGet() == 0)
                     onResult.accept(failure.get() == null ? Either.right(null) : Either.left(failure.get()));
@@ -107,7 +111,7 @@
 
     private void submitChange(
             int part, Object command, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
-        coreClient.askUntil(
+        coreClient.requestUntil(
                 part,
                 command,
                 callerWaitingSince + REQUEST_TIMEOUT_MICROS,
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/HomePlanner.java
@@ -10,11 +10,11 @@
  * Computes the wanted home of each unit by weighted rendezvous hashing over the cells that may have it, so that few
  * units move when cells come and go.
  */
-public final class Planner {
-    private Planner() {}
+public final class HomePlanner {
+    private HomePlanner() {}
 
     /** The wanted home of each unit as an index of a cell, or {@link PlacementTable#NOWHERE}. */
-    public static int[] wanted(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
+    public static int[] wantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
         var unitCount = service.homes.length;
         var homes = new int[unitCount];
         var weights = cellWeights(service);
@@ -45,8 +45,9 @@
                 && !closedCells.get(currentHome)
                 && healthyCells.get(currentHome)) return currentHome;
         if (bestCell != PlacementTable.NOWHERE) return bestCell;
-        if (currentHome != PlacementTable.NOWHERE && isAllowed(service, unit, currentHome) && !closedCells.get(currentHome))
-            return currentHome;
+        if (currentHome != PlacementTable.NOWHERE
+                && isAllowed(service, unit, currentHome)
+                && !closedCells.get(currentHome)) return currentHome;
         return selectCell(service, unit, closedCells, null, weights);
     }
 
@@ -97,7 +98,8 @@
     /** Whether a cell is in use and lies in one of the unit's regions. */
     private static boolean isAllowed(Rows.Service service, int unit, int cell) {
         return service.live(cell)
-                && Units.containsRegion(Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
+                && Units.containsRegion(
+                        Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
 
     /**
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -16,24 +16,24 @@
  * lowest utilization, and may go back once their regular home has been calm for a while. Utilization is load over
  * slots, smoothed over time.
  */
-public final class Pressure {
+public final class PressureRelief {
     /** From this utilization on a cell is full. */
-    public static final double FULL = 0.8;
+    public static final double FULL_UTILIZATION = 0.8;
 
     /** Up to this utilization a cell is calm. */
-    public static final double CALM = 0.6;
+    public static final double CALM_UTILIZATION = 0.6;
 
     /** Up to this utilization a cell takes displaced units. */
-    public static final double ROOM = 0.6;
+    public static final double MAX_TARGET_UTILIZATION = 0.6;
 
     /** Units are displaced from a cell that has been full for this many microseconds. */
-    public static final long FULL_FOR = 3_000_000;
+    public static final long FULL_HOLD_MICROS = 3_000_000;
 
     /** Units may go back to a cell that has been calm for this many microseconds. */
-    public static final long CALM_FOR = 15_000_000;
+    public static final long CALM_HOLD_MICROS = 15_000_000;
 
     /** The pause between two commands for a service, and after a new leader starts, in microseconds. */
-    public static final long SETTLE = 4_000_000;
+    public static final long COMMAND_PAUSE_MICROS = 4_000_000;
 
     /** The time constant of the smoothing. */
     private static final double SMOOTHING_MICROS = 5_000_000;
@@ -52,27 +52,34 @@
         smoothedUtilization.clear();
         fullSinceByCell.clear();
         calmSinceByCell.clear();
-        nextCommandAtByService.replaceAll((service, dueAt) -> now + SETTLE);
+        nextCommandAtByService.replaceAll((service, dueAt) -> now + COMMAND_PAUSE_MICROS);
     }
 
     /**
      * The next displacement or return for a service, null if nothing is due. To be called at each scan, since it also
      * updates the utilization.
      */
-    public Displace ask(Rows.Service service, Map<String, Integer> loadByRunner, BitSet openCells, long now) {
+    public Displace nextDisplacement(
+            Rows.Service service, Map<String, Integer> loadByRunner, BitSet openCells, long now) {
         var utilization = utilizationByCell(service, loadByRunner);
         for (var cell = 0; cell < utilization.length; cell++) {
             utilization[cell] = smoothUtilization(service.name + "/" + cell, utilization[cell], now);
             trackSince(
-                    fullSinceByCell, service.name + "/" + cell, openCells.get(cell) && utilization[cell] >= FULL, now);
+                    fullSinceByCell,
+                    service.name + "/" + cell,
+                    openCells.get(cell) && utilization[cell] >= FULL_UTILIZATION,
+                    now);
             trackSince(
-                    calmSinceByCell, service.name + "/" + cell, openCells.get(cell) && utilization[cell] <= CALM, now);
+                    calmSinceByCell,
+                    service.name + "/" + cell,
+                    openCells.get(cell) && utilization[cell] <= CALM_UTILIZATION,
+                    now);
         }
         if (now < nextCommandAtByService.computeIfAbsent(service.name, name -> now)
                 || service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED)) return null;
         var displacement = displaceFromFullCell(service, utilization, openCells, now);
         if (displacement == null) displacement = returnToCalmHome(service, now);
-        if (displacement != null) nextCommandAtByService.put(service.name, now + SETTLE);
+        if (displacement != null) nextCommandAtByService.put(service.name, now + COMMAND_PAUSE_MICROS);
         return displacement;
     }
 
@@ -116,7 +123,7 @@
     /** Displaces units from the first cell that has been full for long enough and for which another cell has room. */
     private Displace displaceFromFullCell(Rows.Service service, double[] utilization, BitSet openCells, long now) {
         for (var cell = 0; cell < utilization.length; cell++) {
-            if (!hasLasted(fullSinceByCell, service, cell, FULL_FOR, now)) continue;
+            if (!hasLasted(fullSinceByCell, service, cell, FULL_HOLD_MICROS, now)) continue;
             var target = leastUtilizedCell(service, utilization, openCells, cell);
             if (target == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
@@ -140,7 +147,7 @@
         for (var cell = 0; cell < utilization.length; cell++) {
             if (cell == excluded
                     || !openCells.get(cell)
-                    || utilization[cell] > ROOM
+                    || utilization[cell] > MAX_TARGET_UTILIZATION
                     || service.heldUntil.containsKey(service.cells.get(cell))) continue;
             if (bestCell == PlacementTable.NOWHERE || utilization[cell] < utilization[bestCell]) bestCell = cell;
         }
@@ -156,10 +163,10 @@
     private Displace returnToCalmHome(Rows.Service service, long now) {
         var units = new ArrayList<Integer>();
         for (var unit : service.displacedUnits) {
-            var home = Planner.homeWithAllCellsOpen(service, unit);
+            var home = HomePlanner.homeWithAllCellsOpen(service, unit);
             if (units.size() < MAX_UNITS_PER_COMMAND
                     && home != PlacementTable.NOWHERE
-                    && hasLasted(calmSinceByCell, service, home, CALM_FOR, now)) units.add(unit);
+                    && hasLasted(calmSinceByCell, service, home, CALM_HOLD_MICROS, now)) units.add(unit);
         }
         return units.isEmpty() ? null : newDisplace(service, units, PlacementTable.NOWHERE);
     }
--- a/lib/control/src/main/java/craneway/control/plan/Signals.java
+++ b/lib/control/src/main/java/craneway/control/plan/SignalHistory.java
@@ -6,7 +6,7 @@
 /**
  * Runs, problems and times to first token of each cell over the last 4 s, as members report them with their renewals.
  */
-public final class Signals {
+public final class SignalHistory {
     /** How many time slots are kept. */
     private static final int SLOT_COUNT = 8;
     /** The length of a time slot. */
@@ -19,15 +19,15 @@
      * @param problems requests that failed
      * @param firstMicros the sum of the times to first token of the runs, in microseconds
      */
-    public record Rate(long runs, long problems, long firstMicros) {
+    public record CellTotals(long runs, long problems, long firstTokenMicrosSum) {
         /** The share of requests that failed; 0 if there were none. */
-        public double share() {
+        public double problemShare() {
             return runs + problems == 0 ? 0 : problems / (double) (runs + problems);
         }
 
         /** The mean time to first token in microseconds; 0 if nothing ran. */
-        public double first() {
-            return runs == 0 ? 0 : firstMicros / (double) runs;
+        public double meanFirstTokenMicros() {
+            return runs == 0 ? 0 : firstTokenMicrosSum / (double) runs;
         }
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** The sums for a cell since {@code from}, as far back as slots are kept. */
-    public Rate since(String service, String cell, long from, long now) {
+    public CellTotals totalsSince(String service, String cell, long from, long now) {
         var ring = ringByCell.get(service + "/" + cell);
         long runs = 0, problems = 0, firstTokenMicros = 0;
         for (var index = 0; ring != null && index < SLOT_COUNT; index++) {
@@ -65,7 +65,7 @@
             problems += ring.problems[index];
             firstTokenMicros += ring.firstTokenMicros[index];
         }
-        return new Rate(runs, problems, firstTokenMicros);
+        return new CellTotals(runs, problems, firstTokenMicros);
     }
 
     /** Forgets everything. */
--- a/lib/control/src/main/java/craneway/control/plan/Watcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -12,12 +12,12 @@
  * to first token than before, the units are taken back and the cell is held: no regular home moves there for some
  * time.
  */
-public final class Watcher {
+public final class StepWatcher {
     /** How long a step is watched, in microseconds, before it is kept. */
-    public static final long WATCH = 2_000_000;
+    public static final long WATCH_MICROS = 2_000_000;
 
     /** How long a cell is held after a step to it was taken back, in microseconds. */
-    public static final long HELD = 30_000_000;
+    public static final long HOLD_MICROS = 30_000_000;
 
     /** The time before a step over which the state of the new home is measured for comparison. */
     private static final long BASELINE_WINDOW_MICROS = 3_000_000;
@@ -29,7 +29,7 @@
     private static final int MIN_SAMPLES = 5;
 
     /** When a step was first watched, and the state of its new home before. */
-    private record WatchedStep(long since, Signals.Rate baseline) {}
+    private record WatchedStep(long since, SignalHistory.CellTotals baseline) {}
 
     private final Map<String, WatchedStep> watchedSteps = new HashMap<>();
 
@@ -39,7 +39,7 @@
     }
 
     /** The verdict on the first step of a service that can be decided: kept or taken back. Null if there is none. */
-    public StepMark judge(Rows.Service service, Signals signals, BitSet openCells, long now) {
+    public StepMark nextVerdict(Rows.Service service, SignalHistory signals, BitSet openCells, long now) {
         for (var step : service.steps) {
             if (step.state != Rows.Step.RAISED) continue;
             var watched = watchedStep(service, step, signals, now);
@@ -47,9 +47,9 @@
             var degradation = units.length > 0
                     ? describeDegradation(
                             watched.baseline,
-                            signals.since(service.name, service.cells.get(step.to), watched.since, now))
+                            signals.totalsSince(service.name, service.cells.get(step.to), watched.since, now))
                     : null;
-            if (degradation == null && now - watched.since < WATCH) continue;
+            if (degradation == null && now - watched.since < WATCH_MICROS) continue;
             watchedSteps.remove(service.name + "/" + step.id);
             return newStepMark(service, step, degradation, units);
         }
@@ -60,10 +60,10 @@
      * Starts to watch a step. Steps to the same cell that are watched at the same time share the earliest baseline,
      * which none of them has affected.
      */
-    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, Signals signals, long now) {
+    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, SignalHistory signals, long now) {
         var existing = watchedSteps.get(service.name + "/" + step.id);
         if (existing != null) return existing;
-        var baseline = signals.since(service.name, service.cells.get(step.to), now - BASELINE_WINDOW_MICROS, now);
+        var baseline = signals.totalsSince(service.name, service.cells.get(step.to), now - BASELINE_WINDOW_MICROS, now);
         for (var other : service.steps) {
             var watched = watchedSteps.get(service.name + "/" + other.id);
             if (watched == null || other.to != step.to) continue;
@@ -84,15 +84,17 @@
     }
 
     /** Describes how a cell got worse; null if it did not. */
-    private static String describeDegradation(Signals.Rate baseline, Signals.Rate current) {
-        if (current.problems() >= MIN_SAMPLES && current.share() > 0.1 + 2 * baseline.share())
-            return String.format("problems rose from %.2f to %.2f of its requests", baseline.share(), current.share());
+    private static String describeDegradation(SignalHistory.CellTotals baseline, SignalHistory.CellTotals current) {
+        if (current.problems() >= MIN_SAMPLES && current.problemShare() > 0.1 + 2 * baseline.problemShare())
+            return String.format(
+                    "problems rose from %.2f to %.2f of its requests", baseline.problemShare(), current.problemShare());
         if (current.runs() >= MIN_SAMPLES
                 && baseline.runs() >= MIN_SAMPLES
-                && current.first() > SLOW_FIRST_TOKEN_MICROS
-                && current.first() > 3 * baseline.first())
+                && current.meanFirstTokenMicros() > SLOW_FIRST_TOKEN_MICROS
+                && current.meanFirstTokenMicros() > 3 * baseline.meanFirstTokenMicros())
             return String.format(
-                    "time to first token rose from %.0f to %.0f ms", baseline.first() / 1000, current.first() / 1000);
+                    "time to first token rose from %.0f to %.0f ms",
+                    baseline.meanFirstTokenMicros() / 1000, current.meanFirstTokenMicros() / 1000);
         return null;
     }
 
@@ -103,7 +105,7 @@
         mark.id = step.id;
         mark.state = degradation == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
         mark.cause = degradation == null ? "" : service.cells.get(step.to) + ": " + degradation;
-        mark.heldMicros = HELD;
+        mark.heldMicros = HOLD_MICROS;
         mark.units = units;
         return mark;
     }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -18,12 +18,12 @@
 /**
  * Moves units to their wanted homes step by step, on the leader of a part. A step moves a few units to one cell. It
  * is first asked for in the log, and raised (put in force) once the store in the zone of the new home holds that
- * entry; {@link Watcher} then watches it. Plain table steps, which are neither confirmed nor watched, give units
+ * entry; {@link StepWatcher} then watches it. Plain table steps, which are neither confirmed nor watched, give units
  * without a home their first one, and take the home from units that no cell may serve.
  */
-public final class Mover {
+public final class UnitMover {
     /** A cell without units counts as healthy once it has had a running runner for this many microseconds. */
-    public static final long HOLD = 3_000_000;
+    public static final long HEALTHY_AFTER_MICROS = 3_000_000;
     /** A step that the store of its new home has not confirmed after this time is dropped. */
     private static final long CONFIRM_TIMEOUT_MICROS = 5_000_000;
 
@@ -45,9 +45,9 @@
     }
 
     /** Tells whether the store in the zone of a cell holds the log up to an index. */
-    public interface StoreReady {
+    public interface StoreSyncCheck {
         /** Whether the store in the zone of the cell holds the log up to the index, or is not to be waited for. */
-        boolean test(int cell, long index);
+        boolean isSynced(int cell, long index);
     }
 
     /**
@@ -55,15 +55,15 @@
      * {@code TableStep}. Null if no unit has to move, the pause between steps is not over, or the service is not in
      * the manifest.
      */
-    public Object step(
+    public Object nextStep(
             Rows.Service service,
             Manifest.Service manifestService,
             Map<String, String> marks,
-            StoreReady storeReady,
+            StoreSyncCheck storeReady,
             long now) {
         if (manifestService == null) return null;
         var healthyCells = healthyCells(service, now);
-        var closedCells = closed(service, marks);
+        var closedCells = closedCells(service, marks);
         var wantedHomes = cachedWantedHomes(service, closedCells, healthyCells);
         for (var step : service.steps)
             if (step.state == Rows.Step.ASKED) return resolveAskedStep(service, step, wantedHomes, storeReady, now);
@@ -93,10 +93,10 @@
      * changed or no confirmation came in time; null while it waits.
      */
     private StepMark resolveAskedStep(
-            Rows.Service service, Rows.Step step, int[] wantedHomes, StoreReady storeReady, long now) {
+            Rows.Service service, Rows.Step step, int[] wantedHomes, StoreSyncCheck storeReady, long now) {
         var askedAt = askedAtByStep.computeIfAbsent(service.name + "/" + step.id, key -> now);
         var isStillWanted = Arrays.stream(step.units).allMatch(unit -> wantedHomes[unit] == step.to);
-        var isConfirmed = isStillWanted && storeReady.test(step.to, step.index);
+        var isConfirmed = isStillWanted && storeReady.isSynced(step.to, step.index);
         if (!isConfirmed && isStillWanted && now - askedAt < CONFIRM_TIMEOUT_MICROS) return null;
         askedAtByStep.remove(service.name + "/" + step.id);
         var mark = new StepMark();
@@ -131,7 +131,7 @@
     }
 
     /** The same move as a plain table step, for members that cannot read step commands. */
-    public static TableStep plain(StepAsk ask) {
+    public static TableStep toTableStep(StepAsk ask) {
         var tableStep = new TableStep();
         tableStep.service = ask.service;
         tableStep.tableVersion = ask.tableVersion;
@@ -141,9 +141,9 @@
     }
 
     /** The cells that may take units: healthy and not closed. */
-    public BitSet open(Rows.Service service, Map<String, String> marks, long now) {
+    public BitSet openCells(Rows.Service service, Map<String, String> marks, long now) {
         var openCells = healthyCells(service, now);
-        openCells.andNot(closed(service, marks));
+        openCells.andNot(closedCells(service, marks));
         return openCells;
     }
 
@@ -160,7 +160,7 @@
                     service.heldUntil.size(),
                     closedCells,
                     healthyCells,
-                    Planner.wanted(service, closedCells, healthyCells));
+                    HomePlanner.wantedHomes(service, closedCells, healthyCells));
             wantedHomesByService.put(service.name, cached);
         }
         return cached.homes;
@@ -190,7 +190,7 @@
     }
 
     /** The cells that are closed by the marks of operators: emptied themselves or in an emptied zone. */
-    public static BitSet closed(Rows.Service service, Map<String, String> marks) {
+    public static BitSet closedCells(Rows.Service service, Map<String, String> marks) {
         var closedCells = new BitSet();
         for (var cell = 0; cell < service.cells.size(); cell++)
             if (Plan.EMPTIED.equals(marks.get("zone:" + service.zones.get(cell)))
@@ -212,7 +212,8 @@
                 continue;
             }
             healthySinceByCell.putIfAbsent(key, now);
-            if (now - healthySinceByCell.get(key) >= HOLD || cellsWithUnits.get(cell)) healthy.set(cell);
+            if (now - healthySinceByCell.get(key) >= HEALTHY_AFTER_MICROS || cellsWithUnits.get(cell))
+                healthy.set(cell);
         }
         return healthy;
     }
--- a/lib/control/src/main/java/craneway/control/store/Settings.java
+++ b/lib/control/src/main/java/craneway/control/store/CoreSettings.java
@@ -10,11 +10,12 @@
  * @param dark how long a runner may be silent before it is marked as dark
  * @param forgotten how long after its end a runner that left or went dark is forgotten; 0 for never
  */
-public record Settings(int founders, boolean seedsOnly, boolean firstStart, long dark, long forgotten) {
+public record CoreSettings(
+        int founderCount, boolean seedsOnly, boolean firstStart, long darkAfterMicros, long forgetAfterMicros) {
     private static final long DEFAULT_DARK_AFTER_MICROS = 3_000_000;
 
     /** Default settings: any store may be a founder, and runners are never forgotten. */
-    public static Settings of(int founderCount) {
-        return new Settings(founderCount, false, true, DEFAULT_DARK_AFTER_MICROS, 0);
+    public static CoreSettings of(int founderCount) {
+        return new CoreSettings(founderCount, false, true, DEFAULT_DARK_AFTER_MICROS, 0);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -16,7 +16,7 @@
      * A member counts as lapsed this long after its last renewal: the length of a lease and 300 ms for the way of the
      * messages.
      */
-    private static final long LAPSE_AFTER_MICROS = Membership.LEASE + 300_000;
+    private static final long LAPSE_AFTER_MICROS = Membership.LEASE_MICROS + 300_000;
     /** A lapsed member is removed this long, and its grace, after its last renewal. */
     private static final long FORGET_AFTER_MICROS = 60_000_000;
 
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -23,18 +23,18 @@
     private static final long JOIN_REQUESTS_COMPLETE_AFTER_MICROS = 1_000_000;
 
     /** What the leader knows of the stores of its group. Times are microseconds. */
-    public interface Knowledge {
+    public interface StoreStatus {
         /** Whether the disk of this store is known to be lost. */
-        boolean diskLost(long store);
+        boolean isDiskLost(long store);
 
         /** When the leader last heard the store. */
-        long heardFrom(long store);
+        long lastHeardAt(long store);
 
         /** Whether the store's replication is close enough to the end of the log for it to vote or to lead. */
-        boolean caughtUp(long store);
+        boolean isCaughtUp(long store);
 
         /** Whether the store holds every entry that the leader holds. */
-        boolean level(long store);
+        boolean holdsAllEntries(long store);
     }
 
     /** A request to join from a zone, valid until a time. */
@@ -43,12 +43,12 @@
     private final long selfId;
     private final Quorum quorum;
     private final TimingProfile timing;
-    private final Knowledge storeStatus;
+    private final StoreStatus storeStatus;
     private final Map<Long, JoinRequest> joinRequestByStore = new TreeMap<>();
     private final Map<Long, Long> leavingUntilByStore = new TreeMap<>();
 
     /** Creates the changes for a leader with this store id. */
-    public MembershipChanges(long selfId, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
+    public MembershipChanges(long selfId, Quorum quorum, TimingProfile timing, StoreStatus knowledge) {
         this.selfId = selfId;
         this.quorum = quorum;
         this.timing = timing;
@@ -58,29 +58,29 @@
     /**
      * Records that a store outside the group asks to join. The request has to be repeated before {@code validUntil}.
      */
-    public void wants(long store, String zone, long validUntil) {
+    public void requestJoin(long store, String zone, long validUntil) {
         leavingUntilByStore.remove(store);
         joinRequestByStore.put(store, new JoinRequest(zone, validUntil));
     }
 
     /** Records that a store is about to stop. It has to be repeated before {@code validUntil}. */
-    public void leaves(long store, long validUntil) {
+    public void announceLeave(long store, long validUntil) {
         joinRequestByStore.remove(store);
         leavingUntilByStore.put(store, validUntil);
     }
 
     /** Whether a store is about to stop. */
-    public boolean leaving(long store) {
+    public boolean isLeaving(long store) {
         return leavingUntilByStore.containsKey(store);
     }
 
     /** The members to propose next; empty if no change is due. */
-    public Optional<Members> next(Members members, long leadingSince, long now) {
+    public Optional<Members> nextChange(Members members, long leadingSince, long now) {
         dropExpired(members, now);
         var lostStore = memberWithLostDisk(members);
         if (lostStore != 0) return Optional.of(members.without(lostStore));
         if (members.learner != 0) return resolveLearner(members, leadingSince, now);
-        if (members.voters.length > quorum.voters()) return removeSurplusVoter(members, now);
+        if (members.voters.length > quorum.voterCount()) return removeSurplusVoter(members, now);
         return admitLearner(members, now);
     }
 
@@ -91,22 +91,23 @@
                 .entrySet()
                 .removeIf(entry -> now > entry.getValue().validUntil
                         || members.isMember(entry.getKey())
-                        || storeStatus.diskLost(entry.getKey()));
+                        || storeStatus.isDiskLost(entry.getKey()));
     }
 
     /** A member other than this leader whose disk is lost; 0 if there is none. */
     private long memberWithLostDisk(Members members) {
-        if (members.learner != 0 && storeStatus.diskLost(members.learner)) return members.learner;
-        for (var voter : members.voters) if (voter != selfId && storeStatus.diskLost(voter)) return voter;
+        if (members.learner != 0 && storeStatus.isDiskLost(members.learner)) return members.learner;
+        for (var voter : members.voters) if (voter != selfId && storeStatus.isDiskLost(voter)) return voter;
         return 0;
     }
 
     /** Promotes a learner that has caught up; removes one that leaves or has been silent for too long. */
     private Optional<Members> resolveLearner(Members members, long leadingSince, long now) {
         var leadingForMicros = now - leadingSince;
-        if (leaving(members.learner) || isSilent(members.learner, now) && leadingForMicros > timing.storeReplacementDelay())
+        if (isLeaving(members.learner)
+                || isSilent(members.learner, now) && leadingForMicros > timing.storeReplacementDelay())
             return Optional.of(members.without(members.learner));
-        if (storeStatus.caughtUp(members.learner) && leadingForMicros > timing.leaderSettleTime())
+        if (storeStatus.isCaughtUp(members.learner) && leadingForMicros > timing.leaderSettleTime())
             return Optional.of(withLearnerPromoted(members, now));
         return Optional.empty();
     }
@@ -116,13 +117,13 @@
      * would need one store more for a majority, and losing the new voter at that moment would leave none.
      */
     private Members withLearnerPromoted(Members members, long now) {
-        if (members.voters.length < quorum.voters()) return members.promoted();
+        if (members.voters.length < quorum.voterCount()) return members.promoted();
         for (var voter : members.voters) if (isSilent(voter, now)) return members.without(voter);
         return members.promoted();
     }
 
     private boolean isSilent(long store, long now) {
-        return store != selfId && now - storeStatus.heardFrom(store) >= timing.storeReplacementDelay();
+        return store != selfId && now - storeStatus.lastHeardAt(store) >= timing.storeReplacementDelay();
     }
 
     /** Removes the voter that the group can best do without. */
@@ -142,7 +143,7 @@
     private int removalRank(Members members, int index, long now) {
         var rank = quorum.unevennessWithout(members.zones, index);
         if (isSilent(members.voters[index], now)) return rank - (1 << 28);
-        return leaving(members.voters[index]) ? rank - (1 << 27) : rank;
+        return isLeaving(members.voters[index]) ? rank - (1 << 27) : rank;
     }
 
     /** Adds the store that asks to join and spreads the group best, if a voter is missing or the spread improves. */
@@ -152,7 +153,8 @@
                 .orElse(null);
         if (bestRequest == null) return Optional.empty();
         var zone = bestRequest.getValue().zone;
-        if (members.voters.length == quorum.voters() && !improvesSpread(members, zone, now)) return Optional.empty();
+        if (members.voters.length == quorum.voterCount() && !improvesSpread(members, zone, now))
+            return Optional.empty();
         return Optional.of(members.withLearner(bestRequest.getKey(), zone));
     }
 
@@ -165,7 +167,7 @@
         for (var i = 0; i < members.voters.length; i++) {
             if (members.voters[i] == selfId) continue;
             var unevennessAfter = quorum.unevennessAfterSwap(members.zones, i, zone);
-            var isGoingAway = isSilent(members.voters[i], now) || leaving(members.voters[i]);
+            var isGoingAway = isSilent(members.voters[i], now) || isLeaving(members.voters[i]);
             if (unevennessAfter < unevennessNow || unevennessAfter <= unevennessNow && isGoingAway) return true;
         }
         return false;
@@ -175,14 +177,15 @@
      * Whether a store that is about to stop may do so now: it is no longer a member; or no store is there to replace
      * it, and every other voter holds all entries that this one helped to commit.
      */
-    public boolean mayGo(long store, Members members, long leadingSince, long now) {
+    public boolean mayLeave(long store, Members members, long leadingSince, long now) {
         if (!members.isMember(store)) return true;
         var changing = members.learner != 0
-                || members.voters.length > quorum.voters()
+                || members.voters.length > quorum.voterCount()
                 || admitLearner(members, now).isPresent();
         if (changing || now - leadingSince < JOIN_REQUESTS_COMPLETE_AFTER_MICROS) return false;
         return Arrays.stream(members.voters)
-                .allMatch(voter -> voter == store || voter == selfId || leaving(voter) || storeStatus.level(voter));
+                .allMatch(voter ->
+                        voter == store || voter == selfId || isLeaving(voter) || storeStatus.holdsAllEntries(voter));
     }
 
     /**
@@ -191,40 +194,40 @@
      */
     public long preferredLeader(Members members, int part) {
         var candidates = Arrays.stream(members.voters)
-                .filter(voter -> !leaving(voter))
+                .filter(voter -> !isLeaving(voter))
                 .sorted()
                 .toArray();
         return candidates.length == 0 ? 0 : candidates[part % candidates.length];
     }
 
     /** Whether the group is complete and leadership may be transferred to this voter now. */
-    public boolean mayLead(long store, Members members, long now) {
-        if (store == 0 || store == selfId || leaving(store) || !members.isVoter(store)) return false;
-        return members.voters.length == quorum.voters()
+    public boolean canTakeLeadership(long store, Members members, long now) {
+        if (store == 0 || store == selfId || isLeaving(store) || !members.isVoter(store)) return false;
+        return members.voters.length == quorum.voterCount()
                 && members.learner == 0
                 && wasHeardRecently(store, now)
-                && storeStatus.caughtUp(store);
+                && storeStatus.isCaughtUp(store);
     }
 
     /**
      * The voter to transfer leadership to when this store stops: one heard lately that does not stop itself, if
      * possible one that has caught up; 0 if there is none.
      */
-    public long heir(Members members, long now) {
+    public long selectSuccessor(Members members, long now) {
         var reachable = Arrays.stream(members.voters)
                 .filter(voter -> voter != selfId && wasHeardRecently(voter, now))
                 .toArray();
         return Arrays.stream(reachable)
-                .filter(voter -> !leaving(voter) && storeStatus.caughtUp(voter))
+                .filter(voter -> !isLeaving(voter) && storeStatus.isCaughtUp(voter))
                 .findFirst()
                 .orElse(Arrays.stream(reachable)
-                        .filter(voter -> !leaving(voter))
+                        .filter(voter -> !isLeaving(voter))
                         .findFirst()
                         .orElse(0));
     }
 
     /** Whether the store was heard within an election timeout. */
     private boolean wasHeardRecently(long store, long now) {
-        return now - storeStatus.heardFrom(store) < timing.electionTimeout();
+        return now - storeStatus.lastHeardAt(store) < timing.electionTimeout();
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -1,12 +1,12 @@
 package craneway.control.store;
 
-import craneway.control.node.Directory;
 import craneway.control.node.Membership;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Port;
-import craneway.control.plan.Mover;
-import craneway.control.plan.Pressure;
-import craneway.control.plan.Signals;
-import craneway.control.plan.Watcher;
+import craneway.control.plan.PressureRelief;
+import craneway.control.plan.SignalHistory;
+import craneway.control.plan.StepWatcher;
+import craneway.control.plan.UnitMover;
 import craneway.model.event.Event;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
@@ -96,19 +96,19 @@
     private record PendingProposal(long term, Consumer<CommandResult> onResult) {}
 
     private final int part;
-    private final Settings settings;
+    private final CoreSettings settings;
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final Membership membership;
     private final Quorum quorum;
     private final TimingProfile timing;
     private final Executor executor;
     private final Group group;
     private final Records records = new Records();
-    private final Mover unitMover = new Mover();
-    private final Watcher stepWatcher = new Watcher();
-    private final Pressure pressureRelief = new Pressure();
-    private final Signals signalHistory = new Signals();
+    private final UnitMover unitMover = new UnitMover();
+    private final StepWatcher stepWatcher = new StepWatcher();
+    private final PressureRelief pressureRelief = new PressureRelief();
+    private final SignalHistory signalHistory = new SignalHistory();
     private final LoadHistory loadHistory = new LoadHistory();
     private final CommandFence commandFence = new CommandFence();
     private final ReentrantLock lock = new ReentrantLock();
@@ -149,13 +149,13 @@
             Folder folder,
             Members initialMembers,
             Port port,
-            Directory directory,
+            NodeDirectory directory,
             Membership membership,
-            Rules rules,
+            StoreOptions rules,
             Random random) {
         quorum = rules.quorum();
         timing = rules.timing();
-        executor = rules.executors().apply(part);
+        executor = rules.executorByPart().apply(part);
         settings = rules.settings();
         this.part = part;
         this.port = port;
@@ -179,7 +179,7 @@
      * Queues an event and schedules the executor if it is not scheduled yet; drops the event if the queue is full.
      * Safe for several threads.
      */
-    public void offer(Runnable event) {
+    public void enqueue(Runnable event) {
         if (eventQueue.offer(event) && drainScheduled.compareAndSet(false, true)) executor.execute(this::drainEvents);
     }
 
@@ -211,17 +211,17 @@
 
     /** Queues the periodic work: elections, heartbeats and, on the leader, scans and proposals. */
     public void tick() {
-        offer(() -> tick(port.now()));
+        enqueue(() -> tick(port.now()));
     }
 
     /** Queues a message of the replicated log. */
     public void receive(PartMessage message) {
-        offer(() -> group.receive(message, port.now()));
+        enqueue(() -> group.receive(message, port.now()));
     }
 
     /** Queues a query or command; the result is sent to the address in the request. */
     public void receive(CommandRequest request) {
-        offer(() -> handleCommandRequest(request, port.now()));
+        enqueue(() -> handleCommandRequest(request, port.now()));
     }
 
     /**
@@ -229,24 +229,24 @@
      * written.
      */
     public void receive(Renew renewal, Consumer<RenewReply> onReply) {
-        offer(() -> handleRenewal(renewal, port.now(), onReply));
+        enqueue(() -> handleRenewal(renewal, port.now(), onReply));
     }
 
     /** Queues a subscription to a topic of this part. */
     public void receive(Subscribe subscription) {
-        offer(() -> addSubscriber(subscription, port.now()));
+        enqueue(() -> addSubscriber(subscription, port.now()));
     }
 
     /**
      * Queues a request to join or to leave the group, or the leader's answer to this store's own request to leave.
      */
     public void receive(Join request) {
-        offer(() -> handleJoin(request, port.now()));
+        enqueue(() -> handleJoin(request, port.now()));
     }
 
     /** Queues the transfer of leadership to another store, if this one leads. */
     public void transferLeadership() {
-        offer(() -> transferLeadership(port.now()));
+        enqueue(() -> transferLeadership(port.now()));
     }
 
     /**
@@ -259,7 +259,7 @@
     }
 
     /** Whether this store leads the part and has applied everything that earlier terms committed. */
-    public boolean leads() {
+    public boolean isLeader() {
         return group.ready();
     }
 
@@ -275,7 +275,7 @@
 
     @Override
     public void send(PartMessage message) {
-        var recipient = directory.store(message.to);
+        var recipient = directory.storeById(message.to);
         if (recipient != null) port.send(recipient.peerAddress, message);
     }
 
@@ -287,7 +287,8 @@
                 proposal.term == term
                         ? (CommandResult) result
                         : Records.failure(
-                                ProblemKind.UNCERTAIN, "the leader of the part changed before the command was committed"));
+                                ProblemKind.UNCERTAIN,
+                                "the leader of the part changed before the command was committed"));
     }
 
     @Override
@@ -311,7 +312,8 @@
         if (leads) return;
         var orphaned = List.copyOf(pendingProposals.values());
         pendingProposals.clear();
-        orphaned.forEach(proposal -> proposal.onResult.accept(Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())));
+        orphaned.forEach(proposal ->
+                proposal.onResult.accept(Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())));
     }
 
     @Override
@@ -351,7 +353,7 @@
     /** The leader to redirect a sender to; null if none is known or if this store is the one that last led. */
     private Node otherLeader() {
         var leaderId = group.leader();
-        return leaderId == 0 || leaderId == directory.self().storeId ? null : directory.store(leaderId);
+        return leaderId == 0 || leaderId == directory.self().storeId ? null : directory.storeById(leaderId);
     }
 
     /**
@@ -537,11 +539,13 @@
             loadByRunner.put(key, command.load);
         }
         var cellIndex = service == null ? -1 : service.cells.indexOf(command.cell);
-        if (service == null) reply(request, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service));
+        if (service == null)
+            reply(request, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service));
         else if (cellIndex < 0 || !service.live(cellIndex))
             reply(
                     request,
-                    Records.failure(ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell));
+                    Records.failure(
+                            ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell));
         else if (isUnchanged) reply(request, Records.ok());
         else
             proposeCommand(request, command, result -> {
@@ -558,29 +562,29 @@
         status.part = part;
         status.leader = directory.self().name;
         status.term = group.term();
-        status.applied = group.applied();
+        status.appliedIndex = group.applied();
         var members = group.members();
         for (var i = 0; i < members.voters.length; i++)
-            status.group.add(storeName(members.voters[i]) + " (" + members.zones[i] + ")");
+            status.groupMembers.add(storeName(members.voters[i]) + " (" + members.zones[i] + ")");
         if (members.learner != 0)
-            status.group.add(storeName(members.learner) + " (" + members.learnerZone + ", learner)");
+            status.groupMembers.add(storeName(members.learner) + " (" + members.learnerZone + ", learner)");
         status.members.addAll(records.rows().members.values());
         status.services.addAll(records.rows().services.values());
         status.plans.addAll(records.rows().plans.values());
         status.manifest = records.rows().manifest;
-        status.loads.putAll(loadByRunner);
+        status.loadByRunner.putAll(loadByRunner);
         for (var serviceName : records.rows().services.keySet()) {
-            var peaks = new PartStatus.Peaks();
+            var peaks = new PartStatus.LoadPeaks();
             peaks.service = serviceName;
-            peaks.minutes = loadHistory.peaksNewestFirst(serviceName);
+            peaks.peakByMinute = loadHistory.peaksNewestFirst(serviceName);
             status.peaks.add(peaks);
         }
-        status.claims = records.rows().claims.size();
+        status.claimCount = records.rows().claims.size();
         return okWithBody(status);
     }
 
     private String storeName(long storeId) {
-        var node = directory.store(storeId);
+        var node = directory.storeById(storeId);
         return node == null ? "unreached" : node.name;
     }
 
@@ -595,10 +599,10 @@
             if (reportedVersion >= query.version
                     && !member.lapsed
                     && !memberLeases.earlierInstanceMayAct(member.node, now)) continue;
-            status.missing.add(member.node.name);
+            status.unconfirmedMembers.add(member.node.name);
             var grace = query.zone.isEmpty() || member.node.zone.equals(query.zone) ? member.node.grace : 0;
             if (member.node.isRouter() && memberLeases.mayStillAct(member.node, grace, now))
-                status.able.add(member.node.name);
+                status.routersStillActing.add(member.node.name);
         }
         return okWithBody(status);
     }
@@ -616,7 +620,7 @@
         }
         if (!renewal.leaving) pushStaleTopics(renewal, now);
         var member = records.rows().members.get(renewal.from.name);
-        if (member != null) directory.replaced(member.node, renewal.from);
+        if (member != null) directory.recordReplacement(member.node, renewal.from);
         var outranking = findOutrankingNode(renewal.from, member);
         if (outranking != null) {
             var reply = newRenewReply(renewal, ProblemKind.STALE_MEMBER.code());
@@ -649,7 +653,7 @@
      * store has heard. Null if the sender may renew.
      */
     private Node findOutrankingNode(Node sender, Rows.Member member) {
-        var known = member != null ? member.node : sender.life == 0 ? null : directory.named(sender.name);
+        var known = member != null ? member.node : sender.life == 0 ? null : directory.nodeByName(sender.name);
         if (known == null) return null;
         var isNewer = known.incarnation > sender.incarnation;
         return isNewer || member != null && known.incarnation == sender.incarnation && known.otherLife(sender)
@@ -804,7 +808,8 @@
             for (var runner : service.runners.values()) {
                 var key = service.name + "/" + runner.name;
                 var heardAt = runnerHeardAt.computeIfAbsent(key, absentKey -> now);
-                if (!runner.up() || now - heardAt <= settings.dark() || wasAlreadyProposed("dark/" + key)) continue;
+                if (!runner.up() || now - heardAt <= settings.darkAfterMicros() || wasAlreadyProposed("dark/" + key))
+                    continue;
                 var command = new Commands.RunnerMark();
                 command.service = service.name;
                 command.runner = runner.name;
@@ -820,16 +825,16 @@
         if (request.answer) plannedLeave.recordAnswer(request.mayGo, now);
         else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
         else if (group.hasLease(now) && !group.members().isMember(request.from.storeId))
-            membershipChanges.wants(request.from.storeId, request.from.zone, now + JOIN_REQUEST_TTL_MICROS);
+            membershipChanges.requestJoin(request.from.storeId, request.from.zone, now + JOIN_REQUEST_TTL_MICROS);
     }
 
     private void handleLeaveRequest(Join request, long now) {
-        membershipChanges.leaves(request.from.storeId, now + JOIN_REQUEST_TTL_MICROS);
+        membershipChanges.announceLeave(request.from.storeId, now + JOIN_REQUEST_TTL_MICROS);
         var answer = new Join();
         answer.part = part;
         answer.from = directory.self();
         answer.answer = true;
-        answer.mayGo = membershipChanges.mayGo(request.from.storeId, group.members(), leaderSince, now);
+        answer.mayGo = membershipChanges.mayLeave(request.from.storeId, group.members(), leaderSince, now);
         port.send(request.from.peerAddress, answer);
     }
 
@@ -837,34 +842,36 @@
      * Whether this store, which has been stopping since {@code stoppingSince}, still has to stay for the sake of this
      * part.
      */
-    public boolean needed(long stoppingSince, long now) {
+    public boolean isNeeded(long stoppingSince, long now) {
         return plannedLeave.isNeeded(
                 stoppingSince, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
     }
 
     private void proposeMembershipChange(long now) {
-        membershipChanges.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
+        membershipChanges
+                .nextChange(group.members(), leaderSince, now)
+                .ifPresent(next -> group.changeMembers(next, now));
     }
 
     /** What this leader knows of the other stores of its group. */
-    private final class GroupStoreStatus implements MembershipChanges.Knowledge {
+    private final class GroupStoreStatus implements MembershipChanges.StoreStatus {
         @Override
-        public boolean diskLost(long store) {
-            return directory.gone(store);
+        public boolean isDiskLost(long store) {
+            return directory.isDiskLost(store);
         }
 
         @Override
-        public long heardFrom(long store) {
+        public long lastHeardAt(long store) {
             return group.heardFrom(store);
         }
 
         @Override
-        public boolean caughtUp(long store) {
+        public boolean isCaughtUp(long store) {
             return group.caughtUp(store, port.now());
         }
 
         @Override
-        public boolean level(long store) {
+        public boolean holdsAllEntries(long store) {
             return group.matchOf(store) >= group.lastIndex();
         }
     }
@@ -882,13 +889,13 @@
         if (now - lastAgedAt < AGING_INTERVAL_MICROS) return;
         var rows = records.rows();
         var anyCellHeld = rows.services.values().stream().anyMatch(service -> !service.heldUntil.isEmpty());
-        var anyRunnerEnded = settings.forgotten() > 0
+        var anyRunnerEnded = settings.forgetAfterMicros() > 0
                 && rows.services.values().stream()
                         .anyMatch(service -> service.runners.values().stream().anyMatch(runner -> !runner.up()));
         if (anyCellHeld || anyRunnerEnded || rows.claimsLost || !rows.claims.isEmpty() || !rows.quotas.isEmpty()) {
             var command = new Commands.Age();
             command.micros = now - lastAgedAt;
-            command.forgotten = settings.forgotten();
+            command.forgotten = settings.forgetAfterMicros();
             var manifest = membership.view().manifest();
             command.retention = manifest == null ? 86_400_000_000L : manifest.claimRetention();
             propose(command);
@@ -903,10 +910,10 @@
         for (var service : view.manifest().services().values()) {
             if (Parts.partOf(service.name()) != part) continue;
             var row = records.rows().services.get(service.name());
-            if (row != null && row.manifestVersion >= view.topic().version
+            if (row != null && row.manifestVersion >= view.manifestRow().version
                     || wasAlreadyProposed("sync/" + service.name())) continue;
             propose(
-                    newServiceSync(service, view.manifest(), view.topic().version),
+                    newServiceSync(service, view.manifest(), view.manifestRow().version),
                     result -> openProposalKeys.remove("sync/" + service.name()));
         }
     }
@@ -957,19 +964,19 @@
      * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table
      * steps.
      */
-    private Object nextStepCommand(Rows.Service service, Membership.View view, long now) {
-        var openCells = unitMover.open(service, view.topic().marks, now);
-        var stepMark = stepWatcher.judge(service, signalHistory, openCells, now);
+    private Object nextStepCommand(Rows.Service service, Membership.CoreView view, long now) {
+        var openCells = unitMover.openCells(service, view.manifestRow().marks, now);
+        var stepMark = stepWatcher.nextVerdict(service, signalHistory, openCells, now);
         if (stepMark != null) return stepMark;
-        var step = unitMover.step(
+        var step = unitMover.nextStep(
                 service,
                 view.manifest().service(service.name),
-                view.topic().marks,
+                view.manifestRow().marks,
                 (cell, index) -> isZoneStoreSynced(service, cell, index, now),
                 now);
         if (lowestWireVersion() < Node.STEPS)
-            return step instanceof Commands.StepAsk stepAsk ? Mover.plain(stepAsk) : step;
-        return step != null ? step : pressureRelief.ask(service, loadByRunner, openCells, now);
+            return step instanceof Commands.StepAsk stepAsk ? UnitMover.toTableStep(stepAsk) : step;
+        return step != null ? step : pressureRelief.nextDisplacement(service, loadByRunner, openCells, now);
     }
 
     private int lowestWireVersion() {
@@ -1014,10 +1021,11 @@
 
     /** Transfers leadership to the preferred store once this leader has led for a while. */
     private void balanceLeaders(long now) {
-        if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.leaderSettleTime())) return;
+        if (now - leaderSince < (timing.lowTraffic() ? LOW_TRAFFIC_BALANCE_DELAY_MICROS : timing.leaderSettleTime()))
+            return;
         var members = group.members();
         var preferred = preferredLeader(members);
-        if (membershipChanges.mayLead(preferred, members, now) && directory.store(preferred) != null)
+        if (membershipChanges.canTakeLeadership(preferred, members, now) && directory.storeById(preferred) != null)
             group.transferLeadership(preferred, now);
     }
 
@@ -1034,7 +1042,7 @@
     /** Transfers leadership to the best successor, if there is one. */
     private void transferLeadership(long now) {
         if (!group.ready()) return;
-        var successor = membershipChanges.heir(group.members(), now);
+        var successor = membershipChanges.selectSuccessor(group.members(), now);
         if (successor != 0) group.transferLeadership(successor, now);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PartStatus.java
+++ b/lib/control/src/main/java/craneway/control/store/PartStatus.java
@@ -14,24 +14,24 @@
     public int part;
     public String leader;
     public long term;
-    public long applied;
-    public int claims;
+    public long appliedIndex;
+    public int claimCount;
     public Rows.Manifest manifest;
     /** The voters and the learner, each as "name (zone)". */
-    public List<String> group = new ArrayList<>();
+    public List<String> groupMembers = new ArrayList<>();
 
     public List<Rows.Member> members = new ArrayList<>();
     public List<Rows.Service> services = new ArrayList<>();
     /** The load of each runner as it reported it, by "service/runner". */
-    public TreeMap<String, Integer> loads = new TreeMap<>();
+    public TreeMap<String, Integer> loadByRunner = new TreeMap<>();
 
     public List<Plan> plans = new ArrayList<>();
-    public List<Peaks> peaks = new ArrayList<>();
+    public List<LoadPeaks> peaks = new ArrayList<>();
 
     /** The peak loads of one service. */
-    public static final class Peaks {
+    public static final class LoadPeaks {
         public String service;
         /** The peak of each minute, the current minute first. */
-        public int[] minutes = {};
+        public int[] peakByMinute = {};
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Quorum.java
+++ b/lib/control/src/main/java/craneway/control/store/Quorum.java
@@ -12,15 +12,15 @@
  * @param voters the number of voters in each group
  * @param regions the region of each zone, by zone; a zone without an entry counts as a region of its own
  */
-public record Quorum(int voters, Map<String, String> regions) {
+public record Quorum(int voterCount, Map<String, String> regionByZone) {
     /** Makes the spread over regions count before the spread over zones, whose sum of squares is far smaller. */
     private static final int REGION_WEIGHT = 1_000;
 
     /** Three voters, each zone a region of its own. */
-    public static final Quorum THREE = new Quorum(3, Map.of());
+    public static final Quorum THREE_VOTERS = new Quorum(3, Map.of());
 
     /** Enough voters to keep a majority when {@code losses} stores lose their disks at the same time. */
-    public static Quorum of(int losses, Map<String, String> regions) {
+    public static Quorum toleratingLosses(int losses, Map<String, String> regions) {
         return new Quorum(2 * losses + 1, regions);
     }
 
@@ -29,7 +29,7 @@
         var storesByRegion = new HashMap<String, Integer>();
         var storesByZone = new HashMap<String, Integer>();
         for (var zone : zones) {
-            storesByRegion.merge(regions.getOrDefault(zone, zone), 1, Integer::sum);
+            storesByRegion.merge(regionByZone.getOrDefault(zone, zone), 1, Integer::sum);
             storesByZone.merge(zone, 1, Integer::sum);
         }
         return REGION_WEIGHT * sumOfSquares(storesByRegion) + sumOfSquares(storesByZone);
--- a/lib/control/src/main/java/craneway/control/store/Rebuild.java
+++ b/lib/control/src/main/java/craneway/control/store/RebuildProposal.java
@@ -14,9 +14,9 @@
  * @param kept what this store holds, one line for each part
  * @param mayBeLost what may be lost
  */
-public record Rebuild(String token, int generation, List<String> kept, List<String> mayBeLost) {
+public record RebuildProposal(String confirmationToken, int generation, List<String> kept, List<String> mayBeLost) {
     /** The proposal for the current state of the replicas. */
-    static Rebuild of(Founding founding, PartReplica[] replicas) {
+    static RebuildProposal of(Founding founding, PartReplica[] replicas) {
         var hash = founding.coreId;
         var kept = new ArrayList<String>();
         for (var replica : replicas) {
@@ -29,7 +29,7 @@
                             ? ", manifest " + rows.manifest.version + " and its marks"
                             : ", tables of " + rows.services.keySet()));
         }
-        return new Rebuild(
+        return new RebuildProposal(
                 Long.toHexString(hash),
                 founding.generation + 1,
                 kept,
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -1,12 +1,12 @@
 package craneway.control.store;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.Directory;
 import craneway.control.node.Membership;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Port;
 import craneway.model.event.Event;
-import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
 import craneway.state.disk.DiskException;
@@ -47,7 +47,7 @@
  * each part, and takes part in the core as a node with leases of its own.
  *
  * <p>The owner calls {@link #tick}, or {@link #tickNode} and {@link #tickPart} from several threads, every few
- * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link Rules}.
+ * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link StoreOptions}.
  */
 public final class Store {
     /** Holds the id of this store, drawn at random when its folder was empty. */
@@ -85,13 +85,13 @@
 
     private final Port port;
     private final Folder folder;
-    private final Rules rules;
+    private final StoreOptions rules;
     private final Executor saveExecutor;
-    private final Settings settings;
+    private final CoreSettings settings;
     private final List<String> seeds;
     private Set<String> founderAddresses;
     private final Random random;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
     private final Queue<RenewReplyBatch> replyBatches = new ConcurrentLinkedQueue<>();
@@ -105,7 +105,7 @@
 
     /** Opens a store with default rules that founds a core with {@code founderCount} empty stores. */
     public Store(Port port, Folder folder, Node self, List<String> seeds, int founderCount, Random random) {
-        this(port, folder, self, seeds, Rules.of(founderCount), random);
+        this(port, folder, self, seeds, StoreOptions.of(founderCount), random);
     }
 
     /**
@@ -115,17 +115,17 @@
      * @param seeds addresses of stores to contact first
      * @param random also the source of the ids of this store and of its client
      */
-    public Store(Port port, Folder folder, Node self, List<String> seeds, Rules rules, Random random) {
+    public Store(Port port, Folder folder, Node self, List<String> seeds, StoreOptions rules, Random random) {
         this.port = port;
         this.folder = folder;
         this.rules = rules;
-        saveExecutor = rules.executors().apply(Parts.MANIFEST_PART);
+        saveExecutor = rules.executorByPart().apply(Parts.MANIFEST_PART);
         settings = rules.settings();
         this.seeds = seeds;
         this.random = random;
         self.storeId = loadOrCreateIdentity();
         if (self.life != 0) self.incarnation = self.above(loadLastIncarnation());
-        directory = new Directory(port, self, withKnownStores(seeds), rules.timing());
+        directory = new NodeDirectory(port, self, withKnownStores(seeds), rules.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, rules.timing());
         reopenCore();
@@ -153,7 +153,7 @@
     }
 
     /** The nodes that this store knows. */
-    public Directory directory() {
+    public NodeDirectory directory() {
         return directory;
     }
 
@@ -300,7 +300,7 @@
      */
     public void tickNode() {
         var now = port.now();
-        if (directory.newer() != null) followNewerCore(directory.newer());
+        if (directory.newerFounding() != null) followNewerCore(directory.newerFounding());
         directory.tick(now);
         if (directory.self().coreId == 0) tryFoundCore(now);
         membership.tick(now);
@@ -321,21 +321,22 @@
      */
     private void followNewerCore(Founding founding) {
         port.logEvent(
-                Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+                Event.GENERATION_SUPERSEDED,
+                "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         closeReplicas();
         setAllFilesAside("generation " + founding.generation + " of the core replaces this one");
         founderAddresses = Set.of();
-        directory.follow(founding);
+        directory.followCore(founding);
         directory.self().storeId = loadOrCreateIdentity();
         directory.self().coreId = 0;
-        membership.follow();
+        membership.followCore();
     }
 
     /**
      * Proposes to rebuild the core from this store alone. Refused if a leader was heard lately or a majority of a
      * part can be reached.
      */
-    public Either<Problem, Rebuild> rebuild() {
+    public Either<Problem, RebuildProposal> rebuild() {
         var now = port.now();
         var founding = directory.founding();
         if (replicas.length == 0 || founding == null)
@@ -344,27 +345,28 @@
             var part = replica.group().part();
             var reachableVoters = 0;
             for (var voter : replica.group().members().voters) {
-                var node = directory.store(voter);
-                if (voter == directory.self().storeId || node != null && directory.heard(node.name, now))
+                var node = directory.storeById(voter);
+                if (voter == directory.self().storeId || node != null && directory.wasHeardRecently(node.name, now))
                     reachableVoters++;
             }
             if (replica.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
                     || reachableVoters >= replica.group().members().majority()
                             && replica.group().members().voters.length > 1)
                 return Either.left(Problem.of(
-                        ProblemKind.BAD_INTENT, "a majority of part " + part + " is alive; there is nothing to rebuild"));
+                        ProblemKind.BAD_INTENT,
+                        "a majority of part " + part + " is alive; there is nothing to rebuild"));
         }
-        return Either.right(Rebuild.of(founding, replicas));
+        return Either.right(RebuildProposal.of(founding, replicas));
     }
 
     /**
      * Rebuilds the core from this store's data as a new generation with this store as its only member. The token must
      * be that of the current proposal, so that an operator confirms the state that was shown.
      */
-    public Either<Problem, Rebuild> rebuild(String token) {
+    public Either<Problem, RebuildProposal> rebuild(String token) {
         var proposal = rebuild();
         if (proposal.isLeft()) return proposal;
-        if (!proposal.get().token().equals(token))
+        if (!proposal.get().confirmationToken().equals(token))
             return Either.left(Problem.of(
                     ProblemKind.STALE_PLAN,
                     "the state of this store changed after the rebuild was proposed; request a new proposal"));
@@ -377,9 +379,10 @@
         founding.zones = new String[] {self.zone};
         closeReplicas();
         folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
-        port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
-        directory.follow(founding);
-        membership.follow();
+        port.logEvent(
+                Event.CORE_REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        directory.followCore(founding);
+        membership.followCore();
         startReplicas(founding);
         return proposal;
     }
@@ -434,8 +437,8 @@
      * of.
      */
     private void tryFoundCore(long now) {
-        var recentlyHeard = directory.known().stream()
-                .filter(known -> now - known.heard < Directory.STALE)
+        var recentlyHeard = directory.knownNodes().stream()
+                .filter(known -> now - known.lastHeardAt < NodeDirectory.RECENTLY_HEARD_MICROS)
                 .toList();
         var founding = directory.founding();
         if (founding != null) {
@@ -452,12 +455,12 @@
                 .forEach(emptyStores::add);
         emptyStores.sort(Comparator.comparingLong(node -> node.storeId));
         var digest = digestOf(emptyStores);
-        directory.seen(digest);
+        directory.setEmptyStoresDigest(digest);
         var allAgree = recentlyHeard.stream()
                 .filter(known -> known.node.kind.equals(Node.STORE) && mayFound(known.node))
-                .allMatch(known -> known.seen == digest);
+                .allMatch(known -> known.emptyStoresDigest == digest);
         var mayFoundCore = !settings.seedsOnly() || !founderAddresses.isEmpty();
-        if (mayFoundCore && emptyStores.size() == settings.founders() && allAgree)
+        if (mayFoundCore && emptyStores.size() == settings.founderCount() && allAgree)
             adoptCore(newFounding(emptyStores, digest));
         else if (now >= nextWaitingLogAt) logWaitingToFound(emptyStores, now);
     }
@@ -468,7 +471,7 @@
                 Event.WAITING_TO_BOOTSTRAP,
                 "sees " + emptyStores.size() + " empty stores "
                         + emptyStores.stream().map(node -> node.name).toList() + " and needs exactly "
-                        + settings.founders()
+                        + settings.founderCount()
                         + " that see each other");
     }
 
@@ -561,14 +564,14 @@
      * <p>@return whether this store is still needed: it leads a part, its replacement is not a voter yet, or another
      * voter lacks entries that this one holds
      */
-    public boolean leave() {
+    public boolean continuePlannedLeave() {
         var now = port.now();
         if (leavingSince == 0) {
             leavingSince = now;
             nextJoinAt = now;
         }
         var stillNeeded = now - leavingSince < HANDOVER_TIMEOUT_MICROS && transferLeadership();
-        for (var replica : replicas) stillNeeded |= replica.needed(leavingSince, now);
+        for (var replica : replicas) stillNeeded |= replica.isNeeded(leavingSince, now);
         return stillNeeded;
     }
 
@@ -576,7 +579,7 @@
     public boolean transferLeadership() {
         var leadsAny = false;
         for (var replica : replicas) {
-            if (!replica.leads()) continue;
+            if (!replica.isLeader()) continue;
             leadsAny = true;
             replica.transferLeadership();
         }
--- a/lib/control/src/main/java/craneway/control/store/Rules.java
+++ b/lib/control/src/main/java/craneway/control/store/StoreOptions.java
@@ -13,20 +13,21 @@
  * @param executors the executor on which each part works; with a thread of its own, a part whose disk hangs
  *     delays no other
  */
-public record Rules(Settings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
+public record StoreOptions(
+        CoreSettings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executorByPart) {
     /** Options with the default settings for this number of founders. */
-    public Rules(int founderCount, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
-        this(Settings.of(founderCount), quorum, timing, executors);
+    public StoreOptions(int founderCount, Quorum quorum, TimingProfile timing, IntFunction<Executor> executorByPart) {
+        this(CoreSettings.of(founderCount), quorum, timing, executorByPart);
     }
 
     /**
      * Standard options: all parts run on the calling thread, and three stores vote, or all founders if there are
      * more.
      */
-    public static Rules of(int founderCount) {
-        return new Rules(
+    public static StoreOptions of(int founderCount) {
+        return new StoreOptions(
                 founderCount,
-                founderCount > 3 ? new Quorum(founderCount, Quorum.THREE.regions()) : Quorum.THREE,
+                founderCount > 3 ? new Quorum(founderCount, Quorum.THREE_VOTERS.regionByZone()) : Quorum.THREE_VOTERS,
                 TimingProfile.STANDARD,
                 part -> Runnable::run);
     }
--- a/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
+++ b/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
@@ -55,13 +55,13 @@
     }
 
     private CoreClient coreClient(long life, Node self) {
-        var client = new CoreClient(port, new Directory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), life);
+        var client = new CoreClient(port, new NodeDirectory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), life);
         client.leader(0, new Node("s2", Node.STORE, "z2", "s2", 1));
         return client;
     }
 
     private void sendZoneOrder() {
-        coreClient.ask(0, new Commands.ZoneMark(), TIMEOUT_MICROS, results::add);
+        coreClient.request(0, new Commands.ZoneMark(), TIMEOUT_MICROS, results::add);
     }
 
     /** The copy that was sent last. */
@@ -159,7 +159,7 @@
 
     @Test
     void sendsAQueryAtOnceAndWithoutABound() {
-        coreClient.ask(0, new Queries.ManifestGet(), TIMEOUT_MICROS, results::add);
+        coreClient.request(0, new Queries.ManifestGet(), TIMEOUT_MICROS, results::add);
         assertTrue(lastSent().body.length > 0);
         assertEquals(0, lastSent().term);
     }
--- a/lib/control/src/test/java/craneway/control/operator/WakeGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -9,12 +9,12 @@
  * Checks that a process that stood still refuses the orders that piled up meanwhile: their callers have given up, and
  * may have had the reverse order acknowledged elsewhere.
  */
-class WakeGuardTest {
+class PauseGuardTest {
     private static final long START_MICROS = -7_000_000;
     private static final long TICK_MICROS = 20_000;
 
-    private final WakeGuard guard = new WakeGuard(START_MICROS);
-    private final WakeGuard.Connection connection = new WakeGuard.Connection();
+    private final PauseGuard guard = new PauseGuard(START_MICROS);
+    private final PauseGuard.Connection connection = new PauseGuard.Connection();
     private long now = START_MICROS;
 
     /** Lets time pass with regular ticks. */
@@ -27,7 +27,7 @@
         now += micros;
     }
 
-    private boolean admitsNow(WakeGuard.Connection fromConnection) {
+    private boolean admitsNow(PauseGuard.Connection fromConnection) {
         return guard.admits(fromConnection, now, now);
     }
 
@@ -36,14 +36,14 @@
         assertTrue(admitsNow(connection));
         tickFor(3_000_000);
         assertTrue(admitsNow(connection));
-        assertTrue(admitsNow(new WakeGuard.Connection()));
+        assertTrue(admitsNow(new PauseGuard.Connection()));
     }
 
     @Test
     void refusesOrdersReadBeforeTheFirstTickAfterAPause() {
         tickFor(1_000_000);
         standStill(1_000_000);
-        assertFalse(admitsNow(new WakeGuard.Connection()));
+        assertFalse(admitsNow(new PauseGuard.Connection()));
         assertFalse(admitsNow(connection));
     }
 
@@ -53,16 +53,16 @@
         standStill(1_000_000);
         guard.tick(now);
         assertFalse(admitsNow(connection));
-        tickFor(WakeGuard.SETTLE - 2 * TICK_MICROS);
-        assertFalse(admitsNow(new WakeGuard.Connection()));
+        tickFor(PauseGuard.SETTLE_MICROS - 2 * TICK_MICROS);
+        assertFalse(admitsNow(new PauseGuard.Connection()));
     }
 
     @Test
     void admitsNewConnectionsOnceThePauseHasSettled() {
         tickFor(1_000_000);
         standStill(20_000_000);
-        tickFor(WakeGuard.SETTLE + 2 * TICK_MICROS);
-        assertTrue(admitsNow(new WakeGuard.Connection()));
+        tickFor(PauseGuard.SETTLE_MICROS + 2 * TICK_MICROS);
+        assertTrue(admitsNow(new PauseGuard.Connection()));
     }
 
     @Test
@@ -80,8 +80,8 @@
         tickFor(1_000_000);
         var readStartedAt = now;
         standStill(2_000_000);
-        tickFor(WakeGuard.SETTLE + 2 * TICK_MICROS);
-        assertFalse(guard.admits(new WakeGuard.Connection(), readStartedAt, now));
+        tickFor(PauseGuard.SETTLE_MICROS + 2 * TICK_MICROS);
+        assertFalse(guard.admits(new PauseGuard.Connection(), readStartedAt, now));
     }
 
     @Test
@@ -94,7 +94,7 @@
     @Test
     void slightlyLateTicksAreNoPause() {
         for (var round = 0; round < 50; round++) {
-            standStill(WakeGuard.GAP - TICK_MICROS);
+            standStill(PauseGuard.MAX_TICK_GAP_MICROS - TICK_MICROS);
             guard.tick(now);
             assertTrue(admitsNow(connection));
         }
@@ -103,12 +103,13 @@
     @Test
     void detectsEveryPauseLongerThanACallerWaitsWhereverItFallsBetweenTicks() {
         for (var runningFor = 0L; runningFor <= 100_000; runningFor += 1_000) {
-            var pausedGuard = new WakeGuard(START_MICROS);
+            var pausedGuard = new PauseGuard(START_MICROS);
             var lastTick = START_MICROS;
             while (lastTick + TICK_MICROS <= START_MICROS + runningFor) pausedGuard.tick(lastTick += TICK_MICROS);
             var resumedAt = START_MICROS + runningFor + 1_000_000;
             assertFalse(
-                    pausedGuard.admits(new WakeGuard.Connection(), resumedAt, resumedAt), "frozen after " + runningFor);
+                    pausedGuard.admits(new PauseGuard.Connection(), resumedAt, resumedAt),
+                    "frozen after " + runningFor);
         }
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/QuorumTest.java
+++ b/lib/control/src/test/java/craneway/control/store/QuorumTest.java
@@ -10,11 +10,11 @@
 /** Checks how the spread of voters over regions and zones is compared. */
 class QuorumTest {
     private final Quorum fiveVoters =
-            Quorum.of(2, Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b", "c1", "c", "c2", "c"));
+            Quorum.toleratingLosses(2, Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b", "c1", "c", "c2", "c"));
 
     @Test
     void toleratingTwoLossesTakesFiveVoters() {
-        assertEquals(5, fiveVoters.voters());
+        assertEquals(5, fiveVoters.voterCount());
     }
 
     @Test
@@ -34,6 +34,7 @@
 
     @Test
     void withoutRegionsEachZoneCountsAsARegion() {
-        assertTrue(Quorum.THREE.unevenness(List.of("x", "y", "z")) < Quorum.THREE.unevenness(List.of("x", "x", "z")));
+        assertTrue(Quorum.THREE_VOTERS.unevenness(List.of("x", "y", "z"))
+                < Quorum.THREE_VOTERS.unevenness(List.of("x", "x", "z")));
     }
 }
--- a/lib/http/src/main/java/craneway/http/CallerPresence.java
+++ b/lib/http/src/main/java/craneway/http/CallerPresence.java
@@ -1,6 +1,6 @@
 package craneway.http;
 
-import craneway.control.operator.WakeGuard;
+import craneway.control.operator.PauseGuard;
 import craneway.model.event.Event;
 import craneway.model.event.EventSink;
 import io.undertow.server.HttpServerExchange;
@@ -15,12 +15,12 @@
  * another node and a reverse one after it. Safe for several threads.
  */
 public final class CallerPresence {
-    private static final AttachmentKey<WakeGuard.Connection> CONNECTION =
-            AttachmentKey.create(WakeGuard.Connection.class);
+    private static final AttachmentKey<PauseGuard.Connection> CONNECTION =
+            AttachmentKey.create(PauseGuard.Connection.class);
 
     private final LongSupplier now;
     private final EventSink log;
-    private final WakeGuard guard;
+    private final PauseGuard guard;
 
     /**
      * Creates the check.
@@ -31,7 +31,7 @@
     public CallerPresence(LongSupplier now, EventSink log) {
         this.now = now;
         this.log = log;
-        guard = new WakeGuard(now.getAsLong());
+        guard = new PauseGuard(now.getAsLong());
     }
 
     /** Returns the time of the monotonic clock, in microseconds. */
@@ -61,11 +61,11 @@
         return false;
     }
 
-    private static WakeGuard.Connection guardStateOf(HttpServerExchange exchange) {
+    private static PauseGuard.Connection guardStateOf(HttpServerExchange exchange) {
         var connection = exchange.getConnection();
         var known = connection.getAttachment(CONNECTION);
         if (known != null) return known;
-        var created = new WakeGuard.Connection();
+        var created = new PauseGuard.Connection();
         connection.putAttachment(CONNECTION, created);
         return created;
     }
