--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -87,7 +87,7 @@
     private static String describeDegradation(SignalHistory.CellTotals baseline, SignalHistory.CellTotals current) {
         if (current.problems() >= MIN_SAMPLES && current.problemShare() > 0.1 + 2 * baseline.problemShare())
             return String.format(
-                    "problems rose from %.2f to %.2f of its requests", baseline.problemShare(), current.problemShare());
+                    "problems rose from %.2f to %.2f of its work", baseline.problemShare(), current.problemShare());
         if (current.runs() >= MIN_SAMPLES
                 && baseline.runs() >= MIN_SAMPLES
                 && current.meanFirstTokenMicros() > SLOW_FIRST_TOKEN_MICROS
--- a/lib/control/src/main/java/craneway/control/plan/UnitMover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -104,9 +104,7 @@
         mark.id = step.id;
         mark.state = isConfirmed ? Rows.Step.RAISED : Rows.Step.DROPPED;
         if (!isConfirmed)
-            mark.cause = isStillWanted
-                    ? "the store in the zone of the new home did not confirm the step in time"
-                    : "the wanted home changed before the step was confirmed";
+            mark.cause = isStillWanted ? "the new home's store did not confirm" : "the wanted home changed";
         return mark;
     }
 
