--- a/lib/data/src/main/java/craneway/data/placement/ColdShare.java
+++ b/lib/data/src/main/java/craneway/data/placement/ColdShare.java
@@ -6,31 +6,51 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Who may send to a cold runner, and how often: a few routers drawn by rendezvous hash, one request each in a second. */
+/**
+ * Limits how fast the routers together send requests to a cold runner, without coordination between them. Rendezvous
+ * hashing selects a few routers for each cold runner, and each of those sends it about one request per second.
+ *
+ * <p>Times are microseconds of the steady clock. Not thread-safe.
+ */
 public final class ColdShare {
-    private static final long GAP = 1_050_000;
-    private static final double CAREFUL = 0.8;
+    /** Minimum time between two requests of this router to one cold runner: one second plus a margin of 5 %. */
+    private static final long MIN_DISPATCH_INTERVAL_MICROS = 1_050_000;
 
-    private final String self;
-    private final Map<String, Long> last = new HashMap<>();
+    /** Share of the runner's cold rate that the selected routers may use together. */
+    private static final double RATE_SAFETY_FACTOR = 0.8;
 
-    public ColdShare(String self) {
-        this.self = self;
+    private final String routerName;
+    private final Map<String, Long> lastDispatchAt = new HashMap<>();
+
+    /** Creates the limiter of the router with this name. */
+    public ColdShare(String routerName) {
+        this.routerName = routerName;
     }
 
-    /** True if this router may send one request now to a runner that bears {@code perSecond} while cold. */
-    public boolean may(String runner, double perSecond, Collection<String> routers, long now) {
-        var seats = perSecond <= 0 ? 1 : Math.max(1, (int) (perSecond * CAREFUL));
-        var key = Hash.of(runner);
-        var mine = Rendezvous.weight(key, self);
-        var before = 0;
-        for (var r : routers)
-            if (!r.equals(self) && Long.compareUnsigned(Rendezvous.weight(key, r), mine) > 0) before++;
-        return before < seats && now - last.getOrDefault(runner, Long.MIN_VALUE / 2) >= GAP;
+    /**
+     * Returns whether this router may send a request to a cold runner now.
+     *
+     * @param coldRequestsPerSecond the rate that the runner can serve while it is cold; at 0 or below, one router is
+     *     selected
+     * @param routers the names of all serving routers; this router counts whether or not it is among them
+     */
+    public boolean may(String runner, double coldRequestsPerSecond, Collection<String> routers, long now) {
+        var selectedRouters =
+                coldRequestsPerSecond <= 0 ? 1 : Math.max(1, (int) (coldRequestsPerSecond * RATE_SAFETY_FACTOR));
+        var runnerHash = Hash.of(runner);
+        var ownWeight = Rendezvous.weight(runnerHash, routerName);
+        var higherRanked = 0;
+        for (var router : routers)
+            if (!router.equals(routerName)
+                    && Long.compareUnsigned(Rendezvous.weight(runnerHash, router), ownWeight) > 0) higherRanked++;
+        return higherRanked < selectedRouters
+                && now - lastDispatchAt.getOrDefault(runner, Long.MIN_VALUE / 2) >= MIN_DISPATCH_INTERVAL_MICROS;
     }
 
+    /** Records that this router sent a request to a cold runner. */
     public void sent(String runner, long now) {
-        last.put(runner, now);
-        if (last.size() > 1_000) last.values().removeIf(t -> now - t > GAP);
+        lastDispatchAt.put(runner, now);
+        if (lastDispatchAt.size() > 1_000)
+            lastDispatchAt.values().removeIf(sentAt -> now - sentAt > MIN_DISPATCH_INTERVAL_MICROS);
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/Placer.java
@@ -10,150 +10,235 @@
 import java.util.Set;
 
 /**
- * Decides which runner takes a request: the unit's home by the table, and within it the runner that reads the prompt soonest.
- * A unit is (region set, slice of the prompt's last shared part). The set is first the region where the request arrived; a long
- * shared part has one home for all regions, since reading it again costs more than the way there.
+ * Selects the runner for a request: the one with the lowest estimated cost, which is mostly the time until the prompt is
+ * prefilled. Runners outside the home zone of the request's unit are candidates too, at an extra cost.
+ *
+ * <p>A unit is a region set together with a slice of the hash of the prompt's last shared part. If the shared parts are
+ * short, the region set is just the region where the request arrived, provided that the route allows that region and the
+ * unit has a home there. A long shared prefix has one home for all regions that the route allows, since prefilling it a
+ * second time costs more than the network latency to another region.
+ *
+ * <p>Costs and times are microseconds, the latter of the steady clock. Does no I/O. Not thread-safe.
  */
 public final class Placer {
-    /** Costs are microseconds. */
+    /**
+     * The runner selected for a request, and the estimate that led to it: {@link Choice#read} is the number of prompt
+     * tokens that the runner still has to prefill, {@link Choice#cost} the estimated cost in microseconds,
+     * {@link Choice#level} the runner's prefill backlog in tokens and {@link Choice#load} its requests, both before this
+     * request. {@link Choice#favourite} tells whether the runner ranks first for the prompt by rendezvous hash, and
+     * {@link Choice#home} whether it is in the unit's home zone or the unit has none.
+     */
     public record Choice(RunnerView runner, int read, long cost, boolean favourite, boolean home, int level, int load) {
+        /** Describes the choice for log messages. */
         public String about() {
-            return "runner " + runner.id() + " in " + runner.zone + (favourite ? " favourite" : "")
-                    + (home ? " home" : "") + ", read " + read + ", level " + level + ", load " + load + ", cost "
-                    + cost / 1000 + " ms";
+            return "runner " + runner.id() + " in " + runner.zone + (favourite ? " (preferred)" : "")
+                    + (home ? " (home zone)" : "") + ", prefill tokens " + read + ", backlog tokens " + level
+                    + ", load " + load + ", cost " + cost / 1000 + " ms";
         }
     }
 
-    private static final double READ = 1_000 / 24.0, AGAIN = READ + 45;
-    private static final long ZONE = 15_000,
-            REGION = 110_000,
-            RUNNING = 25,
-            COLD = 400_000,
-            SUSPECT = 5_000_000,
-            STRANGER = 60_000,
-            BROKE = 300_000,
-            QUIET = 400_000,
-            READS = 300_000,
-            STREAMS = 120_000;
-    private static final int FAR = 2_000, SHORT = 1_000, BURDEN = 8_000, QUEUE = 1_500;
+    /** Time to prefill one token: runners prefill about 24 tokens per millisecond. */
+    private static final double PREFILL_MICROS_PER_TOKEN = 1_000 / 24.0;
+
+    /**
+     * Cost of a token of a shared part that is not in the runner's prefix cache. It exceeds the time of the prefill itself,
+     * so that requests go to runners that have the part cached.
+     */
+    private static final double UNCACHED_SHARED_TOKEN_COST_MICROS = PREFILL_MICROS_PER_TOKEN + 45;
+
+    /** Extra cost of a runner in another zone of this router's region. */
+    private static final long OTHER_ZONE_COST_MICROS = 15_000;
+
+    /** Extra cost of a runner in another region. */
+    private static final long OTHER_REGION_COST_MICROS = 110_000;
+
+    /** Extra cost of a runner's load, multiplied by the square of the number of its requests. */
+    private static final long SQUARED_LOAD_COST_MICROS = 25;
+
+    /** Extra cost of a cold runner. */
+    private static final long COLD_COST_MICROS = 400_000;
+
+    /** Extra cost of a runner that is suspected to have failed. */
+    private static final long SUSPECTED_COST_MICROS = 5_000_000;
+
+    /** Extra cost of a runner outside the home zone; also the base of the cost of a runner that is not preferred. */
+    private static final long NOT_PREFERRED_COST_MICROS = 60_000;
+
+    /** Extra cost of a runner to which a connection broke recently. */
+    private static final long RECENT_BREAK_COST_MICROS = 300_000;
+
+    /** In a zone with a suspected runner, other runners count as suspected after this time without a response. */
+    private static final long MAX_QUIET_IN_SUSPECTED_ZONE_MICROS = 400_000;
+
+    /** Extra cost of a long prompt on a runner that its zone reserves for short prompts. */
+    private static final long LONG_PROMPT_ON_SHORT_RUNNER_COST_MICROS = 300_000;
+
+    /** Extra cost of a short prompt on a runner that its zone reserves for long prompts. */
+    private static final long SHORT_PROMPT_ON_LONG_RUNNER_COST_MICROS = 120_000;
+
+    /** Prompts with at least this many shared tokens have one home for all regions. */
+    private static final int MIN_CROSS_REGION_SHARED_TOKENS = 2_000;
+
+    /** From this size on, a prefill counts as load of its zone; only larger ones wait for a backlog to shrink. */
+    private static final int LARGE_PREFILL_TOKENS = 1_000;
+
+    /** A backlog above this size, including the new prompt, noticeably delays the streams of the runner. */
+    private static final int BACKLOG_LIMIT_TOKENS = 8_000;
+
+    /** A large prefill waits only behind a backlog above this size. */
+    private static final int MIN_BACKLOG_TO_WAIT_TOKENS = 1_500;
 
     private final Pool pool;
-    private final ColdShare cold;
+    private final ColdShare coldLimiter;
     private final String zone;
     private final String region;
 
-    public Placer(Pool pool, ColdShare cold, String zone, String region) {
+    /** Creates the placer of a router in this zone and region. */
+    public Placer(Pool pool, ColdShare coldLimiter, String zone, String region) {
         this.pool = pool;
-        this.cold = cold;
+        this.coldLimiter = coldLimiter;
         this.zone = zone;
         this.region = region;
     }
 
-    /** Null where no runner may take it now. */
-    public Choice choose(Route route, String service, Prompt p, Set<String> tried, long now) {
-        var home = home(route, service, p);
-        Choice best = null;
-        var favourite = favourite(route, service, p, home);
-        for (var r : pool.of(service)) {
-            if (!allowed(route, r) || tried.contains(r.id())) continue;
-            if (r.cold(now) && !cold.may(r.id(), coldRate(service), pool.routers(), now)) continue;
-            if (!r.mayProbe(now)) continue;
-            var c = cost(r, p, r == favourite, home == null || r.zone.equals(home), now);
-            if (best == null || c.cost() < best.cost()) best = c;
+    /**
+     * Returns the runner with the lowest cost for a prompt, or null if no runner may take it now. Nothing is recorded until
+     * {@link Placer#started} is called.
+     *
+     * @param tried ids of runners that are excluded because the request was sent to them before
+     */
+    public Choice choose(Route route, String service, Prompt prompt, Set<String> tried, long now) {
+        var homeZone = homeZone(route, service, prompt);
+        Choice cheapest = null;
+        var preferred = preferredRunner(route, service, prompt, homeZone);
+        for (var runner : pool.of(service)) {
+            if (!isEligible(route, runner) || tried.contains(runner.id())) continue;
+            if (runner.cold(now) && !coldLimiter.may(runner.id(), coldRequestsPerSecond(service), pool.routers(), now))
+                continue;
+            if (!runner.mayProbe(now)) continue;
+            var candidate = estimateCost(
+                    runner, prompt, runner == preferred, homeZone == null || runner.zone.equals(homeZone), now);
+            if (cheapest == null || candidate.cost() < cheapest.cost()) cheapest = candidate;
         }
-        return best;
+        return cheapest;
     }
 
-    private double coldRate(String service) {
-        var s = pool.view().manifest().service(service);
-        return s == null ? 0 : s.engine().coldPerSecond();
+    private double coldRequestsPerSecond(String serviceName) {
+        var service = pool.view().manifest().service(serviceName);
+        return service == null ? 0 : service.engine().coldPerSecond();
     }
 
-    private boolean allowed(Route route, RunnerView r) {
-        return r.row.up()
-                && !r.stale
-                && !pool.emptied(r.zone)
-                && (route.regions().isEmpty() || route.regions().contains(r.region));
+    private boolean isEligible(Route route, RunnerView runner) {
+        return runner.registration.up()
+                && !runner.replaced
+                && !pool.emptied(runner.zone)
+                && (route.regions().isEmpty() || route.regions().contains(runner.region));
     }
 
-    /** The zone where the unit is at home, or null. */
-    String home(Route route, String service, Prompt p) {
-        var s = pool.view().services().get(service);
-        if (s == null) return null;
-        var near = s.regions.indexOf(region);
-        if (near >= 0
-                && p.sharedTokens() < FAR
+    /** Returns the home zone of the prompt's unit, or null if it has none. */
+    String homeZone(Route route, String serviceName, Prompt prompt) {
+        var service = pool.view().services().get(serviceName);
+        if (service == null) return null;
+        var localRegion = service.regions.indexOf(region);
+        if (localRegion >= 0
+                && prompt.sharedTokens() < MIN_CROSS_REGION_SHARED_TOKENS
                 && (route.regions().isEmpty() || route.regions().contains(region))) {
-            var h = zoneOf(s, 1 << near, p);
-            if (h != null) return h;
+            var localHome = homeZoneOfUnit(service, 1 << localRegion, prompt);
+            if (localHome != null) return localHome;
         }
-        return zoneOf(s, set(s, route.regions()), p);
+        return homeZoneOfUnit(service, regionSet(service, route.regions()), prompt);
     }
 
-    private static int set(Rows.Service s, List<String> regions) {
-        var set = 0;
-        for (var i = 0; i < s.regions.size(); i++)
-            if (regions.isEmpty() || regions.contains(s.regions.get(i))) set |= 1 << i;
-        return set;
+    /** Returns the set of these regions as bits over the service's regions; an empty list stands for all of them. */
+    private static int regionSet(Rows.Service service, List<String> regions) {
+        var regionSet = 0;
+        for (var i = 0; i < service.regions.size(); i++)
+            if (regions.isEmpty() || regions.contains(service.regions.get(i))) regionSet |= 1 << i;
+        return regionSet;
     }
 
-    private static String zoneOf(Rows.Service s, int set, Prompt p) {
-        var unit = set * Units.SLICES + p.slice();
-        var cell = unit < s.homes.length ? s.homes[unit] : Table.NOWHERE;
-        return cell == Table.NOWHERE ? null : s.zones.get(cell);
+    private static String homeZoneOfUnit(Rows.Service service, int regionSet, Prompt prompt) {
+        var unit = regionSet * Units.SLICES + prompt.slice();
+        var cell = unit < service.homes.length ? service.homes[unit] : Table.NOWHERE;
+        return cell == Table.NOWHERE ? null : service.zones.get(cell);
     }
 
-    private RunnerView favourite(Route route, String service, Prompt p, String home) {
-        RunnerView best = null;
-        var most = 0L;
-        for (var r : pool.of(service)) {
-            if (!allowed(route, r) || home != null && !r.zone.equals(home) || r.mixed && r.reader != p.isLong())
-                continue;
-            var w = Rendezvous.weight(p.key(), r.hash);
-            if (best == null || Long.compareUnsigned(w, most) > 0) {
-                best = r;
-                most = w;
+    /**
+     * Returns the runner that ranks first for the prompt's key by rendezvous hash, among the eligible runners of the home
+     * zone whose role fits the prompt, or null. Routers that see the same runners agree on it, so that a shared part is
+     * cached on few runners.
+     */
+    private RunnerView preferredRunner(Route route, String service, Prompt prompt, String homeZone) {
+        RunnerView preferred = null;
+        var highestWeight = 0L;
+        for (var runner : pool.of(service)) {
+            if (!isEligible(route, runner)
+                    || homeZone != null && !runner.zone.equals(homeZone)
+                    || runner.zoneHasRoles && runner.takesLongPrompts != prompt.isLong()) continue;
+            var weight = Rendezvous.weight(prompt.key(), runner.nameHash);
+            if (preferred == null || Long.compareUnsigned(weight, highestWeight) > 0) {
+                preferred = runner;
+                highestWeight = weight;
             }
         }
-        return best;
+        return preferred;
     }
 
-    private Choice cost(RunnerView r, Prompt p, boolean favourite, boolean home, long now) {
-        var missing = r.missing(p);
-        var level = r.level(now);
-        var read = r.own(p) + missing;
-        var c = (long) (READ * (r.own(p) + level) + AGAIN * missing);
-        c += RUNNING * r.load(now) * r.load(now)
-                + (favourite || missing == 0 ? 0 : p.isLong() ? 2 * STRANGER : STRANGER / 4);
-        if (!r.zone.equals(zone)) c += r.region.equals(region) ? ZONE : REGION;
-        if (r.mixed && r.reader != p.isLong()) c += p.isLong() ? READS : STREAMS;
-        if (!home) c += STRANGER;
-        c += 40L * Math.max(0, (long) level + read - BURDEN) * Math.min(r.load(now), 10);
-        if (r.crowded(now)) c += 1_000_000;
-        if (r.waiting(now) > 0) c += 50_000L * r.waiting(now);
-        if (r.cold(now)) c += COLD;
-        if (r.suspected(now) || r.quietSince(now, QUIET) && pool.silent(r.zone, now)) c += SUSPECT;
-        if (r.brokeLately(now)) c += BROKE;
-        return new Choice(r, read, c, favourite, home, (int) level, r.load(now));
+    private Choice estimateCost(RunnerView runner, Prompt prompt, boolean preferred, boolean home, long now) {
+        var uncachedShared = runner.uncachedSharedTokens(prompt);
+        var backlog = runner.prefillBacklog(now);
+        var prefillTokens = runner.unsharedTokens(prompt) + uncachedShared;
+        var costMicros = (long) (PREFILL_MICROS_PER_TOKEN * (runner.unsharedTokens(prompt) + backlog)
+                + UNCACHED_SHARED_TOKEN_COST_MICROS * uncachedShared);
+        costMicros += SQUARED_LOAD_COST_MICROS * runner.load(now) * runner.load(now)
+                + (preferred || uncachedShared == 0
+                        ? 0
+                        : prompt.isLong() ? 2 * NOT_PREFERRED_COST_MICROS : NOT_PREFERRED_COST_MICROS / 4);
+        if (!runner.zone.equals(zone))
+            costMicros += runner.region.equals(region) ? OTHER_ZONE_COST_MICROS : OTHER_REGION_COST_MICROS;
+        if (runner.zoneHasRoles && runner.takesLongPrompts != prompt.isLong())
+            costMicros +=
+                    prompt.isLong() ? LONG_PROMPT_ON_SHORT_RUNNER_COST_MICROS : SHORT_PROMPT_ON_LONG_RUNNER_COST_MICROS;
+        if (!home) costMicros += NOT_PREFERRED_COST_MICROS;
+        // Each token above the limit delays every stream of the runner; the number of streams counted is capped at 10.
+        costMicros += 40L
+                * Math.max(0, (long) backlog + prefillTokens - BACKLOG_LIMIT_TOKENS)
+                * Math.min(runner.load(now), 10);
+        if (runner.isFull(now)) costMicros += 1_000_000;
+        if (runner.queued(now) > 0) costMicros += 50_000L * runner.queued(now);
+        if (runner.cold(now)) costMicros += COLD_COST_MICROS;
+        if (runner.suspected(now)
+                || runner.isQuietFor(now, MAX_QUIET_IN_SUSPECTED_ZONE_MICROS)
+                        && pool.hasSuspectedRunner(runner.zone, now)) costMicros += SUSPECTED_COST_MICROS;
+        if (runner.brokeRecently(now)) costMicros += RECENT_BREAK_COST_MICROS;
+        return new Choice(runner, prefillTokens, costMicros, preferred, home, (int) backlog, runner.load(now));
     }
 
-    /** Whether it is better to wait a little than to pile a long prompt on running streams. */
-    public boolean crowds(Choice c, long now) {
-        return c.read() > SHORT && c.runner().level(now) > QUEUE && c.runner().level(now) + c.read() > BURDEN;
+    /**
+     * Returns whether a request should wait a short time before it is sent, because its large prefill on top of the
+     * runner's backlog would delay the streams running there.
+     */
+    public boolean crowds(Choice choice, long now) {
+        return choice.read() > LARGE_PREFILL_TOKENS
+                && choice.runner().prefillBacklog(now) > MIN_BACKLOG_TO_WAIT_TOKENS
+                && choice.runner().prefillBacklog(now) + choice.read() > BACKLOG_LIMIT_TOKENS;
     }
 
-    public void started(Choice c, Prompt p, long now) {
-        c.runner().started(p, now);
-        if (c.read() >= SHORT) pool.told(c.runner(), c.read(), now);
-        else c.runner().reading(c.read(), now);
-        c.runner().probed(now);
-        if (c.runner().cold(now)) cold.sent(c.runner().id(), now);
+    /** Records that a request is sent to the chosen runner. */
+    public void started(Choice choice, Prompt prompt, long now) {
+        choice.runner().recordStart(prompt, now);
+        if (choice.read() >= LARGE_PREFILL_TOKENS) pool.told(choice.runner(), choice.read(), now);
+        else choice.runner().reading(choice.read(), now);
+        choice.runner().recordProbe(now);
+        if (choice.runner().cold(now)) coldLimiter.sent(choice.runner().id(), now);
     }
 
-    public void ended(Choice c, Prompt p) {
-        c.runner().ended(p);
+    /** Records that a request recorded by {@link Placer#started} no longer runs on its runner. */
+    public void ended(Choice choice, Prompt prompt) {
+        choice.runner().recordEnd(prompt);
     }
 
+    /** Returns the names of the routers that are serving. */
     public Collection<String> routers() {
         return pool.routers();
     }
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -14,191 +14,238 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The runners as the newest view names them; lives that the view drops are forgotten. Not thread-safe: one thread asks. */
+/**
+ * The runners of all services, as the newest membership view lists them, with what this router knows of each. A runner
+ * that a new view no longer lists is removed together with that knowledge.
+ *
+ * <p>Times are microseconds of the steady clock. Not thread-safe.
+ */
 public final class Pool {
-    private static final int FEW = 40;
-    private static final Comparator<RunnerView> BY_HASH = (a, b) -> Long.compare(a.hash, b.hash);
-    private final Map<String, RunnerView> runners = new HashMap<>();
-    private Map<String, List<RunnerView>> services = Map.of();
-    private Set<String> emptied = Set.of();
-    private final Map<String, Reading> readings = new HashMap<>();
+    /** Up to this many routers, prefill and silence notices go to all of them, else only to the regions concerned. */
+    private static final int MAX_ROUTERS_TO_NOTIFY_ALL = 40;
+
+    private static final Comparator<RunnerView> BY_NAME_HASH = (a, b) -> Long.compare(a.nameHash, b.nameHash);
+    private final Map<String, RunnerView> runnersById = new HashMap<>();
+    private Map<String, List<RunnerView>> runnersByService = Map.of();
+    private Set<String> emptiedZones = Set.of();
+    private final Map<String, PrefillDemand> demandByServiceAndZone = new HashMap<>();
     private Membership.View view;
-    private List<String> routers = List.of();
-
-    public boolean follow(Membership.View v) {
-        if (v == view) return false;
-        var old = view;
-        view = v;
-        if (v.manifest() == null || old != null && tellsTheSame(old, v)) return true;
-        var all = new HashMap<String, List<RunnerView>>();
+    private List<String> servingRouters = List.of();
+
+    /**
+     * Takes over a new membership view. The lists of runners, routers and emptied zones are rebuilt only if the view has a
+     * manifest and differs from the previous one in more than its leases.
+     *
+     * @return false if this is the view already in use
+     */
+    public boolean follow(Membership.View newView) {
+        if (newView == view) return false;
+        var previous = view;
+        view = newView;
+        if (newView.manifest() == null || previous != null && differOnlyInLeases(previous, newView)) return true;
+        var newRunners = new HashMap<String, List<RunnerView>>();
         var ids = new HashSet<String>();
-        for (var s : v.services().values()) {
-            var m = v.manifest().service(s.name);
-            if (m == null) continue;
-            var list = new ArrayList<RunnerView>();
-            for (var row : s.runners.values()) {
-                ids.add(row.name);
-                list.add(met(s, row, m.engine()));
+        for (var service : newView.services().values()) {
+            var definition = newView.manifest().service(service.name);
+            if (definition == null) continue;
+            var serviceRunners = new ArrayList<RunnerView>();
+            for (var registration : service.runners.values()) {
+                ids.add(registration.name);
+                serviceRunners.add(updateRunner(service, registration, definition.engine()));
             }
-            all.put(s.name, list);
+            newRunners.put(service.name, serviceRunners);
         }
-        runners.keySet().retainAll(ids);
-        services = all;
-        emptied = emptied(v.topic().marks);
-        routers = routers(v);
+        runnersById.keySet().retainAll(ids);
+        runnersByService = newRunners;
+        emptiedZones = findEmptiedZones(newView.topic().marks);
+        servingRouters = findServingRouters(newView);
         return true;
     }
 
-    /** Whether two views differ in their leases only. */
-    private static boolean tellsTheSame(Membership.View a, Membership.View b) {
+    private static boolean differOnlyInLeases(Membership.View a, Membership.View b) {
         return a.manifest() == b.manifest()
                 && a.topic() == b.topic()
                 && a.services() == b.services()
                 && a.members().get(Parts.MANIFEST) == b.members().get(Parts.MANIFEST);
     }
 
-    /** Some router gave this runner tokens to read. */
-    public void told(RunnerView r, int tokens, long now) {
-        r.reading(tokens, now);
-        readings.computeIfAbsent(r.service + "/" + r.zone, k -> new Reading()).add(tokens, now);
+    /** Records that this or another router gave a runner a prompt of which this many tokens have to be prefilled. */
+    public void told(RunnerView runner, int tokens, long now) {
+        runner.reading(tokens, now);
+        demandByServiceAndZone
+                .computeIfAbsent(runner.service + "/" + runner.zone, k -> new PrefillDemand())
+                .add(tokens, now);
     }
 
     /**
-     * In a zone of a region that narrower region sets share, some of the runners read the long prompts and the others carry the
-     * short ones, so that reading does not hold up streams; as many read as the zone's reading needs.
+     * Assigns roles to the runners of each service and zone. In a region that belongs to one of the region sets to which
+     * routes of the service are restricted, some runners of a zone take the long prompts and the others the short ones, so
+     * that long prefills do not delay streams. The number of runners for long prompts follows the zone's prefill demand.
+     * Elsewhere every runner takes all prompts.
      */
     public void seat(long now) {
-        services.forEach((service, all) -> {
-            var bound = view.manifest().routes().bound(service);
-            var zones = new HashMap<String, List<RunnerView>>();
-            for (var r : all)
-                if (r.row.up())
-                    zones.computeIfAbsent(r.zone, k -> new ArrayList<>()).add(r);
-            zones.forEach((zone, list) ->
-                    seat(list, bound, readings.computeIfAbsent(service + "/" + zone, k -> new Reading()), now));
+        runnersByService.forEach((service, serviceRunners) -> {
+            var regionSets = view.manifest().routes().bound(service);
+            var runnersByZone = new HashMap<String, List<RunnerView>>();
+            for (var runner : serviceRunners)
+                if (runner.registration.up())
+                    runnersByZone
+                            .computeIfAbsent(runner.zone, k -> new ArrayList<>())
+                            .add(runner);
+            runnersByZone.forEach((zone, zoneRunners) -> assignRoles(
+                    zoneRunners,
+                    regionSets,
+                    demandByServiceAndZone.computeIfAbsent(service + "/" + zone, k -> new PrefillDemand()),
+                    now));
         });
     }
 
-    private static void seat(List<RunnerView> list, Collection<String> bound, Reading reading, long now) {
-        var region = list.get(0).region;
-        var shared = bound.stream().anyMatch(b -> List.of(b.split(" ")).contains(region));
-        var n = shared ? reading.readers(list.size(), now) : list.size();
-        list.sort(BY_HASH);
-        for (var i = 0; i < list.size(); i++) {
-            list.get(i).reader = i < n;
-            list.get(i).mixed = n < list.size();
+    private static void assignRoles(
+            List<RunnerView> zoneRunners, Collection<String> regionSets, PrefillDemand demand, long now) {
+        var region = zoneRunners.get(0).region;
+        var separateRoles =
+                regionSets.stream().anyMatch(set -> List.of(set.split(" ")).contains(region));
+        var longPromptRunners = separateRoles ? demand.updateRunnerCount(zoneRunners.size(), now) : zoneRunners.size();
+        zoneRunners.sort(BY_NAME_HASH);
+        for (var i = 0; i < zoneRunners.size(); i++) {
+            zoneRunners.get(i).takesLongPrompts = i < longPromptRunners;
+            zoneRunners.get(i).zoneHasRoles = longPromptRunners < zoneRunners.size();
         }
     }
 
-    /** How much a zone's runners are given to read, and how many of them it takes. */
-    private static final class Reading {
-        private static final double ONE = 12_000, FEWER = 7_000, SPAN = 3_000_000;
-        private static final long CALM = 5_000_000;
-        private double rate;
-        private long at;
-        private int readers = 1;
-        private long enough;
+    /** Measures the rate of large prefills in a zone and derives how many runners should take long prompts. */
+    private static final class PrefillDemand {
+        /** A runner is added when the rate exceeds this for each runner that takes long prompts. */
+        private static final double GROW_TOKENS_PER_SECOND = 12_000;
+
+        /** A runner is removed when the rate stays at or below this for each of the runners that would remain. */
+        private static final double SHRINK_TOKENS_PER_SECOND = 7_000;
+
+        /** Time constant of the exponentially decaying rate. */
+        private static final double RATE_DECAY_MICROS = 3_000_000;
+
+        /** How long the rate has to stay low before a runner is removed. */
+        private static final long SHRINK_DELAY_MICROS = 5_000_000;
+
+        private double tokensPerSecond;
+        private long rateUpdatedAt;
+        private int runnerCount = 1;
+        private long lastNeededAt;
 
         void add(int tokens, long now) {
-            rate = rate(now) + tokens / (SPAN / 1_000_000);
-            at = now;
+            tokensPerSecond = currentRate(now) + tokens / (RATE_DECAY_MICROS / 1_000_000);
+            rateUpdatedAt = now;
         }
 
-        private double rate(long now) {
-            return at == 0 ? 0 : rate * Math.exp(-(now - at) / SPAN);
+        private double currentRate(long now) {
+            return rateUpdatedAt == 0 ? 0 : tokensPerSecond * Math.exp(-(now - rateUpdatedAt) / RATE_DECAY_MICROS);
         }
 
-        int readers(int most, long now) {
-            var r = rate(now);
-            if (r > ONE * readers && readers < most) {
-                readers++;
-                enough = now;
+        int updateRunnerCount(int maxRunners, long now) {
+            var rate = currentRate(now);
+            if (rate > GROW_TOKENS_PER_SECOND * runnerCount && runnerCount < maxRunners) {
+                runnerCount++;
+                lastNeededAt = now;
             }
-            if (r > FEWER * (readers - 1)) enough = now;
-            if (readers > 1 && now - enough > CALM) {
-                readers--;
-                enough = now;
+            if (rate > SHRINK_TOKENS_PER_SECOND * (runnerCount - 1)) lastNeededAt = now;
+            if (runnerCount > 1 && now - lastNeededAt > SHRINK_DELAY_MICROS) {
+                runnerCount--;
+                lastNeededAt = now;
             }
-            readers = Math.max(1, Math.min(readers, most));
-            return readers;
+            runnerCount = Math.max(1, Math.min(runnerCount, maxRunners));
+            return runnerCount;
         }
     }
 
-    private RunnerView met(Rows.Service s, Rows.Runner row, Manifest.Engine e) {
-        var r = runners.get(row.name);
-        if (r == null) {
-            var at = s.cells.indexOf(row.cell);
-            r = new RunnerView(
-                    s.name,
-                    at < 0 ? "" : s.cellRegions.get(at),
-                    at < 0 ? row.cell : s.zones.get(at),
-                    row,
-                    Math.max(1, row.slots),
-                    e.cacheTokens());
-            runners.put(row.name, r);
+    private RunnerView updateRunner(Rows.Service service, Rows.Runner registration, Manifest.Engine engine) {
+        var runner = runnersById.get(registration.name);
+        if (runner == null) {
+            var cellIndex = service.cells.indexOf(registration.cell);
+            runner = new RunnerView(
+                    service.name,
+                    cellIndex < 0 ? "" : service.cellRegions.get(cellIndex),
+                    cellIndex < 0 ? registration.cell : service.zones.get(cellIndex),
+                    registration,
+                    Math.max(1, registration.slots),
+                    engine.cacheTokens());
+            runnersById.put(registration.name, runner);
         }
-        r.row = row;
-        r.slots = Math.max(1, row.slots);
-        return r;
+        runner.registration = registration;
+        runner.slots = Math.max(1, registration.slots);
+        return runner;
     }
 
-    private static Set<String> emptied(Map<String, String> marks) {
-        var all = new HashSet<String>();
-        marks.forEach((k, v) -> {
-            if (v.equals(Plan.EMPTIED) && k.startsWith("zone:")) all.add(k.substring(5));
+    private static Set<String> findEmptiedZones(Map<String, String> marks) {
+        var zones = new HashSet<String>();
+        marks.forEach((key, value) -> {
+            if (value.equals(Plan.EMPTIED) && key.startsWith("zone:")) zones.add(key.substring(5));
         });
-        return all;
+        return zones;
     }
 
-    private static List<String> routers(Membership.View v) {
-        var all = new ArrayList<String>();
-        for (var n : v.members().get(Parts.MANIFEST)) if (n.isRouter() && n.serving) all.add(n.name);
-        return all;
+    private static List<String> findServingRouters(Membership.View view) {
+        var names = new ArrayList<String>();
+        for (var node : view.members().get(Parts.MANIFEST)) if (node.isRouter() && node.serving) names.add(node.name);
+        return names;
     }
 
-    /** Whether some runner of this zone has fallen silent. */
-    boolean silent(String zone, long now) {
-        for (var r : runners.values()) if (r.zone.equals(zone) && r.suspected(now)) return true;
+    /** Returns whether any runner of this zone is suspected to have failed. */
+    boolean hasSuspectedRunner(String zone, long now) {
+        for (var runner : runnersById.values()) if (runner.zone.equals(zone) && runner.suspected(now)) return true;
         return false;
     }
 
+    /** Returns the runner with this id, or null. */
     public RunnerView named(String id) {
-        return runners.get(id);
+        return runnersById.get(id);
     }
 
-    /** Partner addresses of the other routers; in a large fleet only those in these regions. */
-    public List<String> peers(String self, String one, String other) {
-        var few = routers.size() <= FEW;
-        var all = new ArrayList<String>();
-        for (var n : view.members().get(Parts.MANIFEST)) {
-            var g = view.manifest().regionOfZone(n.zone);
-            if (n.isRouter() && n.serving && !n.name.equals(self) && (few || one.equals(g) || other.equals(g)))
-                all.add(n.peerAddress);
+    /**
+     * Returns the peer addresses of the other serving routers. With more than 40 serving routers, only those in the two
+     * given regions are returned.
+     *
+     * @param self the name of this router
+     */
+    public List<String> peers(String self, String region, String otherRegion) {
+        var notifyAll = servingRouters.size() <= MAX_ROUTERS_TO_NOTIFY_ALL;
+        var addresses = new ArrayList<String>();
+        for (var node : view.members().get(Parts.MANIFEST)) {
+            var nodeRegion = view.manifest().regionOfZone(node.zone);
+            if (node.isRouter()
+                    && node.serving
+                    && !node.name.equals(self)
+                    && (notifyAll || region.equals(nodeRegion) || otherRegion.equals(nodeRegion)))
+                addresses.add(node.peerAddress);
         }
-        return all;
+        return addresses;
     }
 
+    /** Returns the newest membership view, or null before the first one. */
     public Membership.View view() {
         return view;
     }
 
+    /** Returns the names of all serving routers, this one included. */
     public Collection<String> routers() {
-        return routers;
+        return servingRouters;
     }
 
+    /** Returns the runners of all services. */
     public Collection<RunnerView> all() {
-        return runners.values();
+        return runnersById.values();
     }
-    /** Whether news of this service has come; without it nothing is known of its runners. */
+    /** Returns whether the state of this service has arrived; before that, its runners are unknown. */
     public boolean knows(String service) {
-        return services.containsKey(service);
+        return runnersByService.containsKey(service);
     }
 
+    /** Returns the runners of a service; an unknown service has none. */
     public List<RunnerView> of(String service) {
-        return services.getOrDefault(service, List.of());
+        return runnersByService.getOrDefault(service, List.of());
     }
 
+    /** Returns whether a plan has marked this zone as emptied, so that it gets no requests. */
     public boolean emptied(String zone) {
-        return emptied.contains(zone);
+        return emptiedZones.contains(zone);
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -4,71 +4,96 @@
 import craneway.model.unit.Units;
 import java.util.Arrays;
 
-/** The parts of a prompt in order, by id and tokens; the last one is the request's own. Bad input reads as no parts. */
+/**
+ * The size of a prompt and the parts it is made of, as far as placement needs them. The parts come in prompt order, each
+ * as the hash of its id ({@link Prompt#ids}) and its number of tokens ({@link Prompt#tokens}). All parts but the last may
+ * be shared with other requests; the last one is the request's own. {@link Prompt#in} is the number of tokens of the whole
+ * prompt and {@link Prompt#out} the number of tokens that the response may have.
+ */
 public record Prompt(long[] ids, int[] tokens, int in, int out) {
-    private static final int MOST = 64, LONG = 4_000, MOST_TOKENS = 100_000_000;
+    private static final int MAX_PARTS = 64;
 
-    public static Prompt of(String parts, String inOut) {
-        var in = 0;
-        var out = 0;
-        if (inOut != null) {
-            var at = inOut.indexOf(',');
-            in = number(at < 0 ? inOut : inOut.substring(0, at));
-            out = at < 0 ? 0 : number(inOut.substring(at + 1));
+    /** From this number of tokens on, a prompt counts as long. */
+    private static final int LONG_PROMPT_TOKENS = 4_000;
+
+    /** Larger token counts of a part or a prompt are reduced to this value. */
+    private static final int MAX_TOKENS = 100_000_000;
+
+    /**
+     * Parses the headers of a request; malformed input is read as if it were missing.
+     *
+     * @param parts the parts as {@code id:tokens}, separated by commas, or null; more than 64 parts are read as none
+     * @param tokenCounts the prompt's tokens and the response's tokens, separated by a comma, or null
+     */
+    public static Prompt of(String parts, String tokenCounts) {
+        var inputTokens = 0;
+        var outputTokens = 0;
+        if (tokenCounts != null) {
+            var comma = tokenCounts.indexOf(',');
+            inputTokens = parseTokens(comma < 0 ? tokenCounts : tokenCounts.substring(0, comma));
+            outputTokens = comma < 0 ? 0 : parseTokens(tokenCounts.substring(comma + 1));
         }
-        if (parts == null || parts.isBlank()) return new Prompt(new long[0], new int[0], in, out);
-        var all = parts.split(",", MOST + 1);
-        if (all.length > MOST) return new Prompt(new long[0], new int[0], in, out);
-        var ids = new long[all.length];
-        var tokens = new int[all.length];
-        var sum = 0;
-        for (var i = 0; i < all.length; i++) {
-            var at = all[i].lastIndexOf(':');
-            ids[i] = Hash.of(at < 0 ? all[i].trim() : all[i].substring(0, at).trim());
-            tokens[i] = at < 0 ? 0 : number(all[i].substring(at + 1));
-            sum += tokens[i];
+        if (parts == null || parts.isBlank()) return new Prompt(new long[0], new int[0], inputTokens, outputTokens);
+        var items = parts.split(",", MAX_PARTS + 1);
+        if (items.length > MAX_PARTS) return new Prompt(new long[0], new int[0], inputTokens, outputTokens);
+        var idHashes = new long[items.length];
+        var sizes = new int[items.length];
+        var totalTokens = 0;
+        for (var i = 0; i < items.length; i++) {
+            var colon = items[i].lastIndexOf(':');
+            idHashes[i] = Hash.of(
+                    colon < 0 ? items[i].trim() : items[i].substring(0, colon).trim());
+            sizes[i] = colon < 0 ? 0 : parseTokens(items[i].substring(colon + 1));
+            totalTokens += sizes[i];
         }
-        return new Prompt(ids, tokens, Math.max(in, sum), out);
+        return new Prompt(idHashes, sizes, Math.max(inputTokens, totalTokens), outputTokens);
     }
 
-    private static int number(String s) {
+    private static int parseTokens(String text) {
         try {
-            return Math.max(0, Math.min(MOST_TOKENS, Integer.parseInt(s.trim())));
+            return Math.max(0, Math.min(MAX_TOKENS, Integer.parseInt(text.trim())));
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
-    /** How many parts are shared between requests: all but the last. */
+    /** Returns the number of parts that may be shared with other requests: all but the last. */
     public int shared() {
         return Math.max(0, ids.length - 1);
     }
 
-    /** The key that draws the unit: the last shared part, or the request's own where there is none. */
+    /**
+     * Returns the key that determines the unit and the preferred runner: the id hash of the last shared part, that of the
+     * only part if there is just one, or 0 without parts.
+     */
     public long key() {
         if (ids.length == 0) return 0;
         return ids[Math.max(0, ids.length - 2)];
     }
 
+    /** Returns the id hashes of the shared parts. */
     public long[] sharedIds() {
         return Arrays.copyOf(ids, shared());
     }
 
+    /** Returns the tokens of each shared part, in the order of {@link Prompt#sharedIds}. */
     public int[] sharedSizes() {
         return Arrays.copyOf(tokens, shared());
     }
 
+    /** Returns the number of tokens of all shared parts together. */
     public int sharedTokens() {
         var sum = 0;
         for (var i = 0; i < shared(); i++) sum += tokens[i];
         return sum;
     }
 
-    /** Reading it holds up every stream of its runner for a while. */
+    /** Returns whether the prompt is so long that its prefill noticeably delays all streams of its runner. */
     public boolean isLong() {
-        return in >= LONG;
+        return in >= LONG_PROMPT_TOKENS;
     }
 
+    /** Returns the slice of the prompt's unit, from 0 to {@link Units#SLICES} - 1. */
     public int slice() {
         return Hash.bucket(Hash.mix(key()), Units.SLICES);
     }
--- a/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
+++ b/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
@@ -2,36 +2,58 @@
 
 import java.util.ArrayDeque;
 
-/** This router's part of the fleet's budget for second tries: a share of its own requests plus its part of the slack. */
+/**
+ * Limits retries over a sliding window. The fleet as a whole may retry a share of its requests plus a fixed number; each
+ * router uses that share of its own requests plus an equal part of the fixed number, without coordination.
+ *
+ * <p>Times are microseconds of the steady clock. Not thread-safe.
+ */
 public final class RetryBudget {
-    private static final double CAREFUL = 0.75;
+    /** Share of the computed budget that a router uses, so that all routers together stay below the fleet's limit. */
+    private static final double SAFETY_FACTOR = 0.75;
 
-    private final long window;
-    private final double ratio;
-    private final double slack;
-    private final ArrayDeque<Long> asked = new ArrayDeque<>();
-    private final ArrayDeque<Long> used = new ArrayDeque<>();
+    private final long windowMicros;
+    private final double retryRatio;
+    private final double fleetRetrySlack;
+    private final ArrayDeque<Long> requestTimes = new ArrayDeque<>();
+    private final ArrayDeque<Long> retryTimes = new ArrayDeque<>();
 
-    public RetryBudget(long window, double ratio, double slack) {
-        this.window = window;
-        this.ratio = ratio;
-        this.slack = slack;
+    /**
+     * Creates the budget of one router.
+     *
+     * @param windowMicros length of the sliding window
+     * @param retryRatio retries allowed for each request within the window
+     * @param fleetRetrySlack retries that all routers together may use within the window in addition
+     */
+    public RetryBudget(long windowMicros, double retryRatio, double fleetRetrySlack) {
+        this.windowMicros = windowMicros;
+        this.retryRatio = retryRatio;
+        this.fleetRetrySlack = fleetRetrySlack;
     }
 
+    /** Records a new request, which adds to the budget. */
     public void request(long now) {
-        asked.add(now);
-        trim(asked, now);
+        requestTimes.add(now);
+        removeExpired(requestTimes, now);
     }
 
+    /**
+     * Uses one retry of the budget.
+     *
+     * @param routers the number of routers that share the fleet's fixed number of retries
+     * @return false, and nothing is used, if the budget is exhausted
+     */
     public boolean take(int routers, long now) {
-        trim(asked, now);
-        trim(used, now);
-        if (used.size() + 1 > CAREFUL * (ratio * asked.size() + slack / Math.max(1, routers))) return false;
-        used.add(now);
+        removeExpired(requestTimes, now);
+        removeExpired(retryTimes, now);
+        if (retryTimes.size() + 1
+                > SAFETY_FACTOR * (retryRatio * requestTimes.size() + fleetRetrySlack / Math.max(1, routers)))
+            return false;
+        retryTimes.add(now);
         return true;
     }
 
-    private void trim(ArrayDeque<Long> q, long now) {
-        while (!q.isEmpty() && now - q.peek() > window) q.poll();
+    private void removeExpired(ArrayDeque<Long> times, long now) {
+        while (!times.isEmpty() && now - times.peek() > windowMicros) times.poll();
     }
 }
