--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -25,8 +25,14 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
+/**
+ * One router: its membership in the core, its knowledge of runners, and the execution of requests. The surrounding process
+ * delivers messages to {@link Router#receive} and calls {@link Router#tick} regularly; the {@link Port} sends messages and
+ * supplies the clock.
+ */
 public final class Router {
-    private static final long PATIENCE = 3_000_000;
+    /** How long a command on behalf of a runner waits for the core's response. */
+    private static final long COMMAND_TIMEOUT_MICROS = 3_000_000;
 
     private final Port port;
     private final Directory directory;
@@ -34,13 +40,20 @@
     private final Membership membership;
     private final Loads loads = new Loads();
     private final RequestExecutor executor;
-    private volatile Consumer<Reading> reading = r -> {};
-    private volatile Consumer<Silence> silence = s -> {};
+    private volatile Consumer<Reading> readingListener = message -> {};
+    private volatile Consumer<Silence> silenceListener = message -> {};
 
+    /** Creates a router with the standard timing. */
     public Router(Port port, Node self, List<String> seeds, Random random) {
         this(port, self, seeds, TimingProfile.STANDARD, random);
     }
 
+    /**
+     * Creates a router.
+     *
+     * @param self this router's node
+     * @param seeds addresses of nodes through which it finds the others
+     */
     public Router(Port port, Node self, List<String> seeds, TimingProfile timing, Random random) {
         this.port = port;
         directory = new Directory(port, self, seeds, timing);
@@ -50,100 +63,124 @@
         executor = new RequestExecutor(port, directory, membership, coreClient, loads);
     }
 
+    /** Returns the directory of known nodes. */
     public Directory directory() {
         return directory;
     }
 
+    /** Returns the client that sends commands to the leaders of the parts. */
     public CoreClient coreClient() {
         return coreClient;
     }
 
+    /** Returns the leases of this router and the state that it watches. */
     public Membership membership() {
         return membership;
     }
 
+    /** Returns the executor of requests. */
     public RequestExecutor executor() {
         return executor;
     }
 
+    /** Returns what this router knows of the load and health of runners. */
     public Loads loads() {
         return loads;
     }
 
-    /** Who hears what other routers gave runners to read. */
-    public void onReading(Consumer<Reading> then) {
-        reading = then;
+    /** Sets the listener for messages of other routers that they gave a runner a prompt to prefill. */
+    public void onReading(Consumer<Reading> listener) {
+        readingListener = listener;
     }
 
-    /** Who hears which runners other routers find silent. */
-    public void onSilence(Consumer<Silence> then) {
-        silence = then;
+    /** Sets the listener for messages of other routers that they find a runner silent. */
+    public void onSilence(Consumer<Silence> listener) {
+        silenceListener = listener;
     }
 
+    /** Returns whether this router serves and its state of the core is recent enough for requests. */
     public boolean ready() {
         return directory.self().serving && membership.usable(port.now());
     }
 
+    /** Makes this router tell the others that it no longer serves, for good. */
     public void unready() {
         membership.unready();
     }
 
+    /** Does the periodic work: follows a newer core, renews leases, repeats commands and checks open requests. */
     public void tick() {
         var now = port.now();
-        if (directory.newer() != null) follow();
+        if (directory.newer() != null) followNewerCore();
         directory.tick(now);
         membership.tick(now);
         coreClient.tick(now);
         executor.tick(now);
     }
 
-    private void follow() {
-        var f = directory.newer();
-        port.note(Event.SURRENDERED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        directory.follow(f);
+    private void followNewerCore() {
+        var founding = directory.newer();
+        port.note(
+                Event.SURRENDERED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        directory.follow(founding);
         membership.follow();
     }
 
-    public void receive(Object m) {
+    /** Handles a message of another process; one of an unexpected type is logged and dropped. */
+    public void receive(Object message) {
         var now = port.now();
-        if (m instanceof Hello h) greeted(h, now);
-        else if (m instanceof RenewReplies v) membership.receive(v, now);
-        else if (m instanceof RenewReply v) membership.receive(v, now);
-        else if (m instanceof Subscribe s) membership.receive(s, now);
-        else if (m instanceof News n) membership.receive(n, now);
-        else if (m instanceof CommandResult v) coreClient.receive(v);
-        else if (m instanceof Reading r) reading.accept(r);
-        else if (m instanceof Silence s) silence.accept(s);
-        else port.note(Event.BAD_MESSAGE, "a router takes no " + m.getClass().getSimpleName());
-    }
-
-    private void greeted(Hello h, long now) {
-        var alone = directory.self().coreId == 0;
-        directory.receive(h, now);
-        if (alone && directory.self().coreId != 0) membership.tick(now);
-    }
-
-    public void announce(Announcement a, Consumer<CommandResult> then) {
-        loads.heard(a.name(), a.incarnation(), a.load(), port.now());
-        var c = new Commands.RunnerPut();
-        c.service = a.service();
-        c.runner = a.name();
-        c.address = a.address();
-        c.cell = a.cell();
-        c.slots = a.slots();
-        c.incarnation = a.incarnation();
-        c.cold = a.cold();
-        c.load = a.load();
-        coreClient.ask(Parts.of(a.service()), c, PATIENCE, then);
-    }
-
-    public void leave(String service, String runner, long incarnation, Consumer<CommandResult> then) {
+        if (message instanceof Hello hello) receiveHello(hello, now);
+        else if (message instanceof RenewReplies replies) membership.receive(replies, now);
+        else if (message instanceof RenewReply reply) membership.receive(reply, now);
+        else if (message instanceof Subscribe subscribe) membership.receive(subscribe, now);
+        else if (message instanceof News news) membership.receive(news, now);
+        else if (message instanceof CommandResult result) coreClient.receive(result);
+        else if (message instanceof Reading reading) readingListener.accept(reading);
+        else if (message instanceof Silence silence) silenceListener.accept(silence);
+        else
+            port.note(
+                    Event.BAD_MESSAGE,
+                    "a router does not accept messages of type "
+                            + message.getClass().getSimpleName());
+    }
+
+    private void receiveHello(Hello hello, long now) {
+        var coreUnknown = directory.self().coreId == 0;
+        directory.receive(hello, now);
+        if (coreUnknown && directory.self().coreId != 0) membership.tick(now);
+    }
+
+    /**
+     * Records an announcement of a runner and passes it on to the core.
+     *
+     * @param callback gets the core's result once, or a failure after 3 seconds
+     */
+    public void announce(Announcement announcement, Consumer<CommandResult> callback) {
+        loads.heard(announcement.name(), announcement.incarnation(), announcement.load(), port.now());
+        var command = new Commands.RunnerPut();
+        command.service = announcement.service();
+        command.runner = announcement.name();
+        command.address = announcement.address();
+        command.cell = announcement.cell();
+        command.slots = announcement.slots();
+        command.incarnation = announcement.incarnation();
+        command.cold = announcement.cold();
+        command.load = announcement.load();
+        coreClient.ask(Parts.of(announcement.service()), command, COMMAND_TIMEOUT_MICROS, callback);
+    }
+
+    /**
+     * Stops sending requests to this incarnation of a runner and tells the core that it is leaving.
+     *
+     * @param callback gets the core's result once, or a failure after 3 seconds
+     */
+    public void leave(String service, String runner, long incarnation, Consumer<CommandResult> callback) {
         loads.leaving(runner, incarnation);
-        var c = new Commands.RunnerMark();
-        c.service = service;
-        c.runner = runner;
-        c.incarnation = incarnation;
-        c.state = Rows.Runner.LEAVING;
-        coreClient.ask(Parts.of(service), c, PATIENCE, then);
+        var command = new Commands.RunnerMark();
+        command.service = service;
+        command.runner = runner;
+        command.incarnation = incarnation;
+        command.state = Rows.Runner.LEAVING;
+        coreClient.ask(Parts.of(service), command, COMMAND_TIMEOUT_MICROS, callback);
     }
 }
--- a/lib/data/src/main/java/craneway/data/router/package-info.java
+++ b/lib/data/src/main/java/craneway/data/router/package-info.java
@@ -1,2 +1,5 @@
-/** A router without its sockets: takes messages of the core and announcements of runners, and runs requests. */
+/**
+ * The router without its sockets: dispatches messages of the core to its components, accepts announcements of runners,
+ * and executes requests.
+ */
 package craneway.data.router;
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -7,31 +7,38 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * Counts, for each service and cell, the streams that started, the time until they did, and the failures, until the
+ * router reports them to the core. Thread-safe.
+ */
 public final class CellSignals {
-    private final Map<String, Signal> cells = new HashMap<>();
+    private final Map<String, Signal> signalsByServiceAndCell = new HashMap<>();
 
-    private Signal of(String service, String cell) {
-        return cells.computeIfAbsent(service + "/" + cell, k -> {
-            var s = new Signal();
-            s.service = service;
-            s.cell = cell;
-            return s;
+    private Signal signalOf(String service, String cell) {
+        return signalsByServiceAndCell.computeIfAbsent(service + "/" + cell, k -> {
+            var signal = new Signal();
+            signal.service = service;
+            signal.cell = cell;
+            return signal;
         });
     }
 
+    /** Records that a runner of the cell sent its first data this many microseconds after the request was sent. */
     public synchronized void first(String service, String cell, long micros) {
-        var s = of(service, cell);
-        s.runs++;
-        s.firstMicros += micros;
+        var signal = signalOf(service, cell);
+        signal.runs++;
+        signal.firstMicros += micros;
     }
 
+    /** Records that a runner of the cell could not be reached or broke off a request. */
     public synchronized void problem(String service, String cell) {
-        of(service, cell).problems++;
+        signalOf(service, cell).problems++;
     }
 
+    /** Returns and removes the signals of the services in this part. */
     public synchronized List<Signal> take(int part) {
-        var all = new ArrayList<Signal>();
-        cells.values().removeIf(s -> Parts.of(s.service) == part && all.add(s));
-        return all;
+        var taken = new ArrayList<Signal>();
+        signalsByServiceAndCell.values().removeIf(signal -> Parts.of(signal.service) == part && taken.add(signal));
+        return taken;
     }
 }
--- a/lib/data/src/main/java/craneway/data/runner/Chooser.java
+++ b/lib/data/src/main/java/craneway/data/runner/Chooser.java
@@ -4,57 +4,91 @@
 import craneway.state.record.Rows;
 import java.util.List;
 
+/**
+ * Selects a runner by prefix affinity with bounded load: rendezvous hashing sends requests with the same prompt prefix to
+ * the same runner, and a runner whose load is well above the average is skipped.
+ *
+ * <p>Thread-safe, as far as the list of runners that is passed in is not modified.
+ */
 public final class Chooser {
-    private static final double BOUND = 1.25;
+    /** A runner gets no request by affinity once its load reaches this multiple of the average load. */
+    private static final double LOAD_BOUND_FACTOR = 1.25;
 
-    private final String self;
+    private final String routerName;
     private final Loads loads;
 
-    public Chooser(String self, Loads loads) {
-        this.self = self;
+    /** Creates the chooser of the router with this name. */
+    public Chooser(String routerName, Loads loads) {
+        this.routerName = routerName;
         this.loads = loads;
     }
 
+    /**
+     * Selects a runner, or returns null if none has a slot that this router may use. If all runners with such a slot are
+     * at the load bound, the bound is ignored.
+     *
+     * @param candidates the runners to select from, at least one
+     * @param prefixHash the hash of the service and the start of the prompt
+     * @param warmUpMicros the time over which a cold runner's usable slots rise to all its slots
+     * @param settled whether this router's lease is old enough for the list of routers to be trusted; if not, runners that
+     *     are warming up are not used
+     * @param routers the names of the routers that share the slots of a runner that is warming up
+     * @param now microseconds of the steady clock
+     */
     public Rows.Runner choose(
-            List<Rows.Runner> from, long prefix, long warmUp, boolean settled, List<String> routers, long now) {
-        var total = 1;
-        for (var r : from) total += loads.load(r.name, now);
-        var bound = Math.max(1, (int) Math.ceil(BOUND * total / from.size()));
-        var able = from.stream()
-                .filter(r -> fits(r, warmUp, settled, routers, now))
+            List<Rows.Runner> candidates,
+            long prefixHash,
+            long warmUpMicros,
+            boolean settled,
+            List<String> routers,
+            long now) {
+        var totalLoad = 1;
+        for (var runner : candidates) totalLoad += loads.load(runner.name, now);
+        var loadBound = Math.max(1, (int) Math.ceil(LOAD_BOUND_FACTOR * totalLoad / candidates.size()));
+        var available = candidates.stream()
+                .filter(runner -> hasUsableSlot(runner, warmUpMicros, settled, routers, now))
                 .toList();
-        var best = pick(able, prefix, bound, now);
-        return best != null ? best : pick(able, prefix, Integer.MAX_VALUE, now);
+        var selected = selectByAffinity(available, prefixHash, loadBound, now);
+        return selected != null ? selected : selectByAffinity(available, prefixHash, Integer.MAX_VALUE, now);
     }
 
-    private Rows.Runner pick(List<Rows.Runner> from, long prefix, int bound, long now) {
-        Rows.Runner best = null;
-        var most = 0L;
-        for (var r : from) {
-            if (loads.load(r.name, now) >= bound) continue;
-            var w = Rendezvous.weight(prefix, r.name);
-            if (best == null || Long.compareUnsigned(w, most) > 0) {
-                best = r;
-                most = w;
+    private Rows.Runner selectByAffinity(List<Rows.Runner> runners, long prefixHash, int loadBound, long now) {
+        Rows.Runner selected = null;
+        var highestWeight = 0L;
+        for (var runner : runners) {
+            if (loads.load(runner.name, now) >= loadBound) continue;
+            var weight = Rendezvous.weight(prefixHash, runner.name);
+            if (selected == null || Long.compareUnsigned(weight, highestWeight) > 0) {
+                selected = runner;
+                highestWeight = weight;
             }
         }
-        return best;
+        return selected;
     }
 
-    private boolean fits(Rows.Runner r, long warmUp, boolean settled, List<String> routers, long now) {
-        var load = loads.load(r.name, now);
-        if (load >= r.slots) return false;
-        var ramp = loads.ramp(r, warmUp, now);
-        return ramp >= r.slots || settled && load < ramp && loads.running(r.name) < share(r.name, ramp, routers);
+    private boolean hasUsableSlot(
+            Rows.Runner runner, long warmUpMicros, boolean settled, List<String> routers, long now) {
+        var load = loads.load(runner.name, now);
+        if (load >= runner.slots) return false;
+        var usableSlots = loads.ramp(runner, warmUpMicros, now);
+        return usableSlots >= runner.slots
+                || settled
+                        && load < usableSlots
+                        && loads.running(runner.name) < ownSlots(runner.name, usableSlots, routers);
     }
 
-    private int share(String runner, int ramp, List<String> routers) {
-        var before = 0;
-        for (var n : routers)
+    /**
+     * Returns this router's part of the slots of a runner that is warming up. They are divided evenly, and the remainder
+     * goes to the routers that rank first for the runner by rendezvous hash.
+     */
+    private int ownSlots(String runner, int usableSlots, List<String> routers) {
+        var higherRanked = 0;
+        for (var router : routers)
             if (Long.compareUnsigned(
-                            Rendezvous.weight(runner.hashCode(), n), Rendezvous.weight(runner.hashCode(), self))
-                    > 0) before++;
-        var n = Math.max(1, routers.size());
-        return ramp / n + (before < ramp % n ? 1 : 0);
+                            Rendezvous.weight(runner.hashCode(), router),
+                            Rendezvous.weight(runner.hashCode(), routerName))
+                    > 0) higherRanked++;
+        var routerCount = Math.max(1, routers.size());
+        return usableSlots / routerCount + (higherRanked < usableSlots % routerCount ? 1 : 0);
     }
 }
--- a/lib/data/src/main/java/craneway/data/runner/Loads.java
+++ b/lib/data/src/main/java/craneway/data/runner/Loads.java
@@ -4,126 +4,157 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
+/**
+ * What this router knows of each runner by its own requests and by the announcements that the runner sends it: load, last
+ * announcement, ejection after a failure, and leave. Times are microseconds of the steady clock. Thread-safe.
+ */
 public final class Loads {
+    /** An announcement at most this old counts as recent. */
     public static final long HEARD = 2_500_000;
-    private static final long REPORT_FRESH = 1_500_000, EJECTED = 1_000_000;
 
-    private static final class Load {
+    /** A load report older than this is ignored. */
+    private static final long REPORT_VALID_MICROS = 1_500_000;
+
+    /** How long a runner gets no requests after a failure; it must also announce itself again. */
+    private static final long EJECTION_MICROS = 1_000_000;
+
+    private static final class LoadState {
         long incarnation = Long.MIN_VALUE;
-        long since;
-        int running;
-        int others;
+        long firstSeenAt;
+        int inFlight;
+        int othersInFlight;
         long reportedAt = Long.MIN_VALUE / 2;
-        long heard = Long.MIN_VALUE / 2;
-        long heardIncarnation = Long.MIN_VALUE;
+        long announcedAt = Long.MIN_VALUE / 2;
+        long announcedIncarnation = Long.MIN_VALUE;
         long ejectedAt = Long.MIN_VALUE;
         long ejectedUntil = Long.MIN_VALUE / 2;
         boolean leaving;
     }
 
-    private final Map<String, Load> loads = new ConcurrentHashMap<>();
+    private final Map<String, LoadState> loadsByRunner = new ConcurrentHashMap<>();
 
-    private Load of(String runner) {
-        return loads.computeIfAbsent(runner, k -> new Load());
+    private LoadState loadOf(String runner) {
+        return loadsByRunner.computeIfAbsent(runner, k -> new LoadState());
     }
 
-    public void meet(Rows.Runner r, long now) {
-        var l = of(r.name);
-        synchronized (l) {
-            if (l.incarnation >= r.incarnation) return;
-            l.incarnation = r.incarnation;
-            l.since = now;
-            l.leaving = false;
-            l.ejectedUntil = now;
-            l.ejectedAt = Long.MIN_VALUE;
-            l.reportedAt = Long.MIN_VALUE / 2;
+    /** Records that the core lists this runner; a new incarnation starts warm-up anew and ends ejection and leave. */
+    public void meet(Rows.Runner runner, long now) {
+        var load = loadOf(runner.name);
+        synchronized (load) {
+            if (load.incarnation >= runner.incarnation) return;
+            load.incarnation = runner.incarnation;
+            load.firstSeenAt = now;
+            load.leaving = false;
+            load.ejectedUntil = now;
+            load.ejectedAt = Long.MIN_VALUE;
+            load.reportedAt = Long.MIN_VALUE / 2;
         }
     }
 
-    public void heard(String runner, long incarnation, int load, long now) {
-        var l = of(runner);
-        synchronized (l) {
-            if (incarnation < l.incarnation) return;
-            l.heard = now;
-            l.heardIncarnation = incarnation;
+    /** Records an announcement of a runner with its total load; one of an earlier incarnation is ignored. */
+    public void heard(String runner, long incarnation, int totalLoad, long now) {
+        var load = loadOf(runner);
+        synchronized (load) {
+            if (incarnation < load.incarnation) return;
+            load.announcedAt = now;
+            load.announcedIncarnation = incarnation;
         }
-        reported(runner, load, now);
+        reported(runner, totalLoad, now);
     }
 
-    public void reported(String runner, int load, long now) {
-        var l = of(runner);
-        synchronized (l) {
-            l.others = Math.max(0, load - l.running);
-            l.reportedAt = now;
+    /** Records a runner's total load, this router's requests included, as the runner reported it. */
+    public void reported(String runner, int totalLoad, long now) {
+        var load = loadOf(runner);
+        synchronized (load) {
+            load.othersInFlight = Math.max(0, totalLoad - load.inFlight);
+            load.reportedAt = now;
         }
     }
 
+    /** Records that this incarnation of a runner is leaving; if a newer one is known, that is ignored. */
     public void leaving(String runner, long incarnation) {
-        var l = of(runner);
-        synchronized (l) {
-            if (incarnation >= l.incarnation) l.leaving = true;
+        var load = loadOf(runner);
+        synchronized (load) {
+            if (incarnation >= load.incarnation) load.leaving = true;
         }
     }
 
+    /** Excludes a runner after a failure, for a second and until it announces itself again. */
     public void eject(String runner, long now) {
-        var l = of(runner);
-        synchronized (l) {
-            l.ejectedAt = now;
-            l.ejectedUntil = now + EJECTED;
+        var load = loadOf(runner);
+        synchronized (load) {
+            load.ejectedAt = now;
+            load.ejectedUntil = now + EJECTION_MICROS;
         }
     }
 
+    /** Records that a request of this router is sent to a runner. */
     public void started(String runner) {
-        var l = of(runner);
-        synchronized (l) {
-            l.running++;
+        var load = loadOf(runner);
+        synchronized (load) {
+            load.inFlight++;
         }
     }
 
+    /** Records that a request of this router no longer runs on a runner. */
     public void ended(String runner) {
-        var l = of(runner);
-        synchronized (l) {
-            l.running--;
+        var load = loadOf(runner);
+        synchronized (load) {
+            load.inFlight--;
         }
     }
 
+    /** Returns how many requests of this router a runner has. */
     public int running(String runner) {
-        var l = of(runner);
-        synchronized (l) {
-            return l.running;
+        var load = loadOf(runner);
+        synchronized (load) {
+            return load.inFlight;
         }
     }
 
+    /** Returns how many requests a runner has: those of this router and, from a recent report, those of others. */
     public int load(String runner, long now) {
-        var l = of(runner);
-        synchronized (l) {
-            return now - l.reportedAt < REPORT_FRESH ? l.running + l.others : l.running;
+        var load = loadOf(runner);
+        synchronized (load) {
+            return now - load.reportedAt < REPORT_VALID_MICROS ? load.inFlight + load.othersInFlight : load.inFlight;
         }
     }
 
-    public boolean usable(Rows.Runner r, long now) {
-        var l = of(r.name);
-        synchronized (l) {
-            var left = l.leaving && l.incarnation >= r.incarnation;
-            var heardSince = l.ejectedAt == Long.MIN_VALUE || l.heard > l.ejectedAt;
-            return !left && now >= l.ejectedUntil && heardSince && l.heardIncarnation <= r.incarnation;
+    /**
+     * Returns whether requests may be sent to this incarnation of a runner: it is not leaving, is not ejected, has announced
+     * itself since its last failure, and no newer incarnation has announced itself.
+     */
+    public boolean usable(Rows.Runner runner, long now) {
+        var load = loadOf(runner.name);
+        synchronized (load) {
+            var isLeaving = load.leaving && load.incarnation >= runner.incarnation;
+            var announcedSinceFailure = load.ejectedAt == Long.MIN_VALUE || load.announcedAt > load.ejectedAt;
+            return !isLeaving
+                    && now >= load.ejectedUntil
+                    && announcedSinceFailure
+                    && load.announcedIncarnation <= runner.incarnation;
         }
     }
 
+    /** Returns whether a runner announced itself to this router within the last {@link Loads#HEARD} microseconds. */
     public boolean heardLately(String runner, long now) {
-        var l = of(runner);
-        synchronized (l) {
-            return now - l.heard < HEARD;
+        var load = loadOf(runner);
+        synchronized (load) {
+            return now - load.announcedAt < HEARD;
         }
     }
 
-    public int ramp(Rows.Runner r, long warmUp, long now) {
-        meet(r, now);
-        var l = of(r.name);
-        synchronized (l) {
-            var past = now - l.since;
-            if (!r.cold || past >= warmUp) return r.slots;
-            return Math.max(1, (int) (r.slots * past / warmUp));
+    /**
+     * Returns how many slots of a runner all routers together may use now. For a cold runner the number rises linearly from
+     * 1 to all slots over the warm-up time, counted from when this router first saw the incarnation.
+     */
+    public int ramp(Rows.Runner runner, long warmUpMicros, long now) {
+        meet(runner, now);
+        var load = loadOf(runner.name);
+        synchronized (load) {
+            var sinceFirstSeen = now - load.firstSeenAt;
+            if (!runner.cold || sinceFirstSeen >= warmUpMicros) return runner.slots;
+            return Math.max(1, (int) (runner.slots * sinceFirstSeen / warmUpMicros));
         }
     }
 }
