--- a/lib/data/src/main/java/craneway/data/request/Counts.java
+++ b/lib/data/src/main/java/craneway/data/request/Counts.java
@@ -6,24 +6,45 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
 
+/** Running totals of one router's requests since it started, for its metrics. Thread-safe. */
 public final class Counts {
+    /** Requests accepted, including those forwarded by another router. */
     public final AtomicLong taken = new AtomicLong();
+
+    /** Requests accepted that were forwarded by another router. */
     public final AtomicLong forwardedIn = new AtomicLong();
+
+    /** Requests forwarded to another router, counted once for each attempt. */
     public final AtomicLong forwardedOut = new AtomicLong();
+
+    /** Requests sent to a runner, counted once for each attempt. */
     public final AtomicLong dispatched = new AtomicLong();
+
+    /** Attempts beyond the first. */
     public final AtomicLong extraTries = new AtomicLong();
+
+    /** Streams passed to the client to their end. */
     public final AtomicLong whole = new AtomicLong();
+
+    /** Streams that ended before they were complete. */
     public final AtomicLong cut = new AtomicLong();
+
+    /** How often a request was put into the buffer. */
     public final AtomicLong buffered = new AtomicLong();
-    private final AtomicLongArray verdicts = new AtomicLongArray(Kind.values().length);
 
-    public void verdict(Kind k) {
-        verdicts.incrementAndGet(k.ordinal());
+    private final AtomicLongArray problemsByKind = new AtomicLongArray(Kind.values().length);
+
+    /** Counts a request that ended with this kind of problem. */
+    public void verdict(Kind kind) {
+        problemsByKind.incrementAndGet(kind.ordinal());
     }
 
+    /** Returns the number of requests that ended with each kind of problem, by the kind's name, without zeros. */
     public Map<String, Long> verdicts() {
-        var m = new TreeMap<String, Long>();
-        for (var k : Kind.values()) if (verdicts.get(k.ordinal()) > 0) m.put(k.name(), verdicts.get(k.ordinal()));
-        return m;
+        var countsByName = new TreeMap<String, Long>();
+        for (var kind : Kind.values())
+            if (problemsByKind.get(kind.ordinal()) > 0)
+                countsByName.put(kind.name(), problemsByKind.get(kind.ordinal()));
+        return countsByName;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/Decider.java
@@ -20,172 +20,228 @@
 import java.util.Map;
 import java.util.Set;
 
+/**
+ * Decides what a router does with a request: serve it with a runner of its unit's home cell, forward it to a router of the
+ * home region, keep it in the buffer, or decline it. Decides by the membership view that is passed in, without I/O.
+ *
+ * <p>A router whose leases have lapsed may know an outdated home. It then declines work that may run only once, and serves
+ * other work only if the home is in its own zone, only for a grace period, and only with runners that announced themselves
+ * recently.
+ *
+ * <p>Times are microseconds of the steady clock. Thread-safe.
+ */
 public final class Decider {
     private final String zone;
     private final Loads loads;
     private final Chooser chooser;
 
-    public Decider(String self, String zone, Loads loads) {
+    /** Creates the decider of the router with this name in this zone. */
+    public Decider(String routerName, String zone, Loads loads) {
         this.zone = zone;
         this.loads = loads;
-        this.chooser = new Chooser(self, loads);
+        this.chooser = new Chooser(routerName, loads);
     }
 
-    public Decision ask(View v, Request t, Set<String> avoided, Map<String, Long> closedSince, long now) {
-        var m = v.manifest();
-        if (m == null) return decline(Kind.NO_MANIFEST);
-        if (now >= t.deadline()) return decline(Kind.DEADLINE_PASSED);
-        var service = m.service(t.service());
-        if (service == null) return new Decision.Decline(Problem.of(Kind.UNKNOWN_SERVICE, "no service " + t.service()));
-        var work = service.work(t.work());
-        if (work == null)
+    /**
+     * Decides what to do with a request now.
+     *
+     * @param excluded names of runners and routers that are not tried again
+     * @param closedSince when this router first saw each mark in the manifest's topic, by the mark's name
+     */
+    public Decision ask(View view, Request request, Set<String> excluded, Map<String, Long> closedSince, long now) {
+        var manifest = view.manifest();
+        if (manifest == null) return decline(Kind.NO_MANIFEST);
+        if (now >= request.deadline()) return decline(Kind.DEADLINE_PASSED);
+        var service = manifest.service(request.service());
+        if (service == null)
             return new Decision.Decline(
-                    Problem.of(Kind.UNKNOWN_WORK, "service " + t.service() + " has no work " + t.work()));
-        if (work.runOnce() && t.key().isEmpty()) return decline(Kind.RUN_ONCE_WITHOUT_KEY);
-        if (t.body().length > service.bodyLimit()) return decline(Kind.TOO_LARGE);
-        var row = v.services().get(t.service());
-        if (row == null || row.homes.length == 0) return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
-        return placed(v, t, service, row, work.runOnce(), avoided, closedSince, now);
+                    Problem.of(Kind.UNKNOWN_SERVICE, "the manifest has no service " + request.service()));
+        var work = service.work(request.work());
+        if (work == null)
+            return new Decision.Decline(Problem.of(
+                    Kind.UNKNOWN_WORK, "service " + request.service() + " has no kind of work " + request.work()));
+        if (work.runOnce() && request.key().isEmpty()) return decline(Kind.RUN_ONCE_WITHOUT_KEY);
+        if (request.body().length > service.bodyLimit()) return decline(Kind.TOO_LARGE);
+        var serviceState = view.services().get(request.service());
+        if (serviceState == null || serviceState.homes.length == 0)
+            return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
+        return decideByHome(view, request, service, serviceState, work.runOnce(), excluded, closedSince, now);
     }
 
-    private Decision placed(
-            View v,
-            Request t,
+    private Decision decideByHome(
+            View view,
+            Request request,
             Manifest.Service service,
-            Rows.Service row,
-            boolean once,
-            Set<String> avoided,
+            Rows.Service serviceState,
+            boolean runOnce,
+            Set<String> excluded,
             Map<String, Long> closedSince,
             long now) {
-        var set = regionSet(v, t, row);
-        if (set == 0) return decline(Kind.NO_HOME_REGION);
-        var unit = Units.unit(set, t.tenant());
-        var home = row.homes[unit];
-        if (home == Table.NOWHERE)
-            return elsewhere(v, row, unit) ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER)) : decline(Kind.NO_RUNNER);
-        var region = row.cellRegions.get(home);
-        var here = region.equals(v.manifest().regionOfZone(zone));
-        var leased = v.leased(Parts.of(t.service()), now) && v.leased(Parts.MANIFEST, now);
-        if (!leased && (once || !here || !row.zones.get(home).equals(zone) || pastGrace(v, t, now)))
-            return decline(Kind.CUT_OFF);
-        if (!here && t.forwarded())
-            return new Decision.Decline(
-                    Problem.of(Kind.NOT_HOME, "table version " + row.tableVersion, row.tableVersion));
-        if (!here) return forward(v, t, region, unit, once, avoided);
-        if (closed(row, home, v, closedSince, now)) return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
-        return serve(v, t, service, row, home, unit, once, leased, avoided, now);
+        var regionSet = allowedRegionSet(view, request, serviceState);
+        if (regionSet == 0) return decline(Kind.NO_HOME_REGION);
+        var unit = Units.unit(regionSet, request.tenant());
+        var homeCell = serviceState.homes[unit];
+        if (homeCell == Table.NOWHERE)
+            return canMoveToRunner(view, serviceState, unit)
+                    ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER))
+                    : decline(Kind.NO_RUNNER);
+        var homeRegion = serviceState.cellRegions.get(homeCell);
+        var isLocal = homeRegion.equals(view.manifest().regionOfZone(zone));
+        var leased = view.leased(Parts.of(request.service()), now) && view.leased(Parts.MANIFEST, now);
+        if (!leased
+                && (runOnce
+                        || !isLocal
+                        || !serviceState.zones.get(homeCell).equals(zone)
+                        || isGraceOver(view, request, now))) return decline(Kind.CUT_OFF);
+        // A second forward is never made. The router that forwarded the request then waits for this table version.
+        if (!isLocal && request.forwarded())
+            return new Decision.Decline(Problem.of(
+                    Kind.NOT_HOME,
+                    "the unit's home is in another region as of table version " + serviceState.tableVersion,
+                    serviceState.tableVersion));
+        if (!isLocal) return forwardToRegion(view, request, homeRegion, unit, runOnce, excluded);
+        if (isDrained(serviceState, homeCell, view, closedSince, now))
+            return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
+        return serveFromCell(view, request, service, serviceState, homeCell, unit, runOnce, leased, excluded, now);
     }
 
-    private static Decision decline(Kind k) {
-        return new Decision.Decline(Problem.of(k));
+    private static Decision decline(Kind kind) {
+        return new Decision.Decline(Problem.of(kind));
     }
 
-    private static boolean pastGrace(View v, Request t, long now) {
-        var end = Math.min(v.leaseEnd(Parts.of(t.service())), v.leaseEnd(Parts.MANIFEST));
-        return now >= end + v.grace();
+    /** Returns whether the grace period after the earlier end of the two leases is over. */
+    private static boolean isGraceOver(View view, Request request, long now) {
+        var leaseEnd = Math.min(view.leaseEnd(Parts.of(request.service())), view.leaseEnd(Parts.MANIFEST));
+        return now >= leaseEnd + view.grace();
     }
 
-    private static int regionSet(View v, Request t, Rows.Service row) {
-        var home = homeRegions(v, t.tenant());
-        var set = 0;
-        for (var r : home) {
-            var i = row.regions.indexOf(r);
-            if (i >= 0 && (t.regions().isEmpty() || t.regions().contains(r))) set |= 1 << i;
+    /** Returns the regions that both the tenant and the request allow, as bits over the service's regions. */
+    private static int allowedRegionSet(View view, Request request, Rows.Service serviceState) {
+        var tenantRegions = homeRegions(view, request.tenant());
+        var regionSet = 0;
+        for (var region : tenantRegions) {
+            var index = serviceState.regions.indexOf(region);
+            if (index >= 0 && (request.regions().isEmpty() || request.regions().contains(region)))
+                regionSet |= 1 << index;
         }
-        return set;
+        return regionSet;
     }
 
-    private static List<String> homeRegions(View v, String tenant) {
-        var kept = v.topic().marks.get("tenant:" + tenant);
-        return kept == null ? v.manifest().homeRegions(tenant) : List.of(kept.split(","));
+    /** Returns the regions of a tenant; a mark in the manifest's topic takes precedence over the manifest. */
+    private static List<String> homeRegions(View view, String tenant) {
+        var markedRegions = view.topic().marks.get("tenant:" + tenant);
+        return markedRegions == null ? view.manifest().homeRegions(tenant) : List.of(markedRegions.split(","));
     }
 
-    private Decision forward(View v, Request t, String region, int unit, boolean once, Set<String> avoided) {
-        var there = new HashMap<String, Node>();
-        for (var n : v.members().get(Parts.of(t.service())))
-            if (n.isRouter()
-                    && n.serving
-                    && !avoided.contains(n.name)
-                    && region.equals(v.manifest().regionOfZone(n.zone))) there.put(n.name, n);
-        if (there.isEmpty()) return decline(Kind.NO_PATH);
-        return new Decision.Forward(there.get(Rendezvous.pick(t.service() + "/" + unit, there.keySet())), unit, once);
+    private Decision forwardToRegion(
+            View view, Request request, String region, int unit, boolean runOnce, Set<String> excluded) {
+        var routers = new HashMap<String, Node>();
+        for (var node : view.members().get(Parts.of(request.service())))
+            if (node.isRouter()
+                    && node.serving
+                    && !excluded.contains(node.name)
+                    && region.equals(view.manifest().regionOfZone(node.zone))) routers.put(node.name, node);
+        if (routers.isEmpty()) return decline(Kind.NO_PATH);
+        return new Decision.Forward(
+                routers.get(Rendezvous.pick(request.service() + "/" + unit, routers.keySet())), unit, runOnce);
     }
 
-    private static boolean closed(Rows.Service row, int home, View v, Map<String, Long> closedSince, long now) {
-        if (!Mover.closed(row, v.topic().marks).get(home)) return false;
-        var since = Math.max(
-                closedSince.getOrDefault("zone:" + row.zones.get(home), Long.MIN_VALUE),
-                closedSince.getOrDefault("cell:" + row.name + "/" + row.cells.get(home), Long.MIN_VALUE));
-        return now >= since + RequestExecutor.DRAIN;
+    /** Returns whether the cell is closed by a mark and its drain time since then is over. */
+    private static boolean isDrained(
+            Rows.Service serviceState, int cell, View view, Map<String, Long> closedSince, long now) {
+        if (!Mover.closed(serviceState, view.topic().marks).get(cell)) return false;
+        var closedAt = Math.max(
+                closedSince.getOrDefault("zone:" + serviceState.zones.get(cell), Long.MIN_VALUE),
+                closedSince.getOrDefault(
+                        "cell:" + serviceState.name + "/" + serviceState.cells.get(cell), Long.MIN_VALUE));
+        return now >= closedAt + RequestExecutor.DRAIN;
     }
 
-    private Decision serve(
-            View v,
-            Request t,
+    private Decision serveFromCell(
+            View view,
+            Request request,
             Manifest.Service service,
-            Rows.Service row,
-            int home,
+            Rows.Service serviceState,
+            int homeCell,
             int unit,
-            boolean once,
+            boolean runOnce,
             boolean leased,
-            Set<String> avoided,
+            Set<String> excluded,
             long now) {
-        var cell = row.cells.get(home);
-        var able = new ArrayList<Rows.Runner>();
-        for (var r : row.runners.values())
-            if (r.up()
-                    && r.cell.equals(cell)
-                    && !avoided.contains(r.name)
-                    && loads.usable(r, now)
-                    && (leased || loads.heardLately(r.name, now))) able.add(r);
-        if (able.isEmpty())
-            return comes(v, row, home, unit, avoided)
+        var cellName = serviceState.cells.get(homeCell);
+        var candidates = new ArrayList<Rows.Runner>();
+        for (var runner : serviceState.runners.values())
+            if (runner.up()
+                    && runner.cell.equals(cellName)
+                    && !excluded.contains(runner.name)
+                    && loads.usable(runner, now)
+                    && (leased || loads.heardLately(runner.name, now))) candidates.add(runner);
+        if (candidates.isEmpty())
+            return mayGetRunner(view, serviceState, homeCell, unit, excluded)
                     ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER))
                     : decline(Kind.NO_RUNNER);
-        var best = chooser.choose(
-                able,
-                Hash.of(t.prefix(), Hash.of(t.service())),
+        var selected = chooser.choose(
+                candidates,
+                Hash.of(request.prefix(), Hash.of(request.service())),
                 service.warmUp(),
-                leased && v.settled(Parts.of(t.service()), now),
-                routersHere(v, t),
+                leased && view.settled(Parts.of(request.service()), now),
+                routersInZone(view, request),
                 now);
-        if (best == null) return new Decision.Buffer(Problem.of(Kind.BUSY));
-        return new Decision.Serve(best, unit, row.tableVersion, once);
+        if (selected == null) return new Decision.Buffer(Problem.of(Kind.BUSY));
+        return new Decision.Serve(selected, unit, serviceState.tableVersion, runOnce);
     }
 
-    public boolean still(View v, Request t, Rows.Runner r, Map<String, Long> closedSince, long now) {
-        var row = v.services().get(t.service());
-        var known = row == null ? null : row.runners.get(r.name);
-        if (known == null || !known.up() || known.incarnation != r.incarnation || !loads.usable(known, now))
-            return false;
-        if (closed(row, row.cells.indexOf(known.cell), v, closedSince, now)) return false;
-        if (v.leased(Parts.of(t.service()), now) && v.leased(Parts.MANIFEST, now)) return true;
-        var work = v.manifest().service(t.service()) == null
+    /**
+     * Returns whether a runner that was selected for a request may still get it: it is up with the same incarnation and
+     * usable, its cell is not drained, and the leases or the grace period still allow the router to serve.
+     */
+    public boolean still(View view, Request request, Rows.Runner runner, Map<String, Long> closedSince, long now) {
+        var serviceState = view.services().get(request.service());
+        var current = serviceState == null ? null : serviceState.runners.get(runner.name);
+        if (current == null
+                || !current.up()
+                || current.incarnation != runner.incarnation
+                || !loads.usable(current, now)) return false;
+        if (isDrained(serviceState, serviceState.cells.indexOf(current.cell), view, closedSince, now)) return false;
+        if (view.leased(Parts.of(request.service()), now) && view.leased(Parts.MANIFEST, now)) return true;
+        var work = view.manifest().service(request.service()) == null
                 ? null
-                : v.manifest().service(t.service()).work(t.work());
-        return work != null && !work.runOnce() && !pastGrace(v, t, now) && loads.heardLately(r.name, now);
+                : view.manifest().service(request.service()).work(request.work());
+        return work != null
+                && !work.runOnce()
+                && !isGraceOver(view, request, now)
+                && loads.heardLately(runner.name, now);
     }
 
-    private static boolean comes(View v, Rows.Service row, int home, int unit, Set<String> avoided) {
-        var here = row.cells.get(home);
-        for (var r : row.runners.values()) if (r.up() && r.cell.equals(here) && !avoided.contains(r.name)) return true;
-        return row.runnersUp(home) == 0 && elsewhere(v, row, unit);
+    /**
+     * Returns whether waiting may help although no runner of the home cell is usable now: one of them is up and not
+     * excluded, or none is up and the unit can move to another cell.
+     */
+    private static boolean mayGetRunner(
+            View view, Rows.Service serviceState, int homeCell, int unit, Set<String> excluded) {
+        var homeCellName = serviceState.cells.get(homeCell);
+        for (var runner : serviceState.runners.values())
+            if (runner.up() && runner.cell.equals(homeCellName) && !excluded.contains(runner.name)) return true;
+        return serviceState.runnersUp(homeCell) == 0 && canMoveToRunner(view, serviceState, unit);
     }
 
-    private static boolean elsewhere(View v, Rows.Service row, int unit) {
-        var closed = Mover.closed(row, v.topic().marks);
-        for (var c = 0; c < row.cells.size(); c++) {
-            var allowed = row.live(c)
-                    && !closed.get(c)
-                    && Units.allows(Units.regionSet(unit), row.regions.indexOf(row.cellRegions.get(c)));
-            if (allowed && row.runnersUp(c) > 0) return true;
+    /** Returns whether an open cell within the unit's region set has a runner that is up. */
+    private static boolean canMoveToRunner(View view, Rows.Service serviceState, int unit) {
+        var closedCells = Mover.closed(serviceState, view.topic().marks);
+        for (var cell = 0; cell < serviceState.cells.size(); cell++) {
+            var allowed = serviceState.live(cell)
+                    && !closedCells.get(cell)
+                    && Units.allows(
+                            Units.regionSet(unit), serviceState.regions.indexOf(serviceState.cellRegions.get(cell)));
+            if (allowed && serviceState.runnersUp(cell) > 0) return true;
         }
         return false;
     }
 
-    private List<String> routersHere(View v, Request t) {
-        var all = new ArrayList<String>();
-        for (var x : v.members().get(Parts.of(t.service()))) if (x.isRouter() && x.zone.equals(zone)) all.add(x.name);
-        return all;
+    private List<String> routersInZone(View view, Request request) {
+        var names = new ArrayList<String>();
+        for (var node : view.members().get(Parts.of(request.service())))
+            if (node.isRouter() && node.zone.equals(zone)) names.add(node.name);
+        return names;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -22,16 +22,45 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
+/**
+ * Executes the requests of one router, from their acceptance to the end of the response. It asks the {@link Decider} where
+ * a request runs, takes quota and claims from the core, counts and limits retries, buffers requests that cannot run yet,
+ * and ends requests whose deadline has passed or whose runner or router is lost.
+ *
+ * <p>Work that may run only once needs a claim in the core before it is sent to a runner, and gets no second attempt once
+ * a runner may have started it. All other work may be retried until its response has begun.
+ *
+ * <p>Results of calls are reported with the request's id and the attempt's number; those of an earlier attempt or of a
+ * request that is over are ignored. Times are microseconds of the steady clock. Thread-safe: each request is guarded by
+ * the lock of its {@link RequestState}.
+ */
 public final class RequestExecutor {
+    /** How long a cell goes on serving requests after this router first saw the mark that closes it. */
     public static final long DRAIN = 1_500_000;
-    private static final int QUOTA_SHARE = 10;
-    private static final long PATIENCE = 5_000_000,
-            SHARE = 4,
-            CLAIM_PATIENCE = 3_000_000,
-            LEAST = 300_000,
-            FINISH_PATIENCE = 60_000_000,
-            RECHECK = 100_000,
-            SILENT = 3_000_000;
+
+    /** A router takes a tenth of a tenant's quota per minute from the core at a time. */
+    private static final int QUOTA_GRANT_DIVISOR = 10;
+
+    /** A request waits for a runner or a retry at most this long. */
+    private static final long MAX_WAIT_MICROS = 5_000_000;
+
+    /** A request waits for a runner or a retry at most a quarter of the time to its deadline. */
+    private static final long WAIT_DEADLINE_DIVISOR = 4;
+
+    /** Longest wait for the core's result on a claim or a quota. */
+    private static final long MAX_CORE_WAIT_MICROS = 3_000_000;
+
+    /** Shortest wait for the core's result on a claim or a quota, also when the request may hardly wait any longer. */
+    private static final long MIN_CORE_WAIT_MICROS = 300_000;
+
+    /** How long the end of a claim is repeated to the core; the request does not wait for it. */
+    private static final long FINISH_TIMEOUT_MICROS = 60_000_000;
+
+    /** Pause before a request is decided anew after another router declined it with {@link Kind#NOT_HOME}. */
+    private static final long NOT_HOME_RECHECK_MICROS = 100_000;
+
+    /** After this time without progress, it is checked whether the runner or router that has a request is lost. */
+    private static final long LOSS_CHECK_AFTER_MICROS = 3_000_000;
 
     private final Port port;
     private final Directory directory;
@@ -39,19 +68,20 @@
     private final CoreClient coreClient;
     private final Loads loads;
     private final Decider decider;
-    private final AttemptTokens tries = new AttemptTokens();
+    private final AttemptTokens retryTokens = new AttemptTokens();
     private final Counts counts = new Counts();
-    private final Map<Long, RequestState> requests = new ConcurrentHashMap<>();
-    private final Map<String, ConcurrentLinkedQueue<RequestState>> buffers = new ConcurrentHashMap<>();
-    private final Map<String, AtomicInteger> buffered = new ConcurrentHashMap<>();
+    private final Map<Long, RequestState> requestsById = new ConcurrentHashMap<>();
+    private final Map<String, ConcurrentLinkedQueue<RequestState>> buffersByService = new ConcurrentHashMap<>();
+    private final Map<String, AtomicInteger> bufferedByService = new ConcurrentHashMap<>();
     private final Map<String, Long> closedSince = new ConcurrentHashMap<>();
-    private final Map<String, Rows.Service> met = new ConcurrentHashMap<>();
+    private final Map<String, Rows.Service> seenServices = new ConcurrentHashMap<>();
     private final CellSignals signals = new CellSignals();
     private final Usage usage = new Usage();
-    private final Quotas quotas = new Quotas();
-    private final AtomicLong claimNo = new AtomicLong();
+    private final QuotaGrants quotaGrants = new QuotaGrants();
+    private final AtomicLong lastClaimNumber = new AtomicLong();
     private volatile boolean stopping;
 
+    /** Creates the executor of the router whose node is {@link Directory#self}. */
     public RequestExecutor(Port port, Directory directory, Membership membership, CoreClient coreClient, Loads loads) {
         this.port = port;
         this.directory = directory;
@@ -61,504 +91,571 @@
         this.decider = new Decider(directory.self().name, directory.self().zone, loads);
     }
 
+    /** Returns the running totals for the metrics. */
     public Counts counts() {
         return counts;
     }
 
+    /** Returns the signals of the cells that are still to be reported to the core. */
     public CellSignals signals() {
         return signals;
     }
 
+    /** Returns the usage records of the requests that ended. */
     public Usage usage() {
         return usage;
     }
 
-    private void used(RequestState c, String verdict) {
-        if (c.atPeer) return;
-        var m = membership.view().manifest();
-        usage.add(c, m == null ? "" : m.regionOfZone(directory.self().zone), verdict, port.now());
+    /** Adds a usage record, unless the request was forwarded: the other router then has one. */
+    private void recordUsage(RequestState state, String outcome) {
+        if (state.sentToRouter) return;
+        var manifest = membership.view().manifest();
+        usage.add(state, manifest == null ? "" : manifest.regionOfZone(directory.self().zone), outcome, port.now());
     }
 
+    /** Returns the number of requests that are not over. */
     public int open() {
-        return requests.size();
+        return requestsById.size();
     }
 
+    /** Declines all further requests; those already accepted go on, but no longer wait for a runner. */
     public void stop() {
         stopping = true;
     }
 
-    public void take(Request t, RequestOutput line) {
+    /** Accepts a request; everything that is to be done for it goes to the output. */
+    public void take(Request request, RequestOutput output) {
         counts.taken.incrementAndGet();
-        if (t.forwarded()) counts.forwardedIn.incrementAndGet();
-        earn(t.service());
-        var c = new RequestState(t, line, port.now());
-        requests.put(t.id(), c);
-        synchronized (c) {
-            if (stopping) end(c, Problem.of(Kind.STOPPING));
-            else decide(c);
+        if (request.forwarded()) counts.forwardedIn.incrementAndGet();
+        earnRetryTokens(request.service());
+        var state = new RequestState(request, output, port.now());
+        requestsById.put(request.id(), state);
+        synchronized (state) {
+            if (stopping) end(state, Problem.of(Kind.STOPPING));
+            else decide(state);
         }
     }
 
-    private void earn(String service) {
+    private void earnRetryTokens(String service) {
         var routers = 0;
-        for (var n : membership.view().members().get(Parts.of(service))) if (n.isRouter()) routers++;
-        tries.earn(Math.max(1, routers));
+        for (var node : membership.view().members().get(Parts.of(service))) if (node.isRouter()) routers++;
+        retryTokens.earn(Math.max(1, routers));
     }
 
-    private static long patience(RequestState c) {
-        return Math.min(PATIENCE, (c.t.deadline() - c.takenAt) / SHARE);
+    private static long maxWait(RequestState state) {
+        return Math.min(MAX_WAIT_MICROS, (state.request.deadline() - state.acceptedAt) / WAIT_DEADLINE_DIVISOR);
     }
 
-    private static long left(RequestState c, long now) {
-        return c.takenAt + patience(c) - now;
+    /** Returns how much longer the request may wait; negative if its time to wait is over. */
+    private static long remainingWait(RequestState state, long now) {
+        return state.acceptedAt + maxWait(state) - now;
     }
 
-    private void decide(RequestState c) {
+    private void decide(RequestState state) {
         var now = port.now();
-        var d = decider.ask(membership.view(), c.t, c.avoided, closedSince, now);
-        if (d instanceof Decision.Serve s) serve(c, s);
-        else if (d instanceof Decision.Forward f) forward(c, f);
-        else if (d instanceof Decision.Buffer b) buffer(c, b.otherwise(), now);
-        else if (d instanceof Decision.Decline x) end(c, x.problem());
-    }
-
-    private void serve(RequestState c, Decision.Serve s) {
-        c.unit = s.unit();
-        c.once = s.runOnce();
-        if (!metered(c)) {
-            meter(c, s);
+        var decision = decider.ask(membership.view(), state.request, state.excluded, closedSince, now);
+        if (decision instanceof Decision.Serve serve) dispatch(state, serve);
+        else if (decision instanceof Decision.Forward forward) forward(state, forward);
+        else if (decision instanceof Decision.Buffer buffer) buffer(state, buffer.otherwise(), now);
+        else if (decision instanceof Decision.Decline decline) end(state, decline.problem());
+    }
+
+    /** Sends the request to a runner, or first takes quota and a claim; the decision is then made anew. */
+    private void dispatch(RequestState state, Decision.Serve decision) {
+        state.unit = decision.unit();
+        state.runOnce = decision.runOnce();
+        if (!takeQuota(state)) {
+            requestQuota(state, decision);
             return;
         }
-        if (c.once && !c.claimed) {
-            claim(c, s);
+        if (state.runOnce && !state.hasClaim) {
+            requestClaim(state, decision);
             return;
         }
-        if (!c.move(RequestPhase.RUNNING)) return;
-        if (!c.t.forwarded() && c.attempt == 0) earn(c.t.service());
-        c.attempt++;
-        c.heardAt = port.now();
-        c.runner = s.runner();
-        c.ranOn = c.runner.name;
-        c.atPeer = false;
-        c.sentAt = c.heardAt;
-        loads.started(c.runner.name);
+        if (!state.transitionTo(RequestPhase.DISPATCHED)) return;
+        // Served where it arrived, a request earns twice here; a forwarded one earns once at each of its two routers.
+        if (!state.request.forwarded() && state.attempt == 0) earnRetryTokens(state.request.service());
+        state.attempt++;
+        state.lastProgressAt = port.now();
+        state.runner = decision.runner();
+        state.lastRunnerName = state.runner.name;
+        state.sentToRouter = false;
+        state.dispatchedAt = state.lastProgressAt;
+        loads.started(state.runner.name);
         counts.dispatched.incrementAndGet();
-        c.line.serve(c.attempt, c.runner);
+        state.output.serve(state.attempt, state.runner);
     }
 
-    private void forward(RequestState c, Decision.Forward f) {
-        c.once = f.runOnce();
-        if (c.claimed) {
-            freeThenDecide(c);
+    private void forward(RequestState state, Decision.Forward decision) {
+        state.runOnce = decision.runOnce();
+        if (state.hasClaim) {
+            releaseClaimThenDecide(state);
             return;
         }
-        if (!c.move(RequestPhase.FORWARDED)) return;
-        c.attempt++;
-        c.heardAt = port.now();
-        c.router = f.router().name;
-        c.atPeer = true;
+        if (!state.transitionTo(RequestPhase.FORWARDED)) return;
+        state.attempt++;
+        state.lastProgressAt = port.now();
+        state.router = decision.router().name;
+        state.sentToRouter = true;
         counts.forwardedOut.incrementAndGet();
-        c.line.forward(c.attempt, f.router());
+        state.output.forward(state.attempt, decision.router());
     }
 
-    private void buffer(RequestState c, Problem otherwise, long now) {
-        var service = membership.view().manifest().service(c.t.service());
-        var n = buffered.computeIfAbsent(c.t.service(), k -> new AtomicInteger());
-        var full = c.state != RequestPhase.BUFFERED && n.get() >= service.buffer();
-        if (full || left(c, now) < 0 || stopping && otherwise.kind() == Kind.NO_RUNNER) {
-            end(c, full ? Problem.of(Kind.BUSY) : otherwise);
+    /** Puts the request into the buffer or keeps it there; ends it if the buffer is full or its time to wait is over. */
+    private void buffer(RequestState state, Problem otherwise, long now) {
+        var service = membership.view().manifest().service(state.request.service());
+        var buffered = bufferedByService.computeIfAbsent(state.request.service(), k -> new AtomicInteger());
+        var full = state.phase != RequestPhase.BUFFERED && buffered.get() >= service.buffer();
+        if (full || remainingWait(state, now) < 0 || stopping && otherwise.kind() == Kind.NO_RUNNER) {
+            end(state, full ? Problem.of(Kind.BUSY) : otherwise);
             return;
         }
-        if (c.state == RequestPhase.BUFFERED || !c.move(RequestPhase.BUFFERED)) return;
+        if (state.phase == RequestPhase.BUFFERED || !state.transitionTo(RequestPhase.BUFFERED)) return;
         counts.buffered.incrementAndGet();
-        n.incrementAndGet();
-        buffers.computeIfAbsent(c.t.service(), k -> new ConcurrentLinkedQueue<>())
-                .add(c);
-    }
-
-    private boolean metered(RequestState c) {
-        if (c.metered) return true;
-        var t = membership.view().manifest().tenant(c.t.tenant());
-        c.metered = t == null || t.quota() == 0 || quotas.take(c.t.service() + "/" + c.t.tenant(), port.now());
-        return c.metered;
-    }
-
-    private void meter(RequestState c, Decision.Serve s) {
-        if (!c.move(RequestPhase.CLAIMING)) return;
-        var x = new Commands.QuotaTake();
-        x.service = c.t.service();
-        x.tenant = c.t.tenant();
-        x.unit = s.unit();
-        x.tableVersion = s.tableVersion();
-        x.region = membership.view().manifest().regionOfZone(directory.self().zone);
-        x.limit = membership.view().manifest().tenant(c.t.tenant()).quota();
-        x.count = Math.max(1, x.limit / QUOTA_SHARE);
+        buffered.incrementAndGet();
+        buffersByService
+                .computeIfAbsent(state.request.service(), k -> new ConcurrentLinkedQueue<>())
+                .add(state);
+    }
+
+    /** Returns whether the request has its quota, or takes it from what the core granted to this router before. */
+    private boolean takeQuota(RequestState state) {
+        if (state.quotaTaken) return true;
+        var tenant = membership.view().manifest().tenant(state.request.tenant());
+        state.quotaTaken = tenant == null
+                || tenant.quota() == 0
+                || quotaGrants.take(state.request.service() + "/" + state.request.tenant(), port.now());
+        return state.quotaTaken;
+    }
+
+    private void requestQuota(RequestState state, Decision.Serve decision) {
+        if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
+        var command = new Commands.QuotaTake();
+        command.service = state.request.service();
+        command.tenant = state.request.tenant();
+        command.unit = decision.unit();
+        command.tableVersion = decision.tableVersion();
+        command.region = membership.view().manifest().regionOfZone(directory.self().zone);
+        command.limit =
+                membership.view().manifest().tenant(state.request.tenant()).quota();
+        command.count = Math.max(1, command.limit / QUOTA_GRANT_DIVISOR);
         coreClient.ask(
-                Parts.of(x.service),
-                x,
-                Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
-                v -> meteredBy(c, v));
-    }
-
-    private void meteredBy(RequestState c, CommandResult v) {
-        if (v.kind == 0) quotas.add(c.t.service() + "/" + c.t.tenant(), (int) v.version, port.now() + v.retryAfter);
-        synchronized (c) {
-            if (c.state != RequestPhase.CLAIMING) return;
-            if (v.kind == 0) decide(c);
-            else if (v.kind == Kind.QUOTA_SPENT.code()) end(c, Problem.of(Kind.QUOTA_SPENT, v.detail, v.retryAfter));
-            else notAsked(c, Kind.of(v.kind), v);
+                Parts.of(command.service),
+                command,
+                Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
+                result -> handleQuotaResult(state, result));
+    }
+
+    /** A granted quota comes as the result's version; it may be used for the result's {@code retryAfter} microseconds. */
+    private void handleQuotaResult(RequestState state, CommandResult result) {
+        if (result.kind == 0)
+            quotaGrants.add(
+                    state.request.service() + "/" + state.request.tenant(),
+                    (int) result.version,
+                    port.now() + result.retryAfter);
+        synchronized (state) {
+            if (state.phase != RequestPhase.AWAITING_CORE) return;
+            if (result.kind == 0) decide(state);
+            else if (result.kind == Kind.QUOTA_SPENT.code())
+                end(state, Problem.of(Kind.QUOTA_SPENT, result.detail, result.retryAfter));
+            else handleCoreProblem(state, Kind.of(result.kind), result);
         }
     }
 
-    private void claim(RequestState c, Decision.Serve s) {
-        if (!c.move(RequestPhase.CLAIMING)) return;
-        var x = new Commands.Claim();
-        x.service = c.t.service();
-        x.key = key(c.t);
-        x.unit = s.unit();
-        x.tableVersion = s.tableVersion();
-        x.region = membership.view().manifest().regionOfZone(directory.self().zone);
-        x.holder = directory.self().name;
-        x.incarnation = directory.self().incarnation;
-        x.attempt = c.claimNo = claimNo.incrementAndGet();
+    private void requestClaim(RequestState state, Decision.Serve decision) {
+        if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
+        var command = new Commands.Claim();
+        command.service = state.request.service();
+        command.key = claimKey(state.request);
+        command.unit = decision.unit();
+        command.tableVersion = decision.tableVersion();
+        command.region = membership.view().manifest().regionOfZone(directory.self().zone);
+        command.holder = directory.self().name;
+        command.incarnation = directory.self().incarnation;
+        command.attempt = state.claimNumber = lastClaimNumber.incrementAndGet();
         coreClient.ask(
-                Parts.of(x.service),
-                x,
-                Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
-                v -> claimed(c, v));
+                Parts.of(command.service),
+                command,
+                Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
+                result -> handleClaimResult(state, result));
     }
 
-    private void freeThenDecide(RequestState c) {
-        if (!c.move(RequestPhase.CLAIMING)) return;
+    /** Frees the claim, which the other router needs, before the request can be forwarded. */
+    private void releaseClaimThenDecide(RequestState state) {
+        if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
         coreClient.ask(
-                Parts.of(c.t.service()),
-                finish(c, Rows.Claim.FREED),
-                Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
-                v -> {
-                    synchronized (c) {
-                        if (v.kind == 0) c.claimed = false;
-                        if (c.state != RequestPhase.CLAIMING) return;
-                        if (v.kind == 0) decide(c);
-                        else end(c, Problem.of(Kind.NO_OWNER));
+                Parts.of(state.request.service()),
+                finishCommand(state, Rows.Claim.FREED),
+                Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
+                result -> {
+                    synchronized (state) {
+                        if (result.kind == 0) state.hasClaim = false;
+                        if (state.phase != RequestPhase.AWAITING_CORE) return;
+                        if (result.kind == 0) decide(state);
+                        else end(state, Problem.of(Kind.NO_OWNER));
                     }
                 });
     }
 
-    private Commands.Finish finish(RequestState c, int state) {
-        var x = new Commands.Finish();
-        x.service = c.t.service();
-        x.key = key(c.t);
-        x.holder = directory.self().name;
-        x.incarnation = directory.self().incarnation;
-        x.attempt = c.claimNo;
-        x.state = state;
-        return x;
+    private Commands.Finish finishCommand(RequestState state, int claimState) {
+        var command = new Commands.Finish();
+        command.service = state.request.service();
+        command.key = claimKey(state.request);
+        command.holder = directory.self().name;
+        command.incarnation = directory.self().incarnation;
+        command.attempt = state.claimNumber;
+        command.state = claimState;
+        return command;
     }
 
-    private static String key(Request t) {
-        var whole = t.service() + "\n" + t.tenant() + "\n" + t.key();
-        return Long.toHexString(Hash.of(whole)) + Long.toHexString(Hash.of("2\n" + whole));
+    /** Returns the key of the request's claim: two 64-bit hashes of its service, tenant and key. */
+    private static String claimKey(Request request) {
+        var text = request.service() + "\n" + request.tenant() + "\n" + request.key();
+        return Long.toHexString(Hash.of(text)) + Long.toHexString(Hash.of("2\n" + text));
     }
 
-    private void claimed(RequestState c, CommandResult v) {
-        synchronized (c) {
-            if (v.kind == 0) c.claimed = true;
-            if (c.state != RequestPhase.CLAIMING) {
-                giveBack(c, Rows.Claim.FREED);
+    private void handleClaimResult(RequestState state, CommandResult result) {
+        synchronized (state) {
+            if (result.kind == 0) state.hasClaim = true;
+            if (state.phase != RequestPhase.AWAITING_CORE) {
+                finishClaim(state, Rows.Claim.FREED);
                 return;
             }
-            if (v.kind == 0) decide(c);
-            else notAsked(c, Kind.of(v.kind), v);
+            if (result.kind == 0) decide(state);
+            else handleCoreProblem(state, Kind.of(result.kind), result);
         }
     }
 
-    private void notAsked(RequestState c, Kind k, CommandResult v) {
-        switch (k) {
+    /** Handles a problem with a claim or a quota; nothing was sent to a runner under it. */
+    private void handleCoreProblem(RequestState state, Kind kind, CommandResult result) {
+        switch (kind) {
             case STALE_TABLE, NOT_UNIT_HOME -> {
-                c.needTable = v.version;
-                buffer(c, Problem.of(Kind.NOT_HOME), port.now());
+                state.requiredTableVersion = result.version;
+                buffer(state, Problem.of(Kind.NOT_HOME), port.now());
             }
             case UNCERTAIN, NO_OWNER -> {
-                c.claimed = c.claimNo != 0;
-                end(c, Problem.of(Kind.NO_OWNER));
+                // The core may hold the claim all the same, so it is freed when the request ends.
+                state.hasClaim = state.claimNumber != 0;
+                end(state, Problem.of(Kind.NO_OWNER));
             }
-            case STALE_MEMBER -> end(c, Problem.of(Kind.CUT_OFF));
-            default -> end(c, Problem.of(k, v.detail));
+            case STALE_MEMBER -> end(state, Problem.of(Kind.CUT_OFF));
+            default -> end(state, Problem.of(kind, result.detail));
         }
     }
 
-    private void giveBack(RequestState c, int state) {
-        if (!c.claimed) return;
-        c.claimed = false;
-        coreClient.ask(Parts.of(c.t.service()), finish(c, state), FINISH_PATIENCE, v -> {});
-    }
-
-    private void end(RequestState c, Problem given) {
-        if (!c.move(RequestPhase.ENDED)) return;
-        var p = c.started && given.kind().bearing() == Bearing.DECLINED
-                ? Problem.of(Kind.RUN_BROKEN, "an earlier try broke off; then: " + given.detail())
-                : given;
-        giveBack(c, p.kind().bearing() == Bearing.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
-        requests.remove(c.t.id());
-        counts.verdict(p.kind());
-        used(c, p.kind().name().toLowerCase());
-        c.line.verdict(p);
-    }
-
-    private void leaveRunner(RequestState c) {
-        if (c.runner == null) return;
-        loads.ended(c.runner.name);
-        c.runner = null;
-    }
-
-    private RequestState at(long id, int attempt) {
-        var c = requests.get(id);
-        return c != null && c.attempt == attempt ? c : null;
-    }
-
-    public void notRun(long id, int attempt, Problem p) {
-        var c = at(id, attempt);
-        if (c == null) return;
-        synchronized (c) {
-            if (c.state != RequestPhase.RUNNING && c.state != RequestPhase.FORWARDED) return;
-            if (c.state == RequestPhase.FORWARDED) peerDeclined(c, p);
-            else runnerDeclined(c, p);
+    /** Sets the claim's final state in the core, without waiting for the result. */
+    private void finishClaim(RequestState state, int claimState) {
+        if (!state.hasClaim) return;
+        state.hasClaim = false;
+        coreClient.ask(
+                Parts.of(state.request.service()),
+                finishCommand(state, claimState),
+                FINISH_TIMEOUT_MICROS,
+                result -> {});
+    }
+
+    /**
+     * Ends the request with a problem. A problem that promises that nothing has run is replaced if an earlier attempt may
+     * have started the work.
+     */
+    private void end(RequestState state, Problem cause) {
+        if (!state.transitionTo(RequestPhase.ENDED)) return;
+        var problem = state.earlierAttemptBroke && cause.kind().bearing() == Bearing.DECLINED
+                ? Problem.of(Kind.RUN_BROKEN, "an earlier attempt broke off; then: " + cause.detail())
+                : cause;
+        finishClaim(state, problem.kind().bearing() == Bearing.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
+        requestsById.remove(state.request.id());
+        counts.verdict(problem.kind());
+        recordUsage(state, problem.kind().name().toLowerCase());
+        state.output.verdict(problem);
+    }
+
+    private void releaseRunner(RequestState state) {
+        if (state.runner == null) return;
+        loads.ended(state.runner.name);
+        state.runner = null;
+    }
+
+    private RequestState findCurrent(long id, int attempt) {
+        var state = requestsById.get(id);
+        return state != null && state.attempt == attempt ? state : null;
+    }
+
+    /** Reports that the runner or router declined an attempt and has not run the request: another may be tried. */
+    public void notRun(long id, int attempt, Problem problem) {
+        var state = findCurrent(id, attempt);
+        if (state == null) return;
+        synchronized (state) {
+            if (state.phase != RequestPhase.DISPATCHED && state.phase != RequestPhase.FORWARDED) return;
+            if (state.phase == RequestPhase.FORWARDED) handleRouterDecline(state, problem);
+            else handleRunnerDecline(state, problem);
         }
-        wake(c.t.service());
+        resumeBuffered(state.request.service());
     }
 
-    public void refusedWork(long id, int attempt, Problem p) {
-        var c = at(id, attempt);
-        if (c == null) return;
-        synchronized (c) {
-            if (c.state != RequestPhase.RUNNING && c.state != RequestPhase.FORWARDED) return;
-            leaveRunner(c);
-            end(c, p);
+    /** Reports that an attempt ended with a problem that another attempt cannot mend; the request ends with it. */
+    public void refusedWork(long id, int attempt, Problem problem) {
+        var state = findCurrent(id, attempt);
+        if (state == null) return;
+        synchronized (state) {
+            if (state.phase != RequestPhase.DISPATCHED && state.phase != RequestPhase.FORWARDED) return;
+            releaseRunner(state);
+            end(state, problem);
         }
-        wake(c.t.service());
+        resumeBuffered(state.request.service());
     }
 
-    private void runnerDeclined(RequestState c, Problem p) {
-        var name = c.runner.name;
-        if (p.kind() == Kind.BUSY) loads.reported(name, c.runner.slots, port.now());
-        else c.avoided.add(name);
-        if (p.kind() == Kind.NO_PATH) {
+    /** A busy runner counts as full until its next report; any other is not tried again, and is ejected if unreachable. */
+    private void handleRunnerDecline(RequestState state, Problem problem) {
+        var name = state.runner.name;
+        if (problem.kind() == Kind.BUSY) loads.reported(name, state.runner.slots, port.now());
+        else state.excluded.add(name);
+        if (problem.kind() == Kind.NO_PATH) {
             loads.eject(name, port.now());
-            signals.problem(c.t.service(), c.runner.cell);
+            signals.problem(state.request.service(), state.runner.cell);
         }
-        leaveRunner(c);
-        if (p.kind() == Kind.BUSY) waitForSlot(c);
-        else again(c, p);
-    }
-
-    private void peerDeclined(RequestState c, Problem p) {
-        if (p.kind() == Kind.NOT_HOME) {
-            c.needTable = p.retryAfter();
-            c.notBefore = port.now() + RECHECK;
-            c.owesAttempt = true;
-            buffer(c, Problem.of(Kind.NOT_HOME), port.now());
+        releaseRunner(state);
+        if (problem.kind() == Kind.BUSY) waitForSlot(state);
+        else retry(state, problem);
+    }
+
+    /** With NOT_HOME, the routers have different placement tables: waits for the other's version, then decides anew. */
+    private void handleRouterDecline(RequestState state, Problem problem) {
+        if (problem.kind() == Kind.NOT_HOME) {
+            state.requiredTableVersion = problem.retryAfter();
+            state.retryNotBefore = port.now() + NOT_HOME_RECHECK_MICROS;
+            state.nextAttemptIsRetry = true;
+            buffer(state, Problem.of(Kind.NOT_HOME), port.now());
             return;
         }
-        c.avoided.add(c.router);
-        if (p.kind() == Kind.NO_PATH || p.kind() == Kind.STOPPING || p.kind() == Kind.CUT_OFF) again(c, p);
-        else end(c, p);
+        state.excluded.add(state.router);
+        if (problem.kind() == Kind.NO_PATH || problem.kind() == Kind.STOPPING || problem.kind() == Kind.CUT_OFF)
+            retry(state, problem);
+        else end(state, problem);
     }
 
-    private void waitForSlot(RequestState c) {
-        c.owesAttempt = c.waitsForSlot = true;
-        buffer(c, Problem.of(Kind.BUSY), port.now());
+    private void waitForSlot(RequestState state) {
+        state.nextAttemptIsRetry = state.waitsForSlot = true;
+        buffer(state, Problem.of(Kind.BUSY), port.now());
     }
 
-    private void again(RequestState c, Problem otherwise) {
-        if (!c.move(RequestPhase.TAKEN)) return;
-        c.owesAttempt = true;
-        if (left(c, port.now()) < 0) end(c, otherwise);
-        else if (payTry(c)) decide(c);
-        else end(c, Problem.of(Kind.TRIES_SPENT));
+    /** Makes another attempt, or ends the request if its time to wait is over or there is no retry token. */
+    private void retry(RequestState state, Problem otherwise) {
+        if (!state.transitionTo(RequestPhase.DECIDING)) return;
+        state.nextAttemptIsRetry = true;
+        if (remainingWait(state, port.now()) < 0) end(state, otherwise);
+        else if (takeRetryToken(state)) decide(state);
+        else end(state, Problem.of(Kind.TRIES_SPENT));
     }
 
-    private boolean payTry(RequestState c) {
-        if (!c.owesAttempt) return true;
-        if (!tries.spend()) return false;
-        c.owesAttempt = false;
+    /** Takes a retry token if the next attempt needs one; returns false if there is none. */
+    private boolean takeRetryToken(RequestState state) {
+        if (!state.nextAttemptIsRetry) return true;
+        if (!retryTokens.spend()) return false;
+        state.nextAttemptIsRetry = false;
         counts.extraTries.incrementAndGet();
         return true;
     }
 
+    /**
+     * Confirms, right before a request is sent, that the attempt is still current and the runner may still serve it. If the
+     * runner may not, decides anew and returns false.
+     */
     public boolean clear(long id, int attempt) {
-        var c = at(id, attempt);
-        if (c == null) return false;
-        synchronized (c) {
-            if (c.state == RequestPhase.FORWARDED) return true;
-            if (c.state != RequestPhase.RUNNING) return false;
-            if (decider.still(membership.view(), c.t, c.runner, closedSince, port.now())) return true;
-            leaveRunner(c);
-            if (c.move(RequestPhase.TAKEN)) decide(c);
+        var state = findCurrent(id, attempt);
+        if (state == null) return false;
+        synchronized (state) {
+            if (state.phase == RequestPhase.FORWARDED) return true;
+            if (state.phase != RequestPhase.DISPATCHED) return false;
+            if (decider.still(membership.view(), state.request, state.runner, closedSince, port.now())) return true;
+            releaseRunner(state);
+            if (state.transitionTo(RequestPhase.DECIDING)) decide(state);
             return false;
         }
     }
 
+    /** Adds the versions of the manifest and of the service's placement table to the headers for a runner. */
     public void stamp(String service, Map<String, String> headers) {
-        var v = membership.view();
-        var s = v.services().get(service);
-        headers.put(HttpExchange.MANIFEST, Long.toString(v.topic().version));
-        headers.put(HttpExchange.TABLE, Long.toString(s == null ? 0 : s.tableVersion));
+        var view = membership.view();
+        var serviceState = view.services().get(service);
+        headers.put(HttpExchange.MANIFEST, Long.toString(view.topic().version));
+        headers.put(HttpExchange.TABLE, Long.toString(serviceState == null ? 0 : serviceState.tableVersion));
     }
 
+    /** Reports the first data of a response; returns whether it may be streamed to the client. */
     public boolean opened(long id, int attempt) {
-        var c = at(id, attempt);
-        if (c == null) return false;
-        synchronized (c) {
-            c.firstAt = port.now();
-            if (c.runner != null && c.state == RequestPhase.RUNNING)
-                signals.first(c.t.service(), c.runner.cell, port.now() - c.sentAt);
-            return c.move(RequestPhase.STREAMING);
+        var state = findCurrent(id, attempt);
+        if (state == null) return false;
+        synchronized (state) {
+            state.firstDataAt = port.now();
+            if (state.runner != null && state.phase == RequestPhase.DISPATCHED)
+                signals.first(state.request.service(), state.runner.cell, port.now() - state.dispatchedAt);
+            return state.transitionTo(RequestPhase.STREAMING);
         }
     }
 
+    /** Reports that a response was streamed to its end. */
     public void whole(long id, int attempt) {
-        var c = at(id, attempt);
-        if (c == null) return;
-        synchronized (c) {
-            if (!c.move(RequestPhase.ENDED)) return;
+        var state = findCurrent(id, attempt);
+        if (state == null) return;
+        synchronized (state) {
+            if (!state.transitionTo(RequestPhase.ENDED)) return;
             counts.whole.incrementAndGet();
-            used(c, "whole");
-            giveBack(c, Rows.Claim.DONE);
-            leaveRunner(c);
-            requests.remove(id);
+            recordUsage(state, "whole");
+            finishClaim(state, Rows.Claim.DONE);
+            releaseRunner(state);
+            requestsById.remove(id);
         }
-        wake(c.t.service());
+        resumeBuffered(state.request.service());
     }
 
+    /** Reports that an attempt broke off after the request was sent, so that it may have run. */
     public void broken(long id, int attempt) {
-        var c = at(id, attempt);
-        if (c == null) return;
-        synchronized (c) {
-            var forwarded = c.state == RequestPhase.FORWARDED;
-            if (c.state == RequestPhase.STREAMING) cutOff(c, Problem.of(Kind.RUN_BROKEN));
-            else if (c.state == RequestPhase.RUNNING || forwarded) brokenEarly(c, forwarded);
+        var state = findCurrent(id, attempt);
+        if (state == null) return;
+        synchronized (state) {
+            var forwarded = state.phase == RequestPhase.FORWARDED;
+            if (state.phase == RequestPhase.STREAMING) cutStream(state, Problem.of(Kind.RUN_BROKEN));
+            else if (state.phase == RequestPhase.DISPATCHED || forwarded) handleBreakBeforeStream(state, forwarded);
         }
-        wake(c.t.service());
+        resumeBuffered(state.request.service());
     }
 
-    private void brokenEarly(RequestState c, boolean forwarded) {
-        var name = forwarded ? c.router : c.runner.name;
-        if (!forwarded) signals.problem(c.t.service(), c.runner.cell);
-        leaveRunner(c);
-        c.avoided.add(name);
+    private void handleBreakBeforeStream(RequestState state, boolean forwarded) {
+        var name = forwarded ? state.router : state.runner.name;
+        if (!forwarded) signals.problem(state.request.service(), state.runner.cell);
+        releaseRunner(state);
+        state.excluded.add(name);
         if (!forwarded) loads.eject(name, port.now());
-        if (c.once) end(c, Problem.of(Kind.OUTCOME_UNKNOWN));
+        if (state.runOnce) end(state, Problem.of(Kind.OUTCOME_UNKNOWN));
         else {
-            c.started = true;
-            again(c, Problem.of(Kind.RUN_BROKEN));
+            state.earlierAttemptBroke = true;
+            retry(state, Problem.of(Kind.RUN_BROKEN));
         }
     }
 
-    private void cutOff(RequestState c, Problem p) {
-        if (!c.move(RequestPhase.ENDED)) return;
+    private void cutStream(RequestState state, Problem problem) {
+        if (!state.transitionTo(RequestPhase.ENDED)) return;
         counts.cut.incrementAndGet();
-        used(c, "cut");
-        if (c.runner != null) signals.problem(c.t.service(), c.runner.cell);
-        port.note(Event.CUT_STREAM, c.t.service() + " " + c.t.work() + " transaction " + c.t.id());
-        giveBack(c, Rows.Claim.UNKNOWN);
-        leaveRunner(c);
-        requests.remove(c.t.id());
-        c.line.cut(p);
-    }
-
+        recordUsage(state, "cut");
+        if (state.runner != null) signals.problem(state.request.service(), state.runner.cell);
+        port.note(
+                Event.CUT_STREAM,
+                state.request.service() + " " + state.request.work() + " transaction " + state.request.id());
+        finishClaim(state, Rows.Claim.UNKNOWN);
+        releaseRunner(state);
+        requestsById.remove(state.request.id());
+        state.output.cut(problem);
+    }
+
+    /** Reports that the client has disconnected; the request ends, whatever its phase. */
     public void gone(long id) {
-        var c = requests.get(id);
-        if (c == null) return;
-        synchronized (c) {
-            var ran = c.state == RequestPhase.RUNNING
-                    || c.state == RequestPhase.STREAMING
-                    || c.state == RequestPhase.FORWARDED;
-            if (!c.move(RequestPhase.ENDED)) return;
-            used(c, "gone");
-            giveBack(c, ran ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
-            leaveRunner(c);
-            requests.remove(id);
-            c.line.cut(Problem.of(Kind.RUN_BROKEN, "the requester went away"));
+        var state = requestsById.get(id);
+        if (state == null) return;
+        synchronized (state) {
+            var mayHaveRun = state.phase == RequestPhase.DISPATCHED
+                    || state.phase == RequestPhase.STREAMING
+                    || state.phase == RequestPhase.FORWARDED;
+            if (!state.transitionTo(RequestPhase.ENDED)) return;
+            recordUsage(state, "gone");
+            finishClaim(state, mayHaveRun ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
+            releaseRunner(state);
+            requestsById.remove(id);
+            state.output.cut(Problem.of(Kind.RUN_BROKEN, "the client disconnected"));
         }
-        wake(c.t.service());
+        resumeBuffered(state.request.service());
     }
 
+    /** Reports that a response goes on, and how many tokens it has so far. */
     public void progress(long id, int tokens) {
-        var c = requests.get(id);
-        if (c == null) return;
-        c.heardAt = port.now();
-        c.tokens = tokens;
-    }
-
-    private void watch(RequestState c, Membership.View v, long now) {
-        if (now >= c.t.deadline()) late(c);
-        else if (now - c.heardAt > SILENT && lost(c, v)) broken(c.t.id(), c.attempt);
-    }
-
-    private boolean lost(RequestState c, Membership.View v) {
-        synchronized (c) {
-            if (c.state != RequestPhase.RUNNING
-                    && c.state != RequestPhase.STREAMING
-                    && c.state != RequestPhase.FORWARDED) return false;
-            if (c.runner == null)
-                return c.router != null
-                        && v.leased(Parts.of(c.t.service()), port.now())
-                        && v.members().get(Parts.of(c.t.service())).stream().noneMatch(n -> n.name.equals(c.router));
-            var s = v.services().get(c.t.service());
-            var r = s == null ? null : s.runners.get(c.runner.name);
-            return r == null || r.incarnation != c.runner.incarnation || r.state == Rows.Runner.DARK;
+        var state = requestsById.get(id);
+        if (state == null) return;
+        state.lastProgressAt = port.now();
+        state.streamedTokens = tokens;
+    }
+
+    private void checkRequest(RequestState state, Membership.View view, long now) {
+        if (now >= state.request.deadline()) endAfterDeadline(state);
+        else if (now - state.lastProgressAt > LOSS_CHECK_AFTER_MICROS && isTargetLost(state, view))
+            broken(state.request.id(), state.attempt);
+    }
+
+    /**
+     * Returns whether, by the membership view, the router that has the request is no longer a member, or the runner that
+     * has it is gone, dark or replaced by another incarnation. A router counts as lost only while the lease is held, since
+     * the list of members may be outdated otherwise.
+     */
+    private boolean isTargetLost(RequestState state, Membership.View view) {
+        synchronized (state) {
+            if (state.phase != RequestPhase.DISPATCHED
+                    && state.phase != RequestPhase.STREAMING
+                    && state.phase != RequestPhase.FORWARDED) return false;
+            if (state.runner == null)
+                return state.router != null
+                        && view.leased(Parts.of(state.request.service()), port.now())
+                        && view.members().get(Parts.of(state.request.service())).stream()
+                                .noneMatch(node -> node.name.equals(state.router));
+            var serviceState = view.services().get(state.request.service());
+            var current = serviceState == null ? null : serviceState.runners.get(state.runner.name);
+            return current == null
+                    || current.incarnation != state.runner.incarnation
+                    || current.state == Rows.Runner.DARK;
         }
     }
 
+    /** Does the periodic work: follows marks and runners, resumes buffered requests, and checks those that are open. */
     public void tick(long now) {
-        var v = membership.view();
-        for (var k : v.topic().marks.keySet()) closedSince.putIfAbsent(k, now);
-        closedSince.keySet().removeIf(k -> !v.topic().marks.containsKey(k));
-        for (var s : v.services().values())
-            if (met.put(s.name, s) != s) s.runners.values().forEach(r -> loads.meet(r, now));
-        for (var s : buffers.keySet()) wake(s);
-        for (var c : List.copyOf(requests.values())) watch(c, v, now);
-    }
-
-    private void late(RequestState c) {
-        synchronized (c) {
-            if (c.state == RequestPhase.STREAMING) {
-                cutOff(c, Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
-            } else if (c.state == RequestPhase.RUNNING || c.state == RequestPhase.FORWARDED) {
-                leaveRunner(c);
+        var view = membership.view();
+        for (var mark : view.topic().marks.keySet()) closedSince.putIfAbsent(mark, now);
+        closedSince.keySet().removeIf(mark -> !view.topic().marks.containsKey(mark));
+        for (var service : view.services().values())
+            if (seenServices.put(service.name, service) != service)
+                service.runners.values().forEach(runner -> loads.meet(runner, now));
+        for (var service : buffersByService.keySet()) resumeBuffered(service);
+        for (var state : List.copyOf(requestsById.values())) checkRequest(state, view, now);
+    }
+
+    /** Ends a request that a runner or router has; one that still waits is declined when it is decided again. */
+    private void endAfterDeadline(RequestState state) {
+        synchronized (state) {
+            if (state.phase == RequestPhase.STREAMING) {
+                cutStream(state, Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
+            } else if (state.phase == RequestPhase.DISPATCHED || state.phase == RequestPhase.FORWARDED) {
+                releaseRunner(state);
                 end(
-                        c,
-                        c.once
+                        state,
+                        state.runOnce
                                 ? Problem.of(Kind.OUTCOME_UNKNOWN)
                                 : Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
             }
         }
     }
 
-    private void wake(String service) {
-        var q = buffers.get(service);
-        if (q == null) return;
-        for (var n = q.size(); n > 0; n--) {
-            var c = q.poll();
-            if (c == null) return;
-            synchronized (c) {
-                if (c.state != RequestPhase.BUFFERED) {
-                    buffered.get(service).decrementAndGet();
+    /** Decides anew on each request in the service's buffer, in order; those that cannot go on yet return to the buffer. */
+    private void resumeBuffered(String service) {
+        var queue = buffersByService.get(service);
+        if (queue == null) return;
+        for (var remaining = queue.size(); remaining > 0; remaining--) {
+            var state = queue.poll();
+            if (state == null) return;
+            synchronized (state) {
+                if (state.phase != RequestPhase.BUFFERED) {
+                    bufferedByService.get(service).decrementAndGet();
                     continue;
                 }
-                if (!tableReady(c) || port.now() < c.notBefore) {
-                    if (left(c, port.now()) < 0) end(c, Problem.of(Kind.NOT_HOME));
-                } else if (payTry(c)) decide(c);
-                else if (!c.waitsForSlot) end(c, Problem.of(Kind.TRIES_SPENT));
-                else if (left(c, port.now()) < 0) end(c, Problem.of(Kind.BUSY));
-                if (c.state == RequestPhase.BUFFERED) q.add(c);
-                else buffered.get(service).decrementAndGet();
+                if (!hasRequiredTable(state) || port.now() < state.retryNotBefore) {
+                    if (remainingWait(state, port.now()) < 0) end(state, Problem.of(Kind.NOT_HOME));
+                } else if (takeRetryToken(state)) decide(state);
+                else if (!state.waitsForSlot) end(state, Problem.of(Kind.TRIES_SPENT));
+                else if (remainingWait(state, port.now()) < 0) end(state, Problem.of(Kind.BUSY));
+                if (state.phase == RequestPhase.BUFFERED) queue.add(state);
+                else bufferedByService.get(service).decrementAndGet();
             }
         }
     }
 
-    private boolean tableReady(RequestState c) {
-        var s = membership.view().services().get(c.t.service());
-        return s == null || s.tableVersion >= c.needTable;
+    private boolean hasRequiredTable(RequestState state) {
+        var serviceState = membership.view().services().get(state.request.service());
+        return serviceState == null || serviceState.tableVersion >= state.requiredTableVersion;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/RequestRelay.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestRelay.java
@@ -10,195 +10,229 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
+/**
+ * Carries one request between its client and the runner or router that serves it: makes the calls that the
+ * {@link RequestExecutor} decides on, reports their results to it, and streams the response to the client.
+ *
+ * <p>The methods of {@link RequestOutput} may be called from any thread. Everything else runs on the thread of the
+ * exchange, and so do the results of calls.
+ */
 public final class RequestRelay implements RequestOutput {
-    private final Request t;
+    private final Request request;
     private final RequestExecutor executor;
     private final Loads loads;
-    private final LongSupplier now;
-    private final String router;
-    private final HttpExchange wire;
+    private final LongSupplier clock;
+    private final String routerName;
+    private final HttpExchange exchange;
     private HttpExchange.Call call;
     private Rows.Runner runner;
-    private StreamScan scan;
+    private StreamScan scanner;
     private int attempt;
-    private int status;
+    private int responseStatus;
     private boolean streaming;
-    private boolean over;
-
+    private boolean finished;
+
+    /**
+     * Creates the relay of one request.
+     *
+     * @param clock the steady clock, in microseconds
+     * @param routerName the name of this router
+     */
     public RequestRelay(
-            Request t, RequestExecutor executor, Loads loads, LongSupplier now, String router, HttpExchange wire) {
-        this.t = t;
+            Request request,
+            RequestExecutor executor,
+            Loads loads,
+            LongSupplier clock,
+            String routerName,
+            HttpExchange exchange) {
+        this.request = request;
         this.executor = executor;
         this.loads = loads;
-        this.now = now;
-        this.router = router;
-        this.wire = wire;
+        this.clock = clock;
+        this.routerName = routerName;
+        this.exchange = exchange;
     }
 
+    /** Passes the request to the executor, which decides what happens with it. */
     public void begin() {
-        executor.take(t, this);
+        executor.take(request, this);
     }
 
+    /** Returns whether the response to the client has ended. */
     public boolean over() {
-        return over;
+        return finished;
     }
 
     @Override
-    public void serve(int no, Rows.Runner r) {
-        wire.later(() -> serveNow(no, r));
+    public void serve(int attemptNumber, Rows.Runner target) {
+        exchange.later(() -> sendToRunner(attemptNumber, target));
     }
 
     @Override
-    public void forward(int no, Node r) {
-        wire.later(() -> forwardNow(no, r));
+    public void forward(int attemptNumber, Node target) {
+        exchange.later(() -> sendToRouter(attemptNumber, target));
     }
 
     @Override
-    public void verdict(Problem p) {
-        wire.later(() -> finish(p, false));
+    public void verdict(Problem problem) {
+        exchange.later(() -> finish(problem, false));
     }
 
     @Override
-    public void cut(Problem p) {
-        wire.later(() -> finish(p, true));
+    public void cut(Problem problem) {
+        exchange.later(() -> finish(problem, true));
     }
 
-    private void serveNow(int no, Rows.Runner r) {
-        var h = headers();
-        h.put(HttpExchange.TRANSACTION, router + "/" + t.id());
-        if (!t.regions().isEmpty()) h.put(HttpExchange.REGIONS, String.join(",", t.regions()));
-        open(no, r, r.address, HttpExchange.TO_RUNNER, h);
+    private void sendToRunner(int attemptNumber, Rows.Runner target) {
+        var headers = commonHeaders();
+        headers.put(HttpExchange.TRANSACTION, routerName + "/" + request.id());
+        if (!request.regions().isEmpty()) headers.put(HttpExchange.REGIONS, String.join(",", request.regions()));
+        send(attemptNumber, target, target.address, HttpExchange.TO_RUNNER, headers);
     }
 
-    private void forwardNow(int no, Node r) {
-        var h = headers();
-        h.put(HttpExchange.HOP, "1");
-        if (!t.regions().isEmpty()) h.put(HttpExchange.REGIONS, String.join(",", t.regions()));
-        open(no, null, r.peerAddress, HttpExchange.TO_ROUTER, h);
+    private void sendToRouter(int attemptNumber, Node target) {
+        var headers = commonHeaders();
+        headers.put(HttpExchange.HOP, "1");
+        if (!request.regions().isEmpty()) headers.put(HttpExchange.REGIONS, String.join(",", request.regions()));
+        send(attemptNumber, null, target.peerAddress, HttpExchange.TO_ROUTER, headers);
     }
 
-    private Map<String, String> headers() {
-        var h = new HashMap<String, String>();
-        h.put(HttpExchange.TENANT, t.tenant());
-        h.put(HttpExchange.WORK, t.work());
-        if (!t.key().isEmpty()) h.put(HttpExchange.KEY, t.key());
-        h.put(HttpExchange.DEADLINE, Long.toString(Math.max(1, (t.deadline() - now.getAsLong()) / 1000)));
-        return h;
+    private Map<String, String> commonHeaders() {
+        var headers = new HashMap<String, String>();
+        headers.put(HttpExchange.TENANT, request.tenant());
+        headers.put(HttpExchange.WORK, request.work());
+        if (!request.key().isEmpty()) headers.put(HttpExchange.KEY, request.key());
+        headers.put(HttpExchange.DEADLINE, Long.toString(Math.max(1, (request.deadline() - clock.getAsLong()) / 1000)));
+        return headers;
     }
 
-    private void open(int no, Rows.Runner r, String address, String path, Map<String, String> h) {
-        if (over || !executor.clear(t.id(), no)) return;
-        if (r != null) executor.stamp(t.service(), h);
+    /** Makes the call of an attempt, if the executor still allows it; {@code target} is null for a forward. */
+    private void send(int attemptNumber, Rows.Runner target, String address, String path, Map<String, String> headers) {
+        if (finished || !executor.clear(request.id(), attemptNumber)) return;
+        if (target != null) executor.stamp(request.service(), headers);
         if (call != null) call.cancel();
-        attempt = no;
-        runner = r;
-        status = 0;
-        scan = new StreamScan();
-        call = wire.open(address, path, h, t.body(), new HttpExchange.Sink() {
-            private void post(Runnable step) {
-                wire.later(() -> {
-                    if (!over && attempt == no) step.run();
+        attempt = attemptNumber;
+        runner = target;
+        responseStatus = 0;
+        scanner = new StreamScan();
+        call = exchange.open(address, path, headers, request.body(), new HttpExchange.Sink() {
+            /** Runs a step on the thread of the exchange, unless another attempt has begun or the response ended. */
+            private void runIfCurrent(Runnable step) {
+                exchange.later(() -> {
+                    if (!finished && attempt == attemptNumber) step.run();
                 });
             }
 
             @Override
             public void refused() {
-                post(() -> executor.notRun(t.id(), no, Problem.of(Kind.NO_PATH)));
+                runIfCurrent(() -> executor.notRun(request.id(), attemptNumber, Problem.of(Kind.NO_PATH)));
             }
 
             @Override
-            public void status(int code, Map<String, String> headers) {
-                post(() -> statusCame(code, headers));
+            public void status(int code, Map<String, String> responseHeaders) {
+                runIfCurrent(() -> handleStatus(code, responseHeaders));
             }
 
             @Override
-            public void chunk(byte[] b) {
-                post(() -> chunkCame(b));
+            public void chunk(byte[] bytes) {
+                runIfCurrent(() -> handleChunk(bytes));
             }
 
             @Override
             public void end() {
-                post(RequestRelay.this::endCame);
+                runIfCurrent(RequestRelay.this::handleEnd);
             }
 
             @Override
             public void broken() {
-                post(() -> executor.broken(t.id(), no));
+                runIfCurrent(() -> executor.broken(request.id(), attemptNumber));
             }
         });
     }
 
-    private void statusCame(int code, Map<String, String> h) {
-        status = code;
-        if (runner != null && isNumber(h.get(HttpExchange.LOAD)))
-            loads.reported(runner.name, Integer.parseInt(h.get(HttpExchange.LOAD)), now.getAsLong());
+    private void handleStatus(int code, Map<String, String> headers) {
+        responseStatus = code;
+        if (runner != null && isNumber(headers.get(HttpExchange.LOAD)))
+            loads.reported(runner.name, Integer.parseInt(headers.get(HttpExchange.LOAD)), clock.getAsLong());
         if (code == 200) return;
         call.cancel();
-        if (runner != null) runnerSaid(code);
-        else peerSaid(h);
+        if (runner != null) handleRunnerError(code);
+        else handleRouterError(headers);
     }
 
-    private static boolean isNumber(String s) {
-        return s != null && s.matches("\\d{1,9}");
+    private static boolean isNumber(String text) {
+        return text != null && text.matches("\\d{1,9}");
     }
 
-    private void runnerSaid(int code) {
-        if (code == 503 || code == 429) executor.notRun(t.id(), attempt, Problem.of(Kind.BUSY));
+    /**
+     * Status 503 or 429 means that the runner has not run the request, and any other 4xx that it rejects the request for
+     * good. After any other status, the request may have run.
+     */
+    private void handleRunnerError(int code) {
+        if (code == 503 || code == 429) executor.notRun(request.id(), attempt, Problem.of(Kind.BUSY));
         else if (code >= 400 && code < 500)
             executor.refusedWork(
-                    t.id(), attempt, Problem.of(Kind.BAD_FIELD, "the runner declined the body with status " + code));
-        else executor.broken(t.id(), attempt);
-    }
-
-    private void peerSaid(Map<String, String> h) {
-        var k = isNumber(h.get(HttpExchange.PROBLEM)) ? Kind.find(Integer.parseInt(h.get(HttpExchange.PROBLEM))) : null;
-        if (k == null) {
-            executor.broken(t.id(), attempt);
+                    request.id(),
+                    attempt,
+                    Problem.of(Kind.BAD_FIELD, "the runner rejected the request with status " + code));
+        else executor.broken(request.id(), attempt);
+    }
+
+    /** Without a known problem code, the request may have run. */
+    private void handleRouterError(Map<String, String> headers) {
+        var kind = isNumber(headers.get(HttpExchange.PROBLEM))
+                ? Kind.find(Integer.parseInt(headers.get(HttpExchange.PROBLEM)))
+                : null;
+        if (kind == null) {
+            executor.broken(request.id(), attempt);
             return;
         }
-        var p = new Problem(
-                k,
-                k.text(),
-                isNumber(h.get(HttpExchange.RETRY_MICROS)) ? Long.parseLong(h.get(HttpExchange.RETRY_MICROS)) : 0);
-        if (k.bearing() == Bearing.DECLINED) executor.notRun(t.id(), attempt, p);
-        else if (k.bearing() == Bearing.BROKEN && t.key().isEmpty()) executor.broken(t.id(), attempt);
-        else executor.refusedWork(t.id(), attempt, p);
-    }
-
-    private void chunkCame(byte[] b) {
-        if (status != 200 || !startOnce()) return;
-        scan.accept(b, b.length);
-        executor.progress(t.id(), scan.events());
-        if (!wire.write(b)) executor.gone(t.id());
-        else if (scan.whole()) wholeCame();
+        var problem = new Problem(
+                kind,
+                kind.text(),
+                isNumber(headers.get(HttpExchange.RETRY_MICROS))
+                        ? Long.parseLong(headers.get(HttpExchange.RETRY_MICROS))
+                        : 0);
+        if (kind.bearing() == Bearing.DECLINED) executor.notRun(request.id(), attempt, problem);
+        else if (kind.bearing() == Bearing.BROKEN && request.key().isEmpty()) executor.broken(request.id(), attempt);
+        else executor.refusedWork(request.id(), attempt, problem);
+    }
+
+    private void handleChunk(byte[] bytes) {
+        if (responseStatus != 200 || !ensureStreaming()) return;
+        scanner.accept(bytes, bytes.length);
+        executor.progress(request.id(), scanner.events());
+        if (!exchange.write(bytes)) executor.gone(request.id());
+        else if (scanner.whole()) complete();
         else call.took();
     }
 
-    private void wholeCame() {
-        executor.whole(t.id(), attempt);
-        over = true;
-        wire.whole();
+    private void complete() {
+        executor.whole(request.id(), attempt);
+        finished = true;
+        exchange.whole();
     }
 
-    private boolean startOnce() {
+    /** Starts the response to the client with the first chunk; returns false if the executor no longer allows that. */
+    private boolean ensureStreaming() {
         if (streaming) return true;
-        if (!executor.opened(t.id(), attempt)) return false;
+        if (!executor.opened(request.id(), attempt)) return false;
         streaming = true;
-        wire.start();
+        exchange.start();
         return true;
     }
 
-    private void endCame() {
-        if (status != 0 && status != 200) return;
-        if (streaming && scan.done()) wholeCame();
-        else executor.broken(t.id(), attempt);
+    private void handleEnd() {
+        if (responseStatus != 0 && responseStatus != 200) return;
+        if (streaming && scanner.done()) complete();
+        else executor.broken(request.id(), attempt);
     }
 
-    private void finish(Problem p, boolean cut) {
-        if (over) return;
-        over = true;
+    private void finish(Problem problem, boolean cut) {
+        if (finished) return;
+        finished = true;
         if (call != null) call.cancel();
-        if (streaming || cut) wire.cut(p, streaming);
-        else wire.verdict(p);
+        if (streaming || cut) exchange.cut(problem, streaming);
+        else exchange.verdict(problem);
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/StreamScan.java
+++ b/lib/data/src/main/java/craneway/data/request/StreamScan.java
@@ -1,45 +1,55 @@
 package craneway.data.request;
 
+/**
+ * Scans a stream of server-sent events, in chunks of any size, for its end marker {@code data: [DONE]}, and counts the
+ * data events before it. Carriage returns are ignored. Not thread-safe.
+ */
 public final class StreamScan {
-    private static final byte[] DONE = "data: [DONE]".getBytes();
-    private static final int PREFIX = 5;
-
-    private int at;
-    private boolean matching = true;
-    private boolean done;
-    private boolean whole;
-    private boolean data = true;
-    private int events;
-
-    public void accept(byte[] b, int len) {
-        for (var i = 0; i < len; i++) accept(b[i]);
+    private static final byte[] DONE_LINE = "data: [DONE]".getBytes();
+
+    /** Length of {@code data:}, with which {@link #DONE_LINE} and every data line begin. */
+    private static final int DATA_PREFIX_LENGTH = 5;
+
+    private int lineLength;
+    private boolean matchesDoneLine = true;
+    private boolean doneLineSeen;
+    private boolean endSeen;
+    private boolean matchesDataPrefix = true;
+    private int dataEvents;
+
+    /** Scans the first {@code length} bytes of a chunk. */
+    public void accept(byte[] chunk, int length) {
+        for (var i = 0; i < length; i++) accept(chunk[i]);
     }
 
-    private void accept(byte x) {
-        if (x == '\r') return;
-        if (x != '\n') {
-            matching &= at < DONE.length && DONE[at] == x;
-            data &= at >= PREFIX || DONE[at] == x;
-            at++;
+    private void accept(byte next) {
+        if (next == '\r') return;
+        if (next != '\n') {
+            matchesDoneLine &= lineLength < DONE_LINE.length && DONE_LINE[lineLength] == next;
+            matchesDataPrefix &= lineLength >= DATA_PREFIX_LENGTH || DONE_LINE[lineLength] == next;
+            lineLength++;
             return;
         }
-        whole = done && at == 0;
-        var end = matching && at == DONE.length;
-        if (data && at >= PREFIX && !end) events++;
-        done = whole || end;
-        at = 0;
-        matching = data = true;
+        endSeen = doneLineSeen && lineLength == 0;
+        var isDoneLine = matchesDoneLine && lineLength == DONE_LINE.length;
+        if (matchesDataPrefix && lineLength >= DATA_PREFIX_LENGTH && !isDoneLine) dataEvents++;
+        doneLineSeen = endSeen || isDoneLine;
+        lineLength = 0;
+        matchesDoneLine = matchesDataPrefix = true;
     }
 
+    /** Returns the number of complete data lines so far, without the end marker. */
     public int events() {
-        return events;
+        return dataEvents;
     }
 
+    /** Returns whether the stream so far ends with the end marker, with or without the empty line that follows it. */
     public boolean done() {
-        return done && at == 0;
+        return doneLineSeen && lineLength == 0;
     }
 
+    /** Returns whether the stream so far ends with the end marker and the empty line that completes its event. */
     public boolean whole() {
-        return whole && at == 0;
+        return endSeen && lineLength == 0;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/Usage.java
+++ b/lib/data/src/main/java/craneway/data/request/Usage.java
@@ -5,9 +5,16 @@
 import java.util.Deque;
 import java.util.List;
 
+/** The usage records of the latest requests that ended in this router, oldest first. Thread-safe. */
 public final class Usage {
-    private static final int MOST = 50_000;
+    /** When more requests have ended, the oldest records are dropped. */
+    private static final int MAX_ROWS = 50_000;
 
+    /**
+     * The usage record of one request. {@link Row#no} rises by one with each record. {@link Row#runner} is the runner of
+     * the last attempt, empty if there was none, and {@link Row#tokens} the number of data events that it streamed. Times
+     * are microseconds of the steady clock; {@link Row#firstAt} is 0 if no response began.
+     */
     public record Row(
             long no,
             String tenant,
@@ -22,27 +29,28 @@
             long endedAt) {}
 
     private final Deque<Row> rows = new ArrayDeque<>();
-    private long count;
+    private long rowCount;
 
-    synchronized void add(RequestState c, String region, String verdict, long now) {
+    synchronized void add(RequestState state, String region, String verdict, long now) {
         rows.add(new Row(
-                ++count,
-                c.t.tenant(),
-                c.t.service(),
-                c.t.work(),
+                ++rowCount,
+                state.request.tenant(),
+                state.request.service(),
+                state.request.work(),
                 region,
-                c.ranOn,
-                c.tokens,
+                state.lastRunnerName,
+                state.streamedTokens,
                 verdict,
-                c.takenAt,
-                c.firstAt,
+                state.acceptedAt,
+                state.firstDataAt,
                 now));
-        if (rows.size() > MOST) rows.poll();
+        if (rows.size() > MAX_ROWS) rows.poll();
     }
 
-    public synchronized List<Row> after(long no, int most) {
-        var all = new ArrayList<Row>();
-        for (var r : rows) if (r.no > no && all.size() < most) all.add(r);
-        return all;
+    /** Returns the records with a number above {@code number}, oldest first, at most {@code maxRows} of them. */
+    public synchronized List<Row> after(long number, int maxRows) {
+        var selected = new ArrayList<Row>();
+        for (var row : rows) if (row.no > number && selected.size() < maxRows) selected.add(row);
+        return selected;
     }
 }
