--- a/lib/data/src/main/java/craneway/data/placement/ColdShare.java
+++ b/lib/data/src/main/java/craneway/data/placement/ColdShare.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Limits how fast the routers together send requests to a cold runner, without coordination between them. Rendezvous
- * hashing selects a few routers for each cold runner, and each of those sends it about one request per second.
+ * Limits how fast the routers together send requests to a cold runner, without coordination between them.
+ * Rendezvous hashing selects a few routers for each cold runner, and each of those sends it about one request per
+ * second.
  *
  * <p>Times are microseconds of the steady clock. Not thread-safe.
  */
@@ -30,8 +31,8 @@
     /**
      * Returns whether this router may send a request to a cold runner now.
      *
-     * @param coldRequestsPerSecond the rate that the runner can serve while it is cold; at 0 or below, one router is
-     *     selected
+     * @param coldRequestsPerSecond the rate that the runner can serve while it is cold; at 0 or below, one router
+     *     is selected
      * @param routers the names of all serving routers; this router counts whether or not it is among them
      */
     public boolean may(String runner, double coldRequestsPerSecond, Collection<String> routers, long now) {
--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/Placer.java
@@ -10,23 +10,23 @@
 import java.util.Set;
 
 /**
- * Selects the runner for a request: the one with the lowest estimated cost, which is mostly the time until the prompt is
- * prefilled. Runners outside the home zone of the request's unit are candidates too, at an extra cost.
+ * Selects the runner for a request: the one with the lowest estimated cost, which is mostly the time until the
+ * prompt is prefilled. Runners outside the home zone of the request's unit are candidates too, at an extra cost.
  *
- * <p>A unit is a region set together with a slice of the hash of the prompt's last shared part. If the shared parts are
- * short, the region set is just the region where the request arrived, provided that the route allows that region and the
- * unit has a home there. A long shared prefix has one home for all regions that the route allows, since prefilling it a
- * second time costs more than the network latency to another region.
+ * <p>A unit is a region set together with a slice of the hash of the prompt's last shared part. If the shared parts
+ * are short, the region set is just the region where the request arrived, provided that the route allows that
+ * region and the unit has a home there. A long shared prefix has one home for all regions that the route allows,
+ * since prefilling it a second time costs more than the network latency to another region.
  *
  * <p>Costs and times are microseconds, the latter of the steady clock. Does no I/O. Not thread-safe.
  */
 public final class Placer {
     /**
-     * The runner selected for a request, and the estimate that led to it: {@link Choice#read} is the number of prompt
-     * tokens that the runner still has to prefill, {@link Choice#cost} the estimated cost in microseconds,
-     * {@link Choice#level} the runner's prefill backlog in tokens and {@link Choice#load} its requests, both before this
-     * request. {@link Choice#favourite} tells whether the runner ranks first for the prompt by rendezvous hash, and
-     * {@link Choice#home} whether it is in the unit's home zone or the unit has none.
+     * The runner selected for a request, and the estimate that led to it: {@link Choice#read} is the number of
+     * prompt tokens that the runner still has to prefill, {@link Choice#cost} the estimated cost in microseconds,
+     * {@link Choice#level} the runner's prefill backlog in tokens and {@link Choice#load} its requests, both before
+     * this request. {@link Choice#favourite} tells whether the runner ranks first for the prompt by rendezvous
+     * hash, and {@link Choice#home} whether it is in the unit's home zone or the unit has none.
      */
     public record Choice(RunnerView runner, int read, long cost, boolean favourite, boolean home, int level, int load) {
         /** Describes the choice for log messages. */
@@ -41,8 +41,8 @@
     private static final double PREFILL_MICROS_PER_TOKEN = 1_000 / 24.0;
 
     /**
-     * Cost of a token of a shared part that is not in the runner's prefix cache. It exceeds the time of the prefill itself,
-     * so that requests go to runners that have the part cached.
+     * Cost of a token of a shared part that is not in the runner's prefix cache. It exceeds the time of the prefill
+     * itself, so that requests go to runners that have the part cached.
      */
     private static final double UNCACHED_SHARED_TOKEN_COST_MICROS = PREFILL_MICROS_PER_TOKEN + 45;
 
@@ -61,7 +61,9 @@
     /** Extra cost of a runner that is suspected to have failed. */
     private static final long SUSPECTED_COST_MICROS = 5_000_000;
 
-    /** Extra cost of a runner outside the home zone; also the base of the cost of a runner that is not preferred. */
+    /**
+     * Extra cost of a runner outside the home zone; also the base of the cost of a runner that is not preferred.
+     */
     private static final long NOT_PREFERRED_COST_MICROS = 60_000;
 
     /** Extra cost of a runner to which a connection broke recently. */
@@ -102,8 +104,8 @@
     }
 
     /**
-     * Returns the runner with the lowest cost for a prompt, or null if no runner may take it now. Nothing is recorded until
-     * {@link Placer#started} is called.
+     * Returns the runner with the lowest cost for a prompt, or null if no runner may take it now. Nothing is
+     * recorded until {@link Placer#started} is called.
      *
      * @param tried ids of runners that are excluded because the request was sent to them before
      */
@@ -149,7 +151,9 @@
         return homeZoneOfUnit(service, regionSet(service, route.regions()), prompt);
     }
 
-    /** Returns the set of these regions as bits over the service's regions; an empty list stands for all of them. */
+    /**
+     * Returns the set of these regions as bits over the service's regions; an empty list stands for all of them.
+     */
     private static int regionSet(Rows.Service service, List<String> regions) {
         var regionSet = 0;
         for (var i = 0; i < service.regions.size(); i++)
@@ -164,9 +168,9 @@
     }
 
     /**
-     * Returns the runner that ranks first for the prompt's key by rendezvous hash, among the eligible runners of the home
-     * zone whose role fits the prompt, or null. Routers that see the same runners agree on it, so that a shared part is
-     * cached on few runners.
+     * Returns the runner that ranks first for the prompt's key by rendezvous hash, among the eligible runners of
+     * the home zone whose role fits the prompt, or null. Routers that see the same runners agree on it, so that a
+     * shared part is cached on few runners.
      */
     private RunnerView preferredRunner(Route route, String service, Prompt prompt, String homeZone) {
         RunnerView preferred = null;
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -15,13 +15,15 @@
 import java.util.Set;
 
 /**
- * The runners of all services, as the newest membership view lists them, with what this router knows of each. A runner
- * that a new view no longer lists is removed together with that knowledge.
+ * The runners of all services, as the newest membership view lists them, with what this router knows of each. A
+ * runner that a new view no longer lists is removed together with that knowledge.
  *
  * <p>Times are microseconds of the steady clock. Not thread-safe.
  */
 public final class Pool {
-    /** Up to this many routers, prefill and silence notices go to all of them, else only to the regions concerned. */
+    /**
+     * Up to this many routers, prefill and silence notices go to all of them, else only to the regions concerned.
+     */
     private static final int MAX_ROUTERS_TO_NOTIFY_ALL = 40;
 
     private static final Comparator<RunnerView> BY_NAME_HASH = (a, b) -> Long.compare(a.nameHash, b.nameHash);
@@ -33,8 +35,8 @@
     private List<String> servingRouters = List.of();
 
     /**
-     * Takes over a new membership view. The lists of runners, routers and emptied zones are rebuilt only if the view has a
-     * manifest and differs from the previous one in more than its leases.
+     * Takes over a new membership view. The lists of runners, routers and emptied zones are rebuilt only if the
+     * view has a manifest and differs from the previous one in more than its leases.
      *
      * @return false if this is the view already in use
      */
@@ -69,7 +71,9 @@
                 && a.members().get(Parts.MANIFEST) == b.members().get(Parts.MANIFEST);
     }
 
-    /** Records that this or another router gave a runner a prompt of which this many tokens have to be prefilled. */
+    /**
+     * Records that this or another router gave a runner a prompt of which this many tokens have to be prefilled.
+     */
     public void told(RunnerView runner, int tokens, long now) {
         runner.reading(tokens, now);
         demandByServiceAndZone
@@ -78,10 +82,10 @@
     }
 
     /**
-     * Assigns roles to the runners of each service and zone. In a region that belongs to one of the region sets to which
-     * routes of the service are restricted, some runners of a zone take the long prompts and the others the short ones, so
-     * that long prefills do not delay streams. The number of runners for long prompts follows the zone's prefill demand.
-     * Elsewhere every runner takes all prompts.
+     * Assigns roles to the runners of each service and zone. In a region that belongs to one of the region sets to
+     * which routes of the service are restricted, some runners of a zone take the long prompts and the others the
+     * short ones, so that long prefills do not delay streams. The number of runners for long prompts follows the
+     * zone's prefill demand. Elsewhere every runner takes all prompts.
      */
     public void seat(long now) {
         runnersByService.forEach((service, serviceRunners) -> {
@@ -201,8 +205,8 @@
     }
 
     /**
-     * Returns the peer addresses of the other serving routers. With more than 40 serving routers, only those in the two
-     * given regions are returned.
+     * Returns the peer addresses of the other serving routers. With more than 40 serving routers, only those in the
+     * two given regions are returned.
      *
      * @param self the name of this router
      */
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 
 /**
- * The size of a prompt and the parts it is made of, as far as placement needs them. The parts come in prompt order, each
- * as the hash of its id ({@link Prompt#ids}) and its number of tokens ({@link Prompt#tokens}). All parts but the last may
- * be shared with other requests; the last one is the request's own. {@link Prompt#in} is the number of tokens of the whole
- * prompt and {@link Prompt#out} the number of tokens that the response may have.
+ * The size of a prompt and the parts it is made of, as far as placement needs them. The parts come in prompt order,
+ * each as the hash of its id ({@link Prompt#ids}) and its number of tokens ({@link Prompt#tokens}). All parts but
+ * the last may be shared with other requests; the last one is the request's own. {@link Prompt#in} is the number of
+ * tokens of the whole prompt and {@link Prompt#out} the number of tokens that the response may have.
  */
 public record Prompt(long[] ids, int[] tokens, int in, int out) {
     private static final int MAX_PARTS = 64;
@@ -22,7 +22,8 @@
     /**
      * Parses the headers of a request; malformed input is read as if it were missing.
      *
-     * @param parts the parts as {@code id:tokens}, separated by commas, or null; more than 64 parts are read as none
+     * @param parts the parts as {@code id:tokens}, separated by commas, or null; more than 64 parts are read as
+     *     none
      * @param tokenCounts the prompt's tokens and the response's tokens, separated by a comma, or null
      */
     public static Prompt of(String parts, String tokenCounts) {
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Returns the key that determines the unit and the preferred runner: the id hash of the last shared part, that of the
-     * only part if there is just one, or 0 without parts.
+     * Returns the key that determines the unit and the preferred runner: the id hash of the last shared part, that
+     * of the only part if there is just one, or 0 without parts.
      */
     public long key() {
         if (ids.length == 0) return 0;
--- a/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
+++ b/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
@@ -3,13 +3,15 @@
 import java.util.ArrayDeque;
 
 /**
- * Limits retries over a sliding window. The fleet as a whole may retry a share of its requests plus a fixed number; each
- * router uses that share of its own requests plus an equal part of the fixed number, without coordination.
+ * Limits retries over a sliding window. The fleet as a whole may retry a share of its requests plus a fixed number;
+ * each router uses that share of its own requests plus an equal part of the fixed number, without coordination.
  *
  * <p>Times are microseconds of the steady clock. Not thread-safe.
  */
 public final class RetryBudget {
-    /** Share of the computed budget that a router uses, so that all routers together stay below the fleet's limit. */
+    /**
+     * Share of the computed budget that a router uses, so that all routers together stay below the fleet's limit.
+     */
     private static final double SAFETY_FACTOR = 0.75;
 
     private final long windowMicros;
--- a/lib/data/src/main/java/craneway/data/placement/RunnerView.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerView.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What this router knows of one incarnation of a runner: its own requests there, the reported load of other routers, an
- * estimate of the runner's prefix cache and prefill backlog, and signs of failure.
+ * What this router knows of one incarnation of a runner: its own requests there, the reported load of other
+ * routers, an estimate of the runner's prefix cache and prefill backlog, and signs of failure.
  *
  * <p>Times are microseconds of the steady clock. Not thread-safe.
  */
@@ -15,7 +15,10 @@
     /** A load report older than this is ignored. */
     private static final long REPORT_VALID_MICROS = 2_000_000;
 
-    /** How long a runner stays suspected after it was last found silent, and the least time between two probes of it. */
+    /**
+     * How long a runner stays suspected after it was last found silent, and the least time between two probes of
+     * it.
+     */
     private static final long SUSPECT_MICROS = 2_500_000;
 
     /** Rate at which a runner is assumed to work off its prefill backlog: 22 tokens per millisecond. */
@@ -91,8 +94,8 @@
     }
 
     /**
-     * Returns how many tokens of the prompt's shared parts are probably not in the runner's prefix cache. A cached part
-     * behind an uncached one does not help, so all parts from the first uncached one on are counted.
+     * Returns how many tokens of the prompt's shared parts are probably not in the runner's prefix cache. A cached
+     * part behind an uncached one does not help, so all parts from the first uncached one on are counted.
      */
     int uncachedSharedTokens(Prompt prompt) {
         var uncachedTokens = 0;
@@ -111,7 +114,9 @@
         return Math.max(0, remaining);
     }
 
-    /** Records that a request of this router starts on the runner, which then has the prompt's shared parts cached. */
+    /**
+     * Records that a request of this router starts on the runner, which then has the prompt's shared parts cached.
+     */
     void recordStart(Prompt prompt, long now) {
         inFlight++;
         reservedTokens += prompt.in() + prompt.out();
@@ -123,7 +128,8 @@
      * Records that another router sent the runner these shared parts, which it then has cached.
      *
      * @param ids the id hashes of the parts
-     * @param sizes the tokens of each part; if the arrays differ in length, the surplus of the longer one is ignored
+     * @param sizes the tokens of each part; if the arrays differ in length, the surplus of the longer one is
+     *     ignored
      */
     public void keeps(long[] ids, int[] sizes) {
         for (var i = 0; i < Math.min(ids.length, sizes.length); i++) addCachedPart(ids[i], sizes[i]);
@@ -135,8 +141,9 @@
     }
 
     /**
-     * Evicts the least recently used parts until the rest fits into the cache beside the requests in flight; at least a
-     * quarter of the cache is assumed to remain for shared parts. A capacity of 0 stands for an unlimited cache.
+     * Evicts the least recently used parts until the rest fits into the cache beside the requests in flight; at
+     * least a quarter of the cache is assumed to remain for shared parts. A capacity of 0 stands for an unlimited
+     * cache.
      */
     private void evict() {
         var availableTokens = cacheCapacityTokens == 0
@@ -149,7 +156,9 @@
         }
     }
 
-    /** Records that this or another router sent the runner a prompt of which this many tokens have to be prefilled. */
+    /**
+     * Records that this or another router sent the runner a prompt of which this many tokens have to be prefilled.
+     */
     public void reading(int tokens, long now) {
         backlogTokens = prefillBacklog(now) + tokens;
         backlogUpdatedAt = now;
@@ -183,7 +192,10 @@
         reportedAt = now;
     }
 
-    /** Returns this router's requests on the runner plus, from a recent report, those of other routers and the queue. */
+    /**
+     * Returns this router's requests on the runner plus, from a recent report, those of other routers and the
+     * queue.
+     */
     int load(long now) {
         return inFlight + (now - reportedAt < REPORT_VALID_MICROS ? othersRunning + reportedQueued : 0);
     }
@@ -193,7 +205,9 @@
         return now - reportedAt < REPORT_VALID_MICROS ? reportedQueued : 0;
     }
 
-    /** Returns whether all slots are in use or this router's requests may fill more than 90 % of the runner's cache. */
+    /**
+     * Returns whether all slots are in use or this router's requests may fill more than 90 % of the runner's cache.
+     */
     boolean isFull(long now) {
         return load(now) >= slots || cacheCapacityTokens > 0 && reservedTokens > cacheCapacityTokens * 9 / 10;
     }
@@ -227,14 +241,16 @@
     }
 
     /**
-     * Returns whether a request may be sent to the runner. One that was suspected and has not been heard since gets a
-     * single request at a time as a probe, at intervals.
+     * Returns whether a request may be sent to the runner. One that was suspected and has not been heard since gets
+     * a single request at a time as a probe, at intervals.
      */
     boolean mayProbe(long now) {
         return suspectedSince == Long.MIN_VALUE || now - lastProbeAt > SUSPECT_MICROS;
     }
 
-    /** Records that a request is sent; to a runner that was suspected and has not been heard since, it is a probe. */
+    /**
+     * Records that a request is sent; to a runner that was suspected and has not been heard since, it is a probe.
+     */
     void recordProbe(long now) {
         if (suspectedSince != Long.MIN_VALUE) lastProbeAt = now;
     }
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/Decider.java
@@ -21,12 +21,13 @@
 import java.util.Set;
 
 /**
- * Decides what a router does with a request: serve it with a runner of its unit's home cell, forward it to a router of the
- * home region, keep it in the buffer, or decline it. Decides by the membership view that is passed in, without I/O.
+ * Decides what a router does with a request: serve it with a runner of its unit's home cell, forward it to a router
+ * of the home region, keep it in the buffer, or decline it. Decides by the membership view that is passed in,
+ * without I/O.
  *
- * <p>A router whose leases have lapsed may know an outdated home. It then declines work that may run only once, and serves
- * other work only if the home is in its own zone, only for a grace period, and only with runners that announced themselves
- * recently.
+ * <p>A router whose leases have lapsed may know an outdated home. It then declines work that may run only once, and
+ * serves other work only if the home is in its own zone, only for a grace period, and only with runners that
+ * announced themselves recently.
  *
  * <p>Times are microseconds of the steady clock. Thread-safe.
  */
@@ -192,8 +193,8 @@
     }
 
     /**
-     * Returns whether a runner that was selected for a request may still get it: it is up with the same incarnation and
-     * usable, its cell is not drained, and the leases or the grace period still allow the router to serve.
+     * Returns whether a runner that was selected for a request may still get it: it is up with the same incarnation
+     * and usable, its cell is not drained, and the leases or the grace period still allow the router to serve.
      */
     public boolean still(View view, Request request, Rows.Runner runner, Map<String, Long> closedSince, long now) {
         var serviceState = view.services().get(request.service());
--- a/lib/data/src/main/java/craneway/data/request/HttpExchange.java
+++ b/lib/data/src/main/java/craneway/data/request/HttpExchange.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The HTTP side of one request: the exchange with the client, and calls to runners and other routers. Keeps the request
- * logic free of the HTTP library.
+ * The HTTP side of one request: the exchange with the client, and calls to runners and other routers. Keeps the
+ * request logic free of the HTTP library.
  */
 public interface HttpExchange {
     /** Header with the tenant's name. */
--- a/lib/data/src/main/java/craneway/data/request/QuotaGrants.java
+++ b/lib/data/src/main/java/craneway/data/request/QuotaGrants.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Quota that the core has granted to this router in advance, for each service and tenant, so that not every request has to
- * ask the core. Times are microseconds of the steady clock. Thread-safe.
+ * Quota that the core has granted to this router in advance, for each service and tenant, so that not every request
+ * has to ask the core. Times are microseconds of the steady clock. Thread-safe.
  */
 final class QuotaGrants {
     private record Grant(int remaining, long validUntil) {}
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Adds granted requests to what remains of an earlier grant; both are then valid until the new time. Removes grants
-     * that end more than two minutes before that.
+     * Adds granted requests to what remains of an earlier grant; both are then valid until the new time. Removes
+     * grants that end more than two minutes before that.
      */
     synchronized void add(String serviceAndTenant, int requests, long validUntil) {
         grants.values().removeIf(grant -> grant.validUntil < validUntil - 120_000_000);
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -23,16 +23,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Executes the requests of one router, from their acceptance to the end of the response. It asks the {@link Decider} where
- * a request runs, takes quota and claims from the core, counts and limits retries, buffers requests that cannot run yet,
- * and ends requests whose deadline has passed or whose runner or router is lost.
+ * Executes the requests of one router, from their acceptance to the end of the response. It asks the
+ * {@link Decider} where a request runs, takes quota and claims from the core, counts and limits retries, buffers
+ * requests that cannot run yet, and ends requests whose deadline has passed or whose runner or router is lost.
  *
- * <p>Work that may run only once needs a claim in the core before it is sent to a runner, and gets no second attempt once
- * a runner may have started it. All other work may be retried until its response has begun.
+ * <p>Work that may run only once needs a claim in the core before it is sent to a runner, and gets no second
+ * attempt once a runner may have started it. All other work may be retried until its response has begun.
  *
- * <p>Results of calls are reported with the request's id and the attempt's number; those of an earlier attempt or of a
- * request that is over are ignored. Times are microseconds of the steady clock. Thread-safe: each request is guarded by
- * the lock of its {@link RequestState}.
+ * <p>Results of calls are reported with the request's id and the attempt's number; those of an earlier attempt or
+ * of a request that is over are ignored. Times are microseconds of the steady clock. Thread-safe: each request is
+ * guarded by the lock of its {@link RequestState}.
  */
 public final class RequestExecutor {
     /** How long a cell goes on serving requests after this router first saw the mark that closes it. */
@@ -50,7 +50,9 @@
     /** Longest wait for the core's result on a claim or a quota. */
     private static final long MAX_CORE_WAIT_MICROS = 3_000_000;
 
-    /** Shortest wait for the core's result on a claim or a quota, also when the request may hardly wait any longer. */
+    /**
+     * Shortest wait for the core's result on a claim or a quota, also when the request may hardly wait any longer.
+     */
     private static final long MIN_CORE_WAIT_MICROS = 300_000;
 
     /** How long the end of a claim is repeated to the core; the request does not wait for it. */
@@ -201,7 +203,10 @@
         state.output.forward(state.attempt, decision.router());
     }
 
-    /** Puts the request into the buffer or keeps it there; ends it if the buffer is full or its time to wait is over. */
+    /**
+     * Puts the request into the buffer or keeps it there; ends it if the buffer is full or its time to wait is
+     * over.
+     */
     private void buffer(RequestState state, Problem otherwise, long now) {
         var service = membership.view().manifest().service(state.request.service());
         var buffered = bufferedByService.computeIfAbsent(state.request.service(), k -> new AtomicInteger());
@@ -246,7 +251,10 @@
                 result -> handleQuotaResult(state, result));
     }
 
-    /** A granted quota comes as the result's version; it may be used for the result's {@code retryAfter} microseconds. */
+    /**
+     * A granted quota comes as the result's version; it may be used for the result's {@code retryAfter}
+     * microseconds.
+     */
     private void handleQuotaResult(RequestState state, CommandResult result) {
         if (result.kind == 0)
             quotaGrants.add(
@@ -355,8 +363,8 @@
     }
 
     /**
-     * Ends the request with a problem. A problem that promises that nothing has run is replaced if an earlier attempt may
-     * have started the work.
+     * Ends the request with a problem. A problem that promises that nothing has run is replaced if an earlier
+     * attempt may have started the work.
      */
     private void end(RequestState state, Problem cause) {
         if (!state.transitionTo(RequestPhase.ENDED)) return;
@@ -405,7 +413,10 @@
         resumeBuffered(state.request.service());
     }
 
-    /** A busy runner counts as full until its next report; any other is not tried again, and is ejected if unreachable. */
+    /**
+     * A busy runner counts as full until its next report; any other is not tried again, and is ejected if
+     * unreachable.
+     */
     private void handleRunnerDecline(RequestState state, Problem problem) {
         var name = state.runner.name;
         if (problem.kind() == Kind.BUSY) loads.reported(name, state.runner.slots, port.now());
@@ -419,7 +430,9 @@
         else retry(state, problem);
     }
 
-    /** With NOT_HOME, the routers have different placement tables: waits for the other's version, then decides anew. */
+    /**
+     * With NOT_HOME, the routers have different placement tables: waits for the other's version, then decides anew.
+     */
     private void handleRouterDecline(RequestState state, Problem problem) {
         if (problem.kind() == Kind.NOT_HOME) {
             state.requiredTableVersion = problem.retryAfter();
@@ -458,8 +471,8 @@
     }
 
     /**
-     * Confirms, right before a request is sent, that the attempt is still current and the runner may still serve it. If the
-     * runner may not, decides anew and returns false.
+     * Confirms, right before a request is sent, that the attempt is still current and the runner may still serve
+     * it. If the runner may not, decides anew and returns false.
      */
     public boolean clear(long id, int attempt) {
         var state = findCurrent(id, attempt);
@@ -581,9 +594,9 @@
     }
 
     /**
-     * Returns whether, by the membership view, the router that has the request is no longer a member, or the runner that
-     * has it is gone, dark or replaced by another incarnation. A router counts as lost only while the lease is held, since
-     * the list of members may be outdated otherwise.
+     * Returns whether, by the membership view, the router that has the request is no longer a member, or the runner
+     * that has it is gone, dark or replaced by another incarnation. A router counts as lost only while the lease is
+     * held, since the list of members may be outdated otherwise.
      */
     private boolean isTargetLost(RequestState state, Membership.View view) {
         synchronized (state) {
@@ -603,7 +616,9 @@
         }
     }
 
-    /** Does the periodic work: follows marks and runners, resumes buffered requests, and checks those that are open. */
+    /**
+     * Does the periodic work: follows marks and runners, resumes buffered requests, and checks those that are open.
+     */
     public void tick(long now) {
         var view = membership.view();
         for (var mark : view.topic().marks.keySet()) closedSince.putIfAbsent(mark, now);
@@ -631,7 +646,10 @@
         }
     }
 
-    /** Decides anew on each request in the service's buffer, in order; those that cannot go on yet return to the buffer. */
+    /**
+     * Decides anew on each request in the service's buffer, in order; those that cannot go on yet return to the
+     * buffer.
+     */
     private void resumeBuffered(String service) {
         var queue = buffersByService.get(service);
         if (queue == null) return;
--- a/lib/data/src/main/java/craneway/data/request/RequestOutput.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestOutput.java
@@ -5,8 +5,9 @@
 import craneway.state.record.Rows;
 
 /**
- * Carries out what a {@link RequestExecutor} decides for one request. The executor calls the methods while it holds the
- * lock of the request, so they must not block; they do their work later, on the thread of the request's exchange.
+ * Carries out what a {@link RequestExecutor} decides for one request. The executor calls the methods while it holds
+ * the lock of the request, so they must not block; they do their work later, on the thread of the request's
+ * exchange.
  */
 public interface RequestOutput {
     /** Sends the request to a runner; results are reported to the executor under this attempt number. */
--- a/lib/data/src/main/java/craneway/data/request/RequestRelay.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestRelay.java
@@ -116,7 +116,9 @@
         responseStatus = 0;
         scanner = new StreamScan();
         call = exchange.open(address, path, headers, request.body(), new HttpExchange.Sink() {
-            /** Runs a step on the thread of the exchange, unless another attempt has begun or the response ended. */
+            /**
+             * Runs a step on the thread of the exchange, unless another attempt has begun or the response ended.
+             */
             private void runIfCurrent(Runnable step) {
                 exchange.later(() -> {
                     if (!finished && attempt == attemptNumber) step.run();
@@ -165,8 +167,8 @@
     }
 
     /**
-     * Status 503 or 429 means that the runner has not run the request, and any other 4xx that it rejects the request for
-     * good. After any other status, the request may have run.
+     * Status 503 or 429 means that the runner has not run the request, and any other 4xx that it rejects the
+     * request for good. After any other status, the request may have run.
      */
     private void handleRunnerError(int code) {
         if (code == 503 || code == 429) executor.notRun(request.id(), attempt, Problem.of(Kind.BUSY));
@@ -213,7 +215,9 @@
         exchange.whole();
     }
 
-    /** Starts the response to the client with the first chunk; returns false if the executor no longer allows that. */
+    /**
+     * Starts the response to the client with the first chunk; returns false if the executor no longer allows that.
+     */
     private boolean ensureStreaming() {
         if (streaming) return true;
         if (!executor.opened(request.id(), attempt)) return false;
--- a/lib/data/src/main/java/craneway/data/request/RequestState.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestState.java
@@ -28,7 +28,10 @@
     boolean earlierAttemptBroke;
     /** Whether the next attempt has to take a retry token. */
     boolean nextAttemptIsRetry;
-    /** Whether the request waits for a slot after a runner declined it as busy; it then also waits for a retry token. */
+    /**
+     * Whether the request waits for a slot after a runner declined it as busy; it then also waits for a retry
+     * token.
+     */
     boolean waitsForSlot;
     /** Whether the last attempt went to another router. */
     boolean sentToRouter;
--- a/lib/data/src/main/java/craneway/data/request/StreamScan.java
+++ b/lib/data/src/main/java/craneway/data/request/StreamScan.java
@@ -1,8 +1,8 @@
 package craneway.data.request;
 
 /**
- * Scans a stream of server-sent events, in chunks of any size, for its end marker {@code data: [DONE]}, and counts the
- * data events before it. Carriage returns are ignored. Not thread-safe.
+ * Scans a stream of server-sent events, in chunks of any size, for its end marker {@code data: [DONE]}, and counts
+ * the data events before it. Carriage returns are ignored. Not thread-safe.
  */
 public final class StreamScan {
     private static final byte[] DONE_LINE = "data: [DONE]".getBytes();
@@ -43,7 +43,9 @@
         return dataEvents;
     }
 
-    /** Returns whether the stream so far ends with the end marker, with or without the empty line that follows it. */
+    /**
+     * Returns whether the stream so far ends with the end marker, with or without the empty line that follows it.
+     */
     public boolean done() {
         return doneLineSeen && lineLength == 0;
     }
--- a/lib/data/src/main/java/craneway/data/request/Usage.java
+++ b/lib/data/src/main/java/craneway/data/request/Usage.java
@@ -11,9 +11,9 @@
     private static final int MAX_ROWS = 50_000;
 
     /**
-     * The usage record of one request. {@link Row#no} rises by one with each record. {@link Row#runner} is the runner of
-     * the last attempt, empty if there was none, and {@link Row#tokens} the number of data events that it streamed. Times
-     * are microseconds of the steady clock; {@link Row#firstAt} is 0 if no response began.
+     * The usage record of one request. {@link Row#no} rises by one with each record. {@link Row#runner} is the
+     * runner of the last attempt, empty if there was none, and {@link Row#tokens} the number of data events that it
+     * streamed. Times are microseconds of the steady clock; {@link Row#firstAt} is 0 if no response began.
      */
     public record Row(
             long no,
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -26,9 +26,9 @@
 import java.util.function.Consumer;
 
 /**
- * One router: its membership in the core, its knowledge of runners, and the execution of requests. The surrounding process
- * delivers messages to {@link Router#receive} and calls {@link Router#tick} regularly; the {@link Port} sends messages and
- * supplies the clock.
+ * One router: its membership in the core, its knowledge of runners, and the execution of requests. The surrounding
+ * process delivers messages to {@link Router#receive} and calls {@link Router#tick} regularly; the {@link Port}
+ * sends messages and supplies the clock.
  */
 public final class Router {
     /** How long a command on behalf of a runner waits for the core's response. */
--- a/lib/data/src/main/java/craneway/data/runner/Chooser.java
+++ b/lib/data/src/main/java/craneway/data/runner/Chooser.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Selects a runner by prefix affinity with bounded load: rendezvous hashing sends requests with the same prompt prefix to
- * the same runner, and a runner whose load is well above the average is skipped.
+ * Selects a runner by prefix affinity with bounded load: rendezvous hashing sends requests with the same prompt
+ * prefix to the same runner, and a runner whose load is well above the average is skipped.
  *
  * <p>Thread-safe, as far as the list of runners that is passed in is not modified.
  */
@@ -24,14 +24,14 @@
     }
 
     /**
-     * Selects a runner, or returns null if none has a slot that this router may use. If all runners with such a slot are
-     * at the load bound, the bound is ignored.
+     * Selects a runner, or returns null if none has a slot that this router may use. If all runners with such a
+     * slot are at the load bound, the bound is ignored.
      *
      * @param candidates the runners to select from, at least one
      * @param prefixHash the hash of the service and the start of the prompt
      * @param warmUpMicros the time over which a cold runner's usable slots rise to all its slots
-     * @param settled whether this router's lease is old enough for the list of routers to be trusted; if not, runners that
-     *     are warming up are not used
+     * @param settled whether this router's lease is old enough for the list of routers to be trusted; if not,
+     *     runners that are warming up are not used
      * @param routers the names of the routers that share the slots of a runner that is warming up
      * @param now microseconds of the steady clock
      */
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Returns this router's part of the slots of a runner that is warming up. They are divided evenly, and the remainder
-     * goes to the routers that rank first for the runner by rendezvous hash.
+     * Returns this router's part of the slots of a runner that is warming up. They are divided evenly, and the
+     * remainder goes to the routers that rank first for the runner by rendezvous hash.
      */
     private int ownSlots(String runner, int usableSlots, List<String> routers) {
         var higherRanked = 0;
--- a/lib/data/src/main/java/craneway/data/runner/Loads.java
+++ b/lib/data/src/main/java/craneway/data/runner/Loads.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What this router knows of each runner by its own requests and by the announcements that the runner sends it: load, last
- * announcement, ejection after a failure, and leave. Times are microseconds of the steady clock. Thread-safe.
+ * What this router knows of each runner by its own requests and by the announcements that the runner sends it:
+ * load, last announcement, ejection after a failure, and leave. Times are microseconds of the steady clock.
+ * Thread-safe.
  */
 public final class Loads {
     /** An announcement at most this old counts as recent. */
@@ -37,7 +38,9 @@
         return loadsByRunner.computeIfAbsent(runner, k -> new LoadState());
     }
 
-    /** Records that the core lists this runner; a new incarnation starts warm-up anew and ends ejection and leave. */
+    /**
+     * Records that the core lists this runner; a new incarnation starts warm-up anew and ends ejection and leave.
+     */
     public void meet(Rows.Runner runner, long now) {
         var load = loadOf(runner.name);
         synchronized (load) {
@@ -121,8 +124,8 @@
     }
 
     /**
-     * Returns whether requests may be sent to this incarnation of a runner: it is not leaving, is not ejected, has announced
-     * itself since its last failure, and no newer incarnation has announced itself.
+     * Returns whether requests may be sent to this incarnation of a runner: it is not leaving, is not ejected, has
+     * announced itself since its last failure, and no newer incarnation has announced itself.
      */
     public boolean usable(Rows.Runner runner, long now) {
         var load = loadOf(runner.name);
@@ -136,7 +139,9 @@
         }
     }
 
-    /** Returns whether a runner announced itself to this router within the last {@link Loads#HEARD} microseconds. */
+    /**
+     * Returns whether a runner announced itself to this router within the last {@link Loads#HEARD} microseconds.
+     */
     public boolean heardLately(String runner, long now) {
         var load = loadOf(runner);
         synchronized (load) {
@@ -145,8 +150,8 @@
     }
 
     /**
-     * Returns how many slots of a runner all routers together may use now. For a cold runner the number rises linearly from
-     * 1 to all slots over the warm-up time, counted from when this router first saw the incarnation.
+     * Returns how many slots of a runner all routers together may use now. For a cold runner the number rises
+     * linearly from 1 to all slots over the warm-up time, counted from when this router first saw the incarnation.
      */
     public int ramp(Rows.Runner runner, long warmUpMicros, long now) {
         meet(runner, now);
