--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -238,6 +238,7 @@
     public Collection<RunnerView> all() {
         return runnersById.values();
     }
+
     /** Returns whether the state of this service has arrived; before that, its runners are unknown. */
     public boolean knows(String service) {
         return runnersByService.containsKey(service);
--- a/lib/data/src/main/java/craneway/data/runner/Loads.java
+++ b/lib/data/src/main/java/craneway/data/runner/Loads.java
@@ -140,7 +140,8 @@
     }
 
     /**
-     * Returns whether a runner announced itself to this router within the last {@link Loads#HEARD} microseconds.
+     * Returns whether a runner announced itself to this router within the last
+     * {@link Loads#HEARD} microseconds.
      */
     public boolean heardLately(String runner, long now) {
         var load = loadOf(runner);
