--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -9,8 +9,8 @@
  *
  * <p>The parts come in prompt order, each as the hash of its id ({@link Prompt#ids}) and its number of tokens
  * ({@link Prompt#tokens}). All parts but the last may be shared with other requests; the last one is the request's
- * own. {@link Prompt#in} is the number of tokens of the whole prompt, and {@link Prompt#out} the number of tokens
- * that the client states for the response.
+ * own. {@link Prompt#in} is the number of tokens of the whole prompt, and
+ * {@link Prompt#out} the number of tokens that the client states for the response.
  */
 public record Prompt(long[] ids, int[] tokens, int in, int out) {
     private static final int MAX_PARTS = 64;
