--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/Placer.java
@@ -26,8 +26,8 @@
      *
      * <p>{@link Choice#read} is the number of prompt tokens that the runner still has to prefill, and
      * {@link Choice#cost} the estimated cost in microseconds.
-     * {@link Choice#level} is the runner's prefill backlog in tokens and {@link Choice#load} its number of
-     * requests, both before this request.
+     * {@link Choice#level} is the runner's prefill backlog in tokens and
+     * {@link Choice#load} its number of requests, both before this request.
      * {@link Choice#favourite} tells whether the runner ranks first for the prompt by rendezvous hash, and
      * {@link Choice#home} whether it is in the unit's home zone or the unit has none.
      */
