--- a/lib/data/src/main/java/craneway/data/placement/ColdShare.java
+++ b/lib/data/src/main/java/craneway/data/placement/ColdShare.java
@@ -1,7 +1,7 @@
 package craneway.data.placement;
 
 import craneway.model.unit.Hash;
-import craneway.model.unit.Rendezvous;
+import craneway.model.unit.RendezvousHash;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
@@ -39,11 +39,11 @@
         var selectedRouters =
                 coldRequestsPerSecond <= 0 ? 1 : Math.max(1, (int) (coldRequestsPerSecond * RATE_SAFETY_FACTOR));
         var runnerHash = Hash.of(runner);
-        var ownWeight = Rendezvous.weight(runnerHash, routerName);
+        var ownWeight = RendezvousHash.weight(runnerHash, routerName);
         var higherRanked = 0;
         for (var router : routers)
             if (!router.equals(routerName)
-                    && Long.compareUnsigned(Rendezvous.weight(runnerHash, router), ownWeight) > 0) higherRanked++;
+                    && Long.compareUnsigned(RendezvousHash.weight(runnerHash, router), ownWeight) > 0) higherRanked++;
         return higherRanked < selectedRouters
                 && now - lastDispatchAt.getOrDefault(runner, Long.MIN_VALUE / 2) >= MIN_DISPATCH_INTERVAL_MICROS;
     }
--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/Placer.java
@@ -1,8 +1,8 @@
 package craneway.data.placement;
 
 import craneway.model.manifest.Route;
-import craneway.model.unit.Rendezvous;
-import craneway.model.unit.Table;
+import craneway.model.unit.RendezvousHash;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.record.Rows;
 import java.util.Collection;
@@ -130,14 +130,14 @@
 
     private double coldRequestsPerSecond(String serviceName) {
         var service = pool.view().manifest().service(serviceName);
-        return service == null ? 0 : service.engine().coldPerSecond();
+        return service == null ? 0 : service.engine().coldRequestsPerSecond();
     }
 
     private boolean isEligible(Route route, RunnerView runner) {
         return runner.registration.up()
                 && !runner.replaced
                 && !pool.emptied(runner.zone)
-                && (route.regions().isEmpty() || route.regions().contains(runner.region));
+                && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(runner.region));
     }
 
     /** Returns the home zone of the prompt's unit, or null if it has none. */
@@ -147,11 +147,11 @@
         var localRegion = service.regions.indexOf(region);
         if (localRegion >= 0
                 && prompt.sharedTokens() < MIN_CROSS_REGION_SHARED_TOKENS
-                && (route.regions().isEmpty() || route.regions().contains(region))) {
+                && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(region))) {
             var localHome = homeZoneOfUnit(service, 1 << localRegion, prompt);
             if (localHome != null) return localHome;
         }
-        return homeZoneOfUnit(service, regionSet(service, route.regions()), prompt);
+        return homeZoneOfUnit(service, regionSet(service, route.allowedRegions()), prompt);
     }
 
     /**
@@ -165,9 +165,9 @@
     }
 
     private static String homeZoneOfUnit(Rows.Service service, int regionSet, Prompt prompt) {
-        var unit = regionSet * Units.SLICES + prompt.slice();
-        var cell = unit < service.homes.length ? service.homes[unit] : Table.NOWHERE;
-        return cell == Table.NOWHERE ? null : service.zones.get(cell);
+        var unit = regionSet * Units.SLICE_COUNT + prompt.slice();
+        var cell = unit < service.homes.length ? service.homes[unit] : PlacementTable.NOWHERE;
+        return cell == PlacementTable.NOWHERE ? null : service.zones.get(cell);
     }
 
     /**
@@ -182,7 +182,7 @@
             if (!isEligible(route, runner)
                     || homeZone != null && !runner.zone.equals(homeZone)
                     || runner.zoneHasRoles && runner.takesLongPrompts != prompt.isLong()) continue;
-            var weight = Rendezvous.weight(prompt.key(), runner.nameHash);
+            var weight = RendezvousHash.weight(prompt.key(), runner.nameHash);
             if (preferred == null || Long.compareUnsigned(weight, highestWeight) > 0) {
                 preferred = runner;
                 highestWeight = weight;
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -68,7 +68,7 @@
         return a.manifest() == b.manifest()
                 && a.topic() == b.topic()
                 && a.services() == b.services()
-                && a.members().get(Parts.MANIFEST) == b.members().get(Parts.MANIFEST);
+                && a.members().get(Parts.MANIFEST_PART) == b.members().get(Parts.MANIFEST_PART);
     }
 
     /**
@@ -89,7 +89,7 @@
      */
     public void seat(long now) {
         runnersByService.forEach((service, serviceRunners) -> {
-            var regionSets = view.manifest().routes().bound(service);
+            var regionSets = view.manifest().routes().regionSetsOf(service);
             var runnersByZone = new HashMap<String, List<RunnerView>>();
             for (var runner : serviceRunners)
                 if (runner.registration.up())
@@ -171,7 +171,7 @@
                     cellIndex < 0 ? registration.cell : service.zones.get(cellIndex),
                     registration,
                     Math.max(1, registration.slots),
-                    engine.cacheTokens());
+                    engine.cacheCapacityTokens());
             runnersById.put(registration.name, runner);
         }
         runner.registration = registration;
@@ -189,7 +189,7 @@
 
     private static List<String> findServingRouters(Membership.View view) {
         var names = new ArrayList<String>();
-        for (var node : view.members().get(Parts.MANIFEST)) if (node.isRouter() && node.serving) names.add(node.name);
+        for (var node : view.members().get(Parts.MANIFEST_PART)) if (node.isRouter() && node.serving) names.add(node.name);
         return names;
     }
 
@@ -213,7 +213,7 @@
     public List<String> peers(String self, String region, String otherRegion) {
         var notifyAll = servingRouters.size() <= MAX_ROUTERS_TO_NOTIFY_ALL;
         var addresses = new ArrayList<String>();
-        for (var node : view.members().get(Parts.MANIFEST)) {
+        for (var node : view.members().get(Parts.MANIFEST_PART)) {
             var nodeRegion = view.manifest().regionOfZone(node.zone);
             if (node.isRouter()
                     && node.serving
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -96,8 +96,8 @@
         return in >= LONG_PROMPT_TOKENS;
     }
 
-    /** Returns the slice of the prompt's unit, from 0 to {@link Units#SLICES} - 1. */
+    /** Returns the slice of the prompt's unit, from 0 to {@link Units#SLICE_COUNT} - 1. */
     public int slice() {
-        return Hash.bucket(Hash.mix(key()), Units.SLICES);
+        return Hash.bucket(Hash.mix(key()), Units.SLICE_COUNT);
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/Counts.java
+++ b/lib/data/src/main/java/craneway/data/request/Counts.java
@@ -1,6 +1,6 @@
 package craneway.data.request;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
@@ -32,17 +32,17 @@
     /** How often a request was put into the buffer. */
     public final AtomicLong buffered = new AtomicLong();
 
-    private final AtomicLongArray problemsByKind = new AtomicLongArray(Kind.values().length);
+    private final AtomicLongArray problemsByKind = new AtomicLongArray(ProblemKind.values().length);
 
     /** Counts a request that ended with this kind of problem. */
-    public void verdict(Kind kind) {
+    public void verdict(ProblemKind kind) {
         problemsByKind.incrementAndGet(kind.ordinal());
     }
 
     /** Returns the number of requests that ended with each kind of problem, by the kind's name, without zeros. */
     public Map<String, Long> verdicts() {
         var countsByName = new TreeMap<String, Long>();
-        for (var kind : Kind.values())
+        for (var kind : ProblemKind.values())
             if (problemsByKind.get(kind.ordinal()) > 0)
                 countsByName.put(kind.name(), problemsByKind.get(kind.ordinal()));
         return countsByName;
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/Decider.java
@@ -5,12 +5,12 @@
 import craneway.data.runner.Chooser;
 import craneway.data.runner.Loads;
 import craneway.model.manifest.Manifest;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
-import craneway.model.unit.Rendezvous;
-import craneway.model.unit.Table;
+import craneway.model.unit.RendezvousHash;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
@@ -51,21 +51,21 @@
      */
     public Decision ask(View view, Request request, Set<String> excluded, Map<String, Long> closedSince, long now) {
         var manifest = view.manifest();
-        if (manifest == null) return decline(Kind.NO_MANIFEST);
-        if (now >= request.deadline()) return decline(Kind.DEADLINE_PASSED);
+        if (manifest == null) return decline(ProblemKind.NO_MANIFEST);
+        if (now >= request.deadline()) return decline(ProblemKind.DEADLINE_PASSED);
         var service = manifest.service(request.service());
         if (service == null)
             return new Decision.Decline(
-                    Problem.of(Kind.UNKNOWN_SERVICE, "the manifest has no service " + request.service()));
+                    Problem.of(ProblemKind.UNKNOWN_SERVICE, "the manifest has no service " + request.service()));
         var work = service.work(request.work());
         if (work == null)
             return new Decision.Decline(Problem.of(
-                    Kind.UNKNOWN_WORK, "service " + request.service() + " has no kind of work " + request.work()));
-        if (work.runOnce() && request.key().isEmpty()) return decline(Kind.RUN_ONCE_WITHOUT_KEY);
-        if (request.body().length > service.bodyLimit()) return decline(Kind.TOO_LARGE);
+                    ProblemKind.UNKNOWN_WORK, "service " + request.service() + " has no kind of work " + request.work()));
+        if (work.runOnce() && request.key().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
+        if (request.body().length > service.maxBodyBytes()) return decline(ProblemKind.TOO_LARGE);
         var serviceState = view.services().get(request.service());
         if (serviceState == null || serviceState.homes.length == 0)
-            return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
+            return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
         return decideByHome(view, request, service, serviceState, work.runOnce(), excluded, closedSince, now);
     }
 
@@ -79,40 +79,40 @@
             Map<String, Long> closedSince,
             long now) {
         var regionSet = allowedRegionSet(view, request, serviceState);
-        if (regionSet == 0) return decline(Kind.NO_HOME_REGION);
-        var unit = Units.unit(regionSet, request.tenant());
+        if (regionSet == 0) return decline(ProblemKind.NO_HOME_REGION);
+        var unit = Units.unitOf(regionSet, request.tenant());
         var homeCell = serviceState.homes[unit];
-        if (homeCell == Table.NOWHERE)
+        if (homeCell == PlacementTable.NOWHERE)
             return canMoveToRunner(view, serviceState, unit)
-                    ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER))
-                    : decline(Kind.NO_RUNNER);
+                    ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
+                    : decline(ProblemKind.NO_RUNNER);
         var homeRegion = serviceState.cellRegions.get(homeCell);
         var isLocal = homeRegion.equals(view.manifest().regionOfZone(zone));
-        var leased = view.leased(Parts.of(request.service()), now) && view.leased(Parts.MANIFEST, now);
+        var leased = view.leased(Parts.partOf(request.service()), now) && view.leased(Parts.MANIFEST_PART, now);
         if (!leased
                 && (runOnce
                         || !isLocal
                         || !serviceState.zones.get(homeCell).equals(zone)
-                        || isGraceOver(view, request, now))) return decline(Kind.CUT_OFF);
+                        || isGraceOver(view, request, now))) return decline(ProblemKind.CUT_OFF);
         // A second forward is never made. The router that forwarded the request then waits for this table version.
         if (!isLocal && request.forwarded())
             return new Decision.Decline(Problem.of(
-                    Kind.NOT_HOME,
+                    ProblemKind.NOT_HOME,
                     "the unit's home is in another region as of table version " + serviceState.tableVersion,
                     serviceState.tableVersion));
         if (!isLocal) return forwardToRegion(view, request, homeRegion, unit, runOnce, excluded);
         if (isDrained(serviceState, homeCell, view, closedSince, now))
-            return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
+            return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
         return serveFromCell(view, request, service, serviceState, homeCell, unit, runOnce, leased, excluded, now);
     }
 
-    private static Decision decline(Kind kind) {
+    private static Decision decline(ProblemKind kind) {
         return new Decision.Decline(Problem.of(kind));
     }
 
     /** Returns whether the grace period after the earlier end of the two leases is over. */
     private static boolean isGraceOver(View view, Request request, long now) {
-        var leaseEnd = Math.min(view.leaseEnd(Parts.of(request.service())), view.leaseEnd(Parts.MANIFEST));
+        var leaseEnd = Math.min(view.leaseEnd(Parts.partOf(request.service())), view.leaseEnd(Parts.MANIFEST_PART));
         return now >= leaseEnd + view.grace();
     }
 
@@ -137,14 +137,14 @@
     private Decision forwardToRegion(
             View view, Request request, String region, int unit, boolean runOnce, Set<String> excluded) {
         var routers = new HashMap<String, Node>();
-        for (var node : view.members().get(Parts.of(request.service())))
+        for (var node : view.members().get(Parts.partOf(request.service())))
             if (node.isRouter()
                     && node.serving
                     && !excluded.contains(node.name)
                     && region.equals(view.manifest().regionOfZone(node.zone))) routers.put(node.name, node);
-        if (routers.isEmpty()) return decline(Kind.NO_PATH);
+        if (routers.isEmpty()) return decline(ProblemKind.NO_PATH);
         return new Decision.Forward(
-                routers.get(Rendezvous.pick(request.service() + "/" + unit, routers.keySet())), unit, runOnce);
+                routers.get(RendezvousHash.pick(request.service() + "/" + unit, routers.keySet())), unit, runOnce);
     }
 
     /** Returns whether the cell is closed by a mark and its drain time since then is over. */
@@ -179,16 +179,16 @@
                     && (leased || loads.heardLately(runner.name, now))) candidates.add(runner);
         if (candidates.isEmpty())
             return mayGetRunner(view, serviceState, homeCell, unit, excluded)
-                    ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER))
-                    : decline(Kind.NO_RUNNER);
+                    ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
+                    : decline(ProblemKind.NO_RUNNER);
         var selected = chooser.choose(
                 candidates,
                 Hash.of(request.prefix(), Hash.of(request.service())),
-                service.warmUp(),
-                leased && view.settled(Parts.of(request.service()), now),
+                service.warmUpTime(),
+                leased && view.settled(Parts.partOf(request.service()), now),
                 routersInZone(view, request),
                 now);
-        if (selected == null) return new Decision.Buffer(Problem.of(Kind.BUSY));
+        if (selected == null) return new Decision.Buffer(Problem.of(ProblemKind.BUSY));
         return new Decision.Serve(selected, unit, serviceState.tableVersion, runOnce);
     }
 
@@ -204,7 +204,7 @@
                 || current.incarnation != runner.incarnation
                 || !loads.usable(current, now)) return false;
         if (isDrained(serviceState, serviceState.cells.indexOf(current.cell), view, closedSince, now)) return false;
-        if (view.leased(Parts.of(request.service()), now) && view.leased(Parts.MANIFEST, now)) return true;
+        if (view.leased(Parts.partOf(request.service()), now) && view.leased(Parts.MANIFEST_PART, now)) return true;
         var work = view.manifest().service(request.service()) == null
                 ? null
                 : view.manifest().service(request.service()).work(request.work());
@@ -232,8 +232,8 @@
         for (var cell = 0; cell < serviceState.cells.size(); cell++) {
             var allowed = serviceState.live(cell)
                     && !closedCells.get(cell)
-                    && Units.allows(
-                            Units.regionSet(unit), serviceState.regions.indexOf(serviceState.cellRegions.get(cell)));
+                    && Units.containsRegion(
+                            Units.regionSetOf(unit), serviceState.regions.indexOf(serviceState.cellRegions.get(cell)));
             if (allowed && serviceState.runnersUp(cell) > 0) return true;
         }
         return false;
@@ -241,7 +241,7 @@
 
     private List<String> routersInZone(View view, Request request) {
         var names = new ArrayList<String>();
-        for (var node : view.members().get(Parts.of(request.service())))
+        for (var node : view.members().get(Parts.partOf(request.service())))
             if (node.isRouter() && node.zone.equals(zone)) names.add(node.name);
         return names;
     }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -7,8 +7,8 @@
 import craneway.data.runner.CellSignals;
 import craneway.data.runner.Loads;
 import craneway.model.event.Event;
-import craneway.model.problem.Bearing;
-import craneway.model.problem.Kind;
+import craneway.model.problem.WorkOutcome;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
@@ -58,7 +58,7 @@
     /** How long the end of a claim is repeated to the core; the request does not wait for it. */
     private static final long FINISH_TIMEOUT_MICROS = 60_000_000;
 
-    /** Pause before a request is decided anew after another router declined it with {@link Kind#NOT_HOME}. */
+    /** Pause before a request is decided anew after another router declined it with {@link ProblemKind#NOT_HOME}. */
     private static final long NOT_HOME_RECHECK_MICROS = 100_000;
 
     /** After this time without progress, it is checked whether the runner or router that has a request is lost. */
@@ -133,14 +133,14 @@
         var state = new RequestState(request, output, port.now());
         requestsById.put(request.id(), state);
         synchronized (state) {
-            if (stopping) end(state, Problem.of(Kind.STOPPING));
+            if (stopping) end(state, Problem.of(ProblemKind.STOPPING));
             else decide(state);
         }
     }
 
     private void earnRetryTokens(String service) {
         var routers = 0;
-        for (var node : membership.view().members().get(Parts.of(service))) if (node.isRouter()) routers++;
+        for (var node : membership.view().members().get(Parts.partOf(service))) if (node.isRouter()) routers++;
         retryTokens.earn(Math.max(1, routers));
     }
 
@@ -210,9 +210,9 @@
     private void buffer(RequestState state, Problem otherwise, long now) {
         var service = membership.view().manifest().service(state.request.service());
         var buffered = bufferedByService.computeIfAbsent(state.request.service(), k -> new AtomicInteger());
-        var full = state.phase != RequestPhase.BUFFERED && buffered.get() >= service.buffer();
-        if (full || remainingWait(state, now) < 0 || stopping && otherwise.kind() == Kind.NO_RUNNER) {
-            end(state, full ? Problem.of(Kind.BUSY) : otherwise);
+        var full = state.phase != RequestPhase.BUFFERED && buffered.get() >= service.maxBufferedRequests();
+        if (full || remainingWait(state, now) < 0 || stopping && otherwise.kind() == ProblemKind.NO_RUNNER) {
+            end(state, full ? Problem.of(ProblemKind.BUSY) : otherwise);
             return;
         }
         if (state.phase == RequestPhase.BUFFERED || !state.transitionTo(RequestPhase.BUFFERED)) return;
@@ -228,7 +228,7 @@
         if (state.quotaTaken) return true;
         var tenant = membership.view().manifest().tenant(state.request.tenant());
         state.quotaTaken = tenant == null
-                || tenant.quota() == 0
+                || tenant.quotaPerMinute() == 0
                 || quotaGrants.take(state.request.service() + "/" + state.request.tenant(), port.now());
         return state.quotaTaken;
     }
@@ -242,10 +242,10 @@
         command.tableVersion = decision.tableVersion();
         command.region = membership.view().manifest().regionOfZone(directory.self().zone);
         command.limit =
-                membership.view().manifest().tenant(state.request.tenant()).quota();
+                membership.view().manifest().tenant(state.request.tenant()).quotaPerMinute();
         command.count = Math.max(1, command.limit / QUOTA_GRANT_DIVISOR);
         coreClient.ask(
-                Parts.of(command.service),
+                Parts.partOf(command.service),
                 command,
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
                 result -> handleQuotaResult(state, result));
@@ -264,9 +264,9 @@
         synchronized (state) {
             if (state.phase != RequestPhase.AWAITING_CORE) return;
             if (result.kind == 0) decide(state);
-            else if (result.kind == Kind.QUOTA_SPENT.code())
-                end(state, Problem.of(Kind.QUOTA_SPENT, result.detail, result.retryAfter));
-            else handleCoreProblem(state, Kind.of(result.kind), result);
+            else if (result.kind == ProblemKind.QUOTA_SPENT.code())
+                end(state, Problem.of(ProblemKind.QUOTA_SPENT, result.detail, result.retryAfter));
+            else handleCoreProblem(state, ProblemKind.of(result.kind), result);
         }
     }
 
@@ -282,7 +282,7 @@
         command.incarnation = directory.self().incarnation;
         command.attempt = state.claimNumber = lastClaimNumber.incrementAndGet();
         coreClient.ask(
-                Parts.of(command.service),
+                Parts.partOf(command.service),
                 command,
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
                 result -> handleClaimResult(state, result));
@@ -292,7 +292,7 @@
     private void releaseClaimThenDecide(RequestState state) {
         if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
         coreClient.ask(
-                Parts.of(state.request.service()),
+                Parts.partOf(state.request.service()),
                 finishCommand(state, Rows.Claim.FREED),
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
                 result -> {
@@ -300,7 +300,7 @@
                         if (result.kind == 0) state.hasClaim = false;
                         if (state.phase != RequestPhase.AWAITING_CORE) return;
                         if (result.kind == 0) decide(state);
-                        else end(state, Problem.of(Kind.NO_OWNER));
+                        else end(state, Problem.of(ProblemKind.NO_OWNER));
                     }
                 });
     }
@@ -330,23 +330,23 @@
                 return;
             }
             if (result.kind == 0) decide(state);
-            else handleCoreProblem(state, Kind.of(result.kind), result);
+            else handleCoreProblem(state, ProblemKind.of(result.kind), result);
         }
     }
 
     /** Handles a problem with a claim or a quota; nothing was sent to a runner under it. */
-    private void handleCoreProblem(RequestState state, Kind kind, CommandResult result) {
+    private void handleCoreProblem(RequestState state, ProblemKind kind, CommandResult result) {
         switch (kind) {
             case STALE_TABLE, NOT_UNIT_HOME -> {
                 state.requiredTableVersion = result.version;
-                buffer(state, Problem.of(Kind.NOT_HOME), port.now());
+                buffer(state, Problem.of(ProblemKind.NOT_HOME), port.now());
             }
             case UNCERTAIN, NO_OWNER -> {
                 // The core may hold the claim all the same, so it is freed when the request ends.
                 state.hasClaim = state.claimNumber != 0;
-                end(state, Problem.of(Kind.NO_OWNER));
+                end(state, Problem.of(ProblemKind.NO_OWNER));
             }
-            case STALE_MEMBER -> end(state, Problem.of(Kind.CUT_OFF));
+            case STALE_MEMBER -> end(state, Problem.of(ProblemKind.CUT_OFF));
             default -> end(state, Problem.of(kind, result.detail));
         }
     }
@@ -356,7 +356,7 @@
         if (!state.hasClaim) return;
         state.hasClaim = false;
         coreClient.ask(
-                Parts.of(state.request.service()),
+                Parts.partOf(state.request.service()),
                 finishCommand(state, claimState),
                 FINISH_TIMEOUT_MICROS,
                 result -> {});
@@ -368,10 +368,10 @@
      */
     private void end(RequestState state, Problem cause) {
         if (!state.transitionTo(RequestPhase.ENDED)) return;
-        var problem = state.earlierAttemptBroke && cause.kind().bearing() == Bearing.DECLINED
-                ? Problem.of(Kind.RUN_BROKEN, "an earlier attempt broke off; then: " + cause.detail())
+        var problem = state.earlierAttemptBroke && cause.kind().workOutcome() == WorkOutcome.DECLINED
+                ? Problem.of(ProblemKind.RUN_BROKEN, "an earlier attempt broke off; then: " + cause.detail())
                 : cause;
-        finishClaim(state, problem.kind().bearing() == Bearing.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
+        finishClaim(state, problem.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
         requestsById.remove(state.request.id());
         counts.verdict(problem.kind());
         recordUsage(state, problem.kind().name().toLowerCase());
@@ -419,14 +419,14 @@
      */
     private void handleRunnerDecline(RequestState state, Problem problem) {
         var name = state.runner.name;
-        if (problem.kind() == Kind.BUSY) loads.reported(name, state.runner.slots, port.now());
+        if (problem.kind() == ProblemKind.BUSY) loads.reported(name, state.runner.slots, port.now());
         else state.excluded.add(name);
-        if (problem.kind() == Kind.NO_PATH) {
+        if (problem.kind() == ProblemKind.NO_PATH) {
             loads.eject(name, port.now());
             signals.problem(state.request.service(), state.runner.cell);
         }
         releaseRunner(state);
-        if (problem.kind() == Kind.BUSY) waitForSlot(state);
+        if (problem.kind() == ProblemKind.BUSY) waitForSlot(state);
         else retry(state, problem);
     }
 
@@ -434,22 +434,22 @@
      * With NOT_HOME, the routers have different placement tables: waits for the other's version, then decides anew.
      */
     private void handleRouterDecline(RequestState state, Problem problem) {
-        if (problem.kind() == Kind.NOT_HOME) {
-            state.requiredTableVersion = problem.retryAfter();
+        if (problem.kind() == ProblemKind.NOT_HOME) {
+            state.requiredTableVersion = problem.retryAfterMicros();
             state.retryNotBefore = port.now() + NOT_HOME_RECHECK_MICROS;
             state.nextAttemptIsRetry = true;
-            buffer(state, Problem.of(Kind.NOT_HOME), port.now());
+            buffer(state, Problem.of(ProblemKind.NOT_HOME), port.now());
             return;
         }
         state.excluded.add(state.router);
-        if (problem.kind() == Kind.NO_PATH || problem.kind() == Kind.STOPPING || problem.kind() == Kind.CUT_OFF)
+        if (problem.kind() == ProblemKind.NO_PATH || problem.kind() == ProblemKind.STOPPING || problem.kind() == ProblemKind.CUT_OFF)
             retry(state, problem);
         else end(state, problem);
     }
 
     private void waitForSlot(RequestState state) {
         state.nextAttemptIsRetry = state.waitsForSlot = true;
-        buffer(state, Problem.of(Kind.BUSY), port.now());
+        buffer(state, Problem.of(ProblemKind.BUSY), port.now());
     }
 
     /** Makes another attempt, or ends the request if its time to wait is over or there is no retry token. */
@@ -458,7 +458,7 @@
         state.nextAttemptIsRetry = true;
         if (remainingWait(state, port.now()) < 0) end(state, otherwise);
         else if (takeRetryToken(state)) decide(state);
-        else end(state, Problem.of(Kind.TRIES_SPENT));
+        else end(state, Problem.of(ProblemKind.TRIES_SPENT));
     }
 
     /** Takes a retry token if the next attempt needs one; returns false if there is none. */
@@ -528,7 +528,7 @@
         if (state == null) return;
         synchronized (state) {
             var forwarded = state.phase == RequestPhase.FORWARDED;
-            if (state.phase == RequestPhase.STREAMING) cutStream(state, Problem.of(Kind.RUN_BROKEN));
+            if (state.phase == RequestPhase.STREAMING) cutStream(state, Problem.of(ProblemKind.RUN_BROKEN));
             else if (state.phase == RequestPhase.DISPATCHED || forwarded) handleBreakBeforeStream(state, forwarded);
         }
         resumeBuffered(state.request.service());
@@ -540,10 +540,10 @@
         releaseRunner(state);
         state.excluded.add(name);
         if (!forwarded) loads.eject(name, port.now());
-        if (state.runOnce) end(state, Problem.of(Kind.OUTCOME_UNKNOWN));
+        if (state.runOnce) end(state, Problem.of(ProblemKind.OUTCOME_UNKNOWN));
         else {
             state.earlierAttemptBroke = true;
-            retry(state, Problem.of(Kind.RUN_BROKEN));
+            retry(state, Problem.of(ProblemKind.RUN_BROKEN));
         }
     }
 
@@ -552,8 +552,8 @@
         counts.cut.incrementAndGet();
         recordUsage(state, "cut");
         if (state.runner != null) signals.problem(state.request.service(), state.runner.cell);
-        port.note(
-                Event.CUT_STREAM,
+        port.logEvent(
+                Event.RESPONSE_CUT_OFF,
                 state.request.service() + " " + state.request.work() + " transaction " + state.request.id());
         finishClaim(state, Rows.Claim.UNKNOWN);
         releaseRunner(state);
@@ -574,7 +574,7 @@
             finishClaim(state, mayHaveRun ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
             releaseRunner(state);
             requestsById.remove(id);
-            state.output.cut(Problem.of(Kind.RUN_BROKEN, "the client disconnected"));
+            state.output.cut(Problem.of(ProblemKind.RUN_BROKEN, "the client disconnected"));
         }
         resumeBuffered(state.request.service());
     }
@@ -605,8 +605,8 @@
                     && state.phase != RequestPhase.FORWARDED) return false;
             if (state.runner == null)
                 return state.router != null
-                        && view.leased(Parts.of(state.request.service()), port.now())
-                        && view.members().get(Parts.of(state.request.service())).stream()
+                        && view.leased(Parts.partOf(state.request.service()), port.now())
+                        && view.members().get(Parts.partOf(state.request.service())).stream()
                                 .noneMatch(node -> node.name.equals(state.router));
             var serviceState = view.services().get(state.request.service());
             var current = serviceState == null ? null : serviceState.runners.get(state.runner.name);
@@ -634,14 +634,14 @@
     private void endAfterDeadline(RequestState state) {
         synchronized (state) {
             if (state.phase == RequestPhase.STREAMING) {
-                cutStream(state, Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
+                cutStream(state, Problem.of(ProblemKind.RUN_BROKEN, "the deadline passed while the work ran"));
             } else if (state.phase == RequestPhase.DISPATCHED || state.phase == RequestPhase.FORWARDED) {
                 releaseRunner(state);
                 end(
                         state,
                         state.runOnce
-                                ? Problem.of(Kind.OUTCOME_UNKNOWN)
-                                : Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
+                                ? Problem.of(ProblemKind.OUTCOME_UNKNOWN)
+                                : Problem.of(ProblemKind.RUN_BROKEN, "the deadline passed while the work ran"));
             }
         }
     }
@@ -662,10 +662,10 @@
                     continue;
                 }
                 if (!hasRequiredTable(state) || port.now() < state.retryNotBefore) {
-                    if (remainingWait(state, port.now()) < 0) end(state, Problem.of(Kind.NOT_HOME));
+                    if (remainingWait(state, port.now()) < 0) end(state, Problem.of(ProblemKind.NOT_HOME));
                 } else if (takeRetryToken(state)) decide(state);
-                else if (!state.waitsForSlot) end(state, Problem.of(Kind.TRIES_SPENT));
-                else if (remainingWait(state, port.now()) < 0) end(state, Problem.of(Kind.BUSY));
+                else if (!state.waitsForSlot) end(state, Problem.of(ProblemKind.TRIES_SPENT));
+                else if (remainingWait(state, port.now()) < 0) end(state, Problem.of(ProblemKind.BUSY));
                 if (state.phase == RequestPhase.BUFFERED) queue.add(state);
                 else bufferedByService.get(service).decrementAndGet();
             }
--- a/lib/data/src/main/java/craneway/data/request/RequestRelay.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestRelay.java
@@ -1,8 +1,8 @@
 package craneway.data.request;
 
 import craneway.data.runner.Loads;
-import craneway.model.problem.Bearing;
-import craneway.model.problem.Kind;
+import craneway.model.problem.WorkOutcome;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
@@ -127,7 +127,7 @@
 
             @Override
             public void refused() {
-                runIfCurrent(() -> executor.notRun(request.id(), attemptNumber, Problem.of(Kind.NO_PATH)));
+                runIfCurrent(() -> executor.notRun(request.id(), attemptNumber, Problem.of(ProblemKind.NO_PATH)));
             }
 
             @Override
@@ -171,19 +171,19 @@
      * request for good. After any other status, the request may have run.
      */
     private void handleRunnerError(int code) {
-        if (code == 503 || code == 429) executor.notRun(request.id(), attempt, Problem.of(Kind.BUSY));
+        if (code == 503 || code == 429) executor.notRun(request.id(), attempt, Problem.of(ProblemKind.BUSY));
         else if (code >= 400 && code < 500)
             executor.refusedWork(
                     request.id(),
                     attempt,
-                    Problem.of(Kind.BAD_FIELD, "the runner rejected the request with status " + code));
+                    Problem.of(ProblemKind.BAD_FIELD, "the runner rejected the request with status " + code));
         else executor.broken(request.id(), attempt);
     }
 
     /** Without a known problem code, the request may have run. */
     private void handleRouterError(Map<String, String> headers) {
         var kind = isNumber(headers.get(HttpExchange.PROBLEM))
-                ? Kind.find(Integer.parseInt(headers.get(HttpExchange.PROBLEM)))
+                ? ProblemKind.find(Integer.parseInt(headers.get(HttpExchange.PROBLEM)))
                 : null;
         if (kind == null) {
             executor.broken(request.id(), attempt);
@@ -195,8 +195,8 @@
                 isNumber(headers.get(HttpExchange.RETRY_MICROS))
                         ? Long.parseLong(headers.get(HttpExchange.RETRY_MICROS))
                         : 0);
-        if (kind.bearing() == Bearing.DECLINED) executor.notRun(request.id(), attempt, problem);
-        else if (kind.bearing() == Bearing.BROKEN && request.key().isEmpty()) executor.broken(request.id(), attempt);
+        if (kind.workOutcome() == WorkOutcome.DECLINED) executor.notRun(request.id(), attempt, problem);
+        else if (kind.workOutcome() == WorkOutcome.BROKEN && request.key().isEmpty()) executor.broken(request.id(), attempt);
         else executor.refusedWork(request.id(), attempt, problem);
     }
 
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -120,8 +120,8 @@
 
     private void followNewerCore() {
         var founding = directory.newer();
-        port.note(
-                Event.SURRENDERED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+        port.logEvent(
+                Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         directory.follow(founding);
         membership.follow();
     }
@@ -138,7 +138,7 @@
         else if (message instanceof Reading reading) readingListener.accept(reading);
         else if (message instanceof Silence silence) silenceListener.accept(silence);
         else
-            port.note(
+            port.logEvent(
                     Event.BAD_MESSAGE,
                     "a router does not accept messages of type "
                             + message.getClass().getSimpleName());
@@ -166,7 +166,7 @@
         command.incarnation = announcement.incarnation();
         command.cold = announcement.cold();
         command.load = announcement.load();
-        coreClient.ask(Parts.of(announcement.service()), command, COMMAND_TIMEOUT_MICROS, callback);
+        coreClient.ask(Parts.partOf(announcement.service()), command, COMMAND_TIMEOUT_MICROS, callback);
     }
 
     /**
@@ -181,6 +181,6 @@
         command.runner = runner;
         command.incarnation = incarnation;
         command.state = Rows.Runner.LEAVING;
-        coreClient.ask(Parts.of(service), command, COMMAND_TIMEOUT_MICROS, callback);
+        coreClient.ask(Parts.partOf(service), command, COMMAND_TIMEOUT_MICROS, callback);
     }
 }
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -38,7 +38,7 @@
     /** Returns and removes the signals of the services in this part. */
     public synchronized List<Signal> take(int part) {
         var taken = new ArrayList<Signal>();
-        signalsByServiceAndCell.values().removeIf(signal -> Parts.of(signal.service) == part && taken.add(signal));
+        signalsByServiceAndCell.values().removeIf(signal -> Parts.partOf(signal.service) == part && taken.add(signal));
         return taken;
     }
 }
--- a/lib/data/src/main/java/craneway/data/runner/Chooser.java
+++ b/lib/data/src/main/java/craneway/data/runner/Chooser.java
@@ -1,6 +1,6 @@
 package craneway.data.runner;
 
-import craneway.model.unit.Rendezvous;
+import craneway.model.unit.RendezvousHash;
 import craneway.state.record.Rows;
 import java.util.List;
 
@@ -57,7 +57,7 @@
         var highestWeight = 0L;
         for (var runner : runners) {
             if (loads.load(runner.name, now) >= loadBound) continue;
-            var weight = Rendezvous.weight(prefixHash, runner.name);
+            var weight = RendezvousHash.weight(prefixHash, runner.name);
             if (selected == null || Long.compareUnsigned(weight, highestWeight) > 0) {
                 selected = runner;
                 highestWeight = weight;
@@ -85,8 +85,8 @@
         var higherRanked = 0;
         for (var router : routers)
             if (Long.compareUnsigned(
-                            Rendezvous.weight(runner.hashCode(), router),
-                            Rendezvous.weight(runner.hashCode(), routerName))
+                            RendezvousHash.weight(runner.hashCode(), router),
+                            RendezvousHash.weight(runner.hashCode(), routerName))
                     > 0) higherRanked++;
         var routerCount = Math.max(1, routers.size());
         return usableSlots / routerCount + (higherRanked < usableSlots % routerCount ? 1 : 0);
