--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -31,7 +31,7 @@
     private Map<String, List<RunnerView>> runnersByService = Map.of();
     private Set<String> emptiedZones = Set.of();
     private final Map<String, PrefillDemand> demandByServiceAndZone = new HashMap<>();
-    private Membership.View view;
+    private Membership.CoreView view;
     private List<String> servingRouters = List.of();
 
     /**
@@ -40,7 +40,7 @@
      *
      * @return false if this is the view already in use
      */
-    public boolean follow(Membership.View newView) {
+    public boolean follow(Membership.CoreView newView) {
         if (newView == view) return false;
         var previous = view;
         view = newView;
@@ -59,16 +59,16 @@
         }
         runnersById.keySet().retainAll(ids);
         runnersByService = newRunners;
-        emptiedZones = findEmptiedZones(newView.topic().marks);
+        emptiedZones = findEmptiedZones(newView.manifestRow().marks);
         servingRouters = findServingRouters(newView);
         return true;
     }
 
-    private static boolean differOnlyInLeases(Membership.View a, Membership.View b) {
+    private static boolean differOnlyInLeases(Membership.CoreView a, Membership.CoreView b) {
         return a.manifest() == b.manifest()
-                && a.topic() == b.topic()
+                && a.manifestRow() == b.manifestRow()
                 && a.services() == b.services()
-                && a.members().get(Parts.MANIFEST_PART) == b.members().get(Parts.MANIFEST_PART);
+                && a.membersByPart().get(Parts.MANIFEST_PART) == b.membersByPart().get(Parts.MANIFEST_PART);
     }
 
     /**
@@ -187,9 +187,9 @@
         return zones;
     }
 
-    private static List<String> findServingRouters(Membership.View view) {
+    private static List<String> findServingRouters(Membership.CoreView view) {
         var names = new ArrayList<String>();
-        for (var node : view.members().get(Parts.MANIFEST_PART)) if (node.isRouter() && node.serving) names.add(node.name);
+        for (var node : view.membersByPart().get(Parts.MANIFEST_PART)) if (node.isRouter() && node.serving) names.add(node.name);
         return names;
     }
 
@@ -213,7 +213,7 @@
     public List<String> peers(String self, String region, String otherRegion) {
         var notifyAll = servingRouters.size() <= MAX_ROUTERS_TO_NOTIFY_ALL;
         var addresses = new ArrayList<String>();
-        for (var node : view.members().get(Parts.MANIFEST_PART)) {
+        for (var node : view.membersByPart().get(Parts.MANIFEST_PART)) {
             var nodeRegion = view.manifest().regionOfZone(node.zone);
             if (node.isRouter()
                     && node.serving
@@ -225,7 +225,7 @@
     }
 
     /** Returns the newest membership view, or null before the first one. */
-    public Membership.View view() {
+    public Membership.CoreView view() {
         return view;
     }
 
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/Decider.java
@@ -1,7 +1,7 @@
 package craneway.data.request;
 
-import craneway.control.node.Membership.View;
-import craneway.control.plan.Mover;
+import craneway.control.node.Membership.CoreView;
+import craneway.control.plan.UnitMover;
 import craneway.data.runner.Chooser;
 import craneway.data.runner.Loads;
 import craneway.model.manifest.Manifest;
@@ -49,7 +49,7 @@
      * @param excluded names of runners and routers that are not tried again
      * @param closedSince when this router first saw each mark in the manifest's topic, by the mark's name
      */
-    public Decision ask(View view, Request request, Set<String> excluded, Map<String, Long> closedSince, long now) {
+    public Decision ask(CoreView view, Request request, Set<String> excluded, Map<String, Long> closedSince, long now) {
         var manifest = view.manifest();
         if (manifest == null) return decline(ProblemKind.NO_MANIFEST);
         if (now >= request.deadline()) return decline(ProblemKind.DEADLINE_PASSED);
@@ -70,7 +70,7 @@
     }
 
     private Decision decideByHome(
-            View view,
+            CoreView view,
             Request request,
             Manifest.Service service,
             Rows.Service serviceState,
@@ -88,7 +88,7 @@
                     : decline(ProblemKind.NO_RUNNER);
         var homeRegion = serviceState.cellRegions.get(homeCell);
         var isLocal = homeRegion.equals(view.manifest().regionOfZone(zone));
-        var leased = view.leased(Parts.partOf(request.service()), now) && view.leased(Parts.MANIFEST_PART, now);
+        var leased = view.hasLease(Parts.partOf(request.service()), now) && view.hasLease(Parts.MANIFEST_PART, now);
         if (!leased
                 && (runOnce
                         || !isLocal
@@ -111,13 +111,13 @@
     }
 
     /** Returns whether the grace period after the earlier end of the two leases is over. */
-    private static boolean isGraceOver(View view, Request request, long now) {
+    private static boolean isGraceOver(CoreView view, Request request, long now) {
         var leaseEnd = Math.min(view.leaseEnd(Parts.partOf(request.service())), view.leaseEnd(Parts.MANIFEST_PART));
-        return now >= leaseEnd + view.grace();
+        return now >= leaseEnd + view.graceMicros();
     }
 
     /** Returns the regions that both the tenant and the request allow, as bits over the service's regions. */
-    private static int allowedRegionSet(View view, Request request, Rows.Service serviceState) {
+    private static int allowedRegionSet(CoreView view, Request request, Rows.Service serviceState) {
         var tenantRegions = homeRegions(view, request.tenant());
         var regionSet = 0;
         for (var region : tenantRegions) {
@@ -129,15 +129,15 @@
     }
 
     /** Returns the regions of a tenant; a mark in the manifest's topic takes precedence over the manifest. */
-    private static List<String> homeRegions(View view, String tenant) {
-        var markedRegions = view.topic().marks.get("tenant:" + tenant);
+    private static List<String> homeRegions(CoreView view, String tenant) {
+        var markedRegions = view.manifestRow().marks.get("tenant:" + tenant);
         return markedRegions == null ? view.manifest().homeRegions(tenant) : List.of(markedRegions.split(","));
     }
 
     private Decision forwardToRegion(
-            View view, Request request, String region, int unit, boolean runOnce, Set<String> excluded) {
+            CoreView view, Request request, String region, int unit, boolean runOnce, Set<String> excluded) {
         var routers = new HashMap<String, Node>();
-        for (var node : view.members().get(Parts.partOf(request.service())))
+        for (var node : view.membersByPart().get(Parts.partOf(request.service())))
             if (node.isRouter()
                     && node.serving
                     && !excluded.contains(node.name)
@@ -149,8 +149,8 @@
 
     /** Returns whether the cell is closed by a mark and its drain time since then is over. */
     private static boolean isDrained(
-            Rows.Service serviceState, int cell, View view, Map<String, Long> closedSince, long now) {
-        if (!Mover.closed(serviceState, view.topic().marks).get(cell)) return false;
+            Rows.Service serviceState, int cell, CoreView view, Map<String, Long> closedSince, long now) {
+        if (!UnitMover.closedCells(serviceState, view.manifestRow().marks).get(cell)) return false;
         var closedAt = Math.max(
                 closedSince.getOrDefault("zone:" + serviceState.zones.get(cell), Long.MIN_VALUE),
                 closedSince.getOrDefault(
@@ -159,7 +159,7 @@
     }
 
     private Decision serveFromCell(
-            View view,
+            CoreView view,
             Request request,
             Manifest.Service service,
             Rows.Service serviceState,
@@ -185,7 +185,7 @@
                 candidates,
                 Hash.of(request.prefix(), Hash.of(request.service())),
                 service.warmUpTime(),
-                leased && view.settled(Parts.partOf(request.service()), now),
+                leased && view.isSettled(Parts.partOf(request.service()), now),
                 routersInZone(view, request),
                 now);
         if (selected == null) return new Decision.Buffer(Problem.of(ProblemKind.BUSY));
@@ -196,7 +196,7 @@
      * Returns whether a runner that was selected for a request may still get it: it is up with the same incarnation
      * and usable, its cell is not drained, and the leases or the grace period still allow the router to serve.
      */
-    public boolean still(View view, Request request, Rows.Runner runner, Map<String, Long> closedSince, long now) {
+    public boolean still(CoreView view, Request request, Rows.Runner runner, Map<String, Long> closedSince, long now) {
         var serviceState = view.services().get(request.service());
         var current = serviceState == null ? null : serviceState.runners.get(runner.name);
         if (current == null
@@ -204,7 +204,7 @@
                 || current.incarnation != runner.incarnation
                 || !loads.usable(current, now)) return false;
         if (isDrained(serviceState, serviceState.cells.indexOf(current.cell), view, closedSince, now)) return false;
-        if (view.leased(Parts.partOf(request.service()), now) && view.leased(Parts.MANIFEST_PART, now)) return true;
+        if (view.hasLease(Parts.partOf(request.service()), now) && view.hasLease(Parts.MANIFEST_PART, now)) return true;
         var work = view.manifest().service(request.service()) == null
                 ? null
                 : view.manifest().service(request.service()).work(request.work());
@@ -219,7 +219,7 @@
      * excluded, or none is up and the unit can move to another cell.
      */
     private static boolean mayGetRunner(
-            View view, Rows.Service serviceState, int homeCell, int unit, Set<String> excluded) {
+            CoreView view, Rows.Service serviceState, int homeCell, int unit, Set<String> excluded) {
         var homeCellName = serviceState.cells.get(homeCell);
         for (var runner : serviceState.runners.values())
             if (runner.up() && runner.cell.equals(homeCellName) && !excluded.contains(runner.name)) return true;
@@ -227,8 +227,8 @@
     }
 
     /** Returns whether an open cell within the unit's region set has a runner that is up. */
-    private static boolean canMoveToRunner(View view, Rows.Service serviceState, int unit) {
-        var closedCells = Mover.closed(serviceState, view.topic().marks);
+    private static boolean canMoveToRunner(CoreView view, Rows.Service serviceState, int unit) {
+        var closedCells = UnitMover.closedCells(serviceState, view.manifestRow().marks);
         for (var cell = 0; cell < serviceState.cells.size(); cell++) {
             var allowed = serviceState.live(cell)
                     && !closedCells.get(cell)
@@ -239,9 +239,9 @@
         return false;
     }
 
-    private List<String> routersInZone(View view, Request request) {
+    private List<String> routersInZone(CoreView view, Request request) {
         var names = new ArrayList<String>();
-        for (var node : view.members().get(Parts.partOf(request.service())))
+        for (var node : view.membersByPart().get(Parts.partOf(request.service())))
             if (node.isRouter() && node.zone.equals(zone)) names.add(node.name);
         return names;
     }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -1,7 +1,7 @@
 package craneway.data.request;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.Directory;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.data.runner.CellSignals;
@@ -65,7 +65,7 @@
     private static final long LOSS_CHECK_AFTER_MICROS = 3_000_000;
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final Membership membership;
     private final CoreClient coreClient;
     private final Loads loads;
@@ -83,8 +83,8 @@
     private final AtomicLong lastClaimNumber = new AtomicLong();
     private volatile boolean stopping;
 
-    /** Creates the executor of the router whose node is {@link Directory#self}. */
-    public RequestExecutor(Port port, Directory directory, Membership membership, CoreClient coreClient, Loads loads) {
+    /** Creates the executor of the router whose node is {@link NodeDirectory#self}. */
+    public RequestExecutor(Port port, NodeDirectory directory, Membership membership, CoreClient coreClient, Loads loads) {
         this.port = port;
         this.directory = directory;
         this.membership = membership;
@@ -140,7 +140,7 @@
 
     private void earnRetryTokens(String service) {
         var routers = 0;
-        for (var node : membership.view().members().get(Parts.partOf(service))) if (node.isRouter()) routers++;
+        for (var node : membership.view().membersByPart().get(Parts.partOf(service))) if (node.isRouter()) routers++;
         retryTokens.earn(Math.max(1, routers));
     }
 
@@ -244,7 +244,7 @@
         command.limit =
                 membership.view().manifest().tenant(state.request.tenant()).quotaPerMinute();
         command.count = Math.max(1, command.limit / QUOTA_GRANT_DIVISOR);
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(command.service),
                 command,
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
@@ -281,7 +281,7 @@
         command.holder = directory.self().name;
         command.incarnation = directory.self().incarnation;
         command.attempt = state.claimNumber = lastClaimNumber.incrementAndGet();
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(command.service),
                 command,
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
@@ -291,7 +291,7 @@
     /** Frees the claim, which the other router needs, before the request can be forwarded. */
     private void releaseClaimThenDecide(RequestState state) {
         if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(state.request.service()),
                 finishCommand(state, Rows.Claim.FREED),
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
@@ -355,7 +355,7 @@
     private void finishClaim(RequestState state, int claimState) {
         if (!state.hasClaim) return;
         state.hasClaim = false;
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(state.request.service()),
                 finishCommand(state, claimState),
                 FINISH_TIMEOUT_MICROS,
@@ -491,7 +491,7 @@
     public void stamp(String service, Map<String, String> headers) {
         var view = membership.view();
         var serviceState = view.services().get(service);
-        headers.put(HttpExchange.MANIFEST, Long.toString(view.topic().version));
+        headers.put(HttpExchange.MANIFEST, Long.toString(view.manifestRow().version));
         headers.put(HttpExchange.TABLE, Long.toString(serviceState == null ? 0 : serviceState.tableVersion));
     }
 
@@ -587,7 +587,7 @@
         state.streamedTokens = tokens;
     }
 
-    private void checkRequest(RequestState state, Membership.View view, long now) {
+    private void checkRequest(RequestState state, Membership.CoreView view, long now) {
         if (now >= state.request.deadline()) endAfterDeadline(state);
         else if (now - state.lastProgressAt > LOSS_CHECK_AFTER_MICROS && isTargetLost(state, view))
             broken(state.request.id(), state.attempt);
@@ -598,15 +598,15 @@
      * that has it is gone, dark or replaced by another incarnation. A router counts as lost only while the lease is
      * held, since the list of members may be outdated otherwise.
      */
-    private boolean isTargetLost(RequestState state, Membership.View view) {
+    private boolean isTargetLost(RequestState state, Membership.CoreView view) {
         synchronized (state) {
             if (state.phase != RequestPhase.DISPATCHED
                     && state.phase != RequestPhase.STREAMING
                     && state.phase != RequestPhase.FORWARDED) return false;
             if (state.runner == null)
                 return state.router != null
-                        && view.leased(Parts.partOf(state.request.service()), port.now())
-                        && view.members().get(Parts.partOf(state.request.service())).stream()
+                        && view.hasLease(Parts.partOf(state.request.service()), port.now())
+                        && view.membersByPart().get(Parts.partOf(state.request.service())).stream()
                                 .noneMatch(node -> node.name.equals(state.router));
             var serviceState = view.services().get(state.request.service());
             var current = serviceState == null ? null : serviceState.runners.get(state.runner.name);
@@ -621,8 +621,8 @@
      */
     public void tick(long now) {
         var view = membership.view();
-        for (var mark : view.topic().marks.keySet()) closedSince.putIfAbsent(mark, now);
-        closedSince.keySet().removeIf(mark -> !view.topic().marks.containsKey(mark));
+        for (var mark : view.manifestRow().marks.keySet()) closedSince.putIfAbsent(mark, now);
+        closedSince.keySet().removeIf(mark -> !view.manifestRow().marks.containsKey(mark));
         for (var service : view.services().values())
             if (seenServices.put(service.name, service) != service)
                 service.runners.values().forEach(runner -> loads.meet(runner, now));
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -1,7 +1,7 @@
 package craneway.data.router;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.Directory;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.data.request.RequestExecutor;
@@ -35,7 +35,7 @@
     private static final long COMMAND_TIMEOUT_MICROS = 3_000_000;
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
     private final Loads loads = new Loads();
@@ -56,15 +56,15 @@
      */
     public Router(Port port, Node self, List<String> seeds, TimingProfile timing, Random random) {
         this.port = port;
-        directory = new Directory(port, self, seeds, timing);
+        directory = new NodeDirectory(port, self, seeds, timing);
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, timing);
-        membership.signals(part -> executor().signals().take(part));
+        membership.setSignalSource(part -> executor().signals().take(part));
         executor = new RequestExecutor(port, directory, membership, coreClient, loads);
     }
 
     /** Returns the directory of known nodes. */
-    public Directory directory() {
+    public NodeDirectory directory() {
         return directory;
     }
 
@@ -100,18 +100,18 @@
 
     /** Returns whether this router serves and its state of the core is recent enough for requests. */
     public boolean ready() {
-        return directory.self().serving && membership.usable(port.now());
+        return directory.self().serving && membership.isUsable(port.now());
     }
 
     /** Makes this router tell the others that it no longer serves, for good. */
     public void unready() {
-        membership.unready();
+        membership.stopServing();
     }
 
     /** Does the periodic work: follows a newer core, renews leases, repeats commands and checks open requests. */
     public void tick() {
         var now = port.now();
-        if (directory.newer() != null) followNewerCore();
+        if (directory.newerFounding() != null) followNewerCore();
         directory.tick(now);
         membership.tick(now);
         coreClient.tick(now);
@@ -119,11 +119,11 @@
     }
 
     private void followNewerCore() {
-        var founding = directory.newer();
+        var founding = directory.newerFounding();
         port.logEvent(
                 Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
-        directory.follow(founding);
-        membership.follow();
+        directory.followCore(founding);
+        membership.followCore();
     }
 
     /** Handles a message of another process; one of an unexpected type is logged and dropped. */
@@ -166,7 +166,7 @@
         command.incarnation = announcement.incarnation();
         command.cold = announcement.cold();
         command.load = announcement.load();
-        coreClient.ask(Parts.partOf(announcement.service()), command, COMMAND_TIMEOUT_MICROS, callback);
+        coreClient.request(Parts.partOf(announcement.service()), command, COMMAND_TIMEOUT_MICROS, callback);
     }
 
     /**
@@ -181,6 +181,6 @@
         command.runner = runner;
         command.incarnation = incarnation;
         command.state = Rows.Runner.LEAVING;
-        coreClient.ask(Parts.partOf(service), command, COMMAND_TIMEOUT_MICROS, callback);
+        coreClient.request(Parts.partOf(service), command, COMMAND_TIMEOUT_MICROS, callback);
     }
 }
