--- a/lib/data/src/main/java/craneway/data/placement/ColdShare.java
+++ b/lib/data/src/main/java/craneway/data/placement/ColdRunnerLimiter.java
@@ -13,7 +13,7 @@
  *
  * <p>Times are microseconds of the steady clock. Not thread-safe.
  */
-public final class ColdShare {
+public final class ColdRunnerLimiter {
     /** Minimum time between two requests of this router to one cold runner: one second plus a margin of 5 %. */
     private static final long MIN_DISPATCH_INTERVAL_MICROS = 1_050_000;
 
@@ -24,7 +24,7 @@
     private final Map<String, Long> lastDispatchAt = new HashMap<>();
 
     /** Creates the limiter of the router with this name. */
-    public ColdShare(String routerName) {
+    public ColdRunnerLimiter(String routerName) {
         this.routerName = routerName;
     }
 
@@ -35,7 +35,7 @@
      *     is selected
      * @param routers the names of all serving routers; this router counts whether or not it is among them
      */
-    public boolean may(String runner, double coldRequestsPerSecond, Collection<String> routers, long now) {
+    public boolean mayDispatch(String runner, double coldRequestsPerSecond, Collection<String> routers, long now) {
         var selectedRouters =
                 coldRequestsPerSecond <= 0 ? 1 : Math.max(1, (int) (coldRequestsPerSecond * RATE_SAFETY_FACTOR));
         var runnerHash = Hash.of(runner);
@@ -49,7 +49,7 @@
     }
 
     /** Records that this router sent a request to a cold runner. */
-    public void sent(String runner, long now) {
+    public void recordDispatch(String runner, long now) {
         lastDispatchAt.put(runner, now);
         if (lastDispatchAt.size() > 1_000)
             lastDispatchAt.values().removeIf(sentAt -> now - sentAt > MIN_DISPATCH_INTERVAL_MICROS);
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -7,12 +7,12 @@
 /**
  * The size of a prompt and the parts it is made of, as far as placement needs them.
  *
- * <p>The parts come in prompt order, each as the hash of its id ({@link Prompt#ids}) and its number of tokens
- * ({@link Prompt#tokens}). All parts but the last may be shared with other requests; the last one is the request's
- * own. {@link Prompt#in} is the number of tokens of the whole prompt, and
- * {@link Prompt#out} the number of tokens that the client states for the response.
+ * <p>The parts come in prompt order, each as the hash of its id ({@link Prompt#partIds}) and its number of tokens
+ * ({@link Prompt#partTokens}). All parts but the last may be shared with other requests; the last one is the request's
+ * own. {@link Prompt#promptTokens} is the number of tokens of the whole prompt, and
+ * {@link Prompt#outputTokens} the number of tokens that the client states for the response.
  */
-public record Prompt(long[] ids, int[] tokens, int in, int out) {
+public record Prompt(long[] partIds, int[] partTokens, int promptTokens, int outputTokens) {
     private static final int MAX_PARTS = 64;
 
     /** From this number of tokens on, a prompt counts as long. */
@@ -28,7 +28,7 @@
      *     none
      * @param tokenCounts the prompt's tokens and the response's tokens, separated by a comma, or null
      */
-    public static Prompt of(String parts, String tokenCounts) {
+    public static Prompt parse(String parts, String tokenCounts) {
         var inputTokens = 0;
         var outputTokens = 0;
         if (tokenCounts != null) {
@@ -61,43 +61,43 @@
     }
 
     /** Returns the number of parts that may be shared with other requests: all but the last. */
-    public int shared() {
-        return Math.max(0, ids.length - 1);
+    public int sharedPartCount() {
+        return Math.max(0, partIds.length - 1);
     }
 
     /**
      * Returns the key that determines the unit and the preferred runner: the id hash of the last shared part, that
      * of the only part if there is just one, or 0 without parts.
      */
-    public long key() {
-        if (ids.length == 0) return 0;
-        return ids[Math.max(0, ids.length - 2)];
+    public long affinityKey() {
+        if (partIds.length == 0) return 0;
+        return partIds[Math.max(0, partIds.length - 2)];
     }
 
     /** Returns the id hashes of the shared parts. */
-    public long[] sharedIds() {
-        return Arrays.copyOf(ids, shared());
+    public long[] sharedPartIds() {
+        return Arrays.copyOf(partIds, sharedPartCount());
     }
 
-    /** Returns the tokens of each shared part, in the order of {@link Prompt#sharedIds}. */
-    public int[] sharedSizes() {
-        return Arrays.copyOf(tokens, shared());
+    /** Returns the tokens of each shared part, in the order of {@link Prompt#sharedPartIds}. */
+    public int[] sharedPartTokens() {
+        return Arrays.copyOf(partTokens, sharedPartCount());
     }
 
     /** Returns the number of tokens of all shared parts together. */
-    public int sharedTokens() {
+    public int sharedTokenCount() {
         var sum = 0;
-        for (var i = 0; i < shared(); i++) sum += tokens[i];
+        for (var i = 0; i < sharedPartCount(); i++) sum += partTokens[i];
         return sum;
     }
 
     /** Returns whether the prompt is so long that its prefill noticeably delays all streams of its runner. */
     public boolean isLong() {
-        return in >= LONG_PROMPT_TOKENS;
+        return promptTokens >= LONG_PROMPT_TOKENS;
     }
 
     /** Returns the slice of the prompt's unit, from 0 to {@link Units#SLICE_COUNT} - 1. */
-    public int slice() {
-        return Hash.bucket(Hash.mix(key()), Units.SLICE_COUNT);
+    public int unitSlice() {
+        return Hash.bucket(Hash.mix(affinityKey()), Units.SLICE_COUNT);
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
+++ b/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
@@ -34,7 +34,7 @@
     }
 
     /** Records a new request, which adds to the budget. */
-    public void request(long now) {
+    public void recordRequest(long now) {
         requestTimes.add(now);
         removeExpired(requestTimes, now);
     }
@@ -45,7 +45,7 @@
      * @param routers the number of routers that share the fleet's fixed number of retries
      * @return false, and nothing is used, if the budget is exhausted
      */
-    public boolean take(int routers, long now) {
+    public boolean tryAcquire(int routers, long now) {
         removeExpired(requestTimes, now);
         removeExpired(retryTimes, now);
         if (retryTimes.size() + 1
--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
@@ -1,8 +1,8 @@
 package craneway.data.placement;
 
 import craneway.model.manifest.Route;
-import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.PlacementTable;
+import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.Units;
 import craneway.state.record.Rows;
 import java.util.Collection;
@@ -20,23 +20,31 @@
  *
  * <p>Costs and times are microseconds, the latter of the steady clock. Does no I/O. Not thread-safe.
  */
-public final class Placer {
+public final class RunnerPlacer {
     /**
      * The runner selected for a request, and the estimate that led to it.
      *
-     * <p>{@link Choice#read} is the number of prompt tokens that the runner still has to prefill, and
-     * {@link Choice#cost} the estimated cost in microseconds.
-     * {@link Choice#level} is the runner's prefill backlog in tokens and
-     * {@link Choice#load} its number of requests, both before this request.
-     * {@link Choice#favourite} tells whether the runner ranks first for the prompt by rendezvous hash, and
-     * {@link Choice#home} whether it is in the unit's home zone or the unit has none.
+     * <p>{@link Placement#prefillTokens} is the number of prompt tokens that the runner still has to prefill, and
+     * {@link Placement#costMicros} the estimated cost in microseconds.
+     * {@link Placement#backlogTokens} is the runner's prefill backlog in tokens and
+     * {@link Placement#runnerLoad} its number of requests, both before this request.
+     * {@link Placement#preferred} tells whether the runner ranks first for the prompt by rendezvous hash, and
+     * {@link Placement#inHomeZone} whether it is in the unit's home zone or the unit has none.
      */
-    public record Choice(RunnerView runner, int read, long cost, boolean favourite, boolean home, int level, int load) {
+    public record Placement(
+            RunnerView runner,
+            int prefillTokens,
+            long costMicros,
+            boolean preferred,
+            boolean inHomeZone,
+            int backlogTokens,
+            int runnerLoad) {
         /** Describes the choice for log messages. */
-        public String about() {
-            return "runner " + runner.id() + " in " + runner.zone + (favourite ? " (preferred)" : "")
-                    + (home ? " (home zone)" : "") + ", prefill tokens " + read + ", backlog tokens " + level
-                    + ", load " + load + ", cost " + cost / 1000 + " ms";
+        public String describe() {
+            return "runner " + runner.id() + " in " + runner.zone + (preferred ? " (preferred)" : "")
+                    + (inHomeZone ? " (home zone)" : "") + ", prefill tokens " + prefillTokens + ", backlog tokens "
+                    + backlogTokens
+                    + ", load " + runnerLoad + ", cost " + costMicros / 1000 + " ms";
         }
     }
 
@@ -93,13 +101,13 @@
     /** A large prefill waits only behind a backlog above this size. */
     private static final int MIN_BACKLOG_TO_WAIT_TOKENS = 1_500;
 
-    private final Pool pool;
-    private final ColdShare coldLimiter;
+    private final RunnerPool pool;
+    private final ColdRunnerLimiter coldLimiter;
     private final String zone;
     private final String region;
 
     /** Creates the placer of a router in this zone and region. */
-    public Placer(Pool pool, ColdShare coldLimiter, String zone, String region) {
+    public RunnerPlacer(RunnerPool pool, ColdRunnerLimiter coldLimiter, String zone, String region) {
         this.pool = pool;
         this.coldLimiter = coldLimiter;
         this.zone = zone;
@@ -108,22 +116,23 @@
 
     /**
      * Returns the runner with the lowest cost for a prompt, or null if no runner may take it now. Nothing is
-     * recorded until {@link Placer#started} is called.
+     * recorded until {@link RunnerPlacer#recordStart} is called.
      *
      * @param tried ids of runners that are excluded because the request was sent to them before
      */
-    public Choice choose(Route route, String service, Prompt prompt, Set<String> tried, long now) {
+    public Placement selectRunner(Route route, String service, Prompt prompt, Set<String> tried, long now) {
         var homeZone = homeZone(route, service, prompt);
-        Choice cheapest = null;
+        Placement cheapest = null;
         var preferred = preferredRunner(route, service, prompt, homeZone);
-        for (var runner : pool.of(service)) {
+        for (var runner : pool.runnersOf(service)) {
             if (!isEligible(route, runner) || tried.contains(runner.id())) continue;
-            if (runner.cold(now) && !coldLimiter.may(runner.id(), coldRequestsPerSecond(service), pool.routers(), now))
-                continue;
+            if (runner.isCold(now)
+                    && !coldLimiter.mayDispatch(
+                            runner.id(), coldRequestsPerSecond(service), pool.servingRouters(), now)) continue;
             if (!runner.mayProbe(now)) continue;
             var candidate = estimateCost(
                     runner, prompt, runner == preferred, homeZone == null || runner.zone.equals(homeZone), now);
-            if (cheapest == null || candidate.cost() < cheapest.cost()) cheapest = candidate;
+            if (cheapest == null || candidate.costMicros() < cheapest.costMicros()) cheapest = candidate;
         }
         return cheapest;
     }
@@ -136,7 +145,7 @@
     private boolean isEligible(Route route, RunnerView runner) {
         return runner.registration.up()
                 && !runner.replaced
-                && !pool.emptied(runner.zone)
+                && !pool.isZoneEmptied(runner.zone)
                 && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(runner.region));
     }
 
@@ -146,7 +155,7 @@
         if (service == null) return null;
         var localRegion = service.regions.indexOf(region);
         if (localRegion >= 0
-                && prompt.sharedTokens() < MIN_CROSS_REGION_SHARED_TOKENS
+                && prompt.sharedTokenCount() < MIN_CROSS_REGION_SHARED_TOKENS
                 && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(region))) {
             var localHome = homeZoneOfUnit(service, 1 << localRegion, prompt);
             if (localHome != null) return localHome;
@@ -165,7 +174,7 @@
     }
 
     private static String homeZoneOfUnit(Rows.Service service, int regionSet, Prompt prompt) {
-        var unit = regionSet * Units.SLICE_COUNT + prompt.slice();
+        var unit = regionSet * Units.SLICE_COUNT + prompt.unitSlice();
         var cell = unit < service.homes.length ? service.homes[unit] : PlacementTable.NOWHERE;
         return cell == PlacementTable.NOWHERE ? null : service.zones.get(cell);
     }
@@ -178,11 +187,11 @@
     private RunnerView preferredRunner(Route route, String service, Prompt prompt, String homeZone) {
         RunnerView preferred = null;
         var highestWeight = 0L;
-        for (var runner : pool.of(service)) {
+        for (var runner : pool.runnersOf(service)) {
             if (!isEligible(route, runner)
                     || homeZone != null && !runner.zone.equals(homeZone)
                     || runner.zoneHasRoles && runner.takesLongPrompts != prompt.isLong()) continue;
-            var weight = RendezvousHash.weight(prompt.key(), runner.nameHash);
+            var weight = RendezvousHash.weight(prompt.affinityKey(), runner.nameHash);
             if (preferred == null || Long.compareUnsigned(weight, highestWeight) > 0) {
                 preferred = runner;
                 highestWeight = weight;
@@ -191,7 +200,7 @@
         return preferred;
     }
 
-    private Choice estimateCost(RunnerView runner, Prompt prompt, boolean preferred, boolean home, long now) {
+    private Placement estimateCost(RunnerView runner, Prompt prompt, boolean preferred, boolean home, long now) {
         var uncachedShared = runner.uncachedSharedTokens(prompt);
         var backlog = runner.prefillBacklog(now);
         var prefillTokens = runner.unsharedTokens(prompt) + uncachedShared;
@@ -213,40 +222,42 @@
                 * Math.min(runner.load(now), 10);
         if (runner.isFull(now)) costMicros += 1_000_000;
         if (runner.queued(now) > 0) costMicros += 50_000L * runner.queued(now);
-        if (runner.cold(now)) costMicros += COLD_COST_MICROS;
-        if (runner.suspected(now)
+        if (runner.isCold(now)) costMicros += COLD_COST_MICROS;
+        if (runner.isSuspected(now)
                 || runner.isQuietFor(now, MAX_QUIET_IN_SUSPECTED_ZONE_MICROS)
                         && pool.hasSuspectedRunner(runner.zone, now)) costMicros += SUSPECTED_COST_MICROS;
         if (runner.brokeRecently(now)) costMicros += RECENT_BREAK_COST_MICROS;
-        return new Choice(runner, prefillTokens, costMicros, preferred, home, (int) backlog, runner.load(now));
+        return new Placement(runner, prefillTokens, costMicros, preferred, home, (int) backlog, runner.load(now));
     }
 
     /**
      * Returns whether a request should wait a short time before it is sent, because its large prefill on top of the
      * runner's backlog would delay the streams running there.
      */
-    public boolean crowds(Choice choice, long now) {
-        return choice.read() > LARGE_PREFILL_TOKENS
+    public boolean shouldWait(Placement choice, long now) {
+        return choice.prefillTokens() > LARGE_PREFILL_TOKENS
                 && choice.runner().prefillBacklog(now) > MIN_BACKLOG_TO_WAIT_TOKENS
-                && choice.runner().prefillBacklog(now) + choice.read() > BACKLOG_LIMIT_TOKENS;
+                && choice.runner().prefillBacklog(now) + choice.prefillTokens() > BACKLOG_LIMIT_TOKENS;
     }
 
     /** Records that a request is sent to the chosen runner. */
-    public void started(Choice choice, Prompt prompt, long now) {
+    public void recordStart(Placement choice, Prompt prompt, long now) {
         choice.runner().recordStart(prompt, now);
-        if (choice.read() >= LARGE_PREFILL_TOKENS) pool.told(choice.runner(), choice.read(), now);
-        else choice.runner().reading(choice.read(), now);
+        if (choice.prefillTokens() >= LARGE_PREFILL_TOKENS)
+            pool.recordPrefill(choice.runner(), choice.prefillTokens(), now);
+        else choice.runner().recordPrefill(choice.prefillTokens(), now);
         choice.runner().recordProbe(now);
-        if (choice.runner().cold(now)) coldLimiter.sent(choice.runner().id(), now);
+        if (choice.runner().isCold(now))
+            coldLimiter.recordDispatch(choice.runner().id(), now);
     }
 
-    /** Records that a request recorded by {@link Placer#started} no longer runs on its runner. */
-    public void ended(Choice choice, Prompt prompt) {
+    /** Records that a request recorded by {@link RunnerPlacer#recordStart} no longer runs on its runner. */
+    public void recordEnd(Placement choice, Prompt prompt) {
         choice.runner().recordEnd(prompt);
     }
 
     /** Returns the names of the routers that are serving. */
-    public Collection<String> routers() {
-        return pool.routers();
+    public Collection<String> servingRouters() {
+        return pool.servingRouters();
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
@@ -20,7 +20,7 @@
  *
  * <p>Times are microseconds of the steady clock. Not thread-safe.
  */
-public final class Pool {
+public final class RunnerPool {
     /**
      * Up to this many routers, prefill and silence notices go to all of them, else only to the regions concerned.
      */
@@ -40,7 +40,7 @@
      *
      * @return false if this is the view already in use
      */
-    public boolean follow(Membership.CoreView newView) {
+    public boolean applyView(Membership.CoreView newView) {
         if (newView == view) return false;
         var previous = view;
         view = newView;
@@ -68,14 +68,15 @@
         return a.manifest() == b.manifest()
                 && a.manifestRow() == b.manifestRow()
                 && a.services() == b.services()
-                && a.membersByPart().get(Parts.MANIFEST_PART) == b.membersByPart().get(Parts.MANIFEST_PART);
+                && a.membersByPart().get(Parts.MANIFEST_PART)
+                        == b.membersByPart().get(Parts.MANIFEST_PART);
     }
 
     /**
      * Records that this or another router gave a runner a prompt of which this many tokens have to be prefilled.
      */
-    public void told(RunnerView runner, int tokens, long now) {
-        runner.reading(tokens, now);
+    public void recordPrefill(RunnerView runner, int tokens, long now) {
+        runner.recordPrefill(tokens, now);
         demandByServiceAndZone
                 .computeIfAbsent(runner.service + "/" + runner.zone, k -> new PrefillDemand())
                 .add(tokens, now);
@@ -87,7 +88,7 @@
      * short ones, so that long prefills do not delay streams. The number of runners for long prompts follows the
      * zone's prefill demand. Elsewhere every runner takes all prompts.
      */
-    public void seat(long now) {
+    public void assignRunnerRoles(long now) {
         runnersByService.forEach((service, serviceRunners) -> {
             var regionSets = view.manifest().routes().regionSetsOf(service);
             var runnersByZone = new HashMap<String, List<RunnerView>>();
@@ -189,18 +190,19 @@
 
     private static List<String> findServingRouters(Membership.CoreView view) {
         var names = new ArrayList<String>();
-        for (var node : view.membersByPart().get(Parts.MANIFEST_PART)) if (node.isRouter() && node.serving) names.add(node.name);
+        for (var node : view.membersByPart().get(Parts.MANIFEST_PART))
+            if (node.isRouter() && node.serving) names.add(node.name);
         return names;
     }
 
     /** Returns whether any runner of this zone is suspected to have failed. */
     boolean hasSuspectedRunner(String zone, long now) {
-        for (var runner : runnersById.values()) if (runner.zone.equals(zone) && runner.suspected(now)) return true;
+        for (var runner : runnersById.values()) if (runner.zone.equals(zone) && runner.isSuspected(now)) return true;
         return false;
     }
 
     /** Returns the runner with this id, or null. */
-    public RunnerView named(String id) {
+    public RunnerView findRunner(String id) {
         return runnersById.get(id);
     }
 
@@ -210,7 +212,7 @@
      *
      * @param self the name of this router
      */
-    public List<String> peers(String self, String region, String otherRegion) {
+    public List<String> peerRouterAddresses(String self, String region, String otherRegion) {
         var notifyAll = servingRouters.size() <= MAX_ROUTERS_TO_NOTIFY_ALL;
         var addresses = new ArrayList<String>();
         for (var node : view.membersByPart().get(Parts.MANIFEST_PART)) {
@@ -230,27 +232,27 @@
     }
 
     /** Returns the names of all serving routers, this one included. */
-    public Collection<String> routers() {
+    public Collection<String> servingRouters() {
         return servingRouters;
     }
 
     /** Returns the runners of all services. */
-    public Collection<RunnerView> all() {
+    public Collection<RunnerView> allRunners() {
         return runnersById.values();
     }
 
     /** Returns whether the state of this service has arrived; before that, its runners are unknown. */
-    public boolean knows(String service) {
+    public boolean hasService(String service) {
         return runnersByService.containsKey(service);
     }
 
     /** Returns the runners of a service; an unknown service has none. */
-    public List<RunnerView> of(String service) {
+    public List<RunnerView> runnersOf(String service) {
         return runnersByService.getOrDefault(service, List.of());
     }
 
     /** Returns whether a plan has marked this zone as emptied, so that it gets no requests. */
-    public boolean emptied(String zone) {
+    public boolean isZoneEmptied(String zone) {
         return emptiedZones.contains(zone);
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/RunnerView.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerView.java
@@ -55,7 +55,7 @@
     long coldUntil = Long.MIN_VALUE / 2;
     /** Whether another incarnation now answers at the runner's address. */
     boolean replaced;
-    /** Whether the runner takes long prompts; see {@link Pool#seat}. */
+    /** Whether the runner takes long prompts; see {@link RunnerPool#assignRunnerRoles}. */
     boolean takesLongPrompts = true;
     /** Whether the runners of the zone take either long or short prompts, instead of both. */
     boolean zoneHasRoles;
@@ -84,12 +84,12 @@
     }
 
     /** Returns how many requests of this router the runner has. */
-    public int running() {
+    public int requestsInFlight() {
         return inFlight;
     }
 
     /** Returns whether the runner is still warming up and may get only few requests. */
-    public boolean cold(long now) {
+    public boolean isCold(long now) {
         return registration.cold || now < coldUntil;
     }
 
@@ -100,17 +100,17 @@
     int uncachedSharedTokens(Prompt prompt) {
         var uncachedTokens = 0;
         var prefixEnded = false;
-        for (var i = 0; i < prompt.shared(); i++) {
-            prefixEnded |= !cachedParts.containsKey(prompt.ids()[i]);
-            if (prefixEnded) uncachedTokens += prompt.tokens()[i];
+        for (var i = 0; i < prompt.sharedPartCount(); i++) {
+            prefixEnded |= !cachedParts.containsKey(prompt.partIds()[i]);
+            if (prefixEnded) uncachedTokens += prompt.partTokens()[i];
         }
         return uncachedTokens;
     }
 
     /** Returns how many tokens of the prompt belong to no shared part. */
     int unsharedTokens(Prompt prompt) {
-        var remaining = prompt.in();
-        for (var i = 0; i < prompt.shared(); i++) remaining -= prompt.tokens()[i];
+        var remaining = prompt.promptTokens();
+        for (var i = 0; i < prompt.sharedPartCount(); i++) remaining -= prompt.partTokens()[i];
         return Math.max(0, remaining);
     }
 
@@ -119,8 +119,8 @@
      */
     void recordStart(Prompt prompt, long now) {
         inFlight++;
-        reservedTokens += prompt.in() + prompt.out();
-        for (var i = 0; i < prompt.shared(); i++) addCachedPart(prompt.ids()[i], prompt.tokens()[i]);
+        reservedTokens += prompt.promptTokens() + prompt.outputTokens();
+        for (var i = 0; i < prompt.sharedPartCount(); i++) addCachedPart(prompt.partIds()[i], prompt.partTokens()[i]);
         evict();
     }
 
@@ -131,7 +131,7 @@
      * @param sizes the tokens of each part; if the arrays differ in length, the surplus of the longer one is
      *     ignored
      */
-    public void keeps(long[] ids, int[] sizes) {
+    public void recordCachedParts(long[] ids, int[] sizes) {
         for (var i = 0; i < Math.min(ids.length, sizes.length); i++) addCachedPart(ids[i], sizes[i]);
         evict();
     }
@@ -159,7 +159,7 @@
     /**
      * Records that this or another router sent the runner a prompt of which this many tokens have to be prefilled.
      */
-    public void reading(int tokens, long now) {
+    public void recordPrefill(int tokens, long now) {
         backlogTokens = prefillBacklog(now) + tokens;
         backlogUpdatedAt = now;
     }
@@ -177,7 +177,7 @@
     /** Records that a request of this router no longer runs on the runner. */
     void recordEnd(Prompt prompt) {
         inFlight--;
-        reservedTokens -= prompt.in() + prompt.out();
+        reservedTokens -= prompt.promptTokens() + prompt.outputTokens();
     }
 
     /**
@@ -186,7 +186,7 @@
      * @param totalRunning the requests that the runner is processing, those of this router included
      * @param queued the requests that wait on the runner
      */
-    public void reported(int totalRunning, int queued, long now) {
+    public void recordLoadReport(int totalRunning, int queued, long now) {
         othersRunning = Math.max(0, totalRunning - inFlight);
         reportedQueued = queued;
         reportedAt = now;
@@ -213,25 +213,25 @@
     }
 
     /** Records that data arrived from the runner, which is then no longer suspected. */
-    public void heard(long now) {
+    public void recordHeard(long now) {
         lastHeardAt = now;
         suspectedSince = Long.MIN_VALUE;
         suspectedUntil = now;
     }
 
     /** Returns when data last arrived from the runner. */
-    public long heardAt() {
+    public long lastHeardAt() {
         return lastHeardAt;
     }
 
     /** Records that the runner was found silent or refused a connection; it is then suspected to have failed. */
-    public void suspect(long now) {
+    public void markSuspected(long now) {
         if (suspectedSince == Long.MIN_VALUE) suspectedSince = now;
         suspectedUntil = now + SUSPECT_MICROS;
     }
 
     /** Returns whether the runner is suspected to have failed. */
-    public boolean suspected(long now) {
+    public boolean isSuspected(long now) {
         return now < suspectedUntil;
     }
 
@@ -256,12 +256,12 @@
     }
 
     /** Records that another incarnation answers at the runner's address. */
-    public void gone() {
+    public void markReplaced() {
         replaced = true;
     }
 
     /** Records that a connection to the runner broke in the middle of a request. */
-    public void broke(long now) {
+    public void recordBrokenConnection(long now) {
         connectionBrokeAt = now;
     }
 
--- a/lib/data/src/main/java/craneway/data/request/Decision.java
+++ b/lib/data/src/main/java/craneway/data/request/Decision.java
@@ -13,7 +13,7 @@
     record Forward(Node router, int unit, boolean runOnce) implements Decision {}
 
     /** Keep the request in the buffer; if it can no longer wait, end it with the given problem. */
-    record Buffer(Problem otherwise) implements Decision {}
+    record Buffer(Problem problemIfExpired) implements Decision {}
 
     /** End the request with this problem. */
     record Decline(Problem problem) implements Decision {}
--- a/lib/data/src/main/java/craneway/data/request/Counts.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestCounters.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /** Running totals of one router's requests since it started, for its metrics. Thread-safe. */
-public final class Counts {
+public final class RequestCounters {
     /** Requests accepted, including those forwarded by another router. */
-    public final AtomicLong taken = new AtomicLong();
+    public final AtomicLong accepted = new AtomicLong();
 
     /** Requests accepted that were forwarded by another router. */
     public final AtomicLong forwardedIn = new AtomicLong();
@@ -21,13 +21,13 @@
     public final AtomicLong dispatched = new AtomicLong();
 
     /** Attempts beyond the first. */
-    public final AtomicLong extraTries = new AtomicLong();
+    public final AtomicLong retries = new AtomicLong();
 
     /** Streams passed to the client to their end. */
-    public final AtomicLong whole = new AtomicLong();
+    public final AtomicLong completedStreams = new AtomicLong();
 
     /** Streams that ended before they were complete. */
-    public final AtomicLong cut = new AtomicLong();
+    public final AtomicLong cutStreams = new AtomicLong();
 
     /** How often a request was put into the buffer. */
     public final AtomicLong buffered = new AtomicLong();
@@ -35,12 +35,12 @@
     private final AtomicLongArray problemsByKind = new AtomicLongArray(ProblemKind.values().length);
 
     /** Counts a request that ended with this kind of problem. */
-    public void verdict(ProblemKind kind) {
+    public void countProblem(ProblemKind kind) {
         problemsByKind.incrementAndGet(kind.ordinal());
     }
 
     /** Returns the number of requests that ended with each kind of problem, by the kind's name, without zeros. */
-    public Map<String, Long> verdicts() {
+    public Map<String, Long> problemCounts() {
         var countsByName = new TreeMap<String, Long>();
         for (var kind : ProblemKind.values())
             if (problemsByKind.get(kind.ordinal()) > 0)
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestDecider.java
@@ -2,15 +2,15 @@
 
 import craneway.control.node.Membership.CoreView;
 import craneway.control.plan.UnitMover;
-import craneway.data.runner.Chooser;
-import craneway.data.runner.Loads;
+import craneway.data.runner.RunnerLoads;
+import craneway.data.runner.RunnerSelector;
 import craneway.model.manifest.Manifest;
-import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
-import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.PlacementTable;
+import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.Units;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
@@ -31,16 +31,16 @@
  *
  * <p>Times are microseconds of the steady clock. Thread-safe.
  */
-public final class Decider {
+public final class RequestDecider {
     private final String zone;
-    private final Loads loads;
-    private final Chooser chooser;
+    private final RunnerLoads loads;
+    private final RunnerSelector chooser;
 
     /** Creates the decider of the router with this name in this zone. */
-    public Decider(String routerName, String zone, Loads loads) {
+    public RequestDecider(String routerName, String zone, RunnerLoads loads) {
         this.zone = zone;
         this.loads = loads;
-        this.chooser = new Chooser(routerName, loads);
+        this.chooser = new RunnerSelector(routerName, loads);
     }
 
     /**
@@ -49,10 +49,11 @@
      * @param excluded names of runners and routers that are not tried again
      * @param closedSince when this router first saw each mark in the manifest's topic, by the mark's name
      */
-    public Decision ask(CoreView view, Request request, Set<String> excluded, Map<String, Long> closedSince, long now) {
+    public Decision decide(
+            CoreView view, Request request, Set<String> excluded, Map<String, Long> closedSince, long now) {
         var manifest = view.manifest();
         if (manifest == null) return decline(ProblemKind.NO_MANIFEST);
-        if (now >= request.deadline()) return decline(ProblemKind.DEADLINE_PASSED);
+        if (now >= request.deadlineMicros()) return decline(ProblemKind.DEADLINE_PASSED);
         var service = manifest.service(request.service());
         if (service == null)
             return new Decision.Decline(
@@ -60,8 +61,9 @@
         var work = service.work(request.work());
         if (work == null)
             return new Decision.Decline(Problem.of(
-                    ProblemKind.UNKNOWN_WORK, "service " + request.service() + " has no kind of work " + request.work()));
-        if (work.runOnce() && request.key().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
+                    ProblemKind.UNKNOWN_WORK,
+                    "service " + request.service() + " has no kind of work " + request.work()));
+        if (work.runOnce() && request.idempotencyKey().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
         if (request.body().length > service.maxBodyBytes()) return decline(ProblemKind.TOO_LARGE);
         var serviceState = view.services().get(request.service());
         if (serviceState == null || serviceState.homes.length == 0)
@@ -155,7 +157,7 @@
                 closedSince.getOrDefault("zone:" + serviceState.zones.get(cell), Long.MIN_VALUE),
                 closedSince.getOrDefault(
                         "cell:" + serviceState.name + "/" + serviceState.cells.get(cell), Long.MIN_VALUE));
-        return now >= closedAt + RequestExecutor.DRAIN;
+        return now >= closedAt + RequestExecutor.DRAIN_MICROS;
     }
 
     private Decision serveFromCell(
@@ -175,15 +177,15 @@
             if (runner.up()
                     && runner.cell.equals(cellName)
                     && !excluded.contains(runner.name)
-                    && loads.usable(runner, now)
-                    && (leased || loads.heardLately(runner.name, now))) candidates.add(runner);
+                    && loads.isUsable(runner, now)
+                    && (leased || loads.announcedRecently(runner.name, now))) candidates.add(runner);
         if (candidates.isEmpty())
             return mayGetRunner(view, serviceState, homeCell, unit, excluded)
                     ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
                     : decline(ProblemKind.NO_RUNNER);
-        var selected = chooser.choose(
+        var selected = chooser.selectRunner(
                 candidates,
-                Hash.of(request.prefix(), Hash.of(request.service())),
+                Hash.of(request.prefixHash(), Hash.of(request.service())),
                 service.warmUpTime(),
                 leased && view.isSettled(Parts.partOf(request.service()), now),
                 routersInZone(view, request),
@@ -196,13 +198,14 @@
      * Returns whether a runner that was selected for a request may still get it: it is up with the same incarnation
      * and usable, its cell is not drained, and the leases or the grace period still allow the router to serve.
      */
-    public boolean still(CoreView view, Request request, Rows.Runner runner, Map<String, Long> closedSince, long now) {
+    public boolean mayStillServe(
+            CoreView view, Request request, Rows.Runner runner, Map<String, Long> closedSince, long now) {
         var serviceState = view.services().get(request.service());
         var current = serviceState == null ? null : serviceState.runners.get(runner.name);
         if (current == null
                 || !current.up()
                 || current.incarnation != runner.incarnation
-                || !loads.usable(current, now)) return false;
+                || !loads.isUsable(current, now)) return false;
         if (isDrained(serviceState, serviceState.cells.indexOf(current.cell), view, closedSince, now)) return false;
         if (view.hasLease(Parts.partOf(request.service()), now) && view.hasLease(Parts.MANIFEST_PART, now)) return true;
         var work = view.manifest().service(request.service()) == null
@@ -211,7 +214,7 @@
         return work != null
                 && !work.runOnce()
                 && !isGraceOver(view, request, now)
-                && loads.heardLately(runner.name, now);
+                && loads.announcedRecently(runner.name, now);
     }
 
     /**
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -1,15 +1,15 @@
 package craneway.data.request;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Port;
 import craneway.data.runner.CellSignals;
-import craneway.data.runner.Loads;
+import craneway.data.runner.RunnerLoads;
 import craneway.model.event.Event;
-import craneway.model.problem.WorkOutcome;
-import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
+import craneway.model.problem.ProblemKind;
+import craneway.model.problem.WorkOutcome;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
 import craneway.state.message.Commands;
@@ -24,7 +24,7 @@
 
 /**
  * Executes the requests of one router, from their acceptance to the end of the response. It asks the
- * {@link Decider} where a request runs, takes quota and claims from the core, counts and limits retries, buffers
+ * {@link RequestDecider} where a request runs, takes quota and claims from the core, counts and limits retries, buffers
  * requests that cannot run yet, and ends requests whose deadline has passed or whose runner or router is lost.
  *
  * <p>Work that may run only once needs a claim in the core before it is sent to a runner, and gets no second
@@ -36,7 +36,7 @@
  */
 public final class RequestExecutor {
     /** How long a cell goes on serving requests after this router first saw the mark that closes it. */
-    public static final long DRAIN = 1_500_000;
+    public static final long DRAIN_MICROS = 1_500_000;
 
     /** A router takes a tenth of a tenant's quota per minute from the core at a time. */
     private static final int QUOTA_GRANT_DIVISOR = 10;
@@ -68,67 +68,68 @@
     private final NodeDirectory directory;
     private final Membership membership;
     private final CoreClient coreClient;
-    private final Loads loads;
-    private final Decider decider;
-    private final AttemptTokens retryTokens = new AttemptTokens();
-    private final Counts counts = new Counts();
+    private final RunnerLoads loads;
+    private final RequestDecider decider;
+    private final RetryTokenBucket retryTokens = new RetryTokenBucket();
+    private final RequestCounters counters = new RequestCounters();
     private final Map<Long, RequestState> requestsById = new ConcurrentHashMap<>();
     private final Map<String, ConcurrentLinkedQueue<RequestState>> buffersByService = new ConcurrentHashMap<>();
     private final Map<String, AtomicInteger> bufferedByService = new ConcurrentHashMap<>();
     private final Map<String, Long> closedSince = new ConcurrentHashMap<>();
     private final Map<String, Rows.Service> seenServices = new ConcurrentHashMap<>();
-    private final CellSignals signals = new CellSignals();
-    private final Usage usage = new Usage();
+    private final CellSignals cellSignals = new CellSignals();
+    private final UsageLog usageLog = new UsageLog();
     private final QuotaGrants quotaGrants = new QuotaGrants();
     private final AtomicLong lastClaimNumber = new AtomicLong();
     private volatile boolean stopping;
 
     /** Creates the executor of the router whose node is {@link NodeDirectory#self}. */
-    public RequestExecutor(Port port, NodeDirectory directory, Membership membership, CoreClient coreClient, Loads loads) {
+    public RequestExecutor(
+            Port port, NodeDirectory directory, Membership membership, CoreClient coreClient, RunnerLoads loads) {
         this.port = port;
         this.directory = directory;
         this.membership = membership;
         this.coreClient = coreClient;
         this.loads = loads;
-        this.decider = new Decider(directory.self().name, directory.self().zone, loads);
+        this.decider = new RequestDecider(directory.self().name, directory.self().zone, loads);
     }
 
     /** Returns the running totals for the metrics. */
-    public Counts counts() {
-        return counts;
+    public RequestCounters counters() {
+        return counters;
     }
 
     /** Returns the signals of the cells that are still to be reported to the core. */
-    public CellSignals signals() {
-        return signals;
+    public CellSignals cellSignals() {
+        return cellSignals;
     }
 
     /** Returns the usage records of the requests that ended. */
-    public Usage usage() {
-        return usage;
+    public UsageLog usageLog() {
+        return usageLog;
     }
 
     /** Adds a usage record, unless the request was forwarded: the other router then has one. */
     private void recordUsage(RequestState state, String outcome) {
         if (state.sentToRouter) return;
         var manifest = membership.view().manifest();
-        usage.add(state, manifest == null ? "" : manifest.regionOfZone(directory.self().zone), outcome, port.now());
+        usageLog.add(state, manifest == null ? "" : manifest.regionOfZone(directory.self().zone), outcome, port.now());
     }
 
     /** Returns the number of requests that are not over. */
-    public int open() {
+    public int openRequests() {
         return requestsById.size();
     }
 
     /** Declines all further requests; those already accepted go on, but no longer wait for a runner. */
-    public void stop() {
+    public void stopAccepting() {
         stopping = true;
     }
 
     /** Accepts a request; everything that is to be done for it goes to the output. */
-    public void take(Request request, RequestOutput output) {
-        counts.taken.incrementAndGet();
-        if (request.forwarded()) counts.forwardedIn.incrementAndGet();
+    public void accept(Request request, RequestOutput output) {
+        counters.accepted.incrementAndGet();
+        if (request.forwarded()) counters.forwardedIn.incrementAndGet();
         earnRetryTokens(request.service());
         var state = new RequestState(request, output, port.now());
         requestsById.put(request.id(), state);
@@ -141,11 +142,11 @@
     private void earnRetryTokens(String service) {
         var routers = 0;
         for (var node : membership.view().membersByPart().get(Parts.partOf(service))) if (node.isRouter()) routers++;
-        retryTokens.earn(Math.max(1, routers));
+        retryTokens.addForRequest(Math.max(1, routers));
     }
 
     private static long maxWait(RequestState state) {
-        return Math.min(MAX_WAIT_MICROS, (state.request.deadline() - state.acceptedAt) / WAIT_DEADLINE_DIVISOR);
+        return Math.min(MAX_WAIT_MICROS, (state.request.deadlineMicros() - state.acceptedAt) / WAIT_DEADLINE_DIVISOR);
     }
 
     /** Returns how much longer the request may wait; negative if its time to wait is over. */
@@ -155,10 +156,10 @@
 
     private void decide(RequestState state) {
         var now = port.now();
-        var decision = decider.ask(membership.view(), state.request, state.excluded, closedSince, now);
+        var decision = decider.decide(membership.view(), state.request, state.excluded, closedSince, now);
         if (decision instanceof Decision.Serve serve) dispatch(state, serve);
         else if (decision instanceof Decision.Forward forward) forward(state, forward);
-        else if (decision instanceof Decision.Buffer buffer) buffer(state, buffer.otherwise(), now);
+        else if (decision instanceof Decision.Buffer buffer) buffer(state, buffer.problemIfExpired(), now);
         else if (decision instanceof Decision.Decline decline) end(state, decline.problem());
     }
 
@@ -183,9 +184,9 @@
         state.lastRunnerName = state.runner.name;
         state.sentToRouter = false;
         state.dispatchedAt = state.lastProgressAt;
-        loads.started(state.runner.name);
-        counts.dispatched.incrementAndGet();
-        state.output.serve(state.attempt, state.runner);
+        loads.recordStart(state.runner.name);
+        counters.dispatched.incrementAndGet();
+        state.output.dispatchToRunner(state.attempt, state.runner);
     }
 
     private void forward(RequestState state, Decision.Forward decision) {
@@ -199,8 +200,8 @@
         state.lastProgressAt = port.now();
         state.router = decision.router().name;
         state.sentToRouter = true;
-        counts.forwardedOut.incrementAndGet();
-        state.output.forward(state.attempt, decision.router());
+        counters.forwardedOut.incrementAndGet();
+        state.output.forwardToRouter(state.attempt, decision.router());
     }
 
     /**
@@ -216,7 +217,7 @@
             return;
         }
         if (state.phase == RequestPhase.BUFFERED || !state.transitionTo(RequestPhase.BUFFERED)) return;
-        counts.buffered.incrementAndGet();
+        counters.buffered.incrementAndGet();
         buffered.incrementAndGet();
         buffersByService
                 .computeIfAbsent(state.request.service(), k -> new ConcurrentLinkedQueue<>())
@@ -318,7 +319,7 @@
 
     /** Returns the key of the request's claim: two 64-bit hashes of its service, tenant and key. */
     private static String claimKey(Request request) {
-        var text = request.service() + "\n" + request.tenant() + "\n" + request.key();
+        var text = request.service() + "\n" + request.tenant() + "\n" + request.idempotencyKey();
         return Long.toHexString(Hash.of(text)) + Long.toHexString(Hash.of("2\n" + text));
     }
 
@@ -371,16 +372,17 @@
         var problem = state.earlierAttemptBroke && cause.kind().workOutcome() == WorkOutcome.DECLINED
                 ? Problem.of(ProblemKind.RUN_BROKEN, "an earlier attempt broke off; then: " + cause.detail())
                 : cause;
-        finishClaim(state, problem.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
+        finishClaim(
+                state, problem.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
         requestsById.remove(state.request.id());
-        counts.verdict(problem.kind());
+        counters.countProblem(problem.kind());
         recordUsage(state, problem.kind().name().toLowerCase());
-        state.output.verdict(problem);
+        state.output.endWithProblem(problem);
     }
 
     private void releaseRunner(RequestState state) {
         if (state.runner == null) return;
-        loads.ended(state.runner.name);
+        loads.recordEnd(state.runner.name);
         state.runner = null;
     }
 
@@ -390,7 +392,7 @@
     }
 
     /** Reports that the runner or router declined an attempt and has not run the request: another may be tried. */
-    public void notRun(long id, int attempt, Problem problem) {
+    public void onNotRun(long id, int attempt, Problem problem) {
         var state = findCurrent(id, attempt);
         if (state == null) return;
         synchronized (state) {
@@ -402,7 +404,7 @@
     }
 
     /** Reports that an attempt ended with a problem that another attempt cannot mend; the request ends with it. */
-    public void refusedWork(long id, int attempt, Problem problem) {
+    public void onRejected(long id, int attempt, Problem problem) {
         var state = findCurrent(id, attempt);
         if (state == null) return;
         synchronized (state) {
@@ -419,11 +421,11 @@
      */
     private void handleRunnerDecline(RequestState state, Problem problem) {
         var name = state.runner.name;
-        if (problem.kind() == ProblemKind.BUSY) loads.reported(name, state.runner.slots, port.now());
+        if (problem.kind() == ProblemKind.BUSY) loads.recordLoadReport(name, state.runner.slots, port.now());
         else state.excluded.add(name);
         if (problem.kind() == ProblemKind.NO_PATH) {
             loads.eject(name, port.now());
-            signals.problem(state.request.service(), state.runner.cell);
+            cellSignals.recordProblem(state.request.service(), state.runner.cell);
         }
         releaseRunner(state);
         if (problem.kind() == ProblemKind.BUSY) waitForSlot(state);
@@ -442,8 +444,9 @@
             return;
         }
         state.excluded.add(state.router);
-        if (problem.kind() == ProblemKind.NO_PATH || problem.kind() == ProblemKind.STOPPING || problem.kind() == ProblemKind.CUT_OFF)
-            retry(state, problem);
+        if (problem.kind() == ProblemKind.NO_PATH
+                || problem.kind() == ProblemKind.STOPPING
+                || problem.kind() == ProblemKind.CUT_OFF) retry(state, problem);
         else end(state, problem);
     }
 
@@ -464,9 +467,9 @@
     /** Takes a retry token if the next attempt needs one; returns false if there is none. */
     private boolean takeRetryToken(RequestState state) {
         if (!state.nextAttemptIsRetry) return true;
-        if (!retryTokens.spend()) return false;
+        if (!retryTokens.tryTake()) return false;
         state.nextAttemptIsRetry = false;
-        counts.extraTries.incrementAndGet();
+        counters.retries.incrementAndGet();
         return true;
     }
 
@@ -474,13 +477,14 @@
      * Confirms, right before a request is sent, that the attempt is still current and the runner may still serve
      * it. If the runner may not, decides anew and returns false.
      */
-    public boolean clear(long id, int attempt) {
+    public boolean confirmDispatch(long id, int attempt) {
         var state = findCurrent(id, attempt);
         if (state == null) return false;
         synchronized (state) {
             if (state.phase == RequestPhase.FORWARDED) return true;
             if (state.phase != RequestPhase.DISPATCHED) return false;
-            if (decider.still(membership.view(), state.request, state.runner, closedSince, port.now())) return true;
+            if (decider.mayStillServe(membership.view(), state.request, state.runner, closedSince, port.now()))
+                return true;
             releaseRunner(state);
             if (state.transitionTo(RequestPhase.DECIDING)) decide(state);
             return false;
@@ -488,32 +492,34 @@
     }
 
     /** Adds the versions of the manifest and of the service's placement table to the headers for a runner. */
-    public void stamp(String service, Map<String, String> headers) {
+    public void addVersionHeaders(String service, Map<String, String> headers) {
         var view = membership.view();
         var serviceState = view.services().get(service);
-        headers.put(HttpExchange.MANIFEST, Long.toString(view.manifestRow().version));
-        headers.put(HttpExchange.TABLE, Long.toString(serviceState == null ? 0 : serviceState.tableVersion));
+        headers.put(HttpExchange.MANIFEST_VERSION_HEADER, Long.toString(view.manifestRow().version));
+        headers.put(
+                HttpExchange.TABLE_VERSION_HEADER, Long.toString(serviceState == null ? 0 : serviceState.tableVersion));
     }
 
     /** Reports the first data of a response; returns whether it may be streamed to the client. */
-    public boolean opened(long id, int attempt) {
+    public boolean onStreamStarted(long id, int attempt) {
         var state = findCurrent(id, attempt);
         if (state == null) return false;
         synchronized (state) {
             state.firstDataAt = port.now();
             if (state.runner != null && state.phase == RequestPhase.DISPATCHED)
-                signals.first(state.request.service(), state.runner.cell, port.now() - state.dispatchedAt);
+                cellSignals.recordFirstData(
+                        state.request.service(), state.runner.cell, port.now() - state.dispatchedAt);
             return state.transitionTo(RequestPhase.STREAMING);
         }
     }
 
     /** Reports that a response was streamed to its end. */
-    public void whole(long id, int attempt) {
+    public void onStreamCompleted(long id, int attempt) {
         var state = findCurrent(id, attempt);
         if (state == null) return;
         synchronized (state) {
             if (!state.transitionTo(RequestPhase.ENDED)) return;
-            counts.whole.incrementAndGet();
+            counters.completedStreams.incrementAndGet();
             recordUsage(state, "whole");
             finishClaim(state, Rows.Claim.DONE);
             releaseRunner(state);
@@ -523,7 +529,7 @@
     }
 
     /** Reports that an attempt broke off after the request was sent, so that it may have run. */
-    public void broken(long id, int attempt) {
+    public void onAttemptBroken(long id, int attempt) {
         var state = findCurrent(id, attempt);
         if (state == null) return;
         synchronized (state) {
@@ -536,7 +542,7 @@
 
     private void handleBreakBeforeStream(RequestState state, boolean forwarded) {
         var name = forwarded ? state.router : state.runner.name;
-        if (!forwarded) signals.problem(state.request.service(), state.runner.cell);
+        if (!forwarded) cellSignals.recordProblem(state.request.service(), state.runner.cell);
         releaseRunner(state);
         state.excluded.add(name);
         if (!forwarded) loads.eject(name, port.now());
@@ -549,20 +555,20 @@
 
     private void cutStream(RequestState state, Problem problem) {
         if (!state.transitionTo(RequestPhase.ENDED)) return;
-        counts.cut.incrementAndGet();
+        counters.cutStreams.incrementAndGet();
         recordUsage(state, "cut");
-        if (state.runner != null) signals.problem(state.request.service(), state.runner.cell);
+        if (state.runner != null) cellSignals.recordProblem(state.request.service(), state.runner.cell);
         port.logEvent(
                 Event.RESPONSE_CUT_OFF,
                 state.request.service() + " " + state.request.work() + " transaction " + state.request.id());
         finishClaim(state, Rows.Claim.UNKNOWN);
         releaseRunner(state);
         requestsById.remove(state.request.id());
-        state.output.cut(problem);
+        state.output.cutStream(problem);
     }
 
     /** Reports that the client has disconnected; the request ends, whatever its phase. */
-    public void gone(long id) {
+    public void onClientDisconnected(long id) {
         var state = requestsById.get(id);
         if (state == null) return;
         synchronized (state) {
@@ -574,13 +580,13 @@
             finishClaim(state, mayHaveRun ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
             releaseRunner(state);
             requestsById.remove(id);
-            state.output.cut(Problem.of(ProblemKind.RUN_BROKEN, "the client disconnected"));
+            state.output.cutStream(Problem.of(ProblemKind.RUN_BROKEN, "the client disconnected"));
         }
         resumeBuffered(state.request.service());
     }
 
     /** Reports that a response goes on, and how many tokens it has so far. */
-    public void progress(long id, int tokens) {
+    public void onProgress(long id, int tokens) {
         var state = requestsById.get(id);
         if (state == null) return;
         state.lastProgressAt = port.now();
@@ -588,9 +594,9 @@
     }
 
     private void checkRequest(RequestState state, Membership.CoreView view, long now) {
-        if (now >= state.request.deadline()) endAfterDeadline(state);
+        if (now >= state.request.deadlineMicros()) endAfterDeadline(state);
         else if (now - state.lastProgressAt > LOSS_CHECK_AFTER_MICROS && isTargetLost(state, view))
-            broken(state.request.id(), state.attempt);
+            onAttemptBroken(state.request.id(), state.attempt);
     }
 
     /**
@@ -625,7 +631,7 @@
         closedSince.keySet().removeIf(mark -> !view.manifestRow().marks.containsKey(mark));
         for (var service : view.services().values())
             if (seenServices.put(service.name, service) != service)
-                service.runners.values().forEach(runner -> loads.meet(runner, now));
+                service.runners.values().forEach(runner -> loads.registerIncarnation(runner, now));
         for (var service : buffersByService.keySet()) resumeBuffered(service);
         for (var state : List.copyOf(requestsById.values())) checkRequest(state, view, now);
     }
--- a/lib/data/src/main/java/craneway/data/request/RequestOutput.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestOutput.java
@@ -11,14 +11,14 @@
  */
 public interface RequestOutput {
     /** Sends the request to a runner; results are reported to the executor under this attempt number. */
-    void serve(int attempt, Rows.Runner runner);
+    void dispatchToRunner(int attempt, Rows.Runner runner);
 
     /** Forwards the request to another router; results are reported to the executor under this attempt number. */
-    void forward(int attempt, Node router);
+    void forwardToRouter(int attempt, Node router);
 
     /** Ends the request with a problem, before any of the response was passed to the client. */
-    void verdict(Problem problem);
+    void endWithProblem(Problem problem);
 
     /** Ends the request so that the client sees that the response is incomplete. */
-    void cut(Problem problem);
+    void cutStream(Problem problem);
 }
--- a/lib/data/src/main/java/craneway/data/request/StreamScan.java
+++ b/lib/data/src/main/java/craneway/data/request/SseScanner.java
@@ -4,7 +4,7 @@
  * Scans a stream of server-sent events, in chunks of any size, for its end marker {@code data: [DONE]}, and counts
  * the data events before it. Carriage returns are ignored. Not thread-safe.
  */
-public final class StreamScan {
+public final class SseScanner {
     private static final byte[] DONE_LINE = "data: [DONE]".getBytes();
 
     /** Length of {@code data:}, with which {@link #DONE_LINE} and every data line begin. */
@@ -18,11 +18,11 @@
     private int dataEvents;
 
     /** Scans the first {@code length} bytes of a chunk. */
-    public void accept(byte[] chunk, int length) {
-        for (var i = 0; i < length; i++) accept(chunk[i]);
+    public void scan(byte[] chunk, int length) {
+        for (var i = 0; i < length; i++) scan(chunk[i]);
     }
 
-    private void accept(byte next) {
+    private void scan(byte next) {
         if (next == '\r') return;
         if (next != '\n') {
             matchesDoneLine &= lineLength < DONE_LINE.length && DONE_LINE[lineLength] == next;
@@ -39,19 +39,19 @@
     }
 
     /** Returns the number of complete data lines so far, without the end marker. */
-    public int events() {
+    public int eventCount() {
         return dataEvents;
     }
 
     /**
      * Returns whether the stream so far ends with the end marker, with or without the empty line that follows it.
      */
-    public boolean done() {
+    public boolean isDone() {
         return doneLineSeen && lineLength == 0;
     }
 
     /** Returns whether the stream so far ends with the end marker and the empty line that completes its event. */
-    public boolean whole() {
+    public boolean isComplete() {
         return endSeen && lineLength == 0;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/Usage.java
+++ b/lib/data/src/main/java/craneway/data/request/UsageLog.java
@@ -6,27 +6,27 @@
 import java.util.List;
 
 /** The usage records of the latest requests that ended in this router, oldest first. Thread-safe. */
-public final class Usage {
+public final class UsageLog {
     /** When more requests have ended, the oldest records are dropped. */
     private static final int MAX_ROWS = 50_000;
 
     /**
-     * The usage record of one request. {@link Row#no} rises by one with each record. {@link Row#runner} is the
+     * The usage record of one request. {@link Row#number} rises by one with each record. {@link Row#runner} is the
      * runner of the last attempt, empty if there was none, and {@link Row#tokens} the number of data events that it
-     * streamed. Times are microseconds of the steady clock; {@link Row#firstAt} is 0 if no response began.
+     * streamed. Times are microseconds of the steady clock; {@link Row#firstDataAtMicros} is 0 if no response began.
      */
     public record Row(
-            long no,
+            long number,
             String tenant,
             String service,
             String work,
             String region,
             String runner,
             int tokens,
-            String verdict,
-            long takenAt,
-            long firstAt,
-            long endedAt) {}
+            String outcome,
+            long acceptedAtMicros,
+            long firstDataAtMicros,
+            long endedAtMicros) {}
 
     private final Deque<Row> rows = new ArrayDeque<>();
     private long rowCount;
@@ -48,9 +48,9 @@
     }
 
     /** Returns the records with a number above {@code number}, oldest first, at most {@code maxRows} of them. */
-    public synchronized List<Row> after(long number, int maxRows) {
+    public synchronized List<Row> rowsAfter(long number, int maxRows) {
         var selected = new ArrayList<Row>();
-        for (var row : rows) if (row.no > number && selected.size() < maxRows) selected.add(row);
+        for (var row : rows) if (row.number > number && selected.size() < maxRows) selected.add(row);
         return selected;
     }
 }
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -1,12 +1,12 @@
 package craneway.data.router;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Port;
 import craneway.data.request.RequestExecutor;
 import craneway.data.runner.Announcement;
-import craneway.data.runner.Loads;
+import craneway.data.runner.RunnerLoads;
 import craneway.model.event.Event;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
@@ -38,8 +38,8 @@
     private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
-    private final Loads loads = new Loads();
-    private final RequestExecutor executor;
+    private final RunnerLoads runnerLoads = new RunnerLoads();
+    private final RequestExecutor requestExecutor;
     private volatile Consumer<Reading> readingListener = message -> {};
     private volatile Consumer<Silence> silenceListener = message -> {};
 
@@ -59,8 +59,8 @@
         directory = new NodeDirectory(port, self, seeds, timing);
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, timing);
-        membership.setSignalSource(part -> executor().signals().take(part));
-        executor = new RequestExecutor(port, directory, membership, coreClient, loads);
+        membership.setSignalSource(part -> requestExecutor().cellSignals().drain(part));
+        requestExecutor = new RequestExecutor(port, directory, membership, coreClient, runnerLoads);
     }
 
     /** Returns the directory of known nodes. */
@@ -79,32 +79,32 @@
     }
 
     /** Returns the executor of requests. */
-    public RequestExecutor executor() {
-        return executor;
+    public RequestExecutor requestExecutor() {
+        return requestExecutor;
     }
 
     /** Returns what this router knows of the load and health of runners. */
-    public Loads loads() {
-        return loads;
+    public RunnerLoads runnerLoads() {
+        return runnerLoads;
     }
 
     /** Sets the listener for messages of other routers that they gave a runner a prompt to prefill. */
-    public void onReading(Consumer<Reading> listener) {
+    public void setPrefillListener(Consumer<Reading> listener) {
         readingListener = listener;
     }
 
     /** Sets the listener for messages of other routers that they find a runner silent. */
-    public void onSilence(Consumer<Silence> listener) {
+    public void setSilenceListener(Consumer<Silence> listener) {
         silenceListener = listener;
     }
 
     /** Returns whether this router serves and its state of the core is recent enough for requests. */
-    public boolean ready() {
+    public boolean isReady() {
         return directory.self().serving && membership.isUsable(port.now());
     }
 
     /** Makes this router tell the others that it no longer serves, for good. */
-    public void unready() {
+    public void markUnready() {
         membership.stopServing();
     }
 
@@ -115,13 +115,14 @@
         directory.tick(now);
         membership.tick(now);
         coreClient.tick(now);
-        executor.tick(now);
+        requestExecutor.tick(now);
     }
 
     private void followNewerCore() {
         var founding = directory.newerFounding();
         port.logEvent(
-                Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
+                Event.GENERATION_SUPERSEDED,
+                "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         directory.followCore(founding);
         membership.followCore();
     }
@@ -155,8 +156,9 @@
      *
      * @param callback gets the core's result once, or a failure after 3 seconds
      */
-    public void announce(Announcement announcement, Consumer<CommandResult> callback) {
-        loads.heard(announcement.name(), announcement.incarnation(), announcement.load(), port.now());
+    public void announceRunner(Announcement announcement, Consumer<CommandResult> callback) {
+        runnerLoads.recordAnnouncement(
+                announcement.name(), announcement.incarnation(), announcement.load(), port.now());
         var command = new Commands.RunnerPut();
         command.service = announcement.service();
         command.runner = announcement.name();
@@ -174,8 +176,8 @@
      *
      * @param callback gets the core's result once, or a failure after 3 seconds
      */
-    public void leave(String service, String runner, long incarnation, Consumer<CommandResult> callback) {
-        loads.leaving(runner, incarnation);
+    public void markRunnerLeaving(String service, String runner, long incarnation, Consumer<CommandResult> callback) {
+        runnerLoads.markLeaving(runner, incarnation);
         var command = new Commands.RunnerMark();
         command.service = service;
         command.runner = runner;
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -24,19 +24,19 @@
     }
 
     /** Records that a runner of the cell sent its first data this many microseconds after the request was sent. */
-    public synchronized void first(String service, String cell, long micros) {
+    public synchronized void recordFirstData(String service, String cell, long micros) {
         var signal = signalOf(service, cell);
         signal.runs++;
         signal.firstMicros += micros;
     }
 
     /** Records that a runner of the cell could not be reached or broke off a request. */
-    public synchronized void problem(String service, String cell) {
+    public synchronized void recordProblem(String service, String cell) {
         signalOf(service, cell).problems++;
     }
 
     /** Returns and removes the signals of the services in this part. */
-    public synchronized List<Signal> take(int part) {
+    public synchronized List<Signal> drain(int part) {
         var taken = new ArrayList<Signal>();
         signalsByServiceAndCell.values().removeIf(signal -> Parts.partOf(signal.service) == part && taken.add(signal));
         return taken;
--- a/lib/data/src/main/java/craneway/data/runner/Loads.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerLoads.java
@@ -9,9 +9,9 @@
  * load, last announcement, ejection after a failure, and leave. Times are microseconds of the steady clock.
  * Thread-safe.
  */
-public final class Loads {
+public final class RunnerLoads {
     /** An announcement at most this old counts as recent. */
-    public static final long HEARD = 2_500_000;
+    public static final long RECENT_ANNOUNCEMENT_MICROS = 2_500_000;
 
     /** A load report older than this is ignored. */
     private static final long REPORT_VALID_MICROS = 1_500_000;
@@ -41,7 +41,7 @@
     /**
      * Records that the core lists this runner; a new incarnation starts warm-up anew and ends ejection and leave.
      */
-    public void meet(Rows.Runner runner, long now) {
+    public void registerIncarnation(Rows.Runner runner, long now) {
         var load = loadOf(runner.name);
         synchronized (load) {
             if (load.incarnation >= runner.incarnation) return;
@@ -55,18 +55,18 @@
     }
 
     /** Records an announcement of a runner with its total load; one of an earlier incarnation is ignored. */
-    public void heard(String runner, long incarnation, int totalLoad, long now) {
+    public void recordAnnouncement(String runner, long incarnation, int totalLoad, long now) {
         var load = loadOf(runner);
         synchronized (load) {
             if (incarnation < load.incarnation) return;
             load.announcedAt = now;
             load.announcedIncarnation = incarnation;
         }
-        reported(runner, totalLoad, now);
+        recordLoadReport(runner, totalLoad, now);
     }
 
     /** Records a runner's total load, this router's requests included, as the runner reported it. */
-    public void reported(String runner, int totalLoad, long now) {
+    public void recordLoadReport(String runner, int totalLoad, long now) {
         var load = loadOf(runner);
         synchronized (load) {
             load.othersInFlight = Math.max(0, totalLoad - load.inFlight);
@@ -75,7 +75,7 @@
     }
 
     /** Records that this incarnation of a runner is leaving; if a newer one is known, that is ignored. */
-    public void leaving(String runner, long incarnation) {
+    public void markLeaving(String runner, long incarnation) {
         var load = loadOf(runner);
         synchronized (load) {
             if (incarnation >= load.incarnation) load.leaving = true;
@@ -92,7 +92,7 @@
     }
 
     /** Records that a request of this router is sent to a runner. */
-    public void started(String runner) {
+    public void recordStart(String runner) {
         var load = loadOf(runner);
         synchronized (load) {
             load.inFlight++;
@@ -100,7 +100,7 @@
     }
 
     /** Records that a request of this router no longer runs on a runner. */
-    public void ended(String runner) {
+    public void recordEnd(String runner) {
         var load = loadOf(runner);
         synchronized (load) {
             load.inFlight--;
@@ -108,7 +108,7 @@
     }
 
     /** Returns how many requests of this router a runner has. */
-    public int running(String runner) {
+    public int requestsInFlight(String runner) {
         var load = loadOf(runner);
         synchronized (load) {
             return load.inFlight;
@@ -116,7 +116,7 @@
     }
 
     /** Returns how many requests a runner has: those of this router and, from a recent report, those of others. */
-    public int load(String runner, long now) {
+    public int currentLoad(String runner, long now) {
         var load = loadOf(runner);
         synchronized (load) {
             return now - load.reportedAt < REPORT_VALID_MICROS ? load.inFlight + load.othersInFlight : load.inFlight;
@@ -127,7 +127,7 @@
      * Returns whether requests may be sent to this incarnation of a runner: it is not leaving, is not ejected, has
      * announced itself since its last failure, and no newer incarnation has announced itself.
      */
-    public boolean usable(Rows.Runner runner, long now) {
+    public boolean isUsable(Rows.Runner runner, long now) {
         var load = loadOf(runner.name);
         synchronized (load) {
             var isLeaving = load.leaving && load.incarnation >= runner.incarnation;
@@ -141,12 +141,12 @@
 
     /**
      * Returns whether a runner announced itself to this router within the last
-     * {@link Loads#HEARD} microseconds.
+     * {@link RunnerLoads#RECENT_ANNOUNCEMENT_MICROS} microseconds.
      */
-    public boolean heardLately(String runner, long now) {
+    public boolean announcedRecently(String runner, long now) {
         var load = loadOf(runner);
         synchronized (load) {
-            return now - load.announcedAt < HEARD;
+            return now - load.announcedAt < RECENT_ANNOUNCEMENT_MICROS;
         }
     }
 
@@ -154,8 +154,8 @@
      * Returns how many slots of a runner all routers together may use now. For a cold runner the number rises
      * linearly from 1 to all slots over the warm-up time, counted from when this router first saw the incarnation.
      */
-    public int ramp(Rows.Runner runner, long warmUpMicros, long now) {
-        meet(runner, now);
+    public int usableSlots(Rows.Runner runner, long warmUpMicros, long now) {
+        registerIncarnation(runner, now);
         var load = loadOf(runner.name);
         synchronized (load) {
             var sinceFirstSeen = now - load.firstSeenAt;
--- a/lib/data/src/main/java/craneway/data/runner/Chooser.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerSelector.java
@@ -10,15 +10,15 @@
  *
  * <p>Thread-safe, as far as the list of runners that is passed in is not modified.
  */
-public final class Chooser {
+public final class RunnerSelector {
     /** A runner gets no request by affinity once its load reaches this multiple of the average load. */
     private static final double LOAD_BOUND_FACTOR = 1.25;
 
     private final String routerName;
-    private final Loads loads;
+    private final RunnerLoads loads;
 
     /** Creates the chooser of the router with this name. */
-    public Chooser(String routerName, Loads loads) {
+    public RunnerSelector(String routerName, RunnerLoads loads) {
         this.routerName = routerName;
         this.loads = loads;
     }
@@ -35,7 +35,7 @@
      * @param routers the names of the routers that share the slots of a runner that is warming up
      * @param now microseconds of the steady clock
      */
-    public Rows.Runner choose(
+    public Rows.Runner selectRunner(
             List<Rows.Runner> candidates,
             long prefixHash,
             long warmUpMicros,
@@ -43,7 +43,7 @@
             List<String> routers,
             long now) {
         var totalLoad = 1;
-        for (var runner : candidates) totalLoad += loads.load(runner.name, now);
+        for (var runner : candidates) totalLoad += loads.currentLoad(runner.name, now);
         var loadBound = Math.max(1, (int) Math.ceil(LOAD_BOUND_FACTOR * totalLoad / candidates.size()));
         var available = candidates.stream()
                 .filter(runner -> hasUsableSlot(runner, warmUpMicros, settled, routers, now))
@@ -56,7 +56,7 @@
         Rows.Runner selected = null;
         var highestWeight = 0L;
         for (var runner : runners) {
-            if (loads.load(runner.name, now) >= loadBound) continue;
+            if (loads.currentLoad(runner.name, now) >= loadBound) continue;
             var weight = RendezvousHash.weight(prefixHash, runner.name);
             if (selected == null || Long.compareUnsigned(weight, highestWeight) > 0) {
                 selected = runner;
@@ -68,13 +68,13 @@
 
     private boolean hasUsableSlot(
             Rows.Runner runner, long warmUpMicros, boolean settled, List<String> routers, long now) {
-        var load = loads.load(runner.name, now);
+        var load = loads.currentLoad(runner.name, now);
         if (load >= runner.slots) return false;
-        var usableSlots = loads.ramp(runner, warmUpMicros, now);
+        var usableSlots = loads.usableSlots(runner, warmUpMicros, now);
         return usableSlots >= runner.slots
                 || settled
                         && load < usableSlots
-                        && loads.running(runner.name) < ownSlots(runner.name, usableSlots, routers);
+                        && loads.requestsInFlight(runner.name) < ownSlots(runner.name, usableSlots, routers);
     }
 
     /**
