--- a/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
+++ b/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
@@ -123,7 +123,7 @@
                 var problem = planService(plan, service, manifestService, manifest, marksAfter, status.loadByRunner);
                 if (problem != null) return badIntent(problem);
             }
-        if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; only the mark is set");
+        if (plan.steps.isEmpty()) plan.steps.add("1. no unit moves; the mark alone is set");
         return Either.right(plan);
     }
 
@@ -157,7 +157,7 @@
                             Units.containsRegion(regionSet, service.regions.indexOf(service.cellRegions.get(cell))));
             if (!hasOpenCell)
                 return "service " + service.name
-                        + ": no open cell with a running runner would be left for tenants with the home regions "
+                        + ": no open cell with a runner is left for tenants at home in "
                         + regionNames(service, regionSet);
         }
         return null;
@@ -222,8 +222,8 @@
                 .sum();
         var slots = slotCount(service, openCells);
         if (load > slots)
-            return "service " + service.name + ": " + load + " streams are running, but the open cells would have only "
-                    + slots + " slots";
+            return "service " + service.name + ": " + load + " streams run now and the open cells have " + slots
+                    + " slots";
         if (load * 5 > slots * 4)
             plan.warnings.add("service " + service.name + ": " + load + " of " + slots + " slots would be in use");
         for (var cell = 0; cell < service.cells.size(); cell++) {
