--- a/lib/state/src/main/java/craneway/state/part/EncodedSnapshot.java
+++ b/lib/state/src/main/java/craneway/state/part/EncodedSnapshot.java
@@ -7,7 +7,7 @@
 /** A snapshot as the bytes that travel, made once and shared by all peers it is sent to. */
 final class EncodedSnapshot {
     /** The bytes of a piece; a snapshot no larger travels whole, which every version reads. */
-    static final int PIECE = 64 << 10;
+    static final int PIECE_BYTES = 64 << 10;
 
     private final Snapshot snapshot;
     private final byte[] bytes;
@@ -28,12 +28,12 @@
         return c.getValue();
     }
 
-    boolean of(Snapshot other) {
+    boolean isEncodingOf(Snapshot other) {
         return snapshot == other;
     }
 
-    boolean small() {
-        return bytes.length <= PIECE;
+    boolean fitsInOnePiece() {
+        return bytes.length <= PIECE_BYTES;
     }
 
     long index() {
@@ -49,8 +49,8 @@
     }
 
     SnapshotPiece piece(int offset) {
-        var p = identity.at(offset);
-        p.bytes = Arrays.copyOfRange(bytes, offset, Math.min(offset + PIECE, bytes.length));
+        var p = identity.withOffset(offset);
+        p.bytes = Arrays.copyOfRange(bytes, offset, Math.min(offset + PIECE_BYTES, bytes.length));
         return p;
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Follower.java
+++ b/lib/state/src/main/java/craneway/state/part/Follower.java
@@ -15,107 +15,107 @@
 
     /** Forgets what is held of a snapshot that no leader goes on with. */
     void tick(long now) {
-        snapshotReceiver.expire(replica.applied, now);
+        snapshotReceiver.discardIfStale(replica.appliedIndex, now);
     }
 
     void onAppend(PartMessage m, long now) {
         var log = replica.log;
-        var r = answer(PartMessage.APPEND_REPLY, m);
+        var r = newReply(PartMessage.APPEND_REPLY, m);
         if (m.term < log.term()) {
-            replica.send(r);
+            replica.sendAfterSync(r);
             return;
         }
-        election.follow(m.from, now);
-        var known = m.index <= replica.applied || log.termAt(m.index) == m.logTerm && m.index <= log.last();
+        election.followLeader(m.from, now);
+        var known = m.index <= replica.appliedIndex || log.termAt(m.index) == m.logTerm && m.index <= log.last();
         r.granted = known;
-        r.index = known ? Math.max(m.index, store(m)) : Math.min(log.last(), m.index - 1);
-        replica.send(r);
+        r.index = known ? Math.max(m.index, storeEntries(m)) : Math.min(log.last(), m.index - 1);
+        replica.sendAfterSync(r);
         if (known) replica.commitTo(Math.min(m.commit, r.index));
     }
 
-    private PartMessage answer(int kind, PartMessage m) {
-        var r = replica.message(kind, m.from);
+    private PartMessage newReply(int kind, PartMessage m) {
+        var r = replica.newMessage(kind, m.from);
         r.stamp = m.stamp;
         r.readsPieces = true;
         return r;
     }
 
-    private long store(PartMessage m) {
+    private long storeEntries(PartMessage m) {
         var log = replica.log;
         var last = m.index;
         for (var e : m.entries) {
             last = e.index;
-            if (e.index <= replica.applied || log.termAt(e.index) == e.term) continue;
-            if (e.index <= log.last()) replica.cutFrom(e.index);
+            if (e.index <= replica.appliedIndex || log.termAt(e.index) == e.term) continue;
+            if (e.index <= log.last()) replica.truncateFrom(e.index);
             replica.append(e);
         }
         return last;
     }
 
-    void snapshotSent(PartMessage m, long now) {
+    void onSnapshot(PartMessage m, long now) {
         if (m.term < replica.log.term()) return;
         if (m.wholeSnapshot == null || m.wholeSnapshot.body == null) {
-            refuse(m, "no snapshot in the message");
+            logRefusal(m, "no snapshot in the message");
             return;
         }
-        election.follow(m.from, now);
-        install(m.wholeSnapshot);
-        installed(m, m.wholeSnapshot.index);
+        election.followLeader(m.from, now);
+        installSnapshot(m.wholeSnapshot);
+        acknowledgeSnapshot(m, m.wholeSnapshot.index);
     }
 
-    private void install(Snapshot snapshot) {
-        if (snapshot.index <= replica.applied) return;
-        replica.install(snapshot);
-        replica.out.note(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
+    private void installSnapshot(Snapshot snapshot) {
+        if (snapshot.index <= replica.appliedIndex) return;
+        replica.installSnapshot(snapshot);
+        replica.listener.note(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
     }
 
     /** Says that everything up to the snapshot is held, as for entries. */
-    private void installed(PartMessage m, long index) {
-        var r = answer(PartMessage.APPEND_REPLY, m);
+    private void acknowledgeSnapshot(PartMessage m, long index) {
+        var r = newReply(PartMessage.APPEND_REPLY, m);
         r.granted = true;
         r.index = index;
-        replica.send(r);
+        replica.sendAfterSync(r);
     }
 
-    void snapshotPieceSent(PartMessage m, long now) {
+    void onSnapshotPiece(PartMessage m, long now) {
         if (m.snapshot == null) {
-            refuse(m, "no piece in the message");
+            logRefusal(m, "no piece in the message");
             return;
         }
         if (m.term < replica.log.term()) {
             refusePiece(m, 0, "term " + m.term + " is past");
             return;
         }
-        election.follow(m.from, now);
-        if (m.snapshot.index <= replica.applied) {
-            installed(m, m.snapshot.index);
+        election.followLeader(m.from, now);
+        if (m.snapshot.index <= replica.appliedIndex) {
+            acknowledgeSnapshot(m, m.snapshot.index);
             return;
         }
-        var outcome = snapshotReceiver.take(m.term, m.snapshot, now);
+        var outcome = snapshotReceiver.accept(m.term, m.snapshot, now);
         if (outcome.snapshot() != null) {
-            install(outcome.snapshot());
-            installed(m, m.snapshot.index);
+            installSnapshot(outcome.snapshot());
+            acknowledgeSnapshot(m, m.snapshot.index);
         } else if (outcome.refusal() != null) {
-            refusePiece(m, outcome.held(), outcome.refusal());
+            refusePiece(m, outcome.receivedBytes(), outcome.refusal());
         } else {
-            answerPiece(m, outcome.held(), true);
+            replyToPiece(m, outcome.receivedBytes(), true);
         }
     }
 
-    private void refuse(PartMessage m, String why) {
-        replica.out.note(
+    private void logRefusal(PartMessage m, String why) {
+        replica.listener.note(
                 Event.SNAPSHOT_REFUSED, "part " + replica.part + " from " + Long.toHexString(m.from) + ": " + why);
     }
 
     private void refusePiece(PartMessage m, long held, String why) {
-        refuse(m, why);
-        answerPiece(m, held, false);
+        logRefusal(m, why);
+        replyToPiece(m, held, false);
     }
 
-    private void answerPiece(PartMessage m, long held, boolean yes) {
-        var r = answer(PartMessage.SNAPSHOT_PIECE_REPLY, m);
+    private void replyToPiece(PartMessage m, long held, boolean yes) {
+        var r = newReply(PartMessage.SNAPSHOT_PIECE_REPLY, m);
         r.granted = yes;
-        r.snapshot = m.snapshot.at(held);
-        replica.send(r);
+        r.snapshot = m.snapshot.withOffset(held);
+        replica.sendAfterSync(r);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Group.java
+++ b/lib/state/src/main/java/craneway/state/part/Group.java
@@ -15,14 +15,14 @@
  * {@link #tick}, {@link #receive} and, after any of them, {@link #syncAndSend}, which syncs and only then sends. Times are microseconds.
  */
 public final class Group {
-    private static final byte[] NONE = {};
+    private static final byte[] EMPTY_BODY = {};
 
     private final Replica replica;
     private final Replication replication;
     private final Election election;
     private final Follower follower;
-    private final HandOver handOver;
-    private long termStart;
+    private final LeadershipTransfer leadershipTransfer;
+    private long termStartIndex;
     private boolean leadershipReported;
 
     /** Opens the part's log in the folder; a rebuilt core's first members make it go on from this log alone. */
@@ -45,36 +45,36 @@
                 machine,
                 out,
                 timing,
-                new Replica.Transitions(this::become, this::committed));
+                new Replica.Transitions(this::changeRole, this::onCommitChecked));
         replication = new Replication(replica);
-        election = new Election(replica, random, replication::majorityContact);
+        election = new Election(replica, random, replication::lastMajorityContact);
         follower = new Follower(replica, election);
-        handOver = new HandOver(replica, replication);
+        leadershipTransfer = new LeadershipTransfer(replica, replication);
         replica.open(now);
-        become(Role.FOLLOWER, now);
-        replica.heardLeaderAt = Long.MIN_VALUE / 2;
-        election.started(now);
-        if (first.isVoter(self) && first.generation > replica.membership.generation(replica.log)) rebuild(first, now);
+        changeRole(Role.FOLLOWER, now);
+        replica.lastLeaderContactAt = Long.MIN_VALUE / 2;
+        election.onStart(now);
+        if (first.isVoter(self) && first.generation > replica.membershipLog.coreGeneration(replica.log)) rebuild(first, now);
     }
 
     private void rebuild(Members first, long now) {
         try {
             var from = replica.rebuild(first);
-            note(Event.PART_REBUILT, "from entry " + from);
+            logEvent(Event.PART_REBUILT, "from entry " + from);
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
         }
     }
 
-    private void note(Event e, String detail) {
-        replica.out.note(e, "part " + replica.part + " " + detail);
+    private void logEvent(Event e, String detail) {
+        replica.listener.note(e, "part " + replica.part + " " + detail);
     }
 
     /** Whether this store, as leader or follower, knows of a leader in contact within that time. */
     public boolean leaderHeard(long now, long within) {
-        var leader = replica.leader;
-        return replica.role == Role.LEADER && now < replication.majorityContact() + within
-                || leader != 0 && leader != replica.self && now < replica.heardLeaderAt + within;
+        var leader = replica.leaderId;
+        return replica.role == Role.LEADER && now < replication.lastMajorityContact() + within
+                || leader != 0 && leader != replica.selfId && now < replica.lastLeaderContactAt + within;
     }
 
     /** The number of the part. */
@@ -89,7 +89,7 @@
 
     /** The store known to lead; 0 for none. */
     public long leader() {
-        return replica.leader;
+        return replica.leaderId;
     }
 
     /** The current term. */
@@ -104,7 +104,7 @@
 
     /** The last index applied to the machine. */
     public long applied() {
-        return replica.applied;
+        return replica.appliedIndex;
     }
 
     /** The last index of the log. */
@@ -114,92 +114,92 @@
 
     /** Whether this store leads and has applied all that earlier terms committed. */
     public boolean ready() {
-        return replica.role == Role.LEADER && replica.applied >= termStart;
+        return replica.role == Role.LEADER && replica.appliedIndex >= termStartIndex;
     }
 
     /** Whether this store may answer as the leader: it is ready and within its lease. */
     public boolean hasLease(long now) {
-        return ready() && !handOver.open() && now < replication.majorityContact() + replica.timing.leaderLease();
+        return ready() && !leadershipTransfer.isInProgress() && now < replication.lastMajorityContact() + replica.timing.leaderLease();
     }
 
     /** Up to where a store's log is known to match this leader's. */
     public long matchOf(long id) {
-        return id == replica.self ? replica.log.last() : replication.matchOf(id);
+        return id == replica.selfId ? replica.log.last() : replication.matchIndexOf(id);
     }
 
     /** Whether this leader's rounds of catching up with a peer have become short: what a learner needs to be made a voter. */
     public boolean caughtUp(long id, long now) {
-        return replica.role == Role.LEADER && replication.caughtUp(id, now);
+        return replica.role == Role.LEADER && replication.isCaughtUp(id, now);
     }
 
     /** When this leader last heard a store; 0 for never. */
     public long heardFrom(long id) {
-        return replication.heardFrom(id);
+        return replication.lastHeardAt(id);
     }
 
-    private void become(Role to, long now) {
+    private void changeRole(Role to, long now) {
         var from = replica.role;
         replica.role = to;
-        handOver.end();
-        election.entered(to, now);
-        if (from == Role.LEADER) replication.end();
+        leadershipTransfer.clear();
+        election.onRoleChange(to, now);
+        if (from == Role.LEADER) replication.endTerm();
         if (from == Role.LEADER && leadershipReported) {
             leadershipReported = false;
-            replica.out.leadershipChanged(false, replica.log.term());
+            replica.listener.leadershipChanged(false, replica.log.term());
         }
-        if (to == Role.LEADER) lead(now);
+        if (to == Role.LEADER) startLeading(now);
     }
 
-    private void lead(long now) {
-        replica.leader = replica.self;
-        replication.begin(now);
-        termStart = replica.log.last() + 1;
-        replica.append(Entry.NO_OP, NONE);
-        replication.feedAll(now);
+    private void startLeading(long now) {
+        replica.leaderId = replica.selfId;
+        replication.startTerm(now);
+        termStartIndex = replica.log.last() + 1;
+        replica.append(Entry.NO_OP, EMPTY_BODY);
+        replication.replicateToAll(now);
     }
 
     private void stepDown(long now) {
-        replica.leader = 0;
-        become(Role.FOLLOWER, now);
+        replica.leaderId = 0;
+        changeRole(Role.FOLLOWER, now);
     }
 
     /** Does what time asks for: beats, elections, another try to open a failed disk. */
     public void tick(long now) {
         if (replica.role == Role.DISK_FAILED) {
-            if (election.due(now)) reopen(now);
+            if (election.isDue(now)) reopen(now);
             return;
         }
         follower.tick(now);
         try {
-            if (replica.role == Role.LEADER) leaderTick(now);
-            else if (election.due(now) && members().isVoter(replica.self)) election.preVote(now);
+            if (replica.role == Role.LEADER) tickAsLeader(now);
+            else if (election.isDue(now) && members().isVoter(replica.selfId)) election.startPreVote(now);
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
         }
     }
 
     private void reopen(long now) {
         try {
             replica.open(now);
-            become(Role.FOLLOWER, now);
+            changeRole(Role.FOLLOWER, now);
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
         }
     }
 
-    private void leaderTick(long now) {
-        var contactLost = now > replication.majorityContact() + replica.timing.electionTimeout();
-        if (contactLost || handOver.overdue(now)) stepDown(now);
-        else replication.beat(now);
+    private void tickAsLeader(long now) {
+        var contactLost = now > replication.lastMajorityContact() + replica.timing.electionTimeout();
+        if (contactLost || leadershipTransfer.checkTimeout(now)) stepDown(now);
+        else replication.sendHeartbeats(now);
     }
 
     /** Appends a command as the leader; its index, or -1 where this store may not. */
     public long propose(byte[] command, long now) {
-        if (!ready() || handOver.open()) return -1;
+        if (!ready() || leadershipTransfer.isInProgress()) return -1;
         try {
             return replica.append(Entry.COMMAND, command);
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
             return -1;
         }
     }
@@ -209,22 +209,22 @@
      * hands over first, since voters of a group without it would choose another while it still holds its lease.
      */
     public boolean changeMembers(Members next, long now) {
-        if (!next.isVoter(replica.self)) return false;
-        if (!ready() || replica.commit < replica.membership.index()) return false;
+        if (!next.isVoter(replica.selfId)) return false;
+        if (!ready() || replica.commitIndex < replica.membershipLog.index()) return false;
         try {
             replica.append(Entry.MEMBERSHIP, Codec.write(next));
-            note(Event.MEMBERS_CHANGED, "voters " + Arrays.toString(next.zones) + " learner " + next.learnerZone);
+            logEvent(Event.MEMBERS_CHANGED, "voters " + Arrays.toString(next.zones) + " learner " + next.learnerZone);
             return true;
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
             return false;
         }
     }
 
     /** Stops proposals and hands leadership over once that voter is level; whether that began. */
     public boolean transferLeadership(long to, long now) {
-        if (!ready() || handOver.open() || !members().isVoter(to) || to == replica.self) return false;
-        handOver.begin(to, now);
+        if (!ready() || leadershipTransfer.isInProgress() || !members().isVoter(to) || to == replica.selfId) return false;
+        leadershipTransfer.start(to, now);
         return true;
     }
 
@@ -232,70 +232,70 @@
     public void receive(PartMessage m, long now) {
         if (replica.role == Role.DISK_FAILED) return;
         try {
-            step(m, now);
+            handleMessage(m, now);
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
         }
     }
 
-    private void step(PartMessage m, long now) {
+    private void handleMessage(PartMessage m, long now) {
         if (m.kind == PartMessage.PRE_VOTE) {
-            election.preVoteAsked(m, now);
+            election.onPreVote(m, now);
             return;
         }
-        if (m.kind == PartMessage.VOTE && !m.granted && election.refusesOthers(now)) return;
+        if (m.kind == PartMessage.VOTE && !m.granted && election.ignoresVoteRequests(now)) return;
         if (m.term > replica.log.term() && m.kind != PartMessage.PRE_VOTE_REPLY) {
             replica.log.saveTermAndVote(m.term, 0);
             stepDown(now);
         }
         switch (m.kind) {
-            case PartMessage.PRE_VOTE_REPLY -> election.preVoteReply(m, now);
+            case PartMessage.PRE_VOTE_REPLY -> election.onPreVoteReply(m, now);
             case PartMessage.VOTE -> election.onVote(m, now);
             case PartMessage.VOTE_REPLY -> election.onVoteReply(m, now);
             case PartMessage.APPEND -> follower.onAppend(m, now);
             case PartMessage.APPEND_REPLY -> replication.onAppendReply(m, now);
-            case PartMessage.SNAPSHOT -> follower.snapshotSent(m, now);
-            case PartMessage.SNAPSHOT_PIECE -> follower.snapshotPieceSent(m, now);
-            case PartMessage.SNAPSHOT_PIECE_REPLY -> replication.snapshotPieceReply(m, now);
+            case PartMessage.SNAPSHOT -> follower.onSnapshot(m, now);
+            case PartMessage.SNAPSHOT_PIECE -> follower.onSnapshotPiece(m, now);
+            case PartMessage.SNAPSHOT_PIECE_REPLY -> replication.onSnapshotPieceReply(m, now);
             case PartMessage.TIMEOUT_NOW -> {
-                if (m.term == replica.log.term() && members().isVoter(replica.self)) election.startElection(now, true);
+                if (m.term == replica.log.term() && members().isVoter(replica.selfId)) election.startElection(now, true);
             }
-            default -> replica.out.note(Event.BAD_MESSAGE, "part message of kind " + m.kind);
+            default -> replica.listener.note(Event.BAD_MESSAGE, "part message of kind " + m.kind);
         }
     }
 
-    private void committed() {
+    private void onCommitChecked() {
         if (ready() && !leadershipReported) {
             leadershipReported = true;
-            replica.out.leadershipChanged(true, replica.log.term());
+            replica.listener.leadershipChanged(true, replica.log.term());
         }
-        var settled = replica.role == Role.LEADER && replica.commit >= replica.membership.index();
-        if (settled && !members().isVoter(replica.self)) stepDown(replica.heardLeaderAt);
+        var settled = replica.role == Role.LEADER && replica.commitIndex >= replica.membershipLog.index();
+        if (settled && !members().isVoter(replica.selfId)) stepDown(replica.lastLeaderContactAt);
     }
 
     /** Syncs what was written, then sends what waits for it. */
     public void syncAndSend(long now) {
         if (replica.role == Role.DISK_FAILED) return;
         try {
-            flush(now);
+            syncAndSendPending(now);
         } catch (DiskException e) {
-            fail(e, now);
+            handleDiskFailure(e, now);
         }
     }
 
-    private void flush(long now) {
-        if (replica.role == Role.LEADER) replication.feedBehind(now);
+    private void syncAndSendPending(long now) {
+        if (replica.role == Role.LEADER) replication.replicateToLagging(now);
         replica.log.sync();
-        if (replica.role == Role.LEADER) replication.advance();
-        handOver.finish();
-        replica.sendPending();
-        if (replica.compact()) note(Event.SNAPSHOT_TAKEN, "index " + replica.applied);
+        if (replica.role == Role.LEADER) replication.advanceCommitIndex();
+        leadershipTransfer.notifyCaughtUpSuccessor();
+        replica.sendPendingMessages();
+        if (replica.compactIfDue()) logEvent(Event.SNAPSHOT_TAKEN, "index " + replica.appliedIndex);
     }
 
-    private void fail(DiskException e, long now) {
-        replica.dropPending();
-        replica.out.note(Event.DISK_FAILED, "part " + replica.part + ": " + e.getMessage());
-        replica.leader = 0;
-        become(Role.DISK_FAILED, now);
+    private void handleDiskFailure(DiskException e, long now) {
+        replica.dropPendingMessages();
+        replica.listener.note(Event.DISK_FAILED, "part " + replica.part + ": " + e.getMessage());
+        replica.leaderId = 0;
+        changeRole(Role.DISK_FAILED, now);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Members.java
+++ b/lib/state/src/main/java/craneway/state/part/Members.java
@@ -35,7 +35,7 @@
     }
 
     public Members withLearner(long id, String zone) {
-        var m = copy(voters, zones);
+        var m = withVoters(voters, zones);
         m.learner = id;
         m.learnerZone = zone;
         return m;
@@ -47,10 +47,10 @@
         var z = Arrays.copyOf(zones, n + 1);
         v[n] = learner;
         z[n] = learnerZone;
-        return copy(v, z);
+        return withVoters(v, z);
     }
 
-    private Members copy(long[] v, String[] z) {
+    private Members withVoters(long[] v, String[] z) {
         var m = of(v, z);
         m.generation = generation;
         return m;
@@ -66,7 +66,7 @@
             v[j] = voters[i];
             z[j++] = zones[i];
         }
-        var m = copy(v, z);
+        var m = withVoters(v, z);
         if (learner != id) {
             m.learner = learner;
             m.learnerZone = learnerZone;
--- a/lib/state/src/main/java/craneway/state/part/Replica.java
+++ b/lib/state/src/main/java/craneway/state/part/Replica.java
@@ -15,7 +15,7 @@
 final class Replica {
     /** Takes up a role, also the one it has. */
     interface RoleChange {
-        void become(Role to, long now);
+        void changeRole(Role to, long now);
     }
 
     /**
@@ -24,34 +24,34 @@
      * @param roles takes up a role
      * @param afterCommit is run when the commit index was looked at; it may have risen
      */
-    record Transitions(RoleChange roles, Runnable afterCommit) {
-        void become(Role to, long now) {
-            roles.become(to, now);
+    record Transitions(RoleChange roleChange, Runnable commitObserver) {
+        void changeRole(Role to, long now) {
+            roleChange.changeRole(to, now);
         }
 
-        void committed() {
-            afterCommit.run();
+        void notifyCommitChecked() {
+            commitObserver.run();
         }
     }
 
     /** So many applied entries at most lie behind a snapshot. */
-    private static final int ENTRIES = 4_096;
+    private static final int MAX_APPLIED_ENTRIES_IN_LOG = 4_096;
 
     final int part;
-    final long self;
-    final StateMachine machine;
-    final GroupListener out;
+    final long selfId;
+    final StateMachine stateMachine;
+    final GroupListener listener;
     final TimingProfile timing;
     final Transitions transitions;
-    final MembershipLog membership;
-    private final Supplier<SegmentLog> opening;
-    private final List<PartMessage> pending = new ArrayList<>();
+    final MembershipLog membershipLog;
+    private final Supplier<SegmentLog> logOpener;
+    private final List<PartMessage> pendingMessages = new ArrayList<>();
     SegmentLog log;
     Role role = Role.FOLLOWER;
-    long leader;
-    long heardLeaderAt;
-    long commit;
-    long applied;
+    long leaderId;
+    long lastLeaderContactAt;
+    long commitIndex;
+    long appliedIndex;
 
     Replica(
             int part,
@@ -63,58 +63,58 @@
             TimingProfile timing,
             Transitions transitions) {
         this.part = part;
-        this.self = self;
-        this.opening = opening;
-        this.machine = machine;
-        this.out = out;
+        this.selfId = self;
+        this.logOpener = opening;
+        this.stateMachine = machine;
+        this.listener = out;
         this.timing = timing;
         this.transitions = transitions;
-        membership = new MembershipLog(first);
+        membershipLog = new MembershipLog(first);
     }
 
     /** Reads the log and its snapshot from disk; nothing behind the snapshot counts as committed. */
     void open(long now) {
-        log = opening.get();
-        pending.clear();
-        leader = 0;
-        heardLeaderAt = now;
-        machine.load(log.snapshot() == null ? null : log.snapshot().body);
-        commit = log.first() - 1;
-        applied = commit;
-        membership.find(log);
+        log = logOpener.get();
+        pendingMessages.clear();
+        leaderId = 0;
+        lastLeaderContactAt = now;
+        stateMachine.load(log.snapshot() == null ? null : log.snapshot().body);
+        commitIndex = log.first() - 1;
+        appliedIndex = commitIndex;
+        membershipLog.reload(log);
     }
 
     Members members() {
-        return membership.members();
+        return membershipLog.members();
     }
 
-    PartMessage message(int kind, long to) {
-        return message(kind, to, log.term());
+    PartMessage newMessage(int kind, long to) {
+        return newMessage(kind, to, log.term());
     }
 
-    PartMessage message(int kind, long to, long term) {
+    PartMessage newMessage(int kind, long to, long term) {
         var m = new PartMessage();
         m.part = part;
         m.kind = kind;
-        m.from = self;
+        m.from = selfId;
         m.to = to;
         m.term = term;
         return m;
     }
 
     /** Sends a message once the log is synced. */
-    void send(PartMessage m) {
-        pending.add(m);
+    void sendAfterSync(PartMessage m) {
+        pendingMessages.add(m);
     }
 
-    void sendPending() {
-        var all = List.copyOf(pending);
-        pending.clear();
-        all.forEach(out::send);
+    void sendPendingMessages() {
+        var all = List.copyOf(pendingMessages);
+        pendingMessages.clear();
+        all.forEach(listener::send);
     }
 
-    void dropPending() {
-        pending.clear();
+    void dropPendingMessages() {
+        pendingMessages.clear();
     }
 
     /** Appends an entry of the current term. */
@@ -126,29 +126,29 @@
 
     void append(Entry e) {
         log.append(e);
-        membership.appended(e);
+        membershipLog.onAppend(e);
     }
 
     /** Cuts entries that another leader's take the place of. */
-    void cutFrom(long index) {
+    void truncateFrom(long index) {
         log.cutFrom(index);
-        membership.find(log);
+        membershipLog.reload(log);
     }
 
     void commitTo(long to) {
-        commit = Math.max(commit, Math.min(to, log.last()));
-        while (applied < commit) {
-            var e = log.at(applied + 1);
-            applied++;
-            var result = e.type == Entry.COMMAND ? machine.apply(e.index, e.body) : null;
-            out.applied(e.index, e.term, result);
+        commitIndex = Math.max(commitIndex, Math.min(to, log.last()));
+        while (appliedIndex < commitIndex) {
+            var e = log.at(appliedIndex + 1);
+            appliedIndex++;
+            var result = e.type == Entry.COMMAND ? stateMachine.apply(e.index, e.body) : null;
+            listener.applied(e.index, e.term, result);
         }
-        transitions.committed();
+        transitions.notifyCommitChecked();
     }
 
     /** Goes on from this log alone with other members, as a new generation of the core; the last entry before that. */
     long rebuild(Members alone) {
-        log.saveTermAndVote(log.term() + 1, self);
+        log.saveTermAndVote(log.term() + 1, selfId);
         append(Entry.MEMBERSHIP, Codec.write(alone));
         append(Entry.COMMAND, Codec.writeTagged(new Commands.Rebuilt()));
         log.sync();
@@ -156,28 +156,28 @@
     }
 
     /** Writes a snapshot of what is applied and cuts the log behind it, once the log is long; whether it did. */
-    boolean compact() {
-        var entries = applied - log.first() + 1;
-        var due = log.needsSnapshot() && entries > 1 || entries >= ENTRIES;
+    boolean compactIfDue() {
+        var entries = appliedIndex - log.first() + 1;
+        var due = log.needsSnapshot() && entries > 1 || entries >= MAX_APPLIED_ENTRIES_IN_LOG;
         if (due) takeSnapshot();
         return due;
     }
 
     private void takeSnapshot() {
         var i = new Snapshot();
-        i.index = applied;
-        i.term = log.termAt(applied);
-        i.members = membership.at(log, applied);
-        i.body = machine.snapshot();
+        i.index = appliedIndex;
+        i.term = log.termAt(appliedIndex);
+        i.members = membershipLog.membersAt(log, appliedIndex);
+        i.body = stateMachine.snapshot();
         log.install(i);
     }
 
     /** Goes on from a snapshot of the leader's. */
-    void install(Snapshot snapshot) {
+    void installSnapshot(Snapshot snapshot) {
         log.install(snapshot);
-        machine.load(snapshot.body);
-        applied = snapshot.index;
-        commit = applied;
-        membership.find(log);
+        stateMachine.load(snapshot.body);
+        appliedIndex = snapshot.index;
+        commitIndex = appliedIndex;
+        membershipLog.reload(log);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -11,70 +11,70 @@
  * beats; it counts an entry of its own term as committed once a majority has synced it.
  */
 final class Replication {
-    private static final int BATCH = 256;
-    private static final int BATCH_BYTES = 256 << 10;
-    private static final int LARGE = 1_000;
+    private static final int MAX_ENTRIES_PER_APPEND = 256;
+    private static final int MAX_BYTES_PER_APPEND = 256 << 10;
+    private static final int LARGE_APPEND_BYTES = 1_000;
 
     private final Replica replica;
     private final Map<Long, Peer> peers = new HashMap<>();
-    private EncodedSnapshot encoded;
+    private EncodedSnapshot encodedSnapshot;
 
     Replication(Replica replica) {
         this.replica = replica;
     }
 
     /** Begins a term as its leader, as if half of the patience had passed since a majority was heard. */
-    void begin(long now) {
+    void startTerm(long now) {
         peers.clear();
-        for (var id : others()) {
+        for (var id : otherMembers()) {
             var p = newPeer(now);
-            p.acknowledgedStamp = now - replica.timing.electionTimeout() / 2;
+            p.lastAcknowledgedSendAt = now - replica.timing.electionTimeout() / 2;
             peers.put(id, p);
         }
     }
 
     private Peer newPeer(long now) {
         var last = replica.log.last();
-        return new Peer(last + 1, new CatchUp(replica.timing.electionTimeout(), last, now), now);
+        return new Peer(last + 1, new CatchUpTracker(replica.timing.electionTimeout(), last, now), now);
     }
 
     /** The term as leader is over. */
-    void end() {
-        peers.values().forEach(p -> p.snapshot = null);
-        encoded = null;
+    void endTerm() {
+        peers.values().forEach(p -> p.snapshotSender = null);
+        encodedSnapshot = null;
     }
 
-    List<Long> others() {
+    List<Long> otherMembers() {
         var m = replica.members();
         var all = new ArrayList<Long>();
-        for (var v : m.voters) if (v != replica.self) all.add(v);
-        if (m.learner != 0 && m.learner != replica.self) all.add(m.learner);
+        for (var v : m.voters) if (v != replica.selfId) all.add(v);
+        if (m.learner != 0 && m.learner != replica.selfId) all.add(m.learner);
         return all;
     }
 
-    long matchOf(long id) {
+    long matchIndexOf(long id) {
         var p = peers.get(id);
-        return p == null ? 0 : p.match;
+        return p == null ? 0 : p.matchIndex;
     }
 
-    long heardFrom(long id) {
+    long lastHeardAt(long id) {
         var p = peers.get(id);
-        return p == null ? 0 : p.heardAt;
+        return p == null ? 0 : p.lastHeardAt;
     }
 
-    boolean caughtUp(long id, long now) {
+    boolean isCaughtUp(long id, long now) {
         var p = peers.get(id);
-        return p != null && p.catchUp.done(now);
+        return p != null && p.catchUpTracker.isCaughtUp(now);
     }
 
     /** When the latest messages were sent that a majority, this store included, has answered. */
-    long majorityContact() {
+    long lastMajorityContact() {
         var m = replica.members();
         var stamps = new long[m.voters.length];
         for (var i = 0; i < stamps.length; i++) {
             var p = peers.get(m.voters[i]);
-            var stamp = p == null ? Long.MIN_VALUE / 2 : Math.max(p.acknowledgedStamp, Long.MIN_VALUE / 2);
-            stamps[i] = m.voters[i] == replica.self ? Long.MAX_VALUE : stamp;
+            var stamp = p == null ? Long.MIN_VALUE / 2 : Math.max(p.lastAcknowledgedSendAt, Long.MIN_VALUE / 2);
+            stamps[i] = m.voters[i] == replica.selfId ? Long.MAX_VALUE : stamp;
         }
         Arrays.sort(stamps);
         var contact = stamps[stamps.length - m.majority()];
@@ -82,33 +82,33 @@
     }
 
     /** Sends to each peer whose beat is due. */
-    void beat(long now) {
-        for (var id : others()) {
+    void sendHeartbeats(long now) {
+        for (var id : otherMembers()) {
             var p = peers.computeIfAbsent(id, k -> newPeer(now));
-            if (p.sentAt == Long.MIN_VALUE || replica.timing.due(p.sentAt, now)) replicate(id, now);
+            if (p.lastSentAt == Long.MIN_VALUE || replica.timing.due(p.lastSentAt, now)) replicateTo(id, now);
         }
     }
 
     /** Sends to each peer that lacks entries. */
-    void feedBehind(long now) {
-        for (var id : others()) {
+    void replicateToLagging(long now) {
+        for (var id : otherMembers()) {
             var p = peers.get(id);
-            if (p != null && p.behind(replica.log.last(), now)) replicate(id, now);
+            if (p != null && p.canSendEntries(replica.log.last(), now)) replicateTo(id, now);
         }
     }
 
     /** Sends to all. */
-    void feedAll(long now) {
-        others().forEach(id -> replicate(id, now));
+    void replicateToAll(long now) {
+        otherMembers().forEach(id -> replicateTo(id, now));
     }
 
-    private void replicate(long id, long now) {
+    private void replicateTo(long id, long now) {
         var p = peers.get(id);
-        p.sentAt = now;
-        var needsSnapshot = p.next < replica.log.first();
-        if (p.snapshot != null || p.awaitsLarge(now) || needsSnapshot && !p.replied) {
-            replica.send(append(id, Math.max(p.match, replica.log.first() - 1), now));
-            if (p.snapshot != null) sendPieces(id, p, now);
+        p.lastSentAt = now;
+        var needsSnapshot = p.nextIndex < replica.log.first();
+        if (p.snapshotSender != null || p.awaitsLargeMessageReply(now) || needsSnapshot && !p.hasReplied) {
+            replica.sendAfterSync(newAppendRequest(id, Math.max(p.matchIndex, replica.log.first() - 1), now));
+            if (p.snapshotSender != null) sendPieces(id, p, now);
         } else if (needsSnapshot) {
             sendSnapshot(id, p, now);
         } else {
@@ -117,98 +117,98 @@
     }
 
     private void sendEntries(long id, Peer p, long now) {
-        var m = append(id, p.next - 1, now);
+        var m = newAppendRequest(id, p.nextIndex - 1, now);
         var bytes = 0;
-        for (var i = p.next; i <= replica.log.last() && m.entries.size() < BATCH; i++) {
+        for (var i = p.nextIndex; i <= replica.log.last() && m.entries.size() < MAX_ENTRIES_PER_APPEND; i++) {
             var length = replica.log.at(i).body.length;
-            if (bytes > 0 && bytes + length > BATCH_BYTES) break;
+            if (bytes > 0 && bytes + length > MAX_BYTES_PER_APPEND) break;
             m.entries.add(replica.log.at(i));
             bytes += length;
         }
-        p.next += m.entries.size();
-        replica.send(m);
-        if (bytes > LARGE) p.sendsLarge(p.next - 1, bytes, now);
+        p.nextIndex += m.entries.size();
+        replica.sendAfterSync(m);
+        if (bytes > LARGE_APPEND_BYTES) p.onLargeMessageSent(p.nextIndex - 1, bytes, now);
     }
 
     /** In pieces to a peer that reads them; whole where it is small or the peer is of an earlier version. */
     private void sendSnapshot(long id, Peer p, long now) {
         var snapshot = replica.log.snapshot();
-        if (encoded == null || !encoded.of(snapshot)) encoded = new EncodedSnapshot(snapshot);
-        if (p.readsPieces && !encoded.small()) {
-            p.snapshot = new SnapshotSender(encoded, now);
+        if (encodedSnapshot == null || !encodedSnapshot.isEncodingOf(snapshot)) encodedSnapshot = new EncodedSnapshot(snapshot);
+        if (p.supportsSnapshotPieces && !encodedSnapshot.fitsInOnePiece()) {
+            p.snapshotSender = new SnapshotSender(encodedSnapshot, now);
             sendPieces(id, p, now);
             return;
         }
-        var m = replica.message(PartMessage.SNAPSHOT, id);
+        var m = replica.newMessage(PartMessage.SNAPSHOT, id);
         m.wholeSnapshot = snapshot;
         m.stamp = now;
-        replica.send(m);
-        p.sendsLarge(snapshot.index, snapshot.body.length, now);
+        replica.sendAfterSync(m);
+        p.onLargeMessageSent(snapshot.index, snapshot.body.length, now);
     }
 
     private void sendPieces(long id, Peer p, long now) {
-        for (var piece : p.snapshot.due(now)) {
-            var m = replica.message(PartMessage.SNAPSHOT_PIECE, id);
+        for (var piece : p.snapshotSender.nextPieces(now)) {
+            var m = replica.newMessage(PartMessage.SNAPSHOT_PIECE, id);
             m.snapshot = piece;
             m.stamp = now;
-            replica.send(m);
+            replica.sendAfterSync(m);
         }
     }
 
-    private void endTransfer(Peer p) {
-        p.snapshot = null;
-        if (peers.values().stream().allMatch(other -> other.snapshot == null)) encoded = null;
+    private void endSnapshotTransfer(Peer p) {
+        p.snapshotSender = null;
+        if (peers.values().stream().allMatch(other -> other.snapshotSender == null)) encodedSnapshot = null;
     }
 
-    private PartMessage append(long id, long after, long now) {
-        var m = replica.message(PartMessage.APPEND, id);
+    private PartMessage newAppendRequest(long id, long after, long now) {
+        var m = replica.newMessage(PartMessage.APPEND, id);
         m.index = after;
         m.logTerm = replica.log.termAt(after);
-        m.commit = replica.commit;
+        m.commit = replica.commitIndex;
         m.stamp = now;
         return m;
     }
 
-    private Peer answering(PartMessage m, long now) {
+    private Peer recordReply(PartMessage m, long now) {
         if (replica.role != Role.LEADER || m.term != replica.log.term()) return null;
         var p = peers.get(m.from);
         if (p == null) return null;
-        var wasAway = now - p.heardAt > replica.timing.electionTimeout();
-        p.heard(m, now);
-        if (wasAway && p.snapshot != null) p.snapshot.peerIsBack(now);
-        if (!p.readsPieces && p.snapshot != null) endTransfer(p);
+        var wasAway = now - p.lastHeardAt > replica.timing.electionTimeout();
+        p.onReply(m, now);
+        if (wasAway && p.snapshotSender != null) p.snapshotSender.onPeerReturned(now);
+        if (!p.supportsSnapshotPieces && p.snapshotSender != null) endSnapshotTransfer(p);
         return p;
     }
 
     void onAppendReply(PartMessage m, long now) {
-        var p = answering(m, now);
+        var p = recordReply(m, now);
         if (p == null) return;
-        if (m.granted) p.matched(m.index, replica.log.last(), now);
-        else p.refused(m, now);
-        if (p.snapshot != null && p.match >= p.snapshot.index()) endTransfer(p);
-        advance();
-        if (replica.role == Role.LEADER && p.behind(replica.log.last(), now)) replicate(m.from, now);
-    }
-
-    void snapshotPieceReply(PartMessage m, long now) {
-        var p = answering(m, now);
-        if (p == null || p.snapshot == null || m.snapshot == null) return;
-        if (m.granted) p.snapshot.held(m.snapshot, now);
-        else p.snapshot.refused(m.snapshot, m.stamp, now);
+        if (m.granted) p.onMatch(m.index, replica.log.last(), now);
+        else p.onAppendRefused(m, now);
+        if (p.snapshotSender != null && p.matchIndex >= p.snapshotSender.index()) endSnapshotTransfer(p);
+        advanceCommitIndex();
+        if (replica.role == Role.LEADER && p.canSendEntries(replica.log.last(), now)) replicateTo(m.from, now);
+    }
+
+    void onSnapshotPieceReply(PartMessage m, long now) {
+        var p = recordReply(m, now);
+        if (p == null || p.snapshotSender == null || m.snapshot == null) return;
+        if (m.granted) p.snapshotSender.onPieceAccepted(m.snapshot, now);
+        else p.snapshotSender.onPieceRefused(m.snapshot, m.stamp, now);
         sendPieces(m.from, p, now);
     }
 
     /** Commits what a majority has synced, this store's own unsynced entries left out. */
-    void advance() {
+    void advanceCommitIndex() {
         var m = replica.members();
         var log = replica.log;
         var match = new long[m.voters.length];
         for (var i = 0; i < match.length; i++) {
             var own = log.dirty() ? 0 : log.last();
-            match[i] = m.voters[i] == replica.self ? own : matchOf(m.voters[i]);
+            match[i] = m.voters[i] == replica.selfId ? own : matchIndexOf(m.voters[i]);
         }
         Arrays.sort(match);
         var held = match[match.length - m.majority()];
-        if (held > replica.commit && log.termAt(held) == log.term()) replica.commitTo(held);
+        if (held > replica.commitIndex && log.termAt(held) == log.term()) replica.commitTo(held);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
@@ -13,12 +13,12 @@
     public byte[] bytes;
 
     /** Whether both speak of the same snapshot, byte for byte. */
-    boolean sameSnapshot(SnapshotPiece other) {
+    boolean isOfSameSnapshot(SnapshotPiece other) {
         return index == other.index && term == other.term && total == other.total && checksum == other.checksum;
     }
 
     /** Names the same snapshot at another offset, without bytes. */
-    SnapshotPiece at(long newOffset) {
+    SnapshotPiece withOffset(long newOffset) {
         var p = new SnapshotPiece();
         p.index = index;
         p.term = term;
--- a/lib/state/src/main/java/craneway/state/part/SnapshotSender.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotSender.java
@@ -9,21 +9,21 @@
  * doubles with each silence, so that any path that carries single pieces ends the transfer. A decider without I/O.
  */
 final class SnapshotSender {
-    private static final int MOST_UNDER_WAY = 4;
-    private static final long FIRST_PATIENCE = 600_000;
-    private static final long MOST_PATIENCE = 8_000_000;
+    private static final int MAX_PIECES_IN_FLIGHT = 4;
+    private static final long INITIAL_RETRANSMIT_TIMEOUT_MICROS = 600_000;
+    private static final long MAX_RETRANSMIT_TIMEOUT_MICROS = 8_000_000;
 
     private final EncodedSnapshot snapshot;
-    private int acknowledged;
-    private int sent;
-    private int window = MOST_UNDER_WAY;
-    private long patience = FIRST_PATIENCE;
-    private long progressAt;
-    private long rewoundAt = Long.MIN_VALUE;
+    private int acknowledgedBytes;
+    private int sentBytes;
+    private int windowPieces = MAX_PIECES_IN_FLIGHT;
+    private long retransmitTimeout = INITIAL_RETRANSMIT_TIMEOUT_MICROS;
+    private long lastProgressAt;
+    private long lastRewindAt = Long.MIN_VALUE;
 
     SnapshotSender(EncodedSnapshot snapshot, long now) {
         this.snapshot = snapshot;
-        progressAt = now;
+        lastProgressAt = now;
     }
 
     long index() {
@@ -31,51 +31,51 @@
     }
 
     /** The pieces to send now; none while enough are under way. */
-    List<SnapshotPiece> due(long now) {
-        if (sent > acknowledged && now >= progressAt + patience) {
-            patience = Math.min(2 * patience, MOST_PATIENCE);
-            rewind(acknowledged, now);
+    List<SnapshotPiece> nextPieces(long now) {
+        if (sentBytes > acknowledgedBytes && now >= lastProgressAt + retransmitTimeout) {
+            retransmitTimeout = Math.min(2 * retransmitTimeout, MAX_RETRANSMIT_TIMEOUT_MICROS);
+            rewind(acknowledgedBytes, now);
         }
         var pieces = new ArrayList<SnapshotPiece>();
-        while (sent < snapshot.length() && sent - acknowledged < window * EncodedSnapshot.PIECE) {
-            if (sent == acknowledged) progressAt = now;
-            pieces.add(snapshot.piece(sent));
-            sent = Math.min(sent + EncodedSnapshot.PIECE, snapshot.length());
+        while (sentBytes < snapshot.length() && sentBytes - acknowledgedBytes < windowPieces * EncodedSnapshot.PIECE_BYTES) {
+            if (sentBytes == acknowledgedBytes) lastProgressAt = now;
+            pieces.add(snapshot.piece(sentBytes));
+            sentBytes = Math.min(sentBytes + EncodedSnapshot.PIECE_BYTES, snapshot.length());
         }
         return pieces;
     }
 
     private void rewind(int to, long now) {
-        acknowledged = to;
-        sent = to;
-        window = Math.max(1, window / 2);
-        progressAt = now;
-        rewoundAt = now;
+        acknowledgedBytes = to;
+        sentBytes = to;
+        windowPieces = Math.max(1, windowPieces / 2);
+        lastProgressAt = now;
+        lastRewindAt = now;
     }
 
     /** The peer is heard again after a silence: what was under way is lost, and its patience is as at first. */
-    void peerIsBack(long now) {
-        patience = FIRST_PATIENCE;
-        rewind(acknowledged, now);
+    void onPeerReturned(long now) {
+        retransmitTimeout = INITIAL_RETRANSMIT_TIMEOUT_MICROS;
+        rewind(acknowledgedBytes, now);
     }
 
     /** The peer holds all bytes before the offset. */
-    void held(SnapshotPiece reply, long now) {
-        if (!speaksOf(reply) || reply.offset <= acknowledged) return;
-        acknowledged = (int) reply.offset;
-        sent = Math.max(sent, acknowledged);
-        window = Math.min(window + 1, MOST_UNDER_WAY);
-        patience = FIRST_PATIENCE;
-        progressAt = now;
+    void onPieceAccepted(SnapshotPiece reply, long now) {
+        if (!isValidReply(reply) || reply.offset <= acknowledgedBytes) return;
+        acknowledgedBytes = (int) reply.offset;
+        sentBytes = Math.max(sentBytes, acknowledgedBytes);
+        windowPieces = Math.min(windowPieces + 1, MAX_PIECES_IN_FLIGHT);
+        retransmitTimeout = INITIAL_RETRANSMIT_TIMEOUT_MICROS;
+        lastProgressAt = now;
     }
 
     /** The peer refused a piece sent at that time, and holds all bytes before the offset; what was sent before a rewind is past. */
-    void refused(SnapshotPiece reply, long sentAt, long now) {
-        if (speaksOf(reply) && sentAt >= rewoundAt) rewind((int) reply.offset, now);
+    void onPieceRefused(SnapshotPiece reply, long sentAt, long now) {
+        if (isValidReply(reply) && sentAt >= lastRewindAt) rewind((int) reply.offset, now);
     }
 
     /** Who holds the whole says so as for entries, so a reply names an offset within. */
-    private boolean speaksOf(SnapshotPiece reply) {
-        return reply.sameSnapshot(snapshot.identity()) && reply.offset >= 0 && reply.offset < snapshot.length();
+    private boolean isValidReply(SnapshotPiece reply) {
+        return reply.isOfSameSnapshot(snapshot.identity()) && reply.offset >= 0 && reply.offset < snapshot.length();
     }
 }
--- a/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
+++ b/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
@@ -24,7 +24,7 @@
     }
 
     private SnapshotReceiver.Outcome take(long term, SnapshotPiece p) {
-        return receiver.take(term, p, 0);
+        return receiver.accept(term, p, 0);
     }
 
     @Test
@@ -32,24 +32,24 @@
         var snapshot = snapshot(9, 8_000_000);
         var encoded = new EncodedSnapshot(snapshot);
         SnapshotReceiver.Outcome last = null;
-        for (var at = 0; at < encoded.length(); at += EncodedSnapshot.PIECE) {
+        for (var at = 0; at < encoded.length(); at += EncodedSnapshot.PIECE_BYTES) {
             last = take(TERM, encoded.piece(at));
             assertNull(last.refusal());
-            assertTrue(receiver.room() <= encoded.length());
-            assertTrue(receiver.room() <= Math.max(1 << 20, 2 * (at + EncodedSnapshot.PIECE)));
+            assertTrue(receiver.bufferCapacity() <= encoded.length());
+            assertTrue(receiver.bufferCapacity() <= Math.max(1 << 20, 2 * (at + EncodedSnapshot.PIECE_BYTES)));
         }
         assertNotNull(last);
         assertArrayEquals(snapshot.body, last.snapshot().body);
-        assertEquals(0, receiver.room());
+        assertEquals(0, receiver.bufferCapacity());
     }
 
     @Test
     void piecesThatComeTwiceChangeNothing() {
         var encoded = new EncodedSnapshot(snapshot(9, 200_000));
         for (var times = 0; times < 2; times++)
-            assertEquals(EncodedSnapshot.PIECE, take(TERM, encoded.piece(0)).held());
-        take(TERM, encoded.piece(EncodedSnapshot.PIECE));
-        assertEquals(2 * EncodedSnapshot.PIECE, take(TERM, encoded.piece(0)).held());
+            assertEquals(EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
+        take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
+        assertEquals(2 * EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
     }
 
     @Test
@@ -58,12 +58,12 @@
         var damaged = encoded.piece(0);
         damaged.bytes[50_000] ^= 1;
         take(TERM, damaged);
-        var whole = take(TERM, encoded.piece(EncodedSnapshot.PIECE));
+        var whole = take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
         assertNotNull(whole.refusal());
         assertNull(whole.snapshot());
-        assertEquals(0, receiver.room());
+        assertEquals(0, receiver.bufferCapacity());
         take(TERM, encoded.piece(0));
-        assertNotNull(take(TERM, encoded.piece(EncodedSnapshot.PIECE)).snapshot());
+        assertNotNull(take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES)).snapshot());
     }
 
     @Test
@@ -73,35 +73,35 @@
         take(TERM, open.piece(0));
         assertNotNull(take(TERM, older.piece(0)).refusal());
         assertEquals(
-                2 * EncodedSnapshot.PIECE,
-                take(TERM, open.piece(EncodedSnapshot.PIECE)).held());
+                2 * EncodedSnapshot.PIECE_BYTES,
+                take(TERM, open.piece(EncodedSnapshot.PIECE_BYTES)).receivedBytes());
         assertNull(take(TERM + 1, older.piece(0)).refusal());
-        assertNotNull(take(TERM + 1, open.piece(2 * EncodedSnapshot.PIECE)).refusal());
+        assertNotNull(take(TERM + 1, open.piece(2 * EncodedSnapshot.PIECE_BYTES)).refusal());
     }
 
     @Test
     void aSnapshotTooLargeOrMalformedTakesNoRoom() {
         var p = new EncodedSnapshot(snapshot(9, 200_000)).piece(0);
-        p.total = SnapshotReceiver.MOST + 1L;
+        p.total = SnapshotReceiver.MAX_SNAPSHOT_BYTES + 1L;
         assertNotNull(take(TERM, p).refusal());
         p.total = 10;
         assertNotNull(take(TERM, p).refusal());
         p.total = Long.MAX_VALUE;
         p.offset = Long.MAX_VALUE - 1;
         assertNotNull(take(TERM, p).refusal());
-        assertEquals(0, receiver.room());
+        assertEquals(0, receiver.bufferCapacity());
     }
 
     @Test
     void whatNoLeaderGoesOnWithIsForgotten() {
         var encoded = new EncodedSnapshot(snapshot(9, 200_000));
         take(TERM, encoded.piece(0));
-        receiver.expire(0, 60_000_000);
-        assertTrue(receiver.room() > 0);
-        receiver.expire(0, 60_000_001);
-        assertEquals(0, receiver.room());
+        receiver.discardIfStale(0, 60_000_000);
+        assertTrue(receiver.bufferCapacity() > 0);
+        receiver.discardIfStale(0, 60_000_001);
+        assertEquals(0, receiver.bufferCapacity());
         take(TERM, encoded.piece(0));
-        receiver.expire(9, 0);
-        assertEquals(0, receiver.room());
+        receiver.discardIfStale(9, 0);
+        assertEquals(0, receiver.bufferCapacity());
     }
 }
