--- a/lib/state/src/main/java/craneway/state/disk/PartFiles.java
+++ b/lib/state/src/main/java/craneway/state/disk/PartFiles.java
@@ -6,9 +6,9 @@
 
 /** The files of one part in the folder of a store: segments by their number, snapshots by their index, and a mark. */
 final class PartFiles {
-    private static final String SEGMENT = "log.";
-    private static final String SNAPSHOT = "image.";
-    private static final String MARK = "mark";
+    private static final String SEGMENT_NAME = "log.";
+    private static final String SNAPSHOT_NAME = "image.";
+    private static final String SYNC_MARK_NAME = "mark";
 
     private final Folder folder;
     private final String prefix;
@@ -18,67 +18,67 @@
         this.prefix = prefix;
     }
 
-    String segment(int number) {
-        return prefix + SEGMENT + number;
+    String segmentName(int number) {
+        return prefix + SEGMENT_NAME + number;
     }
 
-    String snapshot(long index) {
-        return prefix + SNAPSHOT + index;
+    String snapshotName(long index) {
+        return prefix + SNAPSHOT_NAME + index;
     }
 
     /** The numbers of all segments, from the lowest. */
-    List<Integer> segments() {
+    List<Integer> segmentNumbers() {
         return folder.names().stream()
-                .filter(n -> n.matches("\\Q" + prefix + SEGMENT + "\\E\\d+"))
+                .filter(n -> n.matches("\\Q" + prefix + SEGMENT_NAME + "\\E\\d+"))
                 .map(n -> Integer.parseInt(n.substring(n.lastIndexOf('.') + 1)))
                 .sorted()
                 .toList();
     }
 
     /** What was read of the newest segment, or null in a folder that never had one. */
-    SegmentContents newest() {
-        var all = segments();
-        var mark = SyncMark.decode(folder.read(prefix + MARK));
+    SegmentContents readNewestSegment() {
+        var all = segmentNumbers();
+        var mark = SyncMark.decode(folder.read(prefix + SYNC_MARK_NAME));
         var newest = all.isEmpty() ? 0 : all.get(all.size() - 1);
-        if (mark != null && mark.segment() > newest) throw new DiskLostException(segment(mark.segment()) + ": missing");
-        if (newest > 0) return new SegmentReader(segment(newest), newest, folder.read(segment(newest)), mark).read();
-        if (folder.names().stream().anyMatch(n -> n.startsWith(prefix + SNAPSHOT)))
-            throw new DiskLostException(prefix + SEGMENT + ": missing beside a snapshot");
+        if (mark != null && mark.segmentNumber() > newest) throw new DiskLostException(segmentName(mark.segmentNumber()) + ": missing");
+        if (newest > 0) return new SegmentReader(segmentName(newest), newest, folder.read(segmentName(newest)), mark).read();
+        if (folder.names().stream().anyMatch(n -> n.startsWith(prefix + SNAPSHOT_NAME)))
+            throw new DiskLostException(prefix + SEGMENT_NAME + ": missing beside a snapshot");
         return null;
     }
 
     /** Leaves a mark; its loss is borne, since the records themselves prove what was synced before them. */
-    void mark(SyncMark mark) {
+    void writeSyncMark(SyncMark mark) {
         try {
-            folder.overwrite(prefix + MARK, mark.encode());
+            folder.overwrite(prefix + SYNC_MARK_NAME, mark.encode());
         } catch (DiskException e) {
             // A full or failing disk shows at the next append.
         }
     }
 
-    void write(Snapshot i) {
-        folder.replace(snapshot(i.index), Seal.close(Codec.write(i)));
+    void writeSnapshot(Snapshot i) {
+        folder.replace(snapshotName(i.index), Seal.close(Codec.write(i)));
     }
 
-    Snapshot read(long index, long term) {
-        var b = folder.read(snapshot(index));
-        if (b == null) throw new DiskLostException(snapshot(index) + ": missing");
-        var i = Codec.read(Snapshot.class, Seal.open(snapshot(index), b));
+    Snapshot readSnapshot(long index, long term) {
+        var b = folder.read(snapshotName(index));
+        if (b == null) throw new DiskLostException(snapshotName(index) + ": missing");
+        var i = Codec.read(Snapshot.class, Seal.open(snapshotName(index), b));
         if (i.index != index || i.term != term)
-            throw new DiskLostException(snapshot(index) + ": of another index or term");
+            throw new DiskLostException(snapshotName(index) + ": of another index or term");
         return i;
     }
 
     /** Removes all segments and snapshots but those named; what cannot be removed is left to the next time. */
-    void removeBut(int segment, long snapshotIndex) {
+    void removeAllExcept(int segment, long snapshotIndex) {
         for (var n : folder.names()) {
-            var old = n.startsWith(prefix + SEGMENT) && !n.equals(segment(segment));
-            var unused = n.startsWith(prefix + SNAPSHOT) && !n.equals(snapshot(snapshotIndex));
-            if (old || unused) remove(n);
+            var old = n.startsWith(prefix + SEGMENT_NAME) && !n.equals(segmentName(segment));
+            var unused = n.startsWith(prefix + SNAPSHOT_NAME) && !n.equals(snapshotName(snapshotIndex));
+            if (old || unused) tryRemove(n);
         }
     }
 
-    private void remove(String name) {
+    private void tryRemove(String name) {
         try {
             folder.delete(name);
         } catch (DiskException e) {
--- a/lib/state/src/main/java/craneway/state/disk/RecordCodec.java
+++ b/lib/state/src/main/java/craneway/state/disk/RecordCodec.java
@@ -9,76 +9,76 @@
  * segment's nonce and the record's place too: bytes of another segment or place are no record.
  */
 final class RecordCodec {
-    static final int HEAD = 33;
-    private static final int MOST = 64 << 20;
-    private static final int SUM_AT = 4;
-    private static final int TYPE_AT = 8;
-    private static final int INDEX_AT = 9;
-    private static final int TERM_AT = 17;
-    private static final int KIND_AT = 25;
-    private static final int SYNCED_AT = 29;
+    static final int HEADER_BYTES = 33;
+    private static final int MAX_RECORD_BYTES = 64 << 20;
+    private static final int CHECKSUM_OFFSET = 4;
+    private static final int TYPE_OFFSET = 8;
+    private static final int INDEX_OFFSET = 9;
+    private static final int TERM_OFFSET = 17;
+    private static final int ENTRY_TYPE_OFFSET = 25;
+    private static final int SYNCED_BYTES_OFFSET = 29;
 
-    private final CRC32C sum = new CRC32C();
-    private final ByteBuffer place = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
+    private final CRC32C checksum = new CRC32C();
+    private final ByteBuffer nonceAndOffset = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
 
     RecordCodec(long nonce) {
-        place.putLong(0, nonce);
+        nonceAndOffset.putLong(0, nonce);
     }
 
-    static int size(LogRecord r) {
-        return HEAD + r.body().length;
+    static int recordSize(LogRecord r) {
+        return HEADER_BYTES + r.body().length;
     }
 
     byte[] encode(LogRecord r, int offset, int synced) {
-        var b = ByteBuffer.allocate(size(r));
+        var b = ByteBuffer.allocate(recordSize(r));
         b.putInt(0, b.capacity())
-                .put(TYPE_AT, r.type())
-                .putLong(INDEX_AT, r.index())
-                .putLong(TERM_AT, r.term())
-                .putInt(KIND_AT, r.kind())
-                .putInt(SYNCED_AT, synced)
-                .put(HEAD, r.body());
-        b.putInt(SUM_AT, sum(b.array(), 0, b.capacity(), offset));
+                .put(TYPE_OFFSET, r.recordType())
+                .putLong(INDEX_OFFSET, r.index())
+                .putLong(TERM_OFFSET, r.term())
+                .putInt(ENTRY_TYPE_OFFSET, r.entryType())
+                .putInt(SYNCED_BYTES_OFFSET, synced)
+                .put(HEADER_BYTES, r.body());
+        b.putInt(CHECKSUM_OFFSET, checksum(b.array(), 0, b.capacity(), offset));
         return b.array();
     }
 
-    boolean valid(ByteBuffer file, int at) {
-        if (at + HEAD > file.limit()) return false;
-        var size = size(file, at);
-        if (size < HEAD || size > MOST || size > file.limit() - at) return false;
-        var type = file.get(at + TYPE_AT);
-        return type >= RecordView.HARD
-                && type <= RecordView.CUT
-                && file.getInt(at + SUM_AT) == sum(file.array(), at, size, at);
+    boolean isValid(ByteBuffer file, int at) {
+        if (at + HEADER_BYTES > file.limit()) return false;
+        var size = recordSize(file, at);
+        if (size < HEADER_BYTES || size > MAX_RECORD_BYTES || size > file.limit() - at) return false;
+        var type = file.get(at + TYPE_OFFSET);
+        return type >= LegacyRecord.TERM_AND_VOTE
+                && type <= LegacyRecord.TRUNCATION
+                && file.getInt(at + CHECKSUM_OFFSET) == checksum(file.array(), at, size, at);
     }
 
     /** Whether a whole record at a place proves that more than the given length was synced. */
-    boolean provesMoreThan(int length, ByteBuffer file, int at) {
-        if (at + HEAD > file.limit()) return false;
-        var synced = file.getInt(at + SYNCED_AT);
-        return synced > length && synced <= at && valid(file, at);
+    boolean provesSyncedBeyond(int length, ByteBuffer file, int at) {
+        if (at + HEADER_BYTES > file.limit()) return false;
+        var synced = file.getInt(at + SYNCED_BYTES_OFFSET);
+        return synced > length && synced <= at && isValid(file, at);
     }
 
-    static int size(ByteBuffer file, int at) {
+    static int recordSize(ByteBuffer file, int at) {
         return file.getInt(at);
     }
 
     static LogRecord decode(ByteBuffer file, int at) {
-        var body = new byte[size(file, at) - HEAD];
-        file.get(at + HEAD, body);
+        var body = new byte[recordSize(file, at) - HEADER_BYTES];
+        file.get(at + HEADER_BYTES, body);
         return new LogRecord(
-                file.get(at + TYPE_AT),
-                file.getLong(at + INDEX_AT),
-                file.getLong(at + TERM_AT),
-                file.getInt(at + KIND_AT),
+                file.get(at + TYPE_OFFSET),
+                file.getLong(at + INDEX_OFFSET),
+                file.getLong(at + TERM_OFFSET),
+                file.getInt(at + ENTRY_TYPE_OFFSET),
                 body);
     }
 
-    private int sum(byte[] bytes, int at, int size, int offset) {
-        place.putInt(Long.BYTES, offset);
-        sum.reset();
-        sum.update(place.array(), 0, place.capacity());
-        sum.update(bytes, at + TYPE_AT, size - TYPE_AT);
-        return (int) sum.getValue();
+    private int checksum(byte[] bytes, int at, int size, int offset) {
+        nonceAndOffset.putInt(Long.BYTES, offset);
+        checksum.reset();
+        checksum.update(nonceAndOffset.array(), 0, nonceAndOffset.capacity());
+        checksum.update(bytes, at + TYPE_OFFSET, size - TYPE_OFFSET);
+        return (int) checksum.getValue();
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/Seal.java
+++ b/lib/state/src/main/java/craneway/state/disk/Seal.java
@@ -8,13 +8,13 @@
 
     /** The bytes to write for a body. */
     public static byte[] close(byte[] body) {
-        return RecordView.make(RecordView.BASE, 0, 0, 0, body).array();
+        return LegacyRecord.encode(LegacyRecord.SEGMENT_BASE, 0, 0, 0, body).array();
     }
 
     /** The body of sealed bytes; throws {@link DiskLostException} if they are damaged. */
     public static byte[] open(String name, byte[] sealed) {
-        var v = new RecordView().wrap(ByteBuffer.wrap(sealed), 0);
-        if (!v.valid() || v.size() != sealed.length) throw new DiskLostException(name + ": damaged");
+        var v = new LegacyRecord().wrap(ByteBuffer.wrap(sealed), 0);
+        if (!v.isValid() || v.size() != sealed.length) throw new DiskLostException(name + ": damaged");
         return v.body();
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
@@ -14,20 +14,20 @@
  * folder, which writes and syncs all bytes anew.
  */
 public final class SegmentLog {
-    private static final long ROLL = 4L << 20;
+    private static final long SNAPSHOT_DUE_BYTES = 4L << 20;
 
     private final Folder folder;
     private final PartFiles files;
-    private final int core;
+    private final int coreHash;
     private final List<Entry> entries = new ArrayList<>();
     private Snapshot snapshot;
     private long term;
     private long vote;
-    private int segment;
+    private int segmentNumber;
     private long nonce;
     private RecordCodec codec;
-    private int size;
-    private int synced;
+    private int segmentBytes;
+    private int syncedBytes;
     private boolean dirty;
     private DiskException failure;
 
@@ -37,9 +37,9 @@
      */
     public SegmentLog(Folder folder, String prefix, int core) {
         this.folder = folder;
-        this.core = core;
+        this.coreHash = core;
         files = new PartFiles(folder, prefix);
-        load();
+        readNewestSegment();
         try {
             rewriteSegment();
         } catch (DiskException e) {
@@ -51,12 +51,12 @@
     public static void checkFormats(Folder folder) {
         for (var n : folder.names()) {
             if (!n.matches("p\\d+\\.log\\.\\d+")) continue;
-            var head = folder.readHead(n, SegmentHeader.FORMAT_SIZE);
-            if (head != null && head.length == SegmentHeader.FORMAT_SIZE) formatOrDamage(n, head);
+            var head = folder.readHead(n, SegmentHeader.FORMAT_BYTES);
+            if (head != null && head.length == SegmentHeader.FORMAT_BYTES) checkFormat(n, head);
         }
     }
 
-    private static void formatOrDamage(String name, byte[] head) {
+    private static void checkFormat(String name, byte[] head) {
         try {
             SegmentHeader.formatOf(name, head);
         } catch (DiskLostException e) {
@@ -91,7 +91,7 @@
 
     /** Whether the segment has grown so much that a snapshot is due. */
     public boolean needsSnapshot() {
-        return size > ROLL;
+        return segmentBytes > SNAPSHOT_DUE_BYTES;
     }
 
     /** The index of the first entry behind the snapshot. */
@@ -117,56 +117,56 @@
 
     /** Sets the term and the vote. */
     public void saveTermAndVote(long newTerm, long newVote) {
-        put(LogRecord.vote(newTerm, newVote));
+        appendRecord(LogRecord.termAndVote(newTerm, newVote));
         term = newTerm;
         vote = newVote;
     }
 
     /** Appends an entry. */
     public void append(Entry e) {
-        put(LogRecord.entry(e.index, e.term, e.type, e.body));
+        appendRecord(LogRecord.entry(e.index, e.term, e.type, e.body));
         entries.add(e);
     }
 
     /** Drops the entries from an index on. */
     public void cutFrom(long i) {
         if (i > last()) return;
-        put(LogRecord.cut(i));
+        appendRecord(LogRecord.truncation(i));
         entries.subList((int) (i - first()), entries.size()).clear();
     }
 
     /** Makes all changes so far last. */
     public void sync() {
         if (!dirty) return;
-        attempt(() -> folder.sync(files.segment(segment)));
-        synced = size;
+        runOrFail(() -> folder.sync(files.segmentName(segmentNumber)));
+        syncedBytes = segmentBytes;
         dirty = false;
-        mark();
+        writeSyncMark();
     }
 
     /** Takes a snapshot in place of the entries up to its index; all changes so far last afterwards. */
     public void install(Snapshot i) {
-        attempt(() -> files.write(i));
+        runOrFail(() -> files.writeSnapshot(i));
         var keep = new ArrayList<Entry>();
         if (termAt(i.index) == i.term)
             entries.stream().filter(e -> e.index > i.index).forEach(keep::add);
         snapshot = i;
         entries.clear();
         entries.addAll(keep);
-        attempt(this::rewriteSegment);
+        runOrFail(this::rewriteSegment);
     }
 
-    private void put(LogRecord r) {
-        attempt(() -> {
-            var b = codec.encode(r, size, synced);
+    private void appendRecord(LogRecord r) {
+        runOrFail(() -> {
+            var b = codec.encode(r, segmentBytes, syncedBytes);
             dirty = true;
-            folder.append(files.segment(segment), b, b.length);
-            size += b.length;
+            folder.append(files.segmentName(segmentNumber), b, b.length);
+            segmentBytes += b.length;
         });
     }
 
     /** After a failure it is not known which bytes are on the disk, so nothing may be added behind them. */
-    private void attempt(Runnable work) {
+    private void runOrFail(Runnable work) {
         if (failure != null) throw failure;
         try {
             work.run();
@@ -177,73 +177,73 @@
         }
     }
 
-    private void mark() {
-        files.mark(new SyncMark(segment, size, nonce));
+    private void writeSyncMark() {
+        files.writeSyncMark(new SyncMark(segmentNumber, segmentBytes, nonce));
     }
 
     private void rewriteSegment() {
-        var old = files.segments();
+        var old = files.segmentNumbers();
         var number = old.isEmpty() ? 1 : old.get(old.size() - 1) + 1;
         var records = new ArrayList<LogRecord>();
-        records.add(LogRecord.vote(term, vote));
+        records.add(LogRecord.termAndVote(term, vote));
         for (var e : entries) records.add(LogRecord.entry(e.index, e.term, e.type, e.body));
-        var length = SegmentHeader.SIZE
-                + records.stream().mapToInt(RecordCodec::size).sum();
+        var length = SegmentHeader.HEADER_BYTES
+                + records.stream().mapToInt(RecordCodec::recordSize).sum();
         var header = new SegmentHeader(
                 number,
-                core,
+                coreHash,
                 ThreadLocalRandom.current().nextLong(),
                 snapshot == null ? 0 : snapshot.index,
                 snapshot == null ? 0 : snapshot.term,
                 length);
-        begin(header, records);
-        files.removeBut(segment, header.snapshotIndex());
+        createSegment(header, records);
+        files.removeAllExcept(segmentNumber, header.snapshotIndex());
     }
 
-    private void begin(SegmentHeader header, List<LogRecord> records) {
+    private void createSegment(SegmentHeader header, List<LogRecord> records) {
         var newCodec = new RecordCodec(header.nonce());
-        var whole = Arrays.copyOf(header.encode().array(), header.initialLength());
-        var at = SegmentHeader.SIZE;
+        var whole = Arrays.copyOf(header.encode().array(), header.initialBytes());
+        var at = SegmentHeader.HEADER_BYTES;
         for (var r : records) {
             var b = newCodec.encode(r, at, 0);
             System.arraycopy(b, 0, whole, at, b.length);
             at += b.length;
         }
-        folder.replace(files.segment(header.segment()), whole);
-        segment = header.segment();
+        folder.replace(files.segmentName(header.segmentNumber()), whole);
+        segmentNumber = header.segmentNumber();
         nonce = header.nonce();
         codec = newCodec;
-        size = at;
-        synced = at;
+        segmentBytes = at;
+        syncedBytes = at;
         dirty = false;
-        mark();
+        writeSyncMark();
     }
 
-    private void load() {
-        var contents = files.newest();
+    private void readNewestSegment() {
+        var contents = files.readNewestSegment();
         if (contents == null) return;
-        if (contents.core() != 0 && contents.core() != core)
-            throw new DiskLostException(files.segment(segment) + ": belongs to another core");
-        if (contents.snapshotIndex() != 0) snapshot = files.read(contents.snapshotIndex(), contents.snapshotTerm());
-        contents.records().forEach(this::replay);
+        if (contents.coreHash() != 0 && contents.coreHash() != coreHash)
+            throw new DiskLostException(files.segmentName(segmentNumber) + ": belongs to another core");
+        if (contents.snapshotIndex() != 0) snapshot = files.readSnapshot(contents.snapshotIndex(), contents.snapshotTerm());
+        contents.records().forEach(this::replayRecord);
         dirty = !contents.allSynced();
     }
 
-    private void replay(LogRecord r) {
-        switch (r.type()) {
-            case RecordView.HARD -> {
+    private void replayRecord(LogRecord r) {
+        switch (r.recordType()) {
+            case LegacyRecord.TERM_AND_VOTE -> {
                 term = r.term();
                 vote = r.index();
             }
-            case RecordView.ENTRY -> {
+            case LegacyRecord.ENTRY -> {
                 if (r.index() != last() + 1) throw new DiskLostException("gap in the log at entry " + r.index());
-                entries.add(new Entry(r.index(), r.term(), r.kind(), r.body()));
+                entries.add(new Entry(r.index(), r.term(), r.entryType(), r.body()));
             }
-            case RecordView.CUT -> {
+            case LegacyRecord.TRUNCATION -> {
                 if (r.index() < first() || r.index() > last()) throw new DiskLostException("cut at entry " + r.index());
                 entries.subList((int) (r.index() - first()), entries.size()).clear();
             }
-            default -> throw new DiskLostException("record of unknown type " + r.type());
+            default -> throw new DiskLostException("record of unknown type " + r.recordType());
         }
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/SegmentReader.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentReader.java
@@ -10,42 +10,42 @@
  */
 final class SegmentReader {
     private final String name;
-    private final int number;
+    private final int segmentNumber;
     private final byte[] file;
     private final SyncMark mark;
 
     /** Reads the segment of a number; the mark may be null or of an earlier segment. */
     SegmentReader(String name, int number, byte[] file, SyncMark mark) {
         this.name = name;
-        this.number = number;
+        this.segmentNumber = number;
         this.file = file;
-        this.mark = mark != null && mark.segment() == number ? mark : null;
+        this.mark = mark != null && mark.segmentNumber() == number ? mark : null;
     }
 
     SegmentContents read() {
         var header = SegmentHeader.decode(name, file);
-        if (header == null) return new OldSegmentReader(name, file, mark).read();
-        if (header.segment() != number) throw new DiskLostException(name + ": holds the segment " + header.segment());
+        if (header == null) return new LegacySegmentReader(name, file, mark).read();
+        if (header.segmentNumber() != segmentNumber) throw new DiskLostException(name + ": holds the segment " + header.segmentNumber());
         if (mark != null && mark.nonce() != header.nonce())
             throw new DiskLostException(name + ": another file of this name");
         var codec = new RecordCodec(header.nonce());
         var buffer = ByteBuffer.wrap(file);
         var records = new ArrayList<LogRecord>();
-        var at = SegmentHeader.SIZE;
-        while (codec.valid(buffer, at)) {
+        var at = SegmentHeader.HEADER_BYTES;
+        while (codec.isValid(buffer, at)) {
             records.add(RecordCodec.decode(buffer, at));
-            at += RecordCodec.size(buffer, at);
+            at += RecordCodec.recordSize(buffer, at);
         }
-        var marked = mark == null ? 0 : mark.length();
-        if (at < Math.max(header.initialLength(), marked) || provenBehind(codec, buffer, at))
+        var marked = mark == null ? 0 : mark.syncedBytes();
+        if (at < Math.max(header.initialBytes(), marked) || laterRecordProvesSynced(codec, buffer, at))
             throw new DiskLostException(name + ": damaged at byte " + at + " of " + file.length + ", which was synced");
         return new SegmentContents(
-                header.core(), header.snapshotIndex(), header.snapshotTerm(), records, mark != null && at == marked);
+                header.coreHash(), header.snapshotIndex(), header.snapshotTerm(), records, mark != null && at == marked);
     }
 
-    private static boolean provenBehind(RecordCodec codec, ByteBuffer buffer, int damage) {
-        for (var i = damage + 1; i <= buffer.limit() - RecordCodec.HEAD; i++)
-            if (codec.provesMoreThan(damage, buffer, i)) return true;
+    private static boolean laterRecordProvesSynced(RecordCodec codec, ByteBuffer buffer, int damage) {
+        for (var i = damage + 1; i <= buffer.limit() - RecordCodec.HEADER_BYTES; i++)
+            if (codec.provesSyncedBeyond(damage, buffer, i)) return true;
         return false;
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Codec.java
+++ b/lib/state/src/main/java/craneway/state/message/Codec.java
@@ -6,13 +6,13 @@
 import java.util.Arrays;
 
 public final class Codec {
-    private static final ThreadLocal<LinkedBuffer> BUFFER = ThreadLocal.withInitial(() -> LinkedBuffer.allocate(4096));
+    private static final ThreadLocal<LinkedBuffer> ENCODE_BUFFER = ThreadLocal.withInitial(() -> LinkedBuffer.allocate(4096));
 
     private Codec() {}
 
     @SuppressWarnings("unchecked")
     public static byte[] write(Object o) {
-        var b = BUFFER.get();
+        var b = ENCODE_BUFFER.get();
         try {
             return ProtostuffIOUtil.toByteArray(o, RuntimeSchema.getSchema((Class<Object>) o.getClass()), b);
         } finally {
@@ -34,13 +34,13 @@
     public static byte[] writeTagged(Object o) {
         var body = write(o);
         var tagged = new byte[body.length + 1];
-        tagged[0] = (byte) Tags.of(o.getClass());
+        tagged[0] = (byte) MessageTags.tagOf(o.getClass());
         System.arraycopy(body, 0, tagged, 1, body.length);
         return tagged;
     }
 
     public static Object readTagged(byte[] b) {
         if (b.length == 0) throw new BadMessageException("empty message");
-        return read(Tags.type(b[0]), Arrays.copyOfRange(b, 1, b.length));
+        return read(MessageTags.typeOf(b[0]), Arrays.copyOfRange(b, 1, b.length));
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/MarkKey.java
+++ b/lib/state/src/main/java/craneway/state/message/MarkKey.java
@@ -8,10 +8,10 @@
         CELL("cell:"),
         TENANT("tenant:");
 
-        private final String prefix;
+        private final String keyPrefix;
 
         Target(String prefix) {
-            this.prefix = prefix;
+            this.keyPrefix = prefix;
         }
     }
 
@@ -33,12 +33,12 @@
     /** Reads a key as records hold it; null where it is none of these. */
     public static MarkKey read(String text) {
         for (var t : Target.values())
-            if (text.startsWith(t.prefix)) return new MarkKey(t, text.substring(t.prefix.length()));
+            if (text.startsWith(t.keyPrefix)) return new MarkKey(t, text.substring(t.keyPrefix.length()));
         return null;
     }
 
     /** The key as records and messages hold it. */
     public String text() {
-        return target.prefix + name;
+        return target.keyPrefix + name;
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Tags.java
+++ b/lib/state/src/main/java/craneway/state/message/MessageTags.java
@@ -2,8 +2,8 @@
 
 import craneway.state.part.PartMessage;
 
-final class Tags {
-    private static final Class<?>[] TYPES = {
+final class MessageTags {
+    private static final Class<?>[] TYPES_BY_TAG = {
         PartMessage.class,
         Messages.Hello.class,
         Messages.Renew.class,
@@ -47,15 +47,15 @@
         Commands.Fenced.class,
     };
 
-    private Tags() {}
+    private MessageTags() {}
 
-    static int of(Class<?> c) {
-        for (var i = 0; i < TYPES.length; i++) if (TYPES[i] == c) return i + 1;
+    static int tagOf(Class<?> c) {
+        for (var i = 0; i < TYPES_BY_TAG.length; i++) if (TYPES_BY_TAG[i] == c) return i + 1;
         throw new IllegalArgumentException("no tag for " + c);
     }
 
-    static Class<?> type(int tag) {
-        if (tag < 1 || tag > TYPES.length) throw new BadMessageException("unknown tag " + tag);
-        return TYPES[tag - 1];
+    static Class<?> typeOf(int tag) {
+        if (tag < 1 || tag > TYPES_BY_TAG.length) throw new BadMessageException("unknown tag " + tag);
+        return TYPES_BY_TAG[tag - 1];
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Node.java
+++ b/lib/state/src/main/java/craneway/state/message/Node.java
@@ -1,7 +1,7 @@
 package craneway.state.message;
 
 public final class Node {
-    private static final long MOST_STEP = 1_024;
+    private static final long MAX_INCARNATION_STEP = 1_024;
 
     public static final int WIRE = 2, STEPS = 2;
     public static final String STORE = "store", ROUTER = "router";
@@ -48,7 +48,7 @@
 
     /** An incarnation above the known one, by a step that differs from life to life. */
     public long above(long known) {
-        return known + 1 + (life == 0 ? 0 : Math.floorMod(life >> 1, MOST_STEP));
+        return known + 1 + (life == 0 ? 0 : Math.floorMod(life >> 1, MAX_INCARNATION_STEP));
     }
 
     /** Whether the other node is known to be another process than this one. */
--- a/lib/state/src/main/java/craneway/state/record/Lives.java
+++ b/lib/state/src/main/java/craneway/state/record/CommandSessions.java
@@ -13,47 +13,47 @@
  * verdicts of the commands that its process may still send again; the process tells with each the least it waits for. Both
  * the lives and the verdicts of one are bounded, and a sequence below a life's floor is refused without effect.
  */
-final class Lives {
-    static final int LIVES = 1_024, VERDICTS = 256;
+final class CommandSessions {
+    static final int MAX_SESSIONS = 1_024, MAX_RESULTS_PER_SESSION = 256;
 
-    private Lives() {}
+    private CommandSessions() {}
 
-    static CommandResult once(Rows.Whole rows, Commands.Fenced f, Function<Object, CommandResult> handle) {
-        var known = verdict(rows, f.life, f.sequence);
+    static CommandResult applyOnce(Rows.Whole rows, Commands.Fenced f, Function<Object, CommandResult> handle) {
+        var known = recordedResult(rows, f.life, f.sequence);
         if (known != null) return known;
         var life = rows.lives.computeIfAbsent(f.life, k -> new Rows.Life());
         life.index = rows.index;
         if (f.sequence < life.floor)
             return Records.failure(Kind.LATE_COMMAND, "ask " + f.sequence + " is below " + life.floor);
         var v = handle.apply(Codec.readTagged(f.body));
-        life.applied.put(f.sequence, applied(v));
-        trim(life, f.lowest);
-        while (rows.lives.size() > LIVES) rows.lives.remove(idle(rows));
+        life.applied.put(f.sequence, toRecord(v));
+        trimResults(life, f.lowest);
+        while (rows.lives.size() > MAX_SESSIONS) rows.lives.remove(leastRecentlyUsed(rows));
         return v;
     }
 
-    static CommandResult verdict(Rows.Whole rows, long life, long sequence) {
+    static CommandResult recordedResult(Rows.Whole rows, long life, long sequence) {
         var l = rows.lives.get(life);
         var a = l == null ? null : l.applied.get(sequence);
-        return a == null ? null : verdict(a);
+        return a == null ? null : recordedResult(a);
     }
 
-    private static void trim(Rows.Life life, long lowest) {
+    private static void trimResults(Rows.Life life, long lowest) {
         life.floor = Math.max(life.floor, lowest);
         life.applied.headMap(life.floor).clear();
-        while (life.applied.size() > VERDICTS)
+        while (life.applied.size() > MAX_RESULTS_PER_SESSION)
             life.floor = life.applied.pollFirstEntry().getKey() + 1;
     }
 
     /** The life that has been idle for longest. */
-    private static Long idle(Rows.Whole rows) {
+    private static Long leastRecentlyUsed(Rows.Whole rows) {
         return rows.lives.entrySet().stream()
                 .min(Comparator.comparingLong(e -> e.getValue().index))
                 .map(Map.Entry::getKey)
                 .orElseThrow();
     }
 
-    private static Rows.Applied applied(CommandResult v) {
+    private static Rows.Applied toRecord(CommandResult v) {
         var a = new Rows.Applied();
         a.kind = v.kind;
         a.detail = v.detail;
@@ -62,7 +62,7 @@
         return a;
     }
 
-    private static CommandResult verdict(Rows.Applied a) {
+    private static CommandResult recordedResult(Rows.Applied a) {
         var v = new CommandResult();
         v.kind = a.kind;
         v.detail = a.detail;
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -10,10 +10,10 @@
 final class ManifestCommands {
     private ManifestCommands() {}
 
-    static CommandResult manifestPut(Rows.Whole rows, Commands.ManifestPut c) {
+    static CommandResult putManifest(Rows.Whole rows, Commands.ManifestPut c) {
         var m = rows.manifest;
-        if (c.number > 0) return numbered(rows, c, m);
-        if (c.base == base(m) && c.text.equals(m.text)) return taken(m);
+        if (c.number > 0) return putNumbered(rows, c, m);
+        if (c.base == baseVersionOf(m) && c.text.equals(m.text)) return acceptedResult(m);
         if (c.base != m.version)
             return Records.failure(
                     Kind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.version);
@@ -22,17 +22,17 @@
         m.version++;
         m.text = c.text;
         m.topicVersion = rows.index;
-        return taken(m);
+        return acceptedResult(m);
     }
 
     /** What the newest one was built on; snapshots of older processes do not tell. */
-    private static long base(Rows.Manifest m) {
+    private static long baseVersionOf(Rows.Manifest m) {
         return m.base < 0 ? m.version - 1 : m.base;
     }
 
-    private static CommandResult numbered(Rows.Whole rows, Commands.ManifestPut c, Rows.Manifest m) {
-        var change = Fingerprint.of(c.source, c.base);
-        if (change.isThatOf(c.number, m)) return taken(m);
+    private static CommandResult putNumbered(Rows.Whole rows, Commands.ManifestPut c, Rows.Manifest m) {
+        var change = ConfigurationFingerprint.of(c.source, c.base);
+        if (change.matchesRecorded(c.number, m)) return acceptedResult(m);
         if (c.base != m.known())
             return Records.failure(
                     Kind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.known());
@@ -45,23 +45,23 @@
         m.source = c.source;
         m.topicVersion = rows.index;
         change.remember(c.number, m);
-        return taken(m);
+        return acceptedResult(m);
     }
 
-    private static CommandResult taken(Rows.Manifest m) {
-        var v = Records.versioned(m.topicVersion);
+    private static CommandResult acceptedResult(Rows.Manifest m) {
+        var v = Records.okWithVersion(m.topicVersion);
         v.detail = Long.toString(m.version);
         return v;
     }
 
-    static CommandResult zoneMark(Rows.Whole rows, Commands.ZoneMark c) {
+    static CommandResult markZone(Rows.Whole rows, Commands.ZoneMark c) {
         var m = rows.manifest;
         var key = MarkKey.zone(c.zone).text();
-        if (m.marks.containsKey(key) == c.emptied) return Records.versioned(m.topicVersion);
+        if (m.marks.containsKey(key) == c.emptied) return Records.okWithVersion(m.topicVersion);
         if (c.emptied) m.marks.put(key, Plan.EMPTIED);
         else m.marks.remove(key);
         m.marksVersion++;
         m.topicVersion = rows.index;
-        return Records.versioned(m.topicVersion);
+        return Records.okWithVersion(m.topicVersion);
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/MemberCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/MemberCommands.java
@@ -8,12 +8,12 @@
 final class MemberCommands {
     private MemberCommands() {}
 
-    static CommandResult memberPut(Rows.Whole rows, Commands.MemberPut c) {
+    static CommandResult putMember(Rows.Whole rows, Commands.MemberPut c) {
         var old = rows.members.get(c.node.name);
         if (old != null && old.node.incarnation > c.node.incarnation)
             return Records.failure(Kind.STALE_MEMBER, Long.toString(old.node.incarnation));
         if (old != null && old.node.incarnation < c.node.incarnation)
-            abandon(rows, c.node.name, c.node.incarnation - 1);
+            markOpenClaimsUnknown(rows, c.node.name, c.node.incarnation - 1);
         var m = new Rows.Member();
         m.node = c.node;
         rows.members.put(c.node.name, m);
@@ -21,17 +21,17 @@
         return Records.ok();
     }
 
-    static CommandResult memberOut(Rows.Whole rows, String name, long incarnation, boolean gone) {
+    static CommandResult endMembership(Rows.Whole rows, String name, long incarnation, boolean gone) {
         var m = rows.members.get(name);
         if (m == null || m.node.incarnation != incarnation) return Records.ok();
-        abandon(rows, name, incarnation);
+        markOpenClaimsUnknown(rows, name, incarnation);
         m.lapsed = true;
         if (gone) rows.members.remove(name);
         rows.membersVersion = rows.index;
         return Records.ok();
     }
 
-    private static void abandon(Rows.Whole rows, String holder, long upTo) {
+    private static void markOpenClaimsUnknown(Rows.Whole rows, String holder, long upTo) {
         for (var c : rows.claims.values())
             if (c.state == Rows.Claim.OPEN && c.holder.equals(holder) && c.incarnation <= upTo)
                 c.state = Rows.Claim.UNKNOWN;
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -9,20 +9,20 @@
 final class PlanCommands {
     private PlanCommands() {}
 
-    static CommandResult planPut(Rows.Whole rows, Commands.PlanPut c) {
+    static CommandResult putPlan(Rows.Whole rows, Commands.PlanPut c) {
         var p = c.plan;
         if (p.manifestVersion != rows.manifest.version || p.marksVersion != rows.manifest.marksVersion)
             return Records.failure(Kind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
         p.id = ++rows.planCount;
         rows.plans.put(p.id, p);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
-        return Records.versioned(p.id);
+        return Records.okWithVersion(p.id);
     }
 
-    static CommandResult planConfirm(Rows.Whole rows, Commands.PlanConfirm c) {
+    static CommandResult confirmPlan(Rows.Whole rows, Commands.PlanConfirm c) {
         var p = rows.plans.get(c.plan);
         if (p == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + c.plan);
-        if (p.state == Plan.CONFIRMED) return Records.versioned(p.confirmedTopic);
+        if (p.state == Plan.CONFIRMED) return Records.okWithVersion(p.confirmedTopic);
         if (p.state == Plan.STOPPED) return Records.failure(Kind.STALE_PLAN, "plan " + c.plan + " was stopped");
         var m = rows.manifest;
         if (p.manifestVersion != m.version || p.marksVersion != m.marksVersion)
@@ -38,10 +38,10 @@
         m.topicVersion = rows.index;
         p.state = Plan.CONFIRMED;
         p.confirmedTopic = rows.index;
-        return Records.versioned(p.confirmedTopic);
+        return Records.okWithVersion(p.confirmedTopic);
     }
 
-    static CommandResult planStop(Rows.Whole rows, Commands.PlanStop c) {
+    static CommandResult stopPlan(Rows.Whole rows, Commands.PlanStop c) {
         var p = rows.plans.get(c.plan);
         if (p == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + c.plan);
         if (p.state == Plan.CONFIRMED)
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -11,38 +11,38 @@
 
 /** The replicated state of a part: applies committed commands, each family by a handler of its own. */
 public final class Records implements StateMachine {
-    private static final long REBUILT = 1_000;
+    private static final long REBUILD_VERSION_INCREMENT = 1_000;
 
     private final Map<Class<?>, BiFunction<Rows.Whole, Object, CommandResult>> handlers = new HashMap<>();
     private Rows.Whole rows = new Rows.Whole();
 
     public Records() {
-        on(Commands.MemberPut.class, MemberCommands::memberPut);
-        on(Commands.MemberLapsed.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, false));
-        on(Commands.MemberGone.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, true));
-        on(Commands.ManifestPut.class, ManifestCommands::manifestPut);
-        on(Commands.ServiceSync.class, ServiceCommands::serviceSync);
-        on(Commands.RunnerPut.class, RunnerCommands::runnerPut);
-        on(Commands.RunnerMark.class, RunnerCommands::runnerMark);
-        on(Commands.RunnerLeft.class, RunnerCommands::runnerLeft);
-        on(Commands.Claim.class, ClaimCommands::claim);
-        on(Commands.Finish.class, ClaimCommands::finish);
-        on(Commands.Age.class, ClaimCommands::age);
-        on(Commands.TableStep.class, ServiceCommands::tableStep);
-        on(Commands.StepAsk.class, Steps::ask);
-        on(Commands.StepMark.class, Steps::mark);
-        on(Commands.Displace.class, Steps::displace);
-        on(Commands.Rebuilt.class, (r, c) -> rebuilt(r));
-        on(Commands.ClaimsAccepted.class, (r, c) -> ClaimCommands.claimsAccepted(r));
-        on(Commands.ZoneMark.class, ManifestCommands::zoneMark);
-        on(Commands.PlanPut.class, PlanCommands::planPut);
-        on(Commands.PlanConfirm.class, PlanCommands::planConfirm);
-        on(Commands.PlanStop.class, PlanCommands::planStop);
-        on(Commands.QuotaTake.class, ClaimCommands::quotaTake);
+        register(Commands.MemberPut.class, MemberCommands::putMember);
+        register(Commands.MemberLapsed.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, false));
+        register(Commands.MemberGone.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, true));
+        register(Commands.ManifestPut.class, ManifestCommands::putManifest);
+        register(Commands.ServiceSync.class, ServiceCommands::syncService);
+        register(Commands.RunnerPut.class, RunnerCommands::putRunner);
+        register(Commands.RunnerMark.class, RunnerCommands::markRunner);
+        register(Commands.RunnerLeft.class, RunnerCommands::markRunnerLeft);
+        register(Commands.Claim.class, ClaimCommands::takeClaim);
+        register(Commands.Finish.class, ClaimCommands::finishClaim);
+        register(Commands.Age.class, ClaimCommands::advanceAge);
+        register(Commands.TableStep.class, ServiceCommands::applyTableStep);
+        register(Commands.StepAsk.class, StepCommands::askStep);
+        register(Commands.StepMark.class, StepCommands::markStep);
+        register(Commands.Displace.class, StepCommands::displaceUnits);
+        register(Commands.Rebuilt.class, (r, c) -> onRebuilt(r));
+        register(Commands.ClaimsAccepted.class, (r, c) -> ClaimCommands.acceptClaims(r));
+        register(Commands.ZoneMark.class, ManifestCommands::markZone);
+        register(Commands.PlanPut.class, PlanCommands::putPlan);
+        register(Commands.PlanConfirm.class, PlanCommands::confirmPlan);
+        register(Commands.PlanStop.class, PlanCommands::stopPlan);
+        register(Commands.QuotaTake.class, ClaimCommands::takeQuota);
     }
 
     @SuppressWarnings("unchecked")
-    private <C> void on(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
+    private <C> void register(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
         handlers.put(type, (r, o) -> handler.apply(r, (C) o));
     }
 
@@ -52,14 +52,14 @@
 
     /** What the command of this identity came to; null where it is not known to be applied. */
     public CommandResult verdict(long life, long sequence) {
-        return Lives.verdict(rows, life, sequence);
+        return CommandSessions.recordedResult(rows, life, sequence);
     }
 
     @Override
     public CommandResult apply(long index, byte[] command) {
         rows.index = index;
         var c = Codec.readTagged(command);
-        return c instanceof Commands.Fenced f ? Lives.once(rows, f, this::handle) : handle(c);
+        return c instanceof Commands.Fenced f ? CommandSessions.applyOnce(rows, f, this::handle) : handle(c);
     }
 
     private CommandResult handle(Object command) {
@@ -91,13 +91,13 @@
         return v;
     }
 
-    static CommandResult versioned(long version) {
+    static CommandResult okWithVersion(long version) {
         var v = ok();
         v.version = version;
         return v;
     }
 
-    private static CommandResult rebuilt(Rows.Whole rows) {
+    private static CommandResult onRebuilt(Rows.Whole rows) {
         rows.claimsLost = true;
         rows.lostSince = rows.age;
         rows.claims.values().forEach(c -> {
@@ -105,10 +105,10 @@
         });
         var m = rows.manifest;
         if (m.number == 0 && m.taken.containsKey(m.version)) m.number = m.version;
-        m.version += m.version == 0 ? 0 : REBUILT;
+        m.version += m.version == 0 ? 0 : REBUILD_VERSION_INCREMENT;
         m.topicVersion = rows.index;
         for (var s : rows.services.values()) {
-            s.tableVersion += REBUILT;
+            s.tableVersion += REBUILD_VERSION_INCREMENT;
             s.newsVersion = rows.index;
         }
         return ok();
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -119,7 +119,7 @@
 
     public static final class Step {
         public static final int ASKED = 0, RAISED = 1, KEPT = 2, TAKEN_BACK = 3, DROPPED = 4;
-        private static final String[] NAMES = {"asked", "raised and watched", "kept", "taken back", "dropped"};
+        private static final String[] STATE_NAMES = {"asked", "raised and watched", "kept", "taken back", "dropped"};
         public long id;
         public int state;
         public int[] units = {};
@@ -141,7 +141,7 @@
         }
 
         public String stateName() {
-            return NAMES[state];
+            return STATE_NAMES[state];
         }
     }
 
@@ -170,7 +170,7 @@
         public TreeMap<String, String> marks = new TreeMap<>();
         /** What the newest version was built on; negative where it was taken by a process too old to keep it. */
         public long base = -1;
-        /** By number, the fingerprints of those taken; see {@link Fingerprint}. */
+        /** By number, the fingerprints of those taken; see {@link ConfigurationFingerprint}. */
         public TreeMap<Long, byte[]> digests = new TreeMap<>();
 
         /** The number that its sender gave the newest one, where that is not the version; 0: it is. */
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -8,7 +8,7 @@
 final class RunnerCommands {
     private RunnerCommands() {}
 
-    static CommandResult runnerPut(Rows.Whole rows, Commands.RunnerPut c) {
+    static CommandResult putRunner(Rows.Whole rows, Commands.RunnerPut c) {
         var s = rows.services.get(c.service);
         if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service);
         var cell = s.cells.indexOf(c.cell);
@@ -39,32 +39,32 @@
         return Records.ok();
     }
 
-    static CommandResult runnerMark(Rows.Whole rows, Commands.RunnerMark c) {
+    static CommandResult markRunner(Rows.Whole rows, Commands.RunnerMark c) {
         var s = rows.services.get(c.service);
         if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service);
         var r = s.runners.get(c.runner);
         if (r == null || r.incarnation != c.incarnation)
             return Records.failure(Kind.STALE_RUNNER, "no runner " + c.runner + " at incarnation " + c.incarnation);
-        end(rows, s, r, c.state);
+        endRunner(rows, s, r, c.state);
         return Records.ok();
     }
 
-    static CommandResult runnerLeft(Rows.Whole rows, Commands.RunnerLeft c) {
+    static CommandResult markRunnerLeft(Rows.Whole rows, Commands.RunnerLeft c) {
         for (var s : rows.services.values()) {
             var r = s.runners.get(c.runner);
-            if (r != null) end(rows, s, r, Rows.Runner.LEAVING);
+            if (r != null) endRunner(rows, s, r, Rows.Runner.LEAVING);
         }
         return Records.ok();
     }
 
-    private static void end(Rows.Whole rows, Rows.Service s, Rows.Runner r, int state) {
+    private static void endRunner(Rows.Whole rows, Rows.Service s, Rows.Runner r, int state) {
         if (r.state == Rows.Runner.LEAVING || r.state == state) return;
         r.state = state;
         r.endedAge = rows.age;
         s.newsVersion = rows.index;
     }
 
-    static void forget(Rows.Whole rows, Rows.Service s, long after) {
+    static void removeExpiredRunners(Rows.Whole rows, Rows.Service s, long after) {
         if (s.runners.values().removeIf(r -> !r.up() && rows.age - r.endedAge > after)) s.newsVersion = rows.index;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -11,14 +11,14 @@
 final class ServiceCommands {
     private ServiceCommands() {}
 
-    static CommandResult serviceSync(Rows.Whole rows, Commands.ServiceSync c) {
+    static CommandResult syncService(Rows.Whole rows, Commands.ServiceSync c) {
         var s = rows.services.computeIfAbsent(c.service, n -> new Rows.Service());
         if (c.manifestVersion <= s.manifestVersion) return Records.ok();
         s.name = c.service;
         s.manifestVersion = c.manifestVersion;
         s.bySlots = c.bySlots;
         for (var r : c.regions) if (!s.regions.contains(r) && s.regions.size() < Units.MOST_REGIONS) s.regions.add(r);
-        s.sets = c.bound.stream().mapToInt(b -> set(s, b)).distinct().toArray();
+        s.sets = c.bound.stream().mapToInt(b -> regionSetOf(s, b)).distinct().toArray();
         for (var i = 0; i < s.cells.size(); i++) if (!c.cells.contains(s.cells.get(i))) s.weights.set(i, 0);
         for (var i = 0; i < c.cells.size(); i++) putCell(s, c, i);
         var old = s.homes;
@@ -29,7 +29,7 @@
         return Records.ok();
     }
 
-    private static int set(Rows.Service s, String names) {
+    private static int regionSetOf(Rows.Service s, String names) {
         var set = 0;
         for (var n : names.split(" ")) if (s.regions.contains(n)) set |= 1 << s.regions.indexOf(n);
         return set;
@@ -49,7 +49,7 @@
         }
     }
 
-    static CommandResult tableStep(Rows.Whole rows, Commands.TableStep c) {
+    static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep c) {
         var s = rows.services.get(c.service);
         if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
         for (var i = 0; i < c.units.length; i++) s.homes[c.units[i]] = c.cells[i];
@@ -58,7 +58,7 @@
         return Records.ok();
     }
 
-    static CommandResult mayWrite(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
+    static CommandResult writeRefusal(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
         var s = rows.services.get(service);
         if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + service);
         if (tableVersion != s.tableVersion) {
--- a/lib/state/src/test/java/craneway/state/disk/OldFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/OldFormatTest.java
@@ -106,7 +106,7 @@
         var f = folder();
         readWhole(f);
         assertEquals(java.util.List.of("p0.image.4", "p0.log.10", "p0.mark"), f.names());
-        assertEquals(SegmentHeader.FORMAT, SegmentHeader.formatOf("p0.log.10", f.read("p0.log.10")));
+        assertEquals(SegmentHeader.CURRENT_FORMAT, SegmentHeader.formatOf("p0.log.10", f.read("p0.log.10")));
         readWhole(f);
     }
 
--- a/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
@@ -68,7 +68,7 @@
         var f = with(h.folder, MARK, null);
         var whole = f.read("p0.log.1");
         assertEquals(h.states.get(h.acknowledged), LogHistory.describe(new SegmentLog(f.afterKill(), "p0.", 7)));
-        var lastSync = RecordCodec.HEAD + RecordCodec.HEAD + 30;
+        var lastSync = RecordCodec.HEADER_BYTES + RecordCodec.HEADER_BYTES + 30;
         for (var at = 0; at < whole.length - lastSync; at++)
             lost(with(f, "p0.log.1", flipped(whole, at, 0x40)), "byte " + at);
     }
@@ -101,8 +101,8 @@
             var f = h.folder.afterPowerLoss(o);
             var mark = SyncMark.decode(f.read(MARK));
             var segment = f.read("p0.log.1");
-            if (mark == null || mark.length() > segment.length) continue;
-            for (var at = 0; at < mark.length(); at += 13, tried++)
+            if (mark == null || mark.syncedBytes() > segment.length) continue;
+            for (var at = 0; at < mark.syncedBytes(); at += 13, tried++)
                 lost(with(f, "p0.log.1", flipped(segment, at, 8)), "outcome " + o + " byte " + at);
         }
         assertTrue(tried > 1_000, tried + " tried");
@@ -163,7 +163,7 @@
     void aNewerFormatIsNamedAndNothingIsWritten() {
         var f = threeSyncs().folder;
         var newer = f.read("p0.log.1");
-        var format = SegmentHeader.FORMAT + 1;
+        var format = SegmentHeader.CURRENT_FORMAT + 1;
         ByteBuffer.wrap(newer).putInt(4, format).putInt(8, ~format);
         f.put("p0.log.1", newer);
         var before = contents(f);
--- a/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
+++ b/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
@@ -116,12 +116,12 @@
 
     @Test
     void ofMoreThanAreRememberedTheNewestAreAcknowledgedAgainAndOlderOnesHaveNoEffect() {
-        var all = Fingerprint.REMEMBERED + 500;
+        var all = ConfigurationFingerprint.MAX_REMEMBERED + 500;
         for (var n = 1; n <= all; n++) assertEquals(OK, put(n - 1, n, "text " + n).kind);
-        assertEquals(Fingerprint.REMEMBERED, newest().taken.size());
-        assertEquals(Fingerprint.REMEMBERED, newest().digests.size());
+        assertEquals(ConfigurationFingerprint.MAX_REMEMBERED, newest().taken.size());
+        assertEquals(ConfigurationFingerprint.MAX_REMEMBERED, newest().digests.size());
         reload();
-        var oldest = all - Fingerprint.REMEMBERED + 1;
+        var oldest = all - ConfigurationFingerprint.MAX_REMEMBERED + 1;
         assertEquals(OK, put(oldest - 1, oldest, "text " + oldest).kind);
         assertEquals(OK, put(all - 1, all, "text " + all).kind);
         assertEquals(Kind.RACE_LOST.code(), put(oldest - 2, oldest - 1, "text " + (oldest - 1)).kind);
--- a/lib/state/src/test/java/craneway/state/record/LivesTest.java
+++ b/lib/state/src/test/java/craneway/state/record/LivesTest.java
@@ -84,8 +84,8 @@
 
     @Test
     void theVerdictsOfALifeAreBounded() {
-        for (var i = 1; i <= 3 * Lives.VERDICTS; i++) apply(LIFE, i, 1, mark(true));
-        assertEquals(Lives.VERDICTS, records.rows().lives.get(LIFE).applied.size());
+        for (var i = 1; i <= 3 * CommandSessions.MAX_RESULTS_PER_SESSION; i++) apply(LIFE, i, 1, mark(true));
+        assertEquals(CommandSessions.MAX_RESULTS_PER_SESSION, records.rows().lives.get(LIFE).applied.size());
         assertEquals(Kind.LATE_COMMAND.code(), apply(LIFE, 1, 1, mark(false)).kind);
         assertTrue(emptied());
     }
@@ -93,11 +93,11 @@
     @Test
     void theLivesAreBoundedAndTheIdlestGoesFirst() {
         apply(LIFE, 1, 1, mark(true));
-        for (var i = 1; i <= Lives.LIVES; i++) {
+        for (var i = 1; i <= CommandSessions.MAX_SESSIONS; i++) {
             apply(i, 1, 1, mark(true));
-            if (i == Lives.LIVES / 2) apply(LIFE, 2, 1, mark(true));
+            if (i == CommandSessions.MAX_SESSIONS / 2) apply(LIFE, 2, 1, mark(true));
         }
-        assertEquals(Lives.LIVES, records.rows().lives.size());
+        assertEquals(CommandSessions.MAX_SESSIONS, records.rows().lives.size());
         assertTrue(records.rows().lives.containsKey(LIFE));
         assertFalse(records.rows().lives.containsKey(1L));
     }
--- a/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
@@ -84,8 +84,8 @@
         old.manifest.version = 5;
         old.manifest.topicVersion = 39;
         old.manifest.text = old.manifest.source = "b";
-        var print = Fingerprint.of("b", 3);
-        old.manifest.taken.put(5L, print.hash());
+        var print = ConfigurationFingerprint.of("b", 3);
+        old.manifest.taken.put(5L, print.legacyHash());
         old.manifest.marks.put("zone:z1", Plan.EMPTIED);
         var records = new Records();
         records.load(Codec.write(old));
@@ -103,7 +103,7 @@
         records.apply(1, fenced(put(0, 5, "a")));
         var old = Codec.read(OlderWhole.class, records.snapshot());
         assertEquals(5, old.manifest.version);
-        assertEquals(Fingerprint.of("a", 0).hash(), old.manifest.taken.get(5L));
+        assertEquals(ConfigurationFingerprint.of("a", 0).legacyHash(), old.manifest.taken.get(5L));
         assertEquals(1, old.index);
     }
 
