--- a/lib/state/src/main/java/craneway/state/disk/LegacyRecord.java
+++ b/lib/state/src/main/java/craneway/state/disk/LegacyRecord.java
@@ -36,7 +36,10 @@
     boolean isValid() {
         if (start + KIND_OFFSET + 4 > buffer.limit()) return false;
         var n = size();
-        return n >= KIND_OFFSET + 4 && n <= MAX_RECORD_BYTES && start + n <= buffer.limit() && buffer.getInt(start + 4) == checksum(buffer.array(), start + 8, n - 8);
+        return n >= KIND_OFFSET + 4
+                && n <= MAX_RECORD_BYTES
+                && start + n <= buffer.limit()
+                && buffer.getInt(start + 4) == checksum(buffer.array(), start + 8, n - 8);
     }
 
     int size() {
--- a/lib/state/src/main/java/craneway/state/disk/LegacySegmentReader.java
+++ b/lib/state/src/main/java/craneway/state/disk/LegacySegmentReader.java
@@ -33,7 +33,8 @@
         }
         if (mark == null ? hasValidRecordFrom(at + 1) : at < mark.syncedBytes())
             throw new DiskLostException(name + ": damaged at byte " + at + " of " + file.limit());
-        return new SegmentContents(core, snapshotIndex, snapshotTerm, records, mark != null && at == mark.syncedBytes());
+        return new SegmentContents(
+                core, snapshotIndex, snapshotTerm, records, mark != null && at == mark.syncedBytes());
     }
 
     private boolean hasValidRecordFrom(int from) {
--- a/lib/state/src/main/java/craneway/state/disk/PartFiles.java
+++ b/lib/state/src/main/java/craneway/state/disk/PartFiles.java
@@ -40,8 +40,10 @@
         var all = segmentNumbers();
         var mark = SyncMark.decode(folder.read(prefix + SYNC_MARK_NAME));
         var newest = all.isEmpty() ? 0 : all.get(all.size() - 1);
-        if (mark != null && mark.segmentNumber() > newest) throw new DiskLostException(segmentName(mark.segmentNumber()) + ": missing");
-        if (newest > 0) return new SegmentReader(segmentName(newest), newest, folder.read(segmentName(newest)), mark).read();
+        if (mark != null && mark.segmentNumber() > newest)
+            throw new DiskLostException(segmentName(mark.segmentNumber()) + ": missing");
+        if (newest > 0)
+            return new SegmentReader(segmentName(newest), newest, folder.read(segmentName(newest)), mark).read();
         if (folder.names().stream().anyMatch(n -> n.startsWith(prefix + SNAPSHOT_NAME)))
             throw new DiskLostException(prefix + SEGMENT_NAME + ": missing beside a snapshot");
         return null;
--- a/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
@@ -7,7 +7,8 @@
  * The start of a segment. The magic number and the format come first in every format. The nonce belongs to this segment
  * alone and enters the checksum of its records; all of the initial length was synced before the segment got its name.
  */
-record SegmentHeader(int segmentNumber, int coreHash, long nonce, long snapshotIndex, long snapshotTerm, int initialBytes) {
+record SegmentHeader(
+        int segmentNumber, int coreHash, long nonce, long snapshotIndex, long snapshotTerm, int initialBytes) {
     static final int CURRENT_FORMAT = 2;
     static final int HEADER_BYTES = 52;
     static final int FORMAT_BYTES = 12;
@@ -18,7 +19,11 @@
     ByteBuffer encode() {
         var b = ByteBuffer.allocate(HEADER_BYTES);
         b.putInt(MAGIC).putInt(CURRENT_FORMAT).putInt(~CURRENT_FORMAT).putInt(0);
-        b.putInt(segmentNumber).putInt(coreHash).putLong(nonce).putLong(snapshotIndex).putLong(snapshotTerm);
+        b.putInt(segmentNumber)
+                .putInt(coreHash)
+                .putLong(nonce)
+                .putLong(snapshotIndex)
+                .putLong(snapshotTerm);
         b.putInt(initialBytes);
         return b.putInt(CHECKSUM_OFFSET, checksum(b.array())).flip();
     }
--- a/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
@@ -224,7 +224,8 @@
         if (contents == null) return;
         if (contents.coreHash() != 0 && contents.coreHash() != coreHash)
             throw new DiskLostException(files.segmentName(segmentNumber) + ": belongs to another core");
-        if (contents.snapshotIndex() != 0) snapshot = files.readSnapshot(contents.snapshotIndex(), contents.snapshotTerm());
+        if (contents.snapshotIndex() != 0)
+            snapshot = files.readSnapshot(contents.snapshotIndex(), contents.snapshotTerm());
         contents.records().forEach(this::replayRecord);
         dirty = !contents.allSynced();
     }
--- a/lib/state/src/main/java/craneway/state/disk/SegmentReader.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentReader.java
@@ -25,7 +25,8 @@
     SegmentContents read() {
         var header = SegmentHeader.decode(name, file);
         if (header == null) return new LegacySegmentReader(name, file, mark).read();
-        if (header.segmentNumber() != segmentNumber) throw new DiskLostException(name + ": holds the segment " + header.segmentNumber());
+        if (header.segmentNumber() != segmentNumber)
+            throw new DiskLostException(name + ": holds the segment " + header.segmentNumber());
         if (mark != null && mark.nonce() != header.nonce())
             throw new DiskLostException(name + ": another file of this name");
         var codec = new RecordCodec(header.nonce());
@@ -40,7 +41,11 @@
         if (at < Math.max(header.initialBytes(), marked) || laterRecordProvesSynced(codec, buffer, at))
             throw new DiskLostException(name + ": damaged at byte " + at + " of " + file.length + ", which was synced");
         return new SegmentContents(
-                header.coreHash(), header.snapshotIndex(), header.snapshotTerm(), records, mark != null && at == marked);
+                header.coreHash(),
+                header.snapshotIndex(),
+                header.snapshotTerm(),
+                records,
+                mark != null && at == marked);
     }
 
     private static boolean laterRecordProvesSynced(RecordCodec codec, ByteBuffer buffer, int damage) {
--- a/lib/state/src/main/java/craneway/state/disk/UnknownFormat.java
+++ b/lib/state/src/main/java/craneway/state/disk/UnknownFormat.java
@@ -4,7 +4,7 @@
 public final class UnknownFormat extends RuntimeException {
     /** Names the file, the format found and the newest one known. */
     public UnknownFormat(String name, int format) {
-        super(name + " has the data format " + format + "; this version knows formats up to " + SegmentHeader.CURRENT_FORMAT
-                + ". Nothing was changed: start a newer version on this folder");
+        super(name + " has the data format " + format + "; this version knows formats up to "
+                + SegmentHeader.CURRENT_FORMAT + ". Nothing was changed: start a newer version on this folder");
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Codec.java
+++ b/lib/state/src/main/java/craneway/state/message/Codec.java
@@ -6,7 +6,8 @@
 import java.util.Arrays;
 
 public final class Codec {
-    private static final ThreadLocal<LinkedBuffer> ENCODE_BUFFER = ThreadLocal.withInitial(() -> LinkedBuffer.allocate(4096));
+    private static final ThreadLocal<LinkedBuffer> ENCODE_BUFFER =
+            ThreadLocal.withInitial(() -> LinkedBuffer.allocate(4096));
 
     private Codec() {}
 
--- a/lib/state/src/main/java/craneway/state/part/CatchUpTracker.java
+++ b/lib/state/src/main/java/craneway/state/part/CatchUpTracker.java
@@ -1,9 +1,10 @@
 package craneway.state.part;
 
 /**
- * The catch-up rounds of one peer, as its leader sees them. A round ends when the peer holds everything the leader's log held when
- * the round began; the next one begins at once. The peer has caught up while its last whole round was short and the open one has
- * not outlasted that bound, so what it still lacks is no more than came within one bound. Times are microseconds.
+ * Tracks how fast one peer catches up, in rounds. A round ends when the peer holds everything that the leader's log
+ * held at the start of the round; the next round starts at once. The peer counts as caught up while its last complete
+ * round was no longer than the limit and the current round has not exceeded it. What the peer is still missing then
+ * arrived within one such limit. Times are microseconds.
  */
 final class CatchUpTracker {
     private final long maxRoundMicros;
@@ -11,8 +12,8 @@
     private long roundStartedAt;
     private boolean lastRoundWasShort;
 
-    CatchUpTracker(long bound, long lastIndex, long now) {
-        this.maxRoundMicros = bound;
+    CatchUpTracker(long maxRoundMicros, long lastIndex, long now) {
+        this.maxRoundMicros = maxRoundMicros;
         startRound(lastIndex, now);
     }
 
@@ -21,13 +22,14 @@
         roundStartedAt = now;
     }
 
-    /** The peer said that its log matches the leader's up to an entry. */
-    void onMatch(long match, long lastIndex, long now) {
-        if (match < roundTargetIndex) return;
+    /** Records that the peer's log matches the leader's up to an index. */
+    void onMatch(long matchIndex, long lastIndex, long now) {
+        if (matchIndex < roundTargetIndex) return;
         lastRoundWasShort = now - roundStartedAt <= maxRoundMicros;
         startRound(lastIndex, now);
     }
 
+    /** Returns whether the peer counts as caught up. */
     boolean isCaughtUp(long now) {
         return lastRoundWasShort && now - roundStartedAt <= maxRoundMicros;
     }
--- a/lib/state/src/main/java/craneway/state/part/Election.java
+++ b/lib/state/src/main/java/craneway/state/part/Election.java
@@ -7,13 +7,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * The election of a leader: a store that hears none first asks whether it would be voted for (so that one that comes back disturbs
- * nobody), then stands for a new term. A voter refuses others while it hears a leader, and for a while after its own start unless
- * all voters say yes, since a leader it heard in its earlier life may still hold its lease.
+ * Leader election with a pre-vote round. A store that no longer hears a leader first asks the voters whether they would
+ * vote for it, so that a store returning from a partition does not disrupt a working leader, and only then starts an
+ * election in a new term.
+ *
+ * <p>A voter ignores vote requests while it hears a leader. After its own start it also ignores them for the length of
+ * a leader lease, because a leader it heard before the restart may still hold its lease; the exception is an election
+ * that all voters agreed to in the pre-vote.
  */
 final class Election {
     private static final long DISK_RETRY_DELAY_MICROS = 500_000;
+    /** The base delay before a failed pre-vote or election is retried; up to twice this, at random. */
     private static final long ELECTION_RETRY_DELAY_MICROS = 200_000;
+    /** The base delay of the first election after a start and of retried pre-votes soon after it; up to twice this. */
     private static final long STARTUP_ELECTION_DELAY_MICROS = 80_000;
 
     private final Replica replica;
@@ -22,60 +28,66 @@
     private final Set<Long> grantedVotes = new HashSet<>();
     private final Set<Long> conditionalVotes = new HashSet<>();
     private long recentlyStartedUntil;
-    private long isDue;
+    private long deadline;
 
-    /** The contact is when this store, as a leader, last had sent what a majority answered. */
-    Election(Replica replica, Random random, LongSupplier leaderContact) {
+    /**
+     * Creates the election logic. The supplier returns the send time of the latest messages that a majority has
+     * answered while this store is leader.
+     */
+    Election(Replica replica, Random random, LongSupplier lastMajorityContact) {
         this.replica = replica;
         this.random = random;
-        this.lastMajorityContact = leaderContact;
+        this.lastMajorityContact = lastMajorityContact;
     }
 
-    /** The process has just started. */
+    /** Records that the process has just started and schedules the first election. */
     void onStart(long now) {
         recentlyStartedUntil = now + replica.timing.leaderLease();
-        isDue = now + STARTUP_ELECTION_DELAY_MICROS + (long) (random.nextDouble() * STARTUP_ELECTION_DELAY_MICROS);
+        deadline = now + STARTUP_ELECTION_DELAY_MICROS + (long) (random.nextDouble() * STARTUP_ELECTION_DELAY_MICROS);
     }
 
-    /** Whether the time of the present role is over. */
+    /** Returns whether the timeout of the current role has expired. */
     boolean isDue(long now) {
-        return now >= isDue;
+        return now >= deadline;
     }
 
-    /** Counts anew in a role that was just taken up. */
+    /** Clears the collected votes and sets the timeout of the role that was just entered. */
     void onRoleChange(Role role, long now) {
         grantedVotes.clear();
         conditionalVotes.clear();
-        isDue = nextElectionDeadline(now);
-        var pause = role == Role.PRE_CANDIDATE && hasRecentlyStarted(now) ? STARTUP_ELECTION_DELAY_MICROS : ELECTION_RETRY_DELAY_MICROS;
+        deadline = nextElectionDeadline(now);
+        var delay = role == Role.PRE_CANDIDATE && hasRecentlyStarted(now)
+                ? STARTUP_ELECTION_DELAY_MICROS
+                : ELECTION_RETRY_DELAY_MICROS;
         if (role == Role.PRE_CANDIDATE || role == Role.CANDIDATE)
-            isDue = now + pause + (long) (random.nextDouble() * pause);
-        if (role == Role.DISK_FAILED) isDue = now + DISK_RETRY_DELAY_MICROS;
+            deadline = now + delay + (long) (random.nextDouble() * delay);
+        if (role == Role.DISK_FAILED) deadline = now + DISK_RETRY_DELAY_MICROS;
     }
 
     private long nextElectionDeadline(long now) {
         var timing = replica.timing;
-        var share = timing.lowTraffic()
+        var jitterShare = timing.lowTraffic()
                 ? Hash.bucket(Hash.of(replica.selfId, now >> 20), 1 << 16) / 65_536.0
                 : random.nextDouble();
-        return now + timing.electionTimeout() + (long) (share * timing.electionJitter());
+        return now + timing.electionTimeout() + (long) (jitterShare * timing.electionJitter());
     }
 
-    /** Follows the leader of the current term, which was just heard. */
-    void followLeader(long leader, long now) {
-        replica.leaderId = leader;
+    /** Follows the leader of the current term, from which a message was just received. */
+    void followLeader(long leaderId, long now) {
+        replica.leaderId = leaderId;
         replica.lastLeaderContactAt = now;
         recentlyStartedUntil = now;
         if (replica.role != Role.FOLLOWER) replica.transitions.changeRole(Role.FOLLOWER, now);
-        isDue = nextElectionDeadline(now);
+        deadline = nextElectionDeadline(now);
     }
 
     /** Asks the voters whether they would vote for this store. */
     void startPreVote(long now) {
         replica.transitions.changeRole(Role.PRE_CANDIDATE, now);
         (hasRecentlyStarted(now) ? conditionalVotes : grantedVotes).add(replica.selfId);
-        for (var v : replica.members().voters)
-            if (v != replica.selfId) replica.sendAfterSync(newVoteRequest(PartMessage.PRE_VOTE, v, replica.log.term() + 1));
+        for (var voterId : replica.members().voters)
+            if (voterId != replica.selfId)
+                replica.sendAfterSync(newVoteRequest(PartMessage.PRE_VOTE, voterId, replica.log.term() + 1));
         countPreVotes(now);
     }
 
@@ -85,17 +97,20 @@
         else if (conditionalVotes.size() == replica.members().voters.length) startElection(now, true);
     }
 
-    /** Stands for the next term; sure where no leader can still hold a lease, or the leader itself asked for it. */
+    /**
+     * Starts an election in the next term. The election is unconditional if no leader can still hold a lease or the
+     * leader itself asked for it; voters then do not ignore the request.
+     */
     void startElection(long now, boolean unconditional) {
         replica.transitions.changeRole(Role.CANDIDATE, now);
         replica.leaderId = 0;
         replica.log.saveTermAndVote(replica.log.term() + 1, replica.selfId);
         grantedVotes.add(replica.selfId);
-        for (var v : replica.members().voters) {
-            if (v == replica.selfId) continue;
-            var m = newVoteRequest(PartMessage.VOTE, v, replica.log.term());
-            m.granted = unconditional;
-            replica.sendAfterSync(m);
+        for (var voterId : replica.members().voters) {
+            if (voterId == replica.selfId) continue;
+            var request = newVoteRequest(PartMessage.VOTE, voterId, replica.log.term());
+            request.granted = unconditional;
+            replica.sendAfterSync(request);
         }
         becomeLeaderOnMajority(now);
     }
@@ -105,90 +120,101 @@
     }
 
     private PartMessage newVoteRequest(int kind, long to, long term) {
-        var m = replica.newMessage(kind, to, term);
-        m.index = replica.log.last();
-        m.logTerm = replica.log.termAt(m.index);
-        return m;
+        var request = replica.newMessage(kind, to, term);
+        request.index = replica.log.last();
+        request.logTerm = replica.log.termAt(request.index);
+        return request;
     }
 
-    /** Whether a request to vote is to be passed over, because a leader may still hold its lease. */
+    /** Returns whether a vote request must be ignored because a leader may still hold its lease. */
     boolean ignoresVoteRequests(long now) {
         return isLeaderAlive(now) || hasRecentlyStarted(now);
     }
 
     private boolean isLeaderAlive(long now) {
-        var contact = replica.role == Role.LEADER ? lastMajorityContact.getAsLong() : replica.lastLeaderContactAt;
-        return now < contact + replica.timing.electionTimeout();
+        var lastContactAt = replica.role == Role.LEADER ? lastMajorityContact.getAsLong() : replica.lastLeaderContactAt;
+        return now < lastContactAt + replica.timing.electionTimeout();
     }
 
-    /** Whether this voter has started so lately that a leader it had heard before may still hold its lease. */
+    /**
+     * Returns whether this voter started so recently that a leader it heard before the restart may still hold its
+     * lease.
+     */
     private boolean hasRecentlyStarted(long now) {
         return replica.role != Role.LEADER && now < recentlyStartedUntil;
     }
 
-    private boolean isLogUpToDate(PartMessage m) {
-        var last = replica.log.last();
-        var term = replica.log.termAt(last);
-        return m.logTerm > term || m.logTerm == term && m.index >= last;
+    private boolean isLogUpToDate(PartMessage request) {
+        var lastIndex = replica.log.last();
+        var lastTerm = replica.log.termAt(lastIndex);
+        return request.logTerm > lastTerm || request.logTerm == lastTerm && request.index >= lastIndex;
     }
 
-    void onPreVote(PartMessage m, long now) {
-        var r = replica.newMessage(PartMessage.PRE_VOTE_REPLY, m.from, m.term);
-        var mine = now < recentlyStartedUntil + replica.timing.leaderLease() && hasPriority(m);
-        if (mine && replica.role == Role.FOLLOWER) isDue = now;
-        r.recentlyStarted = hasRecentlyStarted(now);
-        r.granted = m.term > replica.log.term() && isLogUpToDate(m) && !isLeaderAlive(now) && !mine;
-        r.index = replica.log.term();
-        replica.sendAfterSync(r);
-        if (r.granted) stepDownForPreVote(now);
+    void onPreVote(PartMessage request, long now) {
+        var reply = replica.newMessage(PartMessage.PRE_VOTE_REPLY, request.from, request.term);
+        var hasPriority = now < recentlyStartedUntil + replica.timing.leaderLease() && hasPriority(request);
+        if (hasPriority && replica.role == Role.FOLLOWER) deadline = now;
+        reply.recentlyStarted = hasRecentlyStarted(now);
+        reply.granted =
+                request.term > replica.log.term() && isLogUpToDate(request) && !isLeaderAlive(now) && !hasPriority;
+        reply.index = replica.log.term();
+        replica.sendAfterSync(reply);
+        if (reply.granted) stepDownForPreVote(now);
     }
 
-    /** A yes is a promise not to lead in an earlier term: late acknowledgements or votes must not bring that lease back. */
+    /**
+     * Steps down after granting a pre-vote. A granted pre-vote promises not to lead in an earlier term: late
+     * acknowledgements or votes must not revive that lease.
+     */
     private void stepDownForPreVote(long now) {
         if (replica.role != Role.LEADER && replica.role != Role.CANDIDATE) return;
         replica.leaderId = 0;
         replica.transitions.changeRole(Role.FOLLOWER, now);
     }
 
-    /** After a start, of equal logs the last leader's goes first, then the lowest id, so that not all start an election at once. */
-    private boolean hasPriority(PartMessage m) {
+    /**
+     * Returns whether this store should run before the sender after a start. Among equal logs the last leader goes
+     * first, then the lowest id, so that not all stores start an election at once.
+     */
+    private boolean hasPriority(PartMessage request) {
         var log = replica.log;
-        var self = replica.selfId;
-        if (m.logTerm != log.termAt(log.last())
-                || m.index != log.last()
-                || !replica.members().isVoter(self)) return false;
-        var lower = self < m.from && log.vote() != m.from && (log.vote() != 0 || log.term() == 0);
-        return log.vote() == self || lower;
+        var selfId = replica.selfId;
+        if (request.logTerm != log.termAt(log.last())
+                || request.index != log.last()
+                || !replica.members().isVoter(selfId)) return false;
+        var hasLowerId = selfId < request.from && log.vote() != request.from && (log.vote() != 0 || log.term() == 0);
+        return log.vote() == selfId || hasLowerId;
     }
 
-    void onPreVoteReply(PartMessage m, long now) {
-        if (m.index > replica.log.term()) {
-            replica.log.saveTermAndVote(m.index, 0);
+    void onPreVoteReply(PartMessage reply, long now) {
+        if (reply.index > replica.log.term()) {
+            replica.log.saveTermAndVote(reply.index, 0);
             replica.transitions.changeRole(Role.FOLLOWER, now);
             return;
         }
-        if (replica.role != Role.PRE_CANDIDATE || !m.granted || m.term != replica.log.term() + 1) return;
-        if (!replica.members().isVoter(m.from)) return;
-        (m.recentlyStarted ? conditionalVotes : grantedVotes).add(m.from);
+        if (replica.role != Role.PRE_CANDIDATE || !reply.granted || reply.term != replica.log.term() + 1) return;
+        if (!replica.members().isVoter(reply.from)) return;
+        (reply.recentlyStarted ? conditionalVotes : grantedVotes).add(reply.from);
         countPreVotes(now);
     }
 
-    void onVote(PartMessage m, long now) {
+    void onVote(PartMessage request, long now) {
         var log = replica.log;
-        var r = replica.newMessage(PartMessage.VOTE_REPLY, m.from);
-        var free = log.vote() == 0 || log.vote() == m.from;
-        r.granted = m.term == log.term() && free && replica.role == Role.FOLLOWER && isLogUpToDate(m);
-        if (r.granted) {
-            if (log.vote() == 0) log.saveTermAndVote(log.term(), m.from);
-            isDue = nextElectionDeadline(now);
+        var reply = replica.newMessage(PartMessage.VOTE_REPLY, request.from);
+        var voteAvailable = log.vote() == 0 || log.vote() == request.from;
+        reply.granted =
+                request.term == log.term() && voteAvailable && replica.role == Role.FOLLOWER && isLogUpToDate(request);
+        if (reply.granted) {
+            if (log.vote() == 0) log.saveTermAndVote(log.term(), request.from);
+            deadline = nextElectionDeadline(now);
         }
-        replica.sendAfterSync(r);
+        replica.sendAfterSync(reply);
     }
 
-    void onVoteReply(PartMessage m, long now) {
-        if (replica.role != Role.CANDIDATE || m.term != replica.log.term() || !m.granted) return;
-        if (!replica.members().isVoter(m.from)) return;
-        grantedVotes.add(m.from);
+    void onVoteReply(PartMessage reply, long now) {
+        if (replica.role != Role.CANDIDATE || reply.term != replica.log.term() || !reply.granted) return;
+        if (!replica.members().isVoter(reply.from)) return;
+        grantedVotes.add(reply.from);
         becomeLeaderOnMajority(now);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/EncodedSnapshot.java
+++ b/lib/state/src/main/java/craneway/state/part/EncodedSnapshot.java
@@ -4,15 +4,16 @@
 import java.util.Arrays;
 import java.util.zip.CRC32C;
 
-/** A snapshot as the bytes that travel, made once and shared by all peers it is sent to. */
+/** The wire encoding of a snapshot, computed once and shared by all peers it is sent to. */
 final class EncodedSnapshot {
-    /** The bytes of a piece; a snapshot no larger travels whole, which every version reads. */
+    /** The size of a piece. A snapshot that is no larger is sent whole, which every version can read. */
     static final int PIECE_BYTES = 64 << 10;
 
     private final Snapshot snapshot;
     private final byte[] bytes;
     private final SnapshotPiece identity = new SnapshotPiece();
 
+    /** Encodes a snapshot. */
     EncodedSnapshot(Snapshot snapshot) {
         this.snapshot = snapshot;
         bytes = Codec.write(snapshot);
@@ -22,35 +23,42 @@
         identity.checksum = checksum(bytes);
     }
 
+    /** Returns the CRC-32C checksum of the bytes. */
     static long checksum(byte[] bytes) {
-        var c = new CRC32C();
-        c.update(bytes, 0, bytes.length);
-        return c.getValue();
+        var crc = new CRC32C();
+        crc.update(bytes, 0, bytes.length);
+        return crc.getValue();
     }
 
+    /** Returns whether this encodes exactly the given object. */
     boolean isEncodingOf(Snapshot other) {
         return snapshot == other;
     }
 
+    /** Returns whether the snapshot is small enough to be sent whole. */
     boolean fitsInOnePiece() {
         return bytes.length <= PIECE_BYTES;
     }
 
+    /** Returns the index of the last entry that the snapshot includes. */
     long index() {
         return identity.index;
     }
 
+    /** Returns the length of the encoding in bytes. */
     int length() {
         return bytes.length;
     }
 
+    /** Returns a piece without bytes that identifies this snapshot. */
     SnapshotPiece identity() {
         return identity;
     }
 
+    /** Returns the piece that starts at an offset. */
     SnapshotPiece piece(int offset) {
-        var p = identity.withOffset(offset);
-        p.bytes = Arrays.copyOfRange(bytes, offset, Math.min(offset + PIECE_BYTES, bytes.length));
-        return p;
+        var piece = identity.withOffset(offset);
+        piece.bytes = Arrays.copyOfRange(bytes, offset, Math.min(offset + PIECE_BYTES, bytes.length));
+        return piece;
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Follower.java
+++ b/lib/state/src/main/java/craneway/state/part/Follower.java
@@ -2,7 +2,10 @@
 
 import craneway.model.event.Event;
 
-/** A follower's side of replication: it takes the leader's entries, snapshots and pieces of them, and says what it holds. */
+/**
+ * The follower's side of replication. It stores the leader's entries, snapshots and snapshot pieces, and replies with
+ * what it holds.
+ */
 final class Follower {
     private final Replica replica;
     private final Election election;
@@ -13,54 +16,56 @@
         this.election = election;
     }
 
-    /** Forgets what is held of a snapshot that no leader goes on with. */
+    /** Drops a partial snapshot that no leader continues. */
     void tick(long now) {
         snapshotReceiver.discardIfStale(replica.appliedIndex, now);
     }
 
-    void onAppend(PartMessage m, long now) {
+    void onAppend(PartMessage request, long now) {
         var log = replica.log;
-        var r = newReply(PartMessage.APPEND_REPLY, m);
-        if (m.term < log.term()) {
-            replica.sendAfterSync(r);
+        var reply = newReply(PartMessage.APPEND_REPLY, request);
+        if (request.term < log.term()) {
+            replica.sendAfterSync(reply);
             return;
         }
-        election.followLeader(m.from, now);
-        var known = m.index <= replica.appliedIndex || log.termAt(m.index) == m.logTerm && m.index <= log.last();
-        r.granted = known;
-        r.index = known ? Math.max(m.index, storeEntries(m)) : Math.min(log.last(), m.index - 1);
-        replica.sendAfterSync(r);
-        if (known) replica.commitTo(Math.min(m.commit, r.index));
+        election.followLeader(request.from, now);
+        var matches = request.index <= replica.appliedIndex
+                || log.termAt(request.index) == request.logTerm && request.index <= log.last();
+        reply.granted = matches;
+        reply.index =
+                matches ? Math.max(request.index, storeEntries(request)) : Math.min(log.last(), request.index - 1);
+        replica.sendAfterSync(reply);
+        if (matches) replica.commitTo(Math.min(request.commit, reply.index));
     }
 
-    private PartMessage newReply(int kind, PartMessage m) {
-        var r = replica.newMessage(kind, m.from);
-        r.stamp = m.stamp;
-        r.readsPieces = true;
-        return r;
+    private PartMessage newReply(int kind, PartMessage request) {
+        var reply = replica.newMessage(kind, request.from);
+        reply.stamp = request.stamp;
+        reply.readsPieces = true;
+        return reply;
     }
 
-    private long storeEntries(PartMessage m) {
+    private long storeEntries(PartMessage request) {
         var log = replica.log;
-        var last = m.index;
-        for (var e : m.entries) {
-            last = e.index;
-            if (e.index <= replica.appliedIndex || log.termAt(e.index) == e.term) continue;
-            if (e.index <= log.last()) replica.truncateFrom(e.index);
-            replica.append(e);
+        var lastIndex = request.index;
+        for (var entry : request.entries) {
+            lastIndex = entry.index;
+            if (entry.index <= replica.appliedIndex || log.termAt(entry.index) == entry.term) continue;
+            if (entry.index <= log.last()) replica.truncateFrom(entry.index);
+            replica.append(entry);
         }
-        return last;
+        return lastIndex;
     }
 
-    void onSnapshot(PartMessage m, long now) {
-        if (m.term < replica.log.term()) return;
-        if (m.wholeSnapshot == null || m.wholeSnapshot.body == null) {
-            logRefusal(m, "no snapshot in the message");
+    void onSnapshot(PartMessage request, long now) {
+        if (request.term < replica.log.term()) return;
+        if (request.wholeSnapshot == null || request.wholeSnapshot.body == null) {
+            logRefusal(request, "the message contains no snapshot");
             return;
         }
-        election.followLeader(m.from, now);
-        installSnapshot(m.wholeSnapshot);
-        acknowledgeSnapshot(m, m.wholeSnapshot.index);
+        election.followLeader(request.from, now);
+        installSnapshot(request.wholeSnapshot);
+        acknowledgeSnapshot(request, request.wholeSnapshot.index);
     }
 
     private void installSnapshot(Snapshot snapshot) {
@@ -69,53 +74,54 @@
         replica.listener.note(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
     }
 
-    /** Says that everything up to the snapshot is held, as for entries. */
-    private void acknowledgeSnapshot(PartMessage m, long index) {
-        var r = newReply(PartMessage.APPEND_REPLY, m);
-        r.granted = true;
-        r.index = index;
-        replica.sendAfterSync(r);
+    /** Replies that everything up to the snapshot's last entry is held, in the form of a reply to appended entries. */
+    private void acknowledgeSnapshot(PartMessage request, long snapshotIndex) {
+        var reply = newReply(PartMessage.APPEND_REPLY, request);
+        reply.granted = true;
+        reply.index = snapshotIndex;
+        replica.sendAfterSync(reply);
     }
 
-    void onSnapshotPiece(PartMessage m, long now) {
-        if (m.snapshot == null) {
-            logRefusal(m, "no piece in the message");
+    void onSnapshotPiece(PartMessage request, long now) {
+        if (request.snapshot == null) {
+            logRefusal(request, "the message contains no snapshot piece");
             return;
         }
-        if (m.term < replica.log.term()) {
-            refusePiece(m, 0, "term " + m.term + " is past");
+        if (request.term < replica.log.term()) {
+            refusePiece(request, 0, "term " + request.term + " is out of date");
             return;
         }
-        election.followLeader(m.from, now);
-        if (m.snapshot.index <= replica.appliedIndex) {
-            acknowledgeSnapshot(m, m.snapshot.index);
+        election.followLeader(request.from, now);
+        if (request.snapshot.index <= replica.appliedIndex) {
+            acknowledgeSnapshot(request, request.snapshot.index);
             return;
         }
-        var outcome = snapshotReceiver.accept(m.term, m.snapshot, now);
+        var outcome = snapshotReceiver.accept(request.term, request.snapshot, now);
         if (outcome.snapshot() != null) {
             installSnapshot(outcome.snapshot());
-            acknowledgeSnapshot(m, m.snapshot.index);
+            acknowledgeSnapshot(request, request.snapshot.index);
         } else if (outcome.refusal() != null) {
-            refusePiece(m, outcome.receivedBytes(), outcome.refusal());
+            refusePiece(request, outcome.receivedBytes(), outcome.refusal());
         } else {
-            replyToPiece(m, outcome.receivedBytes(), true);
+            replyToPiece(request, outcome.receivedBytes(), true);
         }
     }
 
-    private void logRefusal(PartMessage m, String why) {
+    private void logRefusal(PartMessage request, String reason) {
         replica.listener.note(
-                Event.SNAPSHOT_REFUSED, "part " + replica.part + " from " + Long.toHexString(m.from) + ": " + why);
+                Event.SNAPSHOT_REFUSED,
+                "part " + replica.part + " from " + Long.toHexString(request.from) + ": " + reason);
     }
 
-    private void refusePiece(PartMessage m, long held, String why) {
-        logRefusal(m, why);
-        replyToPiece(m, held, false);
+    private void refusePiece(PartMessage request, long receivedBytes, String reason) {
+        logRefusal(request, reason);
+        replyToPiece(request, receivedBytes, false);
     }
 
-    private void replyToPiece(PartMessage m, long held, boolean yes) {
-        var r = newReply(PartMessage.SNAPSHOT_PIECE_REPLY, m);
-        r.granted = yes;
-        r.snapshot = m.snapshot.withOffset(held);
-        replica.sendAfterSync(r);
+    private void replyToPiece(PartMessage request, long receivedBytes, boolean granted) {
+        var reply = newReply(PartMessage.SNAPSHOT_PIECE_REPLY, request);
+        reply.granted = granted;
+        reply.snapshot = request.snapshot.withOffset(receivedBytes);
+        replica.sendAfterSync(reply);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Group.java
+++ b/lib/state/src/main/java/craneway/state/part/Group.java
@@ -10,9 +10,12 @@
 import java.util.Random;
 
 /**
- * One store's share in the replicated log of a part: it takes up roles and hands each message to the duty it belongs to (
- * {@link Election}, {@link Replication}, {@link Follower}). It works on no clock and no thread of its own; whoever drives it calls
- * {@link #tick}, {@link #receive} and, after any of them, {@link #syncAndSend}, which syncs and only then sends. Times are microseconds.
+ * One store's replica of a part's replicated log, after Raft. It keeps the current role and routes each message to the
+ * component that handles it: {@link Election}, {@link Replication} or {@link Follower}.
+ *
+ * <p>It reads no clock and starts no thread: the caller passes the time, in microseconds of a steady clock, to {@link
+ * #tick}, {@link #receive} and the other methods, and calls {@link #syncAndSend} after each of them, which syncs the
+ * log and only then sends messages. It is not thread-safe; the caller holds a lock for the part.
  */
 public final class Group {
     private static final byte[] EMPTY_BODY = {};
@@ -25,25 +28,29 @@
     private long termStartIndex;
     private boolean leadershipReported;
 
-    /** Opens the part's log in the folder; a rebuilt core's first members make it go on from this log alone. */
+    /**
+     * Opens the part's log in the folder. If the initial members name this store as a voter and belong to a newer
+     * generation of the core than the log does, the core was rebuilt, and the group continues from this store's log
+     * alone.
+     */
     public Group(
             int part,
-            long self,
-            long core,
+            long selfId,
+            long coreId,
             Folder folder,
-            Members first,
-            StateMachine machine,
+            Members initialMembers,
+            StateMachine stateMachine,
             Random random,
-            GroupListener out,
+            GroupListener listener,
             TimingProfile timing,
             long now) {
         replica = new Replica(
                 part,
-                self,
-                () -> new SegmentLog(folder, "p" + part + ".", Long.hashCode(core)),
-                first,
-                machine,
-                out,
+                selfId,
+                () -> new SegmentLog(folder, "p" + part + ".", Long.hashCode(coreId)),
+                initialMembers,
+                stateMachine,
+                listener,
                 timing,
                 new Replica.Transitions(this::changeRole, this::onCommitChecked));
         replication = new Replication(replica);
@@ -54,100 +61,113 @@
         changeRole(Role.FOLLOWER, now);
         replica.lastLeaderContactAt = Long.MIN_VALUE / 2;
         election.onStart(now);
-        if (first.isVoter(self) && first.generation > replica.membershipLog.coreGeneration(replica.log)) rebuild(first, now);
+        if (initialMembers.isVoter(selfId)
+                && initialMembers.generation > replica.membershipLog.coreGeneration(replica.log))
+            rebuild(initialMembers, now);
     }
 
-    private void rebuild(Members first, long now) {
+    private void rebuild(Members initialMembers, long now) {
         try {
-            var from = replica.rebuild(first);
-            logEvent(Event.PART_REBUILT, "from entry " + from);
+            var lastIndexBefore = replica.rebuild(initialMembers);
+            logEvent(Event.PART_REBUILT, "continuing after entry " + lastIndexBefore);
         } catch (DiskException e) {
             handleDiskFailure(e, now);
         }
     }
 
-    private void logEvent(Event e, String detail) {
-        replica.listener.note(e, "part " + replica.part + " " + detail);
+    private void logEvent(Event event, String detail) {
+        replica.listener.note(event, "part " + replica.part + " " + detail);
     }
 
-    /** Whether this store, as leader or follower, knows of a leader in contact within that time. */
-    public boolean leaderHeard(long now, long within) {
-        var leader = replica.leaderId;
-        return replica.role == Role.LEADER && now < replication.lastMajorityContact() + within
-                || leader != 0 && leader != replica.selfId && now < replica.lastLeaderContactAt + within;
+    /**
+     * Returns whether this store has been in contact with a leader within the window, in microseconds: as a follower by
+     * hearing it, as the leader itself by replies of a majority.
+     */
+    public boolean leaderHeard(long now, long window) {
+        var leaderId = replica.leaderId;
+        return replica.role == Role.LEADER && now < replication.lastMajorityContact() + window
+                || leaderId != 0 && leaderId != replica.selfId && now < replica.lastLeaderContactAt + window;
     }
 
-    /** The number of the part. */
+    /** Returns the number of the part. */
     public int part() {
         return replica.part;
     }
 
-    /** The role this store has now. */
+    /** Returns this store's current role. */
     public Role role() {
         return replica.role;
     }
 
-    /** The store known to lead; 0 for none. */
+    /** Returns the id of the store known to be leader, or 0 if none is known. */
     public long leader() {
         return replica.leaderId;
     }
 
-    /** The current term. */
+    /** Returns the current term. */
     public long term() {
         return replica.log.term();
     }
 
-    /** The members in force. */
+    /** Returns the membership in force. */
     public Members members() {
         return replica.members();
     }
 
-    /** The last index applied to the machine. */
+    /** Returns the index of the last entry applied to the state machine. */
     public long applied() {
         return replica.appliedIndex;
     }
 
-    /** The last index of the log. */
+    /** Returns the index of the last log entry. */
     public long lastIndex() {
         return replica.log.last();
     }
 
-    /** Whether this store leads and has applied all that earlier terms committed. */
+    /** Returns whether this store is the leader and has applied everything that earlier terms committed. */
     public boolean ready() {
         return replica.role == Role.LEADER && replica.appliedIndex >= termStartIndex;
     }
 
-    /** Whether this store may answer as the leader: it is ready and within its lease. */
+    /**
+     * Returns whether this store may answer as the leader: it is ready, holds its lease and is not handing over
+     * leadership.
+     */
     public boolean hasLease(long now) {
-        return ready() && !leadershipTransfer.isInProgress() && now < replication.lastMajorityContact() + replica.timing.leaderLease();
+        return ready()
+                && !leadershipTransfer.isInProgress()
+                && now < replication.lastMajorityContact() + replica.timing.leaderLease();
     }
 
-    /** Up to where a store's log is known to match this leader's. */
-    public long matchOf(long id) {
-        return id == replica.selfId ? replica.log.last() : replication.matchIndexOf(id);
+    /** Returns the index up to which a store's log is known to match this leader's log. */
+    public long matchOf(long storeId) {
+        return storeId == replica.selfId ? replica.log.last() : replication.matchIndexOf(storeId);
     }
 
-    /** Whether this leader's rounds of catching up with a peer have become short: what a learner needs to be made a voter. */
-    public boolean caughtUp(long id, long now) {
-        return replica.role == Role.LEADER && replication.isCaughtUp(id, now);
+    /**
+     * Returns whether this leader considers the store caught up: its recent catch-up rounds were short. A learner must
+     * be caught up before it is promoted to voter.
+     */
+    public boolean caughtUp(long storeId, long now) {
+        return replica.role == Role.LEADER && replication.isCaughtUp(storeId, now);
     }
 
-    /** When this leader last heard a store; 0 for never. */
-    public long heardFrom(long id) {
-        return replication.lastHeardAt(id);
+    /** Returns when this leader last received a reply from the store, or 0 if it does not track that store. */
+    public long heardFrom(long storeId) {
+        return replication.lastHeardAt(storeId);
     }
 
-    private void changeRole(Role to, long now) {
-        var from = replica.role;
-        replica.role = to;
+    private void changeRole(Role newRole, long now) {
+        var oldRole = replica.role;
+        replica.role = newRole;
         leadershipTransfer.clear();
-        election.onRoleChange(to, now);
-        if (from == Role.LEADER) replication.endTerm();
-        if (from == Role.LEADER && leadershipReported) {
+        election.onRoleChange(newRole, now);
+        if (oldRole == Role.LEADER) replication.endTerm();
+        if (oldRole == Role.LEADER && leadershipReported) {
             leadershipReported = false;
             replica.listener.leadershipChanged(false, replica.log.term());
         }
-        if (to == Role.LEADER) startLeading(now);
+        if (newRole == Role.LEADER) startLeading(now);
     }
 
     private void startLeading(long now) {
@@ -163,7 +183,10 @@
         changeRole(Role.FOLLOWER, now);
     }
 
-    /** Does what time asks for: beats, elections, another try to open a failed disk. */
+    /**
+     * Performs the time-driven work: heartbeats, elections, expiry of snapshot transfers and retries of opening a
+     * failed disk.
+     */
     public void tick(long now) {
         if (replica.role == Role.DISK_FAILED) {
             if (election.isDue(now)) reopen(now);
@@ -193,7 +216,10 @@
         else replication.sendHeartbeats(now);
     }
 
-    /** Appends a command as the leader; its index, or -1 where this store may not. */
+    /**
+     * Appends a command if this store is a ready leader. Returns the entry's index, or -1 if the command was not
+     * appended.
+     */
     public long propose(byte[] command, long now) {
         if (!ready() || leadershipTransfer.isInProgress()) return -1;
         try {
@@ -205,15 +231,20 @@
     }
 
     /**
-     * Appends a change of the members as the leader, once the change before it is committed; whether it did. A leader stays in: it
-     * hands over first, since voters of a group without it would choose another while it still holds its lease.
+     * Appends a membership change if this store is a ready leader and the previous change is committed. Returns whether
+     * it was appended.
+     *
+     * <p>A leader may not remove itself; it has to transfer leadership first, because the voters of a group without it
+     * could elect another leader while it still holds its lease.
      */
-    public boolean changeMembers(Members next, long now) {
-        if (!next.isVoter(replica.selfId)) return false;
+    public boolean changeMembers(Members newMembers, long now) {
+        if (!newMembers.isVoter(replica.selfId)) return false;
         if (!ready() || replica.commitIndex < replica.membershipLog.index()) return false;
         try {
-            replica.append(Entry.MEMBERSHIP, Codec.write(next));
-            logEvent(Event.MEMBERS_CHANGED, "voters " + Arrays.toString(next.zones) + " learner " + next.learnerZone);
+            replica.append(Entry.MEMBERSHIP, Codec.write(newMembers));
+            logEvent(
+                    Event.MEMBERS_CHANGED,
+                    "voters " + Arrays.toString(newMembers.zones) + " learner " + newMembers.learnerZone);
             return true;
         } catch (DiskException e) {
             handleDiskFailure(e, now);
@@ -221,46 +252,53 @@
         }
     }
 
-    /** Stops proposals and hands leadership over once that voter is level; whether that began. */
-    public boolean transferLeadership(long to, long now) {
-        if (!ready() || leadershipTransfer.isInProgress() || !members().isVoter(to) || to == replica.selfId) return false;
-        leadershipTransfer.start(to, now);
+    /**
+     * Stops accepting proposals and hands leadership over as soon as the voter has caught up. Returns whether the
+     * transfer was started.
+     */
+    public boolean transferLeadership(long successorId, long now) {
+        if (!ready()
+                || leadershipTransfer.isInProgress()
+                || !members().isVoter(successorId)
+                || successorId == replica.selfId) return false;
+        leadershipTransfer.start(successorId, now);
         return true;
     }
 
-    /** Takes a message of another store of the group. */
-    public void receive(PartMessage m, long now) {
+    /** Handles a message from another store of the group. Messages are ignored while the disk is failed. */
+    public void receive(PartMessage message, long now) {
         if (replica.role == Role.DISK_FAILED) return;
         try {
-            handleMessage(m, now);
+            handleMessage(message, now);
         } catch (DiskException e) {
             handleDiskFailure(e, now);
         }
     }
 
-    private void handleMessage(PartMessage m, long now) {
-        if (m.kind == PartMessage.PRE_VOTE) {
-            election.onPreVote(m, now);
+    private void handleMessage(PartMessage message, long now) {
+        if (message.kind == PartMessage.PRE_VOTE) {
+            election.onPreVote(message, now);
             return;
         }
-        if (m.kind == PartMessage.VOTE && !m.granted && election.ignoresVoteRequests(now)) return;
-        if (m.term > replica.log.term() && m.kind != PartMessage.PRE_VOTE_REPLY) {
-            replica.log.saveTermAndVote(m.term, 0);
+        if (message.kind == PartMessage.VOTE && !message.granted && election.ignoresVoteRequests(now)) return;
+        if (message.term > replica.log.term() && message.kind != PartMessage.PRE_VOTE_REPLY) {
+            replica.log.saveTermAndVote(message.term, 0);
             stepDown(now);
         }
-        switch (m.kind) {
-            case PartMessage.PRE_VOTE_REPLY -> election.onPreVoteReply(m, now);
-            case PartMessage.VOTE -> election.onVote(m, now);
-            case PartMessage.VOTE_REPLY -> election.onVoteReply(m, now);
-            case PartMessage.APPEND -> follower.onAppend(m, now);
-            case PartMessage.APPEND_REPLY -> replication.onAppendReply(m, now);
-            case PartMessage.SNAPSHOT -> follower.onSnapshot(m, now);
-            case PartMessage.SNAPSHOT_PIECE -> follower.onSnapshotPiece(m, now);
-            case PartMessage.SNAPSHOT_PIECE_REPLY -> replication.onSnapshotPieceReply(m, now);
+        switch (message.kind) {
+            case PartMessage.PRE_VOTE_REPLY -> election.onPreVoteReply(message, now);
+            case PartMessage.VOTE -> election.onVote(message, now);
+            case PartMessage.VOTE_REPLY -> election.onVoteReply(message, now);
+            case PartMessage.APPEND -> follower.onAppend(message, now);
+            case PartMessage.APPEND_REPLY -> replication.onAppendReply(message, now);
+            case PartMessage.SNAPSHOT -> follower.onSnapshot(message, now);
+            case PartMessage.SNAPSHOT_PIECE -> follower.onSnapshotPiece(message, now);
+            case PartMessage.SNAPSHOT_PIECE_REPLY -> replication.onSnapshotPieceReply(message, now);
             case PartMessage.TIMEOUT_NOW -> {
-                if (m.term == replica.log.term() && members().isVoter(replica.selfId)) election.startElection(now, true);
+                if (message.term == replica.log.term() && members().isVoter(replica.selfId))
+                    election.startElection(now, true);
             }
-            default -> replica.listener.note(Event.BAD_MESSAGE, "part message of kind " + m.kind);
+            default -> replica.listener.note(Event.BAD_MESSAGE, "unknown part message kind " + message.kind);
         }
     }
 
@@ -269,11 +307,11 @@
             leadershipReported = true;
             replica.listener.leadershipChanged(true, replica.log.term());
         }
-        var settled = replica.role == Role.LEADER && replica.commitIndex >= replica.membershipLog.index();
-        if (settled && !members().isVoter(replica.selfId)) stepDown(replica.lastLeaderContactAt);
+        var membershipCommitted = replica.role == Role.LEADER && replica.commitIndex >= replica.membershipLog.index();
+        if (membershipCommitted && !members().isVoter(replica.selfId)) stepDown(replica.lastLeaderContactAt);
     }
 
-    /** Syncs what was written, then sends what waits for it. */
+    /** Syncs the log, then sends the messages that were waiting for the sync. */
     public void syncAndSend(long now) {
         if (replica.role == Role.DISK_FAILED) return;
         try {
@@ -292,9 +330,9 @@
         if (replica.compactIfDue()) logEvent(Event.SNAPSHOT_TAKEN, "index " + replica.appliedIndex);
     }
 
-    private void handleDiskFailure(DiskException e, long now) {
+    private void handleDiskFailure(DiskException failure, long now) {
         replica.dropPendingMessages();
-        replica.listener.note(Event.DISK_FAILED, "part " + replica.part + ": " + e.getMessage());
+        replica.listener.note(Event.DISK_FAILED, "part " + replica.part + ": " + failure.getMessage());
         replica.leaderId = 0;
         changeRole(Role.DISK_FAILED, now);
     }
--- a/lib/state/src/main/java/craneway/state/part/LeadershipTransfer.java
+++ b/lib/state/src/main/java/craneway/state/part/LeadershipTransfer.java
@@ -1,6 +1,9 @@
 package craneway.state.part;
 
-/** A planned hand-over of leadership: proposals stop until the heir is level and told to stand, or until it is given up. */
+/**
+ * A planned transfer of leadership. Proposals are refused until the successor has caught up and was told to start an
+ * election, or until the transfer is given up.
+ */
 final class LeadershipTransfer {
     private final Replica replica;
     private final Replication replication;
@@ -12,32 +15,39 @@
         this.replication = replication;
     }
 
+    /** Returns whether a transfer is in progress. */
     boolean isInProgress() {
         return startedAt != 0;
     }
 
-    void start(long to, long now) {
+    /** Starts a transfer to a voter. */
+    void start(long voterId, long now) {
         startedAt = now;
-        successorId = to;
+        successorId = voterId;
     }
 
+    /** Ends the transfer, whether it succeeded or not. */
     void clear() {
         startedAt = 0;
         successorId = 0;
     }
 
-    /** Gives up an heir that never gets level; whether one that was told to stand has taken its time over it. */
+    /**
+     * Gives up a transfer whose successor did not catch up within an election timeout. Returns true if the successor
+     * was told to start an election but did not take over in that time.
+     */
     boolean checkTimeout(long now) {
         if (!isInProgress() || now <= startedAt + replica.timing.electionTimeout()) return false;
-        var told = successorId == 0;
-        if (!told) clear();
-        return told;
+        var successorNotified = successorId == 0;
+        if (!successorNotified) clear();
+        return successorNotified;
     }
 
-    /** Tells the heir to stand once it holds all, and all is committed. */
+    /** Tells the successor to start an election once it holds the whole log and all of it is committed. */
     void notifyCaughtUpSuccessor() {
-        var last = replica.log.last();
-        if (successorId == 0 || replica.commitIndex < last || replication.matchIndexOf(successorId) < last) return;
+        var lastIndex = replica.log.last();
+        if (successorId == 0 || replica.commitIndex < lastIndex || replication.matchIndexOf(successorId) < lastIndex)
+            return;
         replica.sendAfterSync(replica.newMessage(PartMessage.TIMEOUT_NOW, successorId));
         successorId = 0;
     }
--- a/lib/state/src/main/java/craneway/state/part/Members.java
+++ b/lib/state/src/main/java/craneway/state/part/Members.java
@@ -2,75 +2,92 @@
 
 import java.util.Arrays;
 
+/**
+ * The members of a group: its voters, and at most one learner that receives the log without voting. Instances are
+ * treated as immutable once they are shared. The fields are part of the wire format.
+ */
 public final class Members {
+    /** The store ids of the voters. */
     public long[] voters = {};
+    /** The zone of each voter, in the order of {@link #voters}. */
     public String[] zones = {};
+    /** The store id of the learner, or 0 if there is none. */
     public long learner;
+
     public String learnerZone = "";
+    /** The generation of the core; it rises when the core is rebuilt. */
     public int generation;
 
+    /** Returns the membership of these voters without a learner. The zones are in the order of the voters. */
     public static Members of(long[] voters, String[] zones) {
-        var m = new Members();
-        m.voters = voters.clone();
-        m.zones = zones.clone();
-        return m;
+        var members = new Members();
+        members.voters = voters.clone();
+        members.zones = zones.clone();
+        return members;
     }
 
+    /** Returns whether the store is a voter. */
     public boolean isVoter(long id) {
-        for (var v : voters) if (v == id) return true;
+        for (var voter : voters) if (voter == id) return true;
         return false;
     }
 
+    /** Returns whether the store is a voter or the learner. */
     public boolean isMember(long id) {
         return isVoter(id) || learner != 0 && learner == id;
     }
 
+    /** Returns the zone of a member, or null if the store is not a member. */
     public String zoneOf(long id) {
         for (var i = 0; i < voters.length; i++) if (voters[i] == id) return zones[i];
         return learner == id ? learnerZone : null;
     }
 
+    /** Returns the number of voters that form a majority. */
     public int majority() {
         return voters.length / 2 + 1;
     }
 
+    /** Returns this membership with the given learner. */
     public Members withLearner(long id, String zone) {
-        var m = withVoters(voters, zones);
-        m.learner = id;
-        m.learnerZone = zone;
-        return m;
+        var members = withVoters(voters, zones);
+        members.learner = id;
+        members.learnerZone = zone;
+        return members;
     }
 
+    /** Returns this membership with the learner promoted to voter. */
     public Members promoted() {
-        var n = voters.length;
-        var v = Arrays.copyOf(voters, n + 1);
-        var z = Arrays.copyOf(zones, n + 1);
-        v[n] = learner;
-        z[n] = learnerZone;
-        return withVoters(v, z);
+        var count = voters.length;
+        var newVoters = Arrays.copyOf(voters, count + 1);
+        var newZones = Arrays.copyOf(zones, count + 1);
+        newVoters[count] = learner;
+        newZones[count] = learnerZone;
+        return withVoters(newVoters, newZones);
     }
 
-    private Members withVoters(long[] v, String[] z) {
-        var m = of(v, z);
-        m.generation = generation;
-        return m;
+    private Members withVoters(long[] newVoters, String[] newZones) {
+        var members = of(newVoters, newZones);
+        members.generation = generation;
+        return members;
     }
 
+    /** Returns this membership without the given voter or learner. */
     public Members without(long id) {
-        var n = (int) Arrays.stream(voters).filter(v -> v != id).count();
-        var v = new long[n];
-        var z = new String[n];
-        var j = 0;
-        for (var i = 0; i < voters.length; i++) {
-            if (voters[i] == id) continue;
-            v[j] = voters[i];
-            z[j++] = zones[i];
+        var count = (int) Arrays.stream(voters).filter(voter -> voter != id).count();
+        var newVoters = new long[count];
+        var newZones = new String[count];
+        var kept = 0;
+        for (var old = 0; old < voters.length; old++) {
+            if (voters[old] == id) continue;
+            newVoters[kept] = voters[old];
+            newZones[kept++] = zones[old];
         }
-        var m = withVoters(v, z);
+        var members = withVoters(newVoters, newZones);
         if (learner != id) {
-            m.learner = learner;
-            m.learnerZone = learnerZone;
+            members.learner = learner;
+            members.learnerZone = learnerZone;
         }
-        return m;
+        return members;
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Replica.java
+++ b/lib/state/src/main/java/craneway/state/part/Replica.java
@@ -9,24 +9,25 @@
 import java.util.function.Supplier;
 
 /**
- * What the duties of one group share: the log, the members in force, what is committed and applied, the role, and the messages
- * that wait for the next sync.
+ * The state that the components of one group share: the log, the membership, the commit and applied indexes, the role,
+ * and the messages waiting for the next sync.
  */
 final class Replica {
-    /** Takes up a role, also the one it has. */
+    /** Changes the role of the group. */
     interface RoleChange {
-        void changeRole(Role to, long now);
+        /** Enters a role, which may be the current one. */
+        void changeRole(Role newRole, long now);
     }
 
     /**
-     * What the duties ask of the group as a whole.
+     * Callbacks by which the components affect the group as a whole.
      *
-     * @param roles takes up a role
-     * @param afterCommit is run when the commit index was looked at; it may have risen
+     * @param roleChange enters a role
+     * @param commitObserver is run each time the commit index was checked, whether or not it rose
      */
     record Transitions(RoleChange roleChange, Runnable commitObserver) {
-        void changeRole(Role to, long now) {
-            roleChange.changeRole(to, now);
+        void changeRole(Role newRole, long now) {
+            roleChange.changeRole(newRole, now);
         }
 
         void notifyCommitChecked() {
@@ -34,7 +35,7 @@
         }
     }
 
-    /** So many applied entries at most lie behind a snapshot. */
+    /** A snapshot is taken once the log holds this many applied entries. */
     private static final int MAX_APPLIED_ENTRIES_IN_LOG = 4_096;
 
     final int part;
@@ -55,24 +56,24 @@
 
     Replica(
             int part,
-            long self,
-            Supplier<SegmentLog> opening,
-            Members first,
-            StateMachine machine,
-            GroupListener out,
+            long selfId,
+            Supplier<SegmentLog> logOpener,
+            Members initialMembers,
+            StateMachine stateMachine,
+            GroupListener listener,
             TimingProfile timing,
             Transitions transitions) {
         this.part = part;
-        this.selfId = self;
-        this.logOpener = opening;
-        this.stateMachine = machine;
-        this.listener = out;
+        this.selfId = selfId;
+        this.logOpener = logOpener;
+        this.stateMachine = stateMachine;
+        this.listener = listener;
         this.timing = timing;
         this.transitions = transitions;
-        membershipLog = new MembershipLog(first);
+        membershipLog = new MembershipLog(initialMembers);
     }
 
-    /** Reads the log and its snapshot from disk; nothing behind the snapshot counts as committed. */
+    /** Reads the log and its snapshot from disk. No entry after the snapshot counts as committed yet. */
     void open(long now) {
         log = logOpener.get();
         pendingMessages.clear();
@@ -93,86 +94,93 @@
     }
 
     PartMessage newMessage(int kind, long to, long term) {
-        var m = new PartMessage();
-        m.part = part;
-        m.kind = kind;
-        m.from = selfId;
-        m.to = to;
-        m.term = term;
-        return m;
+        var message = new PartMessage();
+        message.part = part;
+        message.kind = kind;
+        message.from = selfId;
+        message.to = to;
+        message.term = term;
+        return message;
     }
 
-    /** Sends a message once the log is synced. */
-    void sendAfterSync(PartMessage m) {
-        pendingMessages.add(m);
+    /** Queues a message that is sent after the next sync of the log. */
+    void sendAfterSync(PartMessage message) {
+        pendingMessages.add(message);
     }
 
     void sendPendingMessages() {
-        var all = List.copyOf(pendingMessages);
+        var messages = List.copyOf(pendingMessages);
         pendingMessages.clear();
-        all.forEach(listener::send);
+        messages.forEach(listener::send);
     }
 
     void dropPendingMessages() {
         pendingMessages.clear();
     }
 
-    /** Appends an entry of the current term. */
+    /** Appends an entry of the current term and returns its index. */
     long append(int type, byte[] body) {
-        var e = new Entry(log.last() + 1, log.term(), type, body);
-        append(e);
-        return e.index;
+        var entry = new Entry(log.last() + 1, log.term(), type, body);
+        append(entry);
+        return entry.index;
     }
 
-    void append(Entry e) {
-        log.append(e);
-        membershipLog.onAppend(e);
+    void append(Entry entry) {
+        log.append(entry);
+        membershipLog.onAppend(entry);
     }
 
-    /** Cuts entries that another leader's take the place of. */
+    /** Removes the entries from an index on, which conflict with the leader's log. */
     void truncateFrom(long index) {
         log.cutFrom(index);
         membershipLog.reload(log);
     }
 
-    void commitTo(long to) {
-        commitIndex = Math.max(commitIndex, Math.min(to, log.last()));
+    /** Raises the commit index, at most to the end of the log, and applies the newly committed entries. */
+    void commitTo(long index) {
+        commitIndex = Math.max(commitIndex, Math.min(index, log.last()));
         while (appliedIndex < commitIndex) {
-            var e = log.at(appliedIndex + 1);
+            var entry = log.at(appliedIndex + 1);
             appliedIndex++;
-            var result = e.type == Entry.COMMAND ? stateMachine.apply(e.index, e.body) : null;
-            listener.applied(e.index, e.term, result);
+            var result = entry.type == Entry.COMMAND ? stateMachine.apply(entry.index, entry.body) : null;
+            listener.applied(entry.index, entry.term, result);
         }
         transitions.notifyCommitChecked();
     }
 
-    /** Goes on from this log alone with other members, as a new generation of the core; the last entry before that. */
-    long rebuild(Members alone) {
+    /**
+     * Continues from this log alone with new members, as a new generation of the core. Returns the last index before
+     * the rebuild.
+     */
+    long rebuild(Members newMembers) {
         log.saveTermAndVote(log.term() + 1, selfId);
-        append(Entry.MEMBERSHIP, Codec.write(alone));
+        append(Entry.MEMBERSHIP, Codec.write(newMembers));
         append(Entry.COMMAND, Codec.writeTagged(new Commands.Rebuilt()));
         log.sync();
         return log.last() - 2;
     }
 
-    /** Writes a snapshot of what is applied and cuts the log behind it, once the log is long; whether it did. */
+    /**
+     * Takes a snapshot of the applied state and truncates the log behind it once the log is long. Returns whether it
+     * did.
+     */
     boolean compactIfDue() {
-        var entries = appliedIndex - log.first() + 1;
-        var due = log.needsSnapshot() && entries > 1 || entries >= MAX_APPLIED_ENTRIES_IN_LOG;
-        if (due) takeSnapshot();
-        return due;
+        var appliedEntries = appliedIndex - log.first() + 1;
+        var isDue = log.needsSnapshot() && appliedEntries > 1 || appliedEntries >= MAX_APPLIED_ENTRIES_IN_LOG;
+        if (isDue) takeSnapshot();
+        return isDue;
     }
 
     private void takeSnapshot() {
-        var i = new Snapshot();
-        i.index = appliedIndex;
-        i.term = log.termAt(appliedIndex);
-        i.members = membershipLog.membersAt(log, appliedIndex);
-        i.body = stateMachine.snapshot();
-        log.install(i);
+        var snapshot = new Snapshot();
+        snapshot.index = appliedIndex;
+        snapshot.term = log.termAt(appliedIndex);
+        snapshot.members = membershipLog.membersAt(log, appliedIndex);
+        snapshot.body = stateMachine.snapshot();
+        log.install(snapshot);
     }
 
-    /** Goes on from a snapshot of the leader's. */
+    /** Replaces the state with a snapshot received from the leader. */
     void installSnapshot(Snapshot snapshot) {
         log.install(snapshot);
         stateMachine.load(snapshot.body);
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -7,12 +7,13 @@
 import java.util.Map;
 
 /**
- * A leader's side of replication: it sends each peer the entries it lacks, or the snapshot where the log no longer has them, and
- * beats; it counts an entry of its own term as committed once a majority has synced it.
+ * The leader's side of replication. It sends each peer the entries it is missing, or the snapshot if the log no longer
+ * holds them, and heartbeats. An entry of the current term is committed once a majority has synced it.
  */
 final class Replication {
     private static final int MAX_ENTRIES_PER_APPEND = 256;
     private static final int MAX_BYTES_PER_APPEND = 256 << 10;
+    /** An append with more bytes than this is followed by heartbeats only until it is answered or times out. */
     private static final int LARGE_APPEND_BYTES = 1_000;
 
     private final Replica replica;
@@ -23,192 +24,204 @@
         this.replica = replica;
     }
 
-    /** Begins a term as its leader, as if half of the patience had passed since a majority was heard. */
+    /**
+     * Starts a term as leader. Every peer is treated as last heard half an election timeout ago, so that a leader that
+     * reaches no majority steps down soon.
+     */
     void startTerm(long now) {
         peers.clear();
-        for (var id : otherMembers()) {
-            var p = newPeer(now);
-            p.lastAcknowledgedSendAt = now - replica.timing.electionTimeout() / 2;
-            peers.put(id, p);
+        for (var peerId : otherMembers()) {
+            var peer = newPeer(now);
+            peer.lastAcknowledgedSendAt = now - replica.timing.electionTimeout() / 2;
+            peers.put(peerId, peer);
         }
     }
 
     private Peer newPeer(long now) {
-        var last = replica.log.last();
-        return new Peer(last + 1, new CatchUpTracker(replica.timing.electionTimeout(), last, now), now);
+        var lastIndex = replica.log.last();
+        return new Peer(lastIndex + 1, new CatchUpTracker(replica.timing.electionTimeout(), lastIndex, now), now);
     }
 
-    /** The term as leader is over. */
+    /** Ends the term as leader and drops running snapshot transfers. */
     void endTerm() {
-        peers.values().forEach(p -> p.snapshotSender = null);
+        peers.values().forEach(peer -> peer.snapshotSender = null);
         encodedSnapshot = null;
     }
 
     List<Long> otherMembers() {
-        var m = replica.members();
-        var all = new ArrayList<Long>();
-        for (var v : m.voters) if (v != replica.selfId) all.add(v);
-        if (m.learner != 0 && m.learner != replica.selfId) all.add(m.learner);
-        return all;
+        var members = replica.members();
+        var others = new ArrayList<Long>();
+        for (var voterId : members.voters) if (voterId != replica.selfId) others.add(voterId);
+        if (members.learner != 0 && members.learner != replica.selfId) others.add(members.learner);
+        return others;
     }
 
-    long matchIndexOf(long id) {
-        var p = peers.get(id);
-        return p == null ? 0 : p.matchIndex;
+    long matchIndexOf(long peerId) {
+        var peer = peers.get(peerId);
+        return peer == null ? 0 : peer.matchIndex;
     }
 
-    long lastHeardAt(long id) {
-        var p = peers.get(id);
-        return p == null ? 0 : p.lastHeardAt;
+    long lastHeardAt(long peerId) {
+        var peer = peers.get(peerId);
+        return peer == null ? 0 : peer.lastHeardAt;
     }
 
-    boolean isCaughtUp(long id, long now) {
-        var p = peers.get(id);
-        return p != null && p.catchUpTracker.isCaughtUp(now);
+    boolean isCaughtUp(long peerId, long now) {
+        var peer = peers.get(peerId);
+        return peer != null && peer.catchUpTracker.isCaughtUp(now);
     }
 
-    /** When the latest messages were sent that a majority, this store included, has answered. */
+    /** Returns the send time of the latest messages that a majority, including this store, has answered. */
     long lastMajorityContact() {
-        var m = replica.members();
-        var stamps = new long[m.voters.length];
-        for (var i = 0; i < stamps.length; i++) {
-            var p = peers.get(m.voters[i]);
-            var stamp = p == null ? Long.MIN_VALUE / 2 : Math.max(p.lastAcknowledgedSendAt, Long.MIN_VALUE / 2);
-            stamps[i] = m.voters[i] == replica.selfId ? Long.MAX_VALUE : stamp;
+        var members = replica.members();
+        var contacts = new long[members.voters.length];
+        for (var i = 0; i < contacts.length; i++) {
+            var peer = peers.get(members.voters[i]);
+            var contact = peer == null ? Long.MIN_VALUE / 2 : Math.max(peer.lastAcknowledgedSendAt, Long.MIN_VALUE / 2);
+            contacts[i] = members.voters[i] == replica.selfId ? Long.MAX_VALUE : contact;
         }
-        Arrays.sort(stamps);
-        var contact = stamps[stamps.length - m.majority()];
-        return contact == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : contact;
+        Arrays.sort(contacts);
+        var majorityContact = contacts[contacts.length - members.majority()];
+        return majorityContact == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : majorityContact;
     }
 
-    /** Sends to each peer whose beat is due. */
+    /** Sends to every peer whose heartbeat is due. */
     void sendHeartbeats(long now) {
-        for (var id : otherMembers()) {
-            var p = peers.computeIfAbsent(id, k -> newPeer(now));
-            if (p.lastSentAt == Long.MIN_VALUE || replica.timing.due(p.lastSentAt, now)) replicateTo(id, now);
+        for (var peerId : otherMembers()) {
+            var peer = peers.computeIfAbsent(peerId, key -> newPeer(now));
+            if (peer.lastSentAt == Long.MIN_VALUE || replica.timing.due(peer.lastSentAt, now)) replicateTo(peerId, now);
         }
     }
 
-    /** Sends to each peer that lacks entries. */
+    /** Sends to every peer that is missing entries and may receive them now. */
     void replicateToLagging(long now) {
-        for (var id : otherMembers()) {
-            var p = peers.get(id);
-            if (p != null && p.canSendEntries(replica.log.last(), now)) replicateTo(id, now);
+        for (var peerId : otherMembers()) {
+            var peer = peers.get(peerId);
+            if (peer != null && peer.canSendEntries(replica.log.last(), now)) replicateTo(peerId, now);
         }
     }
 
-    /** Sends to all. */
+    /** Sends to every other member. */
     void replicateToAll(long now) {
-        otherMembers().forEach(id -> replicateTo(id, now));
+        otherMembers().forEach(peerId -> replicateTo(peerId, now));
     }
 
-    private void replicateTo(long id, long now) {
-        var p = peers.get(id);
-        p.lastSentAt = now;
-        var needsSnapshot = p.nextIndex < replica.log.first();
-        if (p.snapshotSender != null || p.awaitsLargeMessageReply(now) || needsSnapshot && !p.hasReplied) {
-            replica.sendAfterSync(newAppendRequest(id, Math.max(p.matchIndex, replica.log.first() - 1), now));
-            if (p.snapshotSender != null) sendPieces(id, p, now);
+    private void replicateTo(long peerId, long now) {
+        var peer = peers.get(peerId);
+        peer.lastSentAt = now;
+        var needsSnapshot = peer.nextIndex < replica.log.first();
+        if (peer.snapshotSender != null || peer.awaitsLargeMessageReply(now) || needsSnapshot && !peer.hasReplied) {
+            replica.sendAfterSync(newAppendRequest(peerId, Math.max(peer.matchIndex, replica.log.first() - 1), now));
+            if (peer.snapshotSender != null) sendPieces(peerId, peer, now);
         } else if (needsSnapshot) {
-            sendSnapshot(id, p, now);
+            sendSnapshot(peerId, peer, now);
         } else {
-            sendEntries(id, p, now);
+            sendEntries(peerId, peer, now);
         }
     }
 
-    private void sendEntries(long id, Peer p, long now) {
-        var m = newAppendRequest(id, p.nextIndex - 1, now);
-        var bytes = 0;
-        for (var i = p.nextIndex; i <= replica.log.last() && m.entries.size() < MAX_ENTRIES_PER_APPEND; i++) {
-            var length = replica.log.at(i).body.length;
-            if (bytes > 0 && bytes + length > MAX_BYTES_PER_APPEND) break;
-            m.entries.add(replica.log.at(i));
-            bytes += length;
+    private void sendEntries(long peerId, Peer peer, long now) {
+        var request = newAppendRequest(peerId, peer.nextIndex - 1, now);
+        var entryBytes = 0;
+        for (var index = peer.nextIndex;
+                index <= replica.log.last() && request.entries.size() < MAX_ENTRIES_PER_APPEND;
+                index++) {
+            var bodyBytes = replica.log.at(index).body.length;
+            if (entryBytes > 0 && entryBytes + bodyBytes > MAX_BYTES_PER_APPEND) break;
+            request.entries.add(replica.log.at(index));
+            entryBytes += bodyBytes;
         }
-        p.nextIndex += m.entries.size();
-        replica.sendAfterSync(m);
-        if (bytes > LARGE_APPEND_BYTES) p.onLargeMessageSent(p.nextIndex - 1, bytes, now);
+        peer.nextIndex += request.entries.size();
+        replica.sendAfterSync(request);
+        if (entryBytes > LARGE_APPEND_BYTES) peer.onLargeMessageSent(peer.nextIndex - 1, entryBytes, now);
     }
 
-    /** In pieces to a peer that reads them; whole where it is small or the peer is of an earlier version. */
-    private void sendSnapshot(long id, Peer p, long now) {
+    /**
+     * Sends the snapshot in pieces to a peer that supports them, and whole if it fits in one piece or the peer runs an
+     * earlier version.
+     */
+    private void sendSnapshot(long peerId, Peer peer, long now) {
         var snapshot = replica.log.snapshot();
-        if (encodedSnapshot == null || !encodedSnapshot.isEncodingOf(snapshot)) encodedSnapshot = new EncodedSnapshot(snapshot);
-        if (p.supportsSnapshotPieces && !encodedSnapshot.fitsInOnePiece()) {
-            p.snapshotSender = new SnapshotSender(encodedSnapshot, now);
-            sendPieces(id, p, now);
+        if (encodedSnapshot == null || !encodedSnapshot.isEncodingOf(snapshot))
+            encodedSnapshot = new EncodedSnapshot(snapshot);
+        if (peer.supportsSnapshotPieces && !encodedSnapshot.fitsInOnePiece()) {
+            peer.snapshotSender = new SnapshotSender(encodedSnapshot, now);
+            sendPieces(peerId, peer, now);
             return;
         }
-        var m = replica.newMessage(PartMessage.SNAPSHOT, id);
-        m.wholeSnapshot = snapshot;
-        m.stamp = now;
-        replica.sendAfterSync(m);
-        p.onLargeMessageSent(snapshot.index, snapshot.body.length, now);
-    }
-
-    private void sendPieces(long id, Peer p, long now) {
-        for (var piece : p.snapshotSender.nextPieces(now)) {
-            var m = replica.newMessage(PartMessage.SNAPSHOT_PIECE, id);
-            m.snapshot = piece;
-            m.stamp = now;
-            replica.sendAfterSync(m);
+        var message = replica.newMessage(PartMessage.SNAPSHOT, peerId);
+        message.wholeSnapshot = snapshot;
+        message.stamp = now;
+        replica.sendAfterSync(message);
+        peer.onLargeMessageSent(snapshot.index, snapshot.body.length, now);
+    }
+
+    private void sendPieces(long peerId, Peer peer, long now) {
+        for (var piece : peer.snapshotSender.nextPieces(now)) {
+            var message = replica.newMessage(PartMessage.SNAPSHOT_PIECE, peerId);
+            message.snapshot = piece;
+            message.stamp = now;
+            replica.sendAfterSync(message);
         }
     }
 
-    private void endSnapshotTransfer(Peer p) {
-        p.snapshotSender = null;
+    private void endSnapshotTransfer(Peer peer) {
+        peer.snapshotSender = null;
         if (peers.values().stream().allMatch(other -> other.snapshotSender == null)) encodedSnapshot = null;
     }
 
-    private PartMessage newAppendRequest(long id, long after, long now) {
-        var m = replica.newMessage(PartMessage.APPEND, id);
-        m.index = after;
-        m.logTerm = replica.log.termAt(after);
-        m.commit = replica.commitIndex;
-        m.stamp = now;
-        return m;
-    }
-
-    private Peer recordReply(PartMessage m, long now) {
-        if (replica.role != Role.LEADER || m.term != replica.log.term()) return null;
-        var p = peers.get(m.from);
-        if (p == null) return null;
-        var wasAway = now - p.lastHeardAt > replica.timing.electionTimeout();
-        p.onReply(m, now);
-        if (wasAway && p.snapshotSender != null) p.snapshotSender.onPeerReturned(now);
-        if (!p.supportsSnapshotPieces && p.snapshotSender != null) endSnapshotTransfer(p);
-        return p;
-    }
-
-    void onAppendReply(PartMessage m, long now) {
-        var p = recordReply(m, now);
-        if (p == null) return;
-        if (m.granted) p.onMatch(m.index, replica.log.last(), now);
-        else p.onAppendRefused(m, now);
-        if (p.snapshotSender != null && p.matchIndex >= p.snapshotSender.index()) endSnapshotTransfer(p);
+    private PartMessage newAppendRequest(long peerId, long previousIndex, long now) {
+        var request = replica.newMessage(PartMessage.APPEND, peerId);
+        request.index = previousIndex;
+        request.logTerm = replica.log.termAt(previousIndex);
+        request.commit = replica.commitIndex;
+        request.stamp = now;
+        return request;
+    }
+
+    private Peer recordReply(PartMessage reply, long now) {
+        if (replica.role != Role.LEADER || reply.term != replica.log.term()) return null;
+        var peer = peers.get(reply.from);
+        if (peer == null) return null;
+        var wasAway = now - peer.lastHeardAt > replica.timing.electionTimeout();
+        peer.onReply(reply, now);
+        if (wasAway && peer.snapshotSender != null) peer.snapshotSender.onPeerReturned(now);
+        if (!peer.supportsSnapshotPieces && peer.snapshotSender != null) endSnapshotTransfer(peer);
+        return peer;
+    }
+
+    void onAppendReply(PartMessage reply, long now) {
+        var peer = recordReply(reply, now);
+        if (peer == null) return;
+        if (reply.granted) peer.onMatch(reply.index, replica.log.last(), now);
+        else peer.onAppendRefused(reply, now);
+        if (peer.snapshotSender != null && peer.matchIndex >= peer.snapshotSender.index()) endSnapshotTransfer(peer);
         advanceCommitIndex();
-        if (replica.role == Role.LEADER && p.canSendEntries(replica.log.last(), now)) replicateTo(m.from, now);
+        if (replica.role == Role.LEADER && peer.canSendEntries(replica.log.last(), now)) replicateTo(reply.from, now);
     }
 
-    void onSnapshotPieceReply(PartMessage m, long now) {
-        var p = recordReply(m, now);
-        if (p == null || p.snapshotSender == null || m.snapshot == null) return;
-        if (m.granted) p.snapshotSender.onPieceAccepted(m.snapshot, now);
-        else p.snapshotSender.onPieceRefused(m.snapshot, m.stamp, now);
-        sendPieces(m.from, p, now);
+    void onSnapshotPieceReply(PartMessage reply, long now) {
+        var peer = recordReply(reply, now);
+        if (peer == null || peer.snapshotSender == null || reply.snapshot == null) return;
+        if (reply.granted) peer.snapshotSender.onPieceAccepted(reply.snapshot, now);
+        else peer.snapshotSender.onPieceRefused(reply.snapshot, reply.stamp, now);
+        sendPieces(reply.from, peer, now);
     }
 
-    /** Commits what a majority has synced, this store's own unsynced entries left out. */
+    /**
+     * Commits the entries that a majority has synced. This store's own entries do not count while they are unsynced.
+     */
     void advanceCommitIndex() {
-        var m = replica.members();
+        var members = replica.members();
         var log = replica.log;
-        var match = new long[m.voters.length];
-        for (var i = 0; i < match.length; i++) {
-            var own = log.dirty() ? 0 : log.last();
-            match[i] = m.voters[i] == replica.selfId ? own : matchIndexOf(m.voters[i]);
+        var matchIndexes = new long[members.voters.length];
+        for (var i = 0; i < matchIndexes.length; i++) {
+            var ownSyncedIndex = log.dirty() ? 0 : log.last();
+            matchIndexes[i] = members.voters[i] == replica.selfId ? ownSyncedIndex : matchIndexOf(members.voters[i]);
         }
-        Arrays.sort(match);
-        var held = match[match.length - m.majority()];
-        if (held > replica.commitIndex && log.termAt(held) == log.term()) replica.commitTo(held);
+        Arrays.sort(matchIndexes);
+        var majorityIndex = matchIndexes[matchIndexes.length - members.majority()];
+        if (majorityIndex > replica.commitIndex && log.termAt(majorityIndex) == log.term())
+            replica.commitTo(majorityIndex);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
@@ -1,30 +1,37 @@
 package craneway.state.part;
 
 /**
- * One piece of an encoded snapshot, or, without bytes, how much of it a receiver holds. A snapshot is known by its index, term,
- * length and checksum, which every piece names.
+ * One piece of an encoded snapshot or, without bytes, the number of bytes of it that a receiver holds. A snapshot is
+ * identified by its index, term, length and checksum, which every piece carries. The fields are part of the wire
+ * format.
  */
 public final class SnapshotPiece {
+    /** The index of the last entry that the snapshot includes. */
     public long index;
+    /** The term of that entry. */
     public long term;
+    /** The length of the encoded snapshot in bytes. */
     public long total;
+    /** The CRC-32C checksum of the encoded snapshot. */
     public long checksum;
+    /** The position of the first byte of this piece, or in a reply the number of bytes held without a gap. */
     public long offset;
+
     public byte[] bytes;
 
-    /** Whether both speak of the same snapshot, byte for byte. */
+    /** Returns whether both pieces belong to the same encoded snapshot. */
     boolean isOfSameSnapshot(SnapshotPiece other) {
         return index == other.index && term == other.term && total == other.total && checksum == other.checksum;
     }
 
-    /** Names the same snapshot at another offset, without bytes. */
+    /** Returns a piece of the same snapshot at another offset, without bytes. */
     SnapshotPiece withOffset(long newOffset) {
-        var p = new SnapshotPiece();
-        p.index = index;
-        p.term = term;
-        p.total = total;
-        p.checksum = checksum;
-        p.offset = newOffset;
-        return p;
+        var piece = new SnapshotPiece();
+        piece.index = index;
+        piece.term = term;
+        piece.total = total;
+        piece.checksum = checksum;
+        piece.offset = newOffset;
+        return piece;
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
@@ -5,12 +5,15 @@
 import java.util.Arrays;
 
 /**
- * Puts one snapshot together from its pieces. It holds at most one, of at most {@link #MAX_SNAPSHOT_BYTES} bytes, and keeps what it has when the
- * leader changes, so that a leader with the same snapshot goes on from there. A piece behind a gap, of another snapshot than the
- * one that is open, or malformed is refused without effect; a whole whose checksum is wrong is dropped. A decider without I/O.
+ * Assembles a snapshot from its pieces. It holds at most one partial snapshot, of at most {@link #MAX_SNAPSHOT_BYTES}
+ * bytes, and keeps it when the leader changes, so that a new leader with the same snapshot can continue.
+ *
+ * <p>A piece is refused without effect if it is malformed, leaves a gap, or belongs to another snapshot than the
+ * current one. A complete snapshot with a wrong checksum is discarded. The class does no I/O; times are microseconds.
  */
 final class SnapshotReceiver {
     static final int MAX_SNAPSHOT_BYTES = 64 << 20;
+    /** A partial snapshot is discarded when no piece has arrived for this long. */
     private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
     private static final int INITIAL_BUFFER_BYTES = 1 << 20;
     private static final int MAX_PIECE_BYTES = 1 << 20;
@@ -23,75 +26,79 @@
     private int receivedBytes;
 
     /**
-     * What became of a piece.
+     * The result of handling a piece.
      *
-     * @param held how many bytes of its snapshot are held without a gap
-     * @param refusal why the piece was refused; null where it was not
-     * @param snapshot the whole snapshot, once it is
+     * @param receivedBytes the number of bytes of the snapshot that are held without a gap
+     * @param refusal why the piece was refused, or null if it was accepted
+     * @param snapshot the complete snapshot, or null while pieces are missing
      */
     record Outcome(long receivedBytes, String refusal, Snapshot snapshot) {}
 
-    Outcome accept(long term, SnapshotPiece p, long now) {
-        if (isMalformed(p)) return new Outcome(0, "a malformed piece", null);
-        if (current == null || !current.isOfSameSnapshot(p)) {
-            if (p.offset != 0) return new Outcome(0, "offset " + p.offset + " of a snapshot that is not open", null);
-            if (current != null && term <= leaderTerm && p.index <= current.index)
-                return new Outcome(0, "a snapshot other than the open one", null);
-            startTransfer(p);
+    /** Handles a piece sent by the leader of a term. */
+    Outcome accept(long term, SnapshotPiece piece, long now) {
+        if (isMalformed(piece)) return new Outcome(0, "malformed snapshot piece", null);
+        if (current == null || !current.isOfSameSnapshot(piece)) {
+            if (piece.offset != 0)
+                return new Outcome(0, "offset " + piece.offset + " of a snapshot whose transfer was not started", null);
+            if (current != null && term <= leaderTerm && piece.index <= current.index)
+                return new Outcome(0, "another snapshot is being received", null);
+            startTransfer(piece);
         }
         leaderTerm = Math.max(leaderTerm, term);
         lastPieceAt = now;
-        if (p.offset > receivedBytes) return new Outcome(receivedBytes, "offset " + p.offset + " behind a gap at " + receivedBytes, null);
-        store(p);
+        if (piece.offset > receivedBytes)
+            return new Outcome(
+                    receivedBytes, "offset " + piece.offset + " leaves a gap after byte " + receivedBytes, null);
+        store(piece);
         return receivedBytes < current.total ? new Outcome(receivedBytes, null, null) : assemble();
     }
 
-    private static boolean isMalformed(SnapshotPiece p) {
-        return p.bytes == null
-                || p.bytes.length == 0
-                || p.bytes.length > MAX_PIECE_BYTES
-                || p.index <= 0
-                || p.total <= 0
-                || p.total > MAX_SNAPSHOT_BYTES
-                || p.offset < 0
-                || p.offset > p.total - p.bytes.length;
+    private static boolean isMalformed(SnapshotPiece piece) {
+        return piece.bytes == null
+                || piece.bytes.length == 0
+                || piece.bytes.length > MAX_PIECE_BYTES
+                || piece.index <= 0
+                || piece.total <= 0
+                || piece.total > MAX_SNAPSHOT_BYTES
+                || piece.offset < 0
+                || piece.offset > piece.total - piece.bytes.length;
     }
 
-    private void startTransfer(SnapshotPiece p) {
+    private void startTransfer(SnapshotPiece piece) {
         discard();
-        current = p.withOffset(0);
+        current = piece.withOffset(0);
     }
 
-    private void store(SnapshotPiece p) {
-        var end = (int) p.offset + p.bytes.length;
+    private void store(SnapshotPiece piece) {
+        var end = (int) piece.offset + piece.bytes.length;
         if (end <= receivedBytes) return;
         if (end > buffer.length) {
-            var room = Math.max(Math.max(end, INITIAL_BUFFER_BYTES), 2 * buffer.length);
-            buffer = Arrays.copyOf(buffer, (int) Math.min(current.total, room));
+            var capacity = Math.max(Math.max(end, INITIAL_BUFFER_BYTES), 2 * buffer.length);
+            buffer = Arrays.copyOf(buffer, (int) Math.min(current.total, capacity));
         }
-        System.arraycopy(p.bytes, 0, buffer, (int) p.offset, p.bytes.length);
+        System.arraycopy(piece.bytes, 0, buffer, (int) piece.offset, piece.bytes.length);
         receivedBytes = end;
     }
 
     private Outcome assemble() {
         var expected = current;
-        var bytes = buffer;
+        var encoded = buffer;
         discard();
-        if (EncodedSnapshot.checksum(bytes) != expected.checksum)
-            return new Outcome(0, "the whole snapshot is damaged", null);
+        if (EncodedSnapshot.checksum(encoded) != expected.checksum)
+            return new Outcome(0, "checksum mismatch of the complete snapshot", null);
         try {
-            var snapshot = Codec.read(Snapshot.class, bytes);
+            var snapshot = Codec.read(Snapshot.class, encoded);
             if (snapshot.index == expected.index && snapshot.term == expected.term && snapshot.body != null)
                 return new Outcome(expected.total, null, snapshot);
-            return new Outcome(0, "the whole is not the snapshot it was said to be", null);
+            return new Outcome(0, "index, term or body of the complete snapshot differs from the announced one", null);
         } catch (BadMessageException e) {
-            return new Outcome(0, "the whole is no snapshot: " + e.getMessage(), null);
+            return new Outcome(0, "the complete snapshot cannot be decoded: " + e.getMessage(), null);
         }
     }
 
-    /** Forgets what no leader goes on with, and what the log has passed. */
-    void discardIfStale(long applied, long now) {
-        if (current != null && (current.index <= applied || now - lastPieceAt > IDLE_TIMEOUT_MICROS)) discard();
+    /** Discards a partial snapshot that no leader continues or that the log has overtaken. */
+    void discardIfStale(long appliedIndex, long now) {
+        if (current != null && (current.index <= appliedIndex || now - lastPieceAt > IDLE_TIMEOUT_MICROS)) discard();
     }
 
     private void discard() {
@@ -100,7 +107,7 @@
         receivedBytes = 0;
     }
 
-    /** The bytes of memory this holds. */
+    /** Returns the size of the receive buffer in bytes. */
     int bufferCapacity() {
         return buffer.length;
     }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotSender.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotSender.java
@@ -4,9 +4,12 @@
 import java.util.List;
 
 /**
- * Sends one snapshot to one peer: few pieces are under way at a time, the peer says up to where it holds them without a gap, and
- * what was lost goes again from there. The number under way is halved when none arrives and grows back while they do; the patience
- * doubles with each silence, so that any path that carries single pieces ends the transfer. A decider without I/O.
+ * Sends one snapshot to one peer in pieces. Only a few pieces are in flight at a time. The peer reports how many bytes
+ * it holds without a gap, and lost pieces are sent again from there.
+ *
+ * <p>The window is halved when no piece arrives and grows back while pieces do. The retransmit timeout doubles with
+ * each silence, so that a transfer ends over any path that lets single pieces through. The class does no I/O; times are
+ * microseconds.
  */
 final class SnapshotSender {
     private static final int MAX_PIECES_IN_FLIGHT = 4;
@@ -21,23 +24,26 @@
     private long lastProgressAt;
     private long lastRewindAt = Long.MIN_VALUE;
 
+    /** Creates a sender at the start of the snapshot. */
     SnapshotSender(EncodedSnapshot snapshot, long now) {
         this.snapshot = snapshot;
         lastProgressAt = now;
     }
 
+    /** Returns the index of the last entry that the snapshot includes. */
     long index() {
         return snapshot.index();
     }
 
-    /** The pieces to send now; none while enough are under way. */
+    /** Returns the pieces to send now; none while the window is full. */
     List<SnapshotPiece> nextPieces(long now) {
         if (sentBytes > acknowledgedBytes && now >= lastProgressAt + retransmitTimeout) {
             retransmitTimeout = Math.min(2 * retransmitTimeout, MAX_RETRANSMIT_TIMEOUT_MICROS);
             rewind(acknowledgedBytes, now);
         }
         var pieces = new ArrayList<SnapshotPiece>();
-        while (sentBytes < snapshot.length() && sentBytes - acknowledgedBytes < windowPieces * EncodedSnapshot.PIECE_BYTES) {
+        while (sentBytes < snapshot.length()
+                && sentBytes - acknowledgedBytes < windowPieces * EncodedSnapshot.PIECE_BYTES) {
             if (sentBytes == acknowledgedBytes) lastProgressAt = now;
             pieces.add(snapshot.piece(sentBytes));
             sentBytes = Math.min(sentBytes + EncodedSnapshot.PIECE_BYTES, snapshot.length());
@@ -45,21 +51,24 @@
         return pieces;
     }
 
-    private void rewind(int to, long now) {
-        acknowledgedBytes = to;
-        sentBytes = to;
+    private void rewind(int offset, long now) {
+        acknowledgedBytes = offset;
+        sentBytes = offset;
         windowPieces = Math.max(1, windowPieces / 2);
         lastProgressAt = now;
         lastRewindAt = now;
     }
 
-    /** The peer is heard again after a silence: what was under way is lost, and its patience is as at first. */
+    /**
+     * Handles the first reply of a peer after a silence: the pieces in flight count as lost, and the retransmit timeout
+     * starts over.
+     */
     void onPeerReturned(long now) {
         retransmitTimeout = INITIAL_RETRANSMIT_TIMEOUT_MICROS;
         rewind(acknowledgedBytes, now);
     }
 
-    /** The peer holds all bytes before the offset. */
+    /** Records that the peer holds all bytes before the reply's offset. */
     void onPieceAccepted(SnapshotPiece reply, long now) {
         if (!isValidReply(reply) || reply.offset <= acknowledgedBytes) return;
         acknowledgedBytes = (int) reply.offset;
@@ -69,12 +78,18 @@
         lastProgressAt = now;
     }
 
-    /** The peer refused a piece sent at that time, and holds all bytes before the offset; what was sent before a rewind is past. */
+    /**
+     * Rewinds to the reply's offset after the peer refused a piece sent at the given time. Refusals of pieces sent
+     * before the last rewind are ignored.
+     */
     void onPieceRefused(SnapshotPiece reply, long sentAt, long now) {
         if (isValidReply(reply) && sentAt >= lastRewindAt) rewind((int) reply.offset, now);
     }
 
-    /** Who holds the whole says so as for entries, so a reply names an offset within. */
+    /**
+     * Returns whether the reply belongs to this snapshot and names an offset within it. A peer that holds the whole
+     * snapshot replies as for appended entries, so the end is never named here.
+     */
     private boolean isValidReply(SnapshotPiece reply) {
         return reply.isOfSameSnapshot(snapshot.identity()) && reply.offset >= 0 && reply.offset < snapshot.length();
     }
--- a/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
@@ -72,7 +72,8 @@
         rows.claims.values().removeIf(r -> r.state != Rows.Claim.OPEN && rows.age - r.age > c.retention);
         rows.quotas.values().removeIf(q -> q.minute < rows.age / MINUTE_MICROS);
         rows.services.values().forEach(s -> s.heldUntil.values().removeIf(t -> t <= rows.age));
-        if (c.forgotten > 0) rows.services.values().forEach(s -> RunnerCommands.removeExpiredRunners(rows, s, c.forgotten));
+        if (c.forgotten > 0)
+            rows.services.values().forEach(s -> RunnerCommands.removeExpiredRunners(rows, s, c.forgotten));
         return Records.ok();
     }
 
--- a/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
+++ b/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
@@ -47,9 +47,11 @@
     void piecesThatComeTwiceChangeNothing() {
         var encoded = new EncodedSnapshot(snapshot(9, 200_000));
         for (var times = 0; times < 2; times++)
-            assertEquals(EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
+            assertEquals(
+                    EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
         take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
-        assertEquals(2 * EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
+        assertEquals(
+                2 * EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
     }
 
     @Test
@@ -76,7 +78,8 @@
                 2 * EncodedSnapshot.PIECE_BYTES,
                 take(TERM, open.piece(EncodedSnapshot.PIECE_BYTES)).receivedBytes());
         assertNull(take(TERM + 1, older.piece(0)).refusal());
-        assertNotNull(take(TERM + 1, open.piece(2 * EncodedSnapshot.PIECE_BYTES)).refusal());
+        assertNotNull(
+                take(TERM + 1, open.piece(2 * EncodedSnapshot.PIECE_BYTES)).refusal());
     }
 
     @Test
--- a/lib/state/src/test/java/craneway/state/record/LivesTest.java
+++ b/lib/state/src/test/java/craneway/state/record/LivesTest.java
@@ -85,7 +85,9 @@
     @Test
     void theVerdictsOfALifeAreBounded() {
         for (var i = 1; i <= 3 * CommandSessions.MAX_RESULTS_PER_SESSION; i++) apply(LIFE, i, 1, mark(true));
-        assertEquals(CommandSessions.MAX_RESULTS_PER_SESSION, records.rows().lives.get(LIFE).applied.size());
+        assertEquals(
+                CommandSessions.MAX_RESULTS_PER_SESSION,
+                records.rows().lives.get(LIFE).applied.size());
         assertEquals(Kind.LATE_COMMAND.code(), apply(LIFE, 1, 1, mark(false)).kind);
         assertTrue(emptied());
     }
