--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -3,47 +3,63 @@
 import java.util.ArrayList;
 import java.util.List;
 
+/**
+ * The commands that change the replicated state of a part. The order and types of the fields are the wire and log
+ * format; names are not written.
+ */
 public final class Commands {
     private Commands() {}
 
-    /** Whether a message body changes the replicated state, rather than only reading it. */
+    /** Returns whether a message body is a command, which changes the replicated state, rather than a query. */
     public static boolean is(Object body) {
         return body.getClass().getEnclosingClass() == Commands.class;
     }
 
-    /** A command under the identity of its asker, so that it is applied once however many copies of it are logged. */
+    /**
+     * A command with the identity of its sender, so that it is applied once however many copies of it are in the log.
+     */
     public static final class Fenced {
+        /** The id of the sending session, which is one run of a client process. */
         public long life;
+        /** The command's number within the session. */
         public long sequence;
-        /** The least sequence of this life that still waits for its verdict. */
+        /** The lowest sequence number of the session whose result the sender still waits for. */
         public long lowest;
 
+        /** The tagged encoding of the command. */
         public byte[] body = {};
     }
 
+    /** Adds or updates a member. */
     public static final class MemberPut {
         public Node node;
     }
 
+    /** Records that the lease of a member's incarnation has lapsed. */
     public static final class MemberLapsed {
         public String name;
         public long incarnation;
     }
 
+    /** Removes a member's incarnation that left or has been silent for long. */
     public static final class MemberGone {
         public String name;
         public long incarnation;
     }
 
+    /** Submits a new manifest. */
     public static final class ManifestPut {
+        /** The version that the manifest is based on. */
         public long base;
+
         public String text;
-        /** The number its sender gave it; 0: the next one. */
+        /** The number that the sender gave the manifest; 0 takes the next one. */
         public long number;
-        /** The text as it was sent, where that differs; kept to be read back. */
+        /** The text as submitted, if it differs from {@link #text}; kept to be read back. */
         public String source = "";
     }
 
+    /** Brings a service in line with the manifest. The lists about cells are parallel. */
     public static final class ServiceSync {
         public String service;
         public long manifestVersion;
@@ -52,11 +68,13 @@
         public List<String> zones = new ArrayList<>();
         public List<String> cellRegions = new ArrayList<>();
         public List<Integer> weights = new ArrayList<>();
+        /** Whether a cell's weight is multiplied by the slots of its runners. */
         public boolean bySlots;
-        /** The region sets that routes to it are bound to, each a list of names. */
+        /** The region sets of the routes to this service, each a space-separated list of region names. */
         public List<String> bound = new ArrayList<>();
     }
 
+    /** Adds or updates a runner. */
     public static final class RunnerPut {
         public String service;
         public String runner;
@@ -65,17 +83,20 @@
         public int slots;
         public long incarnation;
         public boolean cold;
+        /** The number of requests that the runner is running. */
         public int load;
-        /** UP or LEAVING, as in the record. */
+        /** The state as in {@link craneway.state.record.Rows.Runner}: up or leaving. */
         public int state;
-        /** How long it stays cold, and how long until it is gone, in microseconds; 0: not told. */
+        /** How long the runner stays cold, in microseconds; 0 if not told. */
         public long coldFor;
 
+        /** How long until the runner goes away, in microseconds; 0 if not told. */
         public long goneIn;
-        /** Rises with each call of a runner; 0: not counted. */
+        /** Increases with each announcement of a runner; 0 if the runner does not number them. */
         public long sequence;
     }
 
+    /** Marks one incarnation of a runner as leaving or dark. */
     public static final class RunnerMark {
         public String service;
         public String runner;
@@ -83,11 +104,12 @@
         public int state;
     }
 
-    /** A life that ended, in whichever service. */
+    /** Marks a runner as leaving in every service that lists it. */
     public static final class RunnerLeft {
         public String runner;
     }
 
+    /** Takes the claim for a request key on behalf of one attempt. */
     public static final class Claim {
         public String service;
         public String key;
@@ -99,6 +121,7 @@
         public long attempt;
     }
 
+    /** Records the outcome of the attempt that holds a claim. */
     public static final class Finish {
         public String service;
         public String key;
@@ -108,13 +131,17 @@
         public int state;
     }
 
+    /** Advances the age of the part and expires rows. */
     public static final class Age {
+        /** The time that has passed, in microseconds. */
         public long micros;
+        /** How long finished claims are kept, in microseconds. */
         public long retention;
-        /** After how long a runner that left or went dark is forgotten; 0: never. */
+        /** How long a runner that left or went dark is kept, in microseconds; 0 keeps it forever. */
         public long forgotten;
     }
 
+    /** Assigns new home cells to some units, in a core with members too old to support steps. */
     public static final class TableStep {
         public String service;
         public long tableVersion;
@@ -122,10 +149,13 @@
         public int[] cells;
     }
 
+    /** Records that the core was rebuilt from one store's log, so that later entries may be lost. */
     public static final class Rebuilt {}
 
+    /** Records that an operator accepts the loss of claims, so that new ones can be taken. */
     public static final class ClaimsAccepted {}
 
+    /** Asks to move some units to another cell. */
     public static final class StepAsk {
         public String service;
         public long tableVersion;
@@ -134,15 +164,19 @@
         public String cause = "";
     }
 
+    /** Moves a step to its next state. */
     public static final class StepMark {
         public String service;
         public long id;
         public int state;
         public String cause = "";
+        /** How long the target cell is held back from further moves if the step is taken back, in microseconds. */
         public long heldMicros;
+
         public int[] units = {};
     }
 
+    /** Sets the cells that units should move to because their own cell is overloaded. */
     public static final class Displace {
         public String service;
         public long tableVersion;
@@ -150,31 +184,38 @@
         public int[] cells;
     }
 
+    /** Sets or clears the mark that empties a zone. */
     public static final class ZoneMark {
         public String zone;
         public boolean emptied;
     }
 
+    /** Stores a proposed plan. */
     public static final class PlanPut {
         public Plan plan;
     }
 
+    /** Confirms a plan. */
     public static final class PlanConfirm {
         public long plan;
     }
 
+    /** Stops a plan. */
     public static final class PlanStop {
         public long plan;
         public String cause;
     }
 
+    /** Takes requests from a tenant's quota for the current minute. */
     public static final class QuotaTake {
         public String service;
         public String tenant;
         public int unit;
         public long tableVersion;
         public String region;
+        /** The number of requests asked for; fewer may be granted. */
         public int count;
+        /** The requests that the tenant may make in a minute. */
         public int limit;
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/MarkKey.java
+++ b/lib/state/src/main/java/craneway/state/message/MarkKey.java
@@ -1,8 +1,8 @@
 package craneway.state.message;
 
-/** What a mark of the manifest is on: a zone, a cell of a service, or a tenant. Its text is how records and messages hold it. */
+/** Identifies what a mark of the manifest applies to: a zone, a cell of a service, or a tenant. */
 public record MarkKey(Target target, String name) {
-    /** What can be marked. */
+    /** The kinds of things that can be marked. */
     public enum Target {
         ZONE("zone:"),
         CELL("cell:"),
@@ -15,29 +15,30 @@
         }
     }
 
-    /** The mark on a zone. */
+    /** Returns the key of a zone. */
     public static MarkKey zone(String zone) {
         return new MarkKey(Target.ZONE, zone);
     }
 
-    /** The mark on a cell of a service. */
+    /** Returns the key of a cell of a service. */
     public static MarkKey cell(String service, String cell) {
         return new MarkKey(Target.CELL, service + "/" + cell);
     }
 
-    /** The mark on a tenant. */
+    /** Returns the key of a tenant. */
     public static MarkKey tenant(String tenant) {
         return new MarkKey(Target.TENANT, tenant);
     }
 
-    /** Reads a key as records hold it; null where it is none of these. */
+    /** Parses the text form of a key; returns null if it is not of a known kind. */
     public static MarkKey read(String text) {
-        for (var t : Target.values())
-            if (text.startsWith(t.keyPrefix)) return new MarkKey(t, text.substring(t.keyPrefix.length()));
+        for (var target : Target.values())
+            if (text.startsWith(target.keyPrefix))
+                return new MarkKey(target, text.substring(target.keyPrefix.length()));
         return null;
     }
 
-    /** The key as records and messages hold it. */
+    /** Returns the text form used in rows and messages. */
     public String text() {
         return target.keyPrefix + name;
     }
--- a/lib/state/src/main/java/craneway/state/message/MessageTags.java
+++ b/lib/state/src/main/java/craneway/state/message/MessageTags.java
@@ -2,6 +2,10 @@
 
 import craneway.state.part.PartMessage;
 
+/**
+ * The tags of the message and command types. A tag is the position in the list, starting at 1; new types are added at
+ * the end only.
+ */
 final class MessageTags {
     private static final Class<?>[] TYPES_BY_TAG = {
         PartMessage.class,
@@ -49,13 +53,15 @@
 
     private MessageTags() {}
 
-    static int tagOf(Class<?> c) {
-        for (var i = 0; i < TYPES_BY_TAG.length; i++) if (TYPES_BY_TAG[i] == c) return i + 1;
-        throw new IllegalArgumentException("no tag for " + c);
+    /** Returns the tag of a type. */
+    static int tagOf(Class<?> type) {
+        for (var i = 0; i < TYPES_BY_TAG.length; i++) if (TYPES_BY_TAG[i] == type) return i + 1;
+        throw new IllegalArgumentException("no message tag for " + type);
     }
 
+    /** Returns the type of a tag; throws {@link BadMessageException} if the tag is unknown. */
     static Class<?> typeOf(int tag) {
-        if (tag < 1 || tag > TYPES_BY_TAG.length) throw new BadMessageException("unknown tag " + tag);
+        if (tag < 1 || tag > TYPES_BY_TAG.length) throw new BadMessageException("unknown message tag " + tag);
         return TYPES_BY_TAG[tag - 1];
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Messages.java
+++ b/lib/state/src/main/java/craneway/state/message/Messages.java
@@ -3,41 +3,62 @@
 import java.util.ArrayList;
 import java.util.List;
 
+/**
+ * The messages between processes, apart from those of a part's group. The order and types of the fields are the wire
+ * format; names are not written. Times are microseconds.
+ */
 public final class Messages {
     private Messages() {}
 
+    /** A greeting, by which processes find each other and learn of the core. */
     public static final class Hello {
         public Node from;
+        /** Whether the receiver should greet back. */
         public boolean wantsReply;
+        /** A digest of the empty stores that the sender sees; stores found a core once their digests agree. */
         public long seen;
+
         public Founding founding;
+        /** The processes that the sender knows. */
         public List<Node> known = new ArrayList<>();
+        /** In a low-traffic reply, a digest of the sender's list of stores. */
         public long list;
+        /** In a low-traffic greeting, the digest of the receiver's list that the sender already has. */
         public long have;
+        /** Whether the sender leaves out what the receiver already has. */
         public boolean lowTraffic;
     }
 
+    /** A member's renewal of its lease on one part. */
     public static final class Renew {
         public int part;
         public Node from;
+        /** When the renewal was sent, by the sender's clock; the reply returns it. */
         public long stamp;
+
         public boolean leaving;
+        /** The version of the member list that the sender has; negative before it has one. */
         public long members;
+        /** The topics that the sender follows. */
         public List<String> topics = new ArrayList<>();
+        /** The version that the sender has of each topic. */
         public List<Long> versions = new ArrayList<>();
+
         public List<Signal> signals = new ArrayList<>();
     }
 
-    /** The renewals of several parts at once; what they share is said once. */
+    /** The renewals of several parts with the same leader; the fields they share are sent once. */
     public static final class Renewals {
         public Node from;
         public long stamp;
         public boolean leaving;
+        /** The incarnation of the leader that the sender knows. */
         public long leader;
+
         public List<Renew> parts = new ArrayList<>();
     }
 
-    /** The replies to them; a leader that the renewals named already is left out. */
+    /** The replies to {@link Renewals}. The leader is left out if it is the one that the renewals named. */
     public static final class RenewReplies {
         public long stamp;
         public long incarnation;
@@ -46,120 +67,160 @@
         public List<RenewReply> parts = new ArrayList<>();
     }
 
+    /** What a router observed of a cell since its last renewal. */
     public static final class Signal {
         public String service;
         public String cell;
+        /** The number of answers that began. */
         public long runs;
+        /** The number of failures. */
         public long problems;
+        /** The sum of the times to the first token of those answers. */
         public long firstMicros;
     }
 
+    /** The leader's reply to a renewal. */
     public static final class RenewReply {
         public int part;
+        /** 0 if the lease is granted, else the code of the problem. */
         public int kind;
+
         public long incarnation;
+        /** The send time of the renewal, from which the lease is counted. */
         public long stamp;
+
         public Node leader;
         public long membersVersion;
+        /** The member list, or null if the sender already has it. */
         public List<Node> members;
+        /** The topics of the part. */
         public List<String> topics = new ArrayList<>();
+        /** The current version of each topic. */
         public List<Long> versions = new ArrayList<>();
+
         public long grace;
-        /** The member that stands under this name, where the renewal came from an older life of it. */
+        /** The member recorded under this name, if the renewal came from an earlier process of that name. */
         public Node known;
     }
 
+    /** Asks for updates of a topic. */
     public static final class Subscribe {
         public Node from;
         public String topic;
+        /** The version that the sender has. */
         public long have;
     }
 
+    /** A new version of a topic. */
     public static final class News {
         public String topic;
         public long version;
         public byte[] body;
     }
 
+    /** A query or command for the leader of a part. */
     public static final class CommandRequest {
+        /** Identifies the request within the sender's session. */
         public long id;
+
         public int part;
         public Node from;
-        /** The query or command; empty where the sender only wants to learn the leader's clock. */
+        /** The tagged query or command; empty if the sender only asks for the leader's clock. */
         public byte[] body;
-        /** The life of the asking process; 0 from a process too old to tell. Within it, {@code id} rises. */
+        /** The session id of the sender, within which {@link #id} increases; 0 from a process too old to say. */
         public long life;
-        /** The least id of this life that still waits for its verdict. */
+        /** The lowest id of this session whose result the sender still waits for. */
         public long lowest;
-        /** The term whose leader's clock the bound is told by; 0: none is known yet. */
+        /** The term of the leader by whose clock {@link #bound} is given; 0 if the sender knows no clock yet. */
         public long term;
-        /** When the command lapses, by the steady clock of that leader, in microseconds. */
+        /** The deadline after which the command must not take effect, by the steady clock of that leader. */
         public long bound;
     }
 
+    /** The result of a query or command. */
     public static final class CommandResult {
         public long id;
+        /** 0 for success, else the code of the problem. */
         public int kind;
+
         public String detail = "";
+        /** How long to wait before a retry, in microseconds; 0 if there is no advice. */
         public long retryAfter;
+        /** A version or number that the command produced; its meaning depends on the command. */
         public long version;
+        /** The part's leader, if the request has to be sent there instead. */
         public Node leader;
+
         public byte[] body;
-        /** The life that asked; 0 from a process too old to tell. */
+        /** The session id of the request; 0 from a process too old to say. */
         public long life;
-        /** The term of the leader that answers, and its steady clock as it did; 0: no leader answers. */
+        /** The term of the leader that answers; 0 if no leader answers. */
         public long term;
 
+        /** The steady clock of that leader when it answered. */
         public long clock;
     }
 
-    /** A router tells the others what it gave a runner to read, in tokens. */
+    /** Tells other routers how many tokens the sender gave a runner to prefill. */
     public static final class Reading {
         public String runner = "";
+        /** The number of tokens to prefill. */
         public int tokens;
-        /** The shared parts that it then keeps, by id and tokens. */
+        /** The ids of the shared prompt parts that the runner then has in its prefix cache. */
         public long[] parts = {};
 
+        /** The size of each shared part, in tokens. */
         public int[] sizes = {};
     }
 
-    /** A router tells the others that a runner has fallen silent. */
+    /** Tells other routers that a runner has stopped responding. */
     public static final class Silence {
         public String runner = "";
     }
 
+    /** Asks a part's leader to make the sending store a member, or to let it go. */
     public static final class Join {
         public int part;
         public Node from;
-        /** The sender is about to stop and asks whether it may go; an earlier leader takes no notice. */
+        /** Whether the sender is about to stop and asks whether it may; leaders of earlier versions ignore this. */
         public boolean leaving;
-        /** A leader's answer to that, and whether the store that asked may go. */
+        /** Whether this is the leader's answer to a store that is about to stop. */
         public boolean answer;
 
+        /** In that answer, whether the store may stop. */
         public boolean mayGo;
     }
 
+    /** The identity of a core: its id and the stores that founded it. */
     public static final class Founding {
         public long coreId;
         public long[] stores = {};
         public String[] zones = {};
+        /** The id of the core before its first rebuild; 0 if it was never rebuilt. */
         public long origin;
+        /** The number of times that the core was rebuilt. */
         public int generation;
 
+        /** Returns the id of the core before its first rebuild. */
         public long origin() {
             return origin == 0 ? coreId : origin;
         }
 
-        public boolean sameOrigin(Founding o) {
-            return o != null && o.origin() == origin();
+        /** Returns whether the other core is known and stems from the same original core. */
+        public boolean sameOrigin(Founding other) {
+            return other != null && other.origin() == origin();
         }
 
-        public boolean newerThan(Founding o) {
-            return generation != o.generation ? generation > o.generation : Long.compareUnsigned(coreId, o.coreId) > 0;
+        /** Returns whether this core is of a later generation, or of the same one with a higher id. */
+        public boolean newerThan(Founding other) {
+            return generation != other.generation
+                    ? generation > other.generation
+                    : Long.compareUnsigned(coreId, other.coreId) > 0;
         }
 
-        public boolean has(long id) {
-            for (var s : stores) if (s == id) return true;
+        /** Returns whether the store is one of the founders. */
+        public boolean has(long storeId) {
+            for (var store : stores) if (store == storeId) return true;
             return false;
         }
     }
--- a/lib/state/src/main/java/craneway/state/message/Node.java
+++ b/lib/state/src/main/java/craneway/state/message/Node.java
@@ -1,10 +1,21 @@
 package craneway.state.message;
 
+/** A process of the core as other processes know it. The fields are part of the wire format. */
 public final class Node {
+    /** Increments of an incarnation are spread below this by the session id. */
     private static final long MAX_INCARNATION_STEP = 1_024;
 
-    public static final int WIRE = 2, STEPS = 2;
-    public static final String STORE = "store", ROUTER = "router";
+    /** The version of the wire format that this code supports. */
+    public static final int WIRE = 2;
+
+    /** The first version of the wire format with the step commands. */
+    public static final int STEPS = 2;
+
+    /** The kind of a store. */
+    public static final String STORE = "store";
+
+    /** The kind of a router. */
+    public static final String ROUTER = "router";
 
     public String name = "";
     public String kind = "";
@@ -14,19 +25,31 @@
     public long storeId;
     public long coreId;
     public boolean serving;
+    /** How long after the end of its lease this process may still act, in microseconds. */
     public long grace;
+    /** The version of the wire format that the process supports. */
     public int wire;
-    /** Where a router takes requests, IP:PORT; empty where it does not tell. */
+    /** The address, IP:PORT, where a router accepts requests; empty if it does not say. */
     public String clientAddress = "";
-    /** Whether it reads renewals of several parts in one message; false where an older process does not tell. */
+    /**
+     * Whether the process supports the renewals of several parts in one message; false from a process too old to say.
+     */
     public boolean renewals;
-    /** Drawn at random when the process started, the same as long as it lives; 0 where an older process does not tell. */
+    /**
+     * The session id: drawn at random when the process starts and constant while it runs; 0 from a process too old to
+     * say.
+     */
     public long life;
-    /** Whether it reads commands under an identity and tells its leader's clock; false where an older process does not tell. */
+    /**
+     * Whether the process supports identified commands and reports its leader's clock; false from a process too old to
+     * say.
+     */
     public boolean fenced;
 
+    /** Creates an empty node to be filled by the decoder. */
     public Node() {}
 
+    /** Creates a node that supports everything the current version does. */
     public Node(String name, String kind, String zone, String peerAddress, long incarnation) {
         this.name = name;
         this.kind = kind;
@@ -38,44 +61,53 @@
         this.fenced = true;
     }
 
-    /** A process that has just started: its incarnation is only a first offer, the core names the one it must outrank. */
+    /**
+     * Returns the node of a process that has just started. Its incarnation is a first offer; the core tells it the one
+     * it has to exceed.
+     */
     public static Node started(String name, String kind, String zone, String peerAddress, long life) {
-        var n = new Node(name, kind, zone, peerAddress, 0);
-        n.life = life | 1;
-        n.incarnation = n.above(0);
-        return n;
+        var node = new Node(name, kind, zone, peerAddress, 0);
+        node.life = life | 1;
+        node.incarnation = node.above(0);
+        return node;
     }
 
-    /** An incarnation above the known one, by a step that differs from life to life. */
+    /**
+     * Returns an incarnation above the known one. The increment depends on the session, so that two processes under one
+     * name choose different incarnations.
+     */
     public long above(long known) {
         return known + 1 + (life == 0 ? 0 : Math.floorMod(life >> 1, MAX_INCARNATION_STEP));
     }
 
-    /** Whether the other node is known to be another process than this one. */
+    /** Returns whether the other node is known to be another process than this one. */
     public boolean otherLife(Node other) {
         return life != 0 && other.life != 0 && life != other.life;
     }
 
+    /** Returns a copy with another incarnation and serving state. */
     public Node with(long newIncarnation, boolean nowServing) {
-        var n = new Node(name, kind, zone, peerAddress, newIncarnation);
-        n.clientAddress = clientAddress;
-        n.storeId = storeId;
-        n.coreId = coreId;
-        n.serving = nowServing;
-        n.grace = grace;
-        n.wire = wire;
-        n.renewals = renewals;
-        n.life = life;
-        n.fenced = fenced;
-        return n;
+        var copy = new Node(name, kind, zone, peerAddress, newIncarnation);
+        copy.clientAddress = clientAddress;
+        copy.storeId = storeId;
+        copy.coreId = coreId;
+        copy.serving = nowServing;
+        copy.grace = grace;
+        copy.wire = wire;
+        copy.renewals = renewals;
+        copy.life = life;
+        copy.fenced = fenced;
+        return copy;
     }
 
+    /** Returns a copy with another grace. */
     public Node with(long newGrace) {
-        var n = with(incarnation, serving);
-        n.grace = newGrace;
-        return n;
+        var copy = with(incarnation, serving);
+        copy.grace = newGrace;
+        return copy;
     }
 
+    /** Returns whether the process is a router. */
     public boolean isRouter() {
         return kind.equals(ROUTER);
     }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
@@ -15,6 +15,7 @@
     static final int MAX_SNAPSHOT_BYTES = 64 << 20;
     /** A partial snapshot is discarded when no piece has arrived for this long. */
     private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
+
     private static final int INITIAL_BUFFER_BYTES = 1 << 20;
     private static final int MAX_PIECE_BYTES = 1 << 20;
     private static final byte[] EMPTY_BUFFER = {};
--- a/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
@@ -4,99 +4,116 @@
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
-/** Handles the commands about claims, quotas and the age of a part. */
+/** Handles the commands about claims and quotas and the passage of time in a part. */
 final class ClaimCommands {
     private static final long MINUTE_MICROS = 60_000_000;
 
     private ClaimCommands() {}
 
+    /** Lets new claims be taken again after a rebuild that may have lost claims. */
     static CommandResult acceptClaims(Rows.Whole rows) {
         rows.claimsLost = false;
         return Records.ok();
     }
 
-    static CommandResult takeClaim(Rows.Whole rows, Commands.Claim c) {
-        var old = rows.claims.get(c.key);
-        if (old != null && old.state != Rows.Claim.FREED) return resultForExistingClaim(old, c);
+    /** Takes the claim for a request key, which allows the holder to run the request once. */
+    static CommandResult takeClaim(Rows.Whole rows, Commands.Claim command) {
+        var existing = rows.claims.get(command.key);
+        if (existing != null && existing.state != Rows.Claim.FREED) return resultForExistingClaim(existing, command);
         if (rows.claimsLost) return Records.failure(Kind.CLAIMS_LOST, Kind.CLAIMS_LOST.text());
-        if (old != null && isSameAttempt(old, c.holder, c.incarnation, c.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "this try was given back");
-        var may = ServiceCommands.writeRefusal(rows, c.service, c.unit, c.tableVersion, c.region);
-        if (may != null) return may;
-        var m = rows.members.get(c.holder);
-        if (m == null || m.lapsed || m.node.incarnation != c.incarnation)
-            return Records.failure(Kind.STALE_MEMBER, c.holder + " holds no lease at incarnation " + c.incarnation);
-        var r = newClaim(rows, c.holder, c.incarnation, c.attempt);
-        r.unit = c.unit;
-        rows.claims.put(c.key, r);
+        if (existing != null && isSameAttempt(existing, command.holder, command.incarnation, command.attempt))
+            return Records.failure(Kind.OUTCOME_UNKNOWN, "this attempt has already released the claim");
+        var refusal =
+                ServiceCommands.writeRefusal(rows, command.service, command.unit, command.tableVersion, command.region);
+        if (refusal != null) return refusal;
+        var member = rows.members.get(command.holder);
+        if (member == null || member.lapsed || member.node.incarnation != command.incarnation)
+            return Records.failure(
+                    Kind.STALE_MEMBER, command.holder + " holds no lease at incarnation " + command.incarnation);
+        var claim = newClaim(rows, command.holder, command.incarnation, command.attempt);
+        claim.unit = command.unit;
+        rows.claims.put(command.key, claim);
         return Records.ok();
     }
 
-    private static Rows.Claim newClaim(Rows.Whole rows, String holder, long incarnation, long tryNo) {
-        var r = new Rows.Claim();
-        r.holder = holder;
-        r.incarnation = incarnation;
-        r.attempt = tryNo;
-        r.age = rows.age;
-        return r;
+    private static Rows.Claim newClaim(Rows.Whole rows, String holder, long incarnation, long attempt) {
+        var claim = new Rows.Claim();
+        claim.holder = holder;
+        claim.incarnation = incarnation;
+        claim.attempt = attempt;
+        claim.age = rows.age;
+        return claim;
     }
 
-    private static boolean isSameAttempt(Rows.Claim r, String holder, long incarnation, long tryNo) {
-        return r.holder.equals(holder) && r.incarnation == incarnation && r.attempt == tryNo;
+    private static boolean isSameAttempt(Rows.Claim claim, String holder, long incarnation, long attempt) {
+        return claim.holder.equals(holder) && claim.incarnation == incarnation && claim.attempt == attempt;
     }
 
-    private static CommandResult resultForExistingClaim(Rows.Claim r, Commands.Claim c) {
-        if (r.state == Rows.Claim.OPEN && isSameAttempt(r, c.holder, c.incarnation, c.attempt)) return Records.ok();
-        return switch (r.state) {
+    private static CommandResult resultForExistingClaim(Rows.Claim claim, Commands.Claim command) {
+        if (claim.state == Rows.Claim.OPEN
+                && isSameAttempt(claim, command.holder, command.incarnation, command.attempt)) return Records.ok();
+        return switch (claim.state) {
             case Rows.Claim.OPEN -> Records.failure(Kind.IN_PROGRESS, Kind.IN_PROGRESS.text());
             case Rows.Claim.DONE -> Records.failure(Kind.ALREADY_DONE, Kind.ALREADY_DONE.text());
             default -> Records.failure(Kind.OUTCOME_UNKNOWN, Kind.OUTCOME_UNKNOWN.text());
         };
     }
 
-    static CommandResult finishClaim(Rows.Whole rows, Commands.Finish c) {
-        var r = rows.claims.get(c.key);
-        if (r == null && c.state == Rows.Claim.FREED) {
-            r = newClaim(rows, c.holder, c.incarnation, c.attempt);
-            rows.claims.put(c.key, r);
+    /** Records the outcome of the attempt that holds a claim. */
+    static CommandResult finishClaim(Rows.Whole rows, Commands.Finish command) {
+        var claim = rows.claims.get(command.key);
+        if (claim == null && command.state == Rows.Claim.FREED) {
+            claim = newClaim(rows, command.holder, command.incarnation, command.attempt);
+            rows.claims.put(command.key, claim);
         }
-        if (r == null || !isSameAttempt(r, c.holder, c.incarnation, c.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "no such claim");
-        if (r.state == Rows.Claim.OPEN || r.state == Rows.Claim.UNKNOWN) r.state = c.state;
+        if (claim == null || !isSameAttempt(claim, command.holder, command.incarnation, command.attempt))
+            return Records.failure(Kind.OUTCOME_UNKNOWN, "no claim is held by this attempt");
+        if (claim.state == Rows.Claim.OPEN || claim.state == Rows.Claim.UNKNOWN) claim.state = command.state;
         return Records.ok();
     }
 
-    static CommandResult advanceAge(Rows.Whole rows, Commands.Age c) {
-        rows.age += c.micros;
-        if (rows.claimsLost && rows.age - rows.lostSince > c.retention) rows.claimsLost = false;
-        rows.claims.values().removeIf(r -> r.state != Rows.Claim.OPEN && rows.age - r.age > c.retention);
-        rows.quotas.values().removeIf(q -> q.minute < rows.age / MINUTE_MICROS);
-        rows.services.values().forEach(s -> s.heldUntil.values().removeIf(t -> t <= rows.age));
-        if (c.forgotten > 0)
-            rows.services.values().forEach(s -> RunnerCommands.removeExpiredRunners(rows, s, c.forgotten));
+    /** Advances the age of the part and removes the rows that have expired. */
+    static CommandResult advanceAge(Rows.Whole rows, Commands.Age command) {
+        rows.age += command.micros;
+        if (rows.claimsLost && rows.age - rows.lostSince > command.retention) rows.claimsLost = false;
+        rows.claims
+                .values()
+                .removeIf(claim -> claim.state != Rows.Claim.OPEN && rows.age - claim.age > command.retention);
+        rows.quotas.values().removeIf(quota -> quota.minute < rows.age / MINUTE_MICROS);
+        rows.services
+                .values()
+                .forEach(service -> service.heldUntil.values().removeIf(heldUntil -> heldUntil <= rows.age));
+        if (command.forgotten > 0)
+            rows.services
+                    .values()
+                    .forEach(service -> RunnerCommands.removeExpiredRunners(rows, service, command.forgotten));
         return Records.ok();
     }
 
-    static CommandResult takeQuota(Rows.Whole rows, Commands.QuotaTake c) {
-        var may = ServiceCommands.writeRefusal(rows, c.service, c.unit, c.tableVersion, c.region);
-        if (may != null) return may;
+    /** Takes requests from a tenant's quota for the current minute. The result's version is the number granted. */
+    static CommandResult takeQuota(Rows.Whole rows, Commands.QuotaTake command) {
+        var refusal =
+                ServiceCommands.writeRefusal(rows, command.service, command.unit, command.tableVersion, command.region);
+        if (refusal != null) return refusal;
         var minute = rows.age / MINUTE_MICROS;
-        var q = rows.quotas.computeIfAbsent(new QuotaKey(c.service, c.tenant).text(), k -> new Rows.Quota());
-        if (q.minute != minute) {
-            q.minute = minute;
-            q.used = 0;
+        var quota = rows.quotas.computeIfAbsent(
+                new QuotaKey(command.service, command.tenant).text(), key -> new Rows.Quota());
+        if (quota.minute != minute) {
+            quota.minute = minute;
+            quota.used = 0;
         }
-        var left = (minute + 1) * MINUTE_MICROS - rows.age;
-        var n = Math.min(c.count, c.limit - q.used);
-        if (n <= 0) {
-            var v = Records.failure(
-                    Kind.QUOTA_SPENT, "tenant " + c.tenant + " used its " + c.limit + " for this minute");
-            v.retryAfter = left;
-            return v;
+        var untilNextMinute = (minute + 1) * MINUTE_MICROS - rows.age;
+        var granted = Math.min(command.count, command.limit - quota.used);
+        if (granted <= 0) {
+            var result = Records.failure(
+                    Kind.QUOTA_SPENT,
+                    "tenant " + command.tenant + " has used its quota of " + command.limit + " for this minute");
+            result.retryAfter = untilNextMinute;
+            return result;
         }
-        q.used += n;
-        var v = Records.okWithVersion(n);
-        v.retryAfter = left;
-        return v;
+        quota.used += granted;
+        var result = Records.okWithVersion(granted);
+        result.retryAfter = untilNextMinute;
+        return result;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/CommandSessions.java
+++ b/lib/state/src/main/java/craneway/state/record/CommandSessions.java
@@ -9,65 +9,76 @@
 import java.util.function.Function;
 
 /**
- * Applies a command that carries its asker's identity once, whatever number of copies the log holds. Each life keeps the
- * verdicts of the commands that its process may still send again; the process tells with each the least it waits for. Both
- * the lives and the verdicts of one are bounded, and a sequence below a life's floor is refused without effect.
+ * Applies an identified command exactly once, however many copies of it the log holds. For each session, which is one
+ * run of a client process, it keeps the results of the commands that the process may still send again. Each command
+ * names the lowest sequence number whose result the process still waits for.
+ *
+ * <p>The number of sessions and the number of results of each session are bounded. A command whose sequence number is
+ * below the session's floor is refused without effect.
  */
 final class CommandSessions {
-    static final int MAX_SESSIONS = 1_024, MAX_RESULTS_PER_SESSION = 256;
+    /** The session that has been idle for longest is dropped beyond this number. */
+    static final int MAX_SESSIONS = 1_024;
+
+    /** The oldest results of a session are dropped beyond this number. */
+    static final int MAX_RESULTS_PER_SESSION = 256;
 
     private CommandSessions() {}
 
-    static CommandResult applyOnce(Rows.Whole rows, Commands.Fenced f, Function<Object, CommandResult> handle) {
-        var known = recordedResult(rows, f.life, f.sequence);
-        if (known != null) return known;
-        var life = rows.lives.computeIfAbsent(f.life, k -> new Rows.Life());
-        life.index = rows.index;
-        if (f.sequence < life.floor)
-            return Records.failure(Kind.LATE_COMMAND, "ask " + f.sequence + " is below " + life.floor);
-        var v = handle.apply(Codec.readTagged(f.body));
-        life.applied.put(f.sequence, toRecord(v));
-        trimResults(life, f.lowest);
+    /** Applies a command unless its result is already recorded, and returns the result. */
+    static CommandResult applyOnce(Rows.Whole rows, Commands.Fenced command, Function<Object, CommandResult> handler) {
+        var recorded = recordedResult(rows, command.life, command.sequence);
+        if (recorded != null) return recorded;
+        var session = rows.lives.computeIfAbsent(command.life, id -> new Rows.Life());
+        session.index = rows.index;
+        if (command.sequence < session.floor)
+            return Records.failure(
+                    Kind.LATE_COMMAND,
+                    "sequence " + command.sequence + " is below the lowest accepted one, " + session.floor);
+        var result = handler.apply(Codec.readTagged(command.body));
+        session.applied.put(command.sequence, toRecord(result));
+        trimResults(session, command.lowest);
         while (rows.lives.size() > MAX_SESSIONS) rows.lives.remove(leastRecentlyUsed(rows));
-        return v;
+        return result;
     }
 
-    static CommandResult recordedResult(Rows.Whole rows, long life, long sequence) {
-        var l = rows.lives.get(life);
-        var a = l == null ? null : l.applied.get(sequence);
-        return a == null ? null : recordedResult(a);
+    /** Returns the recorded result of a command, or null if there is none. */
+    static CommandResult recordedResult(Rows.Whole rows, long sessionId, long sequence) {
+        var session = rows.lives.get(sessionId);
+        var recorded = session == null ? null : session.applied.get(sequence);
+        return recorded == null ? null : toResult(recorded);
     }
 
-    private static void trimResults(Rows.Life life, long lowest) {
-        life.floor = Math.max(life.floor, lowest);
-        life.applied.headMap(life.floor).clear();
-        while (life.applied.size() > MAX_RESULTS_PER_SESSION)
-            life.floor = life.applied.pollFirstEntry().getKey() + 1;
+    private static void trimResults(Rows.Life session, long lowestPending) {
+        session.floor = Math.max(session.floor, lowestPending);
+        session.applied.headMap(session.floor).clear();
+        while (session.applied.size() > MAX_RESULTS_PER_SESSION)
+            session.floor = session.applied.pollFirstEntry().getKey() + 1;
     }
 
-    /** The life that has been idle for longest. */
+    /** Returns the id of the session whose latest command is the oldest. */
     private static Long leastRecentlyUsed(Rows.Whole rows) {
         return rows.lives.entrySet().stream()
-                .min(Comparator.comparingLong(e -> e.getValue().index))
+                .min(Comparator.comparingLong(entry -> entry.getValue().index))
                 .map(Map.Entry::getKey)
                 .orElseThrow();
     }
 
-    private static Rows.Applied toRecord(CommandResult v) {
-        var a = new Rows.Applied();
-        a.kind = v.kind;
-        a.detail = v.detail;
-        a.retryAfter = v.retryAfter;
-        a.version = v.version;
-        return a;
+    private static Rows.Applied toRecord(CommandResult result) {
+        var recorded = new Rows.Applied();
+        recorded.kind = result.kind;
+        recorded.detail = result.detail;
+        recorded.retryAfter = result.retryAfter;
+        recorded.version = result.version;
+        return recorded;
     }
 
-    private static CommandResult recordedResult(Rows.Applied a) {
-        var v = new CommandResult();
-        v.kind = a.kind;
-        v.detail = a.detail;
-        v.retryAfter = a.retryAfter;
-        v.version = a.version;
-        return v;
+    private static CommandResult toResult(Rows.Applied recorded) {
+        var result = new CommandResult();
+        result.kind = recorded.kind;
+        result.detail = recorded.detail;
+        result.retryAfter = recorded.retryAfter;
+        result.version = recorded.version;
+        return result;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ConfigurationFingerprint.java
+++ b/lib/state/src/main/java/craneway/state/record/ConfigurationFingerprint.java
@@ -8,37 +8,44 @@
 import java.util.Arrays;
 
 /**
- * Tells whether a configuration that is sent is the one that was taken under its number: the first 128 bits of the SHA-256
- * of what it builds on and of its text as it was sent. The newest 2,000 are remembered. A hash of 64 bits is kept beside it, by
- * which older processes tell configurations apart, and by which those from their snapshots are still known.
+ * Identifies a submitted configuration, to recognize a copy of one that was already accepted under its number. The
+ * digest is the first 128 bits of the SHA-256 of the base version and the text as submitted. The newest {@link
+ * #MAX_REMEMBERED} are remembered.
+ *
+ * <p>A 64-bit hash is kept beside the digest: older processes compare configurations by it, and configurations from
+ * their snapshots are recognized by it.
  */
 record ConfigurationFingerprint(byte[] digest, long legacyHash) {
     static final int MAX_REMEMBERED = 2_000;
 
     private static final int DIGEST_BYTES = 16;
 
+    /** Computes the fingerprint of a configuration text and the version it is based on. */
     static ConfigurationFingerprint of(String source, long base) {
         try {
-            var sha = MessageDigest.getInstance("SHA-256");
-            sha.update(ByteBuffer.allocate(Long.BYTES).putLong(base).array());
-            var whole = sha.digest(source.getBytes(StandardCharsets.UTF_8));
-            return new ConfigurationFingerprint(Arrays.copyOf(whole, DIGEST_BYTES), Hash.of(Hash.of(source), base));
+            var sha256 = MessageDigest.getInstance("SHA-256");
+            sha256.update(ByteBuffer.allocate(Long.BYTES).putLong(base).array());
+            var fullDigest = sha256.digest(source.getBytes(StandardCharsets.UTF_8));
+            return new ConfigurationFingerprint(
+                    Arrays.copyOf(fullDigest, DIGEST_BYTES), Hash.of(Hash.of(source), base));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    boolean matchesRecorded(long number, Rows.Manifest m) {
-        var known = m.digests.get(number);
-        if (known != null) return Arrays.equals(known, digest);
-        var old = m.taken.get(number);
-        return old != null && old == legacyHash;
+    /** Returns whether this is the fingerprint of the configuration accepted under the number. */
+    boolean matchesRecorded(long number, Rows.Manifest manifest) {
+        var recordedDigest = manifest.digests.get(number);
+        if (recordedDigest != null) return Arrays.equals(recordedDigest, digest);
+        var recordedHash = manifest.taken.get(number);
+        return recordedHash != null && recordedHash == legacyHash;
     }
 
-    void remember(long number, Rows.Manifest m) {
-        m.digests.put(number, digest);
-        m.taken.put(number, legacyHash);
-        while (m.taken.size() > MAX_REMEMBERED)
-            m.digests.remove(m.taken.pollFirstEntry().getKey());
+    /** Records this fingerprint under the number and drops the oldest ones. */
+    void remember(long number, Rows.Manifest manifest) {
+        manifest.digests.put(number, digest);
+        manifest.taken.put(number, legacyHash);
+        while (manifest.taken.size() > MAX_REMEMBERED)
+            manifest.digests.remove(manifest.taken.pollFirstEntry().getKey());
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -6,62 +6,74 @@
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Plan;
 
-/** Handles the commands about configurations and emptied zones. */
+/** Handles the commands about the manifest and the marks on zones. */
 final class ManifestCommands {
     private ManifestCommands() {}
 
-    static CommandResult putManifest(Rows.Whole rows, Commands.ManifestPut c) {
-        var m = rows.manifest;
-        if (c.number > 0) return putNumbered(rows, c, m);
-        if (c.base == baseVersionOf(m) && c.text.equals(m.text)) return acceptedResult(m);
-        if (c.base != m.version)
+    /**
+     * Accepts a new manifest if it is based on the version in force. A copy of the accepted manifest is acknowledged
+     * again.
+     */
+    static CommandResult putManifest(Rows.Whole rows, Commands.ManifestPut command) {
+        var manifest = rows.manifest;
+        if (command.number > 0) return putNumbered(rows, command, manifest);
+        if (command.base == baseVersionOf(manifest) && command.text.equals(manifest.text))
+            return acceptedResult(manifest);
+        if (command.base != manifest.version)
             return Records.failure(
-                    Kind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.version);
-        m.base = c.base;
-        m.number = 0;
-        m.version++;
-        m.text = c.text;
-        m.topicVersion = rows.index;
-        return acceptedResult(m);
+                    Kind.RACE_LOST,
+                    "based on version " + command.base + ", but the version in force is " + manifest.version);
+        manifest.base = command.base;
+        manifest.number = 0;
+        manifest.version++;
+        manifest.text = command.text;
+        manifest.topicVersion = rows.index;
+        return acceptedResult(manifest);
     }
 
-    /** What the newest one was built on; snapshots of older processes do not tell. */
-    private static long baseVersionOf(Rows.Manifest m) {
-        return m.base < 0 ? m.version - 1 : m.base;
+    /**
+     * Returns the version that the manifest in force is based on. Snapshots of older processes do not record it; it is
+     * then taken to be the previous version.
+     */
+    private static long baseVersionOf(Rows.Manifest manifest) {
+        return manifest.base < 0 ? manifest.version - 1 : manifest.base;
     }
 
-    private static CommandResult putNumbered(Rows.Whole rows, Commands.ManifestPut c, Rows.Manifest m) {
-        var change = ConfigurationFingerprint.of(c.source, c.base);
-        if (change.matchesRecorded(c.number, m)) return acceptedResult(m);
-        if (c.base != m.known())
+    private static CommandResult putNumbered(Rows.Whole rows, Commands.ManifestPut command, Rows.Manifest manifest) {
+        var fingerprint = ConfigurationFingerprint.of(command.source, command.base);
+        if (fingerprint.matchesRecorded(command.number, manifest)) return acceptedResult(manifest);
+        if (command.base != manifest.known())
             return Records.failure(
-                    Kind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.known());
-        if (c.number <= m.known())
-            return Records.failure(Kind.BAD_MANIFEST, "version " + c.number + " is not above " + m.known());
-        m.base = c.base;
-        m.version = Math.max(c.number, m.version + 1);
-        m.number = m.version == c.number ? 0 : c.number;
-        m.text = c.text;
-        m.source = c.source;
-        m.topicVersion = rows.index;
-        change.remember(c.number, m);
-        return acceptedResult(m);
+                    Kind.RACE_LOST,
+                    "based on version " + command.base + ", but the version in force is " + manifest.known());
+        if (command.number <= manifest.known())
+            return Records.failure(
+                    Kind.BAD_MANIFEST, "version " + command.number + " is not greater than " + manifest.known());
+        manifest.base = command.base;
+        manifest.version = Math.max(command.number, manifest.version + 1);
+        manifest.number = manifest.version == command.number ? 0 : command.number;
+        manifest.text = command.text;
+        manifest.source = command.source;
+        manifest.topicVersion = rows.index;
+        fingerprint.remember(command.number, manifest);
+        return acceptedResult(manifest);
     }
 
-    private static CommandResult acceptedResult(Rows.Manifest m) {
-        var v = Records.okWithVersion(m.topicVersion);
-        v.detail = Long.toString(m.version);
-        return v;
+    private static CommandResult acceptedResult(Rows.Manifest manifest) {
+        var result = Records.okWithVersion(manifest.topicVersion);
+        result.detail = Long.toString(manifest.version);
+        return result;
     }
 
-    static CommandResult markZone(Rows.Whole rows, Commands.ZoneMark c) {
-        var m = rows.manifest;
-        var key = MarkKey.zone(c.zone).text();
-        if (m.marks.containsKey(key) == c.emptied) return Records.okWithVersion(m.topicVersion);
-        if (c.emptied) m.marks.put(key, Plan.EMPTIED);
-        else m.marks.remove(key);
-        m.marksVersion++;
-        m.topicVersion = rows.index;
-        return Records.okWithVersion(m.topicVersion);
+    /** Sets or clears the mark that empties a zone. */
+    static CommandResult markZone(Rows.Whole rows, Commands.ZoneMark command) {
+        var manifest = rows.manifest;
+        var key = MarkKey.zone(command.zone).text();
+        if (manifest.marks.containsKey(key) == command.emptied) return Records.okWithVersion(manifest.topicVersion);
+        if (command.emptied) manifest.marks.put(key, Plan.EMPTIED);
+        else manifest.marks.remove(key);
+        manifest.marksVersion++;
+        manifest.topicVersion = rows.index;
+        return Records.okWithVersion(manifest.topicVersion);
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/MemberCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/MemberCommands.java
@@ -4,36 +4,40 @@
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
-/** Handles the commands about members: who takes part, who lapsed and who left. */
+/**
+ * Handles the commands about members: the processes that hold leases, those whose lease has lapsed and those that left.
+ */
 final class MemberCommands {
     private MemberCommands() {}
 
-    static CommandResult putMember(Rows.Whole rows, Commands.MemberPut c) {
-        var old = rows.members.get(c.node.name);
-        if (old != null && old.node.incarnation > c.node.incarnation)
-            return Records.failure(Kind.STALE_MEMBER, Long.toString(old.node.incarnation));
-        if (old != null && old.node.incarnation < c.node.incarnation)
-            markOpenClaimsUnknown(rows, c.node.name, c.node.incarnation - 1);
-        var m = new Rows.Member();
-        m.node = c.node;
-        rows.members.put(c.node.name, m);
+    /** Adds or updates a member. The open claims of its earlier incarnations get an unknown outcome. */
+    static CommandResult putMember(Rows.Whole rows, Commands.MemberPut command) {
+        var existing = rows.members.get(command.node.name);
+        if (existing != null && existing.node.incarnation > command.node.incarnation)
+            return Records.failure(Kind.STALE_MEMBER, Long.toString(existing.node.incarnation));
+        if (existing != null && existing.node.incarnation < command.node.incarnation)
+            markOpenClaimsUnknown(rows, command.node.name, command.node.incarnation - 1);
+        var member = new Rows.Member();
+        member.node = command.node;
+        rows.members.put(command.node.name, member);
         rows.membersVersion = rows.index;
         return Records.ok();
     }
 
-    static CommandResult endMembership(Rows.Whole rows, String name, long incarnation, boolean gone) {
-        var m = rows.members.get(name);
-        if (m == null || m.node.incarnation != incarnation) return Records.ok();
+    /** Marks a member as lapsed, or removes it. Its open claims get an unknown outcome. */
+    static CommandResult endMembership(Rows.Whole rows, String name, long incarnation, boolean remove) {
+        var member = rows.members.get(name);
+        if (member == null || member.node.incarnation != incarnation) return Records.ok();
         markOpenClaimsUnknown(rows, name, incarnation);
-        m.lapsed = true;
-        if (gone) rows.members.remove(name);
+        member.lapsed = true;
+        if (remove) rows.members.remove(name);
         rows.membersVersion = rows.index;
         return Records.ok();
     }
 
-    private static void markOpenClaimsUnknown(Rows.Whole rows, String holder, long upTo) {
-        for (var c : rows.claims.values())
-            if (c.state == Rows.Claim.OPEN && c.holder.equals(holder) && c.incarnation <= upTo)
-                c.state = Rows.Claim.UNKNOWN;
+    private static void markOpenClaimsUnknown(Rows.Whole rows, String holder, long lastIncarnation) {
+        for (var claim : rows.claims.values())
+            if (claim.state == Rows.Claim.OPEN && claim.holder.equals(holder) && claim.incarnation <= lastIncarnation)
+                claim.state = Rows.Claim.UNKNOWN;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -9,45 +9,50 @@
 final class PlanCommands {
     private PlanCommands() {}
 
-    static CommandResult putPlan(Rows.Whole rows, Commands.PlanPut c) {
-        var p = c.plan;
-        if (p.manifestVersion != rows.manifest.version || p.marksVersion != rows.manifest.marksVersion)
-            return Records.failure(Kind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
-        p.id = ++rows.planCount;
-        rows.plans.put(p.id, p);
+    /** Stores a proposed plan and returns its id as the version. The newest 100 plans are kept. */
+    static CommandResult putPlan(Rows.Whole rows, Commands.PlanPut command) {
+        var plan = command.plan;
+        if (plan.manifestVersion != rows.manifest.version || plan.marksVersion != rows.manifest.marksVersion)
+            return Records.failure(Kind.STALE_PLAN, "the manifest or the marks changed while the plan was being made");
+        plan.id = ++rows.planCount;
+        rows.plans.put(plan.id, plan);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
-        return Records.okWithVersion(p.id);
+        return Records.okWithVersion(plan.id);
     }
 
-    static CommandResult confirmPlan(Rows.Whole rows, Commands.PlanConfirm c) {
-        var p = rows.plans.get(c.plan);
-        if (p == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + c.plan);
-        if (p.state == Plan.CONFIRMED) return Records.okWithVersion(p.confirmedTopic);
-        if (p.state == Plan.STOPPED) return Records.failure(Kind.STALE_PLAN, "plan " + c.plan + " was stopped");
-        var m = rows.manifest;
-        if (p.manifestVersion != m.version || p.marksVersion != m.marksVersion)
+    /** Confirms a plan: its marks take effect, provided the manifest and the marks are still those it was made for. */
+    static CommandResult confirmPlan(Rows.Whole rows, Commands.PlanConfirm command) {
+        var plan = rows.plans.get(command.plan);
+        if (plan == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + command.plan);
+        if (plan.state == Plan.CONFIRMED) return Records.okWithVersion(plan.confirmedTopic);
+        if (plan.state == Plan.STOPPED)
+            return Records.failure(Kind.STALE_PLAN, "plan " + command.plan + " was stopped");
+        var manifest = rows.manifest;
+        if (plan.manifestVersion != manifest.version || plan.marksVersion != manifest.marksVersion)
             return Records.failure(
                     Kind.STALE_PLAN,
-                    "plan " + c.plan + " was made for manifest " + p.manifestVersion + " and marks " + p.marksVersion
-                            + "; in force are " + m.version + " and " + m.marksVersion);
-        p.marks.forEach((k, v) -> {
-            if (v.isEmpty()) m.marks.remove(k);
-            else m.marks.put(k, v);
+                    "plan " + command.plan + " was made for manifest " + plan.manifestVersion + " and marks "
+                            + plan.marksVersion + "; in force are " + manifest.version + " and "
+                            + manifest.marksVersion);
+        plan.marks.forEach((key, mark) -> {
+            if (mark.isEmpty()) manifest.marks.remove(key);
+            else manifest.marks.put(key, mark);
         });
-        m.marksVersion++;
-        m.topicVersion = rows.index;
-        p.state = Plan.CONFIRMED;
-        p.confirmedTopic = rows.index;
-        return Records.okWithVersion(p.confirmedTopic);
+        manifest.marksVersion++;
+        manifest.topicVersion = rows.index;
+        plan.state = Plan.CONFIRMED;
+        plan.confirmedTopic = rows.index;
+        return Records.okWithVersion(plan.confirmedTopic);
     }
 
-    static CommandResult stopPlan(Rows.Whole rows, Commands.PlanStop c) {
-        var p = rows.plans.get(c.plan);
-        if (p == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + c.plan);
-        if (p.state == Plan.CONFIRMED)
-            return Records.failure(Kind.STALE_PLAN, "plan " + c.plan + " is in force; take it back with an intent");
-        p.state = Plan.STOPPED;
-        p.cause = c.cause;
+    /** Stops a plan that has not been confirmed. */
+    static CommandResult stopPlan(Rows.Whole rows, Commands.PlanStop command) {
+        var plan = rows.plans.get(command.plan);
+        if (plan == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + command.plan);
+        if (plan.state == Plan.CONFIRMED)
+            return Records.failure(Kind.STALE_PLAN, "plan " + command.plan + " is in force; take it back with an intent");
+        plan.state = Plan.STOPPED;
+        plan.cause = command.cause;
         return Records.ok();
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/QuotaKey.java
+++ b/lib/state/src/main/java/craneway/state/record/QuotaKey.java
@@ -1,8 +1,8 @@
 package craneway.state.record;
 
-/** Whose requests of a minute a quota counts. */
+/** Identifies a quota: the requests of one tenant to one service. */
 record QuotaKey(String service, String tenant) {
-    /** The key as records hold it. */
+    /** Returns the key in the form that the rows hold. */
     String text() {
         return service + "/" + tenant;
     }
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -9,13 +9,21 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 
-/** The replicated state of a part: applies committed commands, each family by a handler of its own. */
+/**
+ * The replicated state of one part. It applies committed commands to the {@link Rows}, each kind of command by its own
+ * handler. It is not thread-safe.
+ */
 public final class Records implements StateMachine {
+    /**
+     * Versions are raised by this much on a rebuild, so that they exceed every version that the lost members may have
+     * published.
+     */
     private static final long REBUILD_VERSION_INCREMENT = 1_000;
 
     private final Map<Class<?>, BiFunction<Rows.Whole, Object, CommandResult>> handlers = new HashMap<>();
     private Rows.Whole rows = new Rows.Whole();
 
+    /** Creates an empty state and registers the command handlers. */
     public Records() {
         register(Commands.MemberPut.class, MemberCommands::putMember);
         register(Commands.MemberLapsed.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, false));
@@ -43,14 +51,18 @@
 
     @SuppressWarnings("unchecked")
     private <C> void register(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
-        handlers.put(type, (r, o) -> handler.apply(r, (C) o));
+        handlers.put(type, (rows, command) -> handler.apply(rows, (C) command));
     }
 
+    /** Returns the current rows; callers must not change them. */
     public Rows.Whole rows() {
         return rows;
     }
 
-    /** What the command of this identity came to; null where it is not known to be applied. */
+    /**
+     * Returns the recorded result of a command identified by the sending session and its sequence number, or null if no
+     * such command is known to be applied.
+     */
     public CommandResult verdict(long life, long sequence) {
         return CommandSessions.recordedResult(rows, life, sequence);
     }
@@ -58,14 +70,16 @@
     @Override
     public CommandResult apply(long index, byte[] command) {
         rows.index = index;
-        var c = Codec.readTagged(command);
-        return c instanceof Commands.Fenced f ? CommandSessions.applyOnce(rows, f, this::handle) : handle(c);
+        var decoded = Codec.readTagged(command);
+        return decoded instanceof Commands.Fenced identified
+                ? CommandSessions.applyOnce(rows, identified, this::handle)
+                : handle(decoded);
     }
 
     private CommandResult handle(Object command) {
         var handler = handlers.get(command.getClass());
         return handler == null
-                ? failure(Kind.BAD_MESSAGE, command.getClass().getSimpleName() + " is no command")
+                ? failure(Kind.BAD_MESSAGE, command.getClass().getSimpleName() + " is not a command")
                 : handler.apply(rows, command);
     }
 
@@ -79,37 +93,39 @@
         rows = snapshot == null ? new Rows.Whole() : Codec.read(Rows.Whole.class, snapshot);
     }
 
+    /** Returns a result that reports success. */
     public static CommandResult ok() {
         return new CommandResult();
     }
 
+    /** Returns a result that reports a problem. The sender may retry after one second if the problem is transient. */
     public static CommandResult failure(Kind kind, String detail) {
-        var v = new CommandResult();
-        v.kind = kind.code();
-        v.detail = detail;
-        v.retryAfter = kind.transientState() ? 1_000_000 : 0;
-        return v;
+        var result = new CommandResult();
+        result.kind = kind.code();
+        result.detail = detail;
+        result.retryAfter = kind.transientState() ? 1_000_000 : 0;
+        return result;
     }
 
     static CommandResult okWithVersion(long version) {
-        var v = ok();
-        v.version = version;
-        return v;
+        var result = ok();
+        result.version = version;
+        return result;
     }
 
     private static CommandResult onRebuilt(Rows.Whole rows) {
         rows.claimsLost = true;
         rows.lostSince = rows.age;
-        rows.claims.values().forEach(c -> {
-            if (c.state == Rows.Claim.OPEN) c.state = Rows.Claim.UNKNOWN;
+        rows.claims.values().forEach(claim -> {
+            if (claim.state == Rows.Claim.OPEN) claim.state = Rows.Claim.UNKNOWN;
         });
-        var m = rows.manifest;
-        if (m.number == 0 && m.taken.containsKey(m.version)) m.number = m.version;
-        m.version += m.version == 0 ? 0 : REBUILD_VERSION_INCREMENT;
-        m.topicVersion = rows.index;
-        for (var s : rows.services.values()) {
-            s.tableVersion += REBUILD_VERSION_INCREMENT;
-            s.newsVersion = rows.index;
+        var manifest = rows.manifest;
+        if (manifest.number == 0 && manifest.taken.containsKey(manifest.version)) manifest.number = manifest.version;
+        manifest.version += manifest.version == 0 ? 0 : REBUILD_VERSION_INCREMENT;
+        manifest.topicVersion = rows.index;
+        for (var service : rows.services.values()) {
+            service.tableVersion += REBUILD_VERSION_INCREMENT;
+            service.newsVersion = rows.index;
         }
         return ok();
     }
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -9,191 +9,293 @@
 import java.util.Map;
 import java.util.TreeMap;
 
+/**
+ * The rows of a part's replicated state. The order and types of the fields are the snapshot format; names are not
+ * stored. "Age" is the part's own time in microseconds, which advances by {@link craneway.state.message.Commands.Age}
+ * commands only.
+ */
 public final class Rows {
     private Rows() {}
 
+    /** A process that holds or held a lease on the part. */
     public static final class Member {
         public Node node;
         public boolean lapsed;
     }
 
+    /** A runner of a service. */
     public static final class Runner {
-        public static final int UP = 0, LEAVING = 1, DARK = 2;
+        /** In service. */
+        public static final int UP = 0;
+
+        /** About to stop, or stopped as planned. */
+        public static final int LEAVING = 1;
+
+        /** Silent for too long. */
+        public static final int DARK = 2;
+
+        /** The runner's id. */
         public String name;
+
         public String address;
         public String cell;
         public int slots;
         public long incarnation;
         public boolean cold;
         public int state;
-        /** How long it stays cold and how long until it is gone, told when this row was written, in microseconds. */
+        /** How long the runner stays cold, in microseconds from when this row was written; 0 if not told. */
         public long coldFor;
 
+        /** How long until the runner goes away, in microseconds from when this row was written; 0 if not told. */
         public long goneIn;
-        /** The age of the part at which it was marked leaving or dark. */
+        /** The age of the part when the runner was marked leaving or dark. */
         public long endedAge;
 
+        /** Returns whether the runner is up. */
         public boolean up() {
             return state == UP;
         }
 
+        /** Returns the state in words. */
         public String stateName() {
             return state == UP ? "up" : state == LEAVING ? "leaving" : "dark";
         }
     }
 
+    /**
+     * A service with its regions, cells, runners and the table that assigns each unit a home cell. The lists about
+     * cells are parallel: the position of a cell in {@link #cells} is its number.
+     */
     public static final class Service {
         public String name;
         public long manifestVersion;
         public long tableVersion;
+        /** The version of the topic that publishes this row: the log index of its latest change. */
         public long newsVersion;
+
         public List<String> regions = new ArrayList<>();
         public List<String> cells = new ArrayList<>();
         public List<String> zones = new ArrayList<>();
         public List<String> cellRegions = new ArrayList<>();
         public List<Integer> weights = new ArrayList<>();
-        /** Whether a cell weighs as much as the slots of its runners. */
+        /** Whether a cell's weight is multiplied by the slots of its runners. */
         public boolean bySlots;
-        /** Region sets in use, as bits over the list of regions. */
+        /** The region sets in use, as bits over {@link #regions}. */
         public int[] sets = {};
 
+        /** The number of each unit's home cell, or {@link Table#NOWHERE}. */
         public int[] homes = {};
+
         public TreeMap<String, Runner> runners = new TreeMap<>();
+        /** The number of steps so far, which is the id of the latest one. */
         public long stepCount;
+
         public List<Step> steps = new ArrayList<>();
+        /** The units that should move to another cell because their own is overloaded. */
         public int[] displacedUnits = {};
+        /** The target cell of each unit in {@link #displacedUnits}. */
         public int[] displacedCells = {};
+        /**
+         * The age, by cell name, until which units with a working home are not moved to the cell, because a step to it
+         * was taken back.
+         */
         public TreeMap<String, Long> heldUntil = new TreeMap<>();
 
+        /** Returns the step with this id, or null. */
         public Step step(long id) {
-            for (var s : steps) if (s.id == id) return s;
+            for (var step : steps) if (step.id == id) return step;
             return null;
         }
 
+        /** Returns the cell that a unit is displaced to, or {@link Table#NOWHERE}. */
         public int displaced(int unit) {
-            for (var i = 0; i < displacedUnits.length; i++) if (displacedUnits[i] == unit) return displacedCells[i];
+            for (var at = 0; at < displacedUnits.length; at++)
+                if (displacedUnits[at] == unit) return displacedCells[at];
             return Table.NOWHERE;
         }
 
+        /** Returns the weight of a cell, multiplied by the slots of its runners if {@link #bySlots} is set. */
         public int weight(int cell) {
             if (!bySlots) return weights.get(cell);
-            var sum = 0;
-            for (var r : runners.values())
-                if (r.state != Runner.LEAVING && r.cell.equals(cells.get(cell))) sum += r.slots;
-            return weights.get(cell) * Math.max(1, sum);
+            var slots = 0;
+            for (var runner : runners.values())
+                if (runner.state != Runner.LEAVING && runner.cell.equals(cells.get(cell))) slots += runner.slots;
+            return weights.get(cell) * Math.max(1, slots);
         }
 
-        /** How many region sets in use share this cell's region: the set itself and all narrower ones. */
+        /**
+         * Returns how many region sets in use compete for the cell: the given set and all its proper subsets that
+         * include the cell's region. Returns 1 unless {@link #bySlots} is set.
+         */
         public int sharing(int cell, int set) {
             if (!bySlots) return 1;
             var region = regions.indexOf(cellRegions.get(cell));
-            var n = 1;
-            for (var s : sets) if (s != set && (s & set) == s && (s >> region & 1) == 1) n++;
-            return n;
+            var count = 1;
+            for (var other : sets) if (other != set && (other & set) == other && (other >> region & 1) == 1) count++;
+            return count;
         }
 
+        /** Returns whether the cell is part of the current manifest. */
         public boolean live(int cell) {
             return weights.get(cell) > 0;
         }
 
+        /** Returns the number of each cell, by name. */
         public Map<String, Integer> cellNumbers() {
-            var all = new HashMap<String, Integer>();
-            for (var c = 0; c < cells.size(); c++) all.putIfAbsent(cells.get(c), c);
-            return all;
+            var indexes = new HashMap<String, Integer>();
+            for (var cell = 0; cell < cells.size(); cell++) indexes.putIfAbsent(cells.get(cell), cell);
+            return indexes;
         }
 
-        /** How many runners of each cell are up. */
+        /** Returns the number of runners that are up, by cell number. */
         public int[] runnersUp() {
-            var at = cellNumbers();
+            var cellIndexes = cellNumbers();
             var up = new int[cells.size()];
-            for (var r : runners.values()) if (r.up() && at.containsKey(r.cell)) up[at.get(r.cell)]++;
+            for (var runner : runners.values())
+                if (runner.up() && cellIndexes.containsKey(runner.cell)) up[cellIndexes.get(runner.cell)]++;
             return up;
         }
 
+        /** Returns the number of runners of a cell that are up. */
         public long runnersUp(int cell) {
             return runners.values().stream()
-                    .filter(r -> r.up() && r.cell.equals(cells.get(cell)))
+                    .filter(runner -> runner.up() && runner.cell.equals(cells.get(cell)))
                     .count();
         }
     }
 
+    /**
+     * A move of some units to another cell. It is asked for, raised once the new home's store has confirmed it (the
+     * table then changes and the cell is watched), and finally kept or taken back; an unconfirmed step is dropped.
+     */
     public static final class Step {
-        public static final int ASKED = 0, RAISED = 1, KEPT = 2, TAKEN_BACK = 3, DROPPED = 4;
+        /** Waiting until the store of the new home has confirmed it. */
+        public static final int ASKED = 0;
+
+        /** In the table; the target cell is being watched. */
+        public static final int RAISED = 1;
+
+        /** Final: the cell stayed healthy. */
+        public static final int KEPT = 2;
+
+        /** Final: the cell got worse and the units were moved back. */
+        public static final int TAKEN_BACK = 3;
+
+        /** Final: the step was not confirmed and had no effect. */
+        public static final int DROPPED = 4;
+
         private static final String[] STATE_NAMES = {"asked", "raised and watched", "kept", "taken back", "dropped"};
         public long id;
         public int state;
         public int[] units = {};
+        /** The home cell of each unit before the step. */
         public int[] from = {};
+        /** The number of the target cell. */
         public int to;
+
         public String cause = "";
+        /** The log index at which the step was asked for. */
         public long index;
+        /** The age of the part when the step was asked for. */
         public long askedAge;
+        /** The table version that contains the step, once it is raised. */
         public long tableVersion;
 
+        /** Returns whether the step may change to the given state. */
         public boolean may(int next) {
             return state == ASKED
                     ? next == RAISED || next == DROPPED
                     : state == RAISED && (next == KEPT || next == TAKEN_BACK);
         }
 
+        /** Returns whether the step has reached a final state. */
         public boolean over() {
             return state > RAISED;
         }
 
+        /** Returns the state in words. */
         public String stateName() {
             return STATE_NAMES[state];
         }
     }
 
+    /** The right to run one request, taken by one attempt of one holder so that the request is not run twice. */
     public static final class Claim {
-        public static final int OPEN = 0, DONE = 1, UNKNOWN = 2, FREED = 3;
+        /** Held by an attempt that may still run. */
+        public static final int OPEN = 0;
+
+        /** The request was run. */
+        public static final int DONE = 1;
+
+        /** It is not known whether the request was run. */
+        public static final int UNKNOWN = 2;
+
+        /** Released by its holder; another attempt may take it. */
+        public static final int FREED = 3;
+
         public String holder;
         public long incarnation;
         public long attempt;
         public int unit;
         public int state;
+        /** The age of the part when the claim was taken. */
         public long age;
     }
 
+    /** The requests that a tenant has used of its quota in one minute of the part's age. */
     public static final class Quota {
         public long minute;
         public int used;
     }
 
+    /** The manifest in force and the marks on zones, cells and tenants. */
     public static final class Manifest {
         public long version;
+        /** The version of the topic that publishes the manifest: the log index of its latest change. */
         public long topicVersion;
+
         public long marksVersion;
         public String text = "";
+        /** The text as submitted, where it differs from {@link #text}; kept to be read back. */
         public String source = "";
+        /**
+         * The 64-bit hashes of accepted configurations, by number, for older processes; see {@link
+         * ConfigurationFingerprint}.
+         */
         public TreeMap<Long, Long> taken = new TreeMap<>();
+
         public TreeMap<String, String> marks = new TreeMap<>();
-        /** What the newest version was built on; negative where it was taken by a process too old to keep it. */
+        /**
+         * The version that the newest one is based on; negative if it was accepted by a process too old to record it.
+         */
         public long base = -1;
-        /** By number, the fingerprints of those taken; see {@link ConfigurationFingerprint}. */
+        /** The digests of accepted configurations, by number; see {@link ConfigurationFingerprint}. */
         public TreeMap<Long, byte[]> digests = new TreeMap<>();
 
-        /** The number that its sender gave the newest one, where that is not the version; 0: it is. */
+        /** The number that the sender gave the newest configuration if it differs from the version, else 0. */
         public long number;
 
-        /** The number by which senders know the newest one: a rebuild raises the version, but not that. */
+        /**
+         * Returns the number by which senders know the newest configuration. A rebuild raises the version, but not this
+         * number.
+         */
         public long known() {
             return number == 0 ? version : number;
         }
 
-        /** What is in force, without what is kept only to be read back. */
+        /** Returns a copy for publication, without what is kept only to recognize or read back submissions. */
         public Manifest inForce() {
-            var m = new Manifest();
-            m.version = version;
-            m.topicVersion = topicVersion;
-            m.marksVersion = marksVersion;
-            m.text = text;
-            m.marks = marks;
-            return m;
+            var copy = new Manifest();
+            copy.version = version;
+            copy.topicVersion = topicVersion;
+            copy.marksVersion = marksVersion;
+            copy.text = text;
+            copy.marks = marks;
+            return copy;
         }
     }
 
-    /** What a command of a process came to, kept for copies of it. */
+    /** The result of a command, kept for copies of the command. */
     public static final class Applied {
         public int kind;
         public String detail = "";
@@ -201,29 +303,45 @@
         public long version;
     }
 
-    /** The commands of one process's life that were applied; those below the floor are no longer known one by one. */
+    /**
+     * The applied commands of one session, which is one run of a client process. Results below the floor are no longer
+     * kept.
+     */
     public static final class Life {
+        /** The lowest sequence number that is still accepted. */
         public long floor = Long.MIN_VALUE;
-        /** The index of the latest entry of this life. */
+        /** The log index of the session's latest command. */
         public long index;
 
+        /** The kept results, by sequence number. */
         public TreeMap<Long, Applied> applied = new TreeMap<>();
     }
 
+    /** All rows of a part. */
     public static final class Whole {
+        /** The part's own time, in microseconds. */
         public long age;
+        /** The log index of the latest command. */
         public long index;
+
         public long membersVersion;
+        /** The number of plans so far, which is the id of the latest one. */
         public long planCount;
+
         public TreeMap<String, Member> members = new TreeMap<>();
         public Manifest manifest = new Manifest();
         public TreeMap<String, Service> services = new TreeMap<>();
         public TreeMap<String, Claim> claims = new TreeMap<>();
         public TreeMap<String, Quota> quotas = new TreeMap<>();
         public TreeMap<Long, Plan> plans = new TreeMap<>();
+        /**
+         * Whether a rebuild may have lost claims, so that new ones are refused until retention has passed or they are
+         * accepted.
+         */
         public boolean claimsLost;
+        /** The age of the part at that rebuild. */
         public long lostSince;
-        /** By the identity of the asking process's life. */
+        /** The client sessions, by session id. */
         public TreeMap<Long, Life> lives = new TreeMap<>();
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -8,63 +8,70 @@
 final class RunnerCommands {
     private RunnerCommands() {}
 
-    static CommandResult putRunner(Rows.Whole rows, Commands.RunnerPut c) {
-        var s = rows.services.get(c.service);
-        if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service);
-        var cell = s.cells.indexOf(c.cell);
-        if (cell < 0 || !s.live(cell))
-            return Records.failure(Kind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell);
-        var old = s.runners.get(c.runner);
-        if (old != null
-                && (old.incarnation > c.incarnation
-                        || old.incarnation == c.incarnation
-                                && old.state == Rows.Runner.LEAVING
-                                && c.state == Rows.Runner.UP))
+    /** Adds or updates a runner, unless a later incarnation is known or this one is already leaving. */
+    static CommandResult putRunner(Rows.Whole rows, Commands.RunnerPut command) {
+        var service = rows.services.get(command.service);
+        if (service == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + command.service);
+        var cell = service.cells.indexOf(command.cell);
+        if (cell < 0 || !service.live(cell))
+            return Records.failure(Kind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell);
+        var existing = service.runners.get(command.runner);
+        if (existing != null
+                && (existing.incarnation > command.incarnation
+                        || existing.incarnation == command.incarnation
+                                && existing.state == Rows.Runner.LEAVING
+                                && command.state == Rows.Runner.UP))
             return Records.failure(
                     Kind.STALE_RUNNER,
-                    "runner " + c.runner + " is known as " + old.stateName() + " at incarnation " + old.incarnation);
-        var r = new Rows.Runner();
-        r.name = c.runner;
-        r.address = c.address;
-        r.cell = c.cell;
-        r.slots = c.slots;
-        r.incarnation = c.incarnation;
-        r.cold = c.cold;
-        r.coldFor = c.coldFor;
-        r.goneIn = c.goneIn;
-        r.state = c.state;
-        r.endedAge = rows.age;
-        s.runners.put(c.runner, r);
-        s.newsVersion = rows.index;
+                    "runner " + command.runner + " is recorded as " + existing.stateName() + " at incarnation "
+                            + existing.incarnation);
+        var runner = new Rows.Runner();
+        runner.name = command.runner;
+        runner.address = command.address;
+        runner.cell = command.cell;
+        runner.slots = command.slots;
+        runner.incarnation = command.incarnation;
+        runner.cold = command.cold;
+        runner.coldFor = command.coldFor;
+        runner.goneIn = command.goneIn;
+        runner.state = command.state;
+        runner.endedAge = rows.age;
+        service.runners.put(command.runner, runner);
+        service.newsVersion = rows.index;
         return Records.ok();
     }
 
-    static CommandResult markRunner(Rows.Whole rows, Commands.RunnerMark c) {
-        var s = rows.services.get(c.service);
-        if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service);
-        var r = s.runners.get(c.runner);
-        if (r == null || r.incarnation != c.incarnation)
-            return Records.failure(Kind.STALE_RUNNER, "no runner " + c.runner + " at incarnation " + c.incarnation);
-        endRunner(rows, s, r, c.state);
+    /** Marks one incarnation of a runner as leaving or dark. */
+    static CommandResult markRunner(Rows.Whole rows, Commands.RunnerMark command) {
+        var service = rows.services.get(command.service);
+        if (service == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + command.service);
+        var runner = service.runners.get(command.runner);
+        if (runner == null || runner.incarnation != command.incarnation)
+            return Records.failure(
+                    Kind.STALE_RUNNER, "no runner " + command.runner + " at incarnation " + command.incarnation);
+        endRunner(rows, service, runner, command.state);
         return Records.ok();
     }
 
-    static CommandResult markRunnerLeft(Rows.Whole rows, Commands.RunnerLeft c) {
-        for (var s : rows.services.values()) {
-            var r = s.runners.get(c.runner);
-            if (r != null) endRunner(rows, s, r, Rows.Runner.LEAVING);
+    /** Marks a runner as leaving in every service that lists it. */
+    static CommandResult markRunnerLeft(Rows.Whole rows, Commands.RunnerLeft command) {
+        for (var service : rows.services.values()) {
+            var runner = service.runners.get(command.runner);
+            if (runner != null) endRunner(rows, service, runner, Rows.Runner.LEAVING);
         }
         return Records.ok();
     }
 
-    private static void endRunner(Rows.Whole rows, Rows.Service s, Rows.Runner r, int state) {
-        if (r.state == Rows.Runner.LEAVING || r.state == state) return;
-        r.state = state;
-        r.endedAge = rows.age;
-        s.newsVersion = rows.index;
+    private static void endRunner(Rows.Whole rows, Rows.Service service, Rows.Runner runner, int state) {
+        if (runner.state == Rows.Runner.LEAVING || runner.state == state) return;
+        runner.state = state;
+        runner.endedAge = rows.age;
+        service.newsVersion = rows.index;
     }
 
-    static void removeExpiredRunners(Rows.Whole rows, Rows.Service s, long after) {
-        if (s.runners.values().removeIf(r -> !r.up() && rows.age - r.endedAge > after)) s.newsVersion = rows.index;
+    /** Removes the runners that left or went dark longer ago than the retention, in microseconds. */
+    static void removeExpiredRunners(Rows.Whole rows, Rows.Service service, long retention) {
+        if (service.runners.values().removeIf(runner -> !runner.up() && rows.age - runner.endedAge > retention))
+            service.newsVersion = rows.index;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -7,69 +7,85 @@
 import craneway.state.message.Messages.CommandResult;
 import java.util.Arrays;
 
-/** Handles the commands about a service and its table of homes. */
+/** Handles the commands about a service and its table of home cells. */
 final class ServiceCommands {
     private ServiceCommands() {}
 
-    static CommandResult syncService(Rows.Whole rows, Commands.ServiceSync c) {
-        var s = rows.services.computeIfAbsent(c.service, n -> new Rows.Service());
-        if (c.manifestVersion <= s.manifestVersion) return Records.ok();
-        s.name = c.service;
-        s.manifestVersion = c.manifestVersion;
-        s.bySlots = c.bySlots;
-        for (var r : c.regions) if (!s.regions.contains(r) && s.regions.size() < Units.MOST_REGIONS) s.regions.add(r);
-        s.sets = c.bound.stream().mapToInt(b -> regionSetOf(s, b)).distinct().toArray();
-        for (var i = 0; i < s.cells.size(); i++) if (!c.cells.contains(s.cells.get(i))) s.weights.set(i, 0);
-        for (var i = 0; i < c.cells.size(); i++) putCell(s, c, i);
-        var old = s.homes;
-        s.homes = Arrays.copyOf(old, Units.count(s.regions.size()));
-        Arrays.fill(s.homes, old.length, s.homes.length, Table.NOWHERE);
-        s.tableVersion++;
-        s.newsVersion = rows.index;
+    /**
+     * Brings a service in line with a newer manifest. Cells that the manifest no longer lists stay with weight 0,
+     * because tables refer to cells by position.
+     */
+    static CommandResult syncService(Rows.Whole rows, Commands.ServiceSync command) {
+        var service = rows.services.computeIfAbsent(command.service, name -> new Rows.Service());
+        if (command.manifestVersion <= service.manifestVersion) return Records.ok();
+        service.name = command.service;
+        service.manifestVersion = command.manifestVersion;
+        service.bySlots = command.bySlots;
+        for (var region : command.regions)
+            if (!service.regions.contains(region) && service.regions.size() < Units.MOST_REGIONS)
+                service.regions.add(region);
+        service.sets = command.bound.stream()
+                .mapToInt(names -> regionSetOf(service, names))
+                .distinct()
+                .toArray();
+        for (var i = 0; i < service.cells.size(); i++)
+            if (!command.cells.contains(service.cells.get(i))) service.weights.set(i, 0);
+        for (var i = 0; i < command.cells.size(); i++) putCell(service, command, i);
+        var previousHomes = service.homes;
+        service.homes = Arrays.copyOf(previousHomes, Units.count(service.regions.size()));
+        Arrays.fill(service.homes, previousHomes.length, service.homes.length, Table.NOWHERE);
+        service.tableVersion++;
+        service.newsVersion = rows.index;
         return Records.ok();
     }
 
-    private static int regionSetOf(Rows.Service s, String names) {
-        var set = 0;
-        for (var n : names.split(" ")) if (s.regions.contains(n)) set |= 1 << s.regions.indexOf(n);
-        return set;
+    /** Returns the region set, as bits, of a space-separated list of region names. */
+    private static int regionSetOf(Rows.Service service, String names) {
+        var regionSet = 0;
+        for (var name : names.split(" "))
+            if (service.regions.contains(name)) regionSet |= 1 << service.regions.indexOf(name);
+        return regionSet;
     }
 
-    private static void putCell(Rows.Service s, Commands.ServiceSync c, int i) {
-        var at = s.cells.indexOf(c.cells.get(i));
-        if (at < 0) {
-            s.cells.add(c.cells.get(i));
-            s.zones.add(c.zones.get(i));
-            s.cellRegions.add(c.cellRegions.get(i));
-            s.weights.add(c.weights.get(i));
+    private static void putCell(Rows.Service service, Commands.ServiceSync command, int i) {
+        var existing = service.cells.indexOf(command.cells.get(i));
+        if (existing < 0) {
+            service.cells.add(command.cells.get(i));
+            service.zones.add(command.zones.get(i));
+            service.cellRegions.add(command.cellRegions.get(i));
+            service.weights.add(command.weights.get(i));
         } else {
-            s.zones.set(at, c.zones.get(i));
-            s.cellRegions.set(at, c.cellRegions.get(i));
-            s.weights.set(at, c.weights.get(i));
+            service.zones.set(existing, command.zones.get(i));
+            service.cellRegions.set(existing, command.cellRegions.get(i));
+            service.weights.set(existing, command.weights.get(i));
         }
     }
 
-    static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep c) {
-        var s = rows.services.get(c.service);
-        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
-        for (var i = 0; i < c.units.length; i++) s.homes[c.units[i]] = c.cells[i];
-        s.tableVersion++;
-        s.newsVersion = rows.index;
+    /** Assigns new home cells to some units, for members too old to support steps. */
+    static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep command) {
+        var service = rows.services.get(command.service);
+        if (service == null || service.tableVersion != command.tableVersion)
+            return Records.failure(Kind.STALE_TABLE, "the service is unknown or its table has changed");
+        for (var i = 0; i < command.units.length; i++) service.homes[command.units[i]] = command.cells[i];
+        service.tableVersion++;
+        service.newsVersion = rows.index;
         return Records.ok();
     }
 
+    /** Returns null if a router of the region may write for the unit at this table version, else the refusal. */
     static CommandResult writeRefusal(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
-        var s = rows.services.get(service);
-        if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + service);
-        if (tableVersion != s.tableVersion) {
-            var v = Records.failure(
-                    Kind.STALE_TABLE, "table version " + tableVersion + ", in force is " + s.tableVersion);
-            v.version = s.tableVersion;
-            return v;
+        var row = rows.services.get(service);
+        if (row == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + service);
+        if (tableVersion != row.tableVersion) {
+            var refusal = Records.failure(
+                    Kind.STALE_TABLE,
+                    "table version " + tableVersion + " is not current; the current version is " + row.tableVersion);
+            refusal.version = row.tableVersion;
+            return refusal;
         }
-        var home = unit < 0 || unit >= s.homes.length ? Table.NOWHERE : s.homes[unit];
-        if (home == Table.NOWHERE || !s.cellRegions.get(home).equals(region))
-            return Records.failure(Kind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
+        var home = unit < 0 || unit >= row.homes.length ? Table.NOWHERE : row.homes[unit];
+        if (home == Table.NOWHERE || !row.cellRegions.get(home).equals(region))
+            return Records.failure(Kind.NOT_UNIT_HOME, "unit " + unit + " has no home cell in region " + region);
         return null;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/StepCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/StepCommands.java
@@ -6,93 +6,107 @@
 import craneway.state.message.Messages.CommandResult;
 import java.util.Arrays;
 
+/** Handles the steps that move units from cell to cell, and the displacement of units under load. */
 final class StepCommands {
+    /** Finished steps are dropped, oldest first, beyond this number. */
     private static final int MAX_REMEMBERED_STEPS = 40;
 
     private StepCommands() {}
 
-    static CommandResult askStep(Rows.Whole rows, Commands.StepAsk c) {
-        var s = rows.services.get(c.service);
-        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
-        if (s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED))
-            return Records.failure(Kind.STALE_TABLE, "another step is being confirmed");
-        var x = new Rows.Step();
-        x.id = ++s.stepCount;
-        x.units = c.units;
-        x.from = Arrays.stream(c.units).map(u -> s.homes[u]).toArray();
-        x.to = c.to;
-        x.cause = c.cause;
-        x.index = rows.index;
-        x.askedAge = rows.age;
-        s.steps.add(x);
-        while (s.steps.size() > MAX_REMEMBERED_STEPS && s.steps.get(0).over()) s.steps.remove(0);
-        var v = Records.ok();
-        v.version = x.id;
-        return v;
+    /** Records a step that awaits confirmation. Only one step of a service may await it at a time. */
+    static CommandResult askStep(Rows.Whole rows, Commands.StepAsk command) {
+        var service = rows.services.get(command.service);
+        if (service == null || service.tableVersion != command.tableVersion)
+            return Records.failure(Kind.STALE_TABLE, "the service is unknown or its table has changed");
+        if (service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED))
+            return Records.failure(Kind.STALE_TABLE, "another step is waiting for confirmation");
+        var step = new Rows.Step();
+        step.id = ++service.stepCount;
+        step.units = command.units;
+        step.from =
+                Arrays.stream(command.units).map(unit -> service.homes[unit]).toArray();
+        step.to = command.to;
+        step.cause = command.cause;
+        step.index = rows.index;
+        step.askedAge = rows.age;
+        service.steps.add(step);
+        while (service.steps.size() > MAX_REMEMBERED_STEPS
+                && service.steps.get(0).over()) service.steps.remove(0);
+        var result = Records.ok();
+        result.version = step.id;
+        return result;
     }
 
-    static CommandResult markStep(Rows.Whole rows, Commands.StepMark c) {
-        var s = rows.services.get(c.service);
-        var x = s == null ? null : s.step(c.id);
-        if (x == null || !x.may(c.state))
-            return Records.failure(Kind.STALE_TABLE, "the step is " + (x == null ? "unknown" : x.stateName()));
-        x.state = c.state;
-        if (!c.cause.isEmpty()) x.cause += "; " + c.cause;
-        if (c.state == Rows.Step.RAISED) raiseStep(rows, s, x);
-        if (c.state == Rows.Step.TAKEN_BACK) takeBackStep(rows, s, x, c);
+    /** Moves a step to its next state; raising it or taking it back changes the home cells. */
+    static CommandResult markStep(Rows.Whole rows, Commands.StepMark command) {
+        var service = rows.services.get(command.service);
+        var step = service == null ? null : service.step(command.id);
+        if (step == null || !step.may(command.state))
+            return Records.failure(Kind.STALE_TABLE, "the step is " + (step == null ? "unknown" : step.stateName()));
+        step.state = command.state;
+        if (!command.cause.isEmpty()) step.cause += "; " + command.cause;
+        if (command.state == Rows.Step.RAISED) raiseStep(rows, service, step);
+        if (command.state == Rows.Step.TAKEN_BACK) takeBackStep(rows, service, step, command);
         return Records.ok();
     }
 
-    private static void raiseStep(Rows.Whole rows, Rows.Service s, Rows.Step x) {
-        for (var i = 0; i < x.units.length; i++) if (s.homes[x.units[i]] == x.from[i]) s.homes[x.units[i]] = x.to;
-        advanceTableVersion(rows, s);
-        x.tableVersion = s.tableVersion;
+    /** Moves the units that are still at home where the step found them. */
+    private static void raiseStep(Rows.Whole rows, Rows.Service service, Rows.Step step) {
+        for (var i = 0; i < step.units.length; i++)
+            if (service.homes[step.units[i]] == step.from[i]) service.homes[step.units[i]] = step.to;
+        advanceTableVersion(rows, service);
+        step.tableVersion = service.tableVersion;
     }
 
-    private static void takeBackStep(Rows.Whole rows, Rows.Service s, Rows.Step x, Commands.StepMark c) {
-        for (var i = 0; i < x.units.length; i++) {
-            var u = x.units[i];
-            if (s.homes[u] == x.to && Arrays.stream(c.units).anyMatch(v -> v == u)) s.homes[u] = x.from[i];
+    /** Moves units back to where they were and holds the target cell back from further moves for a while. */
+    private static void takeBackStep(Rows.Whole rows, Rows.Service service, Rows.Step step, Commands.StepMark command) {
+        for (var i = 0; i < step.units.length; i++) {
+            var unit = step.units[i];
+            if (service.homes[unit] == step.to && Arrays.stream(command.units).anyMatch(other -> other == unit))
+                service.homes[unit] = step.from[i];
         }
-        s.heldUntil.put(s.cells.get(x.to), rows.age + c.heldMicros);
-        clearDisplacements(s, x.units);
-        advanceTableVersion(rows, s);
+        service.heldUntil.put(service.cells.get(step.to), rows.age + command.heldMicros);
+        clearDisplacements(service, step.units);
+        advanceTableVersion(rows, service);
     }
 
-    private static void advanceTableVersion(Rows.Whole rows, Rows.Service s) {
-        s.tableVersion++;
-        s.newsVersion = rows.index;
+    private static void advanceTableVersion(Rows.Whole rows, Rows.Service service) {
+        service.tableVersion++;
+        service.newsVersion = rows.index;
     }
 
-    private static void clearDisplacements(Rows.Service s, int[] units) {
-        for (var u : units) setDisplacement(s, u, Table.NOWHERE);
+    private static void clearDisplacements(Rows.Service service, int[] units) {
+        for (var unit : units) setDisplacement(service, unit, Table.NOWHERE);
     }
 
-    static CommandResult displaceUnits(Rows.Whole rows, Commands.Displace c) {
-        var s = rows.services.get(c.service);
-        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
-        for (var i = 0; i < c.units.length; i++) setDisplacement(s, c.units[i], c.cells[i]);
-        s.newsVersion = rows.index;
+    /** Records the cells that units should move to because their own cell is overloaded, or clears them. */
+    static CommandResult displaceUnits(Rows.Whole rows, Commands.Displace command) {
+        var service = rows.services.get(command.service);
+        if (service == null || service.tableVersion != command.tableVersion)
+            return Records.failure(Kind.STALE_TABLE, "the service is unknown or its table has changed");
+        for (var i = 0; i < command.units.length; i++) setDisplacement(service, command.units[i], command.cells[i]);
+        service.newsVersion = rows.index;
         return Records.ok();
     }
 
-    private static void setDisplacement(Rows.Service s, int unit, int cell) {
-        var n = s.displacedUnits.length;
-        var at = 0;
-        while (at < n && s.displacedUnits[at] != unit) at++;
+    /** Sets the cell that a unit is displaced to, or clears it if the cell is {@link Table#NOWHERE}. */
+    private static void setDisplacement(Rows.Service service, int unit, int cell) {
+        var count = service.displacedUnits.length;
+        var position = 0;
+        while (position < count && service.displacedUnits[position] != unit) position++;
         if (cell == Table.NOWHERE) {
-            if (at == n) return;
-            s.displacedUnits[at] = s.displacedUnits[n - 1];
-            s.displacedCells[at] = s.displacedCells[n - 1];
-            s.displacedUnits = Arrays.copyOf(s.displacedUnits, n - 1);
-            s.displacedCells = Arrays.copyOf(s.displacedCells, n - 1);
+            if (position == count) return;
+            service.displacedUnits[position] = service.displacedUnits[count - 1];
+            service.displacedCells[position] = service.displacedCells[count - 1];
+            service.displacedUnits = Arrays.copyOf(service.displacedUnits, count - 1);
+            service.displacedCells = Arrays.copyOf(service.displacedCells, count - 1);
             return;
         }
-        if (at == n) {
-            s.displacedUnits = Arrays.copyOf(s.displacedUnits, n + 1);
-            s.displacedCells = Arrays.copyOf(s.displacedCells, n + 1);
-            s.displacedUnits[at] = unit;
+        if (position == count) {
+            service.displacedUnits = Arrays.copyOf(service.displacedUnits, count + 1);
+            service.displacedCells = Arrays.copyOf(service.displacedCells, count + 1);
+            service.displacedUnits[position] = unit;
         }
-        s.displacedCells[at] = cell;
+        service.displacedCells[position] = cell;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/package-info.java
+++ b/lib/state/src/main/java/craneway/state/record/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The state machine of a part: rows of members, services, claims, quotas, plans and moves, changed by commands alone.
+ * The state machine of a part: the rows of members, services, claims, quotas, plans and steps, and the handlers of the
+ * commands that change them.
  *
- * <p>Deterministic: the same commands in the same order give the same rows on every replica. It reads no clock and
- * no random number; time comes as commands.
+ * <p>It is deterministic: the same commands in the same order give the same rows on every replica. It reads no clock
+ * and draws no random numbers; the passage of time is a command too.
  */
 package craneway.state.record;
