--- a/lib/state/src/main/java/craneway/state/disk/DiskException.java
+++ b/lib/state/src/main/java/craneway/state/disk/DiskException.java
@@ -1,16 +1,16 @@
 package craneway.state.disk;
 
-/** The disk refused or failed an operation; what it was to make lasting is not. */
+/** A disk operation failed or was refused. What the operation should have made durable is not durable. */
 public final class DiskException extends RuntimeException {
     private final boolean full;
 
-    /** A problem whose cause is, or is not, that no space is left. */
-    public DiskException(boolean full, String text) {
-        super(text);
-        this.full = full;
+    /** Creates the exception; the flag tells whether the cause is that no space is left. */
+    public DiskException(boolean diskFull, String message) {
+        super(message);
+        this.full = diskFull;
     }
 
-    /** Whether the cause is that no space is left. */
+    /** Returns whether the cause is that no space is left. */
     public boolean full() {
         return full;
     }
--- a/lib/state/src/main/java/craneway/state/disk/DiskLostException.java
+++ b/lib/state/src/main/java/craneway/state/disk/DiskLostException.java
@@ -1,9 +1,9 @@
 package craneway.state.disk;
 
-/** Bytes that were synced are missing or damaged, so the folder no longer holds what was acknowledged. */
+/** Synced bytes are missing or damaged, so the folder no longer holds everything that was acknowledged. */
 public final class DiskLostException extends RuntimeException {
-    /** Names the file and what is wrong with it. */
-    public DiskLostException(String text) {
-        super(text);
+    /** Creates the exception with the name of the file and what is wrong with it. */
+    public DiskLostException(String message) {
+        super(message);
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/Folder.java
+++ b/lib/state/src/main/java/craneway/state/disk/Folder.java
@@ -5,36 +5,41 @@
 
 /** The files of one store. Every method may throw a {@link DiskException}. */
 public interface Folder {
-    /** The names of all files, sorted. */
+    /** Returns the names of all files, sorted. */
     List<String> names();
 
-    /** The bytes of a file, or null if there is none. */
+    /** Returns the content of a file, or null if it does not exist. */
     byte[] read(String name);
 
-    /** The first bytes of a file, at most so many, or null if there is none. */
-    default byte[] readHead(String name, int most) {
-        var all = read(name);
-        return all == null ? null : Arrays.copyOf(all, Math.min(all.length, most));
+    /** Returns the first bytes of a file, at most the given number, or null if it does not exist. */
+    default byte[] readHead(String name, int maxBytes) {
+        var bytes = read(name);
+        return bytes == null ? null : Arrays.copyOf(bytes, Math.min(bytes.length, maxBytes));
     }
 
-    /** Adds bytes at the end of a file, which is made if there is none. They last once {@link #sync} returned. */
-    void append(String name, byte[] b, int len);
+    /**
+     * Appends bytes to a file, which is created if it does not exist. They are durable once {@link #sync} has returned.
+     */
+    void append(String name, byte[] bytes, int length);
 
-    /** Makes all that was appended to a file last, and the file's name if it is new. */
+    /** Makes everything appended to a file durable, and the name of the file if it is new. */
     void sync(String name);
 
-    /** Writes over the start of a file without making it last. */
-    void overwrite(String name, byte[] b);
+    /** Overwrites the start of a file without making the change durable. */
+    void overwrite(String name, byte[] bytes);
 
-    /** Gives a file new bytes, all or none of them even if power is lost. The bytes and the name last afterwards. */
-    void replace(String name, byte[] b);
+    /**
+     * Replaces the content of a file atomically, even if power is lost. The content and the name are durable
+     * afterwards.
+     */
+    void replace(String name, byte[] bytes);
 
-    /** Gives a file another name, which lasts afterwards; a file of that name goes. */
+    /** Renames a file, replacing any file of the new name. The new name is durable afterwards. */
     default void rename(String from, String to) {
         replace(to, read(from));
         delete(from);
     }
 
-    /** Removes a file, if it is there. The removal need not last. */
+    /** Deletes a file if it exists. The deletion need not be durable. */
     void delete(String name);
 }
--- a/lib/state/src/main/java/craneway/state/disk/LegacyRecord.java
+++ b/lib/state/src/main/java/craneway/state/disk/LegacyRecord.java
@@ -3,43 +3,58 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** A record of the segments without a header, which sealed files still use; the types hold for all segments. */
+/**
+ * A view of a record of format 1: size (4 bytes), checksum (4), type (1), index (8), term (8), kind (4) and body.
+ * Checksummed small files still use it (see {@link Seal}), and its record types apply to all formats.
+ */
 final class LegacyRecord {
+    /** The offset of the kind, the last field of the header; the body starts 4 bytes later. */
     static final int KIND_OFFSET = 25;
+    /**
+     * The first record of a segment of format 1, with its snapshot and core; also the only record of a checksummed
+     * file.
+     */
     static final byte SEGMENT_BASE = 1;
+    /** A new term and the vote in it. */
     static final byte TERM_AND_VOTE = 2;
+    /** An appended entry. */
     static final byte ENTRY = 3;
+    /** The removal of all entries from an index on. */
     static final byte TRUNCATION = 4;
+    /** A size field above this is treated as damage. */
     private static final int MAX_RECORD_BYTES = 64 << 20;
 
     private ByteBuffer buffer;
     private int start;
 
-    LegacyRecord wrap(ByteBuffer buffer, int offset) {
-        buffer = buffer;
+    /** Moves this view to an offset of a file. */
+    LegacyRecord wrap(ByteBuffer file, int offset) {
+        buffer = file;
         start = offset;
         return this;
     }
 
-    static ByteBuffer encode(byte type, long index, long term, int sub, byte[] body) {
-        var b = ByteBuffer.allocate(KIND_OFFSET + 4 + body.length);
-        b.putInt(0, b.capacity())
+    /** Encodes a record. */
+    static ByteBuffer encode(byte type, long index, long term, int kind, byte[] body) {
+        var record = ByteBuffer.allocate(KIND_OFFSET + 4 + body.length);
+        record.putInt(0, record.capacity())
                 .put(8, type)
                 .putLong(9, index)
                 .putLong(17, term)
-                .putInt(KIND_OFFSET, sub);
-        b.put(KIND_OFFSET + 4, body);
-        b.putInt(4, checksum(b.array(), 8, b.capacity() - 8));
-        return b;
+                .putInt(KIND_OFFSET, kind);
+        record.put(KIND_OFFSET + 4, body);
+        record.putInt(4, checksum(record.array(), 8, record.capacity() - 8));
+        return record;
     }
 
+    /** Returns whether a complete record with a correct checksum starts here. */
     boolean isValid() {
         if (start + KIND_OFFSET + 4 > buffer.limit()) return false;
-        var n = size();
-        return n >= KIND_OFFSET + 4
-                && n <= MAX_RECORD_BYTES
-                && start + n <= buffer.limit()
-                && buffer.getInt(start + 4) == checksum(buffer.array(), start + 8, n - 8);
+        var size = size();
+        return size >= KIND_OFFSET + 4
+                && size <= MAX_RECORD_BYTES
+                && start + size <= buffer.limit()
+                && buffer.getInt(start + 4) == checksum(buffer.array(), start + 8, size - 8);
     }
 
     int size() {
@@ -63,14 +78,14 @@
     }
 
     byte[] body() {
-        var x = new byte[size() - KIND_OFFSET - 4];
-        buffer.get(start + KIND_OFFSET + 4, x);
-        return x;
+        var body = new byte[size() - KIND_OFFSET - 4];
+        buffer.get(start + KIND_OFFSET + 4, body);
+        return body;
     }
 
-    private static int checksum(byte[] a, int off, int len) {
-        var c = new CRC32C();
-        c.update(a, off, len);
-        return (int) c.getValue();
+    private static int checksum(byte[] bytes, int offset, int length) {
+        var crc = new CRC32C();
+        crc.update(bytes, offset, length);
+        return (int) crc.getValue();
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/LegacySegmentReader.java
+++ b/lib/state/src/main/java/craneway/state/disk/LegacySegmentReader.java
@@ -4,8 +4,9 @@
 import java.util.ArrayList;
 
 /**
- * Reads a segment of the format without a header, which starts with a record of its snapshot and core. Its records prove
- * nothing about syncs: without a mark, a whole record behind the damage has to be taken for a lost disk.
+ * Reads a segment of format 1, which has no header and starts with a record of its snapshot and core instead. Its
+ * records prove nothing about syncs: without a sync mark, a valid record behind damaged bytes has to be treated as a
+ * lost disk.
  */
 final class LegacySegmentReader {
     private final String name;
@@ -22,24 +23,24 @@
     SegmentContents read() {
         if (!record.wrap(file, 0).isValid() || record.type() != LegacyRecord.SEGMENT_BASE)
             throw new DiskLostException(name + ": damaged at byte 0 of " + file.limit());
-        var core = record.kind();
+        var coreHash = record.kind();
         var snapshotIndex = record.index();
         var snapshotTerm = record.term();
         var records = new ArrayList<LogRecord>();
-        var at = record.size();
-        while (record.wrap(file, at).isValid()) {
+        var offset = record.size();
+        while (record.wrap(file, offset).isValid()) {
             records.add(new LogRecord(record.type(), record.index(), record.term(), record.kind(), record.body()));
-            at += record.size();
+            offset += record.size();
         }
-        if (mark == null ? hasValidRecordFrom(at + 1) : at < mark.syncedBytes())
-            throw new DiskLostException(name + ": damaged at byte " + at + " of " + file.limit());
+        if (mark == null ? hasValidRecordFrom(offset + 1) : offset < mark.syncedBytes())
+            throw new DiskLostException(name + ": damaged at byte " + offset + " of " + file.limit());
         return new SegmentContents(
-                core, snapshotIndex, snapshotTerm, records, mark != null && at == mark.syncedBytes());
+                coreHash, snapshotIndex, snapshotTerm, records, mark != null && offset == mark.syncedBytes());
     }
 
     private boolean hasValidRecordFrom(int from) {
-        for (var i = from; i + LegacyRecord.KIND_OFFSET < file.limit(); i++)
-            if (record.wrap(file, i).isValid()) return true;
+        for (var offset = from; offset + LegacyRecord.KIND_OFFSET < file.limit(); offset++)
+            if (record.wrap(file, offset).isValid()) return true;
         return false;
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/PartFiles.java
+++ b/lib/state/src/main/java/craneway/state/disk/PartFiles.java
@@ -4,7 +4,7 @@
 import craneway.state.part.Snapshot;
 import java.util.List;
 
-/** The files of one part in the folder of a store: segments by their number, snapshots by their index, and a mark. */
+/** The files of one part in the folder of a store: segments by number, snapshots by index, and one sync mark. */
 final class PartFiles {
     private static final String SEGMENT_NAME = "log.";
     private static final String SNAPSHOT_NAME = "image.";
@@ -18,65 +18,65 @@
         this.prefix = prefix;
     }
 
-    String segmentName(int number) {
-        return prefix + SEGMENT_NAME + number;
+    String segmentName(int segmentNumber) {
+        return prefix + SEGMENT_NAME + segmentNumber;
     }
 
     String snapshotName(long index) {
         return prefix + SNAPSHOT_NAME + index;
     }
 
-    /** The numbers of all segments, from the lowest. */
+    /** Returns the numbers of all segments in ascending order. */
     List<Integer> segmentNumbers() {
         return folder.names().stream()
-                .filter(n -> n.matches("\\Q" + prefix + SEGMENT_NAME + "\\E\\d+"))
-                .map(n -> Integer.parseInt(n.substring(n.lastIndexOf('.') + 1)))
+                .filter(name -> name.matches("\\Q" + prefix + SEGMENT_NAME + "\\E\\d+"))
+                .map(name -> Integer.parseInt(name.substring(name.lastIndexOf('.') + 1)))
                 .sorted()
                 .toList();
     }
 
-    /** What was read of the newest segment, or null in a folder that never had one. */
+    /** Reads the newest segment; returns null if the folder never had one. */
     SegmentContents readNewestSegment() {
-        var all = segmentNumbers();
+        var numbers = segmentNumbers();
         var mark = SyncMark.decode(folder.read(prefix + SYNC_MARK_NAME));
-        var newest = all.isEmpty() ? 0 : all.get(all.size() - 1);
+        var newest = numbers.isEmpty() ? 0 : numbers.get(numbers.size() - 1);
         if (mark != null && mark.segmentNumber() > newest)
             throw new DiskLostException(segmentName(mark.segmentNumber()) + ": missing");
         if (newest > 0)
             return new SegmentReader(segmentName(newest), newest, folder.read(segmentName(newest)), mark).read();
-        if (folder.names().stream().anyMatch(n -> n.startsWith(prefix + SNAPSHOT_NAME)))
-            throw new DiskLostException(prefix + SEGMENT_NAME + ": missing beside a snapshot");
+        if (folder.names().stream().anyMatch(name -> name.startsWith(prefix + SNAPSHOT_NAME)))
+            throw new DiskLostException(prefix + SEGMENT_NAME + ": missing although a snapshot exists");
         return null;
     }
 
-    /** Leaves a mark; its loss is borne, since the records themselves prove what was synced before them. */
+    /** Writes the sync mark. A failure is ignored, because the records themselves prove what was synced before them. */
     void writeSyncMark(SyncMark mark) {
         try {
             folder.overwrite(prefix + SYNC_MARK_NAME, mark.encode());
         } catch (DiskException e) {
-            // A full or failing disk shows at the next append.
+            // A full or failing disk is reported by the next append.
         }
     }
 
-    void writeSnapshot(Snapshot i) {
-        folder.replace(snapshotName(i.index), Seal.close(Codec.write(i)));
+    void writeSnapshot(Snapshot snapshot) {
+        folder.replace(snapshotName(snapshot.index), Seal.close(Codec.write(snapshot)));
     }
 
     Snapshot readSnapshot(long index, long term) {
-        var b = folder.read(snapshotName(index));
-        if (b == null) throw new DiskLostException(snapshotName(index) + ": missing");
-        var i = Codec.read(Snapshot.class, Seal.open(snapshotName(index), b));
-        if (i.index != index || i.term != term)
-            throw new DiskLostException(snapshotName(index) + ": of another index or term");
-        return i;
+        var bytes = folder.read(snapshotName(index));
+        if (bytes == null) throw new DiskLostException(snapshotName(index) + ": missing");
+        var snapshot = Codec.read(Snapshot.class, Seal.open(snapshotName(index), bytes));
+        if (snapshot.index != index || snapshot.term != term)
+            throw new DiskLostException(snapshotName(index) + ": belongs to another index or term");
+        return snapshot;
     }
 
-    /** Removes all segments and snapshots but those named; what cannot be removed is left to the next time. */
-    void removeAllExcept(int segment, long snapshotIndex) {
-        for (var n : folder.names()) {
-            var old = n.startsWith(prefix + SEGMENT_NAME) && !n.equals(segmentName(segment));
-            var unused = n.startsWith(prefix + SNAPSHOT_NAME) && !n.equals(snapshotName(snapshotIndex));
-            if (old || unused) tryRemove(n);
+    /** Removes all other segments and snapshots. A file that cannot be removed is left for the next time. */
+    void removeAllExcept(int segmentNumber, long snapshotIndex) {
+        for (var name : folder.names()) {
+            var isOldSegment = name.startsWith(prefix + SEGMENT_NAME) && !name.equals(segmentName(segmentNumber));
+            var isUnusedSnapshot = name.startsWith(prefix + SNAPSHOT_NAME) && !name.equals(snapshotName(snapshotIndex));
+            if (isOldSegment || isUnusedSnapshot) tryRemove(name);
         }
     }
 
@@ -84,7 +84,7 @@
         try {
             folder.delete(name);
         } catch (DiskException e) {
-            // The newest segment counts, whatever else is there.
+            // Only the newest segment is read, so leftover files do no harm.
         }
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/RecordCodec.java
+++ b/lib/state/src/main/java/craneway/state/disk/RecordCodec.java
@@ -4,13 +4,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * Writes and reads the records of one segment. Each says how many bytes of the segment were known to be synced when it
- * was written, so a whole record proves that all bytes before that length were whole on the disk. The checksum covers the
- * segment's nonce and the record's place too: bytes of another segment or place are no record.
+ * Encodes and decodes the records of one segment. Each record states how many bytes of the segment were known to be
+ * synced when it was written, so a valid record proves that the bytes before that length were intact on disk.
+ *
+ * <p>The checksum also covers the segment's nonce and the record's offset, so bytes from another segment or offset are
+ * not accepted as a record.
  */
 final class RecordCodec {
+    /** The bytes of a record before its body. */
     static final int HEADER_BYTES = 33;
+    /** A size field above this is treated as damage. */
     private static final int MAX_RECORD_BYTES = 64 << 20;
+
     private static final int CHECKSUM_OFFSET = 4;
     private static final int TYPE_OFFSET = 8;
     private static final int INDEX_OFFSET = 9;
@@ -25,60 +30,65 @@
         nonceAndOffset.putLong(0, nonce);
     }
 
-    static int recordSize(LogRecord r) {
-        return HEADER_BYTES + r.body().length;
+    /** Returns the encoded size of a record in bytes. */
+    static int recordSize(LogRecord record) {
+        return HEADER_BYTES + record.body().length;
     }
 
-    byte[] encode(LogRecord r, int offset, int synced) {
-        var b = ByteBuffer.allocate(recordSize(r));
-        b.putInt(0, b.capacity())
-                .put(TYPE_OFFSET, r.recordType())
-                .putLong(INDEX_OFFSET, r.index())
-                .putLong(TERM_OFFSET, r.term())
-                .putInt(ENTRY_TYPE_OFFSET, r.entryType())
-                .putInt(SYNCED_BYTES_OFFSET, synced)
-                .put(HEADER_BYTES, r.body());
-        b.putInt(CHECKSUM_OFFSET, checksum(b.array(), 0, b.capacity(), offset));
-        return b.array();
+    /** Encodes a record for the given offset of the segment. */
+    byte[] encode(LogRecord record, int offset, int syncedBytes) {
+        var buffer = ByteBuffer.allocate(recordSize(record));
+        buffer.putInt(0, buffer.capacity())
+                .put(TYPE_OFFSET, record.recordType())
+                .putLong(INDEX_OFFSET, record.index())
+                .putLong(TERM_OFFSET, record.term())
+                .putInt(ENTRY_TYPE_OFFSET, record.entryType())
+                .putInt(SYNCED_BYTES_OFFSET, syncedBytes)
+                .put(HEADER_BYTES, record.body());
+        buffer.putInt(CHECKSUM_OFFSET, checksum(buffer.array(), 0, buffer.capacity(), offset));
+        return buffer.array();
     }
 
-    boolean isValid(ByteBuffer file, int at) {
-        if (at + HEADER_BYTES > file.limit()) return false;
-        var size = recordSize(file, at);
-        if (size < HEADER_BYTES || size > MAX_RECORD_BYTES || size > file.limit() - at) return false;
-        var type = file.get(at + TYPE_OFFSET);
-        return type >= LegacyRecord.TERM_AND_VOTE
-                && type <= LegacyRecord.TRUNCATION
-                && file.getInt(at + CHECKSUM_OFFSET) == checksum(file.array(), at, size, at);
+    /** Returns whether a complete record with a correct checksum starts at the offset. */
+    boolean isValid(ByteBuffer file, int offset) {
+        if (offset + HEADER_BYTES > file.limit()) return false;
+        var size = recordSize(file, offset);
+        if (size < HEADER_BYTES || size > MAX_RECORD_BYTES || size > file.limit() - offset) return false;
+        var recordType = file.get(offset + TYPE_OFFSET);
+        return recordType >= LegacyRecord.TERM_AND_VOTE
+                && recordType <= LegacyRecord.TRUNCATION
+                && file.getInt(offset + CHECKSUM_OFFSET) == checksum(file.array(), offset, size, offset);
     }
 
-    /** Whether a whole record at a place proves that more than the given length was synced. */
-    boolean provesSyncedBeyond(int length, ByteBuffer file, int at) {
-        if (at + HEADER_BYTES > file.limit()) return false;
-        var synced = file.getInt(at + SYNCED_BYTES_OFFSET);
-        return synced > length && synced <= at && isValid(file, at);
+    /** Returns whether a valid record at the offset proves that more than the given number of bytes was synced. */
+    boolean provesSyncedBeyond(int length, ByteBuffer file, int offset) {
+        if (offset + HEADER_BYTES > file.limit()) return false;
+        var syncedBytes = file.getInt(offset + SYNCED_BYTES_OFFSET);
+        return syncedBytes > length && syncedBytes <= offset && isValid(file, offset);
     }
 
-    static int recordSize(ByteBuffer file, int at) {
-        return file.getInt(at);
+    /** Returns the size that the record at the offset states, unchecked. */
+    static int recordSize(ByteBuffer file, int offset) {
+        return file.getInt(offset);
     }
 
-    static LogRecord decode(ByteBuffer file, int at) {
-        var body = new byte[recordSize(file, at) - HEADER_BYTES];
-        file.get(at + HEADER_BYTES, body);
+    /** Decodes the valid record at the offset. */
+    static LogRecord decode(ByteBuffer file, int offset) {
+        var body = new byte[recordSize(file, offset) - HEADER_BYTES];
+        file.get(offset + HEADER_BYTES, body);
         return new LogRecord(
-                file.get(at + TYPE_OFFSET),
-                file.getLong(at + INDEX_OFFSET),
-                file.getLong(at + TERM_OFFSET),
-                file.getInt(at + ENTRY_TYPE_OFFSET),
+                file.get(offset + TYPE_OFFSET),
+                file.getLong(offset + INDEX_OFFSET),
+                file.getLong(offset + TERM_OFFSET),
+                file.getInt(offset + ENTRY_TYPE_OFFSET),
                 body);
     }
 
-    private int checksum(byte[] bytes, int at, int size, int offset) {
+    private int checksum(byte[] bytes, int start, int size, int offset) {
         nonceAndOffset.putInt(Long.BYTES, offset);
         checksum.reset();
         checksum.update(nonceAndOffset.array(), 0, nonceAndOffset.capacity());
-        checksum.update(bytes, at + TYPE_OFFSET, size - TYPE_OFFSET);
+        checksum.update(bytes, start + TYPE_OFFSET, size - TYPE_OFFSET);
         return (int) checksum.getValue();
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/Seal.java
+++ b/lib/state/src/main/java/craneway/state/disk/Seal.java
@@ -2,19 +2,19 @@
 
 import java.nio.ByteBuffer;
 
-/** Wraps the bytes of a small file so that damage to them is noticed. */
+/** Adds a checksum to the content of a small file so that damage is detected. */
 public final class Seal {
     private Seal() {}
 
-    /** The bytes to write for a body. */
+    /** Returns the content to write for a body. */
     public static byte[] close(byte[] body) {
         return LegacyRecord.encode(LegacyRecord.SEGMENT_BASE, 0, 0, 0, body).array();
     }
 
-    /** The body of sealed bytes; throws {@link DiskLostException} if they are damaged. */
+    /** Returns the body of a file's content; throws {@link DiskLostException} if the content is damaged. */
     public static byte[] open(String name, byte[] sealed) {
-        var v = new LegacyRecord().wrap(ByteBuffer.wrap(sealed), 0);
-        if (!v.isValid() || v.size() != sealed.length) throw new DiskLostException(name + ": damaged");
-        return v.body();
+        var record = new LegacyRecord().wrap(ByteBuffer.wrap(sealed), 0);
+        if (!record.isValid() || record.size() != sealed.length) throw new DiskLostException(name + ": damaged");
+        return record.body();
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
@@ -4,55 +4,68 @@
 import java.util.zip.CRC32C;
 
 /**
- * The start of a segment. The magic number and the format come first in every format. The nonce belongs to this segment
- * alone and enters the checksum of its records; all of the initial length was synced before the segment got its name.
+ * The header of a segment. Every format that has a header starts with the magic number and the format. The nonce is
+ * unique to the segment and part of the checksum of its records. The initial bytes were all synced before the segment
+ * got its name.
  */
 record SegmentHeader(
         int segmentNumber, int coreHash, long nonce, long snapshotIndex, long snapshotTerm, int initialBytes) {
+    /** The format that this version writes. */
     static final int CURRENT_FORMAT = 2;
+
     static final int HEADER_BYTES = 52;
+    /** The bytes that identify the format: the magic number, the format and its complement. */
     static final int FORMAT_BYTES = 12;
+    /** "CWSG" in ASCII. */
     private static final int MAGIC = 0x43575347;
+
     private static final int CHECKSUM_OFFSET = 12;
     private static final int BODY_OFFSET = 16;
 
+    /** Encodes the header. */
     ByteBuffer encode() {
-        var b = ByteBuffer.allocate(HEADER_BYTES);
-        b.putInt(MAGIC).putInt(CURRENT_FORMAT).putInt(~CURRENT_FORMAT).putInt(0);
-        b.putInt(segmentNumber)
+        var buffer = ByteBuffer.allocate(HEADER_BYTES);
+        buffer.putInt(MAGIC).putInt(CURRENT_FORMAT).putInt(~CURRENT_FORMAT).putInt(0);
+        buffer.putInt(segmentNumber)
                 .putInt(coreHash)
                 .putLong(nonce)
                 .putLong(snapshotIndex)
                 .putLong(snapshotTerm);
-        b.putInt(initialBytes);
-        return b.putInt(CHECKSUM_OFFSET, checksum(b.array())).flip();
+        buffer.putInt(initialBytes);
+        return buffer.putInt(CHECKSUM_OFFSET, checksum(buffer.array())).flip();
     }
 
-    /** The header of a segment, or null if its bytes are of the format that had none. */
-    static SegmentHeader decode(String name, byte[] file) {
-        var format = formatOf(name, file);
+    /** Decodes the header of a segment; returns null if the segment has format 1, which has no header. */
+    static SegmentHeader decode(String fileName, byte[] file) {
+        var format = formatOf(fileName, file);
         if (format != CURRENT_FORMAT) return null;
-        var b = ByteBuffer.wrap(file);
-        if (file.length < HEADER_BYTES || b.getInt(CHECKSUM_OFFSET) != checksum(file))
-            throw new DiskLostException(name + ": its header is damaged");
-        b.position(BODY_OFFSET);
-        return new SegmentHeader(b.getInt(), b.getInt(), b.getLong(), b.getLong(), b.getLong(), b.getInt());
+        var buffer = ByteBuffer.wrap(file);
+        if (file.length < HEADER_BYTES || buffer.getInt(CHECKSUM_OFFSET) != checksum(file))
+            throw new DiskLostException(fileName + ": the header is damaged");
+        buffer.position(BODY_OFFSET);
+        return new SegmentHeader(
+                buffer.getInt(),
+                buffer.getInt(),
+                buffer.getLong(),
+                buffer.getLong(),
+                buffer.getLong(),
+                buffer.getInt());
     }
 
-    /** The format of a segment by its first bytes; 1 is the one without a header. */
-    static int formatOf(String name, byte[] head) {
-        if (head.length < FORMAT_BYTES) throw new DiskLostException(name + ": its header is missing");
-        var b = ByteBuffer.wrap(head);
-        if (b.getInt() != MAGIC) return 1;
-        var format = b.getInt();
-        if (b.getInt() != ~format) throw new DiskLostException(name + ": its header is damaged");
-        if (format != CURRENT_FORMAT) throw new UnknownFormat(name, format);
+    /** Returns the format of a segment by its first bytes; 1 is the format without a header. */
+    static int formatOf(String fileName, byte[] start) {
+        if (start.length < FORMAT_BYTES) throw new DiskLostException(fileName + ": the header is missing");
+        var buffer = ByteBuffer.wrap(start);
+        if (buffer.getInt() != MAGIC) return 1;
+        var format = buffer.getInt();
+        if (buffer.getInt() != ~format) throw new DiskLostException(fileName + ": the header is damaged");
+        if (format != CURRENT_FORMAT) throw new UnknownFormat(fileName, format);
         return format;
     }
 
     private static int checksum(byte[] file) {
-        var c = new CRC32C();
-        c.update(file, BODY_OFFSET, HEADER_BYTES - BODY_OFFSET);
-        return (int) c.getValue();
+        var crc = new CRC32C();
+        crc.update(file, BODY_OFFSET, HEADER_BYTES - BODY_OFFSET);
+        return (int) crc.getValue();
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
@@ -8,12 +8,15 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * The log of one part: term and vote, the snapshot, and the entries behind it. All changes are appended to one segment and
- * last once {@link #sync} returned. Each start and each snapshot writes a fresh segment with all that is known, and only
- * then removes older files. After the first failed write or sync nothing more is taken: a new log has to be made from the
- * folder, which writes and syncs all bytes anew.
+ * The write-ahead log of one part: term and vote, the latest snapshot, and the entries after it. Changes are appended
+ * to one segment and are durable once {@link #sync} has returned.
+ *
+ * <p>Every start and every snapshot writes a new segment with everything that is known, and only then removes older
+ * files. After the first failed write or sync the log accepts no more changes: a new log has to be opened from the
+ * folder, which writes and syncs all bytes again. Not thread-safe.
  */
 public final class SegmentLog {
+    /** A snapshot is due once the segment is larger than this. */
     private static final long SNAPSHOT_DUE_BYTES = 4L << 20;
 
     private final Folder folder;
@@ -32,12 +35,12 @@
     private DiskException failure;
 
     /**
-     * Reads the log of a part and writes a fresh segment. Where that cannot be written, the log can be read but takes
-     * nothing, and is dirty unless all that was read is known to be synced.
+     * Reads the log of a part and writes a new segment. If that segment cannot be written, the log can be read but
+     * accepts no changes, and it is dirty unless everything read is known to be synced.
      */
-    public SegmentLog(Folder folder, String prefix, int core) {
+    public SegmentLog(Folder folder, String prefix, int coreHash) {
         this.folder = folder;
-        this.coreHash = core;
+        this.coreHash = coreHash;
         files = new PartFiles(folder, prefix);
         readNewestSegment();
         try {
@@ -47,75 +50,75 @@
         }
     }
 
-    /** Throws {@link UnknownFormat} if any segment of a folder is of a newer format; nothing is written. */
+    /** Throws {@link UnknownFormat} if a segment in the folder has a newer format. Writes nothing. */
     public static void checkFormats(Folder folder) {
-        for (var n : folder.names()) {
-            if (!n.matches("p\\d+\\.log\\.\\d+")) continue;
-            var head = folder.readHead(n, SegmentHeader.FORMAT_BYTES);
-            if (head != null && head.length == SegmentHeader.FORMAT_BYTES) checkFormat(n, head);
+        for (var name : folder.names()) {
+            if (!name.matches("p\\d+\\.log\\.\\d+")) continue;
+            var start = folder.readHead(name, SegmentHeader.FORMAT_BYTES);
+            if (start != null && start.length == SegmentHeader.FORMAT_BYTES) checkFormat(name, start);
         }
     }
 
-    private static void checkFormat(String name, byte[] head) {
+    private static void checkFormat(String name, byte[] start) {
         try {
-            SegmentHeader.formatOf(name, head);
+            SegmentHeader.formatOf(name, start);
         } catch (DiskLostException e) {
-            // Told when the part is opened.
+            // Damage is reported when the part is opened.
         }
     }
 
-    /** The newest term known. */
+    /** Returns the latest term. */
     public long term() {
         return term;
     }
 
-    /** Who got the vote of this term, or 0. */
+    /** Returns the store that got this log's vote in the latest term, or 0. */
     public long vote() {
         return vote;
     }
 
-    /** The newest snapshot, or null. */
+    /** Returns the latest snapshot, or null. */
     public Snapshot snapshot() {
         return snapshot;
     }
 
-    /** Whether something of the log is not known to be synced. */
+    /** Returns whether some of the log is not known to be synced. */
     public boolean dirty() {
         return dirty;
     }
 
-    /** The problem since which this log takes nothing more, or null. */
+    /** Returns the failure since which the log accepts no changes, or null. */
     public DiskException failure() {
         return failure;
     }
 
-    /** Whether the segment has grown so much that a snapshot is due. */
+    /** Returns whether the segment has grown so large that a snapshot is due. */
     public boolean needsSnapshot() {
         return segmentBytes > SNAPSHOT_DUE_BYTES;
     }
 
-    /** The index of the first entry behind the snapshot. */
+    /** Returns the index of the first entry after the snapshot. */
     public long first() {
         return snapshot == null ? 1 : snapshot.index + 1;
     }
 
-    /** The index of the last entry. */
+    /** Returns the index of the last entry. */
     public long last() {
         return first() + entries.size() - 1;
     }
 
-    /** The term of an entry, of the snapshot's last one too; -1 if it is not known. */
-    public long termAt(long i) {
-        if (i == first() - 1) return snapshot == null ? 0 : snapshot.term;
-        return i < first() || i > last() ? -1 : at(i).term;
+    /** Returns the term of an entry or of the snapshot's last entry; -1 if it is not known. */
+    public long termAt(long index) {
+        if (index == first() - 1) return snapshot == null ? 0 : snapshot.term;
+        return index < first() || index > last() ? -1 : at(index).term;
     }
 
-    /** The entry of an index. */
-    public Entry at(long i) {
-        return entries.get((int) (i - first()));
+    /** Returns the entry at an index, which must be in the log. */
+    public Entry at(long index) {
+        return entries.get((int) (index - first()));
     }
 
-    /** Sets the term and the vote. */
+    /** Sets the term and the vote in it. */
     public void saveTermAndVote(long newTerm, long newVote) {
         appendRecord(LogRecord.termAndVote(newTerm, newVote));
         term = newTerm;
@@ -123,19 +126,19 @@
     }
 
     /** Appends an entry. */
-    public void append(Entry e) {
-        appendRecord(LogRecord.entry(e.index, e.term, e.type, e.body));
-        entries.add(e);
+    public void append(Entry entry) {
+        appendRecord(LogRecord.entry(entry.index, entry.term, entry.type, entry.body));
+        entries.add(entry);
     }
 
-    /** Drops the entries from an index on. */
-    public void cutFrom(long i) {
-        if (i > last()) return;
-        appendRecord(LogRecord.truncation(i));
-        entries.subList((int) (i - first()), entries.size()).clear();
+    /** Removes the entries from an index on. */
+    public void cutFrom(long index) {
+        if (index > last()) return;
+        appendRecord(LogRecord.truncation(index));
+        entries.subList((int) (index - first()), entries.size()).clear();
     }
 
-    /** Makes all changes so far last. */
+    /** Makes all changes so far durable. */
     public void sync() {
         if (!dirty) return;
         runOrFail(() -> folder.sync(files.segmentName(segmentNumber)));
@@ -144,32 +147,35 @@
         writeSyncMark();
     }
 
-    /** Takes a snapshot in place of the entries up to its index; all changes so far last afterwards. */
-    public void install(Snapshot i) {
-        runOrFail(() -> files.writeSnapshot(i));
-        var keep = new ArrayList<Entry>();
-        if (termAt(i.index) == i.term)
-            entries.stream().filter(e -> e.index > i.index).forEach(keep::add);
-        snapshot = i;
+    /** Replaces the entries up to the snapshot's index by the snapshot. All changes so far are durable afterwards. */
+    public void install(Snapshot newSnapshot) {
+        runOrFail(() -> files.writeSnapshot(newSnapshot));
+        var remaining = new ArrayList<Entry>();
+        if (termAt(newSnapshot.index) == newSnapshot.term)
+            entries.stream().filter(entry -> entry.index > newSnapshot.index).forEach(remaining::add);
+        snapshot = newSnapshot;
         entries.clear();
-        entries.addAll(keep);
+        entries.addAll(remaining);
         runOrFail(this::rewriteSegment);
     }
 
-    private void appendRecord(LogRecord r) {
+    private void appendRecord(LogRecord record) {
         runOrFail(() -> {
-            var b = codec.encode(r, segmentBytes, syncedBytes);
+            var bytes = codec.encode(record, segmentBytes, syncedBytes);
             dirty = true;
-            folder.append(files.segmentName(segmentNumber), b, b.length);
-            segmentBytes += b.length;
+            folder.append(files.segmentName(segmentNumber), bytes, bytes.length);
+            segmentBytes += bytes.length;
         });
     }
 
-    /** After a failure it is not known which bytes are on the disk, so nothing may be added behind them. */
-    private void runOrFail(Runnable work) {
+    /**
+     * Runs a disk operation. After a failure it is unknown which bytes are on disk, so nothing may be appended any
+     * more.
+     */
+    private void runOrFail(Runnable operation) {
         if (failure != null) throw failure;
         try {
-            work.run();
+            operation.run();
         } catch (DiskException e) {
             failure = e;
             dirty = true;
@@ -182,39 +188,39 @@
     }
 
     private void rewriteSegment() {
-        var old = files.segmentNumbers();
-        var number = old.isEmpty() ? 1 : old.get(old.size() - 1) + 1;
+        var existing = files.segmentNumbers();
+        var newNumber = existing.isEmpty() ? 1 : existing.get(existing.size() - 1) + 1;
         var records = new ArrayList<LogRecord>();
         records.add(LogRecord.termAndVote(term, vote));
-        for (var e : entries) records.add(LogRecord.entry(e.index, e.term, e.type, e.body));
-        var length = SegmentHeader.HEADER_BYTES
+        for (var entry : entries) records.add(LogRecord.entry(entry.index, entry.term, entry.type, entry.body));
+        var initialBytes = SegmentHeader.HEADER_BYTES
                 + records.stream().mapToInt(RecordCodec::recordSize).sum();
         var header = new SegmentHeader(
-                number,
+                newNumber,
                 coreHash,
                 ThreadLocalRandom.current().nextLong(),
                 snapshot == null ? 0 : snapshot.index,
                 snapshot == null ? 0 : snapshot.term,
-                length);
+                initialBytes);
         createSegment(header, records);
         files.removeAllExcept(segmentNumber, header.snapshotIndex());
     }
 
     private void createSegment(SegmentHeader header, List<LogRecord> records) {
         var newCodec = new RecordCodec(header.nonce());
-        var whole = Arrays.copyOf(header.encode().array(), header.initialBytes());
-        var at = SegmentHeader.HEADER_BYTES;
-        for (var r : records) {
-            var b = newCodec.encode(r, at, 0);
-            System.arraycopy(b, 0, whole, at, b.length);
-            at += b.length;
+        var bytes = Arrays.copyOf(header.encode().array(), header.initialBytes());
+        var offset = SegmentHeader.HEADER_BYTES;
+        for (var record : records) {
+            var encoded = newCodec.encode(record, offset, 0);
+            System.arraycopy(encoded, 0, bytes, offset, encoded.length);
+            offset += encoded.length;
         }
-        folder.replace(files.segmentName(header.segmentNumber()), whole);
+        folder.replace(files.segmentName(header.segmentNumber()), bytes);
         segmentNumber = header.segmentNumber();
         nonce = header.nonce();
         codec = newCodec;
-        segmentBytes = at;
-        syncedBytes = at;
+        segmentBytes = offset;
+        syncedBytes = offset;
         dirty = false;
         writeSyncMark();
     }
@@ -230,21 +236,24 @@
         dirty = !contents.allSynced();
     }
 
-    private void replayRecord(LogRecord r) {
-        switch (r.recordType()) {
+    private void replayRecord(LogRecord record) {
+        switch (record.recordType()) {
             case LegacyRecord.TERM_AND_VOTE -> {
-                term = r.term();
-                vote = r.index();
+                term = record.term();
+                vote = record.index();
             }
             case LegacyRecord.ENTRY -> {
-                if (r.index() != last() + 1) throw new DiskLostException("gap in the log at entry " + r.index());
-                entries.add(new Entry(r.index(), r.term(), r.entryType(), r.body()));
+                if (record.index() != last() + 1)
+                    throw new DiskLostException("gap in the log at entry " + record.index());
+                entries.add(new Entry(record.index(), record.term(), record.entryType(), record.body()));
             }
             case LegacyRecord.TRUNCATION -> {
-                if (r.index() < first() || r.index() > last()) throw new DiskLostException("cut at entry " + r.index());
-                entries.subList((int) (r.index() - first()), entries.size()).clear();
+                if (record.index() < first() || record.index() > last())
+                    throw new DiskLostException("truncation at missing entry " + record.index());
+                entries.subList((int) (record.index() - first()), entries.size())
+                        .clear();
             }
-            default -> throw new DiskLostException("record of unknown type " + r.recordType());
+            default -> throw new DiskLostException("unknown record type " + record.recordType());
         }
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/SyncMark.java
+++ b/lib/state/src/main/java/craneway/state/disk/SyncMark.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * How much of a segment was synced, written without a sync of its own after each sync. A loss of power may take it back
- * or tear it; the one that is read never says too much. The nonce is 0 in marks of the format without a header.
+ * States how many bytes of a segment were synced. It is written after each sync, without a sync of its own, so a loss
+ * of power may undo or tear it; one that can be read never states too much. The nonce is 0 in marks of format 1.
  */
 record SyncMark(int segmentNumber, long syncedBytes, long nonce) {
     private static final int BODY_BYTES = 20;
@@ -18,13 +18,13 @@
                 .array());
     }
 
-    /** The mark in these bytes, or null if there is none or a torn one. */
+    /** Decodes a mark; returns null if there is none or it is torn. */
     static SyncMark decode(byte[] bytes) {
-        var v = new LegacyRecord();
-        if (bytes == null || !v.wrap(ByteBuffer.wrap(bytes), 0).isValid()) return null;
-        var body = v.body();
-        var b = ByteBuffer.wrap(body);
-        if (body.length == BODY_BYTES_WITHOUT_NONCE) return new SyncMark(b.getInt(), b.getLong(), 0);
-        return body.length == BODY_BYTES ? new SyncMark(b.getInt(), b.getLong(), b.getLong()) : null;
+        var record = new LegacyRecord();
+        if (bytes == null || !record.wrap(ByteBuffer.wrap(bytes), 0).isValid()) return null;
+        var body = record.body();
+        var buffer = ByteBuffer.wrap(body);
+        if (body.length == BODY_BYTES_WITHOUT_NONCE) return new SyncMark(buffer.getInt(), buffer.getLong(), 0);
+        return body.length == BODY_BYTES ? new SyncMark(buffer.getInt(), buffer.getLong(), buffer.getLong()) : null;
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/UnknownFormat.java
+++ b/lib/state/src/main/java/craneway/state/disk/UnknownFormat.java
@@ -1,10 +1,10 @@
 package craneway.state.disk;
 
-/** A segment of a format that this version does not know; nothing of the folder may be changed. */
+/** A segment has a format that this version does not know. Nothing in the folder may be changed then. */
 public final class UnknownFormat extends RuntimeException {
-    /** Names the file, the format found and the newest one known. */
-    public UnknownFormat(String name, int format) {
-        super(name + " has the data format " + format + "; this version knows formats up to "
+    /** Creates the exception with the name of the file and the format found. */
+    public UnknownFormat(String fileName, int format) {
+        super(fileName + " has the data format " + format + "; this version knows formats up to "
                 + SegmentHeader.CURRENT_FORMAT + ". Nothing was changed: start a newer version on this folder");
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -50,7 +50,8 @@
         var plan = rows.plans.get(command.plan);
         if (plan == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + command.plan);
         if (plan.state == Plan.CONFIRMED)
-            return Records.failure(Kind.STALE_PLAN, "plan " + command.plan + " is in force; take it back with an intent");
+            return Records.failure(
+                    Kind.STALE_PLAN, "plan " + command.plan + " is in force; take it back with an intent");
         plan.state = Plan.STOPPED;
         plan.cause = command.cause;
         return Records.ok();
