--- a/lib/state/src/test/java/craneway/state/disk/FailingDiskTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/FailingDiskTest.java
@@ -13,115 +13,125 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Writes and syncs that are refused or fall short: what was acknowledged stays, and nothing refused is believed. */
+/**
+ * Checks the log when writes and syncs are refused or cut short: acknowledged changes survive, and refused ones are not
+ * treated as durable.
+ */
 class FailingDiskTest {
-    /** Plays a history in which the steps from one number to another fail, the second not included. */
-    private static LogHistory failing(List<Call> calls, int from, int to, Fault fault) {
-        var h = new LogHistory(new PowerLossFolder());
-        h.folder.faults((n, what) -> n >= from && n < to ? fault : Fault.NONE);
-        h.play(calls);
-        return h;
+    /** Plays a history in which the disk operations from one number up to, but excluding, another fail. */
+    private static LogHistory playWithFaults(List<Call> calls, int from, int to, Fault fault) {
+        var history = new LogHistory(new PowerLossFolder());
+        history.folder.setFaults((step, operation) -> step >= from && step < to ? fault : Fault.NONE);
+        history.play(calls);
+        return history;
     }
 
+    /** A check run after a history with faults. */
     private interface Check {
-        void on(LogHistory h, String where);
+        void check(LogHistory h, String where);
     }
 
-    private static void each(Check check) {
-        for (var e : HistoryCases.ALL.entrySet())
-            for (var fault : List.of(Fault.REFUSED, Fault.SHORT)) each(e.getKey(), e.getValue(), fault, check);
+    private static void forEachFault(Check check) {
+        for (var historyCase : HistoryCases.ALL.entrySet())
+            for (var fault : List.of(Fault.REFUSED, Fault.SHORT))
+                forEachFault(historyCase.getKey(), historyCase.getValue(), fault, check);
     }
 
-    private static void each(String name, List<Call> calls, Fault fault, Check check) {
-        var all = failing(calls, 0, 0, fault).folder.steps();
-        for (var step = 0; step < all; step++)
-            for (var length : new int[] {1, 2, 1_000})
-                check.on(failing(calls, step, step + length, fault), name + ", " + fault + " at " + step);
+    private static void forEachFault(String name, List<Call> calls, Fault fault, Check check) {
+        var stepCount = playWithFaults(calls, 0, 0, fault).folder.steps();
+        for (var step = 0; step < stepCount; step++)
+            for (var failingSteps : new int[] {1, 2, 1_000})
+                check.check(
+                        playWithFaults(calls, step, step + failingSteps, fault), name + ", " + fault + " at " + step);
     }
 
     @Test
-    void whatWasAcknowledgedIsReadBackOnceTheDiskWorksAgain() {
-        each((h, where) -> {
-            h.folder.faults((n, what) -> Fault.NONE);
-            h.check(h.folder, where);
-            h.check(h.folder, where + ", read again");
+    void acknowledgedStateIsReadBackAfterDiskRecovers() {
+        forEachFault((history, where) -> {
+            history.folder.setFaults((step, operation) -> Fault.NONE);
+            history.check(history.folder, where);
+            history.check(history.folder, where + ", read again");
         });
     }
 
     @Test
-    void whatWasAcknowledgedIsReadBackAfterALossOfPower() {
-        each((h, where) -> {
-            for (var o = 0L; o < h.folder.outcomes(); o++) h.check(h.folder.afterPowerLoss(o), where + " " + o);
+    void acknowledgedStateSurvivesPowerLossAfterFaults() {
+        forEachFault((history, where) -> {
+            for (var outcome = 0L; outcome < history.folder.outcomeCount(); outcome++)
+                history.check(history.folder.afterPowerLoss(outcome), where + " " + outcome);
         });
     }
 
-    /** A sync that failed leaves bytes that can be read but never reach the disk, whatever a later sync says. */
+    /** A failed sync leaves bytes that can be read but may never reach the disk, even if a later sync succeeds. */
     @Test
-    void afterAFailedSyncTheBytesAreWrittenAnewBeforeTheyCount() {
-        each((h, where) -> {
-            h.folder.faults((n, what) -> Fault.NONE);
-            var again = LogHistory.goingOn(h.folder);
-            assertTrue(again.make(List.of(LogHistory.vote(90, 1), LogHistory.sync())));
-            for (var o = 0L; o < h.folder.outcomes(); o++) again.check(h.folder.afterPowerLoss(o), where + " " + o);
+    void bytesOfFailedSyncAreRewrittenBeforeTheyCount() {
+        forEachFault((history, where) -> {
+            history.folder.setFaults((step, operation) -> Fault.NONE);
+            var continued = LogHistory.continueFrom(history.folder);
+            assertTrue(continued.makeCalls(List.of(LogHistory.vote(90, 1), LogHistory.sync())));
+            for (var outcome = 0L; outcome < history.folder.outcomeCount(); outcome++)
+                continued.check(history.folder.afterPowerLoss(outcome), where + " " + outcome);
         });
     }
 
     @Test
-    void afterAFailureTheLogTakesNothingMore() {
-        var h = new LogHistory(new PowerLossFolder());
-        h.play(List.of(LogHistory.vote(1, 1), LogHistory.entry(1, 4), LogHistory.sync(), LogHistory.entry(1, 5)));
-        h.folder.faults((n, what) -> n == 0 ? Fault.REFUSED : Fault.NONE);
-        var before = LogHistory.describe(h.log);
-        assertThrows(DiskException.class, h.log::sync);
-        refusesAll(h.log);
-        assertThrows(DiskException.class, h.log::sync);
-        assertTrue(h.log.dirty());
-        assertEquals(before, LogHistory.describe(h.log));
+    void logRefusesChangesAfterFailure() {
+        var history = new LogHistory(new PowerLossFolder());
+        history.play(List.of(LogHistory.vote(1, 1), LogHistory.entry(1, 4), LogHistory.sync(), LogHistory.entry(1, 5)));
+        history.folder.setFaults((step, operation) -> step == 0 ? Fault.REFUSED : Fault.NONE);
+        var before = LogHistory.describe(history.log);
+        assertThrows(DiskException.class, history.log::sync);
+        assertRefusesAllChanges(history.log);
+        assertThrows(DiskException.class, history.log::sync);
+        assertTrue(history.log.dirty());
+        assertEquals(before, LogHistory.describe(history.log));
     }
 
-    private static void refusesAll(SegmentLog log) {
+    private static void assertRefusesAllChanges(SegmentLog log) {
         assertThrows(DiskException.class, () -> log.saveTermAndVote(50, 1));
         assertThrows(DiskException.class, () -> log.append(new Entry(log.last() + 1, 50, Entry.COMMAND, new byte[3])));
         if (log.last() >= log.first()) assertThrows(DiskException.class, () -> log.cutFrom(log.last()));
-        var i = new Snapshot();
-        i.index = 99;
-        i.body = new byte[3];
-        assertThrows(DiskException.class, () -> log.install(i));
+        var snapshot = new Snapshot();
+        snapshot.index = 99;
+        snapshot.body = new byte[3];
+        assertThrows(DiskException.class, () -> log.install(snapshot));
     }
 
-    /** Without a byte of space the log is read; it counts as synced only where the mark proves it. */
+    /** On a full disk the log can be read; it counts as synced only if the sync mark proves it. */
     @Test
-    void aRestartWithAFullDiskReadsAndGoesOnOnceThereIsSpace() {
-        for (var e : HistoryCases.ALL.entrySet()) {
-            var h = new LogHistory(new PowerLossFolder());
-            h.play(e.getValue());
-            var unsynced = h.acknowledged < h.states.size() - 1;
-            fullThenFree(h, h.folder.afterKill(), unsynced, e.getKey());
+    void restartOnFullDiskReadsAndContinuesOnceThereIsSpace() {
+        for (var historyCase : HistoryCases.ALL.entrySet()) {
+            var history = new LogHistory(new PowerLossFolder());
+            history.play(historyCase.getValue());
+            var unsynced = history.acknowledgedState < history.states.size() - 1;
+            restartOnFullThenFreeDisk(history, history.folder.afterKill(), unsynced, historyCase.getKey());
         }
     }
 
-    private static void fullThenFree(LogHistory h, PowerLossFolder f, boolean unsynced, String name) {
-        var before = contents(f);
-        f.faults((n, what) -> Fault.REFUSED);
-        var log = new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE);
-        assertEquals(h.states.get(h.states.size() - 1), LogHistory.describe(log), name);
+    private static void restartOnFullThenFreeDisk(
+            LogHistory history, PowerLossFolder folder, boolean unsynced, String name) {
+        var before = contents(folder);
+        folder.setFaults((step, operation) -> Fault.REFUSED);
+        var log = new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH);
+        assertEquals(history.states.get(history.states.size() - 1), LogHistory.describe(log), name);
         assertEquals(unsynced, log.dirty(), name);
         if (unsynced) assertThrows(DiskException.class, log::sync, name);
         else log.sync();
-        refusesAll(log);
-        assertEquals(h.states.get(h.states.size() - 1), LogHistory.describe(log), name);
-        assertEquals(before, contents(f), name);
-        f.faults((n, what) -> Fault.NONE);
-        var again = LogHistory.goingOn(f);
-        assertEquals(h.states.get(h.states.size() - 1), LogHistory.describe(again.log), name);
-        assertFalse(again.log.dirty());
-        assertTrue(again.make(List.of(LogHistory.entry(9, 4), LogHistory.sync())));
-        for (var o = 0L; o < f.outcomes(); o++) again.check(f.afterPowerLoss(o), name + " " + o);
+        assertRefusesAllChanges(log);
+        assertEquals(history.states.get(history.states.size() - 1), LogHistory.describe(log), name);
+        assertEquals(before, contents(folder), name);
+        folder.setFaults((step, operation) -> Fault.NONE);
+        var continued = LogHistory.continueFrom(folder);
+        assertEquals(history.states.get(history.states.size() - 1), LogHistory.describe(continued.log), name);
+        assertFalse(continued.log.dirty());
+        assertTrue(continued.makeCalls(List.of(LogHistory.entry(9, 4), LogHistory.sync())));
+        for (var outcome = 0L; outcome < folder.outcomeCount(); outcome++)
+            continued.check(folder.afterPowerLoss(outcome), name + " " + outcome);
     }
 
-    private static TreeMap<String, Integer> contents(Folder f) {
-        var all = new TreeMap<String, Integer>();
-        f.names().forEach(n -> all.put(n, java.util.Arrays.hashCode(f.read(n))));
-        return all;
+    private static TreeMap<String, Integer> contents(Folder folder) {
+        var contents = new TreeMap<String, Integer>();
+        folder.names().forEach(name -> contents.put(name, java.util.Arrays.hashCode(folder.read(name))));
+        return contents;
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/HistoryCases.java
+++ b/lib/state/src/test/java/craneway/state/disk/HistoryCases.java
@@ -1,9 +1,9 @@
 package craneway.state.disk;
 
-import static craneway.state.disk.LogHistory.cut;
 import static craneway.state.disk.LogHistory.entry;
+import static craneway.state.disk.LogHistory.installSnapshot;
 import static craneway.state.disk.LogHistory.sync;
-import static craneway.state.disk.LogHistory.take;
+import static craneway.state.disk.LogHistory.truncate;
 import static craneway.state.disk.LogHistory.vote;
 
 import craneway.state.disk.LogHistory.Call;
@@ -11,7 +11,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Short histories of a log, whose every crash point leaves at most eight unsynced writes and changes of names. */
+/**
+ * Short histories of a log. Every crash point leaves at most eight unsynced writes and name changes, so that all
+ * outcomes of a loss of power can be tried.
+ */
 final class HistoryCases {
     static final Map<String, List<Call>> ALL = new TreeMap<>(Map.of(
             "a first start", List.of(),
@@ -36,12 +39,12 @@
                             entry(1, 5),
                             sync(),
                             vote(2, 0),
-                            cut(2),
+                            truncate(2),
                             entry(2, 6),
-                            cut(2),
+                            truncate(2),
                             entry(2, 7),
                             sync(),
-                            cut(1),
+                            truncate(1),
                             entry(2, 8)),
             "a snapshot taken",
                     List.of(
@@ -50,12 +53,12 @@
                             entry(1, 4),
                             sync(),
                             entry(1, 5),
-                            take(2, 1),
+                            installSnapshot(2, 1),
                             entry(1, 6),
                             sync(),
                             vote(2, 1),
                             entry(2, 9),
-                            take(4, 1),
+                            installSnapshot(4, 1),
                             entry(2, 2)),
             "a snapshot from the leader",
                     List.of(
@@ -63,7 +66,7 @@
                             entry(1, 3),
                             sync(),
                             entry(1, 4),
-                            take(9, 3),
+                            installSnapshot(9, 3),
                             vote(4, 0),
                             entry(4, 1),
                             sync(),
--- a/lib/state/src/test/java/craneway/state/disk/LogHistory.java
+++ b/lib/state/src/test/java/craneway/state/disk/LogHistory.java
@@ -6,65 +6,65 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A log under test, with the states that it went through and the last one that was acknowledged. */
+/** A log under test with all states it went through and the last acknowledged one. */
 final class LogHistory {
-    /** One call of the log. */
+    /** One call on the log. */
     interface Call {
-        void on(LogHistory h);
+        void applyTo(LogHistory history);
     }
 
-    static final int CORE = 7;
+    static final int CORE_HASH = 7;
     static final String PREFIX = "p0.";
 
     final PowerLossFolder folder;
     final List<String> states = new ArrayList<>();
     SegmentLog log;
-    int acknowledged;
+    int acknowledgedState;
     boolean opened;
 
     LogHistory(PowerLossFolder folder) {
         this.folder = folder;
-        states.add("term 0 vote 0 image 0/0 entries []");
+        states.add("term 0 vote 0 snapshot 0/0 entries []");
     }
 
-    /** A history that goes on from what a log read back. */
-    static LogHistory goingOn(PowerLossFolder folder) {
-        var h = new LogHistory(folder);
-        h.log = new SegmentLog(folder, PREFIX, CORE);
-        h.states.set(0, describe(h.log));
-        return h;
+    /** Returns a history that continues from what the log reads back. */
+    static LogHistory continueFrom(PowerLossFolder folder) {
+        var history = new LogHistory(folder);
+        history.log = new SegmentLog(folder, PREFIX, CORE_HASH);
+        history.states.set(0, describe(history.log));
+        return history;
     }
 
-    /** Opens the log and makes the calls until the process ends by a crash or the disk fails; false if so. */
+    /** Opens the log and makes the calls; returns false if a crash or a disk failure ended them early. */
     boolean play(List<Call> calls) {
         try {
-            log = new SegmentLog(folder, PREFIX, CORE);
+            log = new SegmentLog(folder, PREFIX, CORE_HASH);
             opened = log.failure() == null;
-        } catch (PowerLossFolder.Crash e) {
+        } catch (PowerLossFolder.Crash crash) {
             return false;
         }
-        return make(calls);
+        return makeCalls(calls);
     }
 
-    /** Makes the calls until the process ends by a crash or the disk fails; false if so. */
-    boolean make(List<Call> calls) {
+    /** Makes the calls; returns false if a crash or a disk failure ended them early. */
+    boolean makeCalls(List<Call> calls) {
         try {
-            for (var c : calls) c.on(this);
+            for (var call : calls) call.applyTo(this);
             return true;
         } catch (PowerLossFolder.Crash | DiskException e) {
             return false;
         }
     }
 
-    private void change(Call c, String next) {
-        states.add(next);
-        c.on(this);
-        var now = describe(log);
-        if (!now.equals(next)) throw new AssertionError(now + " instead of " + next);
+    private void change(Call call, String expected) {
+        states.add(expected);
+        call.applyTo(this);
+        var actual = describe(log);
+        if (!actual.equals(expected)) throw new AssertionError(actual + " instead of " + expected);
     }
 
-    private String next(long term, long vote, Snapshot snapshot, List<Entry> entries) {
-        return text(term, vote, snapshot, entries);
+    private String describeNext(long term, long vote, Snapshot snapshot, List<Entry> entries) {
+        return description(term, vote, snapshot, entries);
     }
 
     private List<Entry> entries() {
@@ -72,75 +72,90 @@
     }
 
     private static List<Entry> entries(SegmentLog log) {
-        var all = new ArrayList<Entry>();
-        for (var i = log.first(); i <= log.last(); i++) all.add(log.at(i));
-        return all;
+        var entries = new ArrayList<Entry>();
+        for (var index = log.first(); index <= log.last(); index++) entries.add(log.at(index));
+        return entries;
     }
 
+    /** Returns the call that saves a term and a vote. */
     static Call vote(long term, long vote) {
-        return h -> h.change(x -> x.log.saveTermAndVote(term, vote), h.next(term, vote, h.log.snapshot(), h.entries()));
+        return history -> history.change(
+                changed -> changed.log.saveTermAndVote(term, vote),
+                history.describeNext(term, vote, history.log.snapshot(), history.entries()));
     }
 
+    /** Returns the call that appends an entry with a body of the given size. */
     static Call entry(long term, int bytes) {
-        return h -> {
+        return history -> {
             var body = new byte[bytes];
-            Arrays.fill(body, (byte) (h.states.size() * 31 + 5));
-            var e = new Entry(h.log.last() + 1, term, Entry.COMMAND, body);
-            var all = h.entries();
-            all.add(e);
-            h.change(x -> x.log.append(e), h.next(h.log.term(), h.log.vote(), h.log.snapshot(), all));
+            Arrays.fill(body, (byte) (history.states.size() * 31 + 5));
+            var entry = new Entry(history.log.last() + 1, term, Entry.COMMAND, body);
+            var entries = history.entries();
+            entries.add(entry);
+            history.change(
+                    changed -> changed.log.append(entry),
+                    history.describeNext(history.log.term(), history.log.vote(), history.log.snapshot(), entries));
         };
     }
 
-    static Call cut(long from) {
-        return h -> {
-            var all = h.entries();
-            all.removeIf(e -> e.index >= from);
-            h.change(x -> x.log.cutFrom(from), h.next(h.log.term(), h.log.vote(), h.log.snapshot(), all));
+    /** Returns the call that removes the entries from an index on. */
+    static Call truncate(long from) {
+        return history -> {
+            var entries = history.entries();
+            entries.removeIf(entry -> entry.index >= from);
+            history.change(
+                    changed -> changed.log.cutFrom(from),
+                    history.describeNext(history.log.term(), history.log.vote(), history.log.snapshot(), entries));
         };
     }
 
-    static Call take(long index, long term) {
-        return h -> {
-            var i = new Snapshot();
-            i.index = index;
-            i.term = term;
-            i.body = new byte[] {(byte) index, 3, 4};
-            var all = h.entries();
-            var matches = h.log.termAt(index) == term;
-            all.removeIf(e -> !matches || e.index <= index);
-            h.change(x -> x.log.install(i), h.next(h.log.term(), h.log.vote(), i, all));
-            h.acknowledged = h.states.size() - 1;
+    /** Returns the call that installs a snapshot, which acknowledges all changes so far. */
+    static Call installSnapshot(long index, long term) {
+        return history -> {
+            var snapshot = new Snapshot();
+            snapshot.index = index;
+            snapshot.term = term;
+            snapshot.body = new byte[] {(byte) index, 3, 4};
+            var entries = history.entries();
+            var matches = history.log.termAt(index) == term;
+            entries.removeIf(entry -> !matches || entry.index <= index);
+            history.change(
+                    changed -> changed.log.install(snapshot),
+                    history.describeNext(history.log.term(), history.log.vote(), snapshot, entries));
+            history.acknowledgedState = history.states.size() - 1;
         };
     }
 
+    /** Returns the call that syncs the log, which acknowledges all changes so far. */
     static Call sync() {
-        return h -> {
-            h.log.sync();
-            h.acknowledged = h.states.size() - 1;
+        return history -> {
+            history.log.sync();
+            history.acknowledgedState = history.states.size() - 1;
         };
     }
 
+    /** Returns the complete state of a log as text. */
     static String describe(SegmentLog log) {
-        return text(log.term(), log.vote(), log.snapshot(), entries(log));
+        return description(log.term(), log.vote(), log.snapshot(), entries(log));
     }
 
-    private static String text(long term, long vote, Snapshot snapshot, List<Entry> entries) {
-        var all = entries.stream()
-                .map(e -> e.index + "/" + e.term + ":" + e.body.length + "x" + Arrays.hashCode(e.body))
+    private static String description(long term, long vote, Snapshot snapshot, List<Entry> entries) {
+        var describedEntries = entries.stream()
+                .map(entry ->
+                        entry.index + "/" + entry.term + ":" + entry.body.length + "x" + Arrays.hashCode(entry.body))
                 .toList();
-        var base = snapshot == null ? "0/0" : snapshot.index + "/" + snapshot.term;
-        return "term " + term + " vote " + vote + " image " + base + " entries " + all;
+        var snapshotPosition = snapshot == null ? "0/0" : snapshot.index + "/" + snapshot.term;
+        return "term " + term + " vote " + vote + " snapshot " + snapshotPosition + " entries " + describedEntries;
     }
 
-    /** Whether a log that was read back holds all that was acknowledged, and nothing that was never written. */
-    void check(PowerLossFolder back, String where) {
+    /** Checks that a reopened log holds everything acknowledged and nothing that was never written. */
+    void check(PowerLossFolder reopened, String where) {
         try {
-            var now = describe(new SegmentLog(back, PREFIX, CORE));
-            if (states.subList(acknowledged, states.size()).contains(now)) return;
-            throw new AssertionError(where + ": read " + now + ", acknowledged " + states.get(acknowledged));
+            var actual = describe(new SegmentLog(reopened, PREFIX, CORE_HASH));
+            if (states.subList(acknowledgedState, states.size()).contains(actual)) return;
+            throw new AssertionError(where + ": read " + actual + ", acknowledged " + states.get(acknowledgedState));
         } catch (DiskLostException e) {
-            throw new AssertionError(where + ": a healthy disk was called lost: " + e.getMessage());
+            throw new AssertionError(where + ": a healthy disk was reported as lost: " + e.getMessage());
         }
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
+++ b/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
@@ -13,14 +13,17 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * A folder in memory that keeps each write and each change of a name since the last sync apart, so that a loss of
- * power can keep, lose or tear every one of them by itself. It can end the process at any step on the disk.
+ * A folder in memory that keeps each write and each change of a name since the last sync separate, so that a loss of
+ * power can keep, lose or tear each of them independently. It can end the process at any disk operation.
  */
 final class PowerLossFolder implements Folder {
-    /** The process ends in the middle of its work. */
+    /** Thrown when the simulated process ends in the middle of its work. */
     static final class Crash extends RuntimeException {}
 
-    /** What happens at one step on the disk. */
+    /**
+     * What happens at one disk operation: it succeeds, the process ends, the operation is refused, or only half of a
+     * write is done.
+     */
     enum Fault {
         NONE,
         CRASH,
@@ -28,45 +31,48 @@
         SHORT
     }
 
-    /** Decides what happens at each step on the disk, given its number and its name. */
+    /** Decides what happens at each disk operation, given its number and its name. */
     interface Faults {
-        Fault at(int step, String what);
+        /** Returns the fault at an operation. */
+        Fault faultAt(int step, String what);
     }
 
-    private static final int TEARS = 4;
+    /** The number of ways in which a write can be torn. */
+    private static final int TEAR_VARIANTS = 4;
 
     private static final class Inode {
         byte[] durable = {};
         byte[] content = {};
-        final List<Write> unsynced = new ArrayList<>();
-        final Set<Write> failed = new HashSet<>();
+        final List<Write> unsyncedWrites = new ArrayList<>();
+        final Set<Write> failedWrites = new HashSet<>();
 
         void write(int offset, byte[] bytes) {
-            content = over(content, offset, bytes);
-            unsynced.add(new Write(offset, bytes));
+            content = overwritten(content, offset, bytes);
+            unsyncedWrites.add(new Write(offset, bytes));
         }
 
         Inode copy() {
-            var c = new Inode();
-            c.durable = durable;
-            c.content = content;
-            c.unsynced.addAll(unsynced);
-            c.failed.addAll(failed);
-            return c;
+            var copy = new Inode();
+            copy.durable = durable;
+            copy.content = content;
+            copy.unsyncedWrites.addAll(unsyncedWrites);
+            copy.failedWrites.addAll(failedWrites);
+            return copy;
         }
 
-        /** Makes all writes last but those that an earlier sync failed on: they never reach the disk by a sync. */
+        /** Makes all writes durable except those that an earlier sync failed on: no later sync writes them to disk. */
         void sync() {
-            for (var w : unsynced) if (!failed.contains(w)) durable = over(durable, w.offset, w.bytes);
-            unsynced.retainAll(failed);
+            for (var write : unsyncedWrites)
+                if (!failedWrites.contains(write)) durable = overwritten(durable, write.offset, write.bytes);
+            unsyncedWrites.retainAll(failedWrites);
         }
 
         void failSync() {
-            failed.addAll(unsynced);
+            failedWrites.addAll(unsyncedWrites);
         }
     }
 
-    /** One write; no two are equal. */
+    /** One write. Writes are compared by identity. */
     private static final class Write {
         final int offset;
         final byte[] bytes;
@@ -79,13 +85,13 @@
 
     private record NameChange(String name, Inode before, Inode after) {}
 
-    private final Map<String, Inode> names = new TreeMap<>();
-    private final List<NameChange> changes = new ArrayList<>();
+    private final Map<String, Inode> inodesByName = new TreeMap<>();
+    private final List<NameChange> unsyncedNameChanges = new ArrayList<>();
     private Faults faults = (step, what) -> Fault.NONE;
     private int steps;
 
-    void faults(Faults f) {
-        faults = f;
+    void setFaults(Faults newFaults) {
+        faults = newFaults;
         steps = 0;
     }
 
@@ -93,79 +99,87 @@
         return steps;
     }
 
-    /** The number of writes and changes of names that a loss of power may lose. */
-    int unsynced() {
-        return changes.size()
-                + names.values().stream().mapToInt(i -> i.unsynced.size()).sum();
+    /** Returns the number of writes and name changes that a loss of power may lose. */
+    int unsyncedCount() {
+        return unsyncedNameChanges.size()
+                + inodesByName.values().stream()
+                        .mapToInt(inode -> inode.unsyncedWrites.size())
+                        .sum();
     }
 
-    /** In how many ways a loss of power can end. */
-    long outcomes() {
-        var writes = names.values().stream().mapToInt(i -> i.unsynced.size()).sum();
-        return (long) Math.pow(3, writes) << changes.size();
+    /** Returns the number of possible outcomes of a loss of power. */
+    long outcomeCount() {
+        var writes = inodesByName.values().stream()
+                .mapToInt(inode -> inode.unsyncedWrites.size())
+                .sum();
+        return (long) Math.pow(3, writes) << unsyncedNameChanges.size();
     }
 
-    /** What the disk holds after a loss of power; each outcome from 0 to {@link #outcomes()} - 1 is another. */
+    /** Returns the disk after a loss of power with one of the outcomes from 0 to {@link #outcomeCount()} - 1. */
     PowerLossFolder afterPowerLoss(long outcome) {
-        var rest = new long[] {outcome};
-        var tear = (int) (outcome % TEARS);
+        var remaining = new long[] {outcome};
+        var tearVariant = (int) (outcome % TEAR_VARIANTS);
         return afterPowerLoss(
-                n -> {
-                    var fate = (int) (rest[0] % n);
-                    rest[0] /= n;
+                choices -> {
+                    var fate = (int) (remaining[0] % choices);
+                    remaining[0] /= choices;
                     return fate;
                 },
-                () -> tear);
+                () -> tearVariant);
     }
 
-    /** What the disk holds after a loss of power whose outcome is drawn. */
+    /** Returns the disk after a loss of power with a random outcome. */
     PowerLossFolder afterPowerLoss(Random random) {
-        return afterPowerLoss(random::nextInt, () -> random.nextInt(TEARS));
+        return afterPowerLoss(random::nextInt, () -> random.nextInt(TEAR_VARIANTS));
     }
 
-    private PowerLossFolder afterPowerLoss(IntUnaryOperator fate, IntSupplier tear) {
+    private PowerLossFolder afterPowerLoss(IntUnaryOperator fate, IntSupplier tearVariant) {
         var after = new PowerLossFolder();
-        var kept = new TreeMap<>(names);
-        for (var i = changes.size() - 1; i >= 0; i--) {
-            var c = changes.get(i);
-            if (fate.applyAsInt(2) == 1 && kept.get(c.name) == c.after) rename(kept, c.name, c.before);
+        var kept = new TreeMap<>(inodesByName);
+        for (var i = unsyncedNameChanges.size() - 1; i >= 0; i--) {
+            var change = unsyncedNameChanges.get(i);
+            if (fate.applyAsInt(2) == 1 && kept.get(change.name) == change.after)
+                bind(kept, change.name, change.before);
         }
-        for (var e : kept.entrySet()) {
+        for (var entry : kept.entrySet()) {
             var inode = new Inode();
-            var bytes = e.getValue().durable;
-            for (var w : e.getValue().unsynced) bytes = lose(bytes, w, fate.applyAsInt(3), tear);
+            var bytes = entry.getValue().durable;
+            for (var write : entry.getValue().unsyncedWrites)
+                bytes = applyLostWrite(bytes, write, fate.applyAsInt(3), tearVariant);
             inode.content = bytes;
             inode.durable = bytes;
-            after.names.put(e.getKey(), inode);
+            after.inodesByName.put(entry.getKey(), inode);
         }
         return after;
     }
 
-    private static void rename(Map<String, Inode> names, String name, Inode to) {
-        if (to == null) names.remove(name);
-        else names.put(name, to);
+    private static void bind(Map<String, Inode> target, String name, Inode to) {
+        if (to == null) target.remove(name);
+        else target.put(name, to);
     }
 
-    private static byte[] lose(byte[] bytes, Write w, int fate, IntSupplier tear) {
-        if (fate == 0) return over(bytes, w.offset, w.bytes);
+    private static byte[] applyLostWrite(byte[] bytes, Write write, int fate, IntSupplier tearVariant) {
+        if (fate == 0) return overwritten(bytes, write.offset, write.bytes);
         if (fate == 1) return bytes;
-        var part = w.bytes.clone();
-        var cut = Math.max(1, part.length / 2);
-        switch (tear.getAsInt()) {
-            case 0 -> part = Arrays.copyOf(part, cut);
-            case 1 -> Arrays.fill(part, 0, cut, (byte) 0);
-            case 2 -> Arrays.fill(part, cut, part.length, (byte) 0);
-            default -> part[part.length - 1] ^= 0x55;
+        var torn = write.bytes.clone();
+        var middle = Math.max(1, torn.length / 2);
+        switch (tearVariant.getAsInt()) {
+            case 0 -> torn = Arrays.copyOf(torn, middle);
+            case 1 -> Arrays.fill(torn, 0, middle, (byte) 0);
+            case 2 -> Arrays.fill(torn, middle, torn.length, (byte) 0);
+            default -> torn[torn.length - 1] ^= 0x55;
         }
-        return over(bytes, w.offset, part);
+        return overwritten(bytes, write.offset, torn);
     }
 
-    /** The folder as the next process finds it after a kill: nothing is lost, and nothing is made durable. */
+    /** Returns the folder as the next process finds it after a kill: nothing is lost, and nothing becomes durable. */
     PowerLossFolder afterKill() {
         var copies = new IdentityHashMap<Inode, Inode>();
         var after = new PowerLossFolder();
-        names.forEach((n, i) -> after.names.put(n, copy(i, copies)));
-        for (var c : changes) after.changes.add(new NameChange(c.name, copy(c.before, copies), copy(c.after, copies)));
+        inodesByName.forEach((name, inode) -> after.inodesByName.put(name, copy(inode, copies)));
+        for (var change : unsyncedNameChanges)
+            after.unsyncedNameChanges.add(
+                    new NameChange(change.name, copy(change.before, copies), copy(change.after, copies)));
         return after;
     }
 
@@ -173,54 +187,55 @@
         return inode == null ? null : copies.computeIfAbsent(inode, Inode::copy);
     }
 
-    /** Changes bytes behind the back of everyone. */
-    void put(String name, byte[] bytes) {
-        var i = new Inode();
-        i.content = bytes;
-        i.durable = bytes;
-        names.put(name, i);
+    /** Sets the durable content of a file directly, bypassing faults and syncs. */
+    void putDurably(String name, byte[] bytes) {
+        var inode = new Inode();
+        inode.content = bytes;
+        inode.durable = bytes;
+        inodesByName.put(name, inode);
     }
 
-    private static byte[] over(byte[] bytes, int offset, byte[] with) {
-        var all = Arrays.copyOf(bytes, Math.max(bytes.length, offset + with.length));
-        System.arraycopy(with, 0, all, offset, with.length);
-        return all;
+    private static byte[] overwritten(byte[] bytes, int offset, byte[] replacement) {
+        var result = Arrays.copyOf(bytes, Math.max(bytes.length, offset + replacement.length));
+        System.arraycopy(replacement, 0, result, offset, replacement.length);
+        return result;
     }
 
-    private void step(String what) {
-        step(what, false);
+    private void step(String operation) {
+        step(operation, false);
     }
 
-    private Fault step(String what, boolean written) {
-        var f = faults.at(steps++, what);
-        if (f == Fault.CRASH) throw new Crash();
-        if (f == Fault.REFUSED || f == Fault.SHORT && !written) throw new DiskException(true, what + " refused");
-        return f;
+    private Fault step(String operation, boolean written) {
+        var fault = faults.faultAt(steps++, operation);
+        if (fault == Fault.CRASH) throw new Crash();
+        if (fault == Fault.REFUSED || fault == Fault.SHORT && !written)
+            throw new DiskException(true, operation + " refused");
+        return fault;
     }
 
-    private void name(String name, Inode to) {
-        changes.add(new NameChange(name, names.get(name), to));
-        rename(names, name, to);
+    private void changeName(String name, Inode to) {
+        unsyncedNameChanges.add(new NameChange(name, inodesByName.get(name), to));
+        bind(inodesByName, name, to);
     }
 
-    private Inode open(String name) {
-        if (!names.containsKey(name)) name(name, new Inode());
-        return names.get(name);
+    private Inode openOrCreate(String name) {
+        if (!inodesByName.containsKey(name)) changeName(name, new Inode());
+        return inodesByName.get(name);
     }
 
-    private void write(Inode inode, int offset, byte[] bytes, String what) {
-        var f = step(what, true);
-        if (f == Fault.NONE) {
+    private void write(Inode inode, int offset, byte[] bytes, String operation) {
+        var fault = step(operation, true);
+        if (fault == Fault.NONE) {
             inode.write(offset, bytes);
             return;
         }
         inode.write(offset, Arrays.copyOf(bytes, bytes.length / 2));
-        throw new DiskException(true, what + " was short");
+        throw new DiskException(true, operation + " was short");
     }
 
-    private void sync(Inode inode, String what) {
+    private void sync(Inode inode, String operation) {
         try {
-            step(what);
+            step(operation);
             inode.sync();
         } catch (DiskException e) {
             inode.failSync();
@@ -230,47 +245,50 @@
 
     @Override
     public List<String> names() {
-        return names.keySet().stream().filter(n -> !n.endsWith(".tmp")).toList();
+        return inodesByName.keySet().stream()
+                .filter(name -> !name.endsWith(".tmp"))
+                .toList();
     }
 
     @Override
     public byte[] read(String name) {
-        var i = names.get(name);
-        return i == null ? null : i.content.clone();
+        var inode = inodesByName.get(name);
+        return inode == null ? null : inode.content.clone();
     }
 
     @Override
-    public void append(String name, byte[] b, int len) {
-        var i = open(name);
-        write(i, i.content.length, Arrays.copyOf(b, len), "append");
+    public void append(String name, byte[] bytes, int length) {
+        var inode = openOrCreate(name);
+        write(inode, inode.content.length, Arrays.copyOf(bytes, length), "append");
     }
 
     @Override
     public void sync(String name) {
-        var i = open(name);
-        sync(i, "sync");
-        changes.removeIf(c -> c.name.equals(name) && c.before == null && c.after == i);
+        var inode = openOrCreate(name);
+        sync(inode, "sync");
+        unsyncedNameChanges.removeIf(
+                change -> change.name.equals(name) && change.before == null && change.after == inode);
     }
 
     @Override
-    public void overwrite(String name, byte[] b) {
-        write(open(name), 0, b.clone(), "overwrite");
+    public void overwrite(String name, byte[] bytes) {
+        write(openOrCreate(name), 0, bytes.clone(), "overwrite");
     }
 
     @Override
-    public void replace(String name, byte[] b) {
-        var i = new Inode();
-        write(i, 0, b.clone(), "replace: write");
-        sync(i, "replace: sync");
+    public void replace(String name, byte[] bytes) {
+        var inode = new Inode();
+        write(inode, 0, bytes.clone(), "replace: write");
+        sync(inode, "replace: sync");
         step("replace: rename");
-        name(name, i);
+        changeName(name, inode);
         step("replace: sync of the folder");
-        changes.clear();
+        unsyncedNameChanges.clear();
     }
 
     @Override
     public void delete(String name) {
         step("delete");
-        if (names.containsKey(name)) name(name, null);
+        if (inodesByName.containsKey(name)) changeName(name, null);
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/PowerLossTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/PowerLossTest.java
@@ -9,92 +9,109 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every outcome of a loss of power at every step of several histories: what was acknowledged is read back. */
+/**
+ * Tries every outcome of a loss of power at every disk operation of several histories: everything acknowledged must be
+ * read back.
+ */
 class PowerLossTest {
-    private static final int MOST_UNSYNCED = 8;
-    /** Plays a history with a crash at the given step, or to its end; null once there is no such step. */
-    private static LogHistory crashed(List<Call> calls, int step) {
-        var h = new LogHistory(new PowerLossFolder());
-        h.folder.faults((n, what) -> n == step ? Fault.CRASH : Fault.NONE);
-        var ended = h.play(calls);
-        return ended && step > h.folder.steps() ? null : h;
+    /** Keeps the number of outcomes of one crash small enough to try them all. */
+    private static final int MAX_UNSYNCED_CHANGES = 8;
+    /** Plays a history with a crash at the given disk operation; returns null if the history ends before it. */
+    private static LogHistory playUntilCrash(List<Call> calls, int step) {
+        var history = new LogHistory(new PowerLossFolder());
+        history.folder.setFaults((currentStep, what) -> currentStep == step ? Fault.CRASH : Fault.NONE);
+        var ended = history.play(calls);
+        return ended && step > history.folder.steps() ? null : history;
     }
 
-    private static List<LogHistory> allCrashes(List<Call> calls) {
-        var all = new ArrayList<LogHistory>();
+    private static List<LogHistory> playAllCrashes(List<Call> calls) {
+        var histories = new ArrayList<LogHistory>();
         for (var step = 0; ; step++) {
-            var h = crashed(calls, step);
-            if (h == null) return all;
-            assertTrue(h.folder.unsynced() <= MOST_UNSYNCED, () -> h.folder.unsynced() + " unsynced");
-            all.add(h);
+            var history = playUntilCrash(calls, step);
+            if (history == null) return histories;
+            assertTrue(
+                    history.folder.unsyncedCount() <= MAX_UNSYNCED_CHANGES,
+                    () -> history.folder.unsyncedCount() + " unsynced");
+            histories.add(history);
         }
     }
 
     @Test
-    void everyOutcomeOfALossOfPowerIsReadBack() {
-        var tried = 0L;
-        var faults = new ArrayList<String>();
-        for (var e : HistoryCases.ALL.entrySet())
-            for (var h : allCrashes(e.getValue()))
-                for (var o = 0L; o < h.folder.outcomes(); o++, tried++) tryCheck(h, o, e.getKey(), faults);
-        System.out.println("PowerLossTest: " + tried + " outcomes, " + faults.size() + " wrong");
-        assertEquals(List.of(), faults.subList(0, Math.min(5, faults.size())));
+    void acknowledgedStateSurvivesEveryPowerLossOutcome() {
+        var triedOutcomes = 0L;
+        var failures = new ArrayList<String>();
+        for (var historyCase : HistoryCases.ALL.entrySet())
+            for (var history : playAllCrashes(historyCase.getValue()))
+                for (var outcome = 0L; outcome < history.folder.outcomeCount(); outcome++, triedOutcomes++)
+                    checkOutcome(history, outcome, historyCase.getKey(), failures);
+        System.out.println("PowerLossTest: " + triedOutcomes + " outcomes, " + failures.size() + " wrong");
+        assertEquals(List.of(), failures.subList(0, Math.min(5, failures.size())));
     }
 
-    private static void tryCheck(LogHistory h, long outcome, String name, List<String> faults) {
+    private static void checkOutcome(LogHistory history, long outcome, String name, List<String> failures) {
         try {
-            h.check(h.folder.afterPowerLoss(outcome), name + ", step " + h.folder.steps() + ", outcome " + outcome);
+            history.check(
+                    history.folder.afterPowerLoss(outcome),
+                    name + ", step " + history.folder.steps() + ", outcome " + outcome);
         } catch (AssertionError e) {
-            faults.add(e.getMessage());
+            failures.add(e.getMessage());
         }
     }
 
     @Test
-    void aSecondCrashWhileTheRestartWritesLosesNothing() {
-        var tried = 0L;
-        var faults = new ArrayList<String>();
-        for (var e : HistoryCases.ALL.entrySet())
-            for (var h : allCrashes(e.getValue())) tried += crashAgain(h, e.getKey(), faults);
-        System.out.println("PowerLossTest: " + tried + " outcomes of two crashes, " + faults.size() + " wrong");
-        assertEquals(List.of(), faults.subList(0, Math.min(5, faults.size())));
+    void secondCrashDuringRestartLosesNothing() {
+        var triedOutcomes = 0L;
+        var failures = new ArrayList<String>();
+        for (var historyCase : HistoryCases.ALL.entrySet())
+            for (var history : playAllCrashes(historyCase.getValue()))
+                triedOutcomes += crashAgain(history, historyCase.getKey(), failures);
+        System.out.println(
+                "PowerLossTest: " + triedOutcomes + " outcomes of two crashes, " + failures.size() + " wrong");
+        assertEquals(List.of(), failures.subList(0, Math.min(5, failures.size())));
     }
 
-    private static long crashAgain(LogHistory h, String name, List<String> faults) {
-        var tried = crashAgain(h, h.folder::afterKill, name + " killed", faults);
-        var all = h.folder.outcomes();
-        var stride = Math.max(1, all / 40 | 1);
-        for (var o = 0L; o < all; o += stride) {
-            var outcome = o;
-            tried += crashAgain(h, () -> h.folder.afterPowerLoss(outcome), name + " outcome " + outcome, faults);
+    private static long crashAgain(LogHistory history, String name, List<String> failures) {
+        var triedOutcomes = crashAgain(history, history.folder::afterKill, name + " killed", failures);
+        var outcomeCount = history.folder.outcomeCount();
+        var stride = Math.max(1, outcomeCount / 40 | 1);
+        for (var outcome = 0L; outcome < outcomeCount; outcome += stride) {
+            var currentOutcome = outcome;
+            triedOutcomes += crashAgain(
+                    history,
+                    () -> history.folder.afterPowerLoss(currentOutcome),
+                    name + " outcome " + currentOutcome,
+                    failures);
         }
-        return tried;
+        return triedOutcomes;
     }
 
-    private interface Left {
+    /** Supplies the folder that the first crash left behind. */
+    private interface FolderAfterCrash {
         PowerLossFolder folder();
     }
 
-    private static long crashAgain(LogHistory h, Left left, String name, List<String> faults) {
-        var tried = 0L;
+    private static long crashAgain(
+            LogHistory history, FolderAfterCrash afterCrash, String name, List<String> failures) {
+        var triedOutcomes = 0L;
         for (var step = 0; ; step++) {
-            var again = left.folder();
-            var at = step;
-            again.faults((n, what) -> n == at ? Fault.CRASH : Fault.NONE);
-            var ended = open(again);
-            for (var o = 0L; o < again.outcomes(); o++, tried++) {
+            var folder = afterCrash.folder();
+            var crashStep = step;
+            folder.setFaults((currentStep, what) -> currentStep == crashStep ? Fault.CRASH : Fault.NONE);
+            var ended = open(folder);
+            for (var outcome = 0L; outcome < folder.outcomeCount(); outcome++, triedOutcomes++) {
                 try {
-                    h.check(again.afterPowerLoss(o), name + ", again at " + step + ", outcome " + o);
+                    history.check(folder.afterPowerLoss(outcome), name + ", again at " + step + ", outcome " + outcome);
                 } catch (AssertionError e) {
-                    faults.add(e.getMessage());
+                    failures.add(e.getMessage());
                 }
             }
-            if (ended) return tried;
+            if (ended) return triedOutcomes;
         }
     }
 
-    private static boolean open(PowerLossFolder f) {
+    private static boolean open(PowerLossFolder folder) {
         try {
-            new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE);
+            new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH);
             return true;
         } catch (PowerLossFolder.Crash e) {
             return false;
--- a/lib/state/src/test/java/craneway/state/disk/RandomCrashTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/RandomCrashTest.java
@@ -8,67 +8,74 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories with random crash points, failing steps and losses of power, life after life on one disk: a restarted
- * log never holds less than was acknowledged. The property craneway.lives sets how many lives are tried.
+ * Runs processes one after the other on one disk with random histories, crash points, failing disk operations and
+ * losses of power. A restarted log must hold at least what was acknowledged. The property craneway.lives sets the
+ * number of process runs.
  */
 class RandomCrashTest {
-    private static final int LIVES = Integer.getInteger("craneway.lives", 20_000);
-    private static final int LIVES_OF_A_DISK = 40;
-    private static final int MOST_CALLS = 30;
+    private static final int PROCESS_RUNS = Integer.getInteger("craneway.lives", 20_000);
+    private static final int PROCESS_RUNS_PER_DISK = 40;
+    private static final int MAX_CALLS_PER_RUN = 30;
 
     @Test
-    void aRestartedLogNeverHoldsLessThanWasAcknowledged() {
-        for (var seed = 0; seed < LIVES / LIVES_OF_A_DISK; seed++) oneDisk(seed);
+    void restartedLogHoldsEverythingAcknowledged() {
+        for (var seed = 0; seed < PROCESS_RUNS / PROCESS_RUNS_PER_DISK; seed++) runProcessesOnOneDisk(seed);
     }
 
-    private static void oneDisk(int seed) {
+    private static void runProcessesOnOneDisk(int seed) {
         var random = new Random(seed);
         var folder = new PowerLossFolder();
         var acknowledged = new LogHistory(folder);
-        for (var life = 0; life < LIVES_OF_A_DISK; life++) {
-            var h = live(folder, random);
-            if (h.opened) acknowledged = h;
-            folder = random.nextInt(3) > 0 ? h.folder.afterPowerLoss(random) : h.folder.afterKill();
-            acknowledged.check(folder.afterKill(), "seed " + seed + " life " + life);
+        for (var run = 0; run < PROCESS_RUNS_PER_DISK; run++) {
+            var history = runProcess(folder, random);
+            if (history.opened) acknowledged = history;
+            folder = random.nextInt(3) > 0 ? history.folder.afterPowerLoss(random) : history.folder.afterKill();
+            acknowledged.check(folder.afterKill(), "seed " + seed + " run " + run);
         }
     }
 
-    /** One life of the process. Where it could not write its first segment, it has acknowledged nothing. */
-    private static LogHistory live(PowerLossFolder folder, Random random) {
-        var before = LogHistory.goingOn(folder.afterKill());
-        var h = new LogHistory(folder);
-        h.states.set(0, before.states.get(0));
-        var crash = random.nextInt(60);
-        var fails = random.nextInt(4) == 0 ? random.nextInt(40) : Integer.MAX_VALUE;
-        var how = random.nextBoolean() ? Fault.REFUSED : Fault.SHORT;
-        folder.faults((n, what) -> n == crash ? Fault.CRASH : n >= fails ? how : Fault.NONE);
-        h.play(calls(random, random.nextInt(MOST_CALLS)));
-        return h;
+    /** Runs one process. If it could not write its first segment, it has acknowledged nothing. */
+    private static LogHistory runProcess(PowerLossFolder folder, Random random) {
+        var before = LogHistory.continueFrom(folder.afterKill());
+        var history = new LogHistory(folder);
+        history.states.set(0, before.states.get(0));
+        var crashStep = random.nextInt(60);
+        var firstFailingStep = random.nextInt(4) == 0 ? random.nextInt(40) : Integer.MAX_VALUE;
+        var fault = random.nextBoolean() ? Fault.REFUSED : Fault.SHORT;
+        folder.setFaults(
+                (step, operation) -> step == crashStep ? Fault.CRASH : step >= firstFailingStep ? fault : Fault.NONE);
+        history.play(randomCalls(random, random.nextInt(MAX_CALLS_PER_RUN)));
+        return history;
     }
 
-    private static List<Call> calls(Random random, int n) {
-        var all = new ArrayList<Call>();
-        for (var i = 0; i < n; i++) all.add(call(random.nextInt(20), random.nextInt(1_000)));
-        return all;
+    private static List<Call> randomCalls(Random random, int count) {
+        var calls = new ArrayList<Call>();
+        for (var i = 0; i < count; i++) calls.add(randomCall(random.nextInt(20), random.nextInt(1_000)));
+        return calls;
     }
 
-    private static Call call(int kind, int salt) {
+    private static Call randomCall(int kind, int salt) {
         if (kind < 2)
-            return h -> LogHistory.vote(h.log.term() + salt % 2, salt % 4).on(h);
-        if (kind < 3) return RandomCrashTest::take;
-        if (kind < 5) return h -> cutSome(h, salt);
+            return history ->
+                    LogHistory.vote(history.log.term() + salt % 2, salt % 4).applyTo(history);
+        if (kind < 3) return RandomCrashTest::installSnapshotOfHalf;
+        if (kind < 5) return history -> truncateSome(history, salt);
         if (kind < 12)
-            return h -> LogHistory.entry(Math.max(1, h.log.term()), salt % 90).on(h);
+            return history ->
+                    LogHistory.entry(Math.max(1, history.log.term()), salt % 90).applyTo(history);
         return LogHistory.sync();
     }
 
-    private static void cutSome(LogHistory h, int salt) {
-        var held = h.log.last() - h.log.first() + 1;
-        if (held > 0) LogHistory.cut(h.log.last() - salt % Math.min(held, 3)).on(h);
+    private static void truncateSome(LogHistory history, int salt) {
+        var heldEntries = history.log.last() - history.log.first() + 1;
+        if (heldEntries > 0)
+            LogHistory.truncate(history.log.last() - salt % Math.min(heldEntries, 3))
+                    .applyTo(history);
     }
 
-    private static void take(LogHistory h) {
-        var index = (h.log.first() + h.log.last()) / 2;
-        if (index >= h.log.first()) LogHistory.take(index, h.log.termAt(index)).on(h);
+    private static void installSnapshotOfHalf(LogHistory history) {
+        var index = (history.log.first() + history.log.last()) / 2;
+        if (index >= history.log.first())
+            LogHistory.installSnapshot(index, history.log.termAt(index)).applyTo(history);
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
@@ -12,23 +12,26 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Damage to bytes that were synced is told as a lost disk, and a folder that is not understood stays as it is. */
+/**
+ * Checks that damage to synced bytes is reported as a lost disk, and that a folder in an unknown format is left
+ * unchanged.
+ */
 class SegmentDamageTest {
-    private static final String MARK = "p0.mark";
+    private static final String SYNC_MARK_NAME = "p0.mark";
 
-    private static LogHistory played(List<Call> calls) {
-        var h = new LogHistory(new PowerLossFolder());
-        assertTrue(h.play(calls));
-        return h;
+    private static LogHistory playHistory(List<Call> calls) {
+        var history = new LogHistory(new PowerLossFolder());
+        assertTrue(history.play(calls));
+        return history;
     }
 
-    private static LogHistory threeSyncs() {
-        return played(List.of(
+    private static LogHistory historyWithThreeSyncs() {
+        return playHistory(List.of(
                 LogHistory.vote(1, 1),
                 LogHistory.entry(1, 10),
                 LogHistory.sync(),
                 LogHistory.entry(1, 20),
-                LogHistory.cut(2),
+                LogHistory.truncate(2),
                 LogHistory.entry(1, 7),
                 LogHistory.sync(),
                 LogHistory.vote(2, 2),
@@ -36,149 +39,172 @@
                 LogHistory.sync()));
     }
 
-    private static void lost(PowerLossFolder f, String what) {
-        assertThrows(DiskLostException.class, () -> new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE), what);
+    private static void assertDiskLost(PowerLossFolder folder, String damage) {
+        assertThrows(
+                DiskLostException.class, () -> new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH), damage);
     }
 
-    private static PowerLossFolder with(PowerLossFolder f, String name, byte[] bytes) {
-        var other = f.afterKill();
-        if (bytes == null) other.delete(name);
-        else other.put(name, bytes);
-        return other;
+    private static PowerLossFolder withFile(PowerLossFolder folder, String name, byte[] bytes) {
+        var changed = folder.afterKill();
+        if (bytes == null) changed.delete(name);
+        else changed.putDurably(name, bytes);
+        return changed;
     }
 
-    private static byte[] flipped(byte[] bytes, int at, int bits) {
-        var b = bytes.clone();
-        b[at] ^= (byte) bits;
-        return b;
+    private static byte[] withFlippedBits(byte[] bytes, int offset, int bits) {
+        var flipped = bytes.clone();
+        flipped[offset] ^= (byte) bits;
+        return flipped;
     }
 
     @Test
-    void aFlippedByteOfASyncedSegment() {
-        var f = threeSyncs().folder;
-        var whole = f.read("p0.log.1");
-        for (var at = 0; at < whole.length; at++)
+    void flippedByteOfSyncedSegmentIsDetected() {
+        var folder = historyWithThreeSyncs().folder;
+        var segment = folder.read("p0.log.1");
+        for (var offset = 0; offset < segment.length; offset++)
             for (var bits : new int[] {1, 0x80, 0xff})
-                lost(with(f, "p0.log.1", flipped(whole, at, bits)), "byte " + at + " bits " + bits);
+                assertDiskLost(
+                        withFile(folder, "p0.log.1", withFlippedBits(segment, offset, bits)),
+                        "byte " + offset + " bits " + bits);
     }
 
     @Test
-    void withoutAMarkALaterRecordTellsAFlippedByte() {
-        var h = threeSyncs();
-        var f = with(h.folder, MARK, null);
-        var whole = f.read("p0.log.1");
-        assertEquals(h.states.get(h.acknowledged), LogHistory.describe(new SegmentLog(f.afterKill(), "p0.", 7)));
-        var lastSync = RecordCodec.HEADER_BYTES + RecordCodec.HEADER_BYTES + 30;
-        for (var at = 0; at < whole.length - lastSync; at++)
-            lost(with(f, "p0.log.1", flipped(whole, at, 0x40)), "byte " + at);
+    void laterRecordRevealsFlippedByteWithoutMark() {
+        var history = historyWithThreeSyncs();
+        var folder = withFile(history.folder, SYNC_MARK_NAME, null);
+        var segment = folder.read("p0.log.1");
+        assertEquals(
+                history.states.get(history.acknowledgedState),
+                LogHistory.describe(new SegmentLog(folder.afterKill(), "p0.", 7)));
+        var lastSyncBytes = RecordCodec.HEADER_BYTES + RecordCodec.HEADER_BYTES + 30;
+        for (var offset = 0; offset < segment.length - lastSyncBytes; offset++)
+            assertDiskLost(withFile(folder, "p0.log.1", withFlippedBits(segment, offset, 0x40)), "byte " + offset);
     }
 
     @Test
-    void aTruncatedSegment() {
-        var f = threeSyncs().folder;
-        var whole = f.read("p0.log.1");
-        for (var n = 0; n < whole.length; n++) lost(with(f, "p0.log.1", Arrays.copyOf(whole, n)), n + " bytes");
+    void truncatedSegmentIsDetected() {
+        var folder = historyWithThreeSyncs().folder;
+        var segment = folder.read("p0.log.1");
+        for (var length = 0; length < segment.length; length++)
+            assertDiskLost(withFile(folder, "p0.log.1", Arrays.copyOf(segment, length)), length + " bytes");
     }
 
     @Test
-    void withoutAMarkDamageToWhatTheStartWroteIsTold() {
-        var h = threeSyncs();
-        new SegmentLog(h.folder, LogHistory.PREFIX, LogHistory.CORE);
-        var f = with(h.folder, MARK, null);
-        var whole = f.read("p0.log.2");
-        for (var at = 0; at < whole.length; at++) {
-            lost(with(f, "p0.log.2", flipped(whole, at, 2)), "byte " + at);
-            lost(with(f, "p0.log.2", Arrays.copyOf(whole, at)), at + " bytes");
+    void damageToInitialBytesIsDetectedWithoutMark() {
+        var history = historyWithThreeSyncs();
+        new SegmentLog(history.folder, LogHistory.PREFIX, LogHistory.CORE_HASH);
+        var folder = withFile(history.folder, SYNC_MARK_NAME, null);
+        var segment = folder.read("p0.log.2");
+        for (var offset = 0; offset < segment.length; offset++) {
+            assertDiskLost(withFile(folder, "p0.log.2", withFlippedBits(segment, offset, 2)), "byte " + offset);
+            assertDiskLost(withFile(folder, "p0.log.2", Arrays.copyOf(segment, offset)), offset + " bytes");
         }
     }
 
     @Test
-    void damageIsToldWhateverBecameOfTheUnsyncedTail() {
-        var h = threeSyncs();
-        assertTrue(h.make(List.of(LogHistory.entry(2, 5), LogHistory.entry(2, 6))));
-        var tried = 0;
-        for (var o = 0L; o < h.folder.outcomes(); o++) {
-            var f = h.folder.afterPowerLoss(o);
-            var mark = SyncMark.decode(f.read(MARK));
-            var segment = f.read("p0.log.1");
+    void damageIsDetectedForEveryStateOfUnsyncedTail() {
+        var history = historyWithThreeSyncs();
+        assertTrue(history.makeCalls(List.of(LogHistory.entry(2, 5), LogHistory.entry(2, 6))));
+        var triedCases = 0;
+        for (var outcome = 0L; outcome < history.folder.outcomeCount(); outcome++) {
+            var folder = history.folder.afterPowerLoss(outcome);
+            var mark = SyncMark.decode(folder.read(SYNC_MARK_NAME));
+            var segment = folder.read("p0.log.1");
             if (mark == null || mark.syncedBytes() > segment.length) continue;
-            for (var at = 0; at < mark.syncedBytes(); at += 13, tried++)
-                lost(with(f, "p0.log.1", flipped(segment, at, 8)), "outcome " + o + " byte " + at);
+            for (var offset = 0; offset < mark.syncedBytes(); offset += 13, triedCases++)
+                assertDiskLost(
+                        withFile(folder, "p0.log.1", withFlippedBits(segment, offset, 8)),
+                        "outcome " + outcome + " byte " + offset);
         }
-        assertTrue(tried > 1_000, tried + " tried");
+        assertTrue(triedCases > 1_000, triedCases + " tried");
     }
 
     @Test
-    void anOlderStateOfTheSegmentPutBack() {
-        var h = played(List.of(LogHistory.entry(1, 10), LogHistory.sync()));
-        var older = h.folder.read("p0.log.1");
-        h.make(List.of(LogHistory.entry(1, 11), LogHistory.sync()));
-        lost(with(h.folder, "p0.log.1", older), "shorter");
-        new SegmentLog(h.folder, LogHistory.PREFIX, LogHistory.CORE);
-        lost(with(with(h.folder, "p0.log.2", null), "p0.log.1", older), "an earlier number");
-        lost(with(h.folder, "p0.log.2", older), "an earlier number under the newest name");
-        lost(with(with(h.folder, "p0.log.2", older), MARK, null), "an earlier number, without a mark");
+    void restoredOlderSegmentIsDetected() {
+        var history = playHistory(List.of(LogHistory.entry(1, 10), LogHistory.sync()));
+        var olderSegment = history.folder.read("p0.log.1");
+        history.makeCalls(List.of(LogHistory.entry(1, 11), LogHistory.sync()));
+        assertDiskLost(withFile(history.folder, "p0.log.1", olderSegment), "shorter");
+        new SegmentLog(history.folder, LogHistory.PREFIX, LogHistory.CORE_HASH);
+        assertDiskLost(
+                withFile(withFile(history.folder, "p0.log.2", null), "p0.log.1", olderSegment), "an earlier number");
+        assertDiskLost(withFile(history.folder, "p0.log.2", olderSegment), "an earlier number under the newest name");
+        assertDiskLost(
+                withFile(withFile(history.folder, "p0.log.2", olderSegment), SYNC_MARK_NAME, null),
+                "an earlier number, without a mark");
     }
 
     @Test
-    void anotherSegmentOfTheSameNumber() {
-        var h = threeSyncs();
-        lost(with(h.folder, "p0.log.1", threeSyncs().folder.read("p0.log.1")), "of another folder");
+    void foreignSegmentOfSameNumberIsDetected() {
+        var history = historyWithThreeSyncs();
+        assertDiskLost(
+                withFile(
+                        history.folder,
+                        "p0.log.1",
+                        historyWithThreeSyncs().folder.read("p0.log.1")),
+                "of another folder");
     }
 
     @Test
-    void aSegmentOfAnotherCore() {
-        var f = threeSyncs().folder;
-        assertThrows(DiskLostException.class, () -> new SegmentLog(f, LogHistory.PREFIX, 8));
+    void segmentOfAnotherCoreIsDetected() {
+        var folder = historyWithThreeSyncs().folder;
+        assertThrows(DiskLostException.class, () -> new SegmentLog(folder, LogHistory.PREFIX, 8));
     }
 
     @Test
-    void aMissingSegment() {
-        var f = played(List.of(LogHistory.entry(1, 10), LogHistory.take(1, 1))).folder;
-        lost(with(f, "p0.log.2", null), "with a mark");
-        lost(with(with(f, "p0.log.2", null), MARK, null), "with a snapshot");
+    void missingSegmentIsDetected() {
+        var folder = playHistory(List.of(LogHistory.entry(1, 10), LogHistory.installSnapshot(1, 1))).folder;
+        assertDiskLost(withFile(folder, "p0.log.2", null), "with a mark");
+        assertDiskLost(withFile(withFile(folder, "p0.log.2", null), SYNC_MARK_NAME, null), "with a snapshot");
     }
 
     @Test
-    void aDamagedOrMissingSnapshot() {
-        var f = played(List.of(LogHistory.entry(1, 10), LogHistory.entry(1, 9), LogHistory.take(1, 1))).folder;
-        var snapshot = f.read("p0.image.1");
-        for (var at = 0; at < snapshot.length; at++)
-            lost(with(f, "p0.image.1", flipped(snapshot, at, 4)), "byte " + at);
-        lost(with(f, "p0.image.1", null), "missing");
-        var other = played(List.of(LogHistory.take(2, 1))).folder.read("p0.image.2");
-        lost(with(f, "p0.image.1", other), "of another index");
+    void damagedOrMissingSnapshotIsDetected() {
+        var folder = playHistory(
+                        List.of(LogHistory.entry(1, 10), LogHistory.entry(1, 9), LogHistory.installSnapshot(1, 1)))
+                .folder;
+        var snapshot = folder.read("p0.image.1");
+        for (var offset = 0; offset < snapshot.length; offset++)
+            assertDiskLost(withFile(folder, "p0.image.1", withFlippedBits(snapshot, offset, 4)), "byte " + offset);
+        assertDiskLost(withFile(folder, "p0.image.1", null), "missing");
+        var otherSnapshot =
+                playHistory(List.of(LogHistory.installSnapshot(2, 1))).folder.read("p0.image.2");
+        assertDiskLost(withFile(folder, "p0.image.1", otherSnapshot), "of another index");
     }
 
     @Test
-    void damageToTheVeryLastSyncIsNotToldOnceItsMarkIsLostToo() {
-        var h = threeSyncs();
-        var whole = h.folder.read("p0.log.1");
-        var f = with(with(h.folder, MARK, null), "p0.log.1", flipped(whole, whole.length - 1, 1));
-        assertEquals(1, new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE).term() - 1);
-        assertEquals(2, new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE).last());
+    void damageToLastSyncIsUndetectedWithoutMark() {
+        var history = historyWithThreeSyncs();
+        var segment = history.folder.read("p0.log.1");
+        var folder = withFile(
+                withFile(history.folder, SYNC_MARK_NAME, null),
+                "p0.log.1",
+                withFlippedBits(segment, segment.length - 1, 1));
+        assertEquals(1, new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH).term() - 1);
+        assertEquals(2, new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH).last());
     }
 
     @Test
-    void aNewerFormatIsNamedAndNothingIsWritten() {
-        var f = threeSyncs().folder;
-        var newer = f.read("p0.log.1");
+    void newerFormatIsReportedAndNothingIsWritten() {
+        var folder = historyWithThreeSyncs().folder;
+        var segment = folder.read("p0.log.1");
         var format = SegmentHeader.CURRENT_FORMAT + 1;
-        ByteBuffer.wrap(newer).putInt(4, format).putInt(8, ~format);
-        f.put("p0.log.1", newer);
-        var before = contents(f);
-        f.faults((step, what) -> PowerLossFolder.Fault.CRASH);
-        var e = assertThrows(UnknownFormat.class, () -> SegmentLog.checkFormats(f));
-        assertTrue(e.getMessage().startsWith("p0.log.1 has the data format 3; this version knows formats up to 2"));
-        assertThrows(UnknownFormat.class, () -> new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE));
-        assertEquals(0, f.steps());
-        assertEquals(before.keySet(), contents(f).keySet());
-        before.forEach((n, b) -> assertArrayEquals(b, f.read(n)));
-    }
-
-    private static TreeMap<String, byte[]> contents(Folder f) {
-        var all = new TreeMap<String, byte[]>();
-        f.names().forEach(n -> all.put(n, f.read(n)));
-        return all;
+        ByteBuffer.wrap(segment).putInt(4, format).putInt(8, ~format);
+        folder.putDurably("p0.log.1", segment);
+        var contentsBefore = contents(folder);
+        folder.setFaults((step, what) -> PowerLossFolder.Fault.CRASH);
+        var failure = assertThrows(UnknownFormat.class, () -> SegmentLog.checkFormats(folder));
+        assertTrue(
+                failure.getMessage().startsWith("p0.log.1 has the data format 3; this version knows formats up to 2"));
+        assertThrows(UnknownFormat.class, () -> new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH));
+        assertEquals(0, folder.steps());
+        assertEquals(contentsBefore.keySet(), contents(folder).keySet());
+        contentsBefore.forEach((name, bytes) -> assertArrayEquals(bytes, folder.read(name)));
+    }
+
+    private static TreeMap<String, byte[]> contents(Folder folder) {
+        var contents = new TreeMap<String, byte[]>();
+        folder.names().forEach(name -> contents.put(name, folder.read(name)));
+        return contents;
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
@@ -7,15 +7,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Measures the bytes and the processor time of an append and its sync, on a folder that costs nothing itself. */
+/** Measures the bytes and the processor time of an append with its sync, on a folder that costs nothing itself. */
 public final class SegmentLogCost {
     private static final int ROUNDS = 9;
-    private static final int APPENDS = 100_000;
-    private static final int BODY = 100;
+    private static final int APPENDS_PER_ROUND = 100_000;
+    private static final int BODY_BYTES = 100;
 
-    private static final class Counting implements Folder {
+    /** A folder that counts appended bytes and syncs and keeps no log data. */
+    private static final class CountingFolder implements Folder {
         private final Map<String, byte[]> files = new HashMap<>();
-        private long appended;
+        private long appendedBytes;
         private long syncs;
 
         @Override
@@ -29,8 +30,8 @@
         }
 
         @Override
-        public void append(String name, byte[] b, int len) {
-            appended += len;
+        public void append(String name, byte[] bytes, int length) {
+            appendedBytes += length;
         }
 
         @Override
@@ -39,13 +40,13 @@
         }
 
         @Override
-        public void overwrite(String name, byte[] b) {
-            files.put(name, b);
+        public void overwrite(String name, byte[] bytes) {
+            files.put(name, bytes);
         }
 
         @Override
-        public void replace(String name, byte[] b) {
-            files.put(name, b);
+        public void replace(String name, byte[] bytes) {
+            files.put(name, bytes);
         }
 
         @Override
@@ -56,26 +57,26 @@
 
     private SegmentLogCost() {}
 
-    /** Prints the median of some rounds. */
+    /** Prints the median over the rounds. */
     public static void main(String[] args) {
         var nanos = new ArrayList<Long>();
-        for (var r = 0; r < ROUNDS; r++) nanos.add(round());
+        for (var round = 0; round < ROUNDS; round++) nanos.add(measureRound());
         Collections.sort(nanos);
-        System.out.println("nanoseconds an append and sync: median " + nanos.get(ROUNDS / 2) + ", least " + nanos.get(0)
-                + ", most " + nanos.get(ROUNDS - 1));
+        System.out.println("nanoseconds per append and sync: median " + nanos.get(ROUNDS / 2) + ", minimum "
+                + nanos.get(0) + ", maximum " + nanos.get(ROUNDS - 1));
     }
 
-    private static long round() {
-        var folder = new Counting();
+    private static long measureRound() {
+        var folder = new CountingFolder();
         var log = new SegmentLog(folder, "p0.", 1);
-        var start = System.nanoTime();
-        for (var i = 1; i <= APPENDS; i++) {
-            log.append(new Entry(i, 1, Entry.COMMAND, new byte[BODY]));
+        var startedAt = System.nanoTime();
+        for (var index = 1; index <= APPENDS_PER_ROUND; index++) {
+            log.append(new Entry(index, 1, Entry.COMMAND, new byte[BODY_BYTES]));
             log.sync();
         }
-        var taken = (System.nanoTime() - start) / APPENDS;
-        System.out.println(folder.appended / APPENDS + " bytes an append of " + BODY + ", " + folder.syncs
-                + " syncs of " + APPENDS + " appends, " + taken + " ns");
-        return taken;
+        var nanosPerAppend = (System.nanoTime() - startedAt) / APPENDS_PER_ROUND;
+        System.out.println(folder.appendedBytes / APPENDS_PER_ROUND + " bytes per append of " + BODY_BYTES + ", "
+                + folder.syncs + " syncs of " + APPENDS_PER_ROUND + " appends, " + nanosPerAppend + " ns");
+        return nanosPerAppend;
     }
 }
--- a/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
+++ b/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
@@ -9,31 +9,35 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Checks the assembly of snapshots from pieces: duplicates, damage, competing leaders, oversized pieces and memory
+ * bounds.
+ */
 class SnapshotReceiverTest {
     private static final long TERM = 3;
 
     private final SnapshotReceiver receiver = new SnapshotReceiver();
 
-    private static Snapshot snapshot(long index, int bytes) {
-        var i = new Snapshot();
-        i.index = index;
-        i.term = 2;
-        i.body = new byte[bytes];
-        new Random(index).nextBytes(i.body);
-        return i;
+    private static Snapshot newSnapshot(long index, int bodyBytes) {
+        var snapshot = new Snapshot();
+        snapshot.index = index;
+        snapshot.term = 2;
+        snapshot.body = new byte[bodyBytes];
+        new Random(index).nextBytes(snapshot.body);
+        return snapshot;
     }
 
-    private SnapshotReceiver.Outcome take(long term, SnapshotPiece p) {
-        return receiver.accept(term, p, 0);
+    private SnapshotReceiver.Outcome accept(long term, SnapshotPiece piece) {
+        return receiver.accept(term, piece, 0);
     }
 
     @Test
-    void aReceiverHoldsNoMoreThanTheSnapshot() {
-        var snapshot = snapshot(9, 8_000_000);
+    void bufferNeverExceedsSnapshotSize() {
+        var snapshot = newSnapshot(9, 8_000_000);
         var encoded = new EncodedSnapshot(snapshot);
         SnapshotReceiver.Outcome last = null;
         for (var at = 0; at < encoded.length(); at += EncodedSnapshot.PIECE_BYTES) {
-            last = take(TERM, encoded.piece(at));
+            last = accept(TERM, encoded.piece(at));
             assertNull(last.refusal());
             assertTrue(receiver.bufferCapacity() <= encoded.length());
             assertTrue(receiver.bufferCapacity() <= Math.max(1 << 20, 2 * (at + EncodedSnapshot.PIECE_BYTES)));
@@ -44,66 +48,66 @@
     }
 
     @Test
-    void piecesThatComeTwiceChangeNothing() {
-        var encoded = new EncodedSnapshot(snapshot(9, 200_000));
+    void duplicatePiecesChangeNothing() {
+        var encoded = new EncodedSnapshot(newSnapshot(9, 200_000));
         for (var times = 0; times < 2; times++)
             assertEquals(
-                    EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
-        take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
+                    EncodedSnapshot.PIECE_BYTES, accept(TERM, encoded.piece(0)).receivedBytes());
+        accept(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
         assertEquals(
-                2 * EncodedSnapshot.PIECE_BYTES, take(TERM, encoded.piece(0)).receivedBytes());
+                2 * EncodedSnapshot.PIECE_BYTES, accept(TERM, encoded.piece(0)).receivedBytes());
     }
 
     @Test
-    void aDamagedWholeIsDroppedAndMayBeginAnew() {
-        var encoded = new EncodedSnapshot(snapshot(9, 100_000));
+    void damagedSnapshotIsDiscardedAndCanBeSentAgain() {
+        var encoded = new EncodedSnapshot(newSnapshot(9, 100_000));
         var damaged = encoded.piece(0);
         damaged.bytes[50_000] ^= 1;
-        take(TERM, damaged);
-        var whole = take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
+        accept(TERM, damaged);
+        var whole = accept(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
         assertNotNull(whole.refusal());
         assertNull(whole.snapshot());
         assertEquals(0, receiver.bufferCapacity());
-        take(TERM, encoded.piece(0));
-        assertNotNull(take(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES)).snapshot());
+        accept(TERM, encoded.piece(0));
+        assertNotNull(accept(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES)).snapshot());
     }
 
     @Test
-    void onlyANewerLeaderOrANewerSnapshotTakesTheOpenOnesPlace() {
-        var open = new EncodedSnapshot(snapshot(9, 200_000));
-        var older = new EncodedSnapshot(snapshot(8, 200_000));
-        take(TERM, open.piece(0));
-        assertNotNull(take(TERM, older.piece(0)).refusal());
+    void onlyNewerLeaderOrNewerSnapshotReplacesCurrentTransfer() {
+        var open = new EncodedSnapshot(newSnapshot(9, 200_000));
+        var older = new EncodedSnapshot(newSnapshot(8, 200_000));
+        accept(TERM, open.piece(0));
+        assertNotNull(accept(TERM, older.piece(0)).refusal());
         assertEquals(
                 2 * EncodedSnapshot.PIECE_BYTES,
-                take(TERM, open.piece(EncodedSnapshot.PIECE_BYTES)).receivedBytes());
-        assertNull(take(TERM + 1, older.piece(0)).refusal());
+                accept(TERM, open.piece(EncodedSnapshot.PIECE_BYTES)).receivedBytes());
+        assertNull(accept(TERM + 1, older.piece(0)).refusal());
         assertNotNull(
-                take(TERM + 1, open.piece(2 * EncodedSnapshot.PIECE_BYTES)).refusal());
+                accept(TERM + 1, open.piece(2 * EncodedSnapshot.PIECE_BYTES)).refusal());
     }
 
     @Test
-    void aSnapshotTooLargeOrMalformedTakesNoRoom() {
-        var p = new EncodedSnapshot(snapshot(9, 200_000)).piece(0);
-        p.total = SnapshotReceiver.MAX_SNAPSHOT_BYTES + 1L;
-        assertNotNull(take(TERM, p).refusal());
-        p.total = 10;
-        assertNotNull(take(TERM, p).refusal());
-        p.total = Long.MAX_VALUE;
-        p.offset = Long.MAX_VALUE - 1;
-        assertNotNull(take(TERM, p).refusal());
+    void oversizedOrMalformedPieceAllocatesNothing() {
+        var piece = new EncodedSnapshot(newSnapshot(9, 200_000)).piece(0);
+        piece.total = SnapshotReceiver.MAX_SNAPSHOT_BYTES + 1L;
+        assertNotNull(accept(TERM, piece).refusal());
+        piece.total = 10;
+        assertNotNull(accept(TERM, piece).refusal());
+        piece.total = Long.MAX_VALUE;
+        piece.offset = Long.MAX_VALUE - 1;
+        assertNotNull(accept(TERM, piece).refusal());
         assertEquals(0, receiver.bufferCapacity());
     }
 
     @Test
-    void whatNoLeaderGoesOnWithIsForgotten() {
-        var encoded = new EncodedSnapshot(snapshot(9, 200_000));
-        take(TERM, encoded.piece(0));
+    void staleTransferIsDiscarded() {
+        var encoded = new EncodedSnapshot(newSnapshot(9, 200_000));
+        accept(TERM, encoded.piece(0));
         receiver.discardIfStale(0, 60_000_000);
         assertTrue(receiver.bufferCapacity() > 0);
         receiver.discardIfStale(0, 60_000_001);
         assertEquals(0, receiver.bufferCapacity());
-        take(TERM, encoded.piece(0));
+        accept(TERM, encoded.piece(0));
         receiver.discardIfStale(9, 0);
         assertEquals(0, receiver.bufferCapacity());
     }
--- a/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
+++ b/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
@@ -10,7 +10,7 @@
 import craneway.state.message.Messages.CommandResult;
 import org.junit.jupiter.api.Test;
 
-/** Which configurations are taken, taken once more, and refused, at the replicated state. */
+/** Checks which configurations the replicated state accepts, acknowledges again, or refuses. */
 class ConfigurationTest {
     private static final int OK = 0;
 
@@ -18,56 +18,56 @@
     private long index;
 
     private CommandResult put(long base, long number, String source) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
-        c.text = "read: " + source;
-        c.source = source;
-        return records.apply(++index, Codec.writeTagged(c));
+        var command = new Commands.ManifestPut();
+        command.base = base;
+        command.number = number;
+        command.text = "read: " + source;
+        command.source = source;
+        return records.apply(++index, Codec.writeTagged(command));
     }
 
     private CommandResult putUnnumbered(long base, String text) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.text = text;
-        return records.apply(++index, Codec.writeTagged(c));
+        var command = new Commands.ManifestPut();
+        command.base = base;
+        command.text = text;
+        return records.apply(++index, Codec.writeTagged(command));
     }
 
     private void reload() {
-        var next = new Records();
-        next.load(records.snapshot());
-        records = next;
+        var reloaded = new Records();
+        reloaded.load(records.snapshot());
+        records = reloaded;
     }
 
     private void rebuild() {
         records.apply(++index, Codec.writeTagged(new Commands.Rebuilt()));
     }
 
-    private Rows.Manifest newest() {
+    private Rows.Manifest newestManifest() {
         return records.rows().manifest;
     }
 
     @Test
-    void anAcknowledgedOneSentAgainIsAcknowledgedAgain() {
+    void resubmissionIsAcknowledgedAgain() {
         assertEquals(OK, put(0, 3, "a").kind);
         for (var i = 0; i < 3; i++) {
             assertEquals(OK, put(0, 3, "a").kind);
             reload();
         }
-        assertEquals(3, newest().version);
+        assertEquals(3, newestManifest().version);
     }
 
     @Test
-    void ofTwoUnderOneNumberOneIsTaken() {
+    void secondConfigurationUnderSameNumberIsRefused() {
         assertEquals(OK, put(0, 3, "a").kind);
         assertEquals(Kind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
-        assertEquals("a", newest().source);
+        assertEquals("a", newestManifest().source);
         assertEquals(Kind.BAD_MANIFEST.code(), put(3, 3, "b").kind);
     }
 
     @Test
-    void theSameTextOnAnotherBaseIsAnotherChange() {
+    void sameTextOnOtherBaseIsAnotherConfiguration() {
         assertEquals(OK, put(0, 3, "a").kind);
         assertEquals(OK, put(3, 5, "b").kind);
         assertEquals(Kind.RACE_LOST.code(), put(0, 5, "b").kind);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void oneThatWasRefusedIsNeverTakenLater() {
+    void refusedConfigurationIsNeverAcceptedLater() {
         put(0, 3, "a");
         put(3, 5, "b");
         assertEquals(Kind.RACE_LOST.code(), put(3, 7, "c").kind);
@@ -86,15 +86,15 @@
     }
 
     @Test
-    void aRebuildRefusesNeitherWhatWasAcknowledgedNorWhatBuildsOnIt() {
+    void rebuildKeepsAcknowledgedConfigurationAndItsSuccessorsValid() {
         put(0, 3, "a");
         rebuild();
         rebuild();
         assertEquals(OK, put(0, 3, "a").kind);
-        assertTrue(newest().version > 2_000);
-        var before = newest().version;
+        assertTrue(newestManifest().version > 2_000);
+        var before = newestManifest().version;
         assertEquals(OK, put(3, 9, "b").kind);
-        assertTrue(newest().version > before);
+        assertTrue(newestManifest().version > before);
         assertEquals(OK, put(3, 9, "b").kind);
         reload();
         assertEquals(OK, put(3, 9, "b").kind);
@@ -104,45 +104,49 @@
     }
 
     @Test
-    void aRebuildDoesNotRefuseOneWithoutANumberThatWasAcknowledged() {
+    void rebuildKeepsUnnumberedConfigurationAcknowledged() {
         assertEquals(OK, putUnnumbered(0, "a").kind);
         assertEquals(OK, putUnnumbered(1, "b").kind);
         rebuild();
         assertEquals(OK, putUnnumbered(1, "b").kind);
-        assertEquals(1_002, newest().version);
+        assertEquals(1_002, newestManifest().version);
         assertEquals(Kind.RACE_LOST.code(), putUnnumbered(1, "c").kind);
         assertEquals(OK, putUnnumbered(1_002, "c").kind);
     }
 
     @Test
-    void ofMoreThanAreRememberedTheNewestAreAcknowledgedAgainAndOlderOnesHaveNoEffect() {
-        var all = ConfigurationFingerprint.MAX_REMEMBERED + 500;
-        for (var n = 1; n <= all; n++) assertEquals(OK, put(n - 1, n, "text " + n).kind);
-        assertEquals(ConfigurationFingerprint.MAX_REMEMBERED, newest().taken.size());
-        assertEquals(ConfigurationFingerprint.MAX_REMEMBERED, newest().digests.size());
+    void onlyNewestConfigurationsAreRemembered() {
+        var total = ConfigurationFingerprint.MAX_REMEMBERED + 500;
+        for (var number = 1; number <= total; number++)
+            assertEquals(OK, put(number - 1, number, "text " + number).kind);
+        assertEquals(
+                ConfigurationFingerprint.MAX_REMEMBERED, newestManifest().taken.size());
+        assertEquals(
+                ConfigurationFingerprint.MAX_REMEMBERED,
+                newestManifest().digests.size());
         reload();
-        var oldest = all - ConfigurationFingerprint.MAX_REMEMBERED + 1;
+        var oldest = total - ConfigurationFingerprint.MAX_REMEMBERED + 1;
         assertEquals(OK, put(oldest - 1, oldest, "text " + oldest).kind);
-        assertEquals(OK, put(all - 1, all, "text " + all).kind);
+        assertEquals(OK, put(total - 1, total, "text " + total).kind);
         assertEquals(Kind.RACE_LOST.code(), put(oldest - 2, oldest - 1, "text " + (oldest - 1)).kind);
-        assertEquals(all, newest().version);
-        assertEquals("text " + all, newest().source);
+        assertEquals(total, newestManifest().version);
+        assertEquals("text " + total, newestManifest().source);
     }
 
     @Test
-    void twoTextsOfOneHashAreToldApart() {
+    void textsWithSameLegacyHashAreDistinguished() {
         put(0, 3, "a");
-        newest().taken.put(3L, Hash.of(Hash.of("b"), 0));
+        newestManifest().taken.put(3L, Hash.of(Hash.of("b"), 0));
         assertEquals(Kind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
     }
 
     @Test
-    void aSnapshotOfAnOlderProcessIsRead() {
+    void snapshotOfOlderProcessIsRead() {
         put(0, 3, "a");
         put(3, 5, "b");
-        newest().digests.clear();
-        newest().base = -1;
+        newestManifest().digests.clear();
+        newestManifest().base = -1;
         reload();
         assertEquals(OK, put(3, 5, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
@@ -152,10 +156,10 @@
     }
 
     @Test
-    void whatRoutersGetHoldsNoFingerprints() {
+    void publishedCopyHasNoFingerprints() {
         put(0, 3, "a");
-        assertTrue(newest().inForce().taken.isEmpty());
-        assertTrue(newest().inForce().digests.isEmpty());
-        assertEquals(0, newest().inForce().source.length());
+        assertTrue(newestManifest().inForce().taken.isEmpty());
+        assertTrue(newestManifest().inForce().digests.isEmpty());
+        assertEquals(0, newestManifest().inForce().source.length());
     }
 }
--- a/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
@@ -12,18 +12,21 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Messages and snapshots of processes without lives, bounds and digests are read, and those processes read the new ones. */
+/**
+ * Checks compatibility with processes from before sessions, command deadlines and configuration digests: their messages
+ * and snapshots are read, and they can read the new ones.
+ */
 class OlderFormatTest {
-    /** An ask as it was before lives. */
-    public static final class OlderAsk {
+    /** A command request from before sessions. */
+    public static final class OlderRequest {
         public long id;
         public int part;
         public Node from;
         public byte[] body;
     }
 
-    /** A verdict as it was before lives. */
-    public static final class OlderVerdict {
+    /** A command result from before sessions. */
+    public static final class OlderResult {
         public long id;
         public int kind;
         public String detail = "";
@@ -33,7 +36,7 @@
         public byte[] body;
     }
 
-    /** The manifest's record as it was before digests. */
+    /** The manifest's row from before digests. */
     public static final class OlderManifest {
         public long version;
         public long topicVersion;
@@ -44,8 +47,8 @@
         public TreeMap<String, String> marks = new TreeMap<>();
     }
 
-    /** A part's record as it was before lives. */
-    public static final class OlderWhole {
+    /** A part's rows from before sessions. */
+    public static final class OlderPartState {
         public long age;
         public long index;
         public long membersVersion;
@@ -60,87 +63,87 @@
         public long lostSince;
     }
 
-    private static Commands.ManifestPut put(long base, long number, String source) {
-        var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
-        c.text = c.source = source;
-        return c;
+    private static Commands.ManifestPut manifestPut(long base, long number, String source) {
+        var command = new Commands.ManifestPut();
+        command.base = base;
+        command.number = number;
+        command.text = command.source = source;
+        return command;
     }
 
-    private static byte[] fenced(Object command) {
-        var f = new Commands.Fenced();
-        f.life = -5;
-        f.sequence = 9;
-        f.lowest = 9;
-        f.body = Codec.writeTagged(command);
-        return Codec.writeTagged(f);
+    private static byte[] identifiedCommand(Object command) {
+        var identified = new Commands.Fenced();
+        identified.life = -5;
+        identified.sequence = 9;
+        identified.lowest = 9;
+        identified.body = Codec.writeTagged(command);
+        return Codec.writeTagged(identified);
     }
 
     @Test
-    void aSnapshotOfAnOlderProcessIsReadAndWorkedOn() {
-        var old = new OlderWhole();
-        old.index = 40;
-        old.manifest.version = 5;
-        old.manifest.topicVersion = 39;
-        old.manifest.text = old.manifest.source = "b";
-        var print = ConfigurationFingerprint.of("b", 3);
-        old.manifest.taken.put(5L, print.legacyHash());
-        old.manifest.marks.put("zone:z1", Plan.EMPTIED);
+    void snapshotOfOlderProcessIsReadAndUpdated() {
+        var olderState = new OlderPartState();
+        olderState.index = 40;
+        olderState.manifest.version = 5;
+        olderState.manifest.topicVersion = 39;
+        olderState.manifest.text = olderState.manifest.source = "b";
+        var fingerprint = ConfigurationFingerprint.of("b", 3);
+        olderState.manifest.taken.put(5L, fingerprint.legacyHash());
+        olderState.manifest.marks.put("zone:z1", Plan.EMPTIED);
         var records = new Records();
-        records.load(Codec.write(old));
+        records.load(Codec.write(olderState));
         assertTrue(records.rows().lives.isEmpty());
-        assertEquals(0, records.apply(41, Codec.writeTagged(put(3, 5, "b"))).kind);
-        assertEquals(0, records.apply(42, fenced(put(5, 6, "c"))).kind);
+        assertEquals(0, records.apply(41, Codec.writeTagged(manifestPut(3, 5, "b"))).kind);
+        assertEquals(0, records.apply(42, identifiedCommand(manifestPut(5, 6, "c"))).kind);
         assertEquals(6, records.rows().manifest.version);
         assertTrue(records.rows().manifest.marks.containsKey("zone:z1"));
         assertEquals(1, records.rows().lives.size());
     }
 
     @Test
-    void anOlderProcessReadsASnapshotOfThisOne() {
+    void olderProcessReadsSnapshot() {
         var records = new Records();
-        records.apply(1, fenced(put(0, 5, "a")));
-        var old = Codec.read(OlderWhole.class, records.snapshot());
-        assertEquals(5, old.manifest.version);
-        assertEquals(ConfigurationFingerprint.of("a", 0).legacyHash(), old.manifest.taken.get(5L));
-        assertEquals(1, old.index);
+        records.apply(1, identifiedCommand(manifestPut(0, 5, "a")));
+        var olderState = Codec.read(OlderPartState.class, records.snapshot());
+        assertEquals(5, olderState.manifest.version);
+        assertEquals(ConfigurationFingerprint.of("a", 0).legacyHash(), olderState.manifest.taken.get(5L));
+        assertEquals(1, olderState.index);
     }
 
     @Test
-    void anOlderProcessReadsAnAskAndAVerdictOfThisOne() {
-        var a = new Messages.CommandRequest();
-        a.id = 3;
-        a.part = 2;
-        a.from = new Node("s1", Node.STORE, "z1", "s1", 1);
-        a.body = new byte[] {1, 2};
-        a.life = a.lowest = a.term = a.bound = -7;
-        var oldAsk = Codec.read(OlderAsk.class, Codec.write(a));
-        assertEquals(3, oldAsk.id);
-        assertEquals("s1", oldAsk.from.name);
-        assertArrayEquals(a.body, oldAsk.body);
-        var v = new Messages.CommandResult();
-        v.id = 3;
-        v.kind = 4;
-        v.life = v.term = v.clock = -7;
-        assertEquals(4, Codec.read(OlderVerdict.class, Codec.write(v)).kind);
+    void olderProcessReadsRequestAndResult() {
+        var request = new Messages.CommandRequest();
+        request.id = 3;
+        request.part = 2;
+        request.from = new Node("s1", Node.STORE, "z1", "s1", 1);
+        request.body = new byte[] {1, 2};
+        request.life = request.lowest = request.term = request.bound = -7;
+        var olderRequest = Codec.read(OlderRequest.class, Codec.write(request));
+        assertEquals(3, olderRequest.id);
+        assertEquals("s1", olderRequest.from.name);
+        assertArrayEquals(request.body, olderRequest.body);
+        var result = new Messages.CommandResult();
+        result.id = 3;
+        result.kind = 4;
+        result.life = result.term = result.clock = -7;
+        assertEquals(4, Codec.read(OlderResult.class, Codec.write(result)).kind);
     }
 
     @Test
-    void anAskAndAVerdictOfAnOlderProcessAreRead() {
-        var a = new OlderAsk();
-        a.id = 3;
-        a.body = new byte[] {1, 2};
-        var read = Codec.read(Messages.CommandRequest.class, Codec.write(a));
-        assertEquals(3, read.id);
-        assertEquals(0, read.life);
-        assertEquals(0, read.bound);
-        var v = new OlderVerdict();
-        v.id = 3;
-        v.kind = 4;
-        var verdict = Codec.read(Messages.CommandResult.class, Codec.write(v));
-        assertEquals(4, verdict.kind);
-        assertEquals(0, verdict.life);
-        assertEquals(0, verdict.term);
+    void requestAndResultOfOlderProcessAreRead() {
+        var olderRequest = new OlderRequest();
+        olderRequest.id = 3;
+        olderRequest.body = new byte[] {1, 2};
+        var request = Codec.read(Messages.CommandRequest.class, Codec.write(olderRequest));
+        assertEquals(3, request.id);
+        assertEquals(0, request.life);
+        assertEquals(0, request.bound);
+        var olderResult = new OlderResult();
+        olderResult.id = 3;
+        olderResult.kind = 4;
+        var result = Codec.read(Messages.CommandResult.class, Codec.write(olderResult));
+        assertEquals(4, result.kind);
+        assertEquals(0, result.life);
+        assertEquals(0, result.term);
     }
 }
