--- a/lib/state/src/main/java/craneway/state/message/Node.java
+++ b/lib/state/src/main/java/craneway/state/message/Node.java
@@ -41,8 +41,8 @@
      */
     public long life;
     /**
-     * Whether the process supports identified commands and reports its leader's clock; false from a process too old to
-     * say.
+     * Whether the process supports identified commands and reports its clock when it leads a part; false from a process too
+     * old to say.
      */
     public boolean fenced;
 
--- a/lib/state/src/main/java/craneway/state/record/CommandSessions.java
+++ b/lib/state/src/main/java/craneway/state/record/CommandSessions.java
@@ -14,7 +14,7 @@
  * names the lowest sequence number whose result the process still waits for.
  *
  * <p>The number of sessions and the number of results of each session are bounded. A command whose sequence number is
- * below the session's floor is refused without effect.
+ * below {@link Rows.Life#floor} is refused without effect.
  */
 final class CommandSessions {
     /** The session that has been idle for longest is dropped beyond this number. */
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -135,7 +135,7 @@
             return count;
         }
 
-        /** Returns whether the cell is part of the current manifest. */
+        /** Returns whether the cell's weight is above 0; a cell that left the manifest has weight 0. */
         public boolean live(int cell) {
             return weights.get(cell) > 0;
         }
@@ -304,8 +304,8 @@
     }
 
     /**
-     * The applied commands of one session, which is one run of a client process. Results below the floor are no longer
-     * kept.
+     * The applied commands of one session, which is one run of a client process. Results below {@link
+     * #floor} are no longer kept.
      */
     public static final class Life {
         /** The lowest sequence number that is still accepted. */
