--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -87,10 +87,10 @@
         public int load;
         /** The state as in {@link craneway.state.record.Rows.Runner}: up or leaving. */
         public int state;
-        /** How long the runner stays cold, in microseconds; 0 if not told. */
+        /** How long the runner stays cold, in microseconds; 0 if unknown. */
         public long coldFor;
 
-        /** How long until the runner goes away, in microseconds; 0 if not told. */
+        /** How long until the runner goes away, in microseconds; 0 if unknown. */
         public long goneIn;
         /** Increases with each announcement of a runner; 0 if the runner does not number them. */
         public long sequence;
--- a/lib/state/src/main/java/craneway/state/message/Node.java
+++ b/lib/state/src/main/java/craneway/state/message/Node.java
@@ -41,8 +41,8 @@
      */
     public long life;
     /**
-     * Whether the process supports identified commands and reports its clock when it leads a part; false from a process too
-     * old to say.
+     * Whether the process supports identified commands and reports its clock when it leads a part; false from a process
+     * too old to say.
      */
     public boolean fenced;
 
@@ -65,9 +65,9 @@
      * Returns the node of a process that has just started. Its incarnation is a first offer; the core tells it the one
      * it has to exceed.
      */
-    public static Node started(String name, String kind, String zone, String peerAddress, long life) {
+    public static Node started(String name, String kind, String zone, String peerAddress, long sessionId) {
         var node = new Node(name, kind, zone, peerAddress, 0);
-        node.life = life | 1;
+        node.life = sessionId | 1;
         node.incarnation = node.above(0);
         return node;
     }
--- a/lib/state/src/main/java/craneway/state/part/PartMessage.java
+++ b/lib/state/src/main/java/craneway/state/part/PartMessage.java
@@ -14,7 +14,10 @@
     /** Answers {@link #PRE_VOTE}; {@link #index} is the current term of the answering voter. */
     public static final int PRE_VOTE_REPLY = 2;
 
-    /** Asks for a vote in {@link #term}. If {@link #granted} is set, the election is unconditional: no lease forbids it. */
+    /**
+     * Asks for a vote in {@link #term}. If {@link #granted} is set, the election is unconditional, and the voter does not
+     * ignore the request because of a leader it heard.
+     */
     public static final int VOTE = 3;
 
     /** Answers {@link #VOTE}. */
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -63,8 +63,8 @@
      * Returns the recorded result of a command identified by the sending session and its sequence number, or null if no
      * such command is known to be applied.
      */
-    public CommandResult verdict(long life, long sequence) {
-        return CommandSessions.recordedResult(rows, life, sequence);
+    public CommandResult verdict(long sessionId, long sequence) {
+        return CommandSessions.recordedResult(rows, sessionId, sequence);
     }
 
     @Override
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -43,10 +43,10 @@
         public long incarnation;
         public boolean cold;
         public int state;
-        /** How long the runner stays cold, in microseconds from when this row was written; 0 if not told. */
+        /** How long the runner stays cold, in microseconds from when this row was written; 0 if unknown. */
         public long coldFor;
 
-        /** How long until the runner goes away, in microseconds from when this row was written; 0 if not told. */
+        /** How long until the runner goes away, in microseconds from when this row was written; 0 if unknown. */
         public long goneIn;
         /** The age of the part when the runner was marked leaving or dark. */
         public long endedAge;
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -47,17 +47,17 @@
         return regionSet;
     }
 
-    private static void putCell(Rows.Service service, Commands.ServiceSync command, int i) {
-        var existing = service.cells.indexOf(command.cells.get(i));
+    private static void putCell(Rows.Service service, Commands.ServiceSync command, int index) {
+        var existing = service.cells.indexOf(command.cells.get(index));
         if (existing < 0) {
-            service.cells.add(command.cells.get(i));
-            service.zones.add(command.zones.get(i));
-            service.cellRegions.add(command.cellRegions.get(i));
-            service.weights.add(command.weights.get(i));
+            service.cells.add(command.cells.get(index));
+            service.zones.add(command.zones.get(index));
+            service.cellRegions.add(command.cellRegions.get(index));
+            service.weights.add(command.weights.get(index));
         } else {
-            service.zones.set(existing, command.zones.get(i));
-            service.cellRegions.set(existing, command.cellRegions.get(i));
-            service.weights.set(existing, command.weights.get(i));
+            service.zones.set(existing, command.zones.get(index));
+            service.cellRegions.set(existing, command.cellRegions.get(index));
+            service.weights.set(existing, command.weights.get(index));
         }
     }
 
--- a/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
+++ b/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
@@ -40,6 +40,7 @@
     /** The number of ways in which a write can be torn. */
     private static final int TEAR_VARIANTS = 4;
 
+    /** The content of a file, with what of it is durable and which writes are not. */
     private static final class Inode {
         byte[] durable = {};
         byte[] content = {};
@@ -83,6 +84,7 @@
         }
     }
 
+    /** A name that was bound to another file, or removed, and not synced yet; null stands for no file. */
     private record NameChange(String name, Inode before, Inode after) {}
 
     private final Map<String, Inode> inodesByName = new TreeMap<>();
