--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -145,7 +145,9 @@
     public static final class TableStep {
         public String service;
         public long tableVersion;
+        /** The units to move. */
         public int[] units;
+        /** The number of the new home cell of each unit in {@link #units}. */
         public int[] cells;
     }
 
@@ -159,8 +161,11 @@
     public static final class StepAsk {
         public String service;
         public long tableVersion;
+        /** The units to move. */
         public int[] units;
+        /** The number of the target cell. */
         public int to;
+        /** Why the units move, in one word for the step's history. */
         public String cause = "";
     }
 
@@ -173,6 +178,7 @@
         /** How long the target cell is held back from further moves if the step is taken back, in microseconds. */
         public long heldMicros;
 
+        /** The units to move back if the step is taken back. */
         public int[] units = {};
     }
 
@@ -180,7 +186,12 @@
     public static final class Displace {
         public String service;
         public long tableVersion;
+        /** The units to displace. */
         public int[] units;
+        /**
+         * The cell number that each unit in {@link #units} is displaced to; {@link craneway.model.unit.Table#NOWHERE}
+         * clears it.
+         */
         public int[] cells;
     }
 
--- a/lib/state/src/main/java/craneway/state/part/PartMessage.java
+++ b/lib/state/src/main/java/craneway/state/part/PartMessage.java
@@ -15,8 +15,8 @@
     public static final int PRE_VOTE_REPLY = 2;
 
     /**
-     * Asks for a vote in {@link #term}. If {@link #granted} is set, the election is unconditional, and the voter does not
-     * ignore the request because of a leader it heard.
+     * Asks for a vote in {@link #term}. If {@link #granted} is set, the election is unconditional, and the voter does
+     * not ignore the request because of a leader it heard.
      */
     public static final int VOTE = 3;
 
