--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -141,7 +141,10 @@
         public long forgotten;
     }
 
-    /** Assigns new home cells to some units, in a core with members too old to support steps. */
+    /**
+     * Assigns home cells to some units at once, without a confirmed step: to leave units without a home, or in a core
+     * with members too old to support steps.
+     */
     public static final class TableStep {
         public String service;
         public long tableVersion;
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Assigns new home cells to some units, for members too old to support steps. */
+    /** Assigns home cells to some units at once, without a confirmed step. */
     static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
