--- a/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
@@ -22,7 +22,7 @@
         if (existing != null && existing.state != Rows.Claim.FREED) return resultForExistingClaim(existing, command);
         if (rows.claimsLost) return Records.failure(Kind.CLAIMS_LOST, Kind.CLAIMS_LOST.text());
         if (existing != null && isSameAttempt(existing, command.holder, command.incarnation, command.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "this attempt has already released the claim");
+            return Records.failure(Kind.OUTCOME_UNKNOWN, "this try was given back");
         var refusal =
                 ServiceCommands.writeRefusal(rows, command.service, command.unit, command.tableVersion, command.region);
         if (refusal != null) return refusal;
@@ -67,7 +67,7 @@
             rows.claims.put(command.key, claim);
         }
         if (claim == null || !isSameAttempt(claim, command.holder, command.incarnation, command.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "no claim is held by this attempt");
+            return Records.failure(Kind.OUTCOME_UNKNOWN, "no such claim");
         if (claim.state == Rows.Claim.OPEN || claim.state == Rows.Claim.UNKNOWN) claim.state = command.state;
         return Records.ok();
     }
@@ -106,8 +106,7 @@
         var granted = Math.min(command.count, command.limit - quota.used);
         if (granted <= 0) {
             var result = Records.failure(
-                    Kind.QUOTA_SPENT,
-                    "tenant " + command.tenant + " has used its quota of " + command.limit + " for this minute");
+                    Kind.QUOTA_SPENT, "tenant " + command.tenant + " used its " + command.limit + " for this minute");
             result.retryAfter = untilNextMinute;
             return result;
         }
--- a/lib/state/src/main/java/craneway/state/record/CommandSessions.java
+++ b/lib/state/src/main/java/craneway/state/record/CommandSessions.java
@@ -32,9 +32,7 @@
         var session = rows.lives.computeIfAbsent(command.life, id -> new Rows.Life());
         session.index = rows.index;
         if (command.sequence < session.floor)
-            return Records.failure(
-                    Kind.LATE_COMMAND,
-                    "sequence " + command.sequence + " is below the lowest accepted one, " + session.floor);
+            return Records.failure(Kind.LATE_COMMAND, "ask " + command.sequence + " is below " + session.floor);
         var result = handler.apply(Codec.readTagged(command.body));
         session.applied.put(command.sequence, toRecord(result));
         trimResults(session, command.lowest);
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -22,7 +22,7 @@
         if (command.base != manifest.version)
             return Records.failure(
                     Kind.RACE_LOST,
-                    "based on version " + command.base + ", but the version in force is " + manifest.version);
+                    "written against version " + command.base + ", in force is version " + manifest.version);
         manifest.base = command.base;
         manifest.number = 0;
         manifest.version++;
@@ -45,10 +45,10 @@
         if (command.base != manifest.known())
             return Records.failure(
                     Kind.RACE_LOST,
-                    "based on version " + command.base + ", but the version in force is " + manifest.known());
+                    "written against version " + command.base + ", in force is version " + manifest.known());
         if (command.number <= manifest.known())
             return Records.failure(
-                    Kind.BAD_MANIFEST, "version " + command.number + " is not greater than " + manifest.known());
+                    Kind.BAD_MANIFEST, "version " + command.number + " is not above " + manifest.known());
         manifest.base = command.base;
         manifest.version = Math.max(command.number, manifest.version + 1);
         manifest.number = manifest.version == command.number ? 0 : command.number;
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -13,7 +13,7 @@
     static CommandResult putPlan(Rows.Whole rows, Commands.PlanPut command) {
         var plan = command.plan;
         if (plan.manifestVersion != rows.manifest.version || plan.marksVersion != rows.manifest.marksVersion)
-            return Records.failure(Kind.STALE_PLAN, "the manifest or the marks changed while the plan was being made");
+            return Records.failure(Kind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
         plan.id = ++rows.planCount;
         rows.plans.put(plan.id, plan);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -79,7 +79,7 @@
     private CommandResult handle(Object command) {
         var handler = handlers.get(command.getClass());
         return handler == null
-                ? failure(Kind.BAD_MESSAGE, command.getClass().getSimpleName() + " is not a command")
+                ? failure(Kind.BAD_MESSAGE, command.getClass().getSimpleName() + " is no command")
                 : handler.apply(rows, command);
     }
 
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -23,7 +23,7 @@
                                 && command.state == Rows.Runner.UP))
             return Records.failure(
                     Kind.STALE_RUNNER,
-                    "runner " + command.runner + " is recorded as " + existing.stateName() + " at incarnation "
+                    "runner " + command.runner + " is known as " + existing.stateName() + " at incarnation "
                             + existing.incarnation);
         var runner = new Rows.Runner();
         runner.name = command.runner;
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -65,7 +65,7 @@
     static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
-            return Records.failure(Kind.STALE_TABLE, "the service is unknown or its table has changed");
+            return Records.failure(Kind.STALE_TABLE, "table moved on");
         for (var i = 0; i < command.units.length; i++) service.homes[command.units[i]] = command.cells[i];
         service.tableVersion++;
         service.newsVersion = rows.index;
@@ -78,14 +78,13 @@
         if (row == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + service);
         if (tableVersion != row.tableVersion) {
             var refusal = Records.failure(
-                    Kind.STALE_TABLE,
-                    "table version " + tableVersion + " is not current; the current version is " + row.tableVersion);
+                    Kind.STALE_TABLE, "table version " + tableVersion + ", in force is " + row.tableVersion);
             refusal.version = row.tableVersion;
             return refusal;
         }
         var home = unit < 0 || unit >= row.homes.length ? Table.NOWHERE : row.homes[unit];
         if (home == Table.NOWHERE || !row.cellRegions.get(home).equals(region))
-            return Records.failure(Kind.NOT_UNIT_HOME, "unit " + unit + " has no home cell in region " + region);
+            return Records.failure(Kind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
         return null;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/StepCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/StepCommands.java
@@ -17,9 +17,9 @@
     static CommandResult askStep(Rows.Whole rows, Commands.StepAsk command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
-            return Records.failure(Kind.STALE_TABLE, "the service is unknown or its table has changed");
+            return Records.failure(Kind.STALE_TABLE, "table moved on");
         if (service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED))
-            return Records.failure(Kind.STALE_TABLE, "another step is waiting for confirmation");
+            return Records.failure(Kind.STALE_TABLE, "another step is being confirmed");
         var step = new Rows.Step();
         step.id = ++service.stepCount;
         step.units = command.units;
@@ -83,7 +83,7 @@
     static CommandResult displaceUnits(Rows.Whole rows, Commands.Displace command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
-            return Records.failure(Kind.STALE_TABLE, "the service is unknown or its table has changed");
+            return Records.failure(Kind.STALE_TABLE, "table moved on");
         for (var i = 0; i < command.units.length; i++) setDisplacement(service, command.units[i], command.cells[i]);
         service.newsVersion = rows.index;
         return Records.ok();
