--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerVerdict.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerVerdict.java
@@ -27,12 +27,12 @@
      * @param first whether no other request was ever sent on this connection: only then does an answer without an id
      *     belong to this one, since an answer more than expected may stand where the next one is due
      */
-    static AnswerVerdict of(int status, HeaderMap headers, String tryId, boolean first, HeaderVocabulary names) {
+    static AnswerVerdict of(int status, HeaderMap headers, String tryId, boolean first, ProtocolNames names) {
         var success = status / 100 == SUCCESSES;
         if (status < StatusCodes.OK || !framed(headers)) return UNUSABLE;
         if (!names(headers, names.tryId(), tryId, first && !success)) return UNUSABLE;
         var notRun = headers.contains(names.notRun());
-        if (success) return notRun || !headers.contains(names.stamp()) || encoded(headers) ? UNUSABLE : SUCCESS;
+        if (success) return notRun || !headers.contains(names.successMarker()) || encoded(headers) ? UNUSABLE : SUCCESS;
         if (notRun || status == MISDIRECTED) return NOT_RUN;
         return encoded(headers) || promises(status) ? UNUSABLE : FAILURE;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -19,9 +19,9 @@
     final long begun;
     final long deadline;
     private final HttpServerExchange exchange;
-    private final HeaderVocabulary names;
+    private final ProtocolNames names;
 
-    IncomingRequest(HttpServerExchange exchange, HeaderVocabulary names, Route route, byte[] body, long begun) {
+    IncomingRequest(HttpServerExchange exchange, ProtocolNames names, Route route, byte[] body, long begun) {
         this.exchange = exchange;
         this.names = names;
         this.route = route;
@@ -29,7 +29,7 @@
         this.begun = begun;
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
-        prompt = Prompt.of(headers.getFirst(names.parts()), headers.getFirst(names.tokens()));
+        prompt = Prompt.of(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
         service = route.service(Hash.of(tryId == null ? "" : tryId));
         deadline = begun + Math.min(route.deadline(), millis(headers.getFirst(names.deadlineMs()), route.deadline()));
     }
@@ -58,7 +58,7 @@
         else h.remove(Headers.CONTENT_LENGTH);
         if (stream == null) return new RequestHead(method, path, h);
         h.put(names.lastEventId(), stream.lastId());
-        if (stream.version() != null) h.put(names.expectVersion(), stream.version());
+        if (stream.version() != null) h.put(names.expectedWeightVersion(), stream.version());
         return new RequestHead(method, path, h);
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/HeaderVocabulary.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProtocolNames.java
@@ -3,21 +3,21 @@
 import io.undertow.util.HttpString;
 
 /** The names that a platform gives to what requesters, routers and runners tell one another in headers. */
-public record HeaderVocabulary(
+public record ProtocolNames(
         HttpString tryId,
-        HttpString stamp,
+        HttpString successMarker,
         HttpString deadlineMs,
-        HttpString parts,
-        HttpString tokens,
+        HttpString promptParts,
+        HttpString tokenCounts,
         HttpString model,
         HttpString addressee,
         HttpString runner,
-        HttpString load,
+        HttpString runnerLoad,
         HttpString notRun,
         HttpString coldMs,
         HttpString urgency,
         HttpString lastEventId,
         HttpString weightVersions,
-        HttpString expectVersion,
+        HttpString expectedWeightVersion,
         String readyPath,
         String reportPath) {}
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -49,7 +49,7 @@
             LongSupplier now,
             Supplier<View> view,
             NodeSettings node,
-            HeaderVocabulary names,
+            ProtocolNames names,
             Log log,
             BooleanSupplier ready,
             BiConsumer<String, Object> send) {
@@ -93,27 +93,27 @@
     }
 
     /** A runner that another router finds silent. */
-    public void heard(Silence m) {
+    public void receiveNotice(Silence m) {
         all.notices().add(m);
     }
 
     /** What another router gave a runner to read. */
-    public void heard(Reading m) {
+    public void receiveNotice(Reading m) {
         all.notices().add(m);
     }
 
     /** How often what is open was looked after; for tests that move the clock. */
-    public long looks() {
+    public long sweepCount() {
         return all.clients().looks();
     }
 
     /** How many requests are open. */
-    public int open() {
+    public int openRequestCount() {
         return all.open();
     }
 
     /** How many clients' connections carry a request whose answer has not left whole. */
-    public int unanswered() {
+    public int unansweredConnectionCount() {
         return onIoThread(all.clients()::busy);
     }
 
@@ -126,7 +126,7 @@
     }
 
     /** Is no longer ready, and has clients end their connections with their next answer. */
-    public void leave() {
+    public void startDraining() {
         leaving = true;
         worker.getIoThread().execute(handler::leave);
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
@@ -40,7 +40,7 @@
     private final XnioIoThread io;
     private final LongSupplier now;
     private final Supplier<View> view;
-    private final HeaderVocabulary names;
+    private final ProtocolNames names;
     private final NodeSettings node;
     private final BiConsumer<String, Object> send;
     private final Log log;
@@ -63,7 +63,7 @@
             LongSupplier now,
             Supplier<View> view,
             NodeSettings node,
-            HeaderVocabulary names,
+            ProtocolNames names,
             Log log,
             BiConsumer<String, Object> send) {
         this.node = node;
@@ -116,7 +116,7 @@
         return now.getAsLong();
     }
 
-    HeaderVocabulary names() {
+    ProtocolNames names() {
         return names;
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -260,7 +260,7 @@
                 return;
             }
             choice.runner().heard(all.now());
-            all.load(choice.runner(), h.getFirst(n.load()));
+            all.load(choice.runner(), h.getFirst(n.runnerLoad()));
             if (verdict == AnswerVerdict.NOT_RUN) {
                 if (status == AnswerVerdict.MISDIRECTED && !answer.expectsVersion()) all.misdirected(choice.runner());
                 call.cancel();
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseReader.java
@@ -12,7 +12,7 @@
  * Reads one answer from the bytes of a connection (RFC 9112), without I/O. It is strict: what is no answer, or no chunk
  * where one is due, is a problem and never an end, since an answer that ends early must not look complete.
  */
-final class AnswerReader {
+final class ResponseReader {
     /** Takes what was read. */
     interface Sink {
         void head(int status, HeaderMap headers);
@@ -55,7 +55,7 @@
      *
      * @param bodiless whether the request's method gets answers without a body, whatever their head says
      */
-    AnswerReader(boolean bodiless, Sink sink) {
+    ResponseReader(boolean bodiless, Sink sink) {
         this.bodiless = bodiless;
         this.sink = sink;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerCall.java
@@ -35,7 +35,7 @@
     private final String address;
     private final ByteBuffer[] request;
     private final Sink sink;
-    private final AnswerReader reader;
+    private final ResponseReader reader;
     private StreamConnection connection;
     private XnioExecutor.Key timer;
     private boolean over;
@@ -50,7 +50,7 @@
         this.address = address;
         this.request = new ByteBuffer[] {ByteBuffer.wrap(head.bytes()), ByteBuffer.wrap(body)};
         this.sink = sink;
-        this.reader = new AnswerReader(head.bodilessAnswer(), new AnswerReader.Sink() {
+        this.reader = new ResponseReader(head.bodilessAnswer(), new ResponseReader.Sink() {
             @Override
             public void head(int status, HeaderMap headers) {
                 keptFor = ForwardedHeaders.keptFor(headers);
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
@@ -18,7 +18,7 @@
 import java.util.function.LongSupplier;
 import org.xnio.IoUtils;
 
-public final class RequestHandler implements HttpHandler {
+public final class CompletionHandler implements HttpHandler {
     private static final AtomicLong IDS = new AtomicLong();
     private static final AttachmentKey<AtomicLong> CURRENT = AttachmentKey.create(AtomicLong.class);
     private static final long DEADLINE = 60_000_000;
@@ -30,7 +30,7 @@
     private final String path;
     private final boolean forwarded;
 
-    public RequestHandler(
+    public CompletionHandler(
             Router router, HttpCaller caller, LongSupplier now, EventLog log, String path, boolean forwarded) {
         this.router = router;
         this.caller = caller;
@@ -56,7 +56,7 @@
                 Problems.send(x, Problem.of(Kind.TOO_LARGE));
                 return;
             }
-            var t = RequestReader.read(
+            var t = RequestParser.parse(
                     IDS.incrementAndGet(), x.getRequestHeaders(), body, forwarded, this::deadlineOf, now.getAsLong());
             if (t.isLeft()) {
                 router.executor().counts().verdict(t.getLeft().kind());
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestReader.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestParser.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import java.util.function.ToLongFunction;
 
-public final class RequestReader {
+public final class RequestParser {
     private static final JsonMapper JSON = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -28,9 +28,9 @@
             Set.of("model", "messages", "stream", "max_tokens", "temperature", "top_p", "stop", "seed", "user");
     private static final int PREFIX = 1_024;
 
-    private RequestReader() {}
+    private RequestParser() {}
 
-    public static Either<Problem, Request> read(
+    public static Either<Problem, Request> parse(
             long id, HeaderMap h, byte[] body, boolean forwarded, ToLongFunction<String> deadlineOf, long now) {
         JsonNode n;
         try {
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -1,7 +1,7 @@
 package craneway.process;
 
 import craneway.data.router.Router;
-import craneway.gateway.proxy.HeaderVocabulary;
+import craneway.gateway.proxy.ProtocolNames;
 import craneway.gateway.proxy.ProxyServer;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
@@ -21,7 +21,7 @@
     private final Router router;
     private final ProxyServer server;
 
-    public PlatformRouterProcess(NodeSettings node, HeaderVocabulary names, EventLog log) {
+    public PlatformRouterProcess(NodeSettings node, ProtocolNames names, EventLog log) {
         this.node = node;
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO, THREADS, TICKS, wire);
@@ -31,8 +31,8 @@
         router = new Router(host, self, node.seeds(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         wire.start(router.directory()::sameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::ready, host::send);
-        router.onReading(server::heard);
-        router.onSilence(server::heard);
+        router.onReading(server::receiveNotice);
+        router.onSilence(server::receiveNotice);
         host.tick(router::tick, TICK);
         log.note(
                 Event.STARTED,
@@ -55,8 +55,8 @@
     /** Serves what comes until requesters have heard of the leave, then ends what is open; done within the grace. */
     public void stopGently() throws InterruptedException {
         var began = host.now();
-        host.note(Event.STOPPING, server.open() + " requests open");
-        server.leave();
+        host.note(Event.STOPPING, server.openRequestCount() + " requests open");
+        server.startDraining();
         router.unready();
         pause(TELL);
         router.membership().leave(host.now());
@@ -64,7 +64,7 @@
         while (host.now() < serve) pause(20_000);
         server.stopListening();
         var until = began + node.bounds().grace() - MARGIN;
-        while (server.unanswered() > 0 && host.now() < until) pause(20_000);
+        while (server.unansweredConnectionCount() > 0 && host.now() < until) pause(20_000);
         close();
         host.note(Event.STOPPED, "router");
     }
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -5,7 +5,7 @@
 import craneway.api.platform.ReadinessHandler;
 import craneway.control.operator.Operator;
 import craneway.data.router.Router;
-import craneway.gateway.request.RequestHandler;
+import craneway.gateway.request.CompletionHandler;
 import craneway.gateway.runner.RunnerHandler;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
@@ -32,13 +32,13 @@
         var self = Node.started(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
         router = new Router(host, self, s.seeds, new SecureRandom());
         operator = new Operator(host, router.coreClient());
-        var forwarded = new RequestHandler(router, host.caller(), host::now, log, "/transaction", true);
+        var forwarded = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
         var partner = new PeerHandler(this::core, router.directory()::sameOrigin, router::receive, log);
         HttpHandler both = x -> (x.getRequestPath().equals("/transaction") ? forwarded : partner).handleRequest(x);
         host.listen(s.peerAddress, both, 80L << 20);
         host.listen(
                 s.clientAddress,
-                new RequestHandler(router, host.caller(), host::now, log, "/v1/chat/completions", false),
+                new CompletionHandler(router, host.caller(), host::now, log, "/v1/chat/completions", false),
                 BODY);
         host.listen(s.runner, new RunnerHandler(router), ANNOUNCE_BODY);
         host.listen(
--- a/test/pass/src/test/java/craneway/pass/Bed.java
+++ b/test/pass/src/test/java/craneway/pass/Bed.java
@@ -1,7 +1,7 @@
 package craneway.pass;
 
 import craneway.control.node.Membership;
-import craneway.gateway.proxy.HeaderVocabulary;
+import craneway.gateway.proxy.ProtocolNames;
 import craneway.gateway.proxy.ProxyServer;
 import craneway.model.event.Event;
 import craneway.model.manifest.ManifestReader;
@@ -116,8 +116,8 @@
         fault = planned;
     }
 
-    static HeaderVocabulary names() {
-        return new HeaderVocabulary(
+    static ProtocolNames names() {
+        return new ProtocolNames(
                 new HttpString("Try"),
                 new HttpString("Stamp"),
                 new HttpString("Deadline"),
@@ -210,7 +210,7 @@
 
     /** Moves the router's clock on once no request is open; its timers run as they did. */
     void advance(long micros) {
-        while (server.open() > 0) Thread.yield();
+        while (server.openRequestCount() > 0) Thread.yield();
         advanced += micros;
     }
 
--- a/test/pass/src/test/java/craneway/pass/ClientLeavesTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientLeavesTest.java
@@ -112,12 +112,12 @@
                 ran.await();
                 leave(s, how);
             }
-            var looks = bed.server.looks();
-            while (bed.server.looks() < looks + 2) Thread.yield();
-            assertEquals(1, bed.server.open());
+            var looks = bed.server.sweepCount();
+            while (bed.server.sweepCount() < looks + 2) Thread.yield();
+            assertEquals(1, bed.server.openRequestCount());
             go.countDown();
             ended.await();
-            while (bed.server.open() > 0) Thread.yield();
+            while (bed.server.openRequestCount() > 0) Thread.yield();
             assertEquals(1, runner.ran.size());
         }
     }
@@ -131,9 +131,9 @@
             try (var s = bed.connect()) {
                 send(s, request(path));
             }
-            var looks = bed.server.looks();
-            while (bed.server.looks() < looks + 1) Thread.yield();
-            while (bed.server.unanswered() > 0) Thread.yield();
+            var looks = bed.server.sweepCount();
+            while (bed.server.sweepCount() < looks + 1) Thread.yield();
+            while (bed.server.unansweredConnectionCount() > 0) Thread.yield();
             bed.runner("i1", runner.address(), "a", Rows.Runner.UP);
             assertEquals("t2", bed.ask("/again/x", "t2", "").headers().get("Try"));
             assertEquals(java.util.List.of("t2"), runner.ran);
@@ -182,8 +182,8 @@
                 send(s, request("/again/x"));
                 ran.await();
                 send(s, request("/again/x").replace("t1", "t2"));
-                var looks = bed.server.looks();
-                while (bed.server.looks() < looks + 2) Thread.yield();
+                var looks = bed.server.sweepCount();
+                while (bed.server.sweepCount() < looks + 2) Thread.yield();
                 go.countDown();
                 assertEquals("body of t1", Bed.answer(s.getInputStream()).text());
                 assertEquals("body of t2", Bed.answer(s.getInputStream()).text());
--- a/test/pass/src/test/java/craneway/pass/ClientLimitTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientLimitTest.java
@@ -54,10 +54,10 @@
     /** Moves the clock in steps that are too short to look like a freeze. */
     private void pass(long micros) {
         for (var left = micros; left > 0; left -= STEP) {
-            var looks = bed.server.looks();
+            var looks = bed.server.sweepCount();
             bed.advanceWithin(STEP);
             var until = System.nanoTime() + 5_000_000_000L;
-            while (bed.server.looks() == looks && System.nanoTime() < until) Thread.yield();
+            while (bed.server.sweepCount() == looks && System.nanoTime() < until) Thread.yield();
         }
     }
 
@@ -74,7 +74,7 @@
 
     @Test
     void aRouterThatLeavesSaysCloseAndNoTime() throws Exception {
-        bed.server.leave();
+        bed.server.startDraining();
         bed.ask("/once/x", "t0", "");
         request("t1");
         var a = answer();
@@ -172,7 +172,7 @@
         });
         send("POST /stream/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nContent-Length: 0\r\n\r\n");
         runner.arrival();
-        bed.server.leave();
+        bed.server.startDraining();
         bed.server.stopListening();
         go.countDown();
         assertTrue(answer().whole());
--- a/test/pass/src/test/java/craneway/pass/EarlyEndTest.java
+++ b/test/pass/src/test/java/craneway/pass/EarlyEndTest.java
@@ -70,7 +70,7 @@
 
     private static Bed.Answer ask(Bed bed, Client client, String path, int deadline, CountDownLatch first)
             throws Exception {
-        if (client.leaving) bed.server.leave();
+        if (client.leaving) bed.server.startDraining();
         try (var s = bed.connect()) {
             s.getOutputStream()
                     .write(("POST " + path + " " + client.version + "\r\nHost: h.example\r\nTry: t1\r\nDeadline: "
--- a/test/pass/src/test/java/craneway/pass/LookPaceTest.java
+++ b/test/pass/src/test/java/craneway/pass/LookPaceTest.java
@@ -21,8 +21,8 @@
                 var runner = new ScriptedRunner(script);
                 var client = bed.connect()) {
             bed.runner("i1", runner.address(), "a", Rows.Runner.UP);
-            var until = bed.server.looks() + LOOKS;
-            for (var i = 0; bed.server.looks() < until; i++) {
+            var until = bed.server.sweepCount() + LOOKS;
+            for (var i = 0; bed.server.sweepCount() < until; i++) {
                 Bed.send(client, "/again/x", "t" + i, "", "");
                 assertEquals(200, Bed.answer(client.getInputStream()).status());
             }
--- a/test/pass/src/test/java/craneway/pass/PassTest.java
+++ b/test/pass/src/test/java/craneway/pass/PassTest.java
@@ -259,8 +259,8 @@
             s.getInputStream().read();
             s.close();
             var until = System.nanoTime() + 5_000_000_000L;
-            while (bed.server.open() > 0 && System.nanoTime() < until) Thread.onSpinWait();
-            assertEquals(0, bed.server.open());
+            while (bed.server.openRequestCount() > 0 && System.nanoTime() < until) Thread.onSpinWait();
+            assertEquals(0, bed.server.openRequestCount());
         }
     }
 
--- a/test/pass/src/test/java/craneway/pass/StopTest.java
+++ b/test/pass/src/test/java/craneway/pass/StopTest.java
@@ -18,16 +18,16 @@
                         c -> c.write(ScriptedRunner.answer(200, c.run(), "Stamp: s\r\n", "x".repeat(LARGE))));
                 var client = bed.connect()) {
             bed.runner("i1", runner.address(), "a", Rows.Runner.UP);
-            assertEquals(0, bed.server.unanswered());
-            bed.server.leave();
+            assertEquals(0, bed.server.unansweredConnectionCount());
+            bed.server.startDraining();
             Bed.send(client, "/once/x", "t1", "", "");
             while (runner.ran.isEmpty()) Thread.yield();
             bed.server.stopListening();
-            assertEquals(1, bed.server.unanswered());
+            assertEquals(1, bed.server.unansweredConnectionCount());
             var answer = Bed.answer(client.getInputStream());
             assertTrue(answer.whole());
             assertEquals(LARGE, answer.text().getBytes(StandardCharsets.ISO_8859_1).length);
-            while (bed.server.unanswered() > 0) Thread.yield();
+            while (bed.server.unansweredConnectionCount() > 0) Thread.yield();
         }
     }
 
