--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerRelay.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerRelay.java
@@ -38,7 +38,7 @@
 
     /** Whether another run may go on with what the client has. */
     boolean resumable() {
-        return route.resume() && events != null && events.resumable();
+        return route.resumable() && events != null && events.resumable();
     }
 
     /** The next run is to go on with what the client has. */
@@ -66,7 +66,7 @@
         var stream = StreamRelay.carries(head);
         if (answer.begun()) return status / 100 == SUCCESSES && stream && events.begins(head);
         if (stream && !head.contains(Headers.CONTENT_LENGTH)) {
-            events = new StreamRelay(route.resume() ? after : null, versions);
+            events = new StreamRelay(route.resumable() ? after : null, versions);
             events.begins(head);
         }
         answer.head(status, head);
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerTiming.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerTiming.java
@@ -20,7 +20,7 @@
 
     /** Whether the first piece or a pause took longer than the route's targets. */
     private boolean slow(Route route, long begun) {
-        return firstAt - begun > route.target() || route.pause() != 0 && gap > route.pause();
+        return firstAt - begun > route.firstChunkTarget() || route.gapTarget() != 0 && gap > route.gapTarget();
     }
 
     /** Tells of an answer that was slow. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
@@ -102,8 +102,8 @@
 
         boolean due(Limits limits, long t) {
             return switch (state) {
-                case RESTING -> limits.idle() > 0 && t - since >= limits.idle();
-                case HEAD -> limits.header() > 0 && t - since >= limits.header();
+                case RESTING -> limits.idleTimeout() > 0 && t - since >= limits.idleTimeout();
+                case HEAD -> limits.headerTimeout() > 0 && t - since >= limits.headerTimeout();
                 case BUSY -> false;
             };
         }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
@@ -59,12 +59,12 @@
             unready(x, body, answer, since, client);
             return;
         }
-        tellHowLongItIsKept(x, m.limits().idle());
-        if (body.length > m.limits().bodyBytes()) {
+        tellHowLongItIsKept(x, m.limits().idleTimeout());
+        if (body.length > m.limits().maxBodyBytes()) {
             answer.own(
                     413,
                     null,
-                    "{\"problem\":\"the body is longer than " + m.limits().bodyBytes() + " bytes\"}");
+                    "{\"problem\":\"the body is longer than " + m.limits().maxBodyBytes() + " bytes\"}");
             return;
         }
         var route = m.routes().match(x.getRequestHeaders().getFirst(Headers.HOST), x.getRequestURI());
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -30,7 +30,7 @@
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
         prompt = Prompt.of(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
-        service = route.service(Hash.of(tryId == null ? "" : tryId));
+        service = route.selectService(Hash.of(tryId == null ? "" : tryId));
         deadline = begun + Math.min(route.deadline(), millis(headers.getFirst(names.deadlineMs()), route.deadline()));
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -1,7 +1,7 @@
 package craneway.gateway.proxy;
 
 import craneway.control.node.Membership.View;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import craneway.model.node.NodeSettings;
 import craneway.state.message.Messages.Reading;
 import craneway.state.message.Messages.Silence;
@@ -50,7 +50,7 @@
             Supplier<View> view,
             NodeSettings node,
             ProtocolNames names,
-            Log log,
+            EventSink log,
             BooleanSupplier ready,
             BiConsumer<String, Object> send) {
         try {
@@ -68,7 +68,7 @@
         handler = new ClientRequestHandler(all);
         clients = new ClientListener(
                 worker, address(node.clientAddress()), all.clients(), new HttpContinueReadHandler(handler));
-        readiness = listen(node.readiness(), x -> {
+        readiness = listen(node.readinessAddress(), x -> {
             var is = !leaving && ready.getAsBoolean() && x.getRequestPath().equals(names.readyPath());
             x.setStatusCode(is ? 200 : 503).endExchange();
         });
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
@@ -8,7 +8,7 @@
 import craneway.data.placement.RetryBudget;
 import craneway.data.placement.RunnerView;
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import craneway.model.manifest.Manifest.Limits;
 import craneway.model.manifest.Route;
 import craneway.model.node.NodeSettings;
@@ -43,7 +43,7 @@
     private final ProtocolNames names;
     private final NodeSettings node;
     private final BiConsumer<String, Object> send;
-    private final Log log;
+    private final EventSink log;
     private final RunnerConnections connections;
     private final ClientConnections clients;
     private final Pool pool = new Pool();
@@ -64,7 +64,7 @@
             Supplier<View> view,
             NodeSettings node,
             ProtocolNames names,
-            Log log,
+            EventSink log,
             BiConsumer<String, Object> send) {
         this.node = node;
         this.send = send;
@@ -77,7 +77,7 @@
         connections = new RunnerConnections(io, now);
         clients = new ClientConnections(now);
         placer = new Placer(pool, new ColdShare(node.name()), node.zone(), node.region());
-        var b = node.bounds();
+        var b = node.tolerances();
         budget = new RetryBudget(b.retryWindow(), b.retryRatio(), b.retrySlack());
     }
 
@@ -177,7 +177,7 @@
     }
 
     void note(Event e, String detail) {
-        log.note(e, detail);
+        log.logEvent(e, detail);
     }
 
     void load(RunnerView r, String header) {
@@ -187,14 +187,14 @@
         try {
             r.reported(Integer.parseInt(all[0].trim()), Integer.parseInt(all[1].trim()), now());
         } catch (NumberFormatException e) {
-            log.note(Event.BAD_MESSAGE, "load of " + r.id() + ": " + header);
+            log.logEvent(Event.BAD_MESSAGE, "load of " + r.id() + ": " + header);
         }
     }
 
     void slow(String detail) {
         if (now() / 1_000_000 != slowSecond) slowSaid = 0;
         slowSecond = now() / 1_000_000;
-        if (slowSaid++ < SLOW) log.note(Event.SLOW_ANSWER, detail);
+        if (slowSaid++ < SLOW) log.logEvent(Event.SLOW_RESPONSE, detail);
     }
 
     /** Tells the routers that use this runner what it has to read. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -63,13 +63,13 @@
         }
         var c = all.placer().choose(route, request.service, request.prompt, tried, now);
         if (c == null) waitOrDecline(now);
-        else if (all.placer().crowds(c, now) && now - request.begun < route.target() * 4 / 10 && attempts.sent() == 0)
+        else if (all.placer().crowds(c, now) && now - request.begun < route.firstChunkTarget() * 4 / 10 && attempts.sent() == 0)
             wake = all.after(AGAIN, this::place);
         else send(c, now);
     }
 
     private boolean mayAgain(long now) {
-        return attempts.sent() < route.tries()
+        return attempts.sent() < route.maxAttempts()
                 && all.budget().take(all.placer().routers().size(), now);
     }
 
@@ -87,7 +87,7 @@
     }
 
     private long patience() {
-        return all.pool().knows(request.service) ? Math.max(100_000, route.target() / 4) : STARTING;
+        return all.pool().knows(request.service) ? Math.max(100_000, route.firstChunkTarget() / 4) : STARTING;
     }
 
     private void send(Placer.Choice c, long now) {
@@ -105,7 +105,7 @@
                 request.head(c, now, answer.goesOnWith()),
                 request.body,
                 new Heard(c));
-        call.start(route.repeatable(), CONNECT);
+        call.start(route.isRepeatable(), CONNECT);
     }
 
     private void release() {
@@ -139,11 +139,11 @@
                 : RunnerSilence.withinItsAnswer(choice, timing.heardAt(), now);
         if (!silent) return;
         all.silent(choice.runner());
-        if (waits ? route.repeatable() : answer.resumable()) elsewhere(now);
+        if (waits ? route.isRepeatable() : answer.resumable()) elsewhere(now);
     }
 
     private void elsewhere(long now) {
-        if (attempts.sent() >= route.tries()) return;
+        if (attempts.sent() >= route.maxAttempts()) return;
         var c = all.placer().choose(route, request.service, request.prompt, tried, now);
         if (c == null
                 || c.runner().suspected(now)
@@ -171,11 +171,11 @@
             }
             answer.resume();
             place();
-        } else if (route.repeatable()) {
+        } else if (route.isRepeatable()) {
             place();
         } else {
             over();
-            all.note(Event.CUT_STREAM, route.name() + " " + request.tryId + " may have run: " + cause);
+            all.note(Event.RESPONSE_CUT_OFF, route.name() + " " + request.tryId + " may have run: " + cause);
             answer.own(StatusCodes.BAD_GATEWAY, null, "the runner broke off; it may have run");
         }
     }
@@ -212,7 +212,7 @@
     private void cut(String cause) {
         release();
         over();
-        all.note(Event.CUT_STREAM, route.name() + " " + request.tryId + ": " + cause);
+        all.note(Event.RESPONSE_CUT_OFF, route.name() + " " + request.tryId + ": " + cause);
         answer.cut();
     }
 
@@ -268,9 +268,9 @@
                 notRun();
             } else if (verdict == AnswerVerdict.FAILURE
                     && !answer.begun()
-                    && route.repeatable()
+                    && route.isRepeatable()
                     && status >= StatusCodes.INTERNAL_SERVER_ERROR
-                    && attempts.sent() < route.tries()) {
+                    && attempts.sent() < route.maxAttempts()) {
                 call.cancel();
                 brokenOff("status " + status);
             } else {
@@ -339,7 +339,7 @@
 
         @Override
         public void failed(RuntimeException fault) {
-            all.note(Event.INTERNAL, route.name() + " " + request.tryId + ": " + fault);
+            all.note(Event.INTERNAL_ERROR, route.name() + " " + request.tryId + ": " + fault);
             if (stale()) return;
             release();
             giveUp(StatusCodes.BAD_GATEWAY, "an internal fault");
--- a/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
@@ -3,10 +3,10 @@
 import craneway.data.request.Request;
 import craneway.data.request.RequestRelay;
 import craneway.data.router.Router;
-import craneway.http.HttpCaller;
-import craneway.http.Problems;
+import craneway.http.AsyncHttpClient;
+import craneway.http.JsonResponses;
 import craneway.log.EventLog;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -24,14 +24,14 @@
     private static final long DEADLINE = 60_000_000;
 
     private final Router router;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final LongSupplier now;
     private final EventLog log;
     private final String path;
     private final boolean forwarded;
 
     public CompletionHandler(
-            Router router, HttpCaller caller, LongSupplier now, EventLog log, String path, boolean forwarded) {
+            Router router, AsyncHttpClient caller, LongSupplier now, EventLog log, String path, boolean forwarded) {
         this.router = router;
         this.caller = caller;
         this.now = now;
@@ -42,8 +42,8 @@
 
     @Override
     public void handleRequest(HttpServerExchange x) {
-        if (!x.getRequestPath().equals(path)) Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
-        else if (!x.getRequestMethod().equals(Methods.POST)) Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+        if (!x.getRequestPath().equals(path)) JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_SUCH_PAGE));
+        else if (!x.getRequestMethod().equals(Methods.POST)) JsonResponses.sendProblem(x, Problem.of(ProblemKind.WRONG_METHOD));
         else x.dispatch(() -> work(x));
     }
 
@@ -53,14 +53,14 @@
             var body = body(x);
             if (body == null) {
                 x.setPersistent(false);
-                Problems.send(x, Problem.of(Kind.TOO_LARGE));
+                JsonResponses.sendProblem(x, Problem.of(ProblemKind.TOO_LARGE));
                 return;
             }
             var t = RequestParser.parse(
                     IDS.incrementAndGet(), x.getRequestHeaders(), body, forwarded, this::deadlineOf, now.getAsLong());
             if (t.isLeft()) {
                 router.executor().counts().verdict(t.getLeft().kind());
-                Problems.send(x, t.getLeft());
+                JsonResponses.sendProblem(x, t.getLeft());
                 return;
             }
             run(x, t.get());
@@ -70,7 +70,7 @@
             Thread.currentThread().interrupt();
             IoUtils.safeClose(x.getConnection());
         } catch (RuntimeException e) {
-            log.internal(e);
+            log.logInternalError(e);
             IoUtils.safeClose(x.getConnection());
         }
     }
@@ -110,6 +110,6 @@
     private long deadlineOf(String service) {
         var m = router.membership().view().manifest();
         var s = m == null ? null : m.service(service);
-        return s == null ? DEADLINE : s.deadline();
+        return s == null ? DEADLINE : s.defaultDeadline();
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestParser.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestParser.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import craneway.data.request.Request;
 import craneway.http.HeaderNames;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import io.undertow.util.HeaderMap;
@@ -36,26 +36,26 @@
         try {
             n = JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            return no(Kind.BAD_JSON, "the body is not well-formed JSON: " + e.getOriginalMessage());
+            return no(ProblemKind.BAD_JSON, "the body is not well-formed JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            return no(Kind.BAD_JSON, e.getMessage());
+            return no(ProblemKind.BAD_JSON, e.getMessage());
         }
         var wrong = wrong(n);
-        if (wrong != null) return no(Kind.BAD_FIELD, wrong);
+        if (wrong != null) return no(ProblemKind.BAD_FIELD, wrong);
         var tenant = value(h, HeaderNames.TENANT, n.path("user").asText(""));
         if (tenant.isBlank())
             return no(
-                    Kind.MISSING_TENANT, "name the tenant in the header " + HeaderNames.TENANT + " or the field user");
-        if (tenant.length() > 128) return no(Kind.BAD_FIELD, "the tenant's name is longer than 128 characters");
-        var key = value(h, HeaderNames.KEY, "");
-        if (key.length() > 128) return no(Kind.BAD_FIELD, "the key is longer than 128 characters");
+                    ProblemKind.MISSING_TENANT, "name the tenant in the header " + HeaderNames.TENANT + " or the field user");
+        if (tenant.length() > 128) return no(ProblemKind.BAD_FIELD, "the tenant's name is longer than 128 characters");
+        var key = value(h, HeaderNames.IDEMPOTENCY_KEY, "");
+        if (key.length() > 128) return no(ProblemKind.BAD_FIELD, "the key is longer than 128 characters");
         var service = n.get("model").asText();
         return deadline(h)
                 .map(ms -> new Request(
                         id,
                         service,
                         tenant,
-                        value(h, HeaderNames.WORK, ""),
+                        value(h, HeaderNames.WORK_KIND, ""),
                         regions(h),
                         key,
                         prefix(n),
@@ -91,12 +91,12 @@
     }
 
     private static Either<Problem, Long> deadline(HeaderMap h) {
-        var v = h.getFirst(HeaderNames.DEADLINE);
+        var v = h.getFirst(HeaderNames.DEADLINE_MILLIS);
         if (v == null) return Either.right(-1L);
         if (!v.matches("-?\\d{1,9}"))
-            return no(Kind.BAD_FIELD, HeaderNames.DEADLINE + " must be a whole number of milliseconds");
+            return no(ProblemKind.BAD_FIELD, HeaderNames.DEADLINE_MILLIS + " must be a whole number of milliseconds");
         var ms = Long.parseLong(v);
-        return ms <= 0 ? no(Kind.DEADLINE_PASSED, Kind.DEADLINE_PASSED.text()) : Either.right(ms);
+        return ms <= 0 ? no(ProblemKind.DEADLINE_PASSED, ProblemKind.DEADLINE_PASSED.text()) : Either.right(ms);
     }
 
     private static List<String> regions(HeaderMap h) {
@@ -110,7 +110,7 @@
         return v == null ? def : v.trim();
     }
 
-    private static <T> Either<Problem, T> no(Kind k, String detail) {
+    private static <T> Either<Problem, T> no(ProblemKind k, String detail) {
         return Either.left(Problem.of(k, detail));
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -2,8 +2,8 @@
 
 import craneway.data.request.HttpExchange;
 import craneway.http.HeaderNames;
-import craneway.http.HttpCaller;
-import craneway.http.Problems;
+import craneway.http.AsyncHttpClient;
+import craneway.http.JsonResponses;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpServerConnection;
@@ -27,12 +27,12 @@
     private static final long CONNECT_MILLIS = 1_000, LOOK_MILLIS = 200;
 
     private final HttpServerExchange x;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final String router;
     private boolean piped;
     private final BlockingQueue<Runnable> box = new LinkedBlockingQueue<>();
 
-    UndertowExchange(HttpServerExchange x, HttpCaller caller, String router) {
+    UndertowExchange(HttpServerExchange x, AsyncHttpClient caller, String router) {
         this.x = x;
         this.caller = caller;
         this.router = router;
@@ -69,36 +69,36 @@
     public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
         var h = new HashMap<HttpString, String>();
         headers.forEach((k, v) -> h.put(new HttpString(k), v));
-        var call = caller.open(address, Methods.POST, path, h, body, CONNECT_MILLIS, new HttpCaller.Sink() {
+        var call = caller.open(address, Methods.POST, path, h, body, CONNECT_MILLIS, new AsyncHttpClient.ResponseListener() {
             @Override
-            public void refused(String cause) {
+            public void onConnectFailure(String cause) {
                 sink.refused();
             }
 
             @Override
-            public void status(int code, HeaderMap map) {
+            public void onHeaders(int code, HeaderMap map) {
                 sink.status(code, plain(map));
             }
 
             @Override
-            public void chunk(byte[] b) {
+            public void onChunk(byte[] b) {
                 sink.chunk(b);
             }
 
             @Override
-            public void end() {
+            public void onEnd() {
                 sink.end();
             }
 
             @Override
-            public void broken(String cause) {
+            public void onFailure(String cause) {
                 sink.broken();
             }
         });
         return new Call() {
             @Override
             public void took() {
-                call.took();
+                call.chunkConsumed();
             }
 
             @Override
@@ -142,12 +142,12 @@
 
     @Override
     public void verdict(Problem p) {
-        Problems.send(x, p);
+        JsonResponses.sendProblem(x, p);
     }
 
     @Override
     public void cut(Problem p, boolean started) {
-        if (started) write(("\n\nevent: error\ndata: " + Problems.json(p) + "\n\n").getBytes(StandardCharsets.UTF_8));
+        if (started) write(("\n\nevent: error\ndata: " + JsonResponses.problemJson(p) + "\n\n").getBytes(StandardCharsets.UTF_8));
         IoUtils.safeClose(x.getConnection());
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -8,8 +8,8 @@
 import craneway.data.router.Router;
 import craneway.data.runner.Announcement;
 import craneway.http.Addresses;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.state.message.Messages.CommandResult;
 import io.undertow.server.HttpHandler;
@@ -36,11 +36,11 @@
     public void handleRequest(HttpServerExchange x) {
         var announce = x.getRequestPath().equals("/v1/announce");
         if (!announce && !x.getRequestPath().equals("/v1/leave")) {
-            Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_SUCH_PAGE));
             return;
         }
         if (!x.getRequestMethod().equals(Methods.POST)) {
-            Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.WRONG_METHOD));
             return;
         }
         x.getRequestReceiver().receiveFullBytes((e, b) -> e.dispatch(() -> take(e, b, announce)));
@@ -51,11 +51,11 @@
             if (announce) announce(x, JSON.readValue(b, Announcement.class));
             else leave(x, JSON.readValue(b, Leave.class));
         } catch (JsonParseException e) {
-            Problems.send(x, Problem.of(Kind.BAD_JSON, e.getOriginalMessage()));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_JSON, e.getOriginalMessage()));
         } catch (JsonMappingException e) {
-            Problems.send(x, Problem.of(cut(e) ? Kind.BAD_JSON : Kind.BAD_FIELD, e.getOriginalMessage()));
+            JsonResponses.sendProblem(x, Problem.of(cut(e) ? ProblemKind.BAD_JSON : ProblemKind.BAD_FIELD, e.getOriginalMessage()));
         } catch (IOException e) {
-            Problems.send(x, Problem.of(Kind.BAD_JSON, e.getMessage()));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_JSON, e.getMessage()));
         }
     }
 
@@ -68,14 +68,14 @@
                 || blank(a.name())
                 || blank(a.cell())
                 || a.address() == null
-                || Addresses.bad(a.address())
+                || Addresses.isInvalid(a.address())
                 || a.slots() < 1
                 || a.slots() > 100_000
                 || a.load() < 0) {
-            Problems.send(
+            JsonResponses.sendProblem(
                     x,
                     Problem.of(
-                            Kind.BAD_FIELD,
+                            ProblemKind.BAD_FIELD,
                             "an announcement needs service, name, cell, address as IP:PORT, slots from 1 and load from 0"));
             return;
         }
@@ -84,7 +84,7 @@
 
     private void leave(HttpServerExchange x, Leave l) {
         if (blank(l.service) || blank(l.name))
-            Problems.send(x, Problem.of(Kind.BAD_FIELD, "a leave needs service, name and incarnation"));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_FIELD, "a leave needs service, name and incarnation"));
         else router.leave(l.service, l.name, l.incarnation, reply(x));
     }
 
@@ -95,8 +95,8 @@
     private static Consumer<CommandResult> reply(HttpServerExchange x) {
         x.dispatch();
         return v -> {
-            if (v.kind == 0) Problems.sendJson(x, "{\"acknowledged\":true}");
-            else Problems.send(x, new Problem(Kind.of(v.kind), v.detail, v.retryAfter));
+            if (v.kind == 0) JsonResponses.sendJson(x, "{\"acknowledged\":true}");
+            else JsonResponses.sendProblem(x, new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter));
         };
     }
 }
--- a/lib/process/src/main/java/craneway/process/Host.java
+++ b/lib/process/src/main/java/craneway/process/Host.java
@@ -1,7 +1,7 @@
 package craneway.process;
 
 import craneway.control.node.Port;
-import craneway.http.HttpCaller;
+import craneway.http.AsyncHttpClient;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
 import craneway.transport.HttpTransport;
@@ -32,7 +32,7 @@
 
     private final EventLog log;
     private final XnioWorker worker;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final Transport transport;
     private final List<Undertow> servers = new ArrayList<>();
     private final List<ExecutorService> executors = new CopyOnWriteArrayList<>();
@@ -53,7 +53,7 @@
     }
 
     private Host(
-            BiFunction<HttpCaller, LongSupplier, Transport> transports,
+            BiFunction<AsyncHttpClient, LongSupplier, Transport> transports,
             EventLog log,
             int io,
             int threads,
@@ -71,7 +71,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        caller = new HttpCaller(worker);
+        caller = new AsyncHttpClient(worker);
         transport = transports.apply(caller, this::now);
         if (transport.ticks()) tick(transport::tick);
     }
@@ -87,15 +87,15 @@
     }
 
     @Override
-    public void note(Event e, String detail) {
-        log.note(e, detail);
+    public void logEvent(Event e, String detail) {
+        log.logEvent(e, detail);
     }
 
     public EventLog log() {
         return log;
     }
 
-    public HttpCaller caller() {
+    public AsyncHttpClient caller() {
         return caller;
     }
 
@@ -153,7 +153,7 @@
         try {
             r.run();
         } catch (RuntimeException e) {
-            if (!closed) log.internal(e);
+            if (!closed) log.logInternalError(e);
         }
     }
 
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -28,13 +28,13 @@
         var self =
                 Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
-        router = new Router(host, self, node.seeds(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
+        router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         wire.start(router.directory()::sameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::ready, host::send);
         router.onReading(server::receiveNotice);
         router.onSilence(server::receiveNotice);
         host.tick(router::tick, TICK);
-        log.note(
+        log.logEvent(
                 Event.STARTED,
                 "router zone " + node.zone() + " requester " + node.clientAddress() + " partner " + node.peerAddress());
     }
@@ -55,18 +55,18 @@
     /** Serves what comes until requesters have heard of the leave, then ends what is open; done within the grace. */
     public void stopGently() throws InterruptedException {
         var began = host.now();
-        host.note(Event.STOPPING, server.openRequestCount() + " requests open");
+        host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
         router.unready();
         pause(TELL);
         router.membership().leave(host.now());
-        var serve = began + Math.min(LINGER, node.bounds().grace() * 6 / 10);
+        var serve = began + Math.min(LINGER, node.tolerances().shutdownGrace() * 6 / 10);
         while (host.now() < serve) pause(20_000);
         server.stopListening();
-        var until = began + node.bounds().grace() - MARGIN;
+        var until = began + node.tolerances().shutdownGrace() - MARGIN;
         while (server.unansweredConnectionCount() > 0 && host.now() < until) pause(20_000);
         close();
-        host.note(Event.STOPPED, "router");
+        host.logEvent(Event.STOPPED, "router");
     }
 
     private static void pause(long micros) throws InterruptedException {
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -10,7 +10,7 @@
 import craneway.control.store.Rules;
 import craneway.control.store.Settings;
 import craneway.control.store.Store;
-import craneway.http.Callers;
+import craneway.http.CallerPresence;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
 import craneway.model.node.NodeSettings;
@@ -41,52 +41,52 @@
 
     public PlatformStoreProcess(NodeSettings node, PlatformFormats dialect, EventLog log) {
         made(node);
-        grace = node.bounds().grace();
-        disk = new DiskFolder(node.data(), RESERVE);
+        grace = node.tolerances().shutdownGrace();
+        disk = new DiskFolder(node.dataDirectory(), RESERVE);
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO, THREADS, TICKS, wire);
         var self =
                 Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
-        store = new Store(new Near(node.peerAddress()), disk, self, node.seeds(), rules(node), new SecureRandom());
+        store = new Store(new Near(node.peerAddress()), disk, self, node.seedAddresses(), rules(node), new SecureRandom());
         wire.start(store.directory()::sameOrigin, store::receive);
-        var callers = new Callers(host::now, log);
+        var callers = new CallerPresence(host::now, log);
         host.tick(callers::tick);
         host.listen(
-                node.operator(),
+                node.operatorAddress(),
                 new PlatformOperatorHandler(
                         dialect,
                         new PlatformCommands(store.coreClient()),
-                        node.zones().keySet(),
+                        node.regionByZone().keySet(),
                         host.worker(),
                         callers),
                 CONFIGURATION);
         host.listen(
-                node.directory(),
+                node.directoryAddress(),
                 new RouterAddressHandler(
                         dialect,
-                        new RouterAddresses(store, node.zones()),
-                        node.bounds().mostTtl()),
+                        new RouterAddresses(store, node.regionByZone()),
+                        node.tolerances().maxTtl()),
                 SMALL);
         host.tick(store::tickNode);
         host.tick(this::tickParts);
-        log.note(
-                Event.STARTED, "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.data());
+        log.logEvent(
+                Event.STARTED, "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.dataDirectory());
     }
 
     private static void made(NodeSettings node) {
         try {
-            Files.createDirectories(node.data());
+            Files.createDirectories(node.dataDirectory());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     private Rules rules(NodeSettings node) {
-        var dark = node.beat() * 22 / 10 + 300_000;
-        var settings = new Settings(node.seeds().size(), true, node.firstStart(), dark, FORGOTTEN);
+        var dark = node.runnerHeartbeatInterval() * 22 / 10 + 300_000;
+        var settings = new Settings(node.seedAddresses().size(), true, node.mayBootstrap(), dark, FORGOTTEN);
         return new Rules(
                 settings,
-                Quorum.of(node.losses(), node.zones()),
+                Quorum.of(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
                 p -> host.singleThread("part " + p));
     }
@@ -115,8 +115,8 @@
         }
 
         @Override
-        public void note(Event e, String detail) {
-            host.note(e, detail);
+        public void logEvent(Event e, String detail) {
+            host.logEvent(e, detail);
         }
     }
 
@@ -138,13 +138,13 @@
 
     /** Hands over what this store leads, stays while it is needed, and ends, within the grace. */
     public void stopGently() throws InterruptedException {
-        host.note(Event.STOPPING, "store");
+        host.logEvent(Event.STOPPING, "store");
         var until = host.now() + Math.max(0, grace - MARGIN);
         while (store.leave() && host.now() < until) Thread.sleep(100);
         store.membership().leave(host.now());
         Thread.sleep(LAST_REPLIES);
         close();
-        host.note(Event.STOPPED, "store");
+        host.logEvent(Event.STOPPED, "store");
     }
 
     @Override
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -59,7 +59,7 @@
             router.tick();
             operator.tick(host.now());
         });
-        log.note(
+        log.logEvent(
                 Event.STARTED, "router zone " + s.zone + " requester " + s.clientAddress + " partner " + s.peerAddress);
     }
 
@@ -76,7 +76,7 @@
     }
 
     public void stopGently() throws InterruptedException {
-        host.note(Event.STOPPING, router.executor().open() + " transactions open");
+        host.logEvent(Event.STOPPING, router.executor().open() + " transactions open");
         router.unready();
         pause(READINESS);
         router.executor().stop();
@@ -86,7 +86,7 @@
         host.stopListening();
         pause(LAST_REPLIES);
         close();
-        host.note(Event.STOPPED, "router");
+        host.logEvent(Event.STOPPED, "router");
     }
 
     private static void pause(long micros) throws InterruptedException {
--- a/lib/process/src/main/java/craneway/process/Startup.java
+++ b/lib/process/src/main/java/craneway/process/Startup.java
@@ -96,11 +96,11 @@
         for (var k : List.of("requester", "runner", "operator", "platform", "partner")) {
             if (!n.has(k)) continue;
             var a = n.get(k).asText();
-            if (Addresses.bad(a)) wrong.add(k + " \"" + a + "\" is not IP:PORT");
+            if (Addresses.isInvalid(a)) wrong.add(k + " \"" + a + "\" is not IP:PORT");
             else if (!used.add(a)) wrong.add(k + " " + a + " is used twice");
         }
         for (var s : n.get("seeds"))
-            if (Addresses.bad(s.asText())) wrong.add("seed \"" + s.asText() + "\" is not IP:PORT");
+            if (Addresses.isInvalid(s.asText())) wrong.add("seed \"" + s.asText() + "\" is not IP:PORT");
         if (n.has("data")) folder(Path.of(n.get("data").asText()), wrong);
     }
 
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -45,7 +45,7 @@
             var part = p;
             host.tick(() -> store.tickPart(part));
         }
-        log.note(Event.STARTED, "store zone " + s.zone + " partner " + s.peerAddress + " data " + s.data);
+        log.logEvent(Event.STARTED, "store zone " + s.zone + " partner " + s.peerAddress + " data " + s.data);
     }
 
     private long core() {
@@ -67,7 +67,7 @@
     }
 
     public void stopGently() throws InterruptedException {
-        host.note(Event.STOPPING, "store");
+        host.logEvent(Event.STOPPING, "store");
         stopping = true;
         Thread.sleep(READINESS / 1000);
         var until = host.now() + GRACE;
@@ -76,7 +76,7 @@
         host.stopListening();
         Thread.sleep(LAST_REPLIES);
         close();
-        host.note(Event.STOPPED, "store");
+        host.logEvent(Event.STOPPED, "store");
     }
 
     @Override
--- a/lib/state/src/main/java/craneway/state/part/Election.java
+++ b/lib/state/src/main/java/craneway/state/part/Election.java
@@ -42,7 +42,7 @@
 
     /** Records that the process has just started and schedules the first election. */
     void onStart(long now) {
-        recentlyStartedUntil = now + replica.timing.leaderLease();
+        recentlyStartedUntil = now + replica.timing.leaderLeaseDuration();
         deadline = now + STARTUP_ELECTION_DELAY_MICROS + (long) (random.nextDouble() * STARTUP_ELECTION_DELAY_MICROS);
     }
 
@@ -152,7 +152,7 @@
 
     void onPreVote(PartMessage request, long now) {
         var reply = replica.newMessage(PartMessage.PRE_VOTE_REPLY, request.from, request.term);
-        var hasPriority = now < recentlyStartedUntil + replica.timing.leaderLease() && hasPriority(request);
+        var hasPriority = now < recentlyStartedUntil + replica.timing.leaderLeaseDuration() && hasPriority(request);
         if (hasPriority && replica.role == Role.FOLLOWER) deadline = now;
         reply.recentlyStarted = hasRecentlyStarted(now);
         reply.granted =
--- a/lib/state/src/main/java/craneway/state/part/Follower.java
+++ b/lib/state/src/main/java/craneway/state/part/Follower.java
@@ -109,7 +109,7 @@
 
     private void logRefusal(PartMessage request, String reason) {
         replica.listener.note(
-                Event.SNAPSHOT_REFUSED,
+                Event.SNAPSHOT_REJECTED,
                 "part " + replica.part + " from " + Long.toHexString(request.from) + ": " + reason);
     }
 
--- a/lib/state/src/main/java/craneway/state/part/Group.java
+++ b/lib/state/src/main/java/craneway/state/part/Group.java
@@ -69,7 +69,7 @@
     private void rebuild(Members initialMembers, long now) {
         try {
             var lastIndexBefore = replica.rebuild(initialMembers);
-            logEvent(Event.PART_REBUILT, "continuing after entry " + lastIndexBefore);
+            logEvent(Event.PART_RECOVERED, "continuing after entry " + lastIndexBefore);
         } catch (DiskException e) {
             handleDiskFailure(e, now);
         }
@@ -136,7 +136,7 @@
     public boolean hasLease(long now) {
         return ready()
                 && !leadershipTransfer.isInProgress()
-                && now < replication.lastMajorityContact() + replica.timing.leaderLease();
+                && now < replication.lastMajorityContact() + replica.timing.leaderLeaseDuration();
     }
 
     /** Returns the index up to which a store's log is known to match this leader's log. */
@@ -332,7 +332,7 @@
 
     private void handleDiskFailure(DiskException failure, long now) {
         replica.dropPendingMessages();
-        replica.listener.note(Event.DISK_FAILED, "part " + replica.part + ": " + failure.getMessage());
+        replica.listener.note(Event.DISK_WRITE_FAILED, "part " + replica.part + ": " + failure.getMessage());
         replica.leaderId = 0;
         changeRole(Role.DISK_FAILED, now);
     }
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -89,7 +89,7 @@
     void sendHeartbeats(long now) {
         for (var peerId : otherMembers()) {
             var peer = peers.computeIfAbsent(peerId, key -> newPeer(now));
-            if (peer.lastSentAt == Long.MIN_VALUE || replica.timing.due(peer.lastSentAt, now)) replicateTo(peerId, now);
+            if (peer.lastSentAt == Long.MIN_VALUE || replica.timing.isHeartbeatDue(peer.lastSentAt, now)) replicateTo(peerId, now);
         }
     }
 
--- a/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
@@ -20,16 +20,16 @@
     static CommandResult takeClaim(Rows.Whole rows, Commands.Claim command) {
         var existing = rows.claims.get(command.key);
         if (existing != null && existing.state != Rows.Claim.FREED) return resultForExistingClaim(existing, command);
-        if (rows.claimsLost) return Records.failure(Kind.CLAIMS_LOST, Kind.CLAIMS_LOST.text());
+        if (rows.claimsLost) return Records.failure(ProblemKind.CLAIMS_LOST, ProblemKind.CLAIMS_LOST.text());
         if (existing != null && isSameAttempt(existing, command.holder, command.incarnation, command.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "this try was given back");
+            return Records.failure(ProblemKind.OUTCOME_UNKNOWN, "this try was given back");
         var refusal =
                 ServiceCommands.writeRefusal(rows, command.service, command.unit, command.tableVersion, command.region);
         if (refusal != null) return refusal;
         var member = rows.members.get(command.holder);
         if (member == null || member.lapsed || member.node.incarnation != command.incarnation)
             return Records.failure(
-                    Kind.STALE_MEMBER, command.holder + " holds no lease at incarnation " + command.incarnation);
+                    ProblemKind.STALE_MEMBER, command.holder + " holds no lease at incarnation " + command.incarnation);
         var claim = newClaim(rows, command.holder, command.incarnation, command.attempt);
         claim.unit = command.unit;
         rows.claims.put(command.key, claim);
@@ -53,9 +53,9 @@
         if (claim.state == Rows.Claim.OPEN
                 && isSameAttempt(claim, command.holder, command.incarnation, command.attempt)) return Records.ok();
         return switch (claim.state) {
-            case Rows.Claim.OPEN -> Records.failure(Kind.IN_PROGRESS, Kind.IN_PROGRESS.text());
-            case Rows.Claim.DONE -> Records.failure(Kind.ALREADY_DONE, Kind.ALREADY_DONE.text());
-            default -> Records.failure(Kind.OUTCOME_UNKNOWN, Kind.OUTCOME_UNKNOWN.text());
+            case Rows.Claim.OPEN -> Records.failure(ProblemKind.IN_PROGRESS, ProblemKind.IN_PROGRESS.text());
+            case Rows.Claim.DONE -> Records.failure(ProblemKind.ALREADY_DONE, ProblemKind.ALREADY_DONE.text());
+            default -> Records.failure(ProblemKind.OUTCOME_UNKNOWN, ProblemKind.OUTCOME_UNKNOWN.text());
         };
     }
 
@@ -67,7 +67,7 @@
             rows.claims.put(command.key, claim);
         }
         if (claim == null || !isSameAttempt(claim, command.holder, command.incarnation, command.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "no such claim");
+            return Records.failure(ProblemKind.OUTCOME_UNKNOWN, "no such claim");
         if (claim.state == Rows.Claim.OPEN || claim.state == Rows.Claim.UNKNOWN) claim.state = command.state;
         return Records.ok();
     }
@@ -106,7 +106,7 @@
         var granted = Math.min(command.count, command.limit - quota.used);
         if (granted <= 0) {
             var result = Records.failure(
-                    Kind.QUOTA_SPENT, "tenant " + command.tenant + " used its " + command.limit + " for this minute");
+                    ProblemKind.QUOTA_SPENT, "tenant " + command.tenant + " used its " + command.limit + " for this minute");
             result.retryAfter = untilNextMinute;
             return result;
         }
--- a/lib/state/src/main/java/craneway/state/record/CommandSessions.java
+++ b/lib/state/src/main/java/craneway/state/record/CommandSessions.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -32,7 +32,7 @@
         var session = rows.lives.computeIfAbsent(command.life, id -> new Rows.Life());
         session.index = rows.index;
         if (command.sequence < session.floor)
-            return Records.failure(Kind.LATE_COMMAND, "ask " + command.sequence + " is below " + session.floor);
+            return Records.failure(ProblemKind.LATE_COMMAND, "ask " + command.sequence + " is below " + session.floor);
         var result = handler.apply(Codec.readTagged(command.body));
         session.applied.put(command.sequence, toRecord(result));
         trimResults(session, command.lowest);
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.MarkKey;
 import craneway.state.message.Messages.CommandResult;
@@ -21,7 +21,7 @@
             return acceptedResult(manifest);
         if (command.base != manifest.version)
             return Records.failure(
-                    Kind.RACE_LOST,
+                    ProblemKind.RACE_LOST,
                     "written against version " + command.base + ", in force is version " + manifest.version);
         manifest.base = command.base;
         manifest.number = 0;
@@ -44,11 +44,11 @@
         if (fingerprint.matchesRecorded(command.number, manifest)) return acceptedResult(manifest);
         if (command.base != manifest.known())
             return Records.failure(
-                    Kind.RACE_LOST,
+                    ProblemKind.RACE_LOST,
                     "written against version " + command.base + ", in force is version " + manifest.known());
         if (command.number <= manifest.known())
             return Records.failure(
-                    Kind.BAD_MANIFEST, "version " + command.number + " is not above " + manifest.known());
+                    ProblemKind.BAD_MANIFEST, "version " + command.number + " is not above " + manifest.known());
         manifest.base = command.base;
         manifest.version = Math.max(command.number, manifest.version + 1);
         manifest.number = manifest.version == command.number ? 0 : command.number;
--- a/lib/state/src/main/java/craneway/state/record/MemberCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/MemberCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
@@ -14,7 +14,7 @@
     static CommandResult putMember(Rows.Whole rows, Commands.MemberPut command) {
         var existing = rows.members.get(command.node.name);
         if (existing != null && existing.node.incarnation > command.node.incarnation)
-            return Records.failure(Kind.STALE_MEMBER, Long.toString(existing.node.incarnation));
+            return Records.failure(ProblemKind.STALE_MEMBER, Long.toString(existing.node.incarnation));
         if (existing != null && existing.node.incarnation < command.node.incarnation)
             markOpenClaimsUnknown(rows, command.node.name, command.node.incarnation - 1);
         var member = new Rows.Member();
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Plan;
@@ -13,7 +13,7 @@
     static CommandResult putPlan(Rows.Whole rows, Commands.PlanPut command) {
         var plan = command.plan;
         if (plan.manifestVersion != rows.manifest.version || plan.marksVersion != rows.manifest.marksVersion)
-            return Records.failure(Kind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
+            return Records.failure(ProblemKind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
         plan.id = ++rows.planCount;
         rows.plans.put(plan.id, plan);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
@@ -23,14 +23,14 @@
     /** Confirms a plan: its marks take effect, provided the manifest and the marks are still those it was made for. */
     static CommandResult confirmPlan(Rows.Whole rows, Commands.PlanConfirm command) {
         var plan = rows.plans.get(command.plan);
-        if (plan == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + command.plan);
+        if (plan == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + command.plan);
         if (plan.state == Plan.CONFIRMED) return Records.okWithVersion(plan.confirmedTopic);
         if (plan.state == Plan.STOPPED)
-            return Records.failure(Kind.STALE_PLAN, "plan " + command.plan + " was stopped");
+            return Records.failure(ProblemKind.STALE_PLAN, "plan " + command.plan + " was stopped");
         var manifest = rows.manifest;
         if (plan.manifestVersion != manifest.version || plan.marksVersion != manifest.marksVersion)
             return Records.failure(
-                    Kind.STALE_PLAN,
+                    ProblemKind.STALE_PLAN,
                     "plan " + command.plan + " was made for manifest " + plan.manifestVersion + " and marks "
                             + plan.marksVersion + "; in force are " + manifest.version + " and "
                             + manifest.marksVersion);
@@ -48,10 +48,10 @@
     /** Stops a plan that has not been confirmed. */
     static CommandResult stopPlan(Rows.Whole rows, Commands.PlanStop command) {
         var plan = rows.plans.get(command.plan);
-        if (plan == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + command.plan);
+        if (plan == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + command.plan);
         if (plan.state == Plan.CONFIRMED)
             return Records.failure(
-                    Kind.STALE_PLAN, "plan " + command.plan + " is in force; take it back with an intent");
+                    ProblemKind.STALE_PLAN, "plan " + command.plan + " is in force; take it back with an intent");
         plan.state = Plan.STOPPED;
         plan.cause = command.cause;
         return Records.ok();
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -79,7 +79,7 @@
     private CommandResult handle(Object command) {
         var handler = handlers.get(command.getClass());
         return handler == null
-                ? failure(Kind.BAD_MESSAGE, command.getClass().getSimpleName() + " is no command")
+                ? failure(ProblemKind.BAD_MESSAGE, command.getClass().getSimpleName() + " is no command")
                 : handler.apply(rows, command);
     }
 
@@ -99,11 +99,11 @@
     }
 
     /** Returns a result that reports a problem. The sender may retry after one second if the problem is transient. */
-    public static CommandResult failure(Kind kind, String detail) {
+    public static CommandResult failure(ProblemKind kind, String detail) {
         var result = new CommandResult();
         result.kind = kind.code();
         result.detail = detail;
-        result.retryAfter = kind.transientState() ? 1_000_000 : 0;
+        result.retryAfter = kind.isTransient() ? 1_000_000 : 0;
         return result;
     }
 
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.state.message.Node;
 import craneway.state.message.Plan;
 import java.util.ArrayList;
@@ -83,7 +83,7 @@
         /** The region sets in use, as bits over {@link #regions}. */
         public int[] sets = {};
 
-        /** The number of each unit's home cell, or {@link Table#NOWHERE}. */
+        /** The number of each unit's home cell, or {@link PlacementTable#NOWHERE}. */
         public int[] homes = {};
 
         public TreeMap<String, Runner> runners = new TreeMap<>();
@@ -107,11 +107,11 @@
             return null;
         }
 
-        /** Returns the cell that a unit is displaced to, or {@link Table#NOWHERE}. */
+        /** Returns the cell that a unit is displaced to, or {@link PlacementTable#NOWHERE}. */
         public int displaced(int unit) {
             for (var at = 0; at < displacedUnits.length; at++)
                 if (displacedUnits[at] == unit) return displacedCells[at];
-            return Table.NOWHERE;
+            return PlacementTable.NOWHERE;
         }
 
         /** Returns the weight of a cell, multiplied by the slots of its runners if {@link #bySlots} is set. */
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
@@ -11,10 +11,10 @@
     /** Adds or updates a runner, unless a later incarnation is known or this one is already leaving. */
     static CommandResult putRunner(Rows.Whole rows, Commands.RunnerPut command) {
         var service = rows.services.get(command.service);
-        if (service == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + command.service);
+        if (service == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service);
         var cell = service.cells.indexOf(command.cell);
         if (cell < 0 || !service.live(cell))
-            return Records.failure(Kind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell);
+            return Records.failure(ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell);
         var existing = service.runners.get(command.runner);
         if (existing != null
                 && (existing.incarnation > command.incarnation
@@ -22,7 +22,7 @@
                                 && existing.state == Rows.Runner.LEAVING
                                 && command.state == Rows.Runner.UP))
             return Records.failure(
-                    Kind.STALE_RUNNER,
+                    ProblemKind.STALE_RUNNER,
                     "runner " + command.runner + " is known as " + existing.stateName() + " at incarnation "
                             + existing.incarnation);
         var runner = new Rows.Runner();
@@ -44,11 +44,11 @@
     /** Marks one incarnation of a runner as leaving or dark. */
     static CommandResult markRunner(Rows.Whole rows, Commands.RunnerMark command) {
         var service = rows.services.get(command.service);
-        if (service == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + command.service);
+        if (service == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service);
         var runner = service.runners.get(command.runner);
         if (runner == null || runner.incarnation != command.incarnation)
             return Records.failure(
-                    Kind.STALE_RUNNER, "no runner " + command.runner + " at incarnation " + command.incarnation);
+                    ProblemKind.STALE_RUNNER, "no runner " + command.runner + " at incarnation " + command.incarnation);
         endRunner(rows, service, runner, command.state);
         return Records.ok();
     }
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -1,7 +1,7 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
-import craneway.model.unit.Table;
+import craneway.model.problem.ProblemKind;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -22,7 +22,7 @@
         service.manifestVersion = command.manifestVersion;
         service.bySlots = command.bySlots;
         for (var region : command.regions)
-            if (!service.regions.contains(region) && service.regions.size() < Units.MOST_REGIONS)
+            if (!service.regions.contains(region) && service.regions.size() < Units.MAX_REGIONS)
                 service.regions.add(region);
         service.sets = command.bound.stream()
                 .mapToInt(names -> regionSetOf(service, names))
@@ -32,8 +32,8 @@
             if (!command.cells.contains(service.cells.get(i))) service.weights.set(i, 0);
         for (var i = 0; i < command.cells.size(); i++) putCell(service, command, i);
         var previousHomes = service.homes;
-        service.homes = Arrays.copyOf(previousHomes, Units.count(service.regions.size()));
-        Arrays.fill(service.homes, previousHomes.length, service.homes.length, Table.NOWHERE);
+        service.homes = Arrays.copyOf(previousHomes, Units.unitCount(service.regions.size()));
+        Arrays.fill(service.homes, previousHomes.length, service.homes.length, PlacementTable.NOWHERE);
         service.tableVersion++;
         service.newsVersion = rows.index;
         return Records.ok();
@@ -65,7 +65,7 @@
     static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
-            return Records.failure(Kind.STALE_TABLE, "table moved on");
+            return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         for (var i = 0; i < command.units.length; i++) service.homes[command.units[i]] = command.cells[i];
         service.tableVersion++;
         service.newsVersion = rows.index;
@@ -75,16 +75,16 @@
     /** Returns null if a router of the region may write for the unit at this table version, else the refusal. */
     static CommandResult writeRefusal(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
         var row = rows.services.get(service);
-        if (row == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + service);
+        if (row == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + service);
         if (tableVersion != row.tableVersion) {
             var refusal = Records.failure(
-                    Kind.STALE_TABLE, "table version " + tableVersion + ", in force is " + row.tableVersion);
+                    ProblemKind.STALE_TABLE, "table version " + tableVersion + ", in force is " + row.tableVersion);
             refusal.version = row.tableVersion;
             return refusal;
         }
-        var home = unit < 0 || unit >= row.homes.length ? Table.NOWHERE : row.homes[unit];
-        if (home == Table.NOWHERE || !row.cellRegions.get(home).equals(region))
-            return Records.failure(Kind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
+        var home = unit < 0 || unit >= row.homes.length ? PlacementTable.NOWHERE : row.homes[unit];
+        if (home == PlacementTable.NOWHERE || !row.cellRegions.get(home).equals(region))
+            return Records.failure(ProblemKind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
         return null;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/StepCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/StepCommands.java
@@ -1,7 +1,7 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
-import craneway.model.unit.Table;
+import craneway.model.problem.ProblemKind;
+import craneway.model.unit.PlacementTable;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 import java.util.Arrays;
@@ -17,9 +17,9 @@
     static CommandResult askStep(Rows.Whole rows, Commands.StepAsk command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
-            return Records.failure(Kind.STALE_TABLE, "table moved on");
+            return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         if (service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED))
-            return Records.failure(Kind.STALE_TABLE, "another step is being confirmed");
+            return Records.failure(ProblemKind.STALE_TABLE, "another step is being confirmed");
         var step = new Rows.Step();
         step.id = ++service.stepCount;
         step.units = command.units;
@@ -42,7 +42,7 @@
         var service = rows.services.get(command.service);
         var step = service == null ? null : service.step(command.id);
         if (step == null || !step.may(command.state))
-            return Records.failure(Kind.STALE_TABLE, "the step is " + (step == null ? "unknown" : step.stateName()));
+            return Records.failure(ProblemKind.STALE_TABLE, "the step is " + (step == null ? "unknown" : step.stateName()));
         step.state = command.state;
         if (!command.cause.isEmpty()) step.cause += "; " + command.cause;
         if (command.state == Rows.Step.RAISED) raiseStep(rows, service, step);
@@ -76,25 +76,25 @@
     }
 
     private static void clearDisplacements(Rows.Service service, int[] units) {
-        for (var unit : units) setDisplacement(service, unit, Table.NOWHERE);
+        for (var unit : units) setDisplacement(service, unit, PlacementTable.NOWHERE);
     }
 
     /** Records the cells that units should move to because their own cell is overloaded, or clears them. */
     static CommandResult displaceUnits(Rows.Whole rows, Commands.Displace command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
-            return Records.failure(Kind.STALE_TABLE, "table moved on");
+            return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         for (var i = 0; i < command.units.length; i++) setDisplacement(service, command.units[i], command.cells[i]);
         service.newsVersion = rows.index;
         return Records.ok();
     }
 
-    /** Sets the cell that a unit is displaced to, or clears it if the cell is {@link Table#NOWHERE}. */
+    /** Sets the cell that a unit is displaced to, or clears it if the cell is {@link PlacementTable#NOWHERE}. */
     private static void setDisplacement(Rows.Service service, int unit, int cell) {
         var count = service.displacedUnits.length;
         var position = 0;
         while (position < count && service.displacedUnits[position] != unit) position++;
-        if (cell == Table.NOWHERE) {
+        if (cell == PlacementTable.NOWHERE) {
             if (position == count) return;
             service.displacedUnits[position] = service.displacedUnits[count - 1];
             service.displacedCells[position] = service.displacedCells[count - 1];
--- a/lib/state/src/test/java/craneway/state/record/CommandSessionsTest.java
+++ b/lib/state/src/test/java/craneway/state/record/CommandSessionsTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -56,7 +56,7 @@
         command.plan = 9;
         var first = apply(SESSION_ID, 1, 1, command);
         var copy = apply(SESSION_ID, 1, 1, command);
-        assertEquals(Kind.UNKNOWN_PLAN.code(), first.kind);
+        assertEquals(ProblemKind.UNKNOWN_PLAN.code(), first.kind);
         assertEquals(first.kind, copy.kind);
         assertEquals(first.detail, copy.detail);
         assertEquals(first.retryAfter, copy.retryAfter);
@@ -66,7 +66,7 @@
     void sequenceBelowFloorHasNoEffect() {
         apply(SESSION_ID, 10, 10, zoneMark(false));
         var late = apply(SESSION_ID, 9, 9, zoneMark(true));
-        assertEquals(Kind.LATE_COMMAND.code(), late.kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), late.kind);
         assertFalse(isZoneEmptied());
     }
 
@@ -78,7 +78,7 @@
         assertEquals(2, records.rows().lives.get(SESSION_ID).applied.size());
         assertNull(records.verdict(SESSION_ID, 4));
         assertNotNull(records.verdict(SESSION_ID, 5));
-        assertEquals(Kind.LATE_COMMAND.code(), apply(SESSION_ID, 4, 4, zoneMark(false)).kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), apply(SESSION_ID, 4, 4, zoneMark(false)).kind);
         assertTrue(isZoneEmptied());
     }
 
@@ -88,7 +88,7 @@
         assertEquals(
                 CommandSessions.MAX_RESULTS_PER_SESSION,
                 records.rows().lives.get(SESSION_ID).applied.size());
-        assertEquals(Kind.LATE_COMMAND.code(), apply(SESSION_ID, 1, 1, zoneMark(false)).kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), apply(SESSION_ID, 1, 1, zoneMark(false)).kind);
         assertTrue(isZoneEmptied());
     }
 
@@ -113,7 +113,7 @@
         records = other;
         assertEquals(0, apply(SESSION_ID, 7, 7, zoneMark(true)).kind);
         assertFalse(isZoneEmptied());
-        assertEquals(Kind.LATE_COMMAND.code(), apply(SESSION_ID, 6, 6, zoneMark(true)).kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), apply(SESSION_ID, 6, 6, zoneMark(true)).kind);
     }
 
     @Test
@@ -136,7 +136,7 @@
     void nestedIdentifiedCommandIsRefused() {
         var inner = new Commands.Fenced();
         inner.body = Codec.writeTagged(zoneMark(true));
-        assertEquals(Kind.BAD_MESSAGE.code(), apply(SESSION_ID, 1, 1, inner).kind);
+        assertEquals(ProblemKind.BAD_MESSAGE.code(), apply(SESSION_ID, 1, 1, inner).kind);
         assertFalse(isZoneEmptied());
     }
 
--- a/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
+++ b/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
@@ -1,19 +1,19 @@
 package craneway.transport;
 
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import java.util.function.LongSupplier;
 
 /** Notes bad messages, at most one line a second. */
 final class BadMessageLog {
     private static final long PAUSE = 1_000_000;
 
-    private final Log log;
+    private final EventSink log;
     private final LongSupplier now;
     private long due = Long.MIN_VALUE;
     private int left;
 
-    BadMessageLog(Log log, LongSupplier now) {
+    BadMessageLog(EventSink log, LongSupplier now) {
         this.log = log;
         this.now = now;
     }
@@ -23,7 +23,7 @@
             left++;
             return;
         }
-        log.note(Event.BAD_MESSAGE, left == 0 ? cause : cause + " (and " + left + " others)");
+        log.logEvent(Event.BAD_MESSAGE, left == 0 ? cause : cause + " (and " + left + " others)");
         left = 0;
         due = now.getAsLong() + PAUSE;
     }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -1,7 +1,7 @@
 package craneway.transport;
 
 import craneway.http.HeaderNames;
-import craneway.http.HttpCaller;
+import craneway.http.AsyncHttpClient;
 import craneway.state.message.Codec;
 import io.undertow.client.ClientConnection;
 import io.undertow.util.HeaderMap;
@@ -16,12 +16,12 @@
     private static final int MOST = 4_000, MOST_BYTES = 64 << 20, BATCH_BYTES = 1 << 20;
     private static final long CONNECT_MILLIS = 500, PATIENCE = 2_000_000;
 
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final LongSupplier core;
     private final LongSupplier now;
     private final Map<String, Lane> lanes = new ConcurrentHashMap<>();
 
-    public HttpTransport(HttpCaller caller, LongSupplier core, LongSupplier now) {
+    public HttpTransport(AsyncHttpClient caller, LongSupplier core, LongSupplier now) {
         this.caller = caller;
         this.core = core;
         this.now = now;
@@ -42,11 +42,11 @@
         for (var l : lanes.values()) l.tick();
     }
 
-    private final class Lane implements HttpCaller.Sink {
+    private final class Lane implements AsyncHttpClient.ResponseListener {
         private final String address;
         private final Deque<byte[]> waiting = new ArrayDeque<>();
         private int bytes;
-        private HttpCaller.Call call;
+        private AsyncHttpClient.Call call;
         private ClientConnection kept;
         private long since;
 
@@ -80,7 +80,7 @@
             bytes -= n;
             since = now.getAsLong();
             var body = Codec.write(b);
-            call = caller.keep(
+            call = caller.openPersistent(
                     kept,
                     address,
                     Methods.POST,
@@ -90,8 +90,8 @@
                             HeaderNames.WIRE_VERSION,
                             HeaderNames.CORE,
                             Long.toHexString(core.getAsLong()),
-                            HeaderNames.CHECK,
-                            HeaderNames.check(body)),
+                            HeaderNames.CHECKSUM,
+                            HeaderNames.checksum(body)),
                     body,
                     CONNECT_MILLIS,
                     this);
@@ -104,23 +104,23 @@
         }
 
         @Override
-        public void refused(String cause) {
+        public void onConnectFailure(String cause) {
             over(false);
         }
 
         @Override
-        public void status(int code, HeaderMap headers) {}
+        public void onHeaders(int code, HeaderMap headers) {}
 
         @Override
-        public void chunk(byte[] b) {}
+        public void onChunk(byte[] b) {}
 
         @Override
-        public void end() {
+        public void onEnd() {
             over(true);
         }
 
         @Override
-        public void broken(String cause) {
+        public void onFailure(String cause) {
             over(false);
         }
     }
--- a/lib/transport/src/main/java/craneway/transport/PeerHandler.java
+++ b/lib/transport/src/main/java/craneway/transport/PeerHandler.java
@@ -43,7 +43,7 @@
     }
 
     private void decline(HttpServerExchange x, String cause) {
-        log.note(Event.BAD_MESSAGE, cause);
+        log.logEvent(Event.BAD_MESSAGE, cause);
         x.setStatusCode(403).endExchange();
     }
 
@@ -72,15 +72,15 @@
 
     private void take(HttpServerExchange e, byte[] b) {
         try {
-            if (!HeaderNames.check(b).equals(e.getRequestHeaders().getFirst(HeaderNames.CHECK)))
+            if (!HeaderNames.checksum(b).equals(e.getRequestHeaders().getFirst(HeaderNames.CHECKSUM)))
                 throw new BadMessageException("checksum differs");
             for (var m : Codec.read(MessageBatch.class, b).messages) receive.accept(Codec.readTagged(m));
             e.setStatusCode(204);
         } catch (BadMessageException x) {
-            log.note(Event.BAD_MESSAGE, x.getMessage() + " from " + e.getSourceAddress());
+            log.logEvent(Event.BAD_MESSAGE, x.getMessage() + " from " + e.getSourceAddress());
             e.setStatusCode(400);
         } catch (RuntimeException x) {
-            log.internal(x);
+            log.logInternalError(x);
             e.setStatusCode(500);
         }
         e.endExchange();
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -1,7 +1,7 @@
 package craneway.transport;
 
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import craneway.state.message.BadMessageException;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.Hello;
@@ -55,7 +55,7 @@
     private final String address;
     private final LongSupplier core;
     private final LongSupplier now;
-    private final Log log;
+    private final EventSink log;
     private final BadMessageLog notes;
     private final Selector selector;
     private final DatagramChannel udp;
@@ -75,7 +75,7 @@
     private volatile long datagrams, connections, sent, received;
 
     /** Binds IP:PORT; nothing is received before {@link #start}. The clock counts microseconds and never steps. */
-    public SocketTransport(String address, LongSupplier core, LongSupplier now, Log log) {
+    public SocketTransport(String address, LongSupplier core, LongSupplier now, EventSink log) {
         this.address = address;
         this.core = core;
         this.now = now;
@@ -128,7 +128,7 @@
             udp.close();
             tcp.close();
         } catch (IOException e) {
-            log.note(Event.INTERNAL, "wire: " + e);
+            log.logEvent(Event.INTERNAL_ERROR, "wire: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -139,7 +139,7 @@
             try {
                 turn();
             } catch (IOException | RuntimeException e) {
-                if (!closed) log.note(Event.INTERNAL, "wire: " + e);
+                if (!closed) log.logEvent(Event.INTERNAL_ERROR, "wire: " + e);
             }
         }
         List.copyOf(streams).forEach(Stream::end);
@@ -217,7 +217,7 @@
         try {
             receive.accept(m);
         } catch (RuntimeException e) {
-            log.note(Event.INTERNAL, m.getClass().getSimpleName() + ": " + e);
+            log.logEvent(Event.INTERNAL_ERROR, m.getClass().getSimpleName() + ": " + e);
         }
     }
 
