--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.control.node.Membership.View;
+import craneway.control.node.Membership.CoreView;
 import craneway.data.placement.ColdShare;
 import craneway.data.placement.Placer;
 import craneway.data.placement.Pool;
@@ -39,7 +39,7 @@
 
     private final XnioIoThread io;
     private final LongSupplier now;
-    private final Supplier<View> view;
+    private final Supplier<CoreView> view;
     private final ProtocolNames names;
     private final NodeSettings node;
     private final BiConsumer<String, Object> send;
@@ -61,7 +61,7 @@
     RequestContext(
             XnioIoThread io,
             LongSupplier now,
-            Supplier<View> view,
+            Supplier<CoreView> view,
             NodeSettings node,
             ProtocolNames names,
             EventSink log,
--- a/lib/process/src/main/java/craneway/process/Metrics.java
+++ b/lib/process/src/main/java/craneway/process/Metrics.java
@@ -32,7 +32,7 @@
                         "transactions in this router now",
                         r.executor().open())
                 .counters("verdicts", "verdicts told, by kind", "kind", verdicts)
-                .gauge("manifest_version", MANIFEST, r.membership().view().topic().version)
+                .gauge("manifest_version", MANIFEST, r.membership().view().manifestRow().version)
                 .gauges("table_version", "version of a service's table on this node", "service", tables)
                 .text();
     }
@@ -41,11 +41,11 @@
         var owned = new TreeMap<String, Long>();
         var applied = new TreeMap<String, Long>();
         for (var k : s.replicas()) {
-            owned.put(Integer.toString(k.group().part()), k.leads() ? 1L : 0L);
+            owned.put(Integer.toString(k.group().part()), k.isLeader() ? 1L : 0L);
             applied.put(Integer.toString(k.group().part()), k.group().applied());
         }
         return new MetricsText()
-                .gauge("manifest_version", MANIFEST, s.membership().view().topic().version)
+                .gauge("manifest_version", MANIFEST, s.membership().view().manifestRow().version)
                 .gauges("part_owned", "1 if this store owns the part", "part", owned)
                 .gauges("part_applied", "last log entry applied", "part", applied)
                 .text();
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -29,7 +29,7 @@
                 Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
-        wire.start(router.directory()::sameOrigin, router::receive);
+        wire.start(router.directory()::hasSameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::ready, host::send);
         router.onReading(server::receiveNotice);
         router.onSilence(server::receiveNotice);
@@ -49,7 +49,7 @@
     }
 
     public boolean superseded() {
-        return router.membership().superseded();
+        return router.membership().isSuperseded();
     }
 
     /** Serves what comes until requesters have heard of the leave, then ends what is open; done within the grace. */
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -7,8 +7,8 @@
 import craneway.control.node.Port;
 import craneway.control.operator.PlatformCommands;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
-import craneway.control.store.Settings;
+import craneway.control.store.StoreOptions;
+import craneway.control.store.CoreSettings;
 import craneway.control.store.Store;
 import craneway.http.CallerPresence;
 import craneway.log.EventLog;
@@ -48,7 +48,7 @@
         var self =
                 Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(new Near(node.peerAddress()), disk, self, node.seedAddresses(), rules(node), new SecureRandom());
-        wire.start(store.directory()::sameOrigin, store::receive);
+        wire.start(store.directory()::hasSameOrigin, store::receive);
         var callers = new CallerPresence(host::now, log);
         host.tick(callers::tick);
         host.listen(
@@ -81,12 +81,12 @@
         }
     }
 
-    private Rules rules(NodeSettings node) {
+    private StoreOptions rules(NodeSettings node) {
         var dark = node.runnerHeartbeatInterval() * 22 / 10 + 300_000;
-        var settings = new Settings(node.seedAddresses().size(), true, node.mayBootstrap(), dark, FORGOTTEN);
-        return new Rules(
+        var settings = new CoreSettings(node.seedAddresses().size(), true, node.mayBootstrap(), dark, FORGOTTEN);
+        return new StoreOptions(
                 settings,
-                Quorum.of(node.toleratedMachineLosses(), node.regionByZone()),
+                Quorum.toleratingLosses(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
                 p -> host.singleThread("part " + p));
     }
@@ -133,14 +133,14 @@
     }
 
     public boolean superseded() {
-        return store.membership().superseded();
+        return store.membership().isSuperseded();
     }
 
     /** Hands over what this store leads, stays while it is needed, and ends, within the grace. */
     public void stopGently() throws InterruptedException {
         host.logEvent(Event.STOPPING, "store");
         var until = host.now() + Math.max(0, grace - MARGIN);
-        while (store.leave() && host.now() < until) Thread.sleep(100);
+        while (store.continuePlannedLeave() && host.now() < until) Thread.sleep(100);
         store.membership().leave(host.now());
         Thread.sleep(LAST_REPLIES);
         close();
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -3,7 +3,7 @@
 import craneway.api.operator.OperatorHandler;
 import craneway.api.operator.UsageJson;
 import craneway.api.platform.ReadinessHandler;
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.data.router.Router;
 import craneway.gateway.request.CompletionHandler;
 import craneway.gateway.runner.RunnerHandler;
@@ -25,15 +25,15 @@
 
     private final Host host;
     private final Router router;
-    private final Operator operator;
+    private final OperatorCommands operator;
 
     public RouterProcess(Startup s, EventLog log) {
         host = new Host(log, THREADS, () -> core());
         var self = Node.started(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
         router = new Router(host, self, s.seeds, new SecureRandom());
-        operator = new Operator(host, router.coreClient());
+        operator = new OperatorCommands(host, router.coreClient());
         var forwarded = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
-        var partner = new PeerHandler(this::core, router.directory()::sameOrigin, router::receive, log);
+        var partner = new PeerHandler(this::core, router.directory()::hasSameOrigin, router::receive, log);
         HttpHandler both = x -> (x.getRequestPath().equals("/transaction") ? forwarded : partner).handleRequest(x);
         host.listen(s.peerAddress, both, 80L << 20);
         host.listen(
@@ -72,7 +72,7 @@
     }
 
     public boolean superseded() {
-        return router.membership().superseded();
+        return router.membership().isSuperseded();
     }
 
     public void stopGently() throws InterruptedException {
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -2,7 +2,7 @@
 
 import craneway.api.operator.OperatorHandler;
 import craneway.api.platform.ReadinessHandler;
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.control.store.Store;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
@@ -29,10 +29,10 @@
         host = new Host(log, THREADS, () -> core());
         var self = Node.started(s.name, Node.STORE, s.zone, s.peerAddress, new SecureRandom().nextLong());
         store = new Store(host, disk, self, s.seeds, s.stores, new SecureRandom());
-        var operator = new Operator(host, store.coreClient());
+        var operator = new OperatorCommands(host, store.coreClient());
         host.listen(
                 s.peerAddress,
-                new PeerHandler(this::core, store.directory()::sameOrigin, store::receive, log),
+                new PeerHandler(this::core, store.directory()::hasSameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
                 s.operator, new OperatorHandler(s.name, operator, () -> Metrics.of(store), null, store), MANIFEST_BODY);
@@ -55,7 +55,7 @@
     private boolean ready() {
         return !stopping
                 && store.replicas().length > 0
-                && store.membership().view().leased(0, host.now());
+                && store.membership().view().hasLease(0, host.now());
     }
 
     public Store store() {
@@ -63,7 +63,7 @@
     }
 
     public boolean superseded() {
-        return store.membership().superseded();
+        return store.membership().isSuperseded();
     }
 
     public void stopGently() throws InterruptedException {
@@ -71,7 +71,7 @@
         stopping = true;
         Thread.sleep(READINESS / 1000);
         var until = host.now() + GRACE;
-        while (store.leave() && host.now() < until) Thread.sleep(100);
+        while (store.continuePlannedLeave() && host.now() < until) Thread.sleep(100);
         store.membership().leave(host.now());
         host.stopListening();
         Thread.sleep(LAST_REPLIES);
--- a/lib/process/src/test/java/craneway/process/WireCoreTest.java
+++ b/lib/process/src/test/java/craneway/process/WireCoreTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
+import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
 import craneway.log.EventLog;
 import craneway.model.unit.Parts;
@@ -44,7 +44,7 @@
         final SocketTransport wire;
         final Host host;
         final Store store;
-        final Operator operator;
+        final OperatorCommands operator;
 
         One(String name, String address, List<String> seeds) throws IOException {
             this.address = address;
@@ -53,11 +53,11 @@
             wire = new SocketTransport(address, this::core, () -> System.nanoTime() / 1000, log);
             host = new Host(log, 4, wire);
             var part = host.singleThread("parts");
-            var rules = new Rules(3, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> part);
+            var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> part);
             store = new Store(
                     host, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, rules, new Random());
-            operator = new Operator(host, store.coreClient());
-            wire.start(store.directory()::sameOrigin, store::receive);
+            operator = new OperatorCommands(host, store.coreClient());
+            wire.start(store.directory()::hasSameOrigin, store::receive);
             host.tick(() -> {
                 store.tick();
                 operator.tick(host.now());
@@ -70,7 +70,7 @@
 
         CommandResult status(int part) throws Exception {
             var f = new CompletableFuture<CommandResult>();
-            store.coreClient().ask(part, new Queries.Status(), 20_000_000, f::complete);
+            store.coreClient().request(part, new Queries.Status(), 20_000_000, f::complete);
             return f.get(30, TimeUnit.SECONDS);
         }
     }
@@ -104,7 +104,7 @@
         var taken = new CompletableFuture<Long>();
         ones.get(1)
                 .operator
-                .send(0, text, r -> taken.complete(r.isRight() ? r.get().version() : -1L));
+                .putManifest(0, text, r -> taken.complete(r.isRight() ? r.get().version() : -1L));
         assertTrue(taken.get(30, TimeUnit.SECONDS) > 0);
         for (var o : ones) assertTrue(o.wire.counts().datagrams() > 0);
     }
