--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerTiming.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AnswerTiming.java
@@ -27,7 +27,7 @@
     void tellSlow(RequestContext all, IncomingRequest request, long sentAt, int sent, String choice) {
         if (!slow(request.route, request.begun)) return;
         all.slow(request.route.name() + " " + about(request.begun, sentAt) + ", sent " + sent + ", tokens "
-                + request.prompt.in() + ", " + choice);
+                + request.prompt.promptTokens() + ", " + choice);
     }
 
     private String about(long begun, long sentAt) {
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.data.placement.Placer;
+import craneway.data.placement.RunnerPlacer;
 import craneway.data.placement.Prompt;
 import craneway.model.manifest.Route;
 import craneway.model.unit.Hash;
@@ -29,7 +29,7 @@
         this.begun = begun;
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
-        prompt = Prompt.of(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
+        prompt = Prompt.parse(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
         service = route.selectService(Hash.of(tryId == null ? "" : tryId));
         deadline = begun + Math.min(route.deadline(), millis(headers.getFirst(names.deadlineMs()), route.deadline()));
     }
@@ -44,7 +44,7 @@
     }
 
     /** The head for this runner; {@code stream} is null unless another run of it is to go on. */
-    RequestHead head(Placer.Choice choice, long now, StreamRelay stream) {
+    RequestHead head(RunnerPlacer.Placement choice, long now, StreamRelay stream) {
         var query = exchange.getQueryString();
         var path = query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
         var method = exchange.getRequestMethod();
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestContext.java
@@ -1,9 +1,9 @@
 package craneway.gateway.proxy;
 
 import craneway.control.node.Membership.CoreView;
-import craneway.data.placement.ColdShare;
-import craneway.data.placement.Placer;
-import craneway.data.placement.Pool;
+import craneway.data.placement.ColdRunnerLimiter;
+import craneway.data.placement.RunnerPlacer;
+import craneway.data.placement.RunnerPool;
 import craneway.data.placement.Prompt;
 import craneway.data.placement.RetryBudget;
 import craneway.data.placement.RunnerView;
@@ -46,8 +46,8 @@
     private final EventSink log;
     private final RunnerConnections connections;
     private final ClientConnections clients;
-    private final Pool pool = new Pool();
-    private final Placer placer;
+    private final RunnerPool pool = new RunnerPool();
+    private final RunnerPlacer placer;
     private final RetryBudget budget;
     private final Set<RequestExchange> open = new HashSet<>();
     private final Notices notices;
@@ -76,7 +76,7 @@
         notices = new Notices(now);
         connections = new RunnerConnections(io, now);
         clients = new ClientConnections(now);
-        placer = new Placer(pool, new ColdShare(node.name()), node.zone(), node.region());
+        placer = new RunnerPlacer(pool, new ColdRunnerLimiter(node.name()), node.zone(), node.region());
         var b = node.tolerances();
         budget = new RetryBudget(b.retryWindow(), b.retryRatio(), b.retrySlack());
     }
@@ -105,7 +105,7 @@
                 swept = t;
                 connections.sweep();
                 clients.look(limits());
-                if (pool.view() != null && pool.view().manifest() != null) pool.seat(t);
+                if (pool.view() != null && pool.view().manifest() != null) pool.assignRunnerRoles(t);
             }
         } finally {
             if (!closed) nextLook();
@@ -120,7 +120,7 @@
         return names;
     }
 
-    Placer placer() {
+    RunnerPlacer placer() {
         return placer;
     }
 
@@ -142,7 +142,7 @@
         return v == null || v.manifest() == null ? null : v.manifest().limits();
     }
 
-    Pool pool() {
+    RunnerPool pool() {
         return pool;
     }
 
@@ -156,7 +156,7 @@
 
     /** Brings what is known of the runners up to date, before one is chosen. */
     void refresh() {
-        pool.follow(view.get());
+        pool.applyView(view.get());
         notices.take(this::heard, this::heard);
     }
 
@@ -185,7 +185,7 @@
         var all = header.split(",");
         if (all.length < 2) return;
         try {
-            r.reported(Integer.parseInt(all[0].trim()), Integer.parseInt(all[1].trim()), now());
+            r.recordLoadReport(Integer.parseInt(all[0].trim()), Integer.parseInt(all[1].trim()), now());
         } catch (NumberFormatException e) {
             log.logEvent(Event.BAD_MESSAGE, "load of " + r.id() + ": " + header);
         }
@@ -198,46 +198,46 @@
     }
 
     /** Tells the routers that use this runner what it has to read. */
-    void tell(Placer.Choice c, Prompt p) {
-        if (c.read() < TOLD) return;
+    void tell(RunnerPlacer.Placement c, Prompt p) {
+        if (c.prefillTokens() < TOLD) return;
         var m = new Reading();
         m.runner = c.runner().id();
-        m.tokens = c.read();
-        m.parts = p.sharedIds();
-        m.sizes = p.sharedSizes();
-        for (var a : pool.peers(node.name(), c.runner().region, node.region())) send.accept(a, m);
+        m.tokens = c.prefillTokens();
+        m.parts = p.sharedPartIds();
+        m.sizes = p.sharedPartTokens();
+        for (var a : pool.peerRouterAddresses(node.name(), c.runner().region, node.region())) send.accept(a, m);
     }
 
     private void heard(Reading m, long at) {
-        var r = pool.named(m.runner);
+        var r = pool.findRunner(m.runner);
         if (r == null || m.tokens <= 0) return;
-        pool.told(r, m.tokens, at);
-        r.keeps(m.parts, m.sizes);
+        pool.recordPrefill(r, m.tokens, at);
+        r.recordCachedParts(m.parts, m.sizes);
     }
 
     /** This router's requests hear nothing from it: the others had better not send it theirs. */
     void silent(RunnerView r) {
         var t = now();
-        if (!r.suspected(t)) {
+        if (!r.isSuspected(t)) {
             var m = new Silence();
             m.runner = r.id();
-            for (var a : pool.peers(node.name(), r.region, node.region())) send.accept(a, m);
+            for (var a : pool.peerRouterAddresses(node.name(), r.region, node.region())) send.accept(a, m);
         }
-        r.suspect(t);
+        r.markSuspected(t);
     }
 
     private void heard(Silence m, long at) {
-        var r = pool.named(m.runner);
-        if (r != null && at - r.heardAt() > LATELY) r.suspect(at);
+        var r = pool.findRunner(m.runner);
+        if (r != null && at - r.lastHeardAt() > LATELY) r.markSuspected(at);
     }
 
     /** Another life has this address. */
     void misdirected(RunnerView r) {
-        r.gone();
+        r.markReplaced();
     }
 
     void broke(RunnerView r, String cause) {
-        r.broke(now());
+        r.recordBrokenConnection(now());
     }
 
     /** Seconds until it is worth coming back. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.data.placement.Placer;
+import craneway.data.placement.RunnerPlacer;
 import craneway.model.event.Event;
 import craneway.model.manifest.Route;
 import io.undertow.server.HttpServerExchange;
@@ -27,7 +27,7 @@
     private final AnswerTiming timing = new AnswerTiming();
     private final Set<String> tried = new HashSet<>();
     private ExchangeState state = ExchangeState.PLACING;
-    private Placer.Choice choice;
+    private RunnerPlacer.Placement choice;
     private RunnerCall call;
     private long sentAt;
     private String about = "";
@@ -48,7 +48,7 @@
     void begin() {
         all.add(this);
         var now = all.now();
-        all.budget().request(now);
+        all.budget().recordRequest(now);
         timer = all.after(request.deadline - now, this::late);
         place();
     }
@@ -61,16 +61,16 @@
             giveUp(StatusCodes.BAD_GATEWAY, "no further try is left");
             return;
         }
-        var c = all.placer().choose(route, request.service, request.prompt, tried, now);
+        var c = all.placer().selectRunner(route, request.service, request.prompt, tried, now);
         if (c == null) waitOrDecline(now);
-        else if (all.placer().crowds(c, now) && now - request.begun < route.firstChunkTarget() * 4 / 10 && attempts.sent() == 0)
+        else if (all.placer().shouldWait(c, now) && now - request.begun < route.firstChunkTarget() * 4 / 10 && attempts.sent() == 0)
             wake = all.after(AGAIN, this::place);
         else send(c, now);
     }
 
     private boolean mayAgain(long now) {
         return attempts.sent() < route.maxAttempts()
-                && all.budget().take(all.placer().routers().size(), now);
+                && all.budget().tryAcquire(all.placer().servingRouters().size(), now);
     }
 
     private void waitOrDecline(long now) {
@@ -87,18 +87,18 @@
     }
 
     private long patience() {
-        return all.pool().knows(request.service) ? Math.max(100_000, route.firstChunkTarget() / 4) : STARTING;
+        return all.pool().hasService(request.service) ? Math.max(100_000, route.firstChunkTarget() / 4) : STARTING;
     }
 
-    private void send(Placer.Choice c, long now) {
+    private void send(RunnerPlacer.Placement c, long now) {
         choice = c;
         attempts.begin();
         tried.add(c.runner().id());
         state = ExchangeState.SENT;
         sentAt = now;
-        all.placer().started(c, request.prompt, now);
+        all.placer().recordStart(c, request.prompt, now);
         all.tell(c, request.prompt);
-        about = c.about();
+        about = c.describe();
         call = new RunnerCall(
                 all.connections(),
                 c.runner().address(),
@@ -110,14 +110,14 @@
 
     private void release() {
         if (choice == null) return;
-        all.placer().ended(choice, request.prompt);
+        all.placer().recordEnd(choice, request.prompt);
         choice = null;
     }
 
     private void heard() {
         var now = all.now();
         timing.heard(now);
-        choice.runner().heard(now);
+        choice.runner().recordHeard(now);
     }
 
     /** Looks whether the client still waits and the runner still speaks. */
@@ -144,10 +144,10 @@
 
     private void elsewhere(long now) {
         if (attempts.sent() >= route.maxAttempts()) return;
-        var c = all.placer().choose(route, request.service, request.prompt, tried, now);
+        var c = all.placer().selectRunner(route, request.service, request.prompt, tried, now);
         if (c == null
-                || c.runner().suspected(now)
-                || !all.budget().take(all.placer().routers().size(), now)) return;
+                || c.runner().isSuspected(now)
+                || !all.budget().tryAcquire(all.placer().servingRouters().size(), now)) return;
         call.cancel();
         release();
         if (answer.begun()) answer.resume();
@@ -232,9 +232,9 @@
     }
 
     private final class Heard implements RunnerCall.Sink {
-        private final Placer.Choice mine;
+        private final RunnerPlacer.Placement mine;
 
-        Heard(Placer.Choice mine) {
+        Heard(RunnerPlacer.Placement mine) {
             this.mine = mine;
         }
 
@@ -245,7 +245,7 @@
         @Override
         public void refused(String cause) {
             if (stale()) return;
-            mine.runner().suspect(all.now());
+            mine.runner().markSuspected(all.now());
             attempts.neverLeft();
             notRun();
         }
@@ -259,7 +259,7 @@
                 foreign();
                 return;
             }
-            choice.runner().heard(all.now());
+            choice.runner().recordHeard(all.now());
             all.load(choice.runner(), h.getFirst(n.runnerLoad()));
             if (verdict == AnswerVerdict.NOT_RUN) {
                 if (status == AnswerVerdict.MISDIRECTED && !answer.expectsVersion()) all.misdirected(choice.runner());
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerSilence.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerSilence.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.data.placement.Placer;
+import craneway.data.placement.RunnerPlacer;
 
 /** When a runner that has a request counts as silent. Times are microseconds. Decides without I/O. */
 final class RunnerSilence {
@@ -12,14 +12,14 @@
     /**
      * Whether a runner that has not begun to answer has been silent for too long; one that spoke to another request since is not.
      */
-    static boolean beforeItsAnswer(Placer.Choice choice, long sentAt, long now) {
-        var bound = FIRST + 2 * choice.cost();
-        var heardAt = choice.runner().heardAt();
+    static boolean beforeItsAnswer(RunnerPlacer.Placement choice, long sentAt, long now) {
+        var bound = FIRST + 2 * choice.costMicros();
+        var heardAt = choice.runner().lastHeardAt();
         return now - sentAt >= bound && now - heardAt >= bound && heardAt <= sentAt;
     }
 
     /** Whether a runner that has begun to answer has been silent for too long, to this request and to all others. */
-    static boolean withinItsAnswer(Placer.Choice choice, long heardAt, long now) {
-        return now - heardAt >= GAP && now - choice.runner().heardAt() >= GAP;
+    static boolean withinItsAnswer(RunnerPlacer.Placement choice, long heardAt, long now) {
+        return now - heardAt >= GAP && now - choice.runner().lastHeardAt() >= GAP;
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
@@ -59,7 +59,7 @@
             var t = RequestParser.parse(
                     IDS.incrementAndGet(), x.getRequestHeaders(), body, forwarded, this::deadlineOf, now.getAsLong());
             if (t.isLeft()) {
-                router.executor().counts().verdict(t.getLeft().kind());
+                router.requestExecutor().counters().countProblem(t.getLeft().kind());
                 JsonResponses.sendProblem(x, t.getLeft());
                 return;
             }
@@ -78,14 +78,14 @@
     private void run(HttpServerExchange x, Request t) throws InterruptedException {
         var name = router.directory().self().name;
         var line = new UndertowExchange(x, caller, name);
-        var p = new RequestRelay(t, router.executor(), router.loads(), now, name, line);
+        var p = new RequestRelay(t, router.requestExecutor(), router.runnerLoads(), now, name, line);
         current(x).set(t.id());
-        p.begin();
+        p.start();
         try {
-            line.run(p::over, () -> router.executor().gone(t.id()));
+            line.run(p::isFinished, () -> router.requestExecutor().onClientDisconnected(t.id()));
         } finally {
             current(x).set(0);
-            if (!p.over()) router.executor().gone(t.id());
+            if (!p.isFinished()) router.requestExecutor().onClientDisconnected(t.id());
         }
     }
 
@@ -95,7 +95,7 @@
         if (a != null) return a;
         var made = new AtomicLong();
         c.putAttachment(CURRENT, made);
-        c.addCloseListener(y -> router.executor().gone(made.get()));
+        c.addCloseListener(y -> router.requestExecutor().onClientDisconnected(made.get()));
         return made;
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -61,43 +61,43 @@
     }
 
     @Override
-    public void later(Runnable step) {
+    public void runLater(Runnable step) {
         box.add(step);
     }
 
     @Override
-    public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
+    public OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
         var h = new HashMap<HttpString, String>();
         headers.forEach((k, v) -> h.put(new HttpString(k), v));
         var call = caller.open(address, Methods.POST, path, h, body, CONNECT_MILLIS, new AsyncHttpClient.ResponseListener() {
             @Override
             public void onConnectFailure(String cause) {
-                sink.refused();
+                sink.onRefused();
             }
 
             @Override
             public void onHeaders(int code, HeaderMap map) {
-                sink.status(code, plain(map));
+                sink.onStatus(code, plain(map));
             }
 
             @Override
             public void onChunk(byte[] b) {
-                sink.chunk(b);
+                sink.onChunk(b);
             }
 
             @Override
             public void onEnd() {
-                sink.end();
+                sink.onEnd();
             }
 
             @Override
             public void onFailure(String cause) {
-                sink.broken();
+                sink.onBroken();
             }
         });
-        return new Call() {
+        return new OutgoingCall() {
             @Override
-            public void took() {
+            public void acknowledgeChunk() {
                 call.chunkConsumed();
             }
 
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void start() {
+    public void startResponse() {
         x.setStatusCode(200);
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
         x.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public boolean write(byte[] b) {
+    public boolean writeChunk(byte[] b) {
         try {
             var o = x.getOutputStream();
             o.write(b);
@@ -136,18 +136,18 @@
     }
 
     @Override
-    public void whole() {
+    public void endResponse() {
         x.endExchange();
     }
 
     @Override
-    public void verdict(Problem p) {
+    public void sendProblem(Problem p) {
         JsonResponses.sendProblem(x, p);
     }
 
     @Override
-    public void cut(Problem p, boolean started) {
-        if (started) write(("\n\nevent: error\ndata: " + JsonResponses.problemJson(p) + "\n\n").getBytes(StandardCharsets.UTF_8));
+    public void abortResponse(Problem p, boolean started) {
+        if (started) writeChunk(("\n\nevent: error\ndata: " + JsonResponses.problemJson(p) + "\n\n").getBytes(StandardCharsets.UTF_8));
         IoUtils.safeClose(x.getConnection());
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -79,13 +79,13 @@
                             "an announcement needs service, name, cell, address as IP:PORT, slots from 1 and load from 0"));
             return;
         }
-        router.announce(a, reply(x));
+        router.announceRunner(a, reply(x));
     }
 
     private void leave(HttpServerExchange x, Leave l) {
         if (blank(l.service) || blank(l.name))
             JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_FIELD, "a leave needs service, name and incarnation"));
-        else router.leave(l.service, l.name, l.incarnation, reply(x));
+        else router.markRunnerLeaving(l.service, l.name, l.incarnation, reply(x));
     }
 
     private static boolean blank(String s) {
