--- a/lib/state/src/main/java/craneway/state/disk/RecordCodec.java
+++ b/lib/state/src/main/java/craneway/state/disk/RecordCodec.java
@@ -4,81 +4,91 @@
 import java.util.zip.CRC32C;
 
 /**
- * Writes and reads the records of one segment. Each says how many bytes of the segment were known to be synced when it
- * was written, so a whole record proves that all bytes before that length were whole on the disk. The checksum covers the
- * segment's nonce and the record's place too: bytes of another segment or place are no record.
+ * Encodes and decodes the records of one segment. Each record states how many bytes of the segment were known to be
+ * synced when it was written, so a valid record proves that the bytes before that length were intact on disk.
+ *
+ * <p>The checksum also covers the segment's nonce and the record's offset, so bytes from another segment or offset are
+ * not accepted as a record.
  */
 final class RecordCodec {
-    static final int HEAD = 33;
-    private static final int MOST = 64 << 20;
-    private static final int SUM_AT = 4;
-    private static final int TYPE_AT = 8;
-    private static final int INDEX_AT = 9;
-    private static final int TERM_AT = 17;
-    private static final int KIND_AT = 25;
-    private static final int SYNCED_AT = 29;
+    /** The bytes of a record before its body. */
+    static final int HEADER_BYTES = 33;
+    /** A size field above this is treated as damage. */
+    private static final int MAX_RECORD_BYTES = 64 << 20;
 
-    private final CRC32C sum = new CRC32C();
-    private final ByteBuffer place = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
+    private static final int CHECKSUM_OFFSET = 4;
+    private static final int TYPE_OFFSET = 8;
+    private static final int INDEX_OFFSET = 9;
+    private static final int TERM_OFFSET = 17;
+    private static final int ENTRY_TYPE_OFFSET = 25;
+    private static final int SYNCED_BYTES_OFFSET = 29;
+
+    private final CRC32C checksum = new CRC32C();
+    private final ByteBuffer nonceAndOffset = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
 
     RecordCodec(long nonce) {
-        place.putLong(0, nonce);
+        nonceAndOffset.putLong(0, nonce);
     }
 
-    static int size(LogRecord r) {
-        return HEAD + r.body().length;
+    /** Returns the encoded size of a record in bytes. */
+    static int recordSize(LogRecord record) {
+        return HEADER_BYTES + record.body().length;
     }
 
-    byte[] encode(LogRecord r, int offset, int synced) {
-        var b = ByteBuffer.allocate(size(r));
-        b.putInt(0, b.capacity())
-                .put(TYPE_AT, r.type())
-                .putLong(INDEX_AT, r.index())
-                .putLong(TERM_AT, r.term())
-                .putInt(KIND_AT, r.kind())
-                .putInt(SYNCED_AT, synced)
-                .put(HEAD, r.body());
-        b.putInt(SUM_AT, sum(b.array(), 0, b.capacity(), offset));
-        return b.array();
+    /** Encodes a record for the given offset of the segment. */
+    byte[] encode(LogRecord record, int offset, int syncedBytes) {
+        var buffer = ByteBuffer.allocate(recordSize(record));
+        buffer.putInt(0, buffer.capacity())
+                .put(TYPE_OFFSET, record.recordType())
+                .putLong(INDEX_OFFSET, record.index())
+                .putLong(TERM_OFFSET, record.term())
+                .putInt(ENTRY_TYPE_OFFSET, record.entryType())
+                .putInt(SYNCED_BYTES_OFFSET, syncedBytes)
+                .put(HEADER_BYTES, record.body());
+        buffer.putInt(CHECKSUM_OFFSET, checksum(buffer.array(), 0, buffer.capacity(), offset));
+        return buffer.array();
     }
 
-    boolean valid(ByteBuffer file, int at) {
-        if (at + HEAD > file.limit()) return false;
-        var size = size(file, at);
-        if (size < HEAD || size > MOST || size > file.limit() - at) return false;
-        var type = file.get(at + TYPE_AT);
-        return type >= RecordView.HARD
-                && type <= RecordView.CUT
-                && file.getInt(at + SUM_AT) == sum(file.array(), at, size, at);
+    /** Returns whether a complete record with a correct checksum starts at the offset. */
+    boolean isValid(ByteBuffer file, int offset) {
+        if (offset + HEADER_BYTES > file.limit()) return false;
+        var size = recordSize(file, offset);
+        if (size < HEADER_BYTES || size > MAX_RECORD_BYTES || size > file.limit() - offset) return false;
+        var recordType = file.get(offset + TYPE_OFFSET);
+        return recordType >= LegacyRecord.TERM_AND_VOTE
+                && recordType <= LegacyRecord.TRUNCATION
+                && file.getInt(offset + CHECKSUM_OFFSET) == checksum(file.array(), offset, size, offset);
     }
 
-    /** Whether a whole record at a place proves that more than the given length was synced. */
-    boolean provesMoreThan(int length, ByteBuffer file, int at) {
-        if (at + HEAD > file.limit()) return false;
-        var synced = file.getInt(at + SYNCED_AT);
-        return synced > length && synced <= at && valid(file, at);
+    /** Returns whether a valid record at the offset proves that more than the given number of bytes was synced. */
+    boolean provesSyncedBeyond(int length, ByteBuffer file, int offset) {
+        if (offset + HEADER_BYTES > file.limit()) return false;
+        var syncedBytes = file.getInt(offset + SYNCED_BYTES_OFFSET);
+        return syncedBytes > length && syncedBytes <= offset && isValid(file, offset);
     }
 
-    static int size(ByteBuffer file, int at) {
-        return file.getInt(at);
+    /** Returns the size that the record at the offset states, unchecked. */
+    static int recordSize(ByteBuffer file, int offset) {
+        return file.getInt(offset);
     }
 
-    static LogRecord decode(ByteBuffer file, int at) {
-        var body = new byte[size(file, at) - HEAD];
-        file.get(at + HEAD, body);
+    /** Decodes the valid record at the offset. */
+    static LogRecord decode(ByteBuffer file, int offset) {
+        var body = new byte[recordSize(file, offset) - HEADER_BYTES];
+        file.get(offset + HEADER_BYTES, body);
         return new LogRecord(
-                file.get(at + TYPE_AT),
-                file.getLong(at + INDEX_AT),
-                file.getLong(at + TERM_AT),
-                file.getInt(at + KIND_AT),
+                file.get(offset + TYPE_OFFSET),
+                file.getLong(offset + INDEX_OFFSET),
+                file.getLong(offset + TERM_OFFSET),
+                file.getInt(offset + ENTRY_TYPE_OFFSET),
                 body);
     }
 
-    private int sum(byte[] bytes, int at, int size, int offset) {
-        place.putInt(Long.BYTES, offset);
-        sum.reset();
-        sum.update(place.array(), 0, place.capacity());
-        sum.update(bytes, at + TYPE_AT, size - TYPE_AT);
-        return (int) sum.getValue();
+    private int checksum(byte[] bytes, int start, int size, int offset) {
+        nonceAndOffset.putInt(Long.BYTES, offset);
+        checksum.reset();
+        checksum.update(nonceAndOffset.array(), 0, nonceAndOffset.capacity());
+        checksum.update(bytes, start + TYPE_OFFSET, size - TYPE_OFFSET);
+        return (int) checksum.getValue();
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Replica.java
+++ b/lib/state/src/main/java/craneway/state/part/Replica.java
@@ -9,175 +9,183 @@
 import java.util.function.Supplier;
 
 /**
- * What the duties of one group share: the log, the members in force, what is committed and applied, the role, and the messages
- * that wait for the next sync.
+ * The state that the components of one group share: the log, the membership, the commit and applied indexes, the role,
+ * and the messages waiting for the next sync.
  */
 final class Replica {
-    /** Takes up a role, also the one it has. */
+    /** Changes the role of the group. */
     interface RoleChange {
-        void become(Role to, long now);
+        /** Enters a role, which may be the current one. */
+        void changeRole(Role newRole, long now);
     }
 
     /**
-     * What the duties ask of the group as a whole.
+     * Callbacks by which the components affect the group as a whole.
      *
-     * @param roles takes up a role
-     * @param afterCommit is run when the commit index was looked at; it may have risen
+     * @param roleChange enters a role
+     * @param commitObserver is run each time the commit index was checked, whether or not it rose
      */
-    record Transitions(RoleChange roles, Runnable afterCommit) {
-        void become(Role to, long now) {
-            roles.become(to, now);
+    record Transitions(RoleChange roleChange, Runnable commitObserver) {
+        void changeRole(Role newRole, long now) {
+            roleChange.changeRole(newRole, now);
         }
 
-        void committed() {
-            afterCommit.run();
+        void notifyCommitChecked() {
+            commitObserver.run();
         }
     }
 
-    /** So many applied entries at most lie behind a snapshot. */
-    private static final int ENTRIES = 4_096;
+    /** A snapshot is taken once the log holds this many applied entries. */
+    private static final int MAX_APPLIED_ENTRIES_IN_LOG = 4_096;
 
     final int part;
-    final long self;
-    final StateMachine machine;
-    final GroupListener out;
+    final long selfId;
+    final StateMachine stateMachine;
+    final GroupListener listener;
     final TimingProfile timing;
     final Transitions transitions;
-    final MembershipLog membership;
-    private final Supplier<SegmentLog> opening;
-    private final List<PartMessage> pending = new ArrayList<>();
+    final MembershipLog membershipLog;
+    private final Supplier<SegmentLog> logOpener;
+    private final List<PartMessage> pendingMessages = new ArrayList<>();
     SegmentLog log;
     Role role = Role.FOLLOWER;
-    long leader;
-    long heardLeaderAt;
-    long commit;
-    long applied;
+    long leaderId;
+    long lastLeaderContactAt;
+    long commitIndex;
+    long appliedIndex;
 
     Replica(
             int part,
-            long self,
-            Supplier<SegmentLog> opening,
-            Members first,
-            StateMachine machine,
-            GroupListener out,
+            long selfId,
+            Supplier<SegmentLog> logOpener,
+            Members initialMembers,
+            StateMachine stateMachine,
+            GroupListener listener,
             TimingProfile timing,
             Transitions transitions) {
         this.part = part;
-        this.self = self;
-        this.opening = opening;
-        this.machine = machine;
-        this.out = out;
+        this.selfId = selfId;
+        this.logOpener = logOpener;
+        this.stateMachine = stateMachine;
+        this.listener = listener;
         this.timing = timing;
         this.transitions = transitions;
-        membership = new MembershipLog(first);
+        membershipLog = new MembershipLog(initialMembers);
     }
 
-    /** Reads the log and its snapshot from disk; nothing behind the snapshot counts as committed. */
+    /** Reads the log and its snapshot from disk. No entry after the snapshot counts as committed yet. */
     void open(long now) {
-        log = opening.get();
-        pending.clear();
-        leader = 0;
-        heardLeaderAt = now;
-        machine.load(log.snapshot() == null ? null : log.snapshot().body);
-        commit = log.first() - 1;
-        applied = commit;
-        membership.find(log);
+        log = logOpener.get();
+        pendingMessages.clear();
+        leaderId = 0;
+        lastLeaderContactAt = now;
+        stateMachine.load(log.snapshot() == null ? null : log.snapshot().body);
+        commitIndex = log.first() - 1;
+        appliedIndex = commitIndex;
+        membershipLog.reload(log);
     }
 
     Members members() {
-        return membership.members();
+        return membershipLog.members();
     }
 
-    PartMessage message(int kind, long to) {
-        return message(kind, to, log.term());
+    PartMessage newMessage(int kind, long to) {
+        return newMessage(kind, to, log.term());
     }
 
-    PartMessage message(int kind, long to, long term) {
-        var m = new PartMessage();
-        m.part = part;
-        m.kind = kind;
-        m.from = self;
-        m.to = to;
-        m.term = term;
-        return m;
+    PartMessage newMessage(int kind, long to, long term) {
+        var message = new PartMessage();
+        message.part = part;
+        message.kind = kind;
+        message.from = selfId;
+        message.to = to;
+        message.term = term;
+        return message;
     }
 
-    /** Sends a message once the log is synced. */
-    void send(PartMessage m) {
-        pending.add(m);
+    /** Queues a message that is sent after the next sync of the log. */
+    void sendAfterSync(PartMessage message) {
+        pendingMessages.add(message);
     }
 
-    void sendPending() {
-        var all = List.copyOf(pending);
-        pending.clear();
-        all.forEach(out::send);
+    void sendPendingMessages() {
+        var messages = List.copyOf(pendingMessages);
+        pendingMessages.clear();
+        messages.forEach(listener::send);
     }
 
-    void dropPending() {
-        pending.clear();
+    void dropPendingMessages() {
+        pendingMessages.clear();
     }
 
-    /** Appends an entry of the current term. */
+    /** Appends an entry of the current term and returns its index. */
     long append(int type, byte[] body) {
-        var e = new Entry(log.last() + 1, log.term(), type, body);
-        append(e);
-        return e.index;
+        var entry = new Entry(log.last() + 1, log.term(), type, body);
+        append(entry);
+        return entry.index;
     }
 
-    void append(Entry e) {
-        log.append(e);
-        membership.appended(e);
+    void append(Entry entry) {
+        log.append(entry);
+        membershipLog.onAppend(entry);
     }
 
-    /** Cuts entries that another leader's take the place of. */
-    void cutFrom(long index) {
+    /** Removes the entries from an index on, which conflict with the leader's log. */
+    void truncateFrom(long index) {
         log.cutFrom(index);
-        membership.find(log);
+        membershipLog.reload(log);
     }
 
-    void commitTo(long to) {
-        commit = Math.max(commit, Math.min(to, log.last()));
-        while (applied < commit) {
-            var e = log.at(applied + 1);
-            applied++;
-            var result = e.type == Entry.COMMAND ? machine.apply(e.index, e.body) : null;
-            out.applied(e.index, e.term, result);
+    /** Raises the commit index, at most to the end of the log, and applies the newly committed entries. */
+    void commitTo(long index) {
+        commitIndex = Math.max(commitIndex, Math.min(index, log.last()));
+        while (appliedIndex < commitIndex) {
+            var entry = log.at(appliedIndex + 1);
+            appliedIndex++;
+            var result = entry.type == Entry.COMMAND ? stateMachine.apply(entry.index, entry.body) : null;
+            listener.applied(entry.index, entry.term, result);
         }
-        transitions.committed();
+        transitions.notifyCommitChecked();
     }
 
-    /** Goes on from this log alone with other members, as a new generation of the core; the last entry before that. */
-    long rebuild(Members alone) {
-        log.saveTermAndVote(log.term() + 1, self);
-        append(Entry.MEMBERSHIP, Codec.write(alone));
+    /**
+     * Continues from this log alone with new members, as a new generation of the core. Returns the last index before
+     * the rebuild.
+     */
+    long rebuild(Members newMembers) {
+        log.saveTermAndVote(log.term() + 1, selfId);
+        append(Entry.MEMBERSHIP, Codec.write(newMembers));
         append(Entry.COMMAND, Codec.writeTagged(new Commands.Rebuilt()));
         log.sync();
         return log.last() - 2;
     }
 
-    /** Writes a snapshot of what is applied and cuts the log behind it, once the log is long; whether it did. */
-    boolean compact() {
-        var entries = applied - log.first() + 1;
-        var due = log.needsSnapshot() && entries > 1 || entries >= ENTRIES;
-        if (due) takeSnapshot();
-        return due;
+    /**
+     * Takes a snapshot of the applied state and truncates the log behind it once the log is long. Returns whether it
+     * did.
+     */
+    boolean compactIfDue() {
+        var appliedEntries = appliedIndex - log.first() + 1;
+        var isDue = log.needsSnapshot() && appliedEntries > 1 || appliedEntries >= MAX_APPLIED_ENTRIES_IN_LOG;
+        if (isDue) takeSnapshot();
+        return isDue;
     }
 
     private void takeSnapshot() {
-        var i = new Snapshot();
-        i.index = applied;
-        i.term = log.termAt(applied);
-        i.members = membership.at(log, applied);
-        i.body = machine.snapshot();
-        log.install(i);
+        var snapshot = new Snapshot();
+        snapshot.index = appliedIndex;
+        snapshot.term = log.termAt(appliedIndex);
+        snapshot.members = membershipLog.membersAt(log, appliedIndex);
+        snapshot.body = stateMachine.snapshot();
+        log.install(snapshot);
     }
 
-    /** Goes on from a snapshot of the leader's. */
-    void install(Snapshot snapshot) {
+    /** Replaces the state with a snapshot received from the leader. */
+    void installSnapshot(Snapshot snapshot) {
         log.install(snapshot);
-        machine.load(snapshot.body);
-        applied = snapshot.index;
-        commit = applied;
-        membership.find(log);
+        stateMachine.load(snapshot.body);
+        appliedIndex = snapshot.index;
+        commitIndex = appliedIndex;
+        membershipLog.reload(log);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -7,208 +7,221 @@
 import java.util.Map;
 
 /**
- * A leader's side of replication: it sends each peer the entries it lacks, or the snapshot where the log no longer has them, and
- * beats; it counts an entry of its own term as committed once a majority has synced it.
+ * The leader's side of replication. It sends each peer the entries it is missing, or the snapshot if the log no longer
+ * holds them, and heartbeats. An entry of the current term is committed once a majority has synced it.
  */
 final class Replication {
-    private static final int BATCH = 256;
-    private static final int BATCH_BYTES = 256 << 10;
-    private static final int LARGE = 1_000;
+    private static final int MAX_ENTRIES_PER_APPEND = 256;
+    private static final int MAX_BYTES_PER_APPEND = 256 << 10;
+    /** An append with more bytes than this is followed by heartbeats only until it is answered or times out. */
+    private static final int LARGE_APPEND_BYTES = 1_000;
 
     private final Replica replica;
     private final Map<Long, Peer> peers = new HashMap<>();
-    private EncodedSnapshot encoded;
+    private EncodedSnapshot encodedSnapshot;
 
     Replication(Replica replica) {
         this.replica = replica;
     }
 
-    /** Begins a term as its leader, as if half of the patience had passed since a majority was heard. */
-    void begin(long now) {
+    /**
+     * Starts a term as leader. Every peer is treated as last heard half an election timeout ago, so that a leader that
+     * reaches no majority steps down soon.
+     */
+    void startTerm(long now) {
         peers.clear();
-        for (var id : others()) {
-            var p = newPeer(now);
-            p.acknowledgedStamp = now - replica.timing.electionTimeout() / 2;
-            peers.put(id, p);
+        for (var peerId : otherMembers()) {
+            var peer = newPeer(now);
+            peer.lastAcknowledgedSendAt = now - replica.timing.electionTimeout() / 2;
+            peers.put(peerId, peer);
         }
     }
 
     private Peer newPeer(long now) {
-        var last = replica.log.last();
-        return new Peer(last + 1, new CatchUp(replica.timing.electionTimeout(), last, now), now);
+        var lastIndex = replica.log.last();
+        return new Peer(lastIndex + 1, new CatchUpTracker(replica.timing.electionTimeout(), lastIndex, now), now);
     }
 
-    /** The term as leader is over. */
-    void end() {
-        peers.values().forEach(p -> p.snapshot = null);
-        encoded = null;
+    /** Ends the term as leader and drops running snapshot transfers. */
+    void endTerm() {
+        peers.values().forEach(peer -> peer.snapshotSender = null);
+        encodedSnapshot = null;
     }
 
-    List<Long> others() {
-        var m = replica.members();
-        var all = new ArrayList<Long>();
-        for (var v : m.voters) if (v != replica.self) all.add(v);
-        if (m.learner != 0 && m.learner != replica.self) all.add(m.learner);
-        return all;
+    List<Long> otherMembers() {
+        var members = replica.members();
+        var others = new ArrayList<Long>();
+        for (var voterId : members.voters) if (voterId != replica.selfId) others.add(voterId);
+        if (members.learner != 0 && members.learner != replica.selfId) others.add(members.learner);
+        return others;
     }
 
-    long matchOf(long id) {
-        var p = peers.get(id);
-        return p == null ? 0 : p.match;
+    long matchIndexOf(long peerId) {
+        var peer = peers.get(peerId);
+        return peer == null ? 0 : peer.matchIndex;
     }
 
-    long heardFrom(long id) {
-        var p = peers.get(id);
-        return p == null ? 0 : p.heardAt;
+    long lastHeardAt(long peerId) {
+        var peer = peers.get(peerId);
+        return peer == null ? 0 : peer.lastHeardAt;
     }
 
-    boolean caughtUp(long id, long now) {
-        var p = peers.get(id);
-        return p != null && p.catchUp.done(now);
+    boolean isCaughtUp(long peerId, long now) {
+        var peer = peers.get(peerId);
+        return peer != null && peer.catchUpTracker.isCaughtUp(now);
     }
 
-    /** When the latest messages were sent that a majority, this store included, has answered. */
-    long majorityContact() {
-        var m = replica.members();
-        var stamps = new long[m.voters.length];
-        for (var i = 0; i < stamps.length; i++) {
-            var p = peers.get(m.voters[i]);
-            var stamp = p == null ? Long.MIN_VALUE / 2 : Math.max(p.acknowledgedStamp, Long.MIN_VALUE / 2);
-            stamps[i] = m.voters[i] == replica.self ? Long.MAX_VALUE : stamp;
+    /** Returns the send time of the latest messages that a majority, including this store, has answered. */
+    long lastMajorityContact() {
+        var members = replica.members();
+        var contacts = new long[members.voters.length];
+        for (var i = 0; i < contacts.length; i++) {
+            var peer = peers.get(members.voters[i]);
+            var contact = peer == null ? Long.MIN_VALUE / 2 : Math.max(peer.lastAcknowledgedSendAt, Long.MIN_VALUE / 2);
+            contacts[i] = members.voters[i] == replica.selfId ? Long.MAX_VALUE : contact;
         }
-        Arrays.sort(stamps);
-        var contact = stamps[stamps.length - m.majority()];
-        return contact == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : contact;
+        Arrays.sort(contacts);
+        var majorityContact = contacts[contacts.length - members.majority()];
+        return majorityContact == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : majorityContact;
     }
 
-    /** Sends to each peer whose beat is due. */
-    void beat(long now) {
-        for (var id : others()) {
-            var p = peers.computeIfAbsent(id, k -> newPeer(now));
-            if (p.sentAt == Long.MIN_VALUE || replica.timing.isHeartbeatDue(p.sentAt, now)) replicate(id, now);
+    /** Sends to every peer whose heartbeat is due. */
+    void sendHeartbeats(long now) {
+        for (var peerId : otherMembers()) {
+            var peer = peers.computeIfAbsent(peerId, key -> newPeer(now));
+            if (peer.lastSentAt == Long.MIN_VALUE || replica.timing.isHeartbeatDue(peer.lastSentAt, now)) replicateTo(peerId, now);
         }
     }
 
-    /** Sends to each peer that lacks entries. */
-    void feedBehind(long now) {
-        for (var id : others()) {
-            var p = peers.get(id);
-            if (p != null && p.behind(replica.log.last(), now)) replicate(id, now);
+    /** Sends to every peer that is missing entries and may receive them now. */
+    void replicateToLagging(long now) {
+        for (var peerId : otherMembers()) {
+            var peer = peers.get(peerId);
+            if (peer != null && peer.canSendEntries(replica.log.last(), now)) replicateTo(peerId, now);
         }
     }
 
-    /** Sends to all. */
-    void feedAll(long now) {
-        others().forEach(id -> replicate(id, now));
+    /** Sends to every other member. */
+    void replicateToAll(long now) {
+        otherMembers().forEach(peerId -> replicateTo(peerId, now));
     }
 
-    private void replicate(long id, long now) {
-        var p = peers.get(id);
-        p.sentAt = now;
-        var needsSnapshot = p.next < replica.log.first();
-        if (p.snapshot != null || p.awaitsLarge(now) || needsSnapshot && !p.replied) {
-            replica.send(append(id, Math.max(p.match, replica.log.first() - 1), now));
-            if (p.snapshot != null) sendPieces(id, p, now);
+    private void replicateTo(long peerId, long now) {
+        var peer = peers.get(peerId);
+        peer.lastSentAt = now;
+        var needsSnapshot = peer.nextIndex < replica.log.first();
+        if (peer.snapshotSender != null || peer.awaitsLargeMessageReply(now) || needsSnapshot && !peer.hasReplied) {
+            replica.sendAfterSync(newAppendRequest(peerId, Math.max(peer.matchIndex, replica.log.first() - 1), now));
+            if (peer.snapshotSender != null) sendPieces(peerId, peer, now);
         } else if (needsSnapshot) {
-            sendSnapshot(id, p, now);
+            sendSnapshot(peerId, peer, now);
         } else {
-            sendEntries(id, p, now);
+            sendEntries(peerId, peer, now);
         }
     }
 
-    private void sendEntries(long id, Peer p, long now) {
-        var m = append(id, p.next - 1, now);
-        var bytes = 0;
-        for (var i = p.next; i <= replica.log.last() && m.entries.size() < BATCH; i++) {
-            var length = replica.log.at(i).body.length;
-            if (bytes > 0 && bytes + length > BATCH_BYTES) break;
-            m.entries.add(replica.log.at(i));
-            bytes += length;
+    private void sendEntries(long peerId, Peer peer, long now) {
+        var request = newAppendRequest(peerId, peer.nextIndex - 1, now);
+        var entryBytes = 0;
+        for (var index = peer.nextIndex;
+                index <= replica.log.last() && request.entries.size() < MAX_ENTRIES_PER_APPEND;
+                index++) {
+            var bodyBytes = replica.log.at(index).body.length;
+            if (entryBytes > 0 && entryBytes + bodyBytes > MAX_BYTES_PER_APPEND) break;
+            request.entries.add(replica.log.at(index));
+            entryBytes += bodyBytes;
         }
-        p.next += m.entries.size();
-        replica.send(m);
-        if (bytes > LARGE) p.sendsLarge(p.next - 1, bytes, now);
+        peer.nextIndex += request.entries.size();
+        replica.sendAfterSync(request);
+        if (entryBytes > LARGE_APPEND_BYTES) peer.onLargeMessageSent(peer.nextIndex - 1, entryBytes, now);
     }
 
-    /** In pieces to a peer that reads them; whole where it is small or the peer is of an earlier version. */
-    private void sendSnapshot(long id, Peer p, long now) {
+    /**
+     * Sends the snapshot in pieces to a peer that supports them, and whole if it fits in one piece or the peer runs an
+     * earlier version.
+     */
+    private void sendSnapshot(long peerId, Peer peer, long now) {
         var snapshot = replica.log.snapshot();
-        if (encoded == null || !encoded.of(snapshot)) encoded = new EncodedSnapshot(snapshot);
-        if (p.readsPieces && !encoded.small()) {
-            p.snapshot = new SnapshotSender(encoded, now);
-            sendPieces(id, p, now);
+        if (encodedSnapshot == null || !encodedSnapshot.isEncodingOf(snapshot))
+            encodedSnapshot = new EncodedSnapshot(snapshot);
+        if (peer.supportsSnapshotPieces && !encodedSnapshot.fitsInOnePiece()) {
+            peer.snapshotSender = new SnapshotSender(encodedSnapshot, now);
+            sendPieces(peerId, peer, now);
             return;
         }
-        var m = replica.message(PartMessage.SNAPSHOT, id);
-        m.wholeSnapshot = snapshot;
-        m.stamp = now;
-        replica.send(m);
-        p.sendsLarge(snapshot.index, snapshot.body.length, now);
-    }
-
-    private void sendPieces(long id, Peer p, long now) {
-        for (var piece : p.snapshot.due(now)) {
-            var m = replica.message(PartMessage.SNAPSHOT_PIECE, id);
-            m.snapshot = piece;
-            m.stamp = now;
-            replica.send(m);
+        var message = replica.newMessage(PartMessage.SNAPSHOT, peerId);
+        message.wholeSnapshot = snapshot;
+        message.stamp = now;
+        replica.sendAfterSync(message);
+        peer.onLargeMessageSent(snapshot.index, snapshot.body.length, now);
+    }
+
+    private void sendPieces(long peerId, Peer peer, long now) {
+        for (var piece : peer.snapshotSender.nextPieces(now)) {
+            var message = replica.newMessage(PartMessage.SNAPSHOT_PIECE, peerId);
+            message.snapshot = piece;
+            message.stamp = now;
+            replica.sendAfterSync(message);
         }
     }
 
-    private void endTransfer(Peer p) {
-        p.snapshot = null;
-        if (peers.values().stream().allMatch(other -> other.snapshot == null)) encoded = null;
+    private void endSnapshotTransfer(Peer peer) {
+        peer.snapshotSender = null;
+        if (peers.values().stream().allMatch(other -> other.snapshotSender == null)) encodedSnapshot = null;
     }
 
-    private PartMessage append(long id, long after, long now) {
-        var m = replica.message(PartMessage.APPEND, id);
-        m.index = after;
-        m.logTerm = replica.log.termAt(after);
-        m.commit = replica.commit;
-        m.stamp = now;
-        return m;
+    private PartMessage newAppendRequest(long peerId, long previousIndex, long now) {
+        var request = replica.newMessage(PartMessage.APPEND, peerId);
+        request.index = previousIndex;
+        request.logTerm = replica.log.termAt(previousIndex);
+        request.commit = replica.commitIndex;
+        request.stamp = now;
+        return request;
     }
 
-    private Peer answering(PartMessage m, long now) {
-        if (replica.role != Role.LEADER || m.term != replica.log.term()) return null;
-        var p = peers.get(m.from);
-        if (p == null) return null;
-        var wasAway = now - p.heardAt > replica.timing.electionTimeout();
-        p.heard(m, now);
-        if (wasAway && p.snapshot != null) p.snapshot.peerIsBack(now);
-        if (!p.readsPieces && p.snapshot != null) endTransfer(p);
-        return p;
+    private Peer recordReply(PartMessage reply, long now) {
+        if (replica.role != Role.LEADER || reply.term != replica.log.term()) return null;
+        var peer = peers.get(reply.from);
+        if (peer == null) return null;
+        var wasAway = now - peer.lastHeardAt > replica.timing.electionTimeout();
+        peer.onReply(reply, now);
+        if (wasAway && peer.snapshotSender != null) peer.snapshotSender.onPeerReturned(now);
+        if (!peer.supportsSnapshotPieces && peer.snapshotSender != null) endSnapshotTransfer(peer);
+        return peer;
     }
 
-    void onAppendReply(PartMessage m, long now) {
-        var p = answering(m, now);
-        if (p == null) return;
-        if (m.granted) p.matched(m.index, replica.log.last(), now);
-        else p.refused(m, now);
-        if (p.snapshot != null && p.match >= p.snapshot.index()) endTransfer(p);
-        advance();
-        if (replica.role == Role.LEADER && p.behind(replica.log.last(), now)) replicate(m.from, now);
+    void onAppendReply(PartMessage reply, long now) {
+        var peer = recordReply(reply, now);
+        if (peer == null) return;
+        if (reply.granted) peer.onMatch(reply.index, replica.log.last(), now);
+        else peer.onAppendRefused(reply, now);
+        if (peer.snapshotSender != null && peer.matchIndex >= peer.snapshotSender.index()) endSnapshotTransfer(peer);
+        advanceCommitIndex();
+        if (replica.role == Role.LEADER && peer.canSendEntries(replica.log.last(), now)) replicateTo(reply.from, now);
     }
 
-    void snapshotPieceReply(PartMessage m, long now) {
-        var p = answering(m, now);
-        if (p == null || p.snapshot == null || m.snapshot == null) return;
-        if (m.granted) p.snapshot.held(m.snapshot, now);
-        else p.snapshot.refused(m.snapshot, m.stamp, now);
-        sendPieces(m.from, p, now);
+    void onSnapshotPieceReply(PartMessage reply, long now) {
+        var peer = recordReply(reply, now);
+        if (peer == null || peer.snapshotSender == null || reply.snapshot == null) return;
+        if (reply.granted) peer.snapshotSender.onPieceAccepted(reply.snapshot, now);
+        else peer.snapshotSender.onPieceRefused(reply.snapshot, reply.stamp, now);
+        sendPieces(reply.from, peer, now);
     }
 
-    /** Commits what a majority has synced, this store's own unsynced entries left out. */
-    void advance() {
-        var m = replica.members();
+    /**
+     * Commits the entries that a majority has synced. This store's own entries do not count while they are unsynced.
+     */
+    void advanceCommitIndex() {
+        var members = replica.members();
         var log = replica.log;
-        var match = new long[m.voters.length];
-        for (var i = 0; i < match.length; i++) {
-            var own = log.dirty() ? 0 : log.last();
-            match[i] = m.voters[i] == replica.self ? own : matchOf(m.voters[i]);
+        var matchIndexes = new long[members.voters.length];
+        for (var i = 0; i < matchIndexes.length; i++) {
+            var ownSyncedIndex = log.dirty() ? 0 : log.last();
+            matchIndexes[i] = members.voters[i] == replica.selfId ? ownSyncedIndex : matchIndexOf(members.voters[i]);
         }
-        Arrays.sort(match);
-        var held = match[match.length - m.majority()];
-        if (held > replica.commit && log.termAt(held) == log.term()) replica.commitTo(held);
+        Arrays.sort(matchIndexes);
+        var majorityIndex = matchIndexes[matchIndexes.length - members.majority()];
+        if (majorityIndex > replica.commitIndex && log.termAt(majorityIndex) == log.term())
+            replica.commitTo(majorityIndex);
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -9,57 +9,71 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 
-/** The replicated state of a part: applies committed commands, each family by a handler of its own. */
+/**
+ * The replicated state of one part. It applies committed commands to the {@link Rows}, each kind of command by its own
+ * handler. It is not thread-safe.
+ */
 public final class Records implements StateMachine {
-    private static final long REBUILT = 1_000;
+    /**
+     * Versions are raised by this much on a rebuild, so that they exceed every version that the lost members may have
+     * published.
+     */
+    private static final long REBUILD_VERSION_INCREMENT = 1_000;
 
     private final Map<Class<?>, BiFunction<Rows.Whole, Object, CommandResult>> handlers = new HashMap<>();
     private Rows.Whole rows = new Rows.Whole();
 
+    /** Creates an empty state and registers the command handlers. */
     public Records() {
-        on(Commands.MemberPut.class, MemberCommands::memberPut);
-        on(Commands.MemberLapsed.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, false));
-        on(Commands.MemberGone.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, true));
-        on(Commands.ManifestPut.class, ManifestCommands::manifestPut);
-        on(Commands.ServiceSync.class, ServiceCommands::serviceSync);
-        on(Commands.RunnerPut.class, RunnerCommands::runnerPut);
-        on(Commands.RunnerMark.class, RunnerCommands::runnerMark);
-        on(Commands.RunnerLeft.class, RunnerCommands::runnerLeft);
-        on(Commands.Claim.class, ClaimCommands::claim);
-        on(Commands.Finish.class, ClaimCommands::finish);
-        on(Commands.Age.class, ClaimCommands::age);
-        on(Commands.TableStep.class, ServiceCommands::tableStep);
-        on(Commands.StepAsk.class, Steps::ask);
-        on(Commands.StepMark.class, Steps::mark);
-        on(Commands.Displace.class, Steps::displace);
-        on(Commands.Rebuilt.class, (r, c) -> rebuilt(r));
-        on(Commands.ClaimsAccepted.class, (r, c) -> ClaimCommands.claimsAccepted(r));
-        on(Commands.ZoneMark.class, ManifestCommands::zoneMark);
-        on(Commands.PlanPut.class, PlanCommands::planPut);
-        on(Commands.PlanConfirm.class, PlanCommands::planConfirm);
-        on(Commands.PlanStop.class, PlanCommands::planStop);
-        on(Commands.QuotaTake.class, ClaimCommands::quotaTake);
+        register(Commands.MemberPut.class, MemberCommands::putMember);
+        register(Commands.MemberLapsed.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, false));
+        register(Commands.MemberGone.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, true));
+        register(Commands.ManifestPut.class, ManifestCommands::putManifest);
+        register(Commands.ServiceSync.class, ServiceCommands::syncService);
+        register(Commands.RunnerPut.class, RunnerCommands::putRunner);
+        register(Commands.RunnerMark.class, RunnerCommands::markRunner);
+        register(Commands.RunnerLeft.class, RunnerCommands::markRunnerLeft);
+        register(Commands.Claim.class, ClaimCommands::takeClaim);
+        register(Commands.Finish.class, ClaimCommands::finishClaim);
+        register(Commands.Age.class, ClaimCommands::advanceAge);
+        register(Commands.TableStep.class, ServiceCommands::applyTableStep);
+        register(Commands.StepAsk.class, StepCommands::askStep);
+        register(Commands.StepMark.class, StepCommands::markStep);
+        register(Commands.Displace.class, StepCommands::displaceUnits);
+        register(Commands.Rebuilt.class, (r, c) -> onRebuilt(r));
+        register(Commands.ClaimsAccepted.class, (r, c) -> ClaimCommands.acceptClaims(r));
+        register(Commands.ZoneMark.class, ManifestCommands::markZone);
+        register(Commands.PlanPut.class, PlanCommands::putPlan);
+        register(Commands.PlanConfirm.class, PlanCommands::confirmPlan);
+        register(Commands.PlanStop.class, PlanCommands::stopPlan);
+        register(Commands.QuotaTake.class, ClaimCommands::takeQuota);
     }
 
     @SuppressWarnings("unchecked")
-    private <C> void on(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
-        handlers.put(type, (r, o) -> handler.apply(r, (C) o));
+    private <C> void register(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
+        handlers.put(type, (rows, command) -> handler.apply(rows, (C) command));
     }
 
+    /** Returns the current rows; callers must not change them. */
     public Rows.Whole rows() {
         return rows;
     }
 
-    /** What the command of this identity came to; null where it is not known to be applied. */
-    public CommandResult verdict(long life, long sequence) {
-        return Lives.verdict(rows, life, sequence);
+    /**
+     * Returns the recorded result of a command identified by the sending session and its sequence number, or null if no
+     * such command is known to be applied.
+     */
+    public CommandResult verdict(long sessionId, long sequence) {
+        return CommandSessions.recordedResult(rows, sessionId, sequence);
     }
 
     @Override
     public CommandResult apply(long index, byte[] command) {
         rows.index = index;
-        var c = Codec.readTagged(command);
-        return c instanceof Commands.Fenced f ? Lives.once(rows, f, this::handle) : handle(c);
+        var decoded = Codec.readTagged(command);
+        return decoded instanceof Commands.Fenced identified
+                ? CommandSessions.applyOnce(rows, identified, this::handle)
+                : handle(decoded);
     }
 
     private CommandResult handle(Object command) {
@@ -79,37 +93,39 @@
         rows = snapshot == null ? new Rows.Whole() : Codec.read(Rows.Whole.class, snapshot);
     }
 
+    /** Returns a result that reports success. */
     public static CommandResult ok() {
         return new CommandResult();
     }
 
+    /** Returns a result that reports a problem. The sender may retry after one second if the problem is transient. */
     public static CommandResult failure(ProblemKind kind, String detail) {
-        var v = new CommandResult();
-        v.kind = kind.code();
-        v.detail = detail;
-        v.retryAfter = kind.isTransient() ? 1_000_000 : 0;
-        return v;
+        var result = new CommandResult();
+        result.kind = kind.code();
+        result.detail = detail;
+        result.retryAfter = kind.isTransient() ? 1_000_000 : 0;
+        return result;
     }
 
-    static CommandResult versioned(long version) {
-        var v = ok();
-        v.version = version;
-        return v;
+    static CommandResult okWithVersion(long version) {
+        var result = ok();
+        result.version = version;
+        return result;
     }
 
-    private static CommandResult rebuilt(Rows.Whole rows) {
+    private static CommandResult onRebuilt(Rows.Whole rows) {
         rows.claimsLost = true;
         rows.lostSince = rows.age;
-        rows.claims.values().forEach(c -> {
-            if (c.state == Rows.Claim.OPEN) c.state = Rows.Claim.UNKNOWN;
+        rows.claims.values().forEach(claim -> {
+            if (claim.state == Rows.Claim.OPEN) claim.state = Rows.Claim.UNKNOWN;
         });
-        var m = rows.manifest;
-        if (m.number == 0 && m.taken.containsKey(m.version)) m.number = m.version;
-        m.version += m.version == 0 ? 0 : REBUILT;
-        m.topicVersion = rows.index;
-        for (var s : rows.services.values()) {
-            s.tableVersion += REBUILT;
-            s.newsVersion = rows.index;
+        var manifest = rows.manifest;
+        if (manifest.number == 0 && manifest.taken.containsKey(manifest.version)) manifest.number = manifest.version;
+        manifest.version += manifest.version == 0 ? 0 : REBUILD_VERSION_INCREMENT;
+        manifest.topicVersion = rows.index;
+        for (var service : rows.services.values()) {
+            service.tableVersion += REBUILD_VERSION_INCREMENT;
+            service.newsVersion = rows.index;
         }
         return ok();
     }
