--- a/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
@@ -143,7 +143,7 @@
     }
 
     private boolean isEligible(Route route, RunnerView runner) {
-        return runner.registration.up()
+        return runner.registration.isUp()
                 && !runner.replaced
                 && !pool.isZoneEmptied(runner.zone)
                 && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(runner.region));
@@ -175,7 +175,7 @@
 
     private static String homeZoneOfUnit(Rows.Service service, int regionSet, Prompt prompt) {
         var unit = regionSet * Units.SLICE_COUNT + prompt.unitSlice();
-        var cell = unit < service.homes.length ? service.homes[unit] : PlacementTable.NOWHERE;
+        var cell = unit < service.homeCells.length ? service.homeCells[unit] : PlacementTable.NOWHERE;
         return cell == PlacementTable.NOWHERE ? null : service.zones.get(cell);
     }
 
--- a/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
@@ -93,7 +93,7 @@
             var regionSets = view.manifest().routes().regionSetsOf(service);
             var runnersByZone = new HashMap<String, List<RunnerView>>();
             for (var runner : serviceRunners)
-                if (runner.registration.up())
+                if (runner.registration.isUp())
                     runnersByZone
                             .computeIfAbsent(runner.zone, k -> new ArrayList<>())
                             .add(runner);
--- a/lib/data/src/main/java/craneway/data/request/RequestDecider.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestDecider.java
@@ -66,7 +66,7 @@
         if (work.runOnce() && request.idempotencyKey().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
         if (request.body().length > service.maxBodyBytes()) return decline(ProblemKind.TOO_LARGE);
         var serviceState = view.services().get(request.service());
-        if (serviceState == null || serviceState.homes.length == 0)
+        if (serviceState == null || serviceState.homeCells.length == 0)
             return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
         return decideByHome(view, request, service, serviceState, work.runOnce(), excluded, closedSince, now);
     }
@@ -83,7 +83,7 @@
         var regionSet = allowedRegionSet(view, request, serviceState);
         if (regionSet == 0) return decline(ProblemKind.NO_HOME_REGION);
         var unit = Units.unitOf(regionSet, request.tenant());
-        var homeCell = serviceState.homes[unit];
+        var homeCell = serviceState.homeCells[unit];
         if (homeCell == PlacementTable.NOWHERE)
             return canMoveToRunner(view, serviceState, unit)
                     ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
@@ -174,7 +174,7 @@
         var cellName = serviceState.cells.get(homeCell);
         var candidates = new ArrayList<Rows.Runner>();
         for (var runner : serviceState.runners.values())
-            if (runner.up()
+            if (runner.isUp()
                     && runner.cell.equals(cellName)
                     && !excluded.contains(runner.name)
                     && loads.isUsable(runner, now)
@@ -203,7 +203,7 @@
         var serviceState = view.services().get(request.service());
         var current = serviceState == null ? null : serviceState.runners.get(runner.name);
         if (current == null
-                || !current.up()
+                || !current.isUp()
                 || current.incarnation != runner.incarnation
                 || !loads.isUsable(current, now)) return false;
         if (isDrained(serviceState, serviceState.cells.indexOf(current.cell), view, closedSince, now)) return false;
@@ -225,19 +225,19 @@
             CoreView view, Rows.Service serviceState, int homeCell, int unit, Set<String> excluded) {
         var homeCellName = serviceState.cells.get(homeCell);
         for (var runner : serviceState.runners.values())
-            if (runner.up() && runner.cell.equals(homeCellName) && !excluded.contains(runner.name)) return true;
-        return serviceState.runnersUp(homeCell) == 0 && canMoveToRunner(view, serviceState, unit);
+            if (runner.isUp() && runner.cell.equals(homeCellName) && !excluded.contains(runner.name)) return true;
+        return serviceState.countRunnersUp(homeCell) == 0 && canMoveToRunner(view, serviceState, unit);
     }
 
     /** Returns whether an open cell within the unit's region set has a runner that is up. */
     private static boolean canMoveToRunner(CoreView view, Rows.Service serviceState, int unit) {
         var closedCells = UnitMover.closedCells(serviceState, view.manifestRow().marks);
         for (var cell = 0; cell < serviceState.cells.size(); cell++) {
-            var allowed = serviceState.live(cell)
+            var allowed = serviceState.hasWeight(cell)
                     && !closedCells.get(cell)
                     && Units.containsRegion(
                             Units.regionSetOf(unit), serviceState.regions.indexOf(serviceState.cellRegions.get(cell)));
-            if (allowed && serviceState.runnersUp(cell) > 0) return true;
+            if (allowed && serviceState.countRunnersUp(cell) > 0) return true;
         }
         return false;
     }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -261,19 +261,19 @@
             quotaGrants.add(
                     state.request.service() + "/" + state.request.tenant(),
                     (int) result.version,
-                    port.now() + result.retryAfter);
+                    port.now() + result.retryAfterMicros);
         synchronized (state) {
             if (state.phase != RequestPhase.AWAITING_CORE) return;
             if (result.kind == 0) decide(state);
             else if (result.kind == ProblemKind.QUOTA_SPENT.code())
-                end(state, Problem.of(ProblemKind.QUOTA_SPENT, result.detail, result.retryAfter));
+                end(state, Problem.of(ProblemKind.QUOTA_SPENT, result.detail, result.retryAfterMicros));
             else handleCoreProblem(state, ProblemKind.of(result.kind), result);
         }
     }
 
     private void requestClaim(RequestState state, Decision.Serve decision) {
         if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
-        var command = new Commands.Claim();
+        var command = new Commands.ClaimTake();
         command.service = state.request.service();
         command.key = claimKey(state.request);
         command.unit = decision.unit();
@@ -294,7 +294,7 @@
         if (!state.transitionTo(RequestPhase.AWAITING_CORE)) return;
         coreClient.request(
                 Parts.partOf(state.request.service()),
-                finishCommand(state, Rows.Claim.FREED),
+                finishCommand(state, Rows.Claim.RELEASED),
                 Math.min(MAX_CORE_WAIT_MICROS, Math.max(MIN_CORE_WAIT_MICROS, remainingWait(state, port.now()))),
                 result -> {
                     synchronized (state) {
@@ -306,8 +306,8 @@
                 });
     }
 
-    private Commands.Finish finishCommand(RequestState state, int claimState) {
-        var command = new Commands.Finish();
+    private Commands.ClaimFinish finishCommand(RequestState state, int claimState) {
+        var command = new Commands.ClaimFinish();
         command.service = state.request.service();
         command.key = claimKey(state.request);
         command.holder = directory.self().name;
@@ -327,7 +327,7 @@
         synchronized (state) {
             if (result.kind == 0) state.hasClaim = true;
             if (state.phase != RequestPhase.AWAITING_CORE) {
-                finishClaim(state, Rows.Claim.FREED);
+                finishClaim(state, Rows.Claim.RELEASED);
                 return;
             }
             if (result.kind == 0) decide(state);
@@ -373,7 +373,7 @@
                 ? Problem.of(ProblemKind.RUN_BROKEN, "an earlier attempt broke off; then: " + cause.detail())
                 : cause;
         finishClaim(
-                state, problem.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
+                state, problem.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.RELEASED : Rows.Claim.UNKNOWN);
         requestsById.remove(state.request.id());
         counters.countProblem(problem.kind());
         recordUsage(state, problem.kind().name().toLowerCase());
@@ -577,7 +577,7 @@
                     || state.phase == RequestPhase.FORWARDED;
             if (!state.transitionTo(RequestPhase.ENDED)) return;
             recordUsage(state, "gone");
-            finishClaim(state, mayHaveRun ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
+            finishClaim(state, mayHaveRun ? Rows.Claim.UNKNOWN : Rows.Claim.RELEASED);
             releaseRunner(state);
             requestsById.remove(id);
             state.output.cutStream(Problem.of(ProblemKind.RUN_BROKEN, "the client disconnected"));
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -13,12 +13,12 @@
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Messages.Hello;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Reading;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
-import craneway.state.message.Messages.Silence;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.PrefillNotice;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
+import craneway.state.message.Messages.SilenceNotice;
+import craneway.state.message.Messages.Subscription;
+import craneway.state.message.Messages.TopicUpdate;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.List;
@@ -40,8 +40,8 @@
     private final Membership membership;
     private final RunnerLoads runnerLoads = new RunnerLoads();
     private final RequestExecutor requestExecutor;
-    private volatile Consumer<Reading> readingListener = message -> {};
-    private volatile Consumer<Silence> silenceListener = message -> {};
+    private volatile Consumer<PrefillNotice> readingListener = message -> {};
+    private volatile Consumer<SilenceNotice> silenceListener = message -> {};
 
     /** Creates a router with the standard timing. */
     public Router(Port port, Node self, List<String> seeds, Random random) {
@@ -89,12 +89,12 @@
     }
 
     /** Sets the listener for messages of other routers that they gave a runner a prompt to prefill. */
-    public void setPrefillListener(Consumer<Reading> listener) {
+    public void setPrefillListener(Consumer<PrefillNotice> listener) {
         readingListener = listener;
     }
 
     /** Sets the listener for messages of other routers that they find a runner silent. */
-    public void setSilenceListener(Consumer<Silence> listener) {
+    public void setSilenceListener(Consumer<SilenceNotice> listener) {
         silenceListener = listener;
     }
 
@@ -131,13 +131,13 @@
     public void receive(Object message) {
         var now = port.now();
         if (message instanceof Hello hello) receiveHello(hello, now);
-        else if (message instanceof RenewReplies replies) membership.receive(replies, now);
-        else if (message instanceof RenewReply reply) membership.receive(reply, now);
-        else if (message instanceof Subscribe subscribe) membership.receive(subscribe, now);
-        else if (message instanceof News news) membership.receive(news, now);
+        else if (message instanceof RenewalReplies replies) membership.receive(replies, now);
+        else if (message instanceof RenewalReply reply) membership.receive(reply, now);
+        else if (message instanceof Subscription subscribe) membership.receive(subscribe, now);
+        else if (message instanceof TopicUpdate news) membership.receive(news, now);
         else if (message instanceof CommandResult result) coreClient.receive(result);
-        else if (message instanceof Reading reading) readingListener.accept(reading);
-        else if (message instanceof Silence silence) silenceListener.accept(silence);
+        else if (message instanceof PrefillNotice reading) readingListener.accept(reading);
+        else if (message instanceof SilenceNotice silence) silenceListener.accept(silence);
         else
             port.logEvent(
                     Event.BAD_MESSAGE,
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -1,7 +1,7 @@
 package craneway.data.runner;
 
 import craneway.model.unit.Parts;
-import craneway.state.message.Messages.Signal;
+import craneway.state.message.Messages.CellSignal;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,11 +12,11 @@
  * router reports them to the core. Thread-safe.
  */
 public final class CellSignals {
-    private final Map<String, Signal> signalsByServiceAndCell = new HashMap<>();
+    private final Map<String, CellSignal> signalsByServiceAndCell = new HashMap<>();
 
-    private Signal signalOf(String service, String cell) {
+    private CellSignal signalOf(String service, String cell) {
         return signalsByServiceAndCell.computeIfAbsent(service + "/" + cell, k -> {
-            var signal = new Signal();
+            var signal = new CellSignal();
             signal.service = service;
             signal.cell = cell;
             return signal;
@@ -26,18 +26,18 @@
     /** Records that a runner of the cell sent its first data this many microseconds after the request was sent. */
     public synchronized void recordFirstData(String service, String cell, long micros) {
         var signal = signalOf(service, cell);
-        signal.runs++;
-        signal.firstMicros += micros;
+        signal.startedAnswers++;
+        signal.firstTokenMicros += micros;
     }
 
     /** Records that a runner of the cell could not be reached or broke off a request. */
     public synchronized void recordProblem(String service, String cell) {
-        signalOf(service, cell).problems++;
+        signalOf(service, cell).failures++;
     }
 
     /** Returns and removes the signals of the services in this part. */
-    public synchronized List<Signal> drain(int part) {
-        var taken = new ArrayList<Signal>();
+    public synchronized List<CellSignal> drain(int part) {
+        var taken = new ArrayList<CellSignal>();
         signalsByServiceAndCell.values().removeIf(signal -> Parts.partOf(signal.service) == part && taken.add(signal));
         return taken;
     }
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -25,8 +25,8 @@
         this.node = node;
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO, THREADS, TICKS, wire);
-        var self =
-                Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+        var self = Node.ofNewProcess(
+                node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         wire.start(router.directory()::hasSameOrigin, router::receive);
--- a/lib/state/src/main/java/craneway/state/disk/DiskException.java
+++ b/lib/state/src/main/java/craneway/state/disk/DiskException.java
@@ -2,16 +2,16 @@
 
 /** A disk operation failed or was refused. What the operation should have made durable is not durable. */
 public final class DiskException extends RuntimeException {
-    private final boolean full;
+    private final boolean isDiskFull;
 
     /** Creates the exception; the flag tells whether the cause is that no space is left. */
     public DiskException(boolean diskFull, String message) {
         super(message);
-        this.full = diskFull;
+        this.isDiskFull = diskFull;
     }
 
     /** Returns whether the cause is that no space is left. */
-    public boolean full() {
-        return full;
+    public boolean isDiskFull() {
+        return isDiskFull;
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/Folder.java
+++ b/lib/state/src/main/java/craneway/state/disk/Folder.java
@@ -6,7 +6,7 @@
 /** The files of one store. Every method may throw a {@link DiskException}. */
 public interface Folder {
     /** Returns the names of all files, sorted. */
-    List<String> names();
+    List<String> fileNames();
 
     /** Returns the content of a file, or null if it does not exist. */
     byte[] read(String name);
--- a/lib/state/src/main/java/craneway/state/disk/LegacyRecord.java
+++ b/lib/state/src/main/java/craneway/state/disk/LegacyRecord.java
@@ -5,7 +5,7 @@
 
 /**
  * A view of a record of format 1: size (4 bytes), checksum (4), type (1), index (8), term (8), kind (4) and body.
- * Checksummed small files still use it (see {@link Seal}), and its record types apply to all formats.
+ * Checksummed small files still use it (see {@link ChecksumEnvelope}), and its record types apply to all formats.
  */
 final class LegacyRecord {
     /** The offset of the kind, the last field of the header; the body starts 4 bytes later. */
--- a/lib/state/src/main/java/craneway/state/disk/PartFiles.java
+++ b/lib/state/src/main/java/craneway/state/disk/PartFiles.java
@@ -28,7 +28,7 @@
 
     /** Returns the numbers of all segments in ascending order. */
     List<Integer> segmentNumbers() {
-        return folder.names().stream()
+        return folder.fileNames().stream()
                 .filter(name -> name.matches("\\Q" + prefix + SEGMENT_NAME + "\\E\\d+"))
                 .map(name -> Integer.parseInt(name.substring(name.lastIndexOf('.') + 1)))
                 .sorted()
@@ -44,7 +44,7 @@
             throw new DiskLostException(segmentName(mark.segmentNumber()) + ": missing");
         if (newest > 0)
             return new SegmentReader(segmentName(newest), newest, folder.read(segmentName(newest)), mark).read();
-        if (folder.names().stream().anyMatch(name -> name.startsWith(prefix + SNAPSHOT_NAME)))
+        if (folder.fileNames().stream().anyMatch(name -> name.startsWith(prefix + SNAPSHOT_NAME)))
             throw new DiskLostException(prefix + SEGMENT_NAME + ": missing although a snapshot exists");
         return null;
     }
@@ -59,13 +59,13 @@
     }
 
     void writeSnapshot(Snapshot snapshot) {
-        folder.replace(snapshotName(snapshot.index), Seal.close(Codec.write(snapshot)));
+        folder.replace(snapshotName(snapshot.index), ChecksumEnvelope.wrap(Codec.encode(snapshot)));
     }
 
     Snapshot readSnapshot(long index, long term) {
         var bytes = folder.read(snapshotName(index));
         if (bytes == null) throw new DiskLostException(snapshotName(index) + ": missing");
-        var snapshot = Codec.read(Snapshot.class, Seal.open(snapshotName(index), bytes));
+        var snapshot = Codec.decode(Snapshot.class, ChecksumEnvelope.unwrap(snapshotName(index), bytes));
         if (snapshot.index != index || snapshot.term != term)
             throw new DiskLostException(snapshotName(index) + ": belongs to another index or term");
         return snapshot;
@@ -73,7 +73,7 @@
 
     /** Removes all other segments and snapshots. A file that cannot be removed is left for the next time. */
     void removeAllExcept(int segmentNumber, long snapshotIndex) {
-        for (var name : folder.names()) {
+        for (var name : folder.fileNames()) {
             var isOldSegment = name.startsWith(prefix + SEGMENT_NAME) && !name.equals(segmentName(segmentNumber));
             var isUnusedSnapshot = name.startsWith(prefix + SNAPSHOT_NAME) && !name.equals(snapshotName(snapshotIndex));
             if (isOldSegment || isUnusedSnapshot) tryRemove(name);
--- a/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
@@ -59,7 +59,7 @@
         if (buffer.getInt() != MAGIC) return 1;
         var format = buffer.getInt();
         if (buffer.getInt() != ~format) throw new DiskLostException(fileName + ": the header is damaged");
-        if (format != CURRENT_FORMAT) throw new UnknownFormat(fileName, format);
+        if (format != CURRENT_FORMAT) throw new UnknownFormatException(fileName, format);
         return format;
     }
 
--- a/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
@@ -1,6 +1,6 @@
 package craneway.state.disk;
 
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -22,16 +22,16 @@
     private final Folder folder;
     private final PartFiles files;
     private final int coreHash;
-    private final List<Entry> entries = new ArrayList<>();
+    private final List<LogEntry> entries = new ArrayList<>();
     private Snapshot snapshot;
-    private long term;
-    private long vote;
+    private long currentTerm;
+    private long votedFor;
     private int segmentNumber;
     private long nonce;
     private RecordCodec codec;
     private int segmentBytes;
     private int syncedBytes;
-    private boolean dirty;
+    private boolean isDirty;
     private DiskException failure;
 
     /**
@@ -50,9 +50,9 @@
         }
     }
 
-    /** Throws {@link UnknownFormat} if a segment in the folder has a newer format. Writes nothing. */
+    /** Throws {@link UnknownFormatException} if a segment in the folder has a newer format. Writes nothing. */
     public static void checkFormats(Folder folder) {
-        for (var name : folder.names()) {
+        for (var name : folder.fileNames()) {
             if (!name.matches("p\\d+\\.log\\.\\d+")) continue;
             var start = folder.readHead(name, SegmentHeader.FORMAT_BYTES);
             if (start != null && start.length == SegmentHeader.FORMAT_BYTES) checkFormat(name, start);
@@ -68,13 +68,13 @@
     }
 
     /** Returns the latest term. */
-    public long term() {
-        return term;
+    public long currentTerm() {
+        return currentTerm;
     }
 
     /** Returns the store that got this log's vote in the latest term, or 0. */
-    public long vote() {
-        return vote;
+    public long votedFor() {
+        return votedFor;
     }
 
     /** Returns the latest snapshot, or null. */
@@ -83,8 +83,8 @@
     }
 
     /** Returns whether some of the log is not known to be synced. */
-    public boolean dirty() {
-        return dirty;
+    public boolean isDirty() {
+        return isDirty;
     }
 
     /** Returns the failure since which the log accepts no changes, or null. */
@@ -93,64 +93,64 @@
     }
 
     /** Returns whether the segment has grown so large that a snapshot is due. */
-    public boolean needsSnapshot() {
+    public boolean isSnapshotDue() {
         return segmentBytes > SNAPSHOT_DUE_BYTES;
     }
 
     /** Returns the index of the first entry after the snapshot. */
-    public long first() {
+    public long firstIndex() {
         return snapshot == null ? 1 : snapshot.index + 1;
     }
 
     /** Returns the index of the last entry. */
-    public long last() {
-        return first() + entries.size() - 1;
+    public long lastIndex() {
+        return firstIndex() + entries.size() - 1;
     }
 
     /** Returns the term of an entry or of the snapshot's last entry; -1 if it is not known. */
     public long termAt(long index) {
-        if (index == first() - 1) return snapshot == null ? 0 : snapshot.term;
-        return index < first() || index > last() ? -1 : at(index).term;
+        if (index == firstIndex() - 1) return snapshot == null ? 0 : snapshot.term;
+        return index < firstIndex() || index > lastIndex() ? -1 : entryAt(index).term;
     }
 
     /** Returns the entry at an index, which must be in the log. */
-    public Entry at(long index) {
-        return entries.get((int) (index - first()));
+    public LogEntry entryAt(long index) {
+        return entries.get((int) (index - firstIndex()));
     }
 
     /** Sets the term and the vote in it. */
     public void saveTermAndVote(long newTerm, long newVote) {
         appendRecord(LogRecord.termAndVote(newTerm, newVote));
-        term = newTerm;
-        vote = newVote;
+        currentTerm = newTerm;
+        votedFor = newVote;
     }
 
     /** Appends an entry. */
-    public void append(Entry entry) {
+    public void append(LogEntry entry) {
         appendRecord(LogRecord.entry(entry.index, entry.term, entry.type, entry.body));
         entries.add(entry);
     }
 
     /** Removes the entries from an index on. */
-    public void cutFrom(long index) {
-        if (index > last()) return;
+    public void truncateFrom(long index) {
+        if (index > lastIndex()) return;
         appendRecord(LogRecord.truncation(index));
-        entries.subList((int) (index - first()), entries.size()).clear();
+        entries.subList((int) (index - firstIndex()), entries.size()).clear();
     }
 
     /** Makes all changes so far durable. */
     public void sync() {
-        if (!dirty) return;
+        if (!isDirty) return;
         runOrFail(() -> folder.sync(files.segmentName(segmentNumber)));
         syncedBytes = segmentBytes;
-        dirty = false;
+        isDirty = false;
         writeSyncMark();
     }
 
     /** Replaces the entries up to the snapshot's index by the snapshot. All changes so far are durable afterwards. */
-    public void install(Snapshot newSnapshot) {
+    public void installSnapshot(Snapshot newSnapshot) {
         runOrFail(() -> files.writeSnapshot(newSnapshot));
-        var remaining = new ArrayList<Entry>();
+        var remaining = new ArrayList<LogEntry>();
         if (termAt(newSnapshot.index) == newSnapshot.term)
             entries.stream().filter(entry -> entry.index > newSnapshot.index).forEach(remaining::add);
         snapshot = newSnapshot;
@@ -162,7 +162,7 @@
     private void appendRecord(LogRecord record) {
         runOrFail(() -> {
             var bytes = codec.encode(record, segmentBytes, syncedBytes);
-            dirty = true;
+            isDirty = true;
             folder.append(files.segmentName(segmentNumber), bytes, bytes.length);
             segmentBytes += bytes.length;
         });
@@ -178,7 +178,7 @@
             operation.run();
         } catch (DiskException e) {
             failure = e;
-            dirty = true;
+            isDirty = true;
             throw e;
         }
     }
@@ -191,7 +191,7 @@
         var existing = files.segmentNumbers();
         var newNumber = existing.isEmpty() ? 1 : existing.get(existing.size() - 1) + 1;
         var records = new ArrayList<LogRecord>();
-        records.add(LogRecord.termAndVote(term, vote));
+        records.add(LogRecord.termAndVote(currentTerm, votedFor));
         for (var entry : entries) records.add(LogRecord.entry(entry.index, entry.term, entry.type, entry.body));
         var initialBytes = SegmentHeader.HEADER_BYTES
                 + records.stream().mapToInt(RecordCodec::recordSize).sum();
@@ -221,7 +221,7 @@
         codec = newCodec;
         segmentBytes = offset;
         syncedBytes = offset;
-        dirty = false;
+        isDirty = false;
         writeSyncMark();
     }
 
@@ -233,24 +233,24 @@
         if (contents.snapshotIndex() != 0)
             snapshot = files.readSnapshot(contents.snapshotIndex(), contents.snapshotTerm());
         contents.records().forEach(this::replayRecord);
-        dirty = !contents.allSynced();
+        isDirty = !contents.allSynced();
     }
 
     private void replayRecord(LogRecord record) {
         switch (record.recordType()) {
             case LegacyRecord.TERM_AND_VOTE -> {
-                term = record.term();
-                vote = record.index();
+                currentTerm = record.term();
+                votedFor = record.index();
             }
             case LegacyRecord.ENTRY -> {
-                if (record.index() != last() + 1)
+                if (record.index() != lastIndex() + 1)
                     throw new DiskLostException("gap in the log at entry " + record.index());
-                entries.add(new Entry(record.index(), record.term(), record.entryType(), record.body()));
+                entries.add(new LogEntry(record.index(), record.term(), record.entryType(), record.body()));
             }
             case LegacyRecord.TRUNCATION -> {
-                if (record.index() < first() || record.index() > last())
+                if (record.index() < firstIndex() || record.index() > lastIndex())
                     throw new DiskLostException("truncation at missing entry " + record.index());
-                entries.subList((int) (record.index() - first()), entries.size())
+                entries.subList((int) (record.index() - firstIndex()), entries.size())
                         .clear();
             }
             default -> throw new DiskLostException("unknown record type " + record.recordType());
--- a/lib/state/src/main/java/craneway/state/disk/SyncMark.java
+++ b/lib/state/src/main/java/craneway/state/disk/SyncMark.java
@@ -11,7 +11,7 @@
     private static final int BODY_BYTES_WITHOUT_NONCE = 12;
 
     byte[] encode() {
-        return Seal.close(ByteBuffer.allocate(BODY_BYTES)
+        return ChecksumEnvelope.wrap(ByteBuffer.allocate(BODY_BYTES)
                 .putInt(segmentNumber)
                 .putLong(syncedBytes)
                 .putLong(nonce)
--- a/lib/state/src/main/java/craneway/state/message/Codec.java
+++ b/lib/state/src/main/java/craneway/state/message/Codec.java
@@ -17,7 +17,7 @@
 
     /** Encodes a message without a tag. */
     @SuppressWarnings("unchecked")
-    public static byte[] write(Object message) {
+    public static byte[] encode(Object message) {
         var buffer = ENCODE_BUFFER.get();
         try {
             return ProtostuffIOUtil.toByteArray(
@@ -28,7 +28,7 @@
     }
 
     /** Decodes a message of a known type; throws {@link BadMessageException} if that fails. */
-    public static <T> T read(Class<T> type, byte[] body) {
+    public static <T> T decode(Class<T> type, byte[] body) {
         try {
             var schema = RuntimeSchema.getSchema(type);
             var message = schema.newMessage();
@@ -40,8 +40,8 @@
     }
 
     /** Encodes a message behind the tag of its type. */
-    public static byte[] writeTagged(Object message) {
-        var body = write(message);
+    public static byte[] encodeTagged(Object message) {
+        var body = encode(message);
         var tagged = new byte[body.length + 1];
         tagged[0] = (byte) MessageTags.tagOf(message.getClass());
         System.arraycopy(body, 0, tagged, 1, body.length);
@@ -51,8 +51,8 @@
     /**
      * Decodes a tagged message; throws {@link BadMessageException} if the tag is unknown or the rest cannot be decoded.
      */
-    public static Object readTagged(byte[] tagged) {
+    public static Object decodeTagged(byte[] tagged) {
         if (tagged.length == 0) throw new BadMessageException("empty message");
-        return read(MessageTags.typeOf(tagged[0]), Arrays.copyOfRange(tagged, 1, tagged.length));
+        return decode(MessageTags.typeOf(tagged[0]), Arrays.copyOfRange(tagged, 1, tagged.length));
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -11,20 +11,20 @@
     private Commands() {}
 
     /** Returns whether a message body is a command, which changes the replicated state, rather than a query. */
-    public static boolean is(Object body) {
+    public static boolean isCommand(Object body) {
         return body.getClass().getEnclosingClass() == Commands.class;
     }
 
     /**
      * A command with the identity of its sender, so that it is applied once however many copies of it are in the log.
      */
-    public static final class Fenced {
+    public static final class IdentifiedCommand {
         /** The id of the sending session, which is one run of a client process. */
-        public long life;
+        public long sessionId;
         /** The command's number within the session. */
         public long sequence;
         /** The lowest sequence number of the session whose result the sender still waits for. */
-        public long lowest;
+        public long lowestPending;
 
         /** The tagged encoding of the command. */
         public byte[] body = {};
@@ -42,7 +42,7 @@
     }
 
     /** Removes a member's incarnation that left or has been silent for long. */
-    public static final class MemberGone {
+    public static final class MemberRemoved {
         public String name;
         public long incarnation;
     }
@@ -50,13 +50,13 @@
     /** Submits a new manifest. */
     public static final class ManifestPut {
         /** The version that the manifest is based on. */
-        public long base;
+        public long baseVersion;
 
         public String text;
         /** The number that the sender gave the manifest; 0 takes the next one. */
-        public long number;
+        public long senderNumber;
         /** The text as submitted, if it differs from {@link #text}; kept to be read back. */
-        public String source = "";
+        public String sourceText = "";
     }
 
     /** Brings a service in line with the manifest. The lists about cells are parallel. */
@@ -69,9 +69,9 @@
         public List<String> cellRegions = new ArrayList<>();
         public List<Integer> weights = new ArrayList<>();
         /** Whether a cell's weight is multiplied by the slots of its runners. */
-        public boolean bySlots;
+        public boolean weighedBySlots;
         /** The region sets of the routes to this service, each a space-separated list of region names. */
-        public List<String> bound = new ArrayList<>();
+        public List<String> boundRegionSets = new ArrayList<>();
     }
 
     /** Adds or updates a runner. */
@@ -88,10 +88,10 @@
         /** The state as in {@link craneway.state.record.Rows.Runner}: up or leaving. */
         public int state;
         /** How long the runner stays cold, in microseconds; 0 if unknown. */
-        public long coldFor;
+        public long coldMicros;
 
         /** How long until the runner goes away, in microseconds; 0 if unknown. */
-        public long goneIn;
+        public long goneAfterMicros;
         /** Increases with each announcement of a runner; 0 if the runner does not number them. */
         public long sequence;
     }
@@ -110,7 +110,7 @@
     }
 
     /** Takes the claim for a request key on behalf of one attempt. */
-    public static final class Claim {
+    public static final class ClaimTake {
         public String service;
         public String key;
         public int unit;
@@ -122,7 +122,7 @@
     }
 
     /** Records the outcome of the attempt that holds a claim. */
-    public static final class Finish {
+    public static final class ClaimFinish {
         public String service;
         public String key;
         public String holder;
@@ -132,13 +132,13 @@
     }
 
     /** Advances the age of the part and expires rows. */
-    public static final class Age {
+    public static final class AgeAdvance {
         /** The time that has passed, in microseconds. */
-        public long micros;
+        public long elapsedMicros;
         /** How long finished claims are kept, in microseconds. */
-        public long retention;
+        public long claimRetentionMicros;
         /** How long a runner that left or went dark is kept, in microseconds; 0 keeps it forever. */
-        public long forgotten;
+        public long runnerRetentionMicros;
     }
 
     /**
@@ -167,7 +167,7 @@
         /** The units to move. */
         public int[] units;
         /** The number of the target cell. */
-        public int to;
+        public int toCell;
         /** Why the units move, in one word for the step's history. */
         public String cause = "";
     }
@@ -179,14 +179,14 @@
         public int state;
         public String cause = "";
         /** How long the target cell is held back from further moves if the step is taken back, in microseconds. */
-        public long heldMicros;
+        public long holdBackMicros;
 
         /** The units to move back if the step is taken back. */
         public int[] units = {};
     }
 
     /** Sets the cells that units should move to because their own cell is overloaded. */
-    public static final class Displace {
+    public static final class UnitDisplacement {
         public String service;
         public long tableVersion;
         /** The units to displace. */
--- a/lib/state/src/main/java/craneway/state/message/MarkKey.java
+++ b/lib/state/src/main/java/craneway/state/message/MarkKey.java
@@ -31,7 +31,7 @@
     }
 
     /** Parses the text form of a key; returns null if it is not of a known kind. */
-    public static MarkKey read(String text) {
+    public static MarkKey parse(String text) {
         for (var target : Target.values())
             if (text.startsWith(target.keyPrefix))
                 return new MarkKey(target, text.substring(target.keyPrefix.length()));
--- a/lib/state/src/main/java/craneway/state/message/Node.java
+++ b/lib/state/src/main/java/craneway/state/message/Node.java
@@ -6,10 +6,10 @@
     private static final long MAX_INCARNATION_STEP = 1_024;
 
     /** The version of the wire format that this code supports. */
-    public static final int WIRE = 2;
+    public static final int WIRE_VERSION = 2;
 
     /** The first version of the wire format with the step commands. */
-    public static final int STEPS = 2;
+    public static final int STEPS_WIRE_VERSION = 2;
 
     /** The kind of a store. */
     public static final String STORE = "store";
@@ -26,25 +26,25 @@
     public long coreId;
     public boolean serving;
     /** How long after the end of its lease this process may still act, in microseconds. */
-    public long grace;
+    public long graceMicros;
     /** The version of the wire format that the process supports. */
-    public int wire;
+    public int wireVersion;
     /** The address, IP:PORT, where a router accepts requests; empty if it does not say. */
     public String clientAddress = "";
     /**
      * Whether the process supports the renewals of several parts in one message; false from a process too old to say.
      */
-    public boolean renewals;
+    public boolean supportsRenewalBatches;
     /**
      * The session id: drawn at random when the process starts and constant while it runs; 0 from a process too old to
      * say.
      */
-    public long life;
+    public long sessionId;
     /**
      * Whether the process supports identified commands and reports its clock when it leads a part; false from a process
      * too old to say.
      */
-    public boolean fenced;
+    public boolean supportsIdentifiedCommands;
 
     /** Creates an empty node to be filled by the decoder. */
     public Node() {}
@@ -56,19 +56,19 @@
         this.zone = zone;
         this.peerAddress = peerAddress;
         this.incarnation = incarnation;
-        this.wire = WIRE;
-        this.renewals = true;
-        this.fenced = true;
+        this.wireVersion = WIRE_VERSION;
+        this.supportsRenewalBatches = true;
+        this.supportsIdentifiedCommands = true;
     }
 
     /**
      * Returns the node of a process that has just started. Its incarnation is a first offer; the core tells it the one
      * it has to exceed.
      */
-    public static Node started(String name, String kind, String zone, String peerAddress, long sessionId) {
+    public static Node ofNewProcess(String name, String kind, String zone, String peerAddress, long sessionId) {
         var node = new Node(name, kind, zone, peerAddress, 0);
-        node.life = sessionId | 1;
-        node.incarnation = node.above(0);
+        node.sessionId = sessionId | 1;
+        node.incarnation = node.incarnationAbove(0);
         return node;
     }
 
@@ -76,13 +76,13 @@
      * Returns an incarnation above the known one. The increment depends on the session, so that two processes under one
      * name choose different incarnations.
      */
-    public long above(long known) {
-        return known + 1 + (life == 0 ? 0 : Math.floorMod(life >> 1, MAX_INCARNATION_STEP));
+    public long incarnationAbove(long known) {
+        return known + 1 + (sessionId == 0 ? 0 : Math.floorMod(sessionId >> 1, MAX_INCARNATION_STEP));
     }
 
     /** Returns whether the other node is known to be another process than this one. */
-    public boolean otherLife(Node other) {
-        return life != 0 && other.life != 0 && life != other.life;
+    public boolean isOtherSession(Node other) {
+        return sessionId != 0 && other.sessionId != 0 && sessionId != other.sessionId;
     }
 
     /** Returns a copy with another incarnation and serving state. */
@@ -92,18 +92,18 @@
         copy.storeId = storeId;
         copy.coreId = coreId;
         copy.serving = nowServing;
-        copy.grace = grace;
-        copy.wire = wire;
-        copy.renewals = renewals;
-        copy.life = life;
-        copy.fenced = fenced;
+        copy.graceMicros = graceMicros;
+        copy.wireVersion = wireVersion;
+        copy.supportsRenewalBatches = supportsRenewalBatches;
+        copy.sessionId = sessionId;
+        copy.supportsIdentifiedCommands = supportsIdentifiedCommands;
         return copy;
     }
 
     /** Returns a copy with another grace. */
     public Node with(long newGrace) {
         var copy = with(incarnation, serving);
-        copy.grace = newGrace;
+        copy.graceMicros = newGrace;
         return copy;
     }
 
--- a/lib/state/src/main/java/craneway/state/message/Plan.java
+++ b/lib/state/src/main/java/craneway/state/message/Plan.java
@@ -27,9 +27,9 @@
     public long manifestVersion;
     public long marksVersion;
     /** The version of the manifest's topic that the confirmation created. */
-    public long confirmedTopic;
+    public long confirmedTopicVersion;
     /** Why the plan was stopped. */
-    public String cause = "";
+    public String stopCause = "";
     /** The marks to set, by the text of their {@link MarkKey}; an empty value removes the mark. */
     public TreeMap<String, String> marks = new TreeMap<>();
 
--- a/lib/state/src/main/java/craneway/state/part/Election.java
+++ b/lib/state/src/main/java/craneway/state/part/Election.java
@@ -87,7 +87,7 @@
         (hasRecentlyStarted(now) ? conditionalVotes : grantedVotes).add(replica.selfId);
         for (var voterId : replica.members().voters)
             if (voterId != replica.selfId)
-                replica.sendAfterSync(newVoteRequest(PartMessage.PRE_VOTE, voterId, replica.log.term() + 1));
+                replica.sendAfterSync(newVoteRequest(PartMessage.PRE_VOTE, voterId, replica.log.currentTerm() + 1));
         countPreVotes(now);
     }
 
@@ -104,11 +104,11 @@
     void startElection(long now, boolean unconditional) {
         replica.transitions.changeRole(Role.CANDIDATE, now);
         replica.leaderId = 0;
-        replica.log.saveTermAndVote(replica.log.term() + 1, replica.selfId);
+        replica.log.saveTermAndVote(replica.log.currentTerm() + 1, replica.selfId);
         grantedVotes.add(replica.selfId);
         for (var voterId : replica.members().voters) {
             if (voterId == replica.selfId) continue;
-            var request = newVoteRequest(PartMessage.VOTE, voterId, replica.log.term());
+            var request = newVoteRequest(PartMessage.VOTE, voterId, replica.log.currentTerm());
             request.granted = unconditional;
             replica.sendAfterSync(request);
         }
@@ -121,7 +121,7 @@
 
     private PartMessage newVoteRequest(int kind, long to, long term) {
         var request = replica.newMessage(kind, to, term);
-        request.index = replica.log.last();
+        request.index = replica.log.lastIndex();
         request.logTerm = replica.log.termAt(request.index);
         return request;
     }
@@ -145,7 +145,7 @@
     }
 
     private boolean isLogUpToDate(PartMessage request) {
-        var lastIndex = replica.log.last();
+        var lastIndex = replica.log.lastIndex();
         var lastTerm = replica.log.termAt(lastIndex);
         return request.logTerm > lastTerm || request.logTerm == lastTerm && request.index >= lastIndex;
     }
@@ -155,9 +155,11 @@
         var hasPriority = now < recentlyStartedUntil + replica.timing.leaderLeaseDuration() && hasPriority(request);
         if (hasPriority && replica.role == Role.FOLLOWER) deadline = now;
         reply.recentlyStarted = hasRecentlyStarted(now);
-        reply.granted =
-                request.term > replica.log.term() && isLogUpToDate(request) && !isLeaderAlive(now) && !hasPriority;
-        reply.index = replica.log.term();
+        reply.granted = request.term > replica.log.currentTerm()
+                && isLogUpToDate(request)
+                && !isLeaderAlive(now)
+                && !hasPriority;
+        reply.index = replica.log.currentTerm();
         replica.sendAfterSync(reply);
         if (reply.granted) stepDownForPreVote(now);
     }
@@ -179,20 +181,22 @@
     private boolean hasPriority(PartMessage request) {
         var log = replica.log;
         var selfId = replica.selfId;
-        if (request.logTerm != log.termAt(log.last())
-                || request.index != log.last()
+        if (request.logTerm != log.termAt(log.lastIndex())
+                || request.index != log.lastIndex()
                 || !replica.members().isVoter(selfId)) return false;
-        var hasLowerId = selfId < request.from && log.vote() != request.from && (log.vote() != 0 || log.term() == 0);
-        return log.vote() == selfId || hasLowerId;
+        var hasLowerId = selfId < request.from
+                && log.votedFor() != request.from
+                && (log.votedFor() != 0 || log.currentTerm() == 0);
+        return log.votedFor() == selfId || hasLowerId;
     }
 
     void onPreVoteReply(PartMessage reply, long now) {
-        if (reply.index > replica.log.term()) {
+        if (reply.index > replica.log.currentTerm()) {
             replica.log.saveTermAndVote(reply.index, 0);
             replica.transitions.changeRole(Role.FOLLOWER, now);
             return;
         }
-        if (replica.role != Role.PRE_CANDIDATE || !reply.granted || reply.term != replica.log.term() + 1) return;
+        if (replica.role != Role.PRE_CANDIDATE || !reply.granted || reply.term != replica.log.currentTerm() + 1) return;
         if (!replica.members().isVoter(reply.from)) return;
         (reply.recentlyStarted ? conditionalVotes : grantedVotes).add(reply.from);
         countPreVotes(now);
@@ -201,18 +205,20 @@
     void onVote(PartMessage request, long now) {
         var log = replica.log;
         var reply = replica.newMessage(PartMessage.VOTE_REPLY, request.from);
-        var voteAvailable = log.vote() == 0 || log.vote() == request.from;
-        reply.granted =
-                request.term == log.term() && voteAvailable && replica.role == Role.FOLLOWER && isLogUpToDate(request);
+        var voteAvailable = log.votedFor() == 0 || log.votedFor() == request.from;
+        reply.granted = request.term == log.currentTerm()
+                && voteAvailable
+                && replica.role == Role.FOLLOWER
+                && isLogUpToDate(request);
         if (reply.granted) {
-            if (log.vote() == 0) log.saveTermAndVote(log.term(), request.from);
+            if (log.votedFor() == 0) log.saveTermAndVote(log.currentTerm(), request.from);
             deadline = nextElectionDeadline(now);
         }
         replica.sendAfterSync(reply);
     }
 
     void onVoteReply(PartMessage reply, long now) {
-        if (replica.role != Role.CANDIDATE || reply.term != replica.log.term() || !reply.granted) return;
+        if (replica.role != Role.CANDIDATE || reply.term != replica.log.currentTerm() || !reply.granted) return;
         if (!replica.members().isVoter(reply.from)) return;
         grantedVotes.add(reply.from);
         becomeLeaderOnMajority(now);
--- a/lib/state/src/main/java/craneway/state/part/Follower.java
+++ b/lib/state/src/main/java/craneway/state/part/Follower.java
@@ -24,24 +24,24 @@
     void onAppend(PartMessage request, long now) {
         var log = replica.log;
         var reply = newReply(PartMessage.APPEND_REPLY, request);
-        if (request.term < log.term()) {
+        if (request.term < log.currentTerm()) {
             replica.sendAfterSync(reply);
             return;
         }
         election.followLeader(request.from, now);
         var matches = request.index <= replica.appliedIndex
-                || log.termAt(request.index) == request.logTerm && request.index <= log.last();
+                || log.termAt(request.index) == request.logTerm && request.index <= log.lastIndex();
         reply.granted = matches;
         reply.index =
-                matches ? Math.max(request.index, storeEntries(request)) : Math.min(log.last(), request.index - 1);
+                matches ? Math.max(request.index, storeEntries(request)) : Math.min(log.lastIndex(), request.index - 1);
         replica.sendAfterSync(reply);
-        if (matches) replica.commitTo(Math.min(request.commit, reply.index));
+        if (matches) replica.commitTo(Math.min(request.commitIndex, reply.index));
     }
 
     private PartMessage newReply(int kind, PartMessage request) {
         var reply = replica.newMessage(kind, request.from);
-        reply.stamp = request.stamp;
-        reply.readsPieces = true;
+        reply.sentAt = request.sentAt;
+        reply.supportsSnapshotPieces = true;
         return reply;
     }
 
@@ -51,14 +51,14 @@
         for (var entry : request.entries) {
             lastIndex = entry.index;
             if (entry.index <= replica.appliedIndex || log.termAt(entry.index) == entry.term) continue;
-            if (entry.index <= log.last()) replica.truncateFrom(entry.index);
+            if (entry.index <= log.lastIndex()) replica.truncateFrom(entry.index);
             replica.append(entry);
         }
         return lastIndex;
     }
 
     void onSnapshot(PartMessage request, long now) {
-        if (request.term < replica.log.term()) return;
+        if (request.term < replica.log.currentTerm()) return;
         if (request.wholeSnapshot == null || request.wholeSnapshot.body == null) {
             logRefusal(request, "the message contains no snapshot");
             return;
@@ -71,7 +71,7 @@
     private void installSnapshot(Snapshot snapshot) {
         if (snapshot.index <= replica.appliedIndex) return;
         replica.installSnapshot(snapshot);
-        replica.listener.note(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
+        replica.listener.logEvent(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
     }
 
     /** Replies that everything up to the snapshot's last entry is held, in the form of a reply to appended entries. */
@@ -83,23 +83,23 @@
     }
 
     void onSnapshotPiece(PartMessage request, long now) {
-        if (request.snapshot == null) {
+        if (request.snapshotPiece == null) {
             logRefusal(request, "the message contains no snapshot piece");
             return;
         }
-        if (request.term < replica.log.term()) {
+        if (request.term < replica.log.currentTerm()) {
             refusePiece(request, 0, "term " + request.term + " is out of date");
             return;
         }
         election.followLeader(request.from, now);
-        if (request.snapshot.index <= replica.appliedIndex) {
-            acknowledgeSnapshot(request, request.snapshot.index);
+        if (request.snapshotPiece.index <= replica.appliedIndex) {
+            acknowledgeSnapshot(request, request.snapshotPiece.index);
             return;
         }
-        var outcome = snapshotReceiver.accept(request.term, request.snapshot, now);
+        var outcome = snapshotReceiver.accept(request.term, request.snapshotPiece, now);
         if (outcome.snapshot() != null) {
             installSnapshot(outcome.snapshot());
-            acknowledgeSnapshot(request, request.snapshot.index);
+            acknowledgeSnapshot(request, request.snapshotPiece.index);
         } else if (outcome.refusal() != null) {
             refusePiece(request, outcome.receivedBytes(), outcome.refusal());
         } else {
@@ -108,7 +108,7 @@
     }
 
     private void logRefusal(PartMessage request, String reason) {
-        replica.listener.note(
+        replica.listener.logEvent(
                 Event.SNAPSHOT_REJECTED,
                 "part " + replica.part + " from " + Long.toHexString(request.from) + ": " + reason);
     }
@@ -121,7 +121,7 @@
     private void replyToPiece(PartMessage request, long receivedBytes, boolean granted) {
         var reply = newReply(PartMessage.SNAPSHOT_PIECE_REPLY, request);
         reply.granted = granted;
-        reply.snapshot = request.snapshot.withOffset(receivedBytes);
+        reply.snapshotPiece = request.snapshotPiece.withOffset(receivedBytes);
         replica.sendAfterSync(reply);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Group.java
+++ b/lib/state/src/main/java/craneway/state/part/Group.java
@@ -62,7 +62,7 @@
         replica.lastLeaderContactAt = Long.MIN_VALUE / 2;
         election.onStart(now);
         if (initialMembers.isVoter(selfId)
-                && initialMembers.generation > replica.membershipLog.coreGeneration(replica.log))
+                && initialMembers.coreGeneration > replica.membershipLog.coreGeneration(replica.log))
             rebuild(initialMembers, now);
     }
 
@@ -76,14 +76,14 @@
     }
 
     private void logEvent(Event event, String detail) {
-        replica.listener.note(event, "part " + replica.part + " " + detail);
+        replica.listener.logEvent(event, "part " + replica.part + " " + detail);
     }
 
     /**
      * Returns whether this store has been in contact with a leader within the window, in microseconds: as a follower by
      * hearing it, as the leader itself by replies of a majority.
      */
-    public boolean leaderHeard(long now, long window) {
+    public boolean hasLeaderContact(long now, long window) {
         var leaderId = replica.leaderId;
         return replica.role == Role.LEADER && now < replication.lastMajorityContact() + window
                 || leaderId != 0 && leaderId != replica.selfId && now < replica.lastLeaderContactAt + window;
@@ -100,13 +100,13 @@
     }
 
     /** Returns the id of the store known to be leader, or 0 if none is known. */
-    public long leader() {
+    public long leaderId() {
         return replica.leaderId;
     }
 
     /** Returns the current term. */
     public long term() {
-        return replica.log.term();
+        return replica.log.currentTerm();
     }
 
     /** Returns the membership in force. */
@@ -115,17 +115,17 @@
     }
 
     /** Returns the index of the last entry applied to the state machine. */
-    public long applied() {
+    public long appliedIndex() {
         return replica.appliedIndex;
     }
 
     /** Returns the index of the last log entry. */
     public long lastIndex() {
-        return replica.log.last();
+        return replica.log.lastIndex();
     }
 
     /** Returns whether this store is the leader and has applied everything that earlier terms committed. */
-    public boolean ready() {
+    public boolean isReadyLeader() {
         return replica.role == Role.LEADER && replica.appliedIndex >= termStartIndex;
     }
 
@@ -134,26 +134,26 @@
      * leadership.
      */
     public boolean hasLease(long now) {
-        return ready()
+        return isReadyLeader()
                 && !leadershipTransfer.isInProgress()
                 && now < replication.lastMajorityContact() + replica.timing.leaderLeaseDuration();
     }
 
     /** Returns the index up to which a store's log is known to match this leader's log. */
-    public long matchOf(long storeId) {
-        return storeId == replica.selfId ? replica.log.last() : replication.matchIndexOf(storeId);
+    public long matchIndexOf(long storeId) {
+        return storeId == replica.selfId ? replica.log.lastIndex() : replication.matchIndexOf(storeId);
     }
 
     /**
      * Returns whether this leader considers the store caught up: its recent catch-up rounds were short. A learner must
      * be caught up before it is promoted to voter.
      */
-    public boolean caughtUp(long storeId, long now) {
+    public boolean isCaughtUp(long storeId, long now) {
         return replica.role == Role.LEADER && replication.isCaughtUp(storeId, now);
     }
 
     /** Returns when this leader last received a reply from the store, or 0 if it does not track that store. */
-    public long heardFrom(long storeId) {
+    public long lastHeardAt(long storeId) {
         return replication.lastHeardAt(storeId);
     }
 
@@ -165,7 +165,7 @@
         if (oldRole == Role.LEADER) replication.endTerm();
         if (oldRole == Role.LEADER && leadershipReported) {
             leadershipReported = false;
-            replica.listener.leadershipChanged(false, replica.log.term());
+            replica.listener.onLeadershipChanged(false, replica.log.currentTerm());
         }
         if (newRole == Role.LEADER) startLeading(now);
     }
@@ -173,8 +173,8 @@
     private void startLeading(long now) {
         replica.leaderId = replica.selfId;
         replication.startTerm(now);
-        termStartIndex = replica.log.last() + 1;
-        replica.append(Entry.NO_OP, EMPTY_BODY);
+        termStartIndex = replica.log.lastIndex() + 1;
+        replica.append(LogEntry.NO_OP, EMPTY_BODY);
         replication.replicateToAll(now);
     }
 
@@ -221,9 +221,9 @@
      * appended.
      */
     public long propose(byte[] command, long now) {
-        if (!ready() || leadershipTransfer.isInProgress()) return -1;
+        if (!isReadyLeader() || leadershipTransfer.isInProgress()) return -1;
         try {
-            return replica.append(Entry.COMMAND, command);
+            return replica.append(LogEntry.COMMAND, command);
         } catch (DiskException e) {
             handleDiskFailure(e, now);
             return -1;
@@ -239,9 +239,9 @@
      */
     public boolean changeMembers(Members newMembers, long now) {
         if (!newMembers.isVoter(replica.selfId)) return false;
-        if (!ready() || replica.commitIndex < replica.membershipLog.index()) return false;
+        if (!isReadyLeader() || replica.commitIndex < replica.membershipLog.index()) return false;
         try {
-            replica.append(Entry.MEMBERSHIP, Codec.write(newMembers));
+            replica.append(LogEntry.MEMBERSHIP, Codec.encode(newMembers));
             logEvent(
                     Event.MEMBERS_CHANGED,
                     "voters " + Arrays.toString(newMembers.zones) + " learner " + newMembers.learnerZone);
@@ -257,7 +257,7 @@
      * transfer was started.
      */
     public boolean transferLeadership(long successorId, long now) {
-        if (!ready()
+        if (!isReadyLeader()
                 || leadershipTransfer.isInProgress()
                 || !members().isVoter(successorId)
                 || successorId == replica.selfId) return false;
@@ -281,7 +281,7 @@
             return;
         }
         if (message.kind == PartMessage.VOTE && !message.granted && election.ignoresVoteRequests(now)) return;
-        if (message.term > replica.log.term() && message.kind != PartMessage.PRE_VOTE_REPLY) {
+        if (message.term > replica.log.currentTerm() && message.kind != PartMessage.PRE_VOTE_REPLY) {
             replica.log.saveTermAndVote(message.term, 0);
             stepDown(now);
         }
@@ -295,17 +295,17 @@
             case PartMessage.SNAPSHOT_PIECE -> follower.onSnapshotPiece(message, now);
             case PartMessage.SNAPSHOT_PIECE_REPLY -> replication.onSnapshotPieceReply(message, now);
             case PartMessage.TIMEOUT_NOW -> {
-                if (message.term == replica.log.term() && members().isVoter(replica.selfId))
+                if (message.term == replica.log.currentTerm() && members().isVoter(replica.selfId))
                     election.startElection(now, true);
             }
-            default -> replica.listener.note(Event.BAD_MESSAGE, "unknown part message kind " + message.kind);
+            default -> replica.listener.logEvent(Event.BAD_MESSAGE, "unknown part message kind " + message.kind);
         }
     }
 
     private void onCommitChecked() {
-        if (ready() && !leadershipReported) {
+        if (isReadyLeader() && !leadershipReported) {
             leadershipReported = true;
-            replica.listener.leadershipChanged(true, replica.log.term());
+            replica.listener.onLeadershipChanged(true, replica.log.currentTerm());
         }
         var membershipCommitted = replica.role == Role.LEADER && replica.commitIndex >= replica.membershipLog.index();
         if (membershipCommitted && !members().isVoter(replica.selfId)) stepDown(replica.lastLeaderContactAt);
@@ -332,7 +332,7 @@
 
     private void handleDiskFailure(DiskException failure, long now) {
         replica.dropPendingMessages();
-        replica.listener.note(Event.DISK_WRITE_FAILED, "part " + replica.part + ": " + failure.getMessage());
+        replica.listener.logEvent(Event.DISK_WRITE_FAILED, "part " + replica.part + ": " + failure.getMessage());
         replica.leaderId = 0;
         changeRole(Role.DISK_FAILED, now);
     }
--- a/lib/state/src/main/java/craneway/state/part/GroupListener.java
+++ b/lib/state/src/main/java/craneway/state/part/GroupListener.java
@@ -8,11 +8,11 @@
     void send(PartMessage m);
 
     /** Reports that the entry at an index was applied; the result is null unless the entry is a command. */
-    void applied(long index, long term, Object result);
+    void onApplied(long index, long term, Object result);
 
     /** Reports that this store became a ready leader, or lost leadership after it had been reported. */
-    void leadershipChanged(boolean owns, long term);
+    void onLeadershipChanged(boolean owns, long term);
 
     /** Records an event in the log of the process. */
-    void note(Event e, String detail);
+    void logEvent(Event e, String detail);
 }
--- a/lib/state/src/main/java/craneway/state/part/LeadershipTransfer.java
+++ b/lib/state/src/main/java/craneway/state/part/LeadershipTransfer.java
@@ -45,7 +45,7 @@
 
     /** Tells the successor to start an election once it holds the whole log and all of it is committed. */
     void notifyCaughtUpSuccessor() {
-        var lastIndex = replica.log.last();
+        var lastIndex = replica.log.lastIndex();
         if (successorId == 0 || replica.commitIndex < lastIndex || replication.matchIndexOf(successorId) < lastIndex)
             return;
         replica.sendAfterSync(replica.newMessage(PartMessage.TIMEOUT_NOW, successorId));
--- a/lib/state/src/main/java/craneway/state/part/Entry.java
+++ b/lib/state/src/main/java/craneway/state/part/LogEntry.java
@@ -1,7 +1,7 @@
 package craneway.state.part;
 
 /** One entry of the replicated log. The fields are part of the wire format. */
-public final class Entry {
+public final class LogEntry {
     /** An empty entry, which a new leader appends to commit the entries of earlier terms. */
     public static final int NO_OP = 0;
 
@@ -19,10 +19,10 @@
     public byte[] body;
 
     /** Creates an empty entry to be filled by the decoder. */
-    public Entry() {}
+    public LogEntry() {}
 
     /** Creates an entry. */
-    public Entry(long index, long term, int type, byte[] body) {
+    public LogEntry(long index, long term, int type, byte[] body) {
         this.index = index;
         this.term = term;
         this.type = type;
--- a/lib/state/src/main/java/craneway/state/part/Members.java
+++ b/lib/state/src/main/java/craneway/state/part/Members.java
@@ -12,11 +12,11 @@
     /** The zone of each voter, in the order of {@link #voters}. */
     public String[] zones = {};
     /** The store id of the learner, or 0 if there is none. */
-    public long learner;
+    public long learnerId;
 
     public String learnerZone = "";
     /** The generation of the core; it rises when the core is rebuilt. */
-    public int generation;
+    public int coreGeneration;
 
     /** Returns the membership of these voters without a learner. The zones are in the order of the voters. */
     public static Members of(long[] voters, String[] zones) {
@@ -34,13 +34,13 @@
 
     /** Returns whether the store is a voter or the learner. */
     public boolean isMember(long id) {
-        return isVoter(id) || learner != 0 && learner == id;
+        return isVoter(id) || learnerId != 0 && learnerId == id;
     }
 
     /** Returns the zone of a member, or null if the store is not a member. */
     public String zoneOf(long id) {
         for (var i = 0; i < voters.length; i++) if (voters[i] == id) return zones[i];
-        return learner == id ? learnerZone : null;
+        return learnerId == id ? learnerZone : null;
     }
 
     /** Returns the number of voters that form a majority. */
@@ -51,24 +51,24 @@
     /** Returns this membership with the given learner. */
     public Members withLearner(long id, String zone) {
         var members = withVoters(voters, zones);
-        members.learner = id;
+        members.learnerId = id;
         members.learnerZone = zone;
         return members;
     }
 
     /** Returns this membership with the learner promoted to voter. */
-    public Members promoted() {
+    public Members withLearnerPromoted() {
         var count = voters.length;
         var newVoters = Arrays.copyOf(voters, count + 1);
         var newZones = Arrays.copyOf(zones, count + 1);
-        newVoters[count] = learner;
+        newVoters[count] = learnerId;
         newZones[count] = learnerZone;
         return withVoters(newVoters, newZones);
     }
 
     private Members withVoters(long[] newVoters, String[] newZones) {
         var members = of(newVoters, newZones);
-        members.generation = generation;
+        members.coreGeneration = coreGeneration;
         return members;
     }
 
@@ -84,8 +84,8 @@
             newZones[kept++] = zones[old];
         }
         var members = withVoters(newVoters, newZones);
-        if (learner != id) {
-            members.learner = learner;
+        if (learnerId != id) {
+            members.learnerId = learnerId;
             members.learnerZone = learnerZone;
         }
         return members;
--- a/lib/state/src/main/java/craneway/state/part/MembershipLog.java
+++ b/lib/state/src/main/java/craneway/state/part/MembershipLog.java
@@ -32,31 +32,31 @@
     /** Determines the membership again after the log was opened, truncated or replaced. */
     void reload(SegmentLog log) {
         members = log.snapshot() == null ? initialMembers : log.snapshot().members;
-        index = log.first() - 1;
-        for (var entryIndex = log.last(); entryIndex >= log.first(); entryIndex--) {
-            if (log.at(entryIndex).type != Entry.MEMBERSHIP) continue;
-            members = Codec.read(Members.class, log.at(entryIndex).body);
+        index = log.firstIndex() - 1;
+        for (var entryIndex = log.lastIndex(); entryIndex >= log.firstIndex(); entryIndex--) {
+            if (log.entryAt(entryIndex).type != LogEntry.MEMBERSHIP) continue;
+            members = Codec.decode(Members.class, log.entryAt(entryIndex).body);
             index = entryIndex;
             return;
         }
     }
 
     /** Updates the membership from an entry that was just appended. */
-    void onAppend(Entry entry) {
-        if (entry.type != Entry.MEMBERSHIP) return;
-        members = Codec.read(Members.class, entry.body);
+    void onAppend(LogEntry entry) {
+        if (entry.type != LogEntry.MEMBERSHIP) return;
+        members = Codec.decode(Members.class, entry.body);
         index = entry.index;
     }
 
     /** Returns the membership in force at a log entry. */
     Members membersAt(SegmentLog log, long entryIndex) {
-        for (var i = entryIndex; i >= log.first(); i--)
-            if (log.at(i).type == Entry.MEMBERSHIP) return Codec.read(Members.class, log.at(i).body);
+        for (var i = entryIndex; i >= log.firstIndex(); i--)
+            if (log.entryAt(i).type == LogEntry.MEMBERSHIP) return Codec.decode(Members.class, log.entryAt(i).body);
         return log.snapshot() == null ? initialMembers : log.snapshot().members;
     }
 
     /** Returns the generation of the core that the log knows, or 0 for an empty log. */
     int coreGeneration(SegmentLog log) {
-        return index < log.first() && log.snapshot() == null ? 0 : members.generation;
+        return index < log.firstIndex() && log.snapshot() == null ? 0 : members.coreGeneration;
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/PartMessage.java
+++ b/lib/state/src/main/java/craneway/state/part/PartMessage.java
@@ -51,17 +51,17 @@
     /** The term of the entry at {@link #index}. */
     public long logTerm;
     /** The leader's commit index. */
-    public long commit;
+    public long commitIndex;
     /** When the request was sent, in microseconds of its sender's clock; a reply returns it unchanged. */
-    public long stamp;
+    public long sentAt;
 
     public boolean granted;
-    public List<Entry> entries = new ArrayList<>();
+    public List<LogEntry> entries = new ArrayList<>();
     public Snapshot wholeSnapshot;
     /** Whether the answering voter has just started, so that its pre-vote counts only if all voters agree. */
     public boolean recentlyStarted;
     /** Whether the sender supports snapshots in pieces; false from a process too old to say. */
-    public boolean readsPieces;
+    public boolean supportsSnapshotPieces;
     /** The piece of a {@link #SNAPSHOT_PIECE}, or the number of bytes held in a {@link #SNAPSHOT_PIECE_REPLY}. */
-    public SnapshotPiece snapshot;
+    public SnapshotPiece snapshotPiece;
 }
--- a/lib/state/src/main/java/craneway/state/part/Peer.java
+++ b/lib/state/src/main/java/craneway/state/part/Peer.java
@@ -2,7 +2,7 @@
 
 /**
  * What a leader knows about one other member of its group. Times are microseconds. A request's {@link
- * PartMessage#stamp} is the time it was sent, and the reply returns it.
+ * PartMessage#sentAt} is the time it was sent, and the reply returns it.
  */
 final class Peer {
     private static final long LARGE_MESSAGE_BASE_TIMEOUT_MICROS = 300_000;
@@ -50,9 +50,9 @@
     /** Records any reply of the peer. */
     void onReply(PartMessage reply, long now) {
         lastHeardAt = now;
-        lastAcknowledgedSendAt = Math.max(lastAcknowledgedSendAt, reply.stamp);
+        lastAcknowledgedSendAt = Math.max(lastAcknowledgedSendAt, reply.sentAt);
         hasReplied = true;
-        supportsSnapshotPieces = reply.readsPieces;
+        supportsSnapshotPieces = reply.supportsSnapshotPieces;
     }
 
     /** Records that the peer's log matches the leader's up to an index. */
@@ -68,7 +68,7 @@
      * that overtook a large message are ignored, because they say nothing about it.
      */
     void onAppendRefused(PartMessage reply, long now) {
-        if (awaitsLargeMessageReply(now) && reply.stamp != largeMessageSentAt) return;
+        if (awaitsLargeMessageReply(now) && reply.sentAt != largeMessageSentAt) return;
         largeMessageDeadline = Long.MIN_VALUE;
         nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex - 1, reply.index + 1));
     }
--- a/lib/state/src/main/java/craneway/state/part/Replica.java
+++ b/lib/state/src/main/java/craneway/state/part/Replica.java
@@ -79,8 +79,8 @@
         pendingMessages.clear();
         leaderId = 0;
         lastLeaderContactAt = now;
-        stateMachine.load(log.snapshot() == null ? null : log.snapshot().body);
-        commitIndex = log.first() - 1;
+        stateMachine.restoreSnapshot(log.snapshot() == null ? null : log.snapshot().body);
+        commitIndex = log.firstIndex() - 1;
         appliedIndex = commitIndex;
         membershipLog.reload(log);
     }
@@ -90,7 +90,7 @@
     }
 
     PartMessage newMessage(int kind, long to) {
-        return newMessage(kind, to, log.term());
+        return newMessage(kind, to, log.currentTerm());
     }
 
     PartMessage newMessage(int kind, long to, long term) {
@@ -120,30 +120,30 @@
 
     /** Appends an entry of the current term and returns its index. */
     long append(int type, byte[] body) {
-        var entry = new Entry(log.last() + 1, log.term(), type, body);
+        var entry = new LogEntry(log.lastIndex() + 1, log.currentTerm(), type, body);
         append(entry);
         return entry.index;
     }
 
-    void append(Entry entry) {
+    void append(LogEntry entry) {
         log.append(entry);
         membershipLog.onAppend(entry);
     }
 
     /** Removes the entries from an index on, which conflict with the leader's log. */
     void truncateFrom(long index) {
-        log.cutFrom(index);
+        log.truncateFrom(index);
         membershipLog.reload(log);
     }
 
     /** Raises the commit index, at most to the end of the log, and applies the newly committed entries. */
     void commitTo(long index) {
-        commitIndex = Math.max(commitIndex, Math.min(index, log.last()));
+        commitIndex = Math.max(commitIndex, Math.min(index, log.lastIndex()));
         while (appliedIndex < commitIndex) {
-            var entry = log.at(appliedIndex + 1);
+            var entry = log.entryAt(appliedIndex + 1);
             appliedIndex++;
-            var result = entry.type == Entry.COMMAND ? stateMachine.apply(entry.index, entry.body) : null;
-            listener.applied(entry.index, entry.term, result);
+            var result = entry.type == LogEntry.COMMAND ? stateMachine.apply(entry.index, entry.body) : null;
+            listener.onApplied(entry.index, entry.term, result);
         }
         transitions.notifyCommitChecked();
     }
@@ -153,11 +153,11 @@
      * the rebuild.
      */
     long rebuild(Members newMembers) {
-        log.saveTermAndVote(log.term() + 1, selfId);
-        append(Entry.MEMBERSHIP, Codec.write(newMembers));
-        append(Entry.COMMAND, Codec.writeTagged(new Commands.Rebuilt()));
+        log.saveTermAndVote(log.currentTerm() + 1, selfId);
+        append(LogEntry.MEMBERSHIP, Codec.encode(newMembers));
+        append(LogEntry.COMMAND, Codec.encodeTagged(new Commands.Rebuilt()));
         log.sync();
-        return log.last() - 2;
+        return log.lastIndex() - 2;
     }
 
     /**
@@ -165,8 +165,8 @@
      * did.
      */
     boolean compactIfDue() {
-        var appliedEntries = appliedIndex - log.first() + 1;
-        var isDue = log.needsSnapshot() && appliedEntries > 1 || appliedEntries >= MAX_APPLIED_ENTRIES_IN_LOG;
+        var appliedEntries = appliedIndex - log.firstIndex() + 1;
+        var isDue = log.isSnapshotDue() && appliedEntries > 1 || appliedEntries >= MAX_APPLIED_ENTRIES_IN_LOG;
         if (isDue) takeSnapshot();
         return isDue;
     }
@@ -176,14 +176,14 @@
         snapshot.index = appliedIndex;
         snapshot.term = log.termAt(appliedIndex);
         snapshot.members = membershipLog.membersAt(log, appliedIndex);
-        snapshot.body = stateMachine.snapshot();
-        log.install(snapshot);
+        snapshot.body = stateMachine.encodeSnapshot();
+        log.installSnapshot(snapshot);
     }
 
     /** Replaces the state with a snapshot received from the leader. */
     void installSnapshot(Snapshot snapshot) {
-        log.install(snapshot);
-        stateMachine.load(snapshot.body);
+        log.installSnapshot(snapshot);
+        stateMachine.restoreSnapshot(snapshot.body);
         appliedIndex = snapshot.index;
         commitIndex = appliedIndex;
         membershipLog.reload(log);
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -38,7 +38,7 @@
     }
 
     private Peer newPeer(long now) {
-        var lastIndex = replica.log.last();
+        var lastIndex = replica.log.lastIndex();
         return new Peer(lastIndex + 1, new CatchUpTracker(replica.timing.electionTimeout(), lastIndex, now), now);
     }
 
@@ -52,7 +52,7 @@
         var members = replica.members();
         var others = new ArrayList<Long>();
         for (var voterId : members.voters) if (voterId != replica.selfId) others.add(voterId);
-        if (members.learner != 0 && members.learner != replica.selfId) others.add(members.learner);
+        if (members.learnerId != 0 && members.learnerId != replica.selfId) others.add(members.learnerId);
         return others;
     }
 
@@ -89,7 +89,8 @@
     void sendHeartbeats(long now) {
         for (var peerId : otherMembers()) {
             var peer = peers.computeIfAbsent(peerId, key -> newPeer(now));
-            if (peer.lastSentAt == Long.MIN_VALUE || replica.timing.isHeartbeatDue(peer.lastSentAt, now)) replicateTo(peerId, now);
+            if (peer.lastSentAt == Long.MIN_VALUE || replica.timing.isHeartbeatDue(peer.lastSentAt, now))
+                replicateTo(peerId, now);
         }
     }
 
@@ -97,7 +98,7 @@
     void replicateToLagging(long now) {
         for (var peerId : otherMembers()) {
             var peer = peers.get(peerId);
-            if (peer != null && peer.canSendEntries(replica.log.last(), now)) replicateTo(peerId, now);
+            if (peer != null && peer.canSendEntries(replica.log.lastIndex(), now)) replicateTo(peerId, now);
         }
     }
 
@@ -109,9 +110,10 @@
     private void replicateTo(long peerId, long now) {
         var peer = peers.get(peerId);
         peer.lastSentAt = now;
-        var needsSnapshot = peer.nextIndex < replica.log.first();
+        var needsSnapshot = peer.nextIndex < replica.log.firstIndex();
         if (peer.snapshotSender != null || peer.awaitsLargeMessageReply(now) || needsSnapshot && !peer.hasReplied) {
-            replica.sendAfterSync(newAppendRequest(peerId, Math.max(peer.matchIndex, replica.log.first() - 1), now));
+            replica.sendAfterSync(
+                    newAppendRequest(peerId, Math.max(peer.matchIndex, replica.log.firstIndex() - 1), now));
             if (peer.snapshotSender != null) sendPieces(peerId, peer, now);
         } else if (needsSnapshot) {
             sendSnapshot(peerId, peer, now);
@@ -124,11 +126,11 @@
         var request = newAppendRequest(peerId, peer.nextIndex - 1, now);
         var entryBytes = 0;
         for (var index = peer.nextIndex;
-                index <= replica.log.last() && request.entries.size() < MAX_ENTRIES_PER_APPEND;
+                index <= replica.log.lastIndex() && request.entries.size() < MAX_ENTRIES_PER_APPEND;
                 index++) {
-            var bodyBytes = replica.log.at(index).body.length;
+            var bodyBytes = replica.log.entryAt(index).body.length;
             if (entryBytes > 0 && entryBytes + bodyBytes > MAX_BYTES_PER_APPEND) break;
-            request.entries.add(replica.log.at(index));
+            request.entries.add(replica.log.entryAt(index));
             entryBytes += bodyBytes;
         }
         peer.nextIndex += request.entries.size();
@@ -151,7 +153,7 @@
         }
         var message = replica.newMessage(PartMessage.SNAPSHOT, peerId);
         message.wholeSnapshot = snapshot;
-        message.stamp = now;
+        message.sentAt = now;
         replica.sendAfterSync(message);
         peer.onLargeMessageSent(snapshot.index, snapshot.body.length, now);
     }
@@ -159,8 +161,8 @@
     private void sendPieces(long peerId, Peer peer, long now) {
         for (var piece : peer.snapshotSender.nextPieces(now)) {
             var message = replica.newMessage(PartMessage.SNAPSHOT_PIECE, peerId);
-            message.snapshot = piece;
-            message.stamp = now;
+            message.snapshotPiece = piece;
+            message.sentAt = now;
             replica.sendAfterSync(message);
         }
     }
@@ -174,13 +176,13 @@
         var request = replica.newMessage(PartMessage.APPEND, peerId);
         request.index = previousIndex;
         request.logTerm = replica.log.termAt(previousIndex);
-        request.commit = replica.commitIndex;
-        request.stamp = now;
+        request.commitIndex = replica.commitIndex;
+        request.sentAt = now;
         return request;
     }
 
     private Peer recordReply(PartMessage reply, long now) {
-        if (replica.role != Role.LEADER || reply.term != replica.log.term()) return null;
+        if (replica.role != Role.LEADER || reply.term != replica.log.currentTerm()) return null;
         var peer = peers.get(reply.from);
         if (peer == null) return null;
         var wasAway = now - peer.lastHeardAt > replica.timing.electionTimeout();
@@ -193,18 +195,19 @@
     void onAppendReply(PartMessage reply, long now) {
         var peer = recordReply(reply, now);
         if (peer == null) return;
-        if (reply.granted) peer.onMatch(reply.index, replica.log.last(), now);
+        if (reply.granted) peer.onMatch(reply.index, replica.log.lastIndex(), now);
         else peer.onAppendRefused(reply, now);
         if (peer.snapshotSender != null && peer.matchIndex >= peer.snapshotSender.index()) endSnapshotTransfer(peer);
         advanceCommitIndex();
-        if (replica.role == Role.LEADER && peer.canSendEntries(replica.log.last(), now)) replicateTo(reply.from, now);
+        if (replica.role == Role.LEADER && peer.canSendEntries(replica.log.lastIndex(), now))
+            replicateTo(reply.from, now);
     }
 
     void onSnapshotPieceReply(PartMessage reply, long now) {
         var peer = recordReply(reply, now);
-        if (peer == null || peer.snapshotSender == null || reply.snapshot == null) return;
-        if (reply.granted) peer.snapshotSender.onPieceAccepted(reply.snapshot, now);
-        else peer.snapshotSender.onPieceRefused(reply.snapshot, reply.stamp, now);
+        if (peer == null || peer.snapshotSender == null || reply.snapshotPiece == null) return;
+        if (reply.granted) peer.snapshotSender.onPieceAccepted(reply.snapshotPiece, now);
+        else peer.snapshotSender.onPieceRefused(reply.snapshotPiece, reply.sentAt, now);
         sendPieces(reply.from, peer, now);
     }
 
@@ -216,12 +219,12 @@
         var log = replica.log;
         var matchIndexes = new long[members.voters.length];
         for (var i = 0; i < matchIndexes.length; i++) {
-            var ownSyncedIndex = log.dirty() ? 0 : log.last();
+            var ownSyncedIndex = log.isDirty() ? 0 : log.lastIndex();
             matchIndexes[i] = members.voters[i] == replica.selfId ? ownSyncedIndex : matchIndexOf(members.voters[i]);
         }
         Arrays.sort(matchIndexes);
         var majorityIndex = matchIndexes[matchIndexes.length - members.majority()];
-        if (majorityIndex > replica.commitIndex && log.termAt(majorityIndex) == log.term())
+        if (majorityIndex > replica.commitIndex && log.termAt(majorityIndex) == log.currentTerm())
             replica.commitTo(majorityIndex);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
@@ -11,7 +11,7 @@
     /** The term of that entry. */
     public long term;
     /** The length of the encoded snapshot in bytes. */
-    public long total;
+    public long totalBytes;
     /** The CRC-32C checksum of the encoded snapshot. */
     public long checksum;
     /** The position of the first byte of this piece, or in a reply the number of bytes held without a gap. */
@@ -21,7 +21,10 @@
 
     /** Returns whether both pieces belong to the same encoded snapshot. */
     boolean isOfSameSnapshot(SnapshotPiece other) {
-        return index == other.index && term == other.term && total == other.total && checksum == other.checksum;
+        return index == other.index
+                && term == other.term
+                && totalBytes == other.totalBytes
+                && checksum == other.checksum;
     }
 
     /** Returns a piece of the same snapshot at another offset, without bytes. */
@@ -29,7 +32,7 @@
         var piece = new SnapshotPiece();
         piece.index = index;
         piece.term = term;
-        piece.total = total;
+        piece.totalBytes = totalBytes;
         piece.checksum = checksum;
         piece.offset = newOffset;
         return piece;
--- a/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
@@ -51,7 +51,7 @@
             return new Outcome(
                     receivedBytes, "offset " + piece.offset + " leaves a gap after byte " + receivedBytes, null);
         store(piece);
-        return receivedBytes < current.total ? new Outcome(receivedBytes, null, null) : assemble();
+        return receivedBytes < current.totalBytes ? new Outcome(receivedBytes, null, null) : assemble();
     }
 
     private static boolean isMalformed(SnapshotPiece piece) {
@@ -59,10 +59,10 @@
                 || piece.bytes.length == 0
                 || piece.bytes.length > MAX_PIECE_BYTES
                 || piece.index <= 0
-                || piece.total <= 0
-                || piece.total > MAX_SNAPSHOT_BYTES
+                || piece.totalBytes <= 0
+                || piece.totalBytes > MAX_SNAPSHOT_BYTES
                 || piece.offset < 0
-                || piece.offset > piece.total - piece.bytes.length;
+                || piece.offset > piece.totalBytes - piece.bytes.length;
     }
 
     private void startTransfer(SnapshotPiece piece) {
@@ -75,7 +75,7 @@
         if (end <= receivedBytes) return;
         if (end > buffer.length) {
             var capacity = Math.max(Math.max(end, INITIAL_BUFFER_BYTES), 2 * buffer.length);
-            buffer = Arrays.copyOf(buffer, (int) Math.min(current.total, capacity));
+            buffer = Arrays.copyOf(buffer, (int) Math.min(current.totalBytes, capacity));
         }
         System.arraycopy(piece.bytes, 0, buffer, (int) piece.offset, piece.bytes.length);
         receivedBytes = end;
@@ -88,9 +88,9 @@
         if (EncodedSnapshot.checksum(encoded) != expected.checksum)
             return new Outcome(0, "checksum mismatch of the complete snapshot", null);
         try {
-            var snapshot = Codec.read(Snapshot.class, encoded);
+            var snapshot = Codec.decode(Snapshot.class, encoded);
             if (snapshot.index == expected.index && snapshot.term == expected.term && snapshot.body != null)
-                return new Outcome(expected.total, null, snapshot);
+                return new Outcome(expected.totalBytes, null, snapshot);
             return new Outcome(0, "index, term or body of the complete snapshot differs from the announced one", null);
         } catch (BadMessageException e) {
             return new Outcome(0, "the complete snapshot cannot be decoded: " + e.getMessage(), null);
--- a/lib/state/src/main/java/craneway/state/part/StateMachine.java
+++ b/lib/state/src/main/java/craneway/state/part/StateMachine.java
@@ -6,8 +6,8 @@
     Object apply(long index, byte[] command);
 
     /** Returns the encoded state. */
-    byte[] snapshot();
+    byte[] encodeSnapshot();
 
     /** Replaces the state by an encoded one, or by the empty state if the snapshot is null. */
-    void load(byte[] snapshot);
+    void restoreSnapshot(byte[] snapshot);
 }
--- a/lib/state/src/main/java/craneway/state/record/ConfigurationFingerprint.java
+++ b/lib/state/src/main/java/craneway/state/record/ConfigurationFingerprint.java
@@ -37,15 +37,15 @@
     boolean matchesRecorded(long number, Rows.Manifest manifest) {
         var recordedDigest = manifest.digests.get(number);
         if (recordedDigest != null) return Arrays.equals(recordedDigest, digest);
-        var recordedHash = manifest.taken.get(number);
+        var recordedHash = manifest.legacyHashes.get(number);
         return recordedHash != null && recordedHash == legacyHash;
     }
 
     /** Records this fingerprint under the number and drops the oldest ones. */
     void remember(long number, Rows.Manifest manifest) {
         manifest.digests.put(number, digest);
-        manifest.taken.put(number, legacyHash);
-        while (manifest.taken.size() > MAX_REMEMBERED)
-            manifest.digests.remove(manifest.taken.pollFirstEntry().getKey());
+        manifest.legacyHashes.put(number, legacyHash);
+        while (manifest.legacyHashes.size() > MAX_REMEMBERED)
+            manifest.digests.remove(manifest.legacyHashes.pollFirstEntry().getKey());
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -14,20 +14,20 @@
      * Accepts a new manifest if it is based on the version in force. A copy of the accepted manifest is acknowledged
      * again.
      */
-    static CommandResult putManifest(Rows.Whole rows, Commands.ManifestPut command) {
+    static CommandResult putManifest(Rows.PartState rows, Commands.ManifestPut command) {
         var manifest = rows.manifest;
-        if (command.number > 0) return putNumbered(rows, command, manifest);
-        if (command.base == baseVersionOf(manifest) && command.text.equals(manifest.text))
+        if (command.senderNumber > 0) return putNumbered(rows, command, manifest);
+        if (command.baseVersion == baseVersionOf(manifest) && command.text.equals(manifest.text))
             return acceptedResult(manifest);
-        if (command.base != manifest.version)
+        if (command.baseVersion != manifest.version)
             return Records.failure(
                     ProblemKind.RACE_LOST,
-                    "written against version " + command.base + ", in force is version " + manifest.version);
-        manifest.base = command.base;
-        manifest.number = 0;
+                    "written against version " + command.baseVersion + ", in force is version " + manifest.version);
+        manifest.baseVersion = command.baseVersion;
+        manifest.senderNumber = 0;
         manifest.version++;
         manifest.text = command.text;
-        manifest.topicVersion = rows.index;
+        manifest.topicVersion = rows.lastIndex;
         return acceptedResult(manifest);
     }
 
@@ -36,26 +36,29 @@
      * then taken to be the previous version.
      */
     private static long baseVersionOf(Rows.Manifest manifest) {
-        return manifest.base < 0 ? manifest.version - 1 : manifest.base;
+        return manifest.baseVersion < 0 ? manifest.version - 1 : manifest.baseVersion;
     }
 
-    private static CommandResult putNumbered(Rows.Whole rows, Commands.ManifestPut command, Rows.Manifest manifest) {
-        var fingerprint = ConfigurationFingerprint.of(command.source, command.base);
-        if (fingerprint.matchesRecorded(command.number, manifest)) return acceptedResult(manifest);
-        if (command.base != manifest.known())
+    private static CommandResult putNumbered(
+            Rows.PartState rows, Commands.ManifestPut command, Rows.Manifest manifest) {
+        var fingerprint = ConfigurationFingerprint.of(command.sourceText, command.baseVersion);
+        if (fingerprint.matchesRecorded(command.senderNumber, manifest)) return acceptedResult(manifest);
+        if (command.baseVersion != manifest.knownNumber())
             return Records.failure(
                     ProblemKind.RACE_LOST,
-                    "written against version " + command.base + ", in force is version " + manifest.known());
-        if (command.number <= manifest.known())
+                    "written against version " + command.baseVersion + ", in force is version "
+                            + manifest.knownNumber());
+        if (command.senderNumber <= manifest.knownNumber())
             return Records.failure(
-                    ProblemKind.BAD_MANIFEST, "version " + command.number + " is not above " + manifest.known());
-        manifest.base = command.base;
-        manifest.version = Math.max(command.number, manifest.version + 1);
-        manifest.number = manifest.version == command.number ? 0 : command.number;
+                    ProblemKind.BAD_MANIFEST,
+                    "version " + command.senderNumber + " is not above " + manifest.knownNumber());
+        manifest.baseVersion = command.baseVersion;
+        manifest.version = Math.max(command.senderNumber, manifest.version + 1);
+        manifest.senderNumber = manifest.version == command.senderNumber ? 0 : command.senderNumber;
         manifest.text = command.text;
-        manifest.source = command.source;
-        manifest.topicVersion = rows.index;
-        fingerprint.remember(command.number, manifest);
+        manifest.sourceText = command.sourceText;
+        manifest.topicVersion = rows.lastIndex;
+        fingerprint.remember(command.senderNumber, manifest);
         return acceptedResult(manifest);
     }
 
@@ -66,14 +69,14 @@
     }
 
     /** Sets or clears the mark that empties a zone. */
-    static CommandResult markZone(Rows.Whole rows, Commands.ZoneMark command) {
+    static CommandResult markZone(Rows.PartState rows, Commands.ZoneMark command) {
         var manifest = rows.manifest;
         var key = MarkKey.zone(command.zone).text();
         if (manifest.marks.containsKey(key) == command.emptied) return Records.okWithVersion(manifest.topicVersion);
         if (command.emptied) manifest.marks.put(key, Plan.EMPTIED);
         else manifest.marks.remove(key);
         manifest.marksVersion++;
-        manifest.topicVersion = rows.index;
+        manifest.topicVersion = rows.lastIndex;
         return Records.okWithVersion(manifest.topicVersion);
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -10,21 +10,21 @@
     private PlanCommands() {}
 
     /** Stores a proposed plan and returns its id as the version. The newest 100 plans are kept. */
-    static CommandResult putPlan(Rows.Whole rows, Commands.PlanPut command) {
+    static CommandResult putPlan(Rows.PartState rows, Commands.PlanPut command) {
         var plan = command.plan;
         if (plan.manifestVersion != rows.manifest.version || plan.marksVersion != rows.manifest.marksVersion)
             return Records.failure(ProblemKind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
-        plan.id = ++rows.planCount;
+        plan.id = ++rows.lastPlanId;
         rows.plans.put(plan.id, plan);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
         return Records.okWithVersion(plan.id);
     }
 
     /** Confirms a plan: its marks take effect, provided the manifest and the marks are still those it was made for. */
-    static CommandResult confirmPlan(Rows.Whole rows, Commands.PlanConfirm command) {
+    static CommandResult confirmPlan(Rows.PartState rows, Commands.PlanConfirm command) {
         var plan = rows.plans.get(command.plan);
         if (plan == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + command.plan);
-        if (plan.state == Plan.CONFIRMED) return Records.okWithVersion(plan.confirmedTopic);
+        if (plan.state == Plan.CONFIRMED) return Records.okWithVersion(plan.confirmedTopicVersion);
         if (plan.state == Plan.STOPPED)
             return Records.failure(ProblemKind.STALE_PLAN, "plan " + command.plan + " was stopped");
         var manifest = rows.manifest;
@@ -39,21 +39,21 @@
             else manifest.marks.put(key, mark);
         });
         manifest.marksVersion++;
-        manifest.topicVersion = rows.index;
+        manifest.topicVersion = rows.lastIndex;
         plan.state = Plan.CONFIRMED;
-        plan.confirmedTopic = rows.index;
-        return Records.okWithVersion(plan.confirmedTopic);
+        plan.confirmedTopicVersion = rows.lastIndex;
+        return Records.okWithVersion(plan.confirmedTopicVersion);
     }
 
     /** Stops a plan that has not been confirmed. */
-    static CommandResult stopPlan(Rows.Whole rows, Commands.PlanStop command) {
+    static CommandResult stopPlan(Rows.PartState rows, Commands.PlanStop command) {
         var plan = rows.plans.get(command.plan);
         if (plan == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + command.plan);
         if (plan.state == Plan.CONFIRMED)
             return Records.failure(
                     ProblemKind.STALE_PLAN, "plan " + command.plan + " is in force; take it back with an intent");
         plan.state = Plan.STOPPED;
-        plan.cause = command.cause;
+        plan.stopCause = command.cause;
         return Records.ok();
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -20,26 +20,26 @@
      */
     private static final long REBUILD_VERSION_INCREMENT = 1_000;
 
-    private final Map<Class<?>, BiFunction<Rows.Whole, Object, CommandResult>> handlers = new HashMap<>();
-    private Rows.Whole rows = new Rows.Whole();
+    private final Map<Class<?>, BiFunction<Rows.PartState, Object, CommandResult>> handlers = new HashMap<>();
+    private Rows.PartState rows = new Rows.PartState();
 
     /** Creates an empty state and registers the command handlers. */
     public Records() {
         register(Commands.MemberPut.class, MemberCommands::putMember);
         register(Commands.MemberLapsed.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, false));
-        register(Commands.MemberGone.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, true));
+        register(Commands.MemberRemoved.class, (r, c) -> MemberCommands.endMembership(r, c.name, c.incarnation, true));
         register(Commands.ManifestPut.class, ManifestCommands::putManifest);
         register(Commands.ServiceSync.class, ServiceCommands::syncService);
         register(Commands.RunnerPut.class, RunnerCommands::putRunner);
         register(Commands.RunnerMark.class, RunnerCommands::markRunner);
         register(Commands.RunnerLeft.class, RunnerCommands::markRunnerLeft);
-        register(Commands.Claim.class, ClaimCommands::takeClaim);
-        register(Commands.Finish.class, ClaimCommands::finishClaim);
-        register(Commands.Age.class, ClaimCommands::advanceAge);
+        register(Commands.ClaimTake.class, ClaimCommands::takeClaim);
+        register(Commands.ClaimFinish.class, ClaimCommands::finishClaim);
+        register(Commands.AgeAdvance.class, ClaimCommands::advanceAge);
         register(Commands.TableStep.class, ServiceCommands::applyTableStep);
         register(Commands.StepAsk.class, StepCommands::askStep);
         register(Commands.StepMark.class, StepCommands::markStep);
-        register(Commands.Displace.class, StepCommands::displaceUnits);
+        register(Commands.UnitDisplacement.class, StepCommands::displaceUnits);
         register(Commands.Rebuilt.class, (r, c) -> onRebuilt(r));
         register(Commands.ClaimsAccepted.class, (r, c) -> ClaimCommands.acceptClaims(r));
         register(Commands.ZoneMark.class, ManifestCommands::markZone);
@@ -50,12 +50,12 @@
     }
 
     @SuppressWarnings("unchecked")
-    private <C> void register(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
+    private <C> void register(Class<C> type, BiFunction<Rows.PartState, C, CommandResult> handler) {
         handlers.put(type, (rows, command) -> handler.apply(rows, (C) command));
     }
 
     /** Returns the current rows; callers must not change them. */
-    public Rows.Whole rows() {
+    public Rows.PartState rows() {
         return rows;
     }
 
@@ -63,15 +63,15 @@
      * Returns the recorded result of a command identified by the sending session and its sequence number, or null if no
      * such command is known to be applied.
      */
-    public CommandResult verdict(long sessionId, long sequence) {
+    public CommandResult recordedResult(long sessionId, long sequence) {
         return CommandSessions.recordedResult(rows, sessionId, sequence);
     }
 
     @Override
     public CommandResult apply(long index, byte[] command) {
-        rows.index = index;
-        var decoded = Codec.readTagged(command);
-        return decoded instanceof Commands.Fenced identified
+        rows.lastIndex = index;
+        var decoded = Codec.decodeTagged(command);
+        return decoded instanceof Commands.IdentifiedCommand identified
                 ? CommandSessions.applyOnce(rows, identified, this::handle)
                 : handle(decoded);
     }
@@ -84,13 +84,13 @@
     }
 
     @Override
-    public byte[] snapshot() {
-        return Codec.write(rows);
+    public byte[] encodeSnapshot() {
+        return Codec.encode(rows);
     }
 
     @Override
-    public void load(byte[] snapshot) {
-        rows = snapshot == null ? new Rows.Whole() : Codec.read(Rows.Whole.class, snapshot);
+    public void restoreSnapshot(byte[] snapshot) {
+        rows = snapshot == null ? new Rows.PartState() : Codec.decode(Rows.PartState.class, snapshot);
     }
 
     /** Returns a result that reports success. */
@@ -103,7 +103,7 @@
         var result = new CommandResult();
         result.kind = kind.code();
         result.detail = detail;
-        result.retryAfter = kind.isTransient() ? 1_000_000 : 0;
+        result.retryAfterMicros = kind.isTransient() ? 1_000_000 : 0;
         return result;
     }
 
@@ -113,19 +113,20 @@
         return result;
     }
 
-    private static CommandResult onRebuilt(Rows.Whole rows) {
+    private static CommandResult onRebuilt(Rows.PartState rows) {
         rows.claimsLost = true;
-        rows.lostSince = rows.age;
+        rows.claimsLostAtAge = rows.ageMicros;
         rows.claims.values().forEach(claim -> {
             if (claim.state == Rows.Claim.OPEN) claim.state = Rows.Claim.UNKNOWN;
         });
         var manifest = rows.manifest;
-        if (manifest.number == 0 && manifest.taken.containsKey(manifest.version)) manifest.number = manifest.version;
+        if (manifest.senderNumber == 0 && manifest.legacyHashes.containsKey(manifest.version))
+            manifest.senderNumber = manifest.version;
         manifest.version += manifest.version == 0 ? 0 : REBUILD_VERSION_INCREMENT;
-        manifest.topicVersion = rows.index;
+        manifest.topicVersion = rows.lastIndex;
         for (var service : rows.services.values()) {
             service.tableVersion += REBUILD_VERSION_INCREMENT;
-            service.newsVersion = rows.index;
+            service.topicVersion = rows.lastIndex;
         }
         return ok();
     }
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -11,7 +11,7 @@
 
 /**
  * The rows of a part's replicated state. The order and types of the fields are the snapshot format; names are not
- * stored. "Age" is the part's own time in microseconds, which advances by {@link craneway.state.message.Commands.Age}
+ * stored. "Age" is the part's own time in microseconds, which advances by {@link craneway.state.message.Commands.AgeAdvance}
  * commands only.
  */
 public final class Rows {
@@ -44,15 +44,15 @@
         public boolean cold;
         public int state;
         /** How long the runner stays cold, in microseconds from when this row was written; 0 if unknown. */
-        public long coldFor;
+        public long coldMicros;
 
         /** How long until the runner goes away, in microseconds from when this row was written; 0 if unknown. */
-        public long goneIn;
+        public long goneAfterMicros;
         /** The age of the part when the runner was marked leaving or dark. */
-        public long endedAge;
+        public long endedAtAge;
 
         /** Returns whether the runner is up. */
-        public boolean up() {
+        public boolean isUp() {
             return state == UP;
         }
 
@@ -71,7 +71,7 @@
         public long manifestVersion;
         public long tableVersion;
         /** The version of the topic that publishes this row: the log index of its latest change. */
-        public long newsVersion;
+        public long topicVersion;
 
         public List<String> regions = new ArrayList<>();
         public List<String> cells = new ArrayList<>();
@@ -79,16 +79,16 @@
         public List<String> cellRegions = new ArrayList<>();
         public List<Integer> weights = new ArrayList<>();
         /** Whether a cell's weight is multiplied by the slots of its runners. */
-        public boolean bySlots;
+        public boolean weighedBySlots;
         /** The region sets in use, as bits over {@link #regions}. */
-        public int[] sets = {};
+        public int[] regionSetsInUse = {};
 
         /** The number of each unit's home cell, or {@link PlacementTable#NOWHERE}. */
-        public int[] homes = {};
+        public int[] homeCells = {};
 
         public TreeMap<String, Runner> runners = new TreeMap<>();
         /** The number of steps so far, which is the id of the latest one. */
-        public long stepCount;
+        public long lastStepId;
 
         public List<Step> steps = new ArrayList<>();
         /** The units that should move to another cell because their own is overloaded. */
@@ -99,24 +99,24 @@
          * The age, by cell name, until which units with a working home are not moved to the cell, because a step to it
          * was taken back.
          */
-        public TreeMap<String, Long> heldUntil = new TreeMap<>();
+        public TreeMap<String, Long> heldBackUntilAge = new TreeMap<>();
 
         /** Returns the step with this id, or null. */
-        public Step step(long id) {
+        public Step findStep(long id) {
             for (var step : steps) if (step.id == id) return step;
             return null;
         }
 
         /** Returns the cell that a unit is displaced to, or {@link PlacementTable#NOWHERE}. */
-        public int displaced(int unit) {
+        public int displacedCellOf(int unit) {
             for (var at = 0; at < displacedUnits.length; at++)
                 if (displacedUnits[at] == unit) return displacedCells[at];
             return PlacementTable.NOWHERE;
         }
 
         /** Returns the weight of a cell, multiplied by the slots of its runners if {@link #bySlots} is set. */
-        public int weight(int cell) {
-            if (!bySlots) return weights.get(cell);
+        public int weightOf(int cell) {
+            if (!weighedBySlots) return weights.get(cell);
             var slots = 0;
             for (var runner : runners.values())
                 if (runner.state != Runner.LEAVING && runner.cell.equals(cells.get(cell))) slots += runner.slots;
@@ -127,39 +127,40 @@
          * Returns how many region sets in use compete for the cell: the given set and all its proper subsets that
          * include the cell's region. Returns 1 unless {@link #bySlots} is set.
          */
-        public int sharing(int cell, int set) {
-            if (!bySlots) return 1;
+        public int countRegionSetsSharing(int cell, int set) {
+            if (!weighedBySlots) return 1;
             var region = regions.indexOf(cellRegions.get(cell));
             var count = 1;
-            for (var other : sets) if (other != set && (other & set) == other && (other >> region & 1) == 1) count++;
+            for (var other : regionSetsInUse)
+                if (other != set && (other & set) == other && (other >> region & 1) == 1) count++;
             return count;
         }
 
         /** Returns whether the cell's weight is above 0; a cell that left the manifest has weight 0. */
-        public boolean live(int cell) {
+        public boolean hasWeight(int cell) {
             return weights.get(cell) > 0;
         }
 
         /** Returns the number of each cell, by name. */
-        public Map<String, Integer> cellNumbers() {
+        public Map<String, Integer> cellNumbersByName() {
             var indexes = new HashMap<String, Integer>();
             for (var cell = 0; cell < cells.size(); cell++) indexes.putIfAbsent(cells.get(cell), cell);
             return indexes;
         }
 
         /** Returns the number of runners that are up, by cell number. */
-        public int[] runnersUp() {
-            var cellIndexes = cellNumbers();
+        public int[] countRunnersUp() {
+            var cellIndexes = cellNumbersByName();
             var up = new int[cells.size()];
             for (var runner : runners.values())
-                if (runner.up() && cellIndexes.containsKey(runner.cell)) up[cellIndexes.get(runner.cell)]++;
+                if (runner.isUp() && cellIndexes.containsKey(runner.cell)) up[cellIndexes.get(runner.cell)]++;
             return up;
         }
 
         /** Returns the number of runners of a cell that are up. */
-        public long runnersUp(int cell) {
+        public long countRunnersUp(int cell) {
             return runners.values().stream()
-                    .filter(runner -> runner.up() && runner.cell.equals(cells.get(cell)))
+                    .filter(runner -> runner.isUp() && runner.cell.equals(cells.get(cell)))
                     .count();
         }
     }
@@ -189,27 +190,27 @@
         public int state;
         public int[] units = {};
         /** The home cell of each unit before the step. */
-        public int[] from = {};
+        public int[] fromCells = {};
         /** The number of the target cell. */
-        public int to;
+        public int toCell;
 
         public String cause = "";
         /** The log index at which the step was asked for. */
-        public long index;
+        public long askedAtIndex;
         /** The age of the part when the step was asked for. */
-        public long askedAge;
+        public long askedAtAge;
         /** The table version that contains the step, once it is raised. */
         public long tableVersion;
 
         /** Returns whether the step may change to the given state. */
-        public boolean may(int next) {
+        public boolean canBecome(int next) {
             return state == ASKED
                     ? next == RAISED || next == DROPPED
                     : state == RAISED && (next == KEPT || next == TAKEN_BACK);
         }
 
         /** Returns whether the step has reached a final state. */
-        public boolean over() {
+        public boolean isOver() {
             return state > RAISED;
         }
 
@@ -231,7 +232,7 @@
         public static final int UNKNOWN = 2;
 
         /** Released by its holder; another attempt may take it. */
-        public static final int FREED = 3;
+        public static final int RELEASED = 3;
 
         public String holder;
         public long incarnation;
@@ -239,7 +240,7 @@
         public int unit;
         public int state;
         /** The age of the part when the claim was taken. */
-        public long age;
+        public long takenAtAge;
     }
 
     /** The requests that a tenant has used of its quota in one minute of the part's age. */
@@ -257,34 +258,34 @@
         public long marksVersion;
         public String text = "";
         /** The text as submitted, where it differs from {@link #text}; kept to be read back. */
-        public String source = "";
+        public String sourceText = "";
         /**
          * The 64-bit hashes of accepted configurations, by number, for older processes; see {@link
          * ConfigurationFingerprint}.
          */
-        public TreeMap<Long, Long> taken = new TreeMap<>();
+        public TreeMap<Long, Long> legacyHashes = new TreeMap<>();
 
         public TreeMap<String, String> marks = new TreeMap<>();
         /**
          * The version that the newest one is based on; negative if it was accepted by a process too old to record it.
          */
-        public long base = -1;
+        public long baseVersion = -1;
         /** The digests of accepted configurations, by number; see {@link ConfigurationFingerprint}. */
         public TreeMap<Long, byte[]> digests = new TreeMap<>();
 
         /** The number that the sender gave the newest configuration if it differs from the version, else 0. */
-        public long number;
+        public long senderNumber;
 
         /**
          * Returns the number by which senders know the newest configuration. A rebuild raises the version, but not this
          * number.
          */
-        public long known() {
-            return number == 0 ? version : number;
+        public long knownNumber() {
+            return senderNumber == 0 ? version : senderNumber;
         }
 
         /** Returns a copy for publication, without what is kept only to recognize or read back submissions. */
-        public Manifest inForce() {
+        public Manifest copyForPublication() {
             var copy = new Manifest();
             copy.version = version;
             copy.topicVersion = topicVersion;
@@ -296,10 +297,10 @@
     }
 
     /** The result of a command, kept for copies of the command. */
-    public static final class Applied {
+    public static final class RecordedResult {
         public int kind;
         public String detail = "";
-        public long retryAfter;
+        public long retryAfterMicros;
         public long version;
     }
 
@@ -307,26 +308,26 @@
      * The applied commands of one session, which is one run of a client process. Results below {@link
      * #floor} are no longer kept.
      */
-    public static final class Life {
+    public static final class Session {
         /** The lowest sequence number that is still accepted. */
-        public long floor = Long.MIN_VALUE;
+        public long lowestSequence = Long.MIN_VALUE;
         /** The log index of the session's latest command. */
-        public long index;
+        public long lastIndex;
 
         /** The kept results, by sequence number. */
-        public TreeMap<Long, Applied> applied = new TreeMap<>();
+        public TreeMap<Long, RecordedResult> results = new TreeMap<>();
     }
 
     /** All rows of a part. */
-    public static final class Whole {
+    public static final class PartState {
         /** The part's own time, in microseconds. */
-        public long age;
+        public long ageMicros;
         /** The log index of the latest command. */
-        public long index;
+        public long lastIndex;
 
         public long membersVersion;
         /** The number of plans so far, which is the id of the latest one. */
-        public long planCount;
+        public long lastPlanId;
 
         public TreeMap<String, Member> members = new TreeMap<>();
         public Manifest manifest = new Manifest();
@@ -340,8 +341,8 @@
          */
         public boolean claimsLost;
         /** The age of the part at that rebuild. */
-        public long lostSince;
+        public long claimsLostAtAge;
         /** The client sessions, by session id. */
-        public TreeMap<Long, Life> lives = new TreeMap<>();
+        public TreeMap<Long, Session> sessions = new TreeMap<>();
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -9,12 +9,13 @@
     private RunnerCommands() {}
 
     /** Adds or updates a runner, unless a later incarnation is known or this one is already leaving. */
-    static CommandResult putRunner(Rows.Whole rows, Commands.RunnerPut command) {
+    static CommandResult putRunner(Rows.PartState rows, Commands.RunnerPut command) {
         var service = rows.services.get(command.service);
         if (service == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service);
         var cell = service.cells.indexOf(command.cell);
-        if (cell < 0 || !service.live(cell))
-            return Records.failure(ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell);
+        if (cell < 0 || !service.hasWeight(cell))
+            return Records.failure(
+                    ProblemKind.BAD_FIELD, "service " + command.service + " has no cell " + command.cell);
         var existing = service.runners.get(command.runner);
         if (existing != null
                 && (existing.incarnation > command.incarnation
@@ -32,17 +33,17 @@
         runner.slots = command.slots;
         runner.incarnation = command.incarnation;
         runner.cold = command.cold;
-        runner.coldFor = command.coldFor;
-        runner.goneIn = command.goneIn;
+        runner.coldMicros = command.coldMicros;
+        runner.goneAfterMicros = command.goneAfterMicros;
         runner.state = command.state;
-        runner.endedAge = rows.age;
+        runner.endedAtAge = rows.ageMicros;
         service.runners.put(command.runner, runner);
-        service.newsVersion = rows.index;
+        service.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
     /** Marks one incarnation of a runner as leaving or dark. */
-    static CommandResult markRunner(Rows.Whole rows, Commands.RunnerMark command) {
+    static CommandResult markRunner(Rows.PartState rows, Commands.RunnerMark command) {
         var service = rows.services.get(command.service);
         if (service == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service);
         var runner = service.runners.get(command.runner);
@@ -54,7 +55,7 @@
     }
 
     /** Marks a runner as leaving in every service that lists it. */
-    static CommandResult markRunnerLeft(Rows.Whole rows, Commands.RunnerLeft command) {
+    static CommandResult markRunnerLeft(Rows.PartState rows, Commands.RunnerLeft command) {
         for (var service : rows.services.values()) {
             var runner = service.runners.get(command.runner);
             if (runner != null) endRunner(rows, service, runner, Rows.Runner.LEAVING);
@@ -62,16 +63,18 @@
         return Records.ok();
     }
 
-    private static void endRunner(Rows.Whole rows, Rows.Service service, Rows.Runner runner, int state) {
+    private static void endRunner(Rows.PartState rows, Rows.Service service, Rows.Runner runner, int state) {
         if (runner.state == Rows.Runner.LEAVING || runner.state == state) return;
         runner.state = state;
-        runner.endedAge = rows.age;
-        service.newsVersion = rows.index;
+        runner.endedAtAge = rows.ageMicros;
+        service.topicVersion = rows.lastIndex;
     }
 
     /** Removes the runners that left or went dark longer ago than the retention, in microseconds. */
-    static void removeExpiredRunners(Rows.Whole rows, Rows.Service service, long retention) {
-        if (service.runners.values().removeIf(runner -> !runner.up() && rows.age - runner.endedAge > retention))
-            service.newsVersion = rows.index;
+    static void removeExpiredRunners(Rows.PartState rows, Rows.Service service, long retention) {
+        if (service.runners
+                .values()
+                .removeIf(runner -> !runner.isUp() && rows.ageMicros - runner.endedAtAge > retention))
+            service.topicVersion = rows.lastIndex;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -15,27 +15,27 @@
      * Brings a service in line with a newer manifest. Cells that the manifest no longer lists stay with weight 0,
      * because tables refer to cells by position.
      */
-    static CommandResult syncService(Rows.Whole rows, Commands.ServiceSync command) {
+    static CommandResult syncService(Rows.PartState rows, Commands.ServiceSync command) {
         var service = rows.services.computeIfAbsent(command.service, name -> new Rows.Service());
         if (command.manifestVersion <= service.manifestVersion) return Records.ok();
         service.name = command.service;
         service.manifestVersion = command.manifestVersion;
-        service.bySlots = command.bySlots;
+        service.weighedBySlots = command.weighedBySlots;
         for (var region : command.regions)
             if (!service.regions.contains(region) && service.regions.size() < Units.MAX_REGIONS)
                 service.regions.add(region);
-        service.sets = command.bound.stream()
+        service.regionSetsInUse = command.boundRegionSets.stream()
                 .mapToInt(names -> regionSetOf(service, names))
                 .distinct()
                 .toArray();
         for (var i = 0; i < service.cells.size(); i++)
             if (!command.cells.contains(service.cells.get(i))) service.weights.set(i, 0);
         for (var i = 0; i < command.cells.size(); i++) putCell(service, command, i);
-        var previousHomes = service.homes;
-        service.homes = Arrays.copyOf(previousHomes, Units.unitCount(service.regions.size()));
-        Arrays.fill(service.homes, previousHomes.length, service.homes.length, PlacementTable.NOWHERE);
+        var previousHomes = service.homeCells;
+        service.homeCells = Arrays.copyOf(previousHomes, Units.unitCount(service.regions.size()));
+        Arrays.fill(service.homeCells, previousHomes.length, service.homeCells.length, PlacementTable.NOWHERE);
         service.tableVersion++;
-        service.newsVersion = rows.index;
+        service.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
@@ -62,18 +62,18 @@
     }
 
     /** Assigns home cells to some units at once, without a confirmed step. */
-    static CommandResult applyTableStep(Rows.Whole rows, Commands.TableStep command) {
+    static CommandResult applyTableStep(Rows.PartState rows, Commands.TableStep command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
-        for (var i = 0; i < command.units.length; i++) service.homes[command.units[i]] = command.cells[i];
+        for (var i = 0; i < command.units.length; i++) service.homeCells[command.units[i]] = command.cells[i];
         service.tableVersion++;
-        service.newsVersion = rows.index;
+        service.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
     /** Returns null if a router of the region may write for the unit at this table version, else the refusal. */
-    static CommandResult writeRefusal(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
+    static CommandResult writeRefusal(Rows.PartState rows, String service, int unit, long tableVersion, String region) {
         var row = rows.services.get(service);
         if (row == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + service);
         if (tableVersion != row.tableVersion) {
@@ -82,7 +82,7 @@
             refusal.version = row.tableVersion;
             return refusal;
         }
-        var home = unit < 0 || unit >= row.homes.length ? PlacementTable.NOWHERE : row.homes[unit];
+        var home = unit < 0 || unit >= row.homeCells.length ? PlacementTable.NOWHERE : row.homeCells[unit];
         if (home == PlacementTable.NOWHERE || !row.cellRegions.get(home).equals(region))
             return Records.failure(ProblemKind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
         return null;
--- a/lib/state/src/main/java/craneway/state/record/StepCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/StepCommands.java
@@ -14,35 +14,37 @@
     private StepCommands() {}
 
     /** Records a step that awaits confirmation. Only one step of a service may await it at a time. */
-    static CommandResult askStep(Rows.Whole rows, Commands.StepAsk command) {
+    static CommandResult askStep(Rows.PartState rows, Commands.StepAsk command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         if (service.steps.stream().anyMatch(step -> step.state == Rows.Step.ASKED))
             return Records.failure(ProblemKind.STALE_TABLE, "another step is being confirmed");
         var step = new Rows.Step();
-        step.id = ++service.stepCount;
+        step.id = ++service.lastStepId;
         step.units = command.units;
-        step.from =
-                Arrays.stream(command.units).map(unit -> service.homes[unit]).toArray();
-        step.to = command.to;
+        step.fromCells = Arrays.stream(command.units)
+                .map(unit -> service.homeCells[unit])
+                .toArray();
+        step.toCell = command.toCell;
         step.cause = command.cause;
-        step.index = rows.index;
-        step.askedAge = rows.age;
+        step.askedAtIndex = rows.lastIndex;
+        step.askedAtAge = rows.ageMicros;
         service.steps.add(step);
         while (service.steps.size() > MAX_REMEMBERED_STEPS
-                && service.steps.get(0).over()) service.steps.remove(0);
+                && service.steps.get(0).isOver()) service.steps.remove(0);
         var result = Records.ok();
         result.version = step.id;
         return result;
     }
 
     /** Moves a step to its next state; raising it or taking it back changes the home cells. */
-    static CommandResult markStep(Rows.Whole rows, Commands.StepMark command) {
+    static CommandResult markStep(Rows.PartState rows, Commands.StepMark command) {
         var service = rows.services.get(command.service);
-        var step = service == null ? null : service.step(command.id);
-        if (step == null || !step.may(command.state))
-            return Records.failure(ProblemKind.STALE_TABLE, "the step is " + (step == null ? "unknown" : step.stateName()));
+        var step = service == null ? null : service.findStep(command.id);
+        if (step == null || !step.canBecome(command.state))
+            return Records.failure(
+                    ProblemKind.STALE_TABLE, "the step is " + (step == null ? "unknown" : step.stateName()));
         step.state = command.state;
         if (!command.cause.isEmpty()) step.cause += "; " + command.cause;
         if (command.state == Rows.Step.RAISED) raiseStep(rows, service, step);
@@ -51,28 +53,30 @@
     }
 
     /** Moves the units that are still at home where the step found them. */
-    private static void raiseStep(Rows.Whole rows, Rows.Service service, Rows.Step step) {
+    private static void raiseStep(Rows.PartState rows, Rows.Service service, Rows.Step step) {
         for (var i = 0; i < step.units.length; i++)
-            if (service.homes[step.units[i]] == step.from[i]) service.homes[step.units[i]] = step.to;
+            if (service.homeCells[step.units[i]] == step.fromCells[i]) service.homeCells[step.units[i]] = step.toCell;
         advanceTableVersion(rows, service);
         step.tableVersion = service.tableVersion;
     }
 
     /** Moves units back to where they were and holds the target cell back from further moves for a while. */
-    private static void takeBackStep(Rows.Whole rows, Rows.Service service, Rows.Step step, Commands.StepMark command) {
+    private static void takeBackStep(
+            Rows.PartState rows, Rows.Service service, Rows.Step step, Commands.StepMark command) {
         for (var i = 0; i < step.units.length; i++) {
             var unit = step.units[i];
-            if (service.homes[unit] == step.to && Arrays.stream(command.units).anyMatch(other -> other == unit))
-                service.homes[unit] = step.from[i];
+            if (service.homeCells[unit] == step.toCell
+                    && Arrays.stream(command.units).anyMatch(other -> other == unit))
+                service.homeCells[unit] = step.fromCells[i];
         }
-        service.heldUntil.put(service.cells.get(step.to), rows.age + command.heldMicros);
+        service.heldBackUntilAge.put(service.cells.get(step.toCell), rows.ageMicros + command.holdBackMicros);
         clearDisplacements(service, step.units);
         advanceTableVersion(rows, service);
     }
 
-    private static void advanceTableVersion(Rows.Whole rows, Rows.Service service) {
+    private static void advanceTableVersion(Rows.PartState rows, Rows.Service service) {
         service.tableVersion++;
-        service.newsVersion = rows.index;
+        service.topicVersion = rows.lastIndex;
     }
 
     private static void clearDisplacements(Rows.Service service, int[] units) {
@@ -80,12 +84,12 @@
     }
 
     /** Records the cells that units should move to because their own cell is overloaded, or clears them. */
-    static CommandResult displaceUnits(Rows.Whole rows, Commands.Displace command) {
+    static CommandResult displaceUnits(Rows.PartState rows, Commands.UnitDisplacement command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         for (var i = 0; i < command.units.length; i++) setDisplacement(service, command.units[i], command.cells[i]);
-        service.newsVersion = rows.index;
+        service.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
--- a/lib/state/src/test/java/craneway/state/disk/FailingDiskTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/FailingDiskTest.java
@@ -7,7 +7,7 @@
 
 import craneway.state.disk.LogHistory.Call;
 import craneway.state.disk.PowerLossFolder.Fault;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.util.List;
 import java.util.TreeMap;
@@ -83,18 +83,21 @@
         assertThrows(DiskException.class, history.log::sync);
         assertRefusesAllChanges(history.log);
         assertThrows(DiskException.class, history.log::sync);
-        assertTrue(history.log.dirty());
+        assertTrue(history.log.isDirty());
         assertEquals(before, LogHistory.describe(history.log));
     }
 
     private static void assertRefusesAllChanges(SegmentLog log) {
         assertThrows(DiskException.class, () -> log.saveTermAndVote(50, 1));
-        assertThrows(DiskException.class, () -> log.append(new Entry(log.last() + 1, 50, Entry.COMMAND, new byte[3])));
-        if (log.last() >= log.first()) assertThrows(DiskException.class, () -> log.cutFrom(log.last()));
+        assertThrows(
+                DiskException.class,
+                () -> log.append(new LogEntry(log.lastIndex() + 1, 50, LogEntry.COMMAND, new byte[3])));
+        if (log.lastIndex() >= log.firstIndex())
+            assertThrows(DiskException.class, () -> log.truncateFrom(log.lastIndex()));
         var snapshot = new Snapshot();
         snapshot.index = 99;
         snapshot.body = new byte[3];
-        assertThrows(DiskException.class, () -> log.install(snapshot));
+        assertThrows(DiskException.class, () -> log.installSnapshot(snapshot));
     }
 
     /** On a full disk the log can be read; it counts as synced only if the sync mark proves it. */
@@ -114,7 +117,7 @@
         folder.setFaults((step, operation) -> Fault.REFUSED);
         var log = new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH);
         assertEquals(history.states.get(history.states.size() - 1), LogHistory.describe(log), name);
-        assertEquals(unsynced, log.dirty(), name);
+        assertEquals(unsynced, log.isDirty(), name);
         if (unsynced) assertThrows(DiskException.class, log::sync, name);
         else log.sync();
         assertRefusesAllChanges(log);
@@ -123,7 +126,7 @@
         folder.setFaults((step, operation) -> Fault.NONE);
         var continued = LogHistory.continueFrom(folder);
         assertEquals(history.states.get(history.states.size() - 1), LogHistory.describe(continued.log), name);
-        assertFalse(continued.log.dirty());
+        assertFalse(continued.log.isDirty());
         assertTrue(continued.makeCalls(List.of(LogHistory.entry(9, 4), LogHistory.sync())));
         for (var outcome = 0L; outcome < folder.outcomeCount(); outcome++)
             continued.check(folder.afterPowerLoss(outcome), name + " " + outcome);
@@ -131,7 +134,7 @@
 
     private static TreeMap<String, Integer> contents(Folder folder) {
         var contents = new TreeMap<String, Integer>();
-        folder.names().forEach(name -> contents.put(name, java.util.Arrays.hashCode(folder.read(name))));
+        folder.fileNames().forEach(name -> contents.put(name, java.util.Arrays.hashCode(folder.read(name))));
         return contents;
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/LegacyFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/LegacyFormatTest.java
@@ -61,7 +61,7 @@
         snapshot.index = index;
         snapshot.term = term;
         snapshot.body = new byte[] {1, 2, 3};
-        return record(SEGMENT_BASE, 0, 0, 0, Codec.write(snapshot));
+        return record(SEGMENT_BASE, 0, 0, 0, Codec.encode(snapshot));
     }
 
     /**
@@ -87,16 +87,16 @@
 
     private static void assertReadsEverything(PowerLossFolder folder) {
         var log = new SegmentLog(folder, "p0.", CORE_HASH);
-        assertEquals(3, log.term());
-        assertEquals(3, log.vote());
+        assertEquals(3, log.currentTerm());
+        assertEquals(3, log.votedFor());
         assertEquals(4, log.snapshot().index);
         assertArrayEquals(new byte[] {1, 2, 3}, log.snapshot().body);
-        assertEquals(7, log.last());
+        assertEquals(7, log.lastIndex());
         assertEquals(2, log.termAt(5));
         assertEquals(3, log.termAt(6));
-        assertEquals(2, log.at(6).type);
-        assertArrayEquals(body(5), log.at(5).body);
-        assertArrayEquals(body(8), log.at(7).body);
+        assertEquals(2, log.entryAt(6).type);
+        assertArrayEquals(body(5), log.entryAt(5).body);
+        assertArrayEquals(body(8), log.entryAt(7).body);
     }
 
     private static PowerLossFolder withChangedSegment(IntUnaryOperator length, byte[] mark, byte[]... appended) {
@@ -112,7 +112,7 @@
     void folderIsReadAndRewrittenInCurrentFormat() {
         var folder = legacyFolder();
         assertReadsEverything(folder);
-        assertEquals(java.util.List.of("p0.image.4", "p0.log.10", "p0.mark"), folder.names());
+        assertEquals(java.util.List.of("p0.image.4", "p0.log.10", "p0.mark"), folder.fileNames());
         assertEquals(SegmentHeader.CURRENT_FORMAT, SegmentHeader.formatOf("p0.log.10", folder.read("p0.log.10")));
         assertReadsEverything(folder);
     }
--- a/lib/state/src/test/java/craneway/state/disk/LogHistory.java
+++ b/lib/state/src/test/java/craneway/state/disk/LogHistory.java
@@ -1,6 +1,6 @@
 package craneway.state.disk;
 
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -63,17 +63,17 @@
         if (!actual.equals(expected)) throw new AssertionError(actual + " instead of " + expected);
     }
 
-    private String describeNext(long term, long vote, Snapshot snapshot, List<Entry> entries) {
+    private String describeNext(long term, long vote, Snapshot snapshot, List<LogEntry> entries) {
         return description(term, vote, snapshot, entries);
     }
 
-    private List<Entry> entries() {
+    private List<LogEntry> entries() {
         return entries(log);
     }
 
-    private static List<Entry> entries(SegmentLog log) {
-        var entries = new ArrayList<Entry>();
-        for (var index = log.first(); index <= log.last(); index++) entries.add(log.at(index));
+    private static List<LogEntry> entries(SegmentLog log) {
+        var entries = new ArrayList<LogEntry>();
+        for (var index = log.firstIndex(); index <= log.lastIndex(); index++) entries.add(log.entryAt(index));
         return entries;
     }
 
@@ -89,12 +89,13 @@
         return history -> {
             var body = new byte[bytes];
             Arrays.fill(body, (byte) (history.states.size() * 31 + 5));
-            var entry = new Entry(history.log.last() + 1, term, Entry.COMMAND, body);
+            var entry = new LogEntry(history.log.lastIndex() + 1, term, LogEntry.COMMAND, body);
             var entries = history.entries();
             entries.add(entry);
             history.change(
                     changed -> changed.log.append(entry),
-                    history.describeNext(history.log.term(), history.log.vote(), history.log.snapshot(), entries));
+                    history.describeNext(
+                            history.log.currentTerm(), history.log.votedFor(), history.log.snapshot(), entries));
         };
     }
 
@@ -104,8 +105,9 @@
             var entries = history.entries();
             entries.removeIf(entry -> entry.index >= from);
             history.change(
-                    changed -> changed.log.cutFrom(from),
-                    history.describeNext(history.log.term(), history.log.vote(), history.log.snapshot(), entries));
+                    changed -> changed.log.truncateFrom(from),
+                    history.describeNext(
+                            history.log.currentTerm(), history.log.votedFor(), history.log.snapshot(), entries));
         };
     }
 
@@ -120,8 +122,8 @@
             var matches = history.log.termAt(index) == term;
             entries.removeIf(entry -> !matches || entry.index <= index);
             history.change(
-                    changed -> changed.log.install(snapshot),
-                    history.describeNext(history.log.term(), history.log.vote(), snapshot, entries));
+                    changed -> changed.log.installSnapshot(snapshot),
+                    history.describeNext(history.log.currentTerm(), history.log.votedFor(), snapshot, entries));
             history.acknowledgedState = history.states.size() - 1;
         };
     }
@@ -136,10 +138,10 @@
 
     /** Returns the complete state of a log as text. */
     static String describe(SegmentLog log) {
-        return description(log.term(), log.vote(), log.snapshot(), entries(log));
+        return description(log.currentTerm(), log.votedFor(), log.snapshot(), entries(log));
     }
 
-    private static String description(long term, long vote, Snapshot snapshot, List<Entry> entries) {
+    private static String description(long term, long vote, Snapshot snapshot, List<LogEntry> entries) {
         var describedEntries = entries.stream()
                 .map(entry ->
                         entry.index + "/" + entry.term + ":" + entry.body.length + "x" + Arrays.hashCode(entry.body))
--- a/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
+++ b/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return inodesByName.keySet().stream()
                 .filter(name -> !name.endsWith(".tmp"))
                 .toList();
--- a/lib/state/src/test/java/craneway/state/disk/RandomCrashTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/RandomCrashTest.java
@@ -56,26 +56,26 @@
 
     private static Call randomCall(int kind, int salt) {
         if (kind < 2)
-            return history ->
-                    LogHistory.vote(history.log.term() + salt % 2, salt % 4).applyTo(history);
+            return history -> LogHistory.vote(history.log.currentTerm() + salt % 2, salt % 4)
+                    .applyTo(history);
         if (kind < 3) return RandomCrashTest::installSnapshotOfHalf;
         if (kind < 5) return history -> truncateSome(history, salt);
         if (kind < 12)
-            return history ->
-                    LogHistory.entry(Math.max(1, history.log.term()), salt % 90).applyTo(history);
+            return history -> LogHistory.entry(Math.max(1, history.log.currentTerm()), salt % 90)
+                    .applyTo(history);
         return LogHistory.sync();
     }
 
     private static void truncateSome(LogHistory history, int salt) {
-        var heldEntries = history.log.last() - history.log.first() + 1;
+        var heldEntries = history.log.lastIndex() - history.log.firstIndex() + 1;
         if (heldEntries > 0)
-            LogHistory.truncate(history.log.last() - salt % Math.min(heldEntries, 3))
+            LogHistory.truncate(history.log.lastIndex() - salt % Math.min(heldEntries, 3))
                     .applyTo(history);
     }
 
     private static void installSnapshotOfHalf(LogHistory history) {
-        var index = (history.log.first() + history.log.last()) / 2;
-        if (index >= history.log.first())
+        var index = (history.log.firstIndex() + history.log.lastIndex()) / 2;
+        if (index >= history.log.firstIndex())
             LogHistory.installSnapshot(index, history.log.termAt(index)).applyTo(history);
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
@@ -180,8 +180,8 @@
                 withFile(history.folder, SYNC_MARK_NAME, null),
                 "p0.log.1",
                 withFlippedBits(segment, segment.length - 1, 1));
-        assertEquals(1, new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH).term() - 1);
-        assertEquals(2, new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH).last());
+        assertEquals(1, new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH).currentTerm() - 1);
+        assertEquals(2, new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH).lastIndex());
     }
 
     @Test
@@ -193,10 +193,11 @@
         folder.putDurably("p0.log.1", segment);
         var contentsBefore = contents(folder);
         folder.setFaults((step, what) -> PowerLossFolder.Fault.CRASH);
-        var failure = assertThrows(UnknownFormat.class, () -> SegmentLog.checkFormats(folder));
+        var failure = assertThrows(UnknownFormatException.class, () -> SegmentLog.checkFormats(folder));
         assertTrue(
                 failure.getMessage().startsWith("p0.log.1 has the data format 3; this version knows formats up to 2"));
-        assertThrows(UnknownFormat.class, () -> new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH));
+        assertThrows(
+                UnknownFormatException.class, () -> new SegmentLog(folder, LogHistory.PREFIX, LogHistory.CORE_HASH));
         assertEquals(0, folder.steps());
         assertEquals(contentsBefore.keySet(), contents(folder).keySet());
         contentsBefore.forEach((name, bytes) -> assertArrayEquals(bytes, folder.read(name)));
@@ -204,7 +205,7 @@
 
     private static TreeMap<String, byte[]> contents(Folder folder) {
         var contents = new TreeMap<String, byte[]>();
-        folder.names().forEach(name -> contents.put(name, folder.read(name)));
+        folder.fileNames().forEach(name -> contents.put(name, folder.read(name)));
         return contents;
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
@@ -1,6 +1,6 @@
 package craneway.state.disk;
 
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
         private long syncs;
 
         @Override
-        public List<String> names() {
+        public List<String> fileNames() {
             return List.copyOf(files.keySet());
         }
 
@@ -71,7 +71,7 @@
         var log = new SegmentLog(folder, "p0.", 1);
         var startedAt = System.nanoTime();
         for (var index = 1; index <= APPENDS_PER_ROUND; index++) {
-            log.append(new Entry(index, 1, Entry.COMMAND, new byte[BODY_BYTES]));
+            log.append(new LogEntry(index, 1, LogEntry.COMMAND, new byte[BODY_BYTES]));
             log.sync();
         }
         var nanosPerAppend = (System.nanoTime() - startedAt) / APPENDS_PER_ROUND;
--- a/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
+++ b/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
@@ -89,11 +89,11 @@
     @Test
     void oversizedOrMalformedPieceAllocatesNothing() {
         var piece = new EncodedSnapshot(newSnapshot(9, 200_000)).piece(0);
-        piece.total = SnapshotReceiver.MAX_SNAPSHOT_BYTES + 1L;
+        piece.totalBytes = SnapshotReceiver.MAX_SNAPSHOT_BYTES + 1L;
         assertNotNull(accept(TERM, piece).refusal());
-        piece.total = 10;
+        piece.totalBytes = 10;
         assertNotNull(accept(TERM, piece).refusal());
-        piece.total = Long.MAX_VALUE;
+        piece.totalBytes = Long.MAX_VALUE;
         piece.offset = Long.MAX_VALUE - 1;
         assertNotNull(accept(TERM, piece).refusal());
         assertEquals(0, receiver.bufferCapacity());
--- a/lib/state/src/test/java/craneway/state/record/CommandSessionsTest.java
+++ b/lib/state/src/test/java/craneway/state/record/CommandSessionsTest.java
@@ -21,12 +21,12 @@
     private long index;
 
     private CommandResult apply(long sessionId, long sequence, long lowest, Object command) {
-        var identified = new Commands.Fenced();
-        identified.life = sessionId;
+        var identified = new Commands.IdentifiedCommand();
+        identified.sessionId = sessionId;
         identified.sequence = sequence;
-        identified.lowest = lowest;
-        identified.body = Codec.writeTagged(command);
-        return records.apply(++index, Codec.writeTagged(identified));
+        identified.lowestPending = lowest;
+        identified.body = Codec.encodeTagged(command);
+        return records.apply(++index, Codec.encodeTagged(identified));
     }
 
     private static Commands.ZoneMark zoneMark(boolean emptied) {
@@ -59,7 +59,7 @@
         assertEquals(ProblemKind.UNKNOWN_PLAN.code(), first.kind);
         assertEquals(first.kind, copy.kind);
         assertEquals(first.detail, copy.detail);
-        assertEquals(first.retryAfter, copy.retryAfter);
+        assertEquals(first.retryAfterMicros, copy.retryAfterMicros);
     }
 
     @Test
@@ -73,11 +73,11 @@
     @Test
     void resultsNoLongerAwaitedAreDropped() {
         for (var i = 1; i <= 5; i++) apply(SESSION_ID, i, 1, zoneMark(i % 2 == 0));
-        assertEquals(5, records.rows().lives.get(SESSION_ID).applied.size());
+        assertEquals(5, records.rows().sessions.get(SESSION_ID).results.size());
         apply(SESSION_ID, 6, 5, zoneMark(true));
-        assertEquals(2, records.rows().lives.get(SESSION_ID).applied.size());
-        assertNull(records.verdict(SESSION_ID, 4));
-        assertNotNull(records.verdict(SESSION_ID, 5));
+        assertEquals(2, records.rows().sessions.get(SESSION_ID).results.size());
+        assertNull(records.recordedResult(SESSION_ID, 4));
+        assertNotNull(records.recordedResult(SESSION_ID, 5));
         assertEquals(ProblemKind.LATE_COMMAND.code(), apply(SESSION_ID, 4, 4, zoneMark(false)).kind);
         assertTrue(isZoneEmptied());
     }
@@ -87,7 +87,7 @@
         for (var i = 1; i <= 3 * CommandSessions.MAX_RESULTS_PER_SESSION; i++) apply(SESSION_ID, i, 1, zoneMark(true));
         assertEquals(
                 CommandSessions.MAX_RESULTS_PER_SESSION,
-                records.rows().lives.get(SESSION_ID).applied.size());
+                records.rows().sessions.get(SESSION_ID).results.size());
         assertEquals(ProblemKind.LATE_COMMAND.code(), apply(SESSION_ID, 1, 1, zoneMark(false)).kind);
         assertTrue(isZoneEmptied());
     }
@@ -99,9 +99,9 @@
             apply(i, 1, 1, zoneMark(true));
             if (i == CommandSessions.MAX_SESSIONS / 2) apply(SESSION_ID, 2, 1, zoneMark(true));
         }
-        assertEquals(CommandSessions.MAX_SESSIONS, records.rows().lives.size());
-        assertTrue(records.rows().lives.containsKey(SESSION_ID));
-        assertFalse(records.rows().lives.containsKey(1L));
+        assertEquals(CommandSessions.MAX_SESSIONS, records.rows().sessions.size());
+        assertTrue(records.rows().sessions.containsKey(SESSION_ID));
+        assertFalse(records.rows().sessions.containsKey(1L));
     }
 
     @Test
@@ -109,7 +109,7 @@
         apply(SESSION_ID, 7, 7, zoneMark(true));
         apply(SESSION_ID + 1, 3, 3, zoneMark(false));
         var other = new Records();
-        other.load(records.snapshot());
+        other.restoreSnapshot(records.encodeSnapshot());
         records = other;
         assertEquals(0, apply(SESSION_ID, 7, 7, zoneMark(true)).kind);
         assertFalse(isZoneEmptied());
@@ -120,30 +120,30 @@
     void sameEntriesGiveSameSnapshot() {
         var other = new Records();
         for (var i = 1; i <= 2_000; i++) {
-            var identified = new Commands.Fenced();
-            identified.life = SESSION_ID * (i % 7);
+            var identified = new Commands.IdentifiedCommand();
+            identified.sessionId = SESSION_ID * (i % 7);
             identified.sequence = i - i % 3;
-            identified.lowest = i - 20;
-            identified.body = Codec.writeTagged(zoneMark(i % 5 < 2));
-            var encoded = Codec.writeTagged(identified);
+            identified.lowestPending = i - 20;
+            identified.body = Codec.encodeTagged(zoneMark(i % 5 < 2));
+            var encoded = Codec.encodeTagged(identified);
             records.apply(i, encoded);
             other.apply(i, encoded);
         }
-        assertArrayEquals(records.snapshot(), other.snapshot());
+        assertArrayEquals(records.encodeSnapshot(), other.encodeSnapshot());
     }
 
     @Test
     void nestedIdentifiedCommandIsRefused() {
-        var inner = new Commands.Fenced();
-        inner.body = Codec.writeTagged(zoneMark(true));
+        var inner = new Commands.IdentifiedCommand();
+        inner.body = Codec.encodeTagged(zoneMark(true));
         assertEquals(ProblemKind.BAD_MESSAGE.code(), apply(SESSION_ID, 1, 1, inner).kind);
         assertFalse(isZoneEmptied());
     }
 
     @Test
     void commandWithoutIdentityIsApplied() {
-        assertEquals(0, records.apply(++index, Codec.writeTagged(zoneMark(true))).kind);
+        assertEquals(0, records.apply(++index, Codec.encodeTagged(zoneMark(true))).kind);
         assertTrue(isZoneEmptied());
-        assertTrue(records.rows().lives.isEmpty());
+        assertTrue(records.rows().sessions.isEmpty());
     }
 }
--- a/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
+++ b/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
@@ -19,28 +19,28 @@
 
     private CommandResult put(long base, long number, String source) {
         var command = new Commands.ManifestPut();
-        command.base = base;
-        command.number = number;
+        command.baseVersion = base;
+        command.senderNumber = number;
         command.text = "read: " + source;
-        command.source = source;
-        return records.apply(++index, Codec.writeTagged(command));
+        command.sourceText = source;
+        return records.apply(++index, Codec.encodeTagged(command));
     }
 
     private CommandResult putUnnumbered(long base, String text) {
         var command = new Commands.ManifestPut();
-        command.base = base;
+        command.baseVersion = base;
         command.text = text;
-        return records.apply(++index, Codec.writeTagged(command));
+        return records.apply(++index, Codec.encodeTagged(command));
     }
 
     private void reload() {
         var reloaded = new Records();
-        reloaded.load(records.snapshot());
+        reloaded.restoreSnapshot(records.encodeSnapshot());
         records = reloaded;
     }
 
     private void rebuild() {
-        records.apply(++index, Codec.writeTagged(new Commands.Rebuilt()));
+        records.apply(++index, Codec.encodeTagged(new Commands.Rebuilt()));
     }
 
     private Rows.Manifest newestManifest() {
@@ -62,7 +62,7 @@
         assertEquals(OK, put(0, 3, "a").kind);
         assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
-        assertEquals("a", newestManifest().source);
+        assertEquals("a", newestManifest().sourceText);
         assertEquals(ProblemKind.BAD_MANIFEST.code(), put(3, 3, "b").kind);
     }
 
@@ -120,7 +120,8 @@
         for (var number = 1; number <= total; number++)
             assertEquals(OK, put(number - 1, number, "text " + number).kind);
         assertEquals(
-                ConfigurationFingerprint.MAX_REMEMBERED, newestManifest().taken.size());
+                ConfigurationFingerprint.MAX_REMEMBERED,
+                newestManifest().legacyHashes.size());
         assertEquals(
                 ConfigurationFingerprint.MAX_REMEMBERED,
                 newestManifest().digests.size());
@@ -130,13 +131,13 @@
         assertEquals(OK, put(total - 1, total, "text " + total).kind);
         assertEquals(ProblemKind.RACE_LOST.code(), put(oldest - 2, oldest - 1, "text " + (oldest - 1)).kind);
         assertEquals(total, newestManifest().version);
-        assertEquals("text " + total, newestManifest().source);
+        assertEquals("text " + total, newestManifest().sourceText);
     }
 
     @Test
     void textsWithSameLegacyHashAreDistinguished() {
         put(0, 3, "a");
-        newestManifest().taken.put(3L, Hash.of(Hash.of("b"), 0));
+        newestManifest().legacyHashes.put(3L, Hash.of(Hash.of("b"), 0));
         assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
     }
@@ -146,7 +147,7 @@
         put(0, 3, "a");
         put(3, 5, "b");
         newestManifest().digests.clear();
-        newestManifest().base = -1;
+        newestManifest().baseVersion = -1;
         reload();
         assertEquals(OK, put(3, 5, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
@@ -158,8 +159,8 @@
     @Test
     void publishedCopyHasNoFingerprints() {
         put(0, 3, "a");
-        assertTrue(newestManifest().inForce().taken.isEmpty());
-        assertTrue(newestManifest().inForce().digests.isEmpty());
-        assertEquals(0, newestManifest().inForce().source.length());
+        assertTrue(newestManifest().copyForPublication().legacyHashes.isEmpty());
+        assertTrue(newestManifest().copyForPublication().digests.isEmpty());
+        assertEquals(0, newestManifest().copyForPublication().sourceText.length());
     }
 }
--- a/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
@@ -65,19 +65,19 @@
 
     private static Commands.ManifestPut manifestPut(long base, long number, String source) {
         var command = new Commands.ManifestPut();
-        command.base = base;
-        command.number = number;
-        command.text = command.source = source;
+        command.baseVersion = base;
+        command.senderNumber = number;
+        command.text = command.sourceText = source;
         return command;
     }
 
     private static byte[] identifiedCommand(Object command) {
-        var identified = new Commands.Fenced();
-        identified.life = -5;
+        var identified = new Commands.IdentifiedCommand();
+        identified.sessionId = -5;
         identified.sequence = 9;
-        identified.lowest = 9;
-        identified.body = Codec.writeTagged(command);
-        return Codec.writeTagged(identified);
+        identified.lowestPending = 9;
+        identified.body = Codec.encodeTagged(command);
+        return Codec.encodeTagged(identified);
     }
 
     @Test
@@ -91,20 +91,20 @@
         olderState.manifest.taken.put(5L, fingerprint.legacyHash());
         olderState.manifest.marks.put("zone:z1", Plan.EMPTIED);
         var records = new Records();
-        records.load(Codec.write(olderState));
-        assertTrue(records.rows().lives.isEmpty());
-        assertEquals(0, records.apply(41, Codec.writeTagged(manifestPut(3, 5, "b"))).kind);
+        records.restoreSnapshot(Codec.encode(olderState));
+        assertTrue(records.rows().sessions.isEmpty());
+        assertEquals(0, records.apply(41, Codec.encodeTagged(manifestPut(3, 5, "b"))).kind);
         assertEquals(0, records.apply(42, identifiedCommand(manifestPut(5, 6, "c"))).kind);
         assertEquals(6, records.rows().manifest.version);
         assertTrue(records.rows().manifest.marks.containsKey("zone:z1"));
-        assertEquals(1, records.rows().lives.size());
+        assertEquals(1, records.rows().sessions.size());
     }
 
     @Test
     void olderProcessReadsSnapshot() {
         var records = new Records();
         records.apply(1, identifiedCommand(manifestPut(0, 5, "a")));
-        var olderState = Codec.read(OlderPartState.class, records.snapshot());
+        var olderState = Codec.decode(OlderPartState.class, records.encodeSnapshot());
         assertEquals(5, olderState.manifest.version);
         assertEquals(ConfigurationFingerprint.of("a", 0).legacyHash(), olderState.manifest.taken.get(5L));
         assertEquals(1, olderState.index);
@@ -117,16 +117,16 @@
         request.part = 2;
         request.from = new Node("s1", Node.STORE, "z1", "s1", 1);
         request.body = new byte[] {1, 2};
-        request.life = request.lowest = request.term = request.bound = -7;
-        var olderRequest = Codec.read(OlderRequest.class, Codec.write(request));
+        request.sessionId = request.lowestPending = request.leaderTerm = request.leaderDeadline = -7;
+        var olderRequest = Codec.decode(OlderRequest.class, Codec.encode(request));
         assertEquals(3, olderRequest.id);
         assertEquals("s1", olderRequest.from.name);
         assertArrayEquals(request.body, olderRequest.body);
         var result = new Messages.CommandResult();
         result.id = 3;
         result.kind = 4;
-        result.life = result.term = result.clock = -7;
-        assertEquals(4, Codec.read(OlderResult.class, Codec.write(result)).kind);
+        result.sessionId = result.leaderTerm = result.leaderClock = -7;
+        assertEquals(4, Codec.decode(OlderResult.class, Codec.encode(result)).kind);
     }
 
     @Test
@@ -134,16 +134,16 @@
         var olderRequest = new OlderRequest();
         olderRequest.id = 3;
         olderRequest.body = new byte[] {1, 2};
-        var request = Codec.read(Messages.CommandRequest.class, Codec.write(olderRequest));
+        var request = Codec.decode(Messages.CommandRequest.class, Codec.encode(olderRequest));
         assertEquals(3, request.id);
-        assertEquals(0, request.life);
-        assertEquals(0, request.bound);
+        assertEquals(0, request.sessionId);
+        assertEquals(0, request.leaderDeadline);
         var olderResult = new OlderResult();
         olderResult.id = 3;
         olderResult.kind = 4;
-        var result = Codec.read(Messages.CommandResult.class, Codec.write(olderResult));
+        var result = Codec.decode(Messages.CommandResult.class, Codec.encode(olderResult));
         assertEquals(4, result.kind);
-        assertEquals(0, result.life);
-        assertEquals(0, result.term);
+        assertEquals(0, result.sessionId);
+        assertEquals(0, result.leaderTerm);
     }
 }
