--- a/prog/craneway/src/main/java/craneway/command/CommandRunner.java
+++ b/prog/craneway/src/main/java/craneway/command/CommandRunner.java
@@ -5,7 +5,7 @@
 
 /** Runs one command with the exit codes and messages that all commands share. */
 public final class CommandRunner {
-    private static final int FAILED = 1;
+    private static final int EXIT_FAILURE = 1;
 
     private CommandRunner() {}
 
@@ -19,16 +19,16 @@
     public static int run(Object command, String... arguments) {
         EventLog.configureLogging();
         return new CommandLine(command)
-                .setExecutionExceptionHandler((exception, line, result) -> report(exception))
+                .setExecutionExceptionHandler((exception, line, result) -> reportFailure(exception))
                 .execute(arguments);
     }
 
-    private static int report(Exception exception) {
+    private static int reportFailure(Exception exception) {
         if (exception instanceof CommandFailure told) {
             System.err.println(told.getMessage());
             return told.code();
         }
         System.err.println(exception);
-        return FAILED;
+        return EXIT_FAILURE;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -14,7 +14,7 @@
 import org.xnio.XnioWorker;
 
 public final class OperatorClient implements AutoCloseable {
-    private static final long PATIENCE_MILLIS = 10_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
 
     private final XnioWorker worker;
     private final AsyncHttpClient caller;
@@ -38,8 +38,8 @@
         IOException last = null;
         for (var a : at) {
             try {
-                return checked(BufferedHttpResponse.fetch(
-                        caller, a, method, path, headers, body.getBytes(StandardCharsets.UTF_8), PATIENCE_MILLIS));
+                return requireSuccess(BufferedHttpResponse.fetch(
+                        caller, a, method, path, headers, body.getBytes(StandardCharsets.UTF_8), REQUEST_TIMEOUT_MILLIS));
             } catch (IOException e) {
                 last = e;
                 if (!method.equals(Methods.GET)) break;
@@ -48,7 +48,7 @@
         throw new CommandFailure(1, "no reply: " + (last == null ? "no address" : last.getMessage()));
     }
 
-    private static BufferedHttpResponse checked(BufferedHttpResponse r) {
+    private static BufferedHttpResponse requireSuccess(BufferedHttpResponse r) {
         if (r.status() < 400) return r;
         throw new CommandFailure(
                 r.status() == 503 ? 4 : 3,
--- a/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
@@ -31,7 +31,7 @@
                         + "Exit code 1 when a promise broke.")
 public final class DrillCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long LIMIT_MILLIS = 90_000;
+    private static final long WAIT_TIMEOUT_MILLIS = 90_000;
 
     @Option(names = "--fleet", required = true, description = "folder that craneway fleet wrote")
     Path folder;
@@ -57,23 +57,23 @@
     @Option(names = "--report", required = true, description = "file for the report")
     Path report;
 
-    private JsonNode fleet;
+    private JsonNode fleetJson;
 
     @Override
     public Integer call() throws IOException {
-        fleet = JSON.readTree(Files.readString(folder.resolve("fleet.json")));
-        var inZone = runnersIn(zone);
+        fleetJson = JSON.readTree(Files.readString(folder.resolve("fleet.json")));
+        var inZone = runnersInZone(zone);
         if (inZone.isEmpty()) throw new CommandFailure(2, "the fleet has no runner in zone " + zone);
         if (hold < 6) throw new CommandFailure(2, "--hold-seconds: below 6 nothing is seen of the 5 s promise");
         var journal = folder.resolve("journal").resolve("drill-" + System.currentTimeMillis() + ".jsonl");
         var load = CompletableFuture.supplyAsync(() -> CommandRunner.run(
                 new LoadCommand(),
                 "--to",
-                all("routers", "requester"),
+                joinAddresses("routers", "requester"),
                 "--platform",
-                all("routers", "platform"),
+                joinAddresses("routers", "platform"),
                 "--metrics",
-                all("routers", "operator"),
+                joinAddresses("routers", "operator"),
                 "--service",
                 service,
                 "--work",
@@ -86,25 +86,25 @@
                 Long.toString(System.currentTimeMillis() % 1_000_000),
                 "--journal",
                 journal.toString()));
-        await("a tenth of the load", () -> load.isDone() || lines(journal) > streams / 10);
+        awaitCondition("a tenth of the load", () -> load.isDone() || countLines(journal) > streams / 10);
         long confirmed;
         long back;
         try (var w = new OperatorClient()) {
-            confirm(w, "empty-zone");
+            confirmIntent(w, "empty-zone");
             confirmed = System.currentTimeMillis();
-            pause(hold * 1_000L);
+            sleepMillis(hold * 1_000L);
             if (load.isDone())
                 throw new CommandFailure(2, "the load was over before the zone was taken back; ask for more streams");
             back = System.currentTimeMillis();
-            confirm(w, "take-back-zone");
+            confirmIntent(w, "take-back-zone");
         }
         var code = load.join();
-        return judge(journal, new Outage(inZone, confirmed, back), code);
+        return checkAndReport(journal, new Outage(inZone, confirmed, back), code);
     }
 
-    private int judge(Path journal, Outage o, int loadCode) throws IOException {
+    private int checkAndReport(Path journal, Outage o, int loadCode) throws IOException {
         var c = new Checker();
-        for (var r : names("runners")) {
+        for (var r : nodeNames("runners")) {
             var f = folder.resolve("journal").resolve(r + ".jsonl");
             c.runner(f);
             o.runner(f);
@@ -131,8 +131,8 @@
         return wrong.isEmpty() ? 0 : 1;
     }
 
-    private void confirm(OperatorClient w, String intent) throws IOException {
-        var at = List.of(all("stores", "operator").split(","));
+    private void confirmIntent(OperatorClient w, String intent) throws IOException {
+        var at = List.of(joinAddresses("stores", "operator").split(","));
         var plan = JSON.readTree(w.call(
                                 at,
                                 Methods.POST,
@@ -149,7 +149,7 @@
                         .text())
                 .get("state")
                 .asText();
-        for (var until = System.nanoTime() + LIMIT_MILLIS * 1_000_000; state.equals("pending"); ) {
+        for (var until = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000; state.equals("pending"); ) {
             if (System.nanoTime() > until) throw new CommandFailure(4, intent + " stayed pending");
             state = JSON.readTree(w.call(at, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
                             .text())
@@ -159,28 +159,28 @@
         System.out.println(intent + " " + zone + ": plan " + plan + " " + state);
     }
 
-    private List<String> names(String kind) {
+    private List<String> nodeNames(String kind) {
         var all = new ArrayList<String>();
-        fleet.get(kind).fieldNames().forEachRemaining(all::add);
+        fleetJson.get(kind).fieldNames().forEachRemaining(all::add);
         return all;
     }
 
-    private String all(String kind, String field) {
+    private String joinAddresses(String kind, String field) {
         return String.join(
                 ",",
-                names(kind).stream()
-                        .map(n -> fleet.get(kind).get(n).get(field).asText())
+                nodeNames(kind).stream()
+                        .map(n -> fleetJson.get(kind).get(n).get(field).asText())
                         .toList());
     }
 
-    private Set<String> runnersIn(String z) {
+    private Set<String> runnersInZone(String z) {
         var all = new HashSet<String>();
-        for (var n : names("runners"))
-            if (fleet.get("runners").get(n).get("zone").asText().equals(z)) all.add(n);
+        for (var n : nodeNames("runners"))
+            if (fleetJson.get("runners").get(n).get("zone").asText().equals(z)) all.add(n);
         return all;
     }
 
-    private static long lines(Path p) {
+    private static long countLines(Path p) {
         try (var l = Files.lines(p)) {
             return l.count();
         } catch (IOException e) {
@@ -188,15 +188,15 @@
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleepMillis(long millis) {
         for (var until = System.nanoTime() + millis * 1_000_000; System.nanoTime() < until; )
             LockSupport.parkNanos(50_000_000);
     }
 
-    private static void await(String what, BooleanSupplier is) {
-        var until = System.nanoTime() + LIMIT_MILLIS * 1_000_000;
+    private static void awaitCondition(String what, BooleanSupplier is) {
+        var until = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
         while (!is.getAsBoolean()) {
-            if (System.nanoTime() > until) throw new CommandFailure(4, "not within " + LIMIT_MILLIS + " ms: " + what);
+            if (System.nanoTime() > until) throw new CommandFailure(4, "not within " + WAIT_TIMEOUT_MILLIS + " ms: " + what);
             LockSupport.parkNanos(50_000_000);
         }
     }
--- a/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
@@ -23,7 +23,7 @@
                 "Writes the startup files and scripts of a whole fleet on this machine; the scripts start it, no daemon does.")
 public final class FleetCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String HOST = "127.0.0.1";
+    private static final String LOOPBACK_HOST = "127.0.0.1";
 
     @Parameters(paramLabel = "MANIFEST")
     Path manifest;
@@ -51,10 +51,10 @@
     @Option(names = "--slots", defaultValue = "16")
     int slots;
 
-    private final List<ServerSocket> held = new ArrayList<>();
-    private final List<String> start = new ArrayList<>();
-    private final List<String> seeds = new ArrayList<>();
-    private final ObjectNode map = JSON.createObjectNode();
+    private final List<ServerSocket> reservedPorts = new ArrayList<>();
+    private final List<String> startCommands = new ArrayList<>();
+    private final List<String> seedAddresses = new ArrayList<>();
+    private final ObjectNode fleetJson = JSON.createObjectNode();
 
     @Override
     public Integer call() throws IOException {
@@ -71,72 +71,72 @@
             throw new CommandFailure(2, folder + " is not empty");
         for (var d : List.of("startup", "data", "log", "pid", "journal")) Files.createDirectories(folder.resolve(d));
         Files.writeString(folder.resolve("manifest.json"), text);
-        for (var i = 0; i < 3; i++) seeds.add(next());
-        for (var i = 0; i < 3; i++) store("store-" + zones.get(i), zones.get(i), seeds.get(i));
+        for (var i = 0; i < 3; i++) seedAddresses.add(nextAddress());
+        for (var i = 0; i < 3; i++) addStore("store-" + zones.get(i), zones.get(i), seedAddresses.get(i));
         for (var z = 0; z < zones.size(); z++)
-            for (var i = 1; i <= routers.get(z); i++) router("router-" + zones.get(z) + "-" + i, zones.get(z));
+            for (var i = 1; i <= routers.get(z); i++) addRouter("router-" + zones.get(z) + "-" + i, zones.get(z));
         for (var c = 0; c < service.cells().size(); c++)
             for (var i = 1; i <= runners.get(c); i++)
-                runner(service, service.cells().get(c), i);
-        Files.writeString(folder.resolve("fleet.json"), map.toPrettyString() + "\n");
-        script("up.sh", String.join("\n", start) + "\n");
-        script(
+                addRunner(service, service.cells().get(c), i);
+        Files.writeString(folder.resolve("fleet.json"), fleetJson.toPrettyString() + "\n");
+        writeScript("up.sh", String.join("\n", startCommands) + "\n");
+        writeScript(
                 "down.sh",
                 "for f in pid/*; do kill \"$(cat \"$f\")\" 2>/dev/null; done\nfor f in pid/*; do while kill -0 \"$(cat \"$f\")\" 2>/dev/null; do sleep 0.1; done; rm -f \"$f\"; done\n");
-        for (var h : held) h.close();
-        System.out.println(folder + ": 3 stores, " + map.get("routers").size() + " routers, "
-                + map.get("runners").size() + " runners; start with up.sh, end with down.sh");
+        for (var h : reservedPorts) h.close();
+        System.out.println(folder + ": 3 stores, " + fleetJson.get("routers").size() + " routers, "
+                + fleetJson.get("runners").size() + " runners; start with up.sh, end with down.sh");
         return 0;
     }
 
-    private String next() throws IOException {
-        if (port != 0) return HOST + ":" + port++;
-        var s = new ServerSocket(0, 1, InetAddress.getByName(HOST));
-        held.add(s);
-        return HOST + ":" + s.getLocalPort();
+    private String nextAddress() throws IOException {
+        if (port != 0) return LOOPBACK_HOST + ":" + port++;
+        var s = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK_HOST));
+        reservedPorts.add(s);
+        return LOOPBACK_HOST + ":" + s.getLocalPort();
     }
 
-    private void store(String name, String zone, String partner) throws IOException {
-        var n = common(name, zone, partner);
+    private void addStore(String name, String zone, String partner) throws IOException {
+        var n = commonSettings(name, zone, partner);
         n.put("data", folder.toAbsolutePath().resolve("data").resolve(name).toString())
                 .put("stores", 3);
-        write(name, n);
-        map.withObject("/stores").set(name, n);
-        launch(name, "store", "--startup startup/" + name + ".json");
+        writeStartupFile(name, n);
+        fleetJson.withObject("/stores").set(name, n);
+        addStartCommand(name, "store", "--startup startup/" + name + ".json");
     }
 
-    private void router(String name, String zone) throws IOException {
-        var n = common(name, zone, next());
-        n.put("requester", next()).put("runner", next());
-        write(name, n);
-        map.withObject("/routers").set(name, n);
-        launch(name, "router", "--startup startup/" + name + ".json");
+    private void addRouter(String name, String zone) throws IOException {
+        var n = commonSettings(name, zone, nextAddress());
+        n.put("requester", nextAddress()).put("runner", nextAddress());
+        writeStartupFile(name, n);
+        fleetJson.withObject("/routers").set(name, n);
+        addStartCommand(name, "router", "--startup startup/" + name + ".json");
     }
 
-    private ObjectNode common(String name, String zone, String partner) throws IOException {
+    private ObjectNode commonSettings(String name, String zone, String partner) throws IOException {
         var n = JSON.createObjectNode();
         n.put("name", name)
                 .put("zone", zone)
                 .put("partner", partner)
-                .put("operator", next())
-                .put("platform", next());
+                .put("operator", nextAddress())
+                .put("platform", nextAddress());
         var s = n.putArray("seeds");
-        seeds.forEach(s::add);
+        seedAddresses.forEach(s::add);
         return n;
     }
 
-    private void write(String name, ObjectNode n) throws IOException {
+    private void writeStartupFile(String name, ObjectNode n) throws IOException {
         Files.writeString(folder.resolve("startup").resolve(name + ".json"), n.toPrettyString() + "\n");
     }
 
-    private void runner(Manifest.Service s, Manifest.Cell c, int i) throws IOException {
+    private void addRunner(Manifest.Service s, Manifest.Cell c, int i) throws IOException {
         var name = "runner-" + c.name() + "-" + i;
-        var address = next();
+        var address = nextAddress();
         var to = new ArrayList<String>();
-        map.get("routers").forEach(r -> {
+        fleetJson.get("routers").forEach(r -> {
             if (r.get("zone").asText().equals(c.zone())) to.add(r.get("runner").asText());
         });
-        map.withObject("/runners")
+        fleetJson.withObject("/runners")
                 .putObject(name)
                 .put("address", address)
                 .put("cell", c.name())
@@ -144,7 +144,7 @@
                 .put("service", s.name())
                 .put("routers", String.join(",", to))
                 .put("slots", slots);
-        launch(
+        addStartCommand(
                 name,
                 "standin",
                 "runner --name " + name + " --listen " + address + " --routers " + String.join(",", to) + " --service "
@@ -152,12 +152,12 @@
                         + ".jsonl");
     }
 
-    private void launch(String name, String program, String rest) {
-        start.add("nohup \"$CRANEWAY/" + program + "\" " + rest + " > log/" + name + ".log 2>&1 &\necho $! > pid/"
+    private void addStartCommand(String name, String program, String rest) {
+        startCommands.add("nohup \"$CRANEWAY/" + program + "\" " + rest + " > log/" + name + ".log 2>&1 &\necho $! > pid/"
                 + name);
     }
 
-    private void script(String name, String body) throws IOException {
+    private void writeScript(String name, String body) throws IOException {
         var f = folder.resolve(name);
         Files.writeString(
                 f,
--- a/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
@@ -14,58 +14,58 @@
 import java.util.concurrent.TimeUnit;
 
 final class LoadClient {
-    record Options(int tenants, int tokens, int asks, int deadline) {}
+    record Options(int tenantCount, int meanTokens, int maxSubmissions, int deadlineMillis) {}
 
-    private record Refused(String cause) {}
+    private record ConnectFailure(String cause) {}
 
-    private record Status(int code, HeaderMap headers) {}
+    private record ResponseHead(int statusCode, HeaderMap headers) {}
 
-    private record End(boolean clean, String cause) {}
+    private record StreamEnd(boolean complete, String cause) {}
 
-    private final AsyncHttpClient caller;
-    private final Choice to;
+    private final AsyncHttpClient httpClient;
+    private final RouterSelector routerSelector;
     private final String service;
-    private final Mix mix;
+    private final WorkMix workMix;
     private final Random random;
-    private final String name;
+    private final String clientName;
     private final Options options;
-    private final Report report;
-    private int count;
+    private final LoadReport report;
+    private int submissionCount;
 
     LoadClient(
             AsyncHttpClient caller,
-            Choice to,
+            RouterSelector to,
             String service,
-            Mix mix,
+            WorkMix mix,
             Random random,
             String name,
             Options options,
-            Report report) {
-        this.caller = caller;
-        this.to = to;
+            LoadReport report) {
+        this.httpClient = caller;
+        this.routerSelector = to;
         this.service = service;
-        this.mix = mix;
+        this.workMix = mix;
         this.random = random;
-        this.name = name;
+        this.clientName = name;
         this.options = options;
         this.report = report;
     }
 
-    void one() {
-        var kind = mix.pick(random);
-        var tenant = "tenant-" + random.nextInt(options.tenants);
-        var tokens = Math.max(1, (int) (options.tokens * (0.5 + random.nextDouble())));
-        var key = name + "-k" + count;
-        for (var i = 0; i < options.asks; i++) {
-            var sub = name + "-" + count++;
+    void runWorkItem() {
+        var kind = workMix.selectKind(random);
+        var tenant = "tenant-" + random.nextInt(options.tenantCount);
+        var tokens = Math.max(1, (int) (options.meanTokens * (0.5 + random.nextDouble())));
+        var key = clientName + "-k" + submissionCount;
+        for (var i = 0; i < options.maxSubmissions; i++) {
+            var sub = clientName + "-" + submissionCount++;
             var told = submit(sub, kind, tenant, key, tokens);
-            report.add(told);
-            if (told.retryMillis() < 0) return;
-            pause(told.retryMillis());
+            report.addRecord(told);
+            if (told.retryAfterMillis() < 0) return;
+            sleepMillis(told.retryAfterMillis());
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleepMillis(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -73,68 +73,68 @@
         }
     }
 
-    private ReplyRecord submit(String sub, Mix.Kind kind, String tenant, String key, int tokens) {
+    private SubmissionRecord submit(String sub, WorkMix.WorkKind kind, String tenant, String key, int tokens) {
         var h = new HashMap<HttpString, String>();
         h.put(HeaderNames.TENANT, tenant);
         h.put(HeaderNames.WORK_KIND, kind.name());
-        h.put(HeaderNames.DEADLINE_MILLIS, Integer.toString(options.deadline));
-        if (kind.once()) h.put(HeaderNames.IDEMPOTENCY_KEY, key);
+        h.put(HeaderNames.DEADLINE_MILLIS, Integer.toString(options.deadlineMillis));
+        if (kind.runOnce()) h.put(HeaderNames.IDEMPOTENCY_KEY, key);
         var body = "{\"model\":\"" + service + "\",\"stream\":true,\"max_tokens\":" + tokens
                 + ",\"messages\":[{\"role\":\"system\",\"content\":\""
                 + ("The rules for a " + kind.name() + " are long. ").repeat(30)
-                + "\"},{\"role\":\"user\",\"content\":\"submission=" + sub + " key=" + (kind.once() ? key : "")
+                + "\"},{\"role\":\"user\",\"content\":\"submission=" + sub + " key=" + (kind.runOnce() ? key : "")
                 + "\"}]}";
-        return listen(sub, kind, kind.once() ? key : "", h, body.getBytes(StandardCharsets.UTF_8));
+        return sendAndAwaitEnd(sub, kind, kind.runOnce() ? key : "", h, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private ReplyRecord listen(String sub, Mix.Kind kind, String key, Map<HttpString, String> h, byte[] body) {
+    private SubmissionRecord sendAndAwaitEnd(String sub, WorkMix.WorkKind kind, String key, Map<HttpString, String> h, byte[] body) {
         var box = new LinkedBlockingQueue<Object>();
         var start = System.nanoTime();
-        var call = caller.open(to.pick(random), Methods.POST, "/v1/chat/completions", h, body, 2_000, sink(box));
-        var parser = new ReplyParser();
-        Status status = null;
+        var call = httpClient.open(routerSelector.selectAddress(random), Methods.POST, "/v1/chat/completions", h, body, 2_000, enqueueingListener(box));
+        var parser = new ResponseStreamParser();
+        ResponseHead status = null;
         var first = 0L;
         while (true) {
-            var o = poll(box);
+            var o = nextEvent(box);
             if (o == null) {
                 call.cancel();
-                return ReplyRecord.of(sub, kind, key, "silent", 0, parser, first, micros(start), -1);
+                return SubmissionRecord.of(sub, kind, key, "silent", 0, parser, first, microsSince(start), -1);
             }
-            if (o instanceof Refused)
-                return ReplyRecord.of(sub, kind, key, "refused", 0, parser, 0, micros(start), 200);
-            if (o instanceof Status s) status = s;
+            if (o instanceof ConnectFailure)
+                return SubmissionRecord.of(sub, kind, key, "refused", 0, parser, 0, microsSince(start), 200);
+            if (o instanceof ResponseHead s) status = s;
             if (o instanceof byte[] b) {
-                if (first == 0) first = micros(start);
-                parser.hear(b);
+                if (first == 0) first = microsSince(start);
+                parser.feed(b);
                 call.chunkConsumed();
             }
-            if (o instanceof End e) return over(sub, kind, key, status, e, parser, first, micros(start));
+            if (o instanceof StreamEnd e) return recordOfEndedResponse(sub, kind, key, status, e, parser, first, microsSince(start));
         }
     }
 
-    private static long micros(long start) {
+    private static long microsSince(long start) {
         return (System.nanoTime() - start) / 1000;
     }
 
-    private Object poll(BlockingQueue<Object> box) {
+    private Object nextEvent(BlockingQueue<Object> box) {
         try {
-            return box.poll(options.deadline + 15_000L, TimeUnit.MILLISECONDS);
+            return box.poll(options.deadlineMillis + 15_000L, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return null;
         }
     }
 
-    private static AsyncHttpClient.ResponseListener sink(BlockingQueue<Object> box) {
+    private static AsyncHttpClient.ResponseListener enqueueingListener(BlockingQueue<Object> box) {
         return new AsyncHttpClient.ResponseListener() {
             @Override
             public void onConnectFailure(String cause) {
-                box.add(new Refused(cause));
+                box.add(new ConnectFailure(cause));
             }
 
             @Override
             public void onHeaders(int code, HeaderMap headers) {
-                box.add(new Status(code, headers));
+                box.add(new ResponseHead(code, headers));
             }
 
             @Override
@@ -144,24 +144,24 @@
 
             @Override
             public void onEnd() {
-                box.add(new End(true, ""));
+                box.add(new StreamEnd(true, ""));
             }
 
             @Override
             public void onFailure(String cause) {
-                box.add(new End(false, cause));
+                box.add(new StreamEnd(false, cause));
             }
         };
     }
 
-    private static ReplyRecord over(
-            String sub, Mix.Kind kind, String key, Status s, End e, ReplyParser parser, long first, long micros) {
-        if (s == null) return ReplyRecord.of(sub, kind, key, "lost", 0, parser, first, micros, -1);
-        if (s.code == 200) {
-            var verdict = !parser.inOrder()
+    private static SubmissionRecord recordOfEndedResponse(
+            String sub, WorkMix.WorkKind kind, String key, ResponseHead s, StreamEnd e, ResponseStreamParser parser, long first, long micros) {
+        if (s == null) return SubmissionRecord.of(sub, kind, key, "lost", 0, parser, first, micros, -1);
+        if (s.statusCode == 200) {
+            var verdict = !parser.tokensInOrder()
                     ? "disordered"
-                    : e.clean && parser.done() ? "whole" : e.clean || parser.done() ? "false-end" : "cut";
-            return ReplyRecord.of(sub, kind, key, verdict, 200, parser, first, micros, -1);
+                    : e.complete && parser.doneMarkerSeen() ? "whole" : e.complete || parser.doneMarkerSeen() ? "false-end" : "cut";
+            return SubmissionRecord.of(sub, kind, key, verdict, 200, parser, first, micros, -1);
         }
         var p = s.headers.getFirst(HeaderNames.PROBLEM);
         var retry = s.headers.getFirst("Retry-After");
@@ -172,7 +172,7 @@
                         .workOutcome()
                         .name()
                         .toLowerCase();
-        return ReplyRecord.of(
+        return SubmissionRecord.of(
                 sub, kind, key, bearing, code, parser, 0, micros, retry == null ? -1 : Long.parseLong(retry) * 1000);
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
@@ -74,20 +74,20 @@
             throw new CommandFailure(2, "counts start at 1");
         if (!platform.isEmpty() && platform.size() != to.size())
             throw new CommandFailure(2, "--platform needs one address for each of --to");
-        var mix = Mix.of(work);
-        var report = new Report(journal);
+        var mix = WorkMix.parse(work);
+        var report = new LoadReport(journal);
         try (var web = new OperatorClient();
-                var choice = new Choice(web, to, platform)) {
-            var before = new Ratios(web, metrics);
-            drive(web, choice, mix, report);
+                var choice = new RouterSelector(web, to, platform)) {
+            var before = new RouterMetrics(web, metrics);
+            runClients(web, choice, mix, report);
             report.print(System.out);
-            before.print(System.out, new Ratios(web, metrics));
+            before.printExtraTriesSince(System.out, new RouterMetrics(web, metrics));
         }
         report.close();
-        return report.broken() > 0 ? 1 : 0;
+        return report.invalidStreams() > 0 ? 1 : 0;
     }
 
-    private void drive(OperatorClient web, Choice choice, Mix mix, Report report) throws InterruptedException {
+    private void runClients(OperatorClient web, RouterSelector choice, WorkMix mix, LoadReport report) throws InterruptedException {
         var left = new AtomicInteger(streams);
         var all = new ArrayList<Thread>();
         for (var i = 0; i < atOnce; i++) {
@@ -98,11 +98,11 @@
                     mix,
                     new Random(seed * 1_000 + i),
                     "r" + seed + "-" + i,
-                    this.options(),
+                    this.clientOptions(),
                     report);
             var t = new Thread(
                     () -> {
-                        while (left.getAndDecrement() > 0) r.one();
+                        while (left.getAndDecrement() > 0) r.runWorkItem();
                     },
                     "requester-" + i);
             t.start();
@@ -111,7 +111,7 @@
         for (var t : all) t.join();
     }
 
-    private LoadClient.Options options() {
+    private LoadClient.Options clientOptions() {
         return new LoadClient.Options(tenants, tokens, asks, deadline);
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/load/Ratios.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-final class Ratios {
-    private long taken;
-    private long forwardedIn;
-    private long extra;
+final class RouterMetrics {
+    private long requestsAccepted;
+    private long requestsForwardedIn;
+    private long extraTries;
 
-    Ratios(OperatorClient web, List<String> operators) {
+    RouterMetrics(OperatorClient web, List<String> operators) {
         for (var a : operators) {
             String text;
             try {
@@ -20,13 +20,13 @@
             } catch (craneway.command.CommandFailure e) {
                 continue;
             }
-            taken += value(text, "craneway_transactions_taken_total");
-            forwardedIn += value(text, "craneway_transactions_forwarded_in_total");
-            extra += value(text, "craneway_extra_tries_total");
+            requestsAccepted += sumOfMetric(text, "craneway_transactions_taken_total");
+            requestsForwardedIn += sumOfMetric(text, "craneway_transactions_forwarded_in_total");
+            extraTries += sumOfMetric(text, "craneway_extra_tries_total");
         }
     }
 
-    private static long value(String text, String name) {
+    private static long sumOfMetric(String text, String name) {
         return text.lines()
                 .filter(l -> l.startsWith(name + " "))
                 .mapToLong(l ->
@@ -34,11 +34,11 @@
                 .sum();
     }
 
-    void print(PrintStream o, Ratios later) {
-        var real = later.taken - later.forwardedIn - taken + forwardedIn;
+    void printExtraTriesSince(PrintStream o, RouterMetrics later) {
+        var real = later.requestsAccepted - later.requestsForwardedIn - requestsAccepted + requestsForwardedIn;
         if (real > 0)
             o.printf(
                     "extra tries %d for %d transactions, ratio %.4f%n",
-                    later.extra - extra, real, (later.extra - extra) / (double) real);
+                    later.extraTries - extraTries, real, (later.extraTries - extraTries) / (double) real);
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
@@ -14,7 +14,7 @@
         description = "Measures in virtual time over many seeds: owner-killed, region-returned, cold-runner.")
 public final class MeasureCommand implements Callable<Integer> {
     @Parameters(paramLabel = "WHAT")
-    String what;
+    String measurement;
 
     @Option(names = "--seeds", paramLabel = "FROM-TO", required = true)
     String seeds;
@@ -26,39 +26,39 @@
         var to = Long.parseLong(seeds.split("-")[1]);
         if (to < from) throw new CommandFailure(2, "--seeds " + seeds + ": the end is before the start");
         var all = LongStream.rangeClosed(from, to).toArray();
-        switch (what) {
+        switch (measurement) {
             case "owner-killed" -> {
                 var r = Arrays.stream(all)
                         .parallel()
                         .mapToObj(Measures::ownerKilled)
                         .toList();
-                print(
+                printDistribution(
                         "declined",
                         r.stream().mapToDouble(Measures.Owner::declined).toArray());
-                print(
+                printDistribution(
                         "last decline, s",
                         r.stream().mapToDouble(Measures.Owner::lastDecline).toArray());
             }
             case "region-returned" ->
-                print(
+                printDistribution(
                         "first work after the return, s",
                         Arrays.stream(all)
                                 .parallel()
                                 .mapToDouble(Measures::regionReturned)
                                 .toArray());
             case "cold-runner" ->
-                print(
+                printDistribution(
                         "share of a cold runner's slots",
                         Arrays.stream(all)
                                 .parallel()
                                 .mapToDouble(Measures::coldShare)
                                 .toArray());
-            default -> throw new CommandFailure(2, "unknown measurement " + what);
+            default -> throw new CommandFailure(2, "unknown measurement " + measurement);
         }
         return 0;
     }
 
-    private static void print(String name, double[] v) {
+    private static void printDistribution(String name, double[] v) {
         Arrays.sort(v);
         System.out.printf(
                 "%-34s min %.3f  median %.3f  max %.3f  of %d seeds%n",
--- a/prog/craneway/src/main/java/craneway/command/operator/At.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/At.java
@@ -13,7 +13,7 @@
             description = "operator addresses, IP:PORT with commas; the first that replies serves")
     private List<String> addresses;
 
-    List<String> all() {
+    List<String> validAddresses() {
         for (var a : addresses)
             if (Addresses.isInvalid(a)) throw new CommandFailure(2, "--at " + a + " is not IP:PORT");
         return addresses;
--- a/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
@@ -19,13 +19,13 @@
     int rebuild(
             @Mixin At at,
             @Option(names = "--confirm", paramLabel = "TOKEN", description = "the token that was shown") String token) {
-        if (at.all().size() != 1)
+        if (at.validAddresses().size() != 1)
             throw new CommandFailure(2, "--at must name the operator address of the one store to go on from");
         JsonNode n;
         try (var w = new OperatorClient()) {
-            n = Plans.json((token == null
-                            ? w.call(at.all(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
-                            : w.call(at.all(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
+            n = PlanFormatter.parseJson((token == null
+                            ? w.call(at.validAddresses(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
+                            : w.call(at.validAddresses(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
                     .text());
         }
         System.out.println(
@@ -36,7 +36,7 @@
         }
         if (token == null)
             System.out.println("  to do it: craneway core rebuild --confirm "
-                    + n.get("token").asText() + " --at " + at.all().get(0));
+                    + n.get("token").asText() + " --at " + at.validAddresses().get(0));
         return 0;
     }
 
@@ -45,7 +45,7 @@
             description = "Lets run-once work run again after a rebuild, although claims may be lost.")
     int acceptClaims(@Mixin At at) {
         try (var w = new OperatorClient()) {
-            System.out.println(w.call(at.all(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
+            System.out.println(w.call(at.validAddresses(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
                     .text()
                     .strip());
         }
--- a/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
@@ -20,12 +20,12 @@
 
     @Command(name = "empty-zone")
     int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At at) {
-        return ask(of(Intent.EMPTY_ZONE).put("zone", zone), at);
+        return submit(newIntent(Intent.EMPTY_ZONE).put("zone", zone), at);
     }
 
     @Command(name = "take-back-zone")
     int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At at) {
-        return ask(of(Intent.TAKE_BACK_ZONE).put("zone", zone), at);
+        return submit(newIntent(Intent.TAKE_BACK_ZONE).put("zone", zone), at);
     }
 
     @Command(name = "empty-cell")
@@ -33,7 +33,7 @@
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
             @Mixin At at) {
-        return ask(of(Intent.EMPTY_CELL).put("service", service).put("cell", cell), at);
+        return submit(newIntent(Intent.EMPTY_CELL).put("service", service).put("cell", cell), at);
     }
 
     @Command(name = "take-back-cell")
@@ -41,7 +41,7 @@
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
             @Mixin At at) {
-        return ask(of(Intent.TAKE_BACK_CELL).put("service", service).put("cell", cell), at);
+        return submit(newIntent(Intent.TAKE_BACK_CELL).put("service", service).put("cell", cell), at);
     }
 
     @Command(name = "keep-tenant")
@@ -49,23 +49,23 @@
             @Parameters(paramLabel = "TENANT") String tenant,
             @Option(names = "--in", required = true, split = ",") List<String> regions,
             @Mixin At at) {
-        var n = of(Intent.KEEP_TENANT).put("tenant", tenant);
+        var n = newIntent(Intent.KEEP_TENANT).put("tenant", tenant);
         regions.forEach(n.putArray("regions")::add);
-        return ask(n, at);
+        return submit(n, at);
     }
 
     @Command(name = "release-tenant")
     int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin At at) {
-        return ask(of(Intent.RELEASE_TENANT).put("tenant", tenant), at);
+        return submit(newIntent(Intent.RELEASE_TENANT).put("tenant", tenant), at);
     }
 
-    private static ObjectNode of(String intent) {
+    private static ObjectNode newIntent(String intent) {
         return JSON.createObjectNode().put("intent", intent);
     }
 
-    private static int ask(ObjectNode n, At at) {
+    private static int submit(ObjectNode n, At at) {
         try (var w = new OperatorClient()) {
-            System.out.println(Plans.text(w.call(at.all(), Methods.POST, "/v1/intents", Map.of(), n.toString())
+            System.out.println(PlanFormatter.format(w.call(at.validAddresses(), Methods.POST, "/v1/intents", Map.of(), n.toString())
                     .text()));
         }
         return 0;
--- a/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
@@ -24,7 +24,7 @@
 
     @Command(name = "check", description = "Checks a manifest's schema and meaning. Exit code 3 when it is not valid.")
     int check(@Parameters(paramLabel = "FILE") Path file) {
-        valid(read(file));
+        requireValid(readFile(file));
         System.out.println(file + ": valid");
         return 0;
     }
@@ -41,11 +41,11 @@
                             required = true,
                             description = "the version this manifest was written against; 0 for the first")
                     long base) {
-        var text = read(file);
-        valid(text);
+        var text = readFile(file);
+        requireValid(text);
         try (var w = new OperatorClient()) {
-            return told(w.call(
-                    at.all(),
+            return printRolloutState(w.call(
+                    at.validAddresses(),
                     Methods.PUT,
                     "/v1/manifest",
                     Map.of(HeaderNames.BASE_VERSION, Long.toString(base)),
@@ -59,18 +59,18 @@
                     "Waits up to 3 s until a manifest is in force everywhere. Exit code 5 while a node may still act on an older one.")
     int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin At at) {
         try (var w = new OperatorClient()) {
-            return told(w.call(at.all(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
+            return printRolloutState(w.call(at.validAddresses(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
         }
     }
 
-    private static int told(BufferedHttpResponse r) {
+    private static int printRolloutState(BufferedHttpResponse r) {
         System.out.println(r.text().strip());
-        return "pending".equals(Plans.json(r.text()).path("state").asText()) ? PlanCommand.PENDING : 0;
+        return "pending".equals(PlanFormatter.parseJson(r.text()).path("state").asText()) ? PlanCommand.EXIT_PENDING : 0;
     }
 
     @Command(name = "show", description = "Prints the manifest in force; its version goes to standard error.")
     int show(@Mixin At at) {
-        var r = get(at);
+        var r = fetchManifest(at);
         System.err.println("version " + r.headers().getFirst(HeaderNames.MANIFEST_VERSION));
         System.out.print(r.text());
         return 0;
@@ -80,10 +80,10 @@
     int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin At at) throws IOException {
         var mine = new TreeMap<String, String>();
         var theirs = new TreeMap<String, String>();
-        var text = read(file);
-        valid(text);
-        flat("", JSON.readTree(text), mine);
-        flat("", JSON.readTree(get(at).text()), theirs);
+        var text = readFile(file);
+        requireValid(text);
+        flatten("", JSON.readTree(text), mine);
+        flatten("", JSON.readTree(fetchManifest(at).text()), theirs);
         var differs = false;
         var all = new TreeMap<>(mine);
         all.putAll(theirs);
@@ -96,21 +96,21 @@
         return differs ? 1 : 0;
     }
 
-    private static void flat(String at, JsonNode n, Map<String, String> into) {
-        if (n.isObject()) n.fields().forEachRemaining(e -> flat(at + "/" + e.getKey(), e.getValue(), into));
+    private static void flatten(String at, JsonNode n, Map<String, String> into) {
+        if (n.isObject()) n.fields().forEachRemaining(e -> flatten(at + "/" + e.getKey(), e.getValue(), into));
         else if (n.isArray())
             for (var i = 0; i < n.size(); i++)
-                flat(at + "/" + (n.get(i).has("name") ? n.get(i).get("name").asText() : i), n.get(i), into);
+                flatten(at + "/" + (n.get(i).has("name") ? n.get(i).get("name").asText() : i), n.get(i), into);
         else into.put(at, n.toString());
     }
 
-    private static BufferedHttpResponse get(At at) {
+    private static BufferedHttpResponse fetchManifest(At at) {
         try (var w = new OperatorClient()) {
-            return w.call(at.all(), Methods.GET, "/v1/manifest", Map.of(), "");
+            return w.call(at.validAddresses(), Methods.GET, "/v1/manifest", Map.of(), "");
         }
     }
 
-    private static String read(Path file) {
+    private static String readFile(Path file) {
         try {
             return Files.readString(file);
         } catch (IOException e) {
@@ -118,7 +118,7 @@
         }
     }
 
-    private static void valid(String text) {
+    private static void requireValid(String text) {
         var m = ManifestReader.read(text);
         if (m.isLeft()) throw new CommandFailure(3, "not valid: " + m.getLeft().detail());
     }
--- a/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
@@ -11,26 +11,26 @@
 
 @Command(name = "plan", description = "Shows, confirms, stops and watches plans.")
 public final class PlanCommand {
-    static final int PENDING = 5;
+    static final int EXIT_PENDING = 5;
 
     @Command(name = "show")
     int show(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
-        return call(Methods.GET, plan, "", at);
+        return requestPlan(Methods.GET, plan, "", at);
     }
 
     @Command(name = "confirm", description = "Puts a plan in force. Exit code 5 while a router has not acknowledged.")
     int confirm(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
-        return call(Methods.POST, plan, "/confirm", at);
+        return requestPlan(Methods.POST, plan, "/confirm", at);
     }
 
     @Command(name = "stop")
     int stop(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
-        return call(Methods.POST, plan, "/stop", at);
+        return requestPlan(Methods.POST, plan, "/stop", at);
     }
 
     @Command(name = "watch", description = "Waits up to 3 s for every router's word. Exit code 5 while one is missing.")
     int watch(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
-        return call(Methods.GET, plan, "/watch", at);
+        return requestPlan(Methods.GET, plan, "/watch", at);
     }
 
     @Command(
@@ -40,14 +40,14 @@
     int quiet(@Mixin At at) {
         JsonNode n;
         try (var w = new OperatorClient()) {
-            n = Plans.json(
-                    w.call(at.all(), Methods.GET, "/v1/quiet", Map.of(), "").text());
+            n = PlanFormatter.parseJson(
+                    w.call(at.validAddresses(), Methods.GET, "/v1/quiet", Map.of(), "").text());
         }
-        for (var c : n.get("cells")) System.out.println(line(c));
+        for (var c : n.get("cells")) System.out.println(formatCell(c));
         return 0;
     }
 
-    private static String line(JsonNode c) {
+    private static String formatCell(JsonNode c) {
         var b = new StringBuilder(String.format(
                 "%s %s: %d of %d slots in use, %d slots elsewhere; ",
                 c.get("service").asText(),
@@ -66,12 +66,12 @@
         return b.toString();
     }
 
-    static int call(HttpString method, long plan, String act, At at) {
+    static int requestPlan(HttpString method, long plan, String act, At at) {
         try (var w = new OperatorClient()) {
-            var text = w.call(at.all(), method, "/v1/plans/" + plan + act, Map.of(), "")
+            var text = w.call(at.validAddresses(), method, "/v1/plans/" + plan + act, Map.of(), "")
                     .text();
-            System.out.println(Plans.text(text));
-            return "pending".equals(Plans.json(text).path("state").asText()) ? PENDING : 0;
+            System.out.println(PlanFormatter.format(text));
+            return "pending".equals(PlanFormatter.parseJson(text).path("state").asText()) ? EXIT_PENDING : 0;
         }
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/Plans.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanFormatter.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CommandFailure;
 
-final class Plans {
+final class PlanFormatter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Plans() {}
+    private PlanFormatter() {}
 
-    static JsonNode json(String text) {
+    static JsonNode parseJson(String text) {
         try {
             return JSON.readTree(text);
         } catch (JsonProcessingException e) {
@@ -18,8 +18,8 @@
         }
     }
 
-    static String text(String json) {
-        var n = json(json);
+    static String format(String json) {
+        var n = parseJson(json);
         var b = new StringBuilder(
                 "plan " + n.path("plan").asLong() + " (" + n.path("state").asText() + ")");
         if (n.has("intent")) b.append(": ").append(n.get("intent").asText());
@@ -28,15 +28,15 @@
                     .append(n.get("manifestVersion").asLong())
                     .append(", marks ")
                     .append(n.get("marksVersion").asLong());
-        lines(b, "steps", n.path("steps"));
-        lines(b, "expected", n.path("loads"));
-        lines(b, "warnings", n.path("warnings"));
-        lines(b, "not acknowledged yet by", n.path("notAcknowledged"));
+        appendSection(b, "steps", n.path("steps"));
+        appendSection(b, "expected", n.path("loads"));
+        appendSection(b, "warnings", n.path("warnings"));
+        appendSection(b, "not acknowledged yet by", n.path("notAcknowledged"));
         if (n.has("cause")) b.append("\n  cause: ").append(n.get("cause").asText());
         return b.toString();
     }
 
-    private static void lines(StringBuilder b, String title, JsonNode all) {
+    private static void appendSection(StringBuilder b, String title, JsonNode all) {
         if (all.isEmpty()) return;
         b.append("\n  ").append(title).append(':');
         all.forEach(x -> b.append("\n    ").append(x.asText()));
--- a/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
@@ -14,7 +14,7 @@
         description = "Shows parts, members, tables, runners and marks. Exit code 4 when a part has no owner in reach.")
 public final class StatusCommand implements Callable<Integer> {
     @Mixin
-    At at;
+    At operatorAddresses;
 
     @Option(names = "--json")
     boolean json;
@@ -23,14 +23,14 @@
     public Integer call() {
         JsonNode n;
         try (var w = new OperatorClient()) {
-            var text = w.call(at.all(), Methods.GET, "/v1/status", Map.of(), "").text();
-            n = Plans.json(text);
-            System.out.print(json ? text : text(n));
+            var text = w.call(operatorAddresses.validAddresses(), Methods.GET, "/v1/status", Map.of(), "").text();
+            n = PlanFormatter.parseJson(text);
+            System.out.print(json ? text : format(n));
         }
         return n.get("partsReached").asInt() == n.get("parts").asInt() ? 0 : 4;
     }
 
-    private static String text(JsonNode n) {
+    private static String format(JsonNode n) {
         var b = new StringBuilder();
         b.append(String.format(
                 "seen from %s, %d of %d parts reached, manifest version %d%n",
@@ -59,11 +59,11 @@
                     m.get("zone").asText(),
                     m.get("address").asText(),
                     m.get("state").asText()));
-        for (var s : n.get("services")) service(b, s);
+        for (var s : n.get("services")) appendService(b, s);
         return b.toString();
     }
 
-    private static void service(StringBuilder b, JsonNode s) {
+    private static void appendService(StringBuilder b, JsonNode s) {
         b.append(String.format(
                 "service %s  part %d  table version %d%n",
                 s.get("name").asText(),
--- a/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
@@ -39,24 +39,24 @@
             @Option(names = "--to", paramLabel = "TIME", description = "ended before") String to)
             throws IOException {
         if (!format.equals("csv")) throw new CommandFailure(2, "--format " + format + " is not csv");
-        var since = time("--from", from, 0);
-        var until = time("--to", to, Long.MAX_VALUE);
+        var since = parseMicros("--from", from, 0);
+        var until = parseMicros("--to", to, Long.MAX_VALUE);
         if (until <= since) throw new CommandFailure(2, "--to is not after --from");
         var n = 0;
         try (var w = new OperatorClient();
                 var f = Files.newBufferedWriter(out);
                 var p = new CSVPrinter(
                         f, CSVFormat.DEFAULT.builder().setHeader(COLUMNS).get())) {
-            for (var a : at.all()) n += rows(w, a, since, until, p);
+            for (var a : at.validAddresses()) n += exportRows(w, a, since, until, p);
         } catch (IOException e) {
             throw new CommandFailure(2, "cannot write " + out + ": " + e.getMessage());
         }
-        Files.writeString(out.resolveSibling(out.getFileName() + ".schema.json"), schema());
+        Files.writeString(out.resolveSibling(out.getFileName() + ".schema.json"), schemaJson());
         System.out.println(n + " rows");
         return 0;
     }
 
-    private static long time(String option, String text, long otherwise) {
+    private static long parseMicros(String option, String text, long otherwise) {
         if (text == null) return otherwise;
         try {
             return Instant.parse(text).toEpochMilli() * 1000;
@@ -65,29 +65,29 @@
         }
     }
 
-    private static int rows(OperatorClient w, String at, long since, long until, CSVPrinter p) throws IOException {
+    private static int exportRows(OperatorClient w, String at, long since, long until, CSVPrinter p) throws IOException {
         var n = 0;
         for (long after = 0; ; ) {
-            var page = Plans.json(w.call(List.of(at), Methods.GET, "/v1/usage?after=" + after, Map.of(), "")
+            var page = PlanFormatter.parseJson(w.call(List.of(at), Methods.GET, "/v1/usage?after=" + after, Map.of(), "")
                     .text());
             if (page.get("rows").isEmpty()) return n;
             for (var r : page.get("rows")) {
                 after = r.get("no").asLong();
                 var ended = r.get("endedAt").asLong();
                 if (ended < since || ended >= until) continue;
-                print(p, page.get("router").asText(), r);
+                printRow(p, page.get("router").asText(), r);
                 n++;
             }
         }
     }
 
-    private static void print(CSVPrinter p, String router, JsonNode r) throws IOException {
+    private static void printRow(CSVPrinter p, String router, JsonNode r) throws IOException {
         p.print(router);
         for (var i = 1; i < COLUMNS.length; i++) p.print(r.get(COLUMNS[i]).asText());
         p.println();
     }
 
-    private static String schema() {
+    private static String schemaJson() {
         var n = JSON.createObjectNode();
         var all = n.putArray("fields");
         for (var c : COLUMNS)
--- a/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
@@ -16,29 +16,29 @@
     @Command(name = "empty")
     int empty(
             @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin At at) {
-        return act(Intent.EMPTY_ZONE, zone, confirm, at);
+        return submitIntent(Intent.EMPTY_ZONE, zone, confirm, at);
     }
 
     @Command(name = "take-back")
     int takeBack(
             @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin At at) {
-        return act(Intent.TAKE_BACK_ZONE, zone, confirm, at);
+        return submitIntent(Intent.TAKE_BACK_ZONE, zone, confirm, at);
     }
 
-    private static int act(String intent, String zone, boolean confirm, At at) {
+    private static int submitIntent(String intent, String zone, boolean confirm, At at) {
         String plan;
         try (var w = new OperatorClient()) {
             plan = w.call(
-                            at.all(),
+                            at.validAddresses(),
                             Methods.POST,
                             "/v1/intents",
                             Map.of(),
                             "{\"intent\":\"" + intent + "\",\"zone\":\"" + zone.replaceAll("[\"\\\\]", "") + "\"}")
                     .text();
         }
-        System.out.println(Plans.text(plan));
+        System.out.println(PlanFormatter.format(plan));
         return confirm
-                ? PlanCommand.call(Methods.POST, Plans.json(plan).path("plan").asLong(), "/confirm", at)
+                ? PlanCommand.requestPlan(Methods.POST, PlanFormatter.parseJson(plan).path("plan").asLong(), "/confirm", at)
                 : 0;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
@@ -24,38 +24,38 @@
     @Override
     public Integer call() {
         var all = List.of(
-                new Sweep(Shape.MATICAR, false, seeds),
-                new Sweep(Shape.BRANNOCK, false, seeds),
-                new Sweep(Shape.MATICAR, true, days),
-                new Sweep(Shape.BRANNOCK, true, days));
+                new SeedSweep(Shape.MATICAR, false, seeds),
+                new SeedSweep(Shape.BRANNOCK, false, seeds),
+                new SeedSweep(Shape.MATICAR, true, days),
+                new SeedSweep(Shape.BRANNOCK, true, days));
         System.out.printf("At commit %s, seeds %s, days %s:%n%n", commit, seeds, days);
         System.out.println(
                 "| | maticar | brannock | maticar days | brannock days | limit |\n|---|---|---|---|---|---|");
-        row("runs", all.stream().map(s -> Long.toString(s.seeds)).toList(), "");
-        row(
+        printRow("runs", all.stream().map(s -> Long.toString(s.seedCount)).toList(), "");
+        printRow(
                 "runs that broke a promise",
-                all.stream().map(s -> Long.toString(s.broken)).toList(),
+                all.stream().map(s -> Long.toString(s.failedSeeds)).toList(),
                 "0");
-        row(
+        printRow(
                 "submissions",
-                all.stream().map(s -> Long.toString(s.submissions.get())).toList(),
+                all.stream().map(s -> Long.toString(s.submissionCount.get())).toList(),
                 "");
-        row(
+        printRow(
                 "runs an hour",
-                all.stream().map(s -> String.format("%.0f", s.perHour)).toList(),
+                all.stream().map(s -> String.format("%.0f", s.seedsPerHour)).toList(),
                 "");
         for (var l : Limit.values())
             if (l != Limit.RETURN)
-                row(
+                printRow(
                         l.words,
                         all.stream()
-                                .map(s -> s.worst.containsKey(l) ? String.format("%.3f", s.worst.get(l)) : "none")
+                                .map(s -> s.worstByLimit.containsKey(l) ? String.format("%.3f", s.worstByLimit.get(l)) : "none")
                                 .toList(),
                         Double.toString(l.value));
-        return all.stream().allMatch(s -> s.broken == 0) ? 0 : 1;
+        return all.stream().allMatch(s -> s.failedSeeds == 0) ? 0 : 1;
     }
 
-    private static void row(String what, List<String> cells, String limit) {
+    private static void printRow(String what, List<String> cells, String limit) {
         System.out.println("| " + what + " | " + String.join(" | ", cells) + " | " + limit + " |");
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -40,29 +40,29 @@
     @Override
     public Integer call() {
         if ((seed == null) == (sweep == null)) throw new CommandFailure(2, "name one seed, or --sweep FROM-TO");
-        if (sweep == null) return day ? drawDay() : draw();
-        var s = new Sweep(Sweep.shape(shape), day, sweep);
+        if (sweep == null) return day ? replayDay() : replayFaults();
+        var s = new SeedSweep(SeedSweep.shape(shape), day, sweep);
         s.print();
-        return s.broken == 0 ? 0 : 1;
+        return s.failedSeeds == 0 ? 0 : 1;
     }
 
-    private int draw() {
-        var sh = Sweep.shape(shape);
+    private int replayFaults() {
+        var sh = SeedSweep.shape(shape);
         var faults = Chaos.faults(sh, seed);
         if (shortest) faults = Chaos.shortest(sh, seed, faults);
         var r = Chaos.run(sh, seed, faults);
         System.out.print(r.timeline());
         faults.forEach(f -> System.out.println("fault " + f.text()));
         r.wrong().forEach(w -> System.out.println("BROKEN " + w));
-        Sweep.print(r.checks().worst);
+        SeedSweep.print(r.checks().worst);
         return r.wrong().isEmpty() ? 0 : 1;
     }
 
-    private int drawDay() {
-        var r = Day.run(Sweep.shape(shape), seed);
+    private int replayDay() {
+        var r = Day.run(SeedSweep.shape(shape), seed);
         System.out.print(r.timeline());
         r.wrong().forEach(w -> System.out.println("BROKEN " + w));
-        Sweep.print(r.checks().worst);
+        SeedSweep.print(r.checks().worst);
         return r.wrong().isEmpty() ? 0 : 1;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/Sweep.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.LongStream;
 
-final class Sweep {
-    final Map<Limit, Double> worst = new EnumMap<>(Limit.class);
-    final AtomicLong submissions = new AtomicLong();
-    final long seeds;
-    final long broken;
-    final double perHour;
+final class SeedSweep {
+    final Map<Limit, Double> worstByLimit = new EnumMap<>(Limit.class);
+    final AtomicLong submissionCount = new AtomicLong();
+    final long seedCount;
+    final long failedSeeds;
+    final double seedsPerHour;
     private final Shape shape;
     private final boolean day;
 
-    Sweep(Shape shape, boolean day, String range) {
+    SeedSweep(Shape shape, boolean day, String range) {
         this.shape = shape;
         this.day = day;
         if (!range.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, range + " is not FROM-TO");
@@ -28,12 +28,12 @@
         var to = Long.parseLong(range.split("-")[1]);
         if (to < from) throw new CommandFailure(2, range + ": the end is before the start");
         var began = System.nanoTime();
-        seeds = to - from + 1;
-        broken = LongStream.rangeClosed(from, to)
+        seedCount = to - from + 1;
+        failedSeeds = LongStream.rangeClosed(from, to)
                 .parallel()
-                .filter(day ? this::day : this::faults)
+                .filter(day ? this::day : this::failsUnderFaults)
                 .count();
-        perHour = seeds / ((System.nanoTime() - began) / 3.6e12);
+        seedsPerHour = seedCount / ((System.nanoTime() - began) / 3.6e12);
     }
 
     static Shape shape(String name) {
@@ -44,19 +44,19 @@
 
     private boolean day(long seed) {
         var r = Day.run(shape, seed);
-        return broke("day " + seed, r.wrong(), r.checks().worst, r.submissions(), List.of());
+        return recordRun("day " + seed, r.wrong(), r.checks().worst, r.submissions(), List.of());
     }
 
-    private boolean faults(long seed) {
+    private boolean failsUnderFaults(long seed) {
         var r = Chaos.run(shape, seed, Chaos.faults(shape, seed));
         var least = r.wrong().isEmpty() ? r.faults() : Chaos.shortest(shape, seed, r.faults());
-        return broke("seed " + seed, r.wrong(), r.checks().worst, r.submissions(), least);
+        return recordRun("seed " + seed, r.wrong(), r.checks().worst, r.submissions(), least);
     }
 
-    private synchronized boolean broke(
+    private synchronized boolean recordRun(
             String what, List<String> wrong, Map<Limit, Double> seen, int asked, List<Chaos.Fault> least) {
-        seen.forEach((k, v) -> worst.merge(k, v, Math::max));
-        submissions.addAndGet(asked);
+        seen.forEach((k, v) -> worstByLimit.merge(k, v, Math::max));
+        submissionCount.addAndGet(asked);
         if (wrong.isEmpty()) return false;
         System.out.println(what + " of shape " + shape.name() + ": " + wrong.subList(0, Math.min(3, wrong.size())));
         least.forEach(f -> System.out.println("  shortest schedule: " + f.text()));
@@ -66,8 +66,8 @@
     void print() {
         System.out.printf(
                 "%d %s of shape %s, %d broke a promise, %d submissions, %.0f seeds an hour%n",
-                seeds, day ? "days" : "seeds", shape.name(), broken, submissions.get(), perHour);
-        print(worst);
+                seedCount, day ? "days" : "seeds", shape.name(), failedSeeds, submissionCount.get(), seedsPerHour);
+        print(worstByLimit);
     }
 
     static void print(Map<Limit, Double> worst) {
--- a/test/standin/src/main/java/craneway/standin/Faults.java
+++ b/test/standin/src/main/java/craneway/standin/Faults.java
@@ -44,17 +44,17 @@
                 f.start(stores.get(1));
                 f.await("the new store votes", () -> f.votes(stores.get(1)));
             }
-            case "rolling" -> rolling(f);
+            case "rolling" -> restartAllInTurn(f);
             default -> throw new IllegalArgumentException("no fault " + fault);
         }
     }
 
-    private static void rolling(Fleet f) throws IOException, InterruptedException {
-        for (var n : f.names("stores")) again(f, n);
-        for (var n : f.names("routers")) again(f, n);
+    private static void restartAllInTurn(Fleet f) throws IOException, InterruptedException {
+        for (var n : f.names("stores")) restart(f, n);
+        for (var n : f.names("routers")) restart(f, n);
     }
 
-    private static void again(Fleet f, String name) throws IOException, InterruptedException {
+    private static void restart(Fleet f, String name) throws IOException, InterruptedException {
         f.stop(name);
         f.start(name);
         f.await(name + " ready", () -> f.ready(name));
--- a/test/standin/src/main/java/craneway/standin/Fleet.java
+++ b/test/standin/src/main/java/craneway/standin/Fleet.java
@@ -28,13 +28,13 @@
 
 public final class Fleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long LIMIT_MILLIS = 90_000;
+    private static final long WAIT_TIMEOUT_MILLIS = 90_000;
 
     public final Path folder;
     public final JsonNode map;
-    private final Map<String, Process> running = new TreeMap<>();
+    private final Map<String, Process> processes = new TreeMap<>();
     private final XnioWorker worker;
-    private final AsyncHttpClient caller;
+    private final AsyncHttpClient httpClient;
 
     public Fleet(Path folder, Path manifest, String routers, String runners, String slots) throws IOException {
         this.folder = folder;
@@ -54,7 +54,7 @@
         if (code != 0) throw new IOException("the fleet could not be laid out, code " + code);
         map = JSON.readTree(folder.resolve("fleet.json").toFile());
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
-        caller = new AsyncHttpClient(worker);
+        httpClient = new AsyncHttpClient(worker);
     }
 
     public List<String> names(String kind) {
@@ -81,13 +81,13 @@
 
     public void start(String name) throws IOException {
         var startup = folder.resolve("startup").resolve(name + ".json").toString();
-        if (map.get("stores").has(name)) launch(name, StoreMain.class, "--startup", startup);
-        else if (map.get("routers").has(name)) launch(name, RouterMain.class, "--startup", startup);
-        else startRunner(name, map.get("runners").get(name));
+        if (map.get("stores").has(name)) startProcess(name, StoreMain.class, "--startup", startup);
+        else if (map.get("routers").has(name)) startProcess(name, RouterMain.class, "--startup", startup);
+        else startStandinRunner(name, map.get("runners").get(name));
     }
 
-    private void startRunner(String name, JsonNode r) throws IOException {
-        launch(
+    private void startStandinRunner(String name, JsonNode r) throws IOException {
+        startProcess(
                 name,
                 StandinMain.class,
                 "runner",
@@ -107,7 +107,7 @@
                 folder.resolve("journal").resolve(name + ".jsonl").toString());
     }
 
-    private void launch(String name, Class<?> main, String... args) throws IOException {
+    private void startProcess(String name, Class<?> main, String... args) throws IOException {
         var c = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx192m",
@@ -118,7 +118,7 @@
                 main.getName()));
         c.addAll(List.of(args));
         var log = folder.resolve("log").resolve(name + ".log").toFile();
-        running.put(
+        processes.put(
                 name,
                 new ProcessBuilder(c)
                         .redirectErrorStream(true)
@@ -127,13 +127,13 @@
     }
 
     public void kill(String name) throws InterruptedException {
-        var p = running.remove(name);
+        var p = processes.remove(name);
         p.destroyForcibly();
         p.waitFor();
     }
 
     public void ask(String name) {
-        running.get(name).destroy();
+        processes.get(name).destroy();
     }
 
     public int stop(String name) throws InterruptedException {
@@ -142,16 +142,16 @@
     }
 
     public int ended(String name) throws InterruptedException {
-        var p = running.remove(name);
-        if (!p.waitFor(LIMIT_MILLIS, TimeUnit.MILLISECONDS)) {
+        var p = processes.remove(name);
+        if (!p.waitFor(WAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             p.destroyForcibly();
-            throw new AssertionError(name + " did not stop in " + LIMIT_MILLIS + " ms");
+            throw new AssertionError(name + " did not stop in " + WAIT_TIMEOUT_MILLIS + " ms");
         }
         return p.exitValue();
     }
 
     public void signal(String name, String signal) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + signal, Long.toString(running.get(name).pid()))
+        new ProcessBuilder("kill", "-" + signal, Long.toString(processes.get(name).pid()))
                 .start()
                 .waitFor();
     }
@@ -163,13 +163,13 @@
     }
 
     public BufferedHttpResponse get(String address, String path) throws IOException {
-        return BufferedHttpResponse.fetch(caller, address, Methods.GET, path, Map.of(), new byte[0], 5_000);
+        return BufferedHttpResponse.fetch(httpClient, address, Methods.GET, path, Map.of(), new byte[0], 5_000);
     }
 
     public BufferedHttpResponse call(
             String address, HttpString method, String path, Map<HttpString, String> headers, String body)
             throws IOException {
-        return BufferedHttpResponse.fetch(caller, address, method, path, headers, body.getBytes(), 15_000);
+        return BufferedHttpResponse.fetch(httpClient, address, method, path, headers, body.getBytes(), 15_000);
     }
 
     public boolean ready(String name) {
@@ -208,7 +208,7 @@
     }
 
     public boolean isRunning(String name) {
-        return running.containsKey(name);
+        return processes.containsKey(name);
     }
 
     public boolean lapsed(String name) {
@@ -247,9 +247,9 @@
     }
 
     public void await(String what, BooleanSupplier is) {
-        var until = System.nanoTime() + LIMIT_MILLIS * 1_000_000;
+        var until = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
         while (!is.getAsBoolean()) {
-            if (System.nanoTime() > until) throw new AssertionError("not within " + LIMIT_MILLIS + " ms: " + what);
+            if (System.nanoTime() > until) throw new AssertionError("not within " + WAIT_TIMEOUT_MILLIS + " ms: " + what);
             LockSupport.parkNanos(50_000_000);
         }
     }
@@ -275,8 +275,8 @@
 
     @Override
     public void close() {
-        running.values().forEach(Process::destroyForcibly);
-        running.clear();
+        processes.values().forEach(Process::destroyForcibly);
+        processes.clear();
         worker.shutdownNow();
     }
 }
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -42,18 +42,18 @@
             int warmUpMillis) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Pattern SUB = Pattern.compile("submission=(\\S+) key=(\\S*)");
+    private static final Pattern SUBMISSION = Pattern.compile("submission=(\\S+) key=(\\S*)");
 
     private final Shape shape;
     private final List<String> routers;
     private final PrintWriter journal;
     private final long incarnation = System.currentTimeMillis();
-    private final long born = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
     private final AtomicInteger running = new AtomicInteger();
-    private final Map<String, Boolean> cache;
+    private final Map<String, Boolean> prefixCache;
     private final XnioWorker worker;
-    private final AsyncHttpClient caller;
-    private final ScheduledExecutorService beats = Executors.newScheduledThreadPool(2);
+    private final AsyncHttpClient httpClient;
+    private final ScheduledExecutorService announcementScheduler = Executors.newScheduledThreadPool(2);
     private Undertow server;
     private volatile boolean leaving;
 
@@ -62,7 +62,7 @@
         this.routers = routers;
         this.journal =
                 new PrintWriter(Files.newBufferedWriter(journal, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
-        this.cache = new LinkedHashMap<>(16, 0.75f, true) {
+        this.prefixCache = new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Boolean> e) {
                 return size() > shape.prefixes;
@@ -75,7 +75,7 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, shape.slots + 8)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        caller = new AsyncHttpClient(worker);
+        httpClient = new AsyncHttpClient(worker);
     }
 
     public void start() {
@@ -85,18 +85,18 @@
                 .addHttpListener(
                         Integer.parseInt(shape.listen.substring(at + 1)),
                         shape.listen.substring(0, at),
-                        x -> x.dispatch(() -> serve(x)))
+                        x -> x.dispatch(() -> handleRequest(x)))
                 .build();
         server.start();
-        beats.scheduleWithFixedDelay(this::announce, 0, 500, TimeUnit.MILLISECONDS);
+        announcementScheduler.scheduleWithFixedDelay(this::announce, 0, 500, TimeUnit.MILLISECONDS);
     }
 
     public int running() {
         return running.get();
     }
 
-    private boolean cold() {
-        return System.nanoTime() - born < shape.warmUpMillis * 1_000_000L;
+    private boolean isCold() {
+        return System.nanoTime() - startedAtNanos < shape.warmUpMillis * 1_000_000L;
     }
 
     private void announce() {
@@ -109,17 +109,17 @@
                     .put("cell", shape.cell)
                     .put("slots", shape.slots)
                     .put("incarnation", incarnation)
-                    .put("cold", cold())
+                    .put("cold", isCold())
                     .put("load", running.get())
                     .toString();
-            beats.execute(() -> tell(r, "/v1/announce", body));
+            announcementScheduler.execute(() -> postToRouter(r, "/v1/announce", body));
         }
     }
 
-    private boolean tell(String router, String path, String body) {
+    private boolean postToRouter(String router, String path, String body) {
         try {
             return BufferedHttpResponse.fetch(
-                                    caller,
+                                    httpClient,
                                     router,
                                     Methods.POST,
                                     path,
@@ -141,8 +141,8 @@
                 .put("incarnation", incarnation)
                 .toString();
         var told = false;
-        for (var r : routers) told |= tell(r, "/v1/leave", body);
-        note("leave", "", "", told ? 1 : 0);
+        for (var r : routers) told |= postToRouter(r, "/v1/leave", body);
+        writeJournalLine("leave", "", "", told ? 1 : 0);
         return told;
     }
 
@@ -152,19 +152,19 @@
     }
 
     public void close() {
-        beats.shutdownNow();
+        announcementScheduler.shutdownNow();
         server.stop();
         worker.shutdownNow();
         journal.close();
     }
 
-    private synchronized void note(String what, String sub, String key, int n) {
+    private synchronized void writeJournalLine(String what, String sub, String key, int n) {
         journal.println("{\"at\":" + System.currentTimeMillis() + ",\"runner\":\"" + shape.name + "\",\"what\":\""
                 + what + "\",\"sub\":\"" + sub + "\",\"key\":\"" + key + "\",\"n\":" + n + "}");
         journal.flush();
     }
 
-    private void serve(HttpServerExchange x) {
+    private void handleRequest(HttpServerExchange x) {
         x.startBlocking();
         x.getResponseHeaders().put(new HttpString("craneway-load"), running.get());
         if (running.incrementAndGet() > shape.slots) {
@@ -173,7 +173,7 @@
             return;
         }
         try {
-            stream(x);
+            streamTokens(x);
         } catch (IOException e) {
             IoUtils.safeClose(x.getConnection());
         } catch (InterruptedException e) {
@@ -183,19 +183,19 @@
         }
     }
 
-    private void stream(HttpServerExchange x) throws IOException, InterruptedException {
+    private void streamTokens(HttpServerExchange x) throws IOException, InterruptedException {
         var n = JSON.readTree(x.getInputStream().readAllBytes());
         var prompt = n.get("messages").get(0).get("content").asText();
-        Matcher m = SUB.matcher(n.get("messages")
+        Matcher m = SUBMISSION.matcher(n.get("messages")
                 .get(n.get("messages").size() - 1)
                 .get("content")
                 .asText());
         var sub = m.find() ? m.group(1) : "";
         var key = sub.isEmpty() ? "" : m.group(2);
         var tokens = n.path("max_tokens").asInt(16);
-        note("start", sub, key, tokens);
-        var hit = hit(prompt);
-        Thread.sleep((hit ? 2 : shape.prefillMillis) * (cold() ? 3L : 1L));
+        writeJournalLine("start", sub, key, tokens);
+        var hit = cachePrefix(prompt);
+        Thread.sleep((hit ? 2 : shape.prefillMillis) * (isCold() ? 3L : 1L));
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
         var o = x.getOutputStream();
         for (var i = 0; i < tokens; i++) {
@@ -208,12 +208,12 @@
         }
         o.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
         o.close();
-        note("end", sub, key, tokens);
+        writeJournalLine("end", sub, key, tokens);
     }
 
-    private boolean hit(String prompt) {
-        synchronized (cache) {
-            return cache.put(prompt, true) != null;
+    private boolean cachePrefix(String prompt) {
+        synchronized (prefixCache) {
+            return prefixCache.put(prompt, true) != null;
         }
     }
 }
--- a/test/standin/src/main/java/craneway/standin/TrialCommand.java
+++ b/test/standin/src/main/java/craneway/standin/TrialCommand.java
@@ -75,8 +75,8 @@
                     journal.toString()));
             for (var i = 0; i < faults.size(); i++) {
                 var at = (long) streams * (i + 1) / (faults.size() + 1);
-                f.await("submission " + at, () -> load.isDone() || lines(journal) >= at);
-                System.out.println("at submission " + lines(journal) + ": " + faults.get(i));
+                f.await("submission " + at, () -> load.isDone() || countLines(journal) >= at);
+                System.out.println("at submission " + countLines(journal) + ": " + faults.get(i));
                 Faults.bring(f, faults.get(i));
             }
             var code = load.join();
@@ -92,7 +92,7 @@
         }
     }
 
-    private static long lines(Path p) {
+    private static long countLines(Path p) {
         try (var l = Files.lines(p)) {
             return l.count();
         } catch (IOException e) {
--- a/tool/drill/src/main/java/craneway/drill/Outage.java
+++ b/tool/drill/src/main/java/craneway/drill/Outage.java
@@ -14,39 +14,39 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Set<String> runners;
-    private final long confirmed;
-    private final long takenBack;
-    private final List<Long> starts = new ArrayList<>();
+    private final Set<String> zoneRunners;
+    private final long confirmedAtMillis;
+    private final long takenBackAtMillis;
+    private final List<Long> startTimesMillis = new ArrayList<>();
 
     public Outage(Set<String> runners, long confirmed, long takenBack) {
-        this.runners = runners;
-        this.confirmed = confirmed;
-        this.takenBack = takenBack;
+        this.zoneRunners = runners;
+        this.confirmedAtMillis = confirmed;
+        this.takenBackAtMillis = takenBack;
     }
 
     public void runner(Path journal) throws IOException {
-        for (var l : Files.readAllLines(journal)) line(JSON.readTree(l));
+        for (var l : Files.readAllLines(journal)) addEntry(JSON.readTree(l));
     }
 
-    private void line(JsonNode n) {
+    private void addEntry(JsonNode n) {
         if (n.get("what").asText().equals("start")
-                && runners.contains(n.get("runner").asText()))
-            starts.add(n.get("at").asLong());
+                && zoneRunners.contains(n.get("runner").asText()))
+            startTimesMillis.add(n.get("at").asLong());
     }
 
     public long lastAfterConfirm() {
-        return starts.stream()
-                .filter(t -> t > confirmed && t < takenBack)
-                .mapToLong(t -> t - confirmed)
+        return startTimesMillis.stream()
+                .filter(t -> t > confirmedAtMillis && t < takenBackAtMillis)
+                .mapToLong(t -> t - confirmedAtMillis)
                 .max()
                 .orElse(0);
     }
 
     public long firstAfterReturn() {
-        return starts.stream()
-                .filter(t -> t >= takenBack)
-                .mapToLong(t -> t - takenBack)
+        return startTimesMillis.stream()
+                .filter(t -> t >= takenBackAtMillis)
+                .mapToLong(t -> t - takenBackAtMillis)
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
