--- a/prog/craneway/src/main/java/craneway/command/CommandRunner.java
+++ b/prog/craneway/src/main/java/craneway/command/CommandRunner.java
@@ -3,18 +3,19 @@
 import craneway.log.EventLog;
 import picocli.CommandLine;
 
-/** Runs one command with the exit codes and messages that all commands share. */
+/** Runs one command and turns its exceptions into an exit code and a message, in the same way for all commands. */
 public final class CommandRunner {
+    /** The exit code after an exception that carries none. */
     private static final int EXIT_FAILURE = 1;
 
     private CommandRunner() {}
 
     /**
-     * Parses the arguments, runs the command and prints the message of an exception that ended it on standard error.
+     * Parses the arguments and runs the command. If an exception ends it, its message goes to standard error.
      *
      * @param command an object annotated as a picocli command
-     * @param arguments what stands behind the command's name
-     * @return the command's exit code
+     * @param arguments the arguments after the command's name
+     * @return the command's exit code; that of a {@link CommandFailure}, or 1 for any other exception
      */
     public static int run(Object command, String... arguments) {
         EventLog.configureLogging();
@@ -24,9 +25,9 @@
     }
 
     private static int reportFailure(Exception exception) {
-        if (exception instanceof CommandFailure told) {
-            System.err.println(told.getMessage());
-            return told.code();
+        if (exception instanceof CommandFailure failure) {
+            System.err.println(failure.getMessage());
+            return failure.code();
         }
         System.err.println(exception);
         return EXIT_FAILURE;
--- a/prog/craneway/src/main/java/craneway/command/CranewayMain.java
+++ b/prog/craneway/src/main/java/craneway/command/CranewayMain.java
@@ -15,11 +15,12 @@
 import craneway.command.replay.ReplayCommand;
 import picocli.CommandLine.Command;
 
+/** The command line {@code craneway}: commands for operators, load generation, drills, simulation and measurements. */
 @Command(
         name = "craneway",
         mixinStandardHelpOptions = true,
         version = "craneway 0.1.0",
-        description = "Drives a craneway core: manifests, intents, plans, status, fleets and load.",
+        description = "Operates a craneway core: manifests, intents, plans, status, fleets and load.",
         subcommands = {
             ManifestCommand.class,
             IntentCommand.class,
@@ -36,12 +37,12 @@
             MeasureCommand.class
         })
 public final class CranewayMain {
-    /** Ends the process with the exit code of the command. */
+    /** Runs the command line and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
-    /** Runs the command line in this process; returns its exit code. */
+    /** Runs the command line in this process and returns its exit code. */
     public static int run(String... args) {
         return CommandRunner.run(new CranewayMain(), args);
     }
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -13,12 +13,16 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
+/**
+ * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link CommandFailure}.
+ */
 public final class OperatorClient implements AutoCloseable {
     private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
 
     private final XnioWorker worker;
     private final AsyncHttpClient caller;
 
+    /** Creates a client with I/O threads of its own, which run until {@link #close}. */
     public OperatorClient() {
         try {
             worker = Xnio.getInstance()
@@ -29,30 +33,46 @@
         caller = new AsyncHttpClient(worker);
     }
 
+    /** Returns the HTTP client that this client sends its requests with. */
     public AsyncHttpClient caller() {
         return caller;
     }
 
+    /**
+     * Sends a request to these addresses in turn until one responds, and returns the response.
+     *
+     * A request other than GET is not sent to a second address, because the failed call may already have taken effect.
+     *
+     * @param addresses operator addresses as IP:PORT
+     * @throws CommandFailure with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
+     *     and 1 if no address responds
+     */
     public BufferedHttpResponse call(
-            List<String> at, HttpString method, String path, Map<HttpString, String> headers, String body) {
-        IOException last = null;
-        for (var a : at) {
+            List<String> addresses, HttpString method, String path, Map<HttpString, String> headers, String body) {
+        IOException lastFailure = null;
+        for (var address : addresses) {
             try {
                 return requireSuccess(BufferedHttpResponse.fetch(
-                        caller, a, method, path, headers, body.getBytes(StandardCharsets.UTF_8), REQUEST_TIMEOUT_MILLIS));
+                        caller,
+                        address,
+                        method,
+                        path,
+                        headers,
+                        body.getBytes(StandardCharsets.UTF_8),
+                        REQUEST_TIMEOUT_MILLIS));
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
                 if (!method.equals(Methods.GET)) break;
             }
         }
-        throw new CommandFailure(1, "no reply: " + (last == null ? "no address" : last.getMessage()));
+        throw new CommandFailure(1, "no reply: " + (lastFailure == null ? "no address" : lastFailure.getMessage()));
     }
 
-    private static BufferedHttpResponse requireSuccess(BufferedHttpResponse r) {
-        if (r.status() < 400) return r;
+    private static BufferedHttpResponse requireSuccess(BufferedHttpResponse response) {
+        if (response.status() < 400) return response;
         throw new CommandFailure(
-                r.status() == 503 ? 4 : 3,
-                "declined (" + r.status() + "): " + r.text().trim());
+                response.status() == 503 ? 4 : 3,
+                "declined (" + response.status() + "): " + response.text().trim());
     }
 
     @Override
--- a/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
@@ -24,16 +24,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/**
+ * {@code craneway drill}: rehearses the loss of a zone on a fleet that {@code craneway fleet} laid out on this machine.
+ */
 @Command(
         name = "drill",
         description =
-                "Takes a zone out of a running fleet under load, checks the promises from the journals, takes it back and writes a report. "
-                        + "Exit code 1 when a promise broke.")
+                "Empties a zone of a running fleet under load, takes it back, checks the promises by the journals and writes a report. "
+                        + "Exit code 1 if a promise was broken.")
 public final class DrillCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** How long the drill waits for a condition before it fails. */
     private static final long WAIT_TIMEOUT_MILLIS = 90_000;
 
-    @Option(names = "--fleet", required = true, description = "folder that craneway fleet wrote")
+    @Option(names = "--fleet", required = true, description = "folder that craneway fleet wrote to")
     Path folder;
 
     @Option(names = "--zone", required = true)
@@ -42,7 +46,7 @@
     @Option(names = "--service", required = true)
     String service;
 
-    @Option(names = "--work", required = true, description = "the mix, as for load")
+    @Option(names = "--work", required = true, description = "the mix of work, as for craneway load")
     String work;
 
     @Option(names = "--streams", defaultValue = "3000")
@@ -51,7 +55,7 @@
     @Option(names = "--at-once", defaultValue = "24")
     int atOnce;
 
-    @Option(names = "--hold-seconds", defaultValue = "8", description = "how long the zone stays empty")
+    @Option(names = "--hold-seconds", defaultValue = "8", description = "seconds that the zone stays empty, at least 6")
     int hold;
 
     @Option(names = "--report", required = true, description = "file for the report")
@@ -62,9 +66,9 @@
     @Override
     public Integer call() throws IOException {
         fleetJson = JSON.readTree(Files.readString(folder.resolve("fleet.json")));
-        var inZone = runnersInZone(zone);
-        if (inZone.isEmpty()) throw new CommandFailure(2, "the fleet has no runner in zone " + zone);
-        if (hold < 6) throw new CommandFailure(2, "--hold-seconds: below 6 nothing is seen of the 5 s promise");
+        var zoneRunners = runnersInZone(zone);
+        if (zoneRunners.isEmpty()) throw new CommandFailure(2, "the fleet has no runner in zone " + zone);
+        if (hold < 6) throw new CommandFailure(2, "--hold-seconds must be at least 6 to check the promise of 5 s");
         var journal = folder.resolve("journal").resolve("drill-" + System.currentTimeMillis() + ".jsonl");
         var load = CompletableFuture.supplyAsync(() -> CommandRunner.run(
                 new LoadCommand(),
@@ -87,54 +91,59 @@
                 "--journal",
                 journal.toString()));
         awaitCondition("a tenth of the load", () -> load.isDone() || countLines(journal) > streams / 10);
-        long confirmed;
-        long back;
-        try (var w = new OperatorClient()) {
-            confirmIntent(w, "empty-zone");
-            confirmed = System.currentTimeMillis();
+        long confirmedAtMillis;
+        long takenBackAtMillis;
+        try (var client = new OperatorClient()) {
+            confirmIntent(client, "empty-zone");
+            confirmedAtMillis = System.currentTimeMillis();
             sleepMillis(hold * 1_000L);
             if (load.isDone())
-                throw new CommandFailure(2, "the load was over before the zone was taken back; ask for more streams");
-            back = System.currentTimeMillis();
-            confirmIntent(w, "take-back-zone");
+                throw new CommandFailure(2, "the load ended before the zone was taken back; raise --streams");
+            takenBackAtMillis = System.currentTimeMillis();
+            confirmIntent(client, "take-back-zone");
         }
-        var code = load.join();
-        return checkAndReport(journal, new Outage(inZone, confirmed, back), code);
+        var loadExitCode = load.join();
+        return checkAndReport(journal, new Outage(zoneRunners, confirmedAtMillis, takenBackAtMillis), loadExitCode);
     }
 
-    private int checkAndReport(Path journal, Outage o, int loadCode) throws IOException {
-        var c = new Checker();
-        for (var r : nodeNames("runners")) {
-            var f = folder.resolve("journal").resolve(r + ".jsonl");
-            c.runner(f);
-            o.runner(f);
+    /** Checks the journals, writes and prints the report and returns the exit code. */
+    private int checkAndReport(Path journal, Outage outage, int loadExitCode) throws IOException {
+        var checker = new Checker();
+        for (var runner : nodeNames("runners")) {
+            var runnerJournal = folder.resolve("journal").resolve(runner + ".jsonl");
+            checker.runner(runnerJournal);
+            outage.runner(runnerJournal);
         }
-        c.requester(journal);
-        var wrong = new ArrayList<>(c.verdict(true));
-        wrong.addAll(o.verdict());
-        if (loadCode != 0) wrong.add("the load ended with code " + loadCode);
-        var text = new StringBuilder("drill of zone " + zone + "\n" + c.counts() + "\n");
+        checker.requester(journal);
+        var violations = new ArrayList<>(checker.verdict(true));
+        violations.addAll(outage.verdict());
+        if (loadExitCode != 0) violations.add("the load ended with code " + loadExitCode);
+        var text = new StringBuilder("drill of zone " + zone + "\n" + checker.counts() + "\n");
         text.append("last new work after the confirm: ")
-                .append(o.lastAfterConfirm())
+                .append(outage.lastAfterConfirm())
                 .append(" ms (limit ")
                 .append(Outage.EMPTY_MILLIS)
                 .append(")\n");
         text.append("first work after taking back: ")
-                .append(o.firstAfterReturn())
+                .append(outage.firstAfterReturn())
                 .append(" ms (limit ")
                 .append(Outage.RETURN_MILLIS)
                 .append(")\n");
-        wrong.forEach(x -> text.append("BROKEN ").append(x).append('\n'));
-        text.append(wrong.isEmpty() ? "every promise checked here was kept\n" : wrong.size() + " promises broken\n");
+        violations.forEach(violation -> text.append("BROKEN ").append(violation).append('\n'));
+        text.append(
+                violations.isEmpty()
+                        ? "every promise checked here was kept\n"
+                        : violations.size() + " promises broken\n");
         Files.writeString(report, text);
         System.out.print(text);
-        return wrong.isEmpty() ? 0 : 1;
+        return violations.isEmpty() ? 0 : 1;
     }
 
-    private void confirmIntent(OperatorClient w, String intent) throws IOException {
-        var at = List.of(joinAddresses("stores", "operator").split(","));
-        var plan = JSON.readTree(w.call(
-                                at,
+    /** Submits an intent for the zone, confirms its plan and waits until every router has acknowledged it. */
+    private void confirmIntent(OperatorClient client, String intent) throws IOException {
+        var operators = List.of(joinAddresses("stores", "operator").split(","));
+        var plan = JSON.readTree(client.call(
+                                operators,
                                 Methods.POST,
                                 "/v1/intents",
                                 Map.of(),
@@ -145,13 +154,13 @@
                         .text())
                 .get("plan")
                 .asLong();
-        var state = JSON.readTree(w.call(at, Methods.POST, "/v1/plans/" + plan + "/confirm", Map.of(), "")
+        var state = JSON.readTree(client.call(operators, Methods.POST, "/v1/plans/" + plan + "/confirm", Map.of(), "")
                         .text())
                 .get("state")
                 .asText();
-        for (var until = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000; state.equals("pending"); ) {
-            if (System.nanoTime() > until) throw new CommandFailure(4, intent + " stayed pending");
-            state = JSON.readTree(w.call(at, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
+        for (var deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000; state.equals("pending"); ) {
+            if (System.nanoTime() > deadlineNanos) throw new CommandFailure(4, intent + " stayed pending");
+            state = JSON.readTree(client.call(operators, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
                             .text())
                     .get("state")
                     .asText();
@@ -160,43 +169,44 @@
     }
 
     private List<String> nodeNames(String kind) {
-        var all = new ArrayList<String>();
-        fleetJson.get(kind).fieldNames().forEachRemaining(all::add);
-        return all;
+        var names = new ArrayList<String>();
+        fleetJson.get(kind).fieldNames().forEachRemaining(names::add);
+        return names;
     }
 
     private String joinAddresses(String kind, String field) {
         return String.join(
                 ",",
                 nodeNames(kind).stream()
-                        .map(n -> fleetJson.get(kind).get(n).get(field).asText())
+                        .map(name -> fleetJson.get(kind).get(name).get(field).asText())
                         .toList());
     }
 
-    private Set<String> runnersInZone(String z) {
-        var all = new HashSet<String>();
-        for (var n : nodeNames("runners"))
-            if (fleetJson.get("runners").get(n).get("zone").asText().equals(z)) all.add(n);
-        return all;
+    private Set<String> runnersInZone(String zoneName) {
+        var runners = new HashSet<String>();
+        for (var name : nodeNames("runners"))
+            if (fleetJson.get("runners").get(name).get("zone").asText().equals(zoneName)) runners.add(name);
+        return runners;
     }
 
-    private static long countLines(Path p) {
-        try (var l = Files.lines(p)) {
-            return l.count();
+    private static long countLines(Path file) {
+        try (var lines = Files.lines(file)) {
+            return lines.count();
         } catch (IOException e) {
             return 0;
         }
     }
 
     private static void sleepMillis(long millis) {
-        for (var until = System.nanoTime() + millis * 1_000_000; System.nanoTime() < until; )
+        for (var deadlineNanos = System.nanoTime() + millis * 1_000_000; System.nanoTime() < deadlineNanos; )
             LockSupport.parkNanos(50_000_000);
     }
 
-    private static void awaitCondition(String what, BooleanSupplier is) {
-        var until = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
-        while (!is.getAsBoolean()) {
-            if (System.nanoTime() > until) throw new CommandFailure(4, "not within " + WAIT_TIMEOUT_MILLIS + " ms: " + what);
+    private static void awaitCondition(String description, BooleanSupplier condition) {
+        var deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos)
+                throw new CommandFailure(4, "not within " + WAIT_TIMEOUT_MILLIS + " ms: " + description);
             LockSupport.parkNanos(50_000_000);
         }
     }
--- a/prog/craneway/src/main/java/craneway/command/drill/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/package-info.java
@@ -1,2 +1,2 @@
-/** Takes a zone out of a running fleet and checks the promises meanwhile. */
+/** Empties a zone of a running fleet under load, takes it back and checks the promises meanwhile. */
 package craneway.command.drill;
--- a/prog/craneway/src/main/java/craneway/command/fleet/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Writes the startup files and scripts of a fleet on one machine. */
+/** Writes the startup files and scripts of a fleet whose processes run on one machine. */
 package craneway.command.fleet;
--- a/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
@@ -13,13 +13,26 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
+/**
+ * A simulated requester that submits work, follows the streamed responses and records the outcomes. Each instance is
+ * used by one thread.
+ */
 final class LoadClient {
+    /**
+     * Settings that all clients of a run share.
+     *
+     * @param meanTokens mean number of tokens to ask for; a request asks for half to one and a half times as many
+     * @param maxSubmissions how often the same work is submitted at most
+     */
     record Options(int tenantCount, int meanTokens, int maxSubmissions, int deadlineMillis) {}
 
+    /** No connection was made, so the request was not sent. */
     private record ConnectFailure(String cause) {}
 
+    /** The status and headers of the response. */
     private record ResponseHead(int statusCode, HeaderMap headers) {}
 
+    /** The response is complete, or the connection broke. */
     private record StreamEnd(boolean complete, String cause) {}
 
     private final AsyncHttpClient httpClient;
@@ -33,35 +46,39 @@
     private int submissionCount;
 
     LoadClient(
-            AsyncHttpClient caller,
-            RouterSelector to,
+            AsyncHttpClient httpClient,
+            RouterSelector routerSelector,
             String service,
-            WorkMix mix,
+            WorkMix workMix,
             Random random,
-            String name,
+            String clientName,
             Options options,
             LoadReport report) {
-        this.httpClient = caller;
-        this.routerSelector = to;
+        this.httpClient = httpClient;
+        this.routerSelector = routerSelector;
         this.service = service;
-        this.workMix = mix;
+        this.workMix = workMix;
         this.random = random;
-        this.clientName = name;
+        this.clientName = clientName;
         this.options = options;
         this.report = report;
     }
 
+    /**
+     * Submits new work, and again under the same key while a response asks for a retry, up to the permitted number of
+     * times.
+     */
     void runWorkItem() {
         var kind = workMix.selectKind(random);
         var tenant = "tenant-" + random.nextInt(options.tenantCount);
         var tokens = Math.max(1, (int) (options.meanTokens * (0.5 + random.nextDouble())));
         var key = clientName + "-k" + submissionCount;
-        for (var i = 0; i < options.maxSubmissions; i++) {
-            var sub = clientName + "-" + submissionCount++;
-            var told = submit(sub, kind, tenant, key, tokens);
-            report.addRecord(told);
-            if (told.retryAfterMillis() < 0) return;
-            sleepMillis(told.retryAfterMillis());
+        for (var attempt = 0; attempt < options.maxSubmissions; attempt++) {
+            var submissionId = clientName + "-" + submissionCount++;
+            var outcome = submit(submissionId, kind, tenant, key, tokens);
+            report.addRecord(outcome);
+            if (outcome.retryAfterMillis() < 0) return;
+            sleepMillis(outcome.retryAfterMillis());
         }
     }
 
@@ -73,106 +90,145 @@
         }
     }
 
-    private SubmissionRecord submit(String sub, WorkMix.WorkKind kind, String tenant, String key, int tokens) {
-        var h = new HashMap<HttpString, String>();
-        h.put(HeaderNames.TENANT, tenant);
-        h.put(HeaderNames.WORK_KIND, kind.name());
-        h.put(HeaderNames.DEADLINE_MILLIS, Integer.toString(options.deadlineMillis));
-        if (kind.runOnce()) h.put(HeaderNames.IDEMPOTENCY_KEY, key);
+    private SubmissionRecord submit(String submissionId, WorkMix.WorkKind kind, String tenant, String key, int tokens) {
+        var headers = new HashMap<HttpString, String>();
+        headers.put(HeaderNames.TENANT, tenant);
+        headers.put(HeaderNames.WORK_KIND, kind.name());
+        headers.put(HeaderNames.DEADLINE_MILLIS, Integer.toString(options.deadlineMillis));
+        if (kind.runOnce()) headers.put(HeaderNames.IDEMPOTENCY_KEY, key);
         var body = "{\"model\":\"" + service + "\",\"stream\":true,\"max_tokens\":" + tokens
                 + ",\"messages\":[{\"role\":\"system\",\"content\":\""
                 + ("The rules for a " + kind.name() + " are long. ").repeat(30)
-                + "\"},{\"role\":\"user\",\"content\":\"submission=" + sub + " key=" + (kind.runOnce() ? key : "")
+                + "\"},{\"role\":\"user\",\"content\":\"submission=" + submissionId + " key="
+                + (kind.runOnce() ? key : "")
                 + "\"}]}";
-        return sendAndAwaitEnd(sub, kind, kind.runOnce() ? key : "", h, body.getBytes(StandardCharsets.UTF_8));
+        return sendAndAwaitEnd(
+                submissionId, kind, kind.runOnce() ? key : "", headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private SubmissionRecord sendAndAwaitEnd(String sub, WorkMix.WorkKind kind, String key, Map<HttpString, String> h, byte[] body) {
-        var box = new LinkedBlockingQueue<Object>();
-        var start = System.nanoTime();
-        var call = httpClient.open(routerSelector.selectAddress(random), Methods.POST, "/v1/chat/completions", h, body, 2_000, enqueueingListener(box));
+    /**
+     * Sends the request and handles the events of the response on this thread until the response ends. A refused
+     * connection is retried after 200 ms.
+     */
+    private SubmissionRecord sendAndAwaitEnd(
+            String submissionId, WorkMix.WorkKind kind, String key, Map<HttpString, String> headers, byte[] body) {
+        var events = new LinkedBlockingQueue<Object>();
+        var startNanos = System.nanoTime();
+        var call = httpClient.open(
+                routerSelector.selectAddress(random),
+                Methods.POST,
+                "/v1/chat/completions",
+                headers,
+                body,
+                2_000,
+                enqueueingListener(events));
         var parser = new ResponseStreamParser();
-        ResponseHead status = null;
-        var first = 0L;
+        ResponseHead responseHead = null;
+        var firstChunkMicros = 0L;
         while (true) {
-            var o = nextEvent(box);
-            if (o == null) {
+            var event = nextEvent(events);
+            if (event == null) {
                 call.cancel();
-                return SubmissionRecord.of(sub, kind, key, "silent", 0, parser, first, microsSince(start), -1);
+                return SubmissionRecord.of(
+                        submissionId, kind, key, "silent", 0, parser, firstChunkMicros, microsSince(startNanos), -1);
             }
-            if (o instanceof ConnectFailure)
-                return SubmissionRecord.of(sub, kind, key, "refused", 0, parser, 0, microsSince(start), 200);
-            if (o instanceof ResponseHead s) status = s;
-            if (o instanceof byte[] b) {
-                if (first == 0) first = microsSince(start);
-                parser.feed(b);
+            if (event instanceof ConnectFailure)
+                return SubmissionRecord.of(
+                        submissionId, kind, key, "refused", 0, parser, 0, microsSince(startNanos), 200);
+            if (event instanceof ResponseHead head) responseHead = head;
+            if (event instanceof byte[] chunk) {
+                if (firstChunkMicros == 0) firstChunkMicros = microsSince(startNanos);
+                parser.feed(chunk);
                 call.chunkConsumed();
             }
-            if (o instanceof StreamEnd e) return recordOfEndedResponse(sub, kind, key, status, e, parser, first, microsSince(start));
+            if (event instanceof StreamEnd end)
+                return recordOfEndedResponse(
+                        submissionId, kind, key, responseHead, end, parser, firstChunkMicros, microsSince(startNanos));
         }
     }
 
-    private static long microsSince(long start) {
-        return (System.nanoTime() - start) / 1000;
+    private static long microsSince(long startNanos) {
+        return (System.nanoTime() - startNanos) / 1000;
     }
 
-    private Object nextEvent(BlockingQueue<Object> box) {
+    /** Returns the next event, or null if none comes for 15 s longer than the deadline of the request. */
+    private Object nextEvent(BlockingQueue<Object> events) {
         try {
-            return box.poll(options.deadlineMillis + 15_000L, TimeUnit.MILLISECONDS);
+            return events.poll(options.deadlineMillis + 15_000L, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return null;
         }
     }
 
-    private static AsyncHttpClient.ResponseListener enqueueingListener(BlockingQueue<Object> box) {
+    private static AsyncHttpClient.ResponseListener enqueueingListener(BlockingQueue<Object> events) {
         return new AsyncHttpClient.ResponseListener() {
             @Override
             public void onConnectFailure(String cause) {
-                box.add(new ConnectFailure(cause));
+                events.add(new ConnectFailure(cause));
             }
 
             @Override
-            public void onHeaders(int code, HeaderMap headers) {
-                box.add(new ResponseHead(code, headers));
+            public void onHeaders(int statusCode, HeaderMap headers) {
+                events.add(new ResponseHead(statusCode, headers));
             }
 
             @Override
-            public void onChunk(byte[] b) {
-                box.add(b);
+            public void onChunk(byte[] bytes) {
+                events.add(bytes);
             }
 
             @Override
             public void onEnd() {
-                box.add(new StreamEnd(true, ""));
+                events.add(new StreamEnd(true, ""));
             }
 
             @Override
             public void onFailure(String cause) {
-                box.add(new StreamEnd(false, cause));
+                events.add(new StreamEnd(false, cause));
             }
         };
     }
 
     private static SubmissionRecord recordOfEndedResponse(
-            String sub, WorkMix.WorkKind kind, String key, ResponseHead s, StreamEnd e, ResponseStreamParser parser, long first, long micros) {
-        if (s == null) return SubmissionRecord.of(sub, kind, key, "lost", 0, parser, first, micros, -1);
-        if (s.statusCode == 200) {
+            String submissionId,
+            WorkMix.WorkKind kind,
+            String key,
+            ResponseHead head,
+            StreamEnd end,
+            ResponseStreamParser parser,
+            long firstChunkMicros,
+            long durationMicros) {
+        if (head == null)
+            return SubmissionRecord.of(
+                    submissionId, kind, key, "lost", 0, parser, firstChunkMicros, durationMicros, -1);
+        if (head.statusCode == 200) {
             var verdict = !parser.tokensInOrder()
                     ? "disordered"
-                    : e.complete && parser.doneMarkerSeen() ? "whole" : e.complete || parser.doneMarkerSeen() ? "false-end" : "cut";
-            return SubmissionRecord.of(sub, kind, key, verdict, 200, parser, first, micros, -1);
+                    : end.complete && parser.doneMarkerSeen()
+                            ? "whole"
+                            : end.complete || parser.doneMarkerSeen() ? "false-end" : "cut";
+            return SubmissionRecord.of(
+                    submissionId, kind, key, verdict, 200, parser, firstChunkMicros, durationMicros, -1);
         }
-        var p = s.headers.getFirst(HeaderNames.PROBLEM);
-        var retry = s.headers.getFirst("Retry-After");
-        var code = p == null ? 0 : Integer.parseInt(p);
-        var bearing = code == 0
+        var problemHeader = head.headers.getFirst(HeaderNames.PROBLEM);
+        var retryAfterSeconds = head.headers.getFirst("Retry-After");
+        var problemCode = problemHeader == null ? 0 : Integer.parseInt(problemHeader);
+        var workOutcome = problemCode == 0
                 ? "strange"
-                : craneway.model.problem.ProblemKind.of(code)
+                : craneway.model.problem.ProblemKind.of(problemCode)
                         .workOutcome()
                         .name()
                         .toLowerCase();
         return SubmissionRecord.of(
-                sub, kind, key, bearing, code, parser, 0, micros, retry == null ? -1 : Long.parseLong(retry) * 1000);
+                submissionId,
+                kind,
+                key,
+                workOutcome,
+                problemCode,
+                parser,
+                0,
+                durationMicros,
+                retryAfterSeconds == null ? -1 : Long.parseLong(retryAfterSeconds) * 1000);
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
@@ -13,21 +13,29 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** {@code craneway load}: a load generator with several concurrent requesters. */
 @Command(
         name = "load",
-        description =
-                "Drives a mix of streams and prints verdicts, times, tries and prefix hits. Exit code 1 when a stream came out of order or looked finished when it was cut.")
+        description = "Submits a mix of streams and prints verdicts, times, extra tries and prefix hits. "
+                + "Exit code 1 if a stream was out of order or looked complete although it was cut.")
 public final class LoadCommand implements Callable<Integer> {
-    @Option(names = "--to", required = true, split = ",", description = "requester addresses, IP:PORT with commas")
+    @Option(
+            names = "--to",
+            required = true,
+            split = ",",
+            description = "requester addresses of the routers as IP:PORT, separated by commas")
     List<String> to;
 
-    @Option(names = "--metrics", split = ",", description = "operator addresses of the routers, for the tries ratio")
+    @Option(
+            names = "--metrics",
+            split = ",",
+            description = "operator addresses of the routers, to read the ratio of extra tries")
     List<String> metrics = List.of();
 
     @Option(
             names = "--platform",
             split = ",",
-            description = "platform addresses in the order of --to; a router that is not ready gets no new submission")
+            description = "platform addresses in the order of --to; a router that is not ready gets no new submissions")
     List<String> platform = List.of();
 
     @Option(names = "--service", required = true)
@@ -40,22 +48,22 @@
             description = "NAME:SHARE[:once], for example lookup:60,summary:30,extract:10:once")
     List<String> work;
 
-    @Option(names = "--streams", defaultValue = "1000", description = "how many submissions at least")
+    @Option(names = "--streams", defaultValue = "1000", description = "minimum number of submissions")
     int streams;
 
-    @Option(names = "--at-once", defaultValue = "32", description = "how many requesters")
+    @Option(names = "--at-once", defaultValue = "32", description = "number of concurrent requesters")
     int atOnce;
 
     @Option(names = "--tenants", defaultValue = "200")
     int tenants;
 
-    @Option(names = "--tokens", defaultValue = "20", description = "tokens of a reply, on average")
+    @Option(names = "--tokens", defaultValue = "20", description = "mean number of tokens in a reply")
     int tokens;
 
     @Option(
             names = "--asks",
             defaultValue = "4",
-            description = "how often one requester submits the same work, coming back when told to")
+            description = "maximum number of submissions of the same work, while replies ask for a retry")
     int asks;
 
     @Option(names = "--deadline-ms", defaultValue = "30000")
@@ -64,51 +72,54 @@
     @Option(names = "--seed", defaultValue = "1")
     long seed;
 
-    @Option(names = "--journal", description = "file for what the requesters were told")
+    @Option(names = "--journal", description = "file for the journal of replies")
     Path journal;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        for (var a : to) if (Addresses.isInvalid(a)) throw new CommandFailure(2, "--to " + a + " is not IP:PORT");
+        for (var address : to)
+            if (Addresses.isInvalid(address)) throw new CommandFailure(2, "--to " + address + " is not IP:PORT");
         if (streams < 1 || atOnce < 1 || tenants < 1 || tokens < 1 || asks < 1)
-            throw new CommandFailure(2, "counts start at 1");
+            throw new CommandFailure(2, "--streams, --at-once, --tenants, --tokens and --asks must be at least 1");
         if (!platform.isEmpty() && platform.size() != to.size())
-            throw new CommandFailure(2, "--platform needs one address for each of --to");
-        var mix = WorkMix.parse(work);
+            throw new CommandFailure(2, "--platform needs one address for each address of --to");
+        var workMix = WorkMix.parse(work);
         var report = new LoadReport(journal);
-        try (var web = new OperatorClient();
-                var choice = new RouterSelector(web, to, platform)) {
-            var before = new RouterMetrics(web, metrics);
-            runClients(web, choice, mix, report);
+        try (var client = new OperatorClient();
+                var routerSelector = new RouterSelector(client, to, platform)) {
+            var metricsBefore = new RouterMetrics(client, metrics);
+            runClients(client, routerSelector, workMix, report);
             report.print(System.out);
-            before.printExtraTriesSince(System.out, new RouterMetrics(web, metrics));
+            metricsBefore.printExtraTriesUntil(System.out, new RouterMetrics(client, metrics));
         }
         report.close();
         return report.invalidStreams() > 0 ? 1 : 0;
     }
 
-    private void runClients(OperatorClient web, RouterSelector choice, WorkMix mix, LoadReport report) throws InterruptedException {
-        var left = new AtomicInteger(streams);
-        var all = new ArrayList<Thread>();
+    /** Runs the clients, one thread each, until the requested number of work items is done. */
+    private void runClients(OperatorClient client, RouterSelector routerSelector, WorkMix workMix, LoadReport report)
+            throws InterruptedException {
+        var remainingItems = new AtomicInteger(streams);
+        var threads = new ArrayList<Thread>();
         for (var i = 0; i < atOnce; i++) {
-            var r = new LoadClient(
-                    web.caller(),
-                    choice,
+            var loadClient = new LoadClient(
+                    client.caller(),
+                    routerSelector,
                     service,
-                    mix,
+                    workMix,
                     new Random(seed * 1_000 + i),
                     "r" + seed + "-" + i,
                     this.clientOptions(),
                     report);
-            var t = new Thread(
+            var thread = new Thread(
                     () -> {
-                        while (left.getAndDecrement() > 0) r.runWorkItem();
+                        while (remainingItems.getAndDecrement() > 0) loadClient.runWorkItem();
                     },
                     "requester-" + i);
-            t.start();
-            all.add(t);
+            thread.start();
+            threads.add(thread);
         }
-        for (var t : all) t.join();
+        for (var thread : threads) thread.join();
     }
 
     private LoadClient.Options clientOptions() {
--- a/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
@@ -6,39 +6,48 @@
 import java.util.List;
 import java.util.Map;
 
+/** Request counters, read once from the routers' metrics and summed over the routers. */
 final class RouterMetrics {
     private long requestsAccepted;
     private long requestsForwardedIn;
     private long extraTries;
 
-    RouterMetrics(OperatorClient web, List<String> operators) {
-        for (var a : operators) {
-            String text;
+    /** Reads the metrics now; routers that do not reply are left out. */
+    RouterMetrics(OperatorClient client, List<String> operatorAddresses) {
+        for (var address : operatorAddresses) {
+            String metricsText;
             try {
-                text = web.call(List.of(a), Methods.GET, "/metrics", Map.of(), "")
+                metricsText = client.call(List.of(address), Methods.GET, "/metrics", Map.of(), "")
                         .text();
             } catch (craneway.command.CommandFailure e) {
                 continue;
             }
-            requestsAccepted += sumOfMetric(text, "craneway_transactions_taken_total");
-            requestsForwardedIn += sumOfMetric(text, "craneway_transactions_forwarded_in_total");
-            extraTries += sumOfMetric(text, "craneway_extra_tries_total");
+            requestsAccepted += sumOfMetric(metricsText, "craneway_transactions_taken_total");
+            requestsForwardedIn += sumOfMetric(metricsText, "craneway_transactions_forwarded_in_total");
+            extraTries += sumOfMetric(metricsText, "craneway_extra_tries_total");
         }
     }
 
-    private static long sumOfMetric(String text, String name) {
-        return text.lines()
-                .filter(l -> l.startsWith(name + " "))
-                .mapToLong(l ->
-                        (long) Double.parseDouble(l.substring(name.length() + 1).trim()))
+    private static long sumOfMetric(String metricsText, String name) {
+        return metricsText
+                .lines()
+                .filter(line -> line.startsWith(name + " "))
+                .mapToLong(line -> (long)
+                        Double.parseDouble(line.substring(name.length() + 1).trim()))
                 .sum();
     }
 
-    void printExtraTriesSince(PrintStream o, RouterMetrics later) {
-        var real = later.requestsAccepted - later.requestsForwardedIn - requestsAccepted + requestsForwardedIn;
-        if (real > 0)
-            o.printf(
+    /**
+     * Prints the ratio of extra tries to requests between this reading and a later one. A forwarded request is counted
+     * by two routers, so forwards are subtracted.
+     */
+    void printExtraTriesUntil(PrintStream out, RouterMetrics later) {
+        var requestCount = later.requestsAccepted - later.requestsForwardedIn - requestsAccepted + requestsForwardedIn;
+        if (requestCount > 0)
+            out.printf(
                     "extra tries %d for %d transactions, ratio %.4f%n",
-                    later.extraTries - extraTries, real, (later.extraTries - extraTries) / (double) real);
+                    later.extraTries - extraTries,
+                    requestCount,
+                    (later.extraTries - extraTries) / (double) requestCount);
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/load/RouterSelector.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterSelector.java
@@ -12,32 +12,44 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
+/**
+ * Selects a random router for each submission. If platform addresses are given, only routers that report ready are
+ * selected, or all routers while none does. Readiness is checked every second. Thread-safe.
+ */
 final class RouterSelector implements AutoCloseable {
     private final OperatorClient client;
     private final List<String> requesterAddresses;
     private final List<String> platformAddresses;
     private final ScheduledExecutorService readinessScheduler = Executors.newSingleThreadScheduledExecutor();
-    private volatile List<String> ready;
+    private volatile List<String> readyAddresses;
 
-    RouterSelector(OperatorClient web, List<String> to, List<String> platform) {
-        this.client = web;
-        this.requesterAddresses = to;
-        this.platformAddresses = platform;
-        ready = to;
-        if (platform.isEmpty()) return;
+    /**
+     * Creates a selector.
+     *
+     * @param requesterAddresses the requester addresses of the routers
+     * @param platformAddresses their platform addresses in the same order, or none
+     */
+    RouterSelector(OperatorClient client, List<String> requesterAddresses, List<String> platformAddresses) {
+        this.client = client;
+        this.requesterAddresses = requesterAddresses;
+        this.platformAddresses = platformAddresses;
+        readyAddresses = requesterAddresses;
+        if (platformAddresses.isEmpty()) return;
         updateReadyAddresses();
         readinessScheduler.scheduleAtFixedRate(this::updateReadyAddresses, 1, 1, TimeUnit.SECONDS);
     }
 
     private void updateReadyAddresses() {
-        var now = new ArrayList<String>();
-        for (var i = 0; i < requesterAddresses.size(); i++) if (ready(platformAddresses.get(i))) now.add(requesterAddresses.get(i));
-        ready = now.isEmpty() ? requesterAddresses : List.copyOf(now);
+        var nowReady = new ArrayList<String>();
+        for (var i = 0; i < requesterAddresses.size(); i++)
+            if (isReady(platformAddresses.get(i))) nowReady.add(requesterAddresses.get(i));
+        readyAddresses = nowReady.isEmpty() ? requesterAddresses : List.copyOf(nowReady);
     }
 
-    private boolean ready(String address) {
+    private boolean isReady(String address) {
         try {
-            return BufferedHttpResponse.fetch(client.caller(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
+            return BufferedHttpResponse.fetch(
+                                    client.caller(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
                             .status()
                     == 200;
         } catch (IOException e) {
@@ -45,9 +57,10 @@
         }
     }
 
-    String selectAddress(Random r) {
-        var all = ready;
-        return all.get(r.nextInt(all.size()));
+    /** Returns the requester address of a router that is ready. */
+    String selectAddress(Random random) {
+        var candidates = readyAddresses;
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
     @Override
--- a/prog/craneway/src/main/java/craneway/command/load/SubmissionRecord.java
+++ b/prog/craneway/src/main/java/craneway/command/load/SubmissionRecord.java
@@ -1,12 +1,23 @@
 package craneway.command.load;
 
+/**
+ * The outcome of one submission, a line of the journal.
+ *
+ * @param verdict {@code whole}, {@code cut}, {@code false-end} or {@code disordered} for a stream; {@code refused} if
+ *     no connection was made, {@code lost} if the connection ended before a status, {@code silent} if nothing arrived
+ *     in time, {@code strange} for an error status without a problem code; otherwise the name of the problem's work
+ *     outcome in lower case
+ * @param resultCode 200 for a stream, the problem code for a problem, otherwise 0
+ * @param timeToFirstTokenMicros time until the first piece of the body, 0 if none arrived
+ * @param retryAfterMillis delay after which to submit again, -1 if the work is settled
+ */
 record SubmissionRecord(
         String submissionId,
         String workKind,
         boolean runOnce,
         String idempotencyKey,
         String verdict,
-        int statusCode,
+        int resultCode,
         int tokenEvents,
         boolean doneMarkerSeen,
         String prefixCacheResult,
@@ -14,33 +25,36 @@
         long durationMicros,
         long retryAfterMillis) {
     static SubmissionRecord of(
-            String sub,
-            WorkMix.WorkKind k,
-            String key,
+            String submissionId,
+            WorkMix.WorkKind kind,
+            String idempotencyKey,
             String verdict,
-            int code,
+            int resultCode,
             ResponseStreamParser parser,
-            long first,
-            long whole,
-            long retry) {
+            long timeToFirstTokenMicros,
+            long durationMicros,
+            long retryAfterMillis) {
         return new SubmissionRecord(
-                sub,
-                k.name(),
-                k.runOnce(),
-                key,
+                submissionId,
+                kind.name(),
+                kind.runOnce(),
+                idempotencyKey,
                 verdict,
-                code,
+                resultCode,
                 parser.tokenEvents(),
                 parser.doneMarkerSeen(),
                 parser.prefixCacheResult(),
-                first,
-                whole,
-                retry);
+                timeToFirstTokenMicros,
+                durationMicros,
+                retryAfterMillis);
     }
 
+    /** Returns the line for the journal. */
     String toJson() {
-        return "{\"sub\":\"" + submissionId + "\",\"work\":\"" + workKind + "\",\"once\":" + runOnce + ",\"key\":\"" + idempotencyKey
-                + "\",\"verdict\":\"" + verdict + "\",\"code\":" + statusCode + ",\"events\":" + tokenEvents + ",\"done\":" + doneMarkerSeen
+        return "{\"sub\":\"" + submissionId + "\",\"work\":\"" + workKind + "\",\"once\":" + runOnce + ",\"key\":\""
+                + idempotencyKey
+                + "\",\"verdict\":\"" + verdict + "\",\"code\":" + resultCode + ",\"events\":" + tokenEvents
+                + ",\"done\":" + doneMarkerSeen
                 + ",\"firstMicros\":" + timeToFirstTokenMicros + ",\"wholeMicros\":" + durationMicros + "}";
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/load/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/load/package-info.java
@@ -1,2 +1,2 @@
-/** Drives load against routers and journals what clients were told. */
+/** Generates load against routers and writes a journal of the replies that clients got. */
 package craneway.command.load;
--- a/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
@@ -9,9 +9,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** {@code craneway measure}: prints the distribution of one quantity over many simulated runs. */
 @Command(
         name = "measure",
-        description = "Measures in virtual time over many seeds: owner-killed, region-returned, cold-runner.")
+        description = "Measures in simulated time over many seeds: owner-killed, region-returned or cold-runner.")
 public final class MeasureCommand implements Callable<Integer> {
     @Parameters(paramLabel = "WHAT")
     String measurement;
@@ -22,34 +23,36 @@
     @Override
     public Integer call() {
         if (!seeds.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, "--seeds " + seeds + " is not FROM-TO");
-        var from = Long.parseLong(seeds.split("-")[0]);
-        var to = Long.parseLong(seeds.split("-")[1]);
-        if (to < from) throw new CommandFailure(2, "--seeds " + seeds + ": the end is before the start");
-        var all = LongStream.rangeClosed(from, to).toArray();
+        var firstSeed = Long.parseLong(seeds.split("-")[0]);
+        var lastSeed = Long.parseLong(seeds.split("-")[1]);
+        if (lastSeed < firstSeed) throw new CommandFailure(2, "--seeds " + seeds + ": the end is before the start");
+        var allSeeds = LongStream.rangeClosed(firstSeed, lastSeed).toArray();
         switch (measurement) {
             case "owner-killed" -> {
-                var r = Arrays.stream(all)
+                var results = Arrays.stream(allSeeds)
                         .parallel()
                         .mapToObj(Measures::ownerKilled)
                         .toList();
                 printDistribution(
                         "declined",
-                        r.stream().mapToDouble(Measures.Owner::declined).toArray());
+                        results.stream().mapToDouble(Measures.Owner::declined).toArray());
                 printDistribution(
                         "last decline, s",
-                        r.stream().mapToDouble(Measures.Owner::lastDecline).toArray());
+                        results.stream()
+                                .mapToDouble(Measures.Owner::lastDecline)
+                                .toArray());
             }
             case "region-returned" ->
                 printDistribution(
                         "first work after the return, s",
-                        Arrays.stream(all)
+                        Arrays.stream(allSeeds)
                                 .parallel()
                                 .mapToDouble(Measures::regionReturned)
                                 .toArray());
             case "cold-runner" ->
                 printDistribution(
                         "share of a cold runner's slots",
-                        Arrays.stream(all)
+                        Arrays.stream(allSeeds)
                                 .parallel()
                                 .mapToDouble(Measures::coldShare)
                                 .toArray());
@@ -58,10 +61,10 @@
         return 0;
     }
 
-    private static void printDistribution(String name, double[] v) {
-        Arrays.sort(v);
+    private static void printDistribution(String name, double[] values) {
+        Arrays.sort(values);
         System.out.printf(
                 "%-34s min %.3f  median %.3f  max %.3f  of %d seeds%n",
-                name, v[0], v[v.length / 2], v[v.length - 1], v.length);
+                name, values[0], values[values.length / 2], values[values.length - 1], values.length);
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/measure/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Measures in virtual time over many seeds. */
+/** Measures times and shares in simulated time over many seeds. */
 package craneway.command.measure;
--- a/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
@@ -10,44 +10,52 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-@Command(name = "core", description = "Rebuilds a core of which the majority of the stores is lost for good.")
+/** {@code craneway core}: continues from one store after a majority of the stores is lost. */
+@Command(name = "core", description = "Rebuilds a core that has lost the majority of its stores for good.")
 public final class CoreCommand {
     @Command(
             name = "rebuild",
             description =
-                    "Shows what the one store at --at would keep; with --confirm TOKEN it goes on alone as a new generation.")
+                    "Shows what the store at --at would keep; with --confirm TOKEN it continues alone as a new generation.")
     int rebuild(
-            @Mixin At at,
-            @Option(names = "--confirm", paramLabel = "TOKEN", description = "the token that was shown") String token) {
-        if (at.validAddresses().size() != 1)
-            throw new CommandFailure(2, "--at must name the operator address of the one store to go on from");
-        JsonNode n;
-        try (var w = new OperatorClient()) {
-            n = PlanFormatter.parseJson((token == null
-                            ? w.call(at.validAddresses(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
-                            : w.call(at.validAddresses(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
+            @Mixin At operators,
+            @Option(
+                            names = "--confirm",
+                            paramLabel = "TOKEN",
+                            description = "the token that was printed without this option")
+                    String token) {
+        if (operators.validAddresses().size() != 1)
+            throw new CommandFailure(2, "--at must be the operator address of the one store to continue from");
+        JsonNode proposal;
+        try (var client = new OperatorClient()) {
+            proposal = PlanFormatter.parseJson((token == null
+                            ? client.call(operators.validAddresses(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
+                            : client.call(
+                                    operators.validAddresses(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
                     .text());
         }
-        System.out.println(
-                n.get("state").asText() + ": generation " + n.get("generation").asInt());
-        for (var part : List.of("kept", "mayBeLost")) {
-            System.out.println(part.equals("kept") ? "  kept:" : "  may be lost:");
-            n.get(part).forEach(x -> System.out.println("    " + x.asText()));
+        System.out.println(proposal.get("state").asText() + ": generation "
+                + proposal.get("generation").asInt());
+        for (var section : List.of("kept", "mayBeLost")) {
+            System.out.println(section.equals("kept") ? "  kept:" : "  may be lost:");
+            proposal.get(section).forEach(entry -> System.out.println("    " + entry.asText()));
         }
         if (token == null)
             System.out.println("  to do it: craneway core rebuild --confirm "
-                    + n.get("token").asText() + " --at " + at.validAddresses().get(0));
+                    + proposal.get("token").asText() + " --at "
+                    + operators.validAddresses().get(0));
         return 0;
     }
 
     @Command(
             name = "accept-claims",
-            description = "Lets run-once work run again after a rebuild, although claims may be lost.")
-    int acceptClaims(@Mixin At at) {
-        try (var w = new OperatorClient()) {
-            System.out.println(w.call(at.validAddresses(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
-                    .text()
-                    .strip());
+            description = "Allows run-once work again after a rebuild, although claims may be lost.")
+    int acceptClaims(@Mixin At operators) {
+        try (var client = new OperatorClient()) {
+            System.out.println(
+                    client.call(operators.validAddresses(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
+                            .text()
+                            .strip());
         }
         return 0;
     }
--- a/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
@@ -12,61 +12,63 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** {@code craneway intent}: submits an intent and prints its plan. */
 @Command(
         name = "intent",
-        description = "States an intent and prints the plan for it. Nothing moves until the plan is confirmed.")
+        description = "Submits an intent and prints its plan. Nothing changes until the plan is confirmed.")
 public final class IntentCommand {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Command(name = "empty-zone")
-    int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At at) {
-        return submit(newIntent(Intent.EMPTY_ZONE).put("zone", zone), at);
+    int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At operators) {
+        return submit(newIntent(Intent.EMPTY_ZONE).put("zone", zone), operators);
     }
 
     @Command(name = "take-back-zone")
-    int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At at) {
-        return submit(newIntent(Intent.TAKE_BACK_ZONE).put("zone", zone), at);
+    int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At operators) {
+        return submit(newIntent(Intent.TAKE_BACK_ZONE).put("zone", zone), operators);
     }
 
     @Command(name = "empty-cell")
     int emptyCell(
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
-            @Mixin At at) {
-        return submit(newIntent(Intent.EMPTY_CELL).put("service", service).put("cell", cell), at);
+            @Mixin At operators) {
+        return submit(newIntent(Intent.EMPTY_CELL).put("service", service).put("cell", cell), operators);
     }
 
     @Command(name = "take-back-cell")
     int takeBackCell(
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
-            @Mixin At at) {
-        return submit(newIntent(Intent.TAKE_BACK_CELL).put("service", service).put("cell", cell), at);
+            @Mixin At operators) {
+        return submit(newIntent(Intent.TAKE_BACK_CELL).put("service", service).put("cell", cell), operators);
     }
 
     @Command(name = "keep-tenant")
     int keepTenant(
             @Parameters(paramLabel = "TENANT") String tenant,
             @Option(names = "--in", required = true, split = ",") List<String> regions,
-            @Mixin At at) {
-        var n = newIntent(Intent.KEEP_TENANT).put("tenant", tenant);
-        regions.forEach(n.putArray("regions")::add);
-        return submit(n, at);
+            @Mixin At operators) {
+        var intent = newIntent(Intent.KEEP_TENANT).put("tenant", tenant);
+        regions.forEach(intent.putArray("regions")::add);
+        return submit(intent, operators);
     }
 
     @Command(name = "release-tenant")
-    int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin At at) {
-        return submit(newIntent(Intent.RELEASE_TENANT).put("tenant", tenant), at);
+    int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin At operators) {
+        return submit(newIntent(Intent.RELEASE_TENANT).put("tenant", tenant), operators);
     }
 
-    private static ObjectNode newIntent(String intent) {
-        return JSON.createObjectNode().put("intent", intent);
+    private static ObjectNode newIntent(String name) {
+        return JSON.createObjectNode().put("intent", name);
     }
 
-    private static int submit(ObjectNode n, At at) {
-        try (var w = new OperatorClient()) {
-            System.out.println(PlanFormatter.format(w.call(at.validAddresses(), Methods.POST, "/v1/intents", Map.of(), n.toString())
-                    .text()));
+    private static int submit(ObjectNode intent, At operators) {
+        try (var client = new OperatorClient()) {
+            System.out.println(PlanFormatter.format(
+                    client.call(operators.validAddresses(), Methods.POST, "/v1/intents", Map.of(), intent.toString())
+                            .text()));
         }
         return 0;
     }
--- a/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
@@ -18,11 +18,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** {@code craneway manifest}: checks, sends, shows and compares manifests. */
 @Command(name = "manifest", description = "Checks, sends, shows and compares manifests.")
 public final class ManifestCommand {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @Command(name = "check", description = "Checks a manifest's schema and meaning. Exit code 3 when it is not valid.")
+    @Command(
+            name = "check",
+            description = "Validates a manifest against its schema and its rules. Exit code 3 if it is not valid.")
     int check(@Parameters(paramLabel = "FILE") Path file) {
         requireValid(readFile(file));
         System.out.println(file + ": valid");
@@ -31,21 +34,21 @@
 
     @Command(
             name = "send",
-            description =
-                    "Sends a whole manifest against the version it was written for. Exit code 5 while a node may still act on the older one.")
+            description = "Replaces the manifest if the version in force is still the one given by --base. "
+                    + "Exit code 5 while a node may still act on the older manifest.")
     int send(
             @Parameters(paramLabel = "FILE") Path file,
-            @Mixin At at,
+            @Mixin At operators,
             @Option(
                             names = "--base",
                             required = true,
-                            description = "the version this manifest was written against; 0 for the first")
+                            description = "the version that this manifest is based on; 0 for the first manifest")
                     long base) {
         var text = readFile(file);
         requireValid(text);
-        try (var w = new OperatorClient()) {
-            return printRolloutState(w.call(
-                    at.validAddresses(),
+        try (var client = new OperatorClient()) {
+            return printRolloutState(client.call(
+                    operators.validAddresses(),
                     Methods.PUT,
                     "/v1/manifest",
                     Map.of(HeaderNames.BASE_VERSION, Long.toString(base)),
@@ -55,58 +58,76 @@
 
     @Command(
             name = "watch",
-            description =
-                    "Waits up to 3 s until a manifest is in force everywhere. Exit code 5 while a node may still act on an older one.")
-    int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin At at) {
-        try (var w = new OperatorClient()) {
-            return printRolloutState(w.call(at.validAddresses(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
+            description = "Waits up to 3 s until a manifest is in force on every node. "
+                    + "Exit code 5 while a node may still act on an older manifest.")
+    int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin At operators) {
+        try (var client = new OperatorClient()) {
+            return printRolloutState(client.call(
+                    operators.validAddresses(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
         }
     }
 
-    private static int printRolloutState(BufferedHttpResponse r) {
-        System.out.println(r.text().strip());
-        return "pending".equals(PlanFormatter.parseJson(r.text()).path("state").asText()) ? PlanCommand.EXIT_PENDING : 0;
+    /** Prints the reply and returns the exit code for the state of the rollout in it. */
+    private static int printRolloutState(BufferedHttpResponse response) {
+        System.out.println(response.text().strip());
+        return "pending"
+                        .equals(PlanFormatter.parseJson(response.text())
+                                .path("state")
+                                .asText())
+                ? PlanCommand.EXIT_PENDING
+                : 0;
     }
 
-    @Command(name = "show", description = "Prints the manifest in force; its version goes to standard error.")
-    int show(@Mixin At at) {
-        var r = fetchManifest(at);
-        System.err.println("version " + r.headers().getFirst(HeaderNames.MANIFEST_VERSION));
-        System.out.print(r.text());
+    @Command(name = "show", description = "Prints the manifest in force, and its version on standard error.")
+    int show(@Mixin At operators) {
+        var response = fetchManifest(operators);
+        System.err.println("version " + response.headers().getFirst(HeaderNames.MANIFEST_VERSION));
+        System.out.print(response.text());
         return 0;
     }
 
-    @Command(name = "diff", description = "Compares a file with the manifest in force. Exit code 1 when they differ.")
-    int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin At at) throws IOException {
-        var mine = new TreeMap<String, String>();
-        var theirs = new TreeMap<String, String>();
+    @Command(name = "diff", description = "Compares a file with the manifest in force. Exit code 1 if they differ.")
+    int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin At operators) throws IOException {
+        var fileValues = new TreeMap<String, String>();
+        var currentValues = new TreeMap<String, String>();
         var text = readFile(file);
         requireValid(text);
-        flatten("", JSON.readTree(text), mine);
-        flatten("", JSON.readTree(fetchManifest(at).text()), theirs);
+        flatten("", JSON.readTree(text), fileValues);
+        flatten("", JSON.readTree(fetchManifest(operators).text()), currentValues);
         var differs = false;
-        var all = new TreeMap<>(mine);
-        all.putAll(theirs);
-        for (var k : all.keySet()) {
-            if (mine.containsKey(k) && mine.get(k).equals(theirs.get(k))) continue;
+        var allPaths = new TreeMap<>(fileValues);
+        allPaths.putAll(currentValues);
+        for (var path : allPaths.keySet()) {
+            if (fileValues.containsKey(path) && fileValues.get(path).equals(currentValues.get(path))) continue;
             differs = true;
-            if (theirs.containsKey(k)) System.out.println("- " + k + " = " + theirs.get(k));
-            if (mine.containsKey(k)) System.out.println("+ " + k + " = " + mine.get(k));
+            if (currentValues.containsKey(path)) System.out.println("- " + path + " = " + currentValues.get(path));
+            if (fileValues.containsKey(path)) System.out.println("+ " + path + " = " + fileValues.get(path));
         }
         return differs ? 1 : 0;
     }
 
-    private static void flatten(String at, JsonNode n, Map<String, String> into) {
-        if (n.isObject()) n.fields().forEachRemaining(e -> flatten(at + "/" + e.getKey(), e.getValue(), into));
-        else if (n.isArray())
-            for (var i = 0; i < n.size(); i++)
-                flatten(at + "/" + (n.get(i).has("name") ? n.get(i).get("name").asText() : i), n.get(i), into);
-        else into.put(at, n.toString());
+    /**
+     * Adds each leaf value of a JSON tree under its path. An array's elements are identified by their name, if they
+     * have one, else by their index.
+     */
+    private static void flatten(String path, JsonNode node, Map<String, String> values) {
+        if (node.isObject())
+            node.fields().forEachRemaining(field -> flatten(path + "/" + field.getKey(), field.getValue(), values));
+        else if (node.isArray())
+            for (var i = 0; i < node.size(); i++)
+                flatten(
+                        path + "/"
+                                + (node.get(i).has("name")
+                                        ? node.get(i).get("name").asText()
+                                        : i),
+                        node.get(i),
+                        values);
+        else values.put(path, node.toString());
     }
 
-    private static BufferedHttpResponse fetchManifest(At at) {
-        try (var w = new OperatorClient()) {
-            return w.call(at.validAddresses(), Methods.GET, "/v1/manifest", Map.of(), "");
+    private static BufferedHttpResponse fetchManifest(At operators) {
+        try (var client = new OperatorClient()) {
+            return client.call(operators.validAddresses(), Methods.GET, "/v1/manifest", Map.of(), "");
         }
     }
 
@@ -119,7 +140,8 @@
     }
 
     private static void requireValid(String text) {
-        var m = ManifestReader.read(text);
-        if (m.isLeft()) throw new CommandFailure(3, "not valid: " + m.getLeft().detail());
+        var manifest = ManifestReader.read(text);
+        if (manifest.isLeft())
+            throw new CommandFailure(3, "not valid: " + manifest.getLeft().detail());
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/PlanFormatter.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanFormatter.java
@@ -5,40 +5,44 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CommandFailure;
 
+/** Formats plans, which the operator interface returns as JSON, as text. */
 final class PlanFormatter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private PlanFormatter() {}
 
+    /** Parses a reply as JSON; fails with exit code 1 if it is not JSON. */
     static JsonNode parseJson(String text) {
         try {
             return JSON.readTree(text);
         } catch (JsonProcessingException e) {
-            throw new CommandFailure(1, "the reply cannot be read: " + e.getOriginalMessage());
+            throw new CommandFailure(1, "the reply is not valid JSON: " + e.getOriginalMessage());
         }
     }
 
+    /** Returns the text for a plan, over several lines, without a final line break. */
     static String format(String json) {
-        var n = parseJson(json);
-        var b = new StringBuilder(
-                "plan " + n.path("plan").asLong() + " (" + n.path("state").asText() + ")");
-        if (n.has("intent")) b.append(": ").append(n.get("intent").asText());
-        if (n.has("manifestVersion"))
-            b.append("\n  based on manifest ")
-                    .append(n.get("manifestVersion").asLong())
+        var plan = parseJson(json);
+        var text = new StringBuilder(
+                "plan " + plan.path("plan").asLong() + " (" + plan.path("state").asText() + ")");
+        if (plan.has("intent")) text.append(": ").append(plan.get("intent").asText());
+        if (plan.has("manifestVersion"))
+            text.append("\n  based on manifest ")
+                    .append(plan.get("manifestVersion").asLong())
                     .append(", marks ")
-                    .append(n.get("marksVersion").asLong());
-        appendSection(b, "steps", n.path("steps"));
-        appendSection(b, "expected", n.path("loads"));
-        appendSection(b, "warnings", n.path("warnings"));
-        appendSection(b, "not acknowledged yet by", n.path("notAcknowledged"));
-        if (n.has("cause")) b.append("\n  cause: ").append(n.get("cause").asText());
-        return b.toString();
+                    .append(plan.get("marksVersion").asLong());
+        appendSection(text, "steps", plan.path("steps"));
+        appendSection(text, "expected", plan.path("loads"));
+        appendSection(text, "warnings", plan.path("warnings"));
+        appendSection(text, "not acknowledged yet by", plan.path("notAcknowledged"));
+        if (plan.has("cause"))
+            text.append("\n  cause: ").append(plan.get("cause").asText());
+        return text.toString();
     }
 
-    private static void appendSection(StringBuilder b, String title, JsonNode all) {
-        if (all.isEmpty()) return;
-        b.append("\n  ").append(title).append(':');
-        all.forEach(x -> b.append("\n    ").append(x.asText()));
+    private static void appendSection(StringBuilder text, String title, JsonNode entries) {
+        if (entries.isEmpty()) return;
+        text.append("\n  ").append(title).append(':');
+        entries.forEach(entry -> text.append("\n    ").append(entry.asText()));
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
@@ -9,9 +9,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
+/** {@code craneway status}: prints the state of a core as seen by one node, as text or as JSON. */
 @Command(
         name = "status",
-        description = "Shows parts, members, tables, runners and marks. Exit code 4 when a part has no owner in reach.")
+        description =
+                "Shows parts, members, placement tables, runners and marks. Exit code 4 if a part has no reachable owner.")
 public final class StatusCommand implements Callable<Integer> {
     @Mixin
     At operatorAddresses;
@@ -21,85 +23,87 @@
 
     @Override
     public Integer call() {
-        JsonNode n;
-        try (var w = new OperatorClient()) {
-            var text = w.call(operatorAddresses.validAddresses(), Methods.GET, "/v1/status", Map.of(), "").text();
-            n = PlanFormatter.parseJson(text);
-            System.out.print(json ? text : format(n));
+        JsonNode status;
+        try (var client = new OperatorClient()) {
+            var text = client.call(operatorAddresses.validAddresses(), Methods.GET, "/v1/status", Map.of(), "")
+                    .text();
+            status = PlanFormatter.parseJson(text);
+            System.out.print(json ? text : format(status));
         }
-        return n.get("partsReached").asInt() == n.get("parts").asInt() ? 0 : 4;
+        return status.get("partsReached").asInt() == status.get("parts").asInt() ? 0 : 4;
     }
 
-    private static String format(JsonNode n) {
-        var b = new StringBuilder();
-        b.append(String.format(
+    private static String format(JsonNode status) {
+        var text = new StringBuilder();
+        text.append(String.format(
                 "seen from %s, %d of %d parts reached, manifest version %d%n",
-                n.get("node").asText(),
-                n.get("partsReached").asInt(),
-                n.get("parts").asInt(),
-                n.path("manifest").path("version").asLong()));
-        n.path("manifest")
+                status.get("node").asText(),
+                status.get("partsReached").asInt(),
+                status.get("parts").asInt(),
+                status.path("manifest").path("version").asLong()));
+        status.path("manifest")
                 .path("marks")
                 .fields()
-                .forEachRemaining(e -> b.append(String.format(
-                        "mark    %s = %s%n", e.getKey(), e.getValue().asText())));
-        for (var g : n.get("groups"))
-            b.append(String.format(
+                .forEachRemaining(mark -> text.append(String.format(
+                        "mark    %s = %s%n", mark.getKey(), mark.getValue().asText())));
+        for (var group : status.get("groups"))
+            text.append(String.format(
                     "part    %d  owner %-14s term %-4d applied %-8d group %s%n",
-                    g.get("part").asInt(),
-                    g.get("owner").asText(),
-                    g.get("term").asLong(),
-                    g.get("applied").asLong(),
-                    g.get("group")));
-        for (var m : n.get("members"))
-            b.append(String.format(
+                    group.get("part").asInt(),
+                    group.get("owner").asText(),
+                    group.get("term").asLong(),
+                    group.get("applied").asLong(),
+                    group.get("group")));
+        for (var member : status.get("members"))
+            text.append(String.format(
                     "member  %-14s %-7s %-14s %-22s %s%n",
-                    m.get("name").asText(),
-                    m.get("kind").asText(),
-                    m.get("zone").asText(),
-                    m.get("address").asText(),
-                    m.get("state").asText()));
-        for (var s : n.get("services")) appendService(b, s);
-        return b.toString();
+                    member.get("name").asText(),
+                    member.get("kind").asText(),
+                    member.get("zone").asText(),
+                    member.get("address").asText(),
+                    member.get("state").asText()));
+        for (var service : status.get("services")) appendService(text, service);
+        return text.toString();
     }
 
-    private static void appendService(StringBuilder b, JsonNode s) {
-        b.append(String.format(
+    private static void appendService(StringBuilder text, JsonNode service) {
+        text.append(String.format(
                 "service %s  part %d  table version %d%n",
-                s.get("name").asText(),
-                s.get("part").asInt(),
-                s.get("tableVersion").asLong()));
-        for (var c : s.get("cells"))
-            b.append(String.format(
+                service.get("name").asText(),
+                service.get("part").asInt(),
+                service.get("tableVersion").asLong()));
+        for (var cell : service.get("cells"))
+            text.append(String.format(
                     "  cell   %-14s %-14s %4d units %3d runners up  load %d/%d%n",
-                    c.get("name").asText(),
-                    c.get("zone").asText(),
-                    c.get("units").asInt(),
-                    c.get("runnersUp").asInt(),
-                    c.get("load").asInt(),
-                    c.get("slots").asInt()));
-        if (s.get("displacedUnits").asInt() > 0)
-            b.append(String.format(
+                    cell.get("name").asText(),
+                    cell.get("zone").asText(),
+                    cell.get("units").asInt(),
+                    cell.get("runnersUp").asInt(),
+                    cell.get("load").asInt(),
+                    cell.get("slots").asInt()));
+        if (service.get("displacedUnits").asInt() > 0)
+            text.append(String.format(
                     "  displaced by pressure: %d units%n",
-                    s.get("displacedUnits").asInt()));
-        for (var h : s.get("heldBack"))
-            b.append(String.format("  cell %s gets no moves for now: a step to it was taken back%n", h.asText()));
-        for (var x : s.get("steps"))
-            b.append(String.format(
+                    service.get("displacedUnits").asInt()));
+        for (var cellName : service.get("heldBack"))
+            text.append(
+                    String.format("  cell %s gets no moves for now: a step to it was taken back%n", cellName.asText()));
+        for (var step : service.get("steps"))
+            text.append(String.format(
                     "  step   %d: %d units to %s, %s (%s)%n",
-                    x.get("step").asLong(),
-                    x.get("units").asInt(),
-                    x.get("to").asText(),
-                    x.get("state").asText(),
-                    x.get("cause").asText()));
-        for (var r : s.get("runners"))
-            b.append(String.format(
+                    step.get("step").asLong(),
+                    step.get("units").asInt(),
+                    step.get("to").asText(),
+                    step.get("state").asText(),
+                    step.get("cause").asText()));
+        for (var runner : service.get("runners"))
+            text.append(String.format(
                     "  runner %-14s %-14s %-8s load %d/%d%s%n",
-                    r.get("name").asText(),
-                    r.get("cell").asText(),
-                    r.get("state").asText(),
-                    r.get("load").asInt(),
-                    r.get("slots").asInt(),
-                    r.get("cold").asBoolean() ? " cold" : ""));
+                    runner.get("name").asText(),
+                    runner.get("cell").asText(),
+                    runner.get("state").asText(),
+                    runner.get("load").asInt(),
+                    runner.get("slots").asInt(),
+                    runner.get("cold").asBoolean() ? " cold" : ""));
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
@@ -18,9 +18,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-@Command(name = "usage", description = "Exports what transactions used.")
+/** {@code craneway usage}: exports usage records. */
+@Command(name = "usage", description = "Exports the usage records of transactions.")
 public final class UsageCommand {
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** The columns of the export. All but {@code router} are fields of a row of {@code /v1/usage}. */
     private static final String[] COLUMNS = {
         "router", "no", "tenant", "service", "work", "region", "runner", "verdict", "tokens", "takenAt", "firstAt",
         "endedAt"
@@ -29,35 +31,40 @@
     @Command(
             name = "export",
             description =
-                    "Writes the finished transactions that the named routers remember, with a schema beside the file.")
+                    "Writes the records of finished transactions that these routers still hold, and a schema next to the file.")
     int export(
-            @Mixin At at,
+            @Mixin At operators,
             @Option(names = "--out", required = true, paramLabel = "FILE") Path out,
             @Option(names = "--format", defaultValue = "csv", description = "csv") String format,
-            @Option(names = "--from", paramLabel = "TIME", description = "as 2026-01-31T00:00:00Z; ended at or after")
+            @Option(
+                            names = "--from",
+                            paramLabel = "TIME",
+                            description = "ended at or after this time, such as 2026-01-31T00:00:00Z")
                     String from,
-            @Option(names = "--to", paramLabel = "TIME", description = "ended before") String to)
+            @Option(names = "--to", paramLabel = "TIME", description = "ended before this time") String to)
             throws IOException {
         if (!format.equals("csv")) throw new CommandFailure(2, "--format " + format + " is not csv");
-        var since = parseMicros("--from", from, 0);
-        var until = parseMicros("--to", to, Long.MAX_VALUE);
-        if (until <= since) throw new CommandFailure(2, "--to is not after --from");
-        var n = 0;
-        try (var w = new OperatorClient();
-                var f = Files.newBufferedWriter(out);
-                var p = new CSVPrinter(
-                        f, CSVFormat.DEFAULT.builder().setHeader(COLUMNS).get())) {
-            for (var a : at.validAddresses()) n += exportRows(w, a, since, until, p);
+        var fromMicros = parseMicros("--from", from, 0);
+        var toMicros = parseMicros("--to", to, Long.MAX_VALUE);
+        if (toMicros <= fromMicros) throw new CommandFailure(2, "--to is not after --from");
+        var rowCount = 0;
+        try (var client = new OperatorClient();
+                var writer = Files.newBufferedWriter(out);
+                var printer = new CSVPrinter(
+                        writer, CSVFormat.DEFAULT.builder().setHeader(COLUMNS).get())) {
+            for (var address : operators.validAddresses())
+                rowCount += exportRows(client, address, fromMicros, toMicros, printer);
         } catch (IOException e) {
             throw new CommandFailure(2, "cannot write " + out + ": " + e.getMessage());
         }
         Files.writeString(out.resolveSibling(out.getFileName() + ".schema.json"), schemaJson());
-        System.out.println(n + " rows");
+        System.out.println(rowCount + " rows");
         return 0;
     }
 
-    private static long parseMicros(String option, String text, long otherwise) {
-        if (text == null) return otherwise;
+    /** Returns the time in microseconds since 1970, or the default if the option is not given. */
+    private static long parseMicros(String option, String text, long defaultMicros) {
+        if (text == null) return defaultMicros;
         try {
             return Instant.parse(text).toEpochMilli() * 1000;
         } catch (DateTimeParseException e) {
@@ -65,41 +72,49 @@
         }
     }
 
-    private static int exportRows(OperatorClient w, String at, long since, long until, CSVPrinter p) throws IOException {
-        var n = 0;
-        for (long after = 0; ; ) {
-            var page = PlanFormatter.parseJson(w.call(List.of(at), Methods.GET, "/v1/usage?after=" + after, Map.of(), "")
-                    .text());
-            if (page.get("rows").isEmpty()) return n;
-            for (var r : page.get("rows")) {
-                after = r.get("no").asLong();
-                var ended = r.get("endedAt").asLong();
-                if (ended < since || ended >= until) continue;
-                printRow(p, page.get("router").asText(), r);
-                n++;
+    /**
+     * Writes the rows of one router that ended in the given period, and returns their number. Fetches page after page
+     * until a page is empty.
+     */
+    private static int exportRows(
+            OperatorClient client, String address, long fromMicros, long toMicros, CSVPrinter printer)
+            throws IOException {
+        var rowCount = 0;
+        for (long lastRowNumber = 0; ; ) {
+            var page = PlanFormatter.parseJson(
+                    client.call(List.of(address), Methods.GET, "/v1/usage?after=" + lastRowNumber, Map.of(), "")
+                            .text());
+            if (page.get("rows").isEmpty()) return rowCount;
+            for (var row : page.get("rows")) {
+                lastRowNumber = row.get("no").asLong();
+                var endedAtMicros = row.get("endedAt").asLong();
+                if (endedAtMicros < fromMicros || endedAtMicros >= toMicros) continue;
+                printRow(printer, page.get("router").asText(), row);
+                rowCount++;
             }
         }
     }
 
-    private static void printRow(CSVPrinter p, String router, JsonNode r) throws IOException {
-        p.print(router);
-        for (var i = 1; i < COLUMNS.length; i++) p.print(r.get(COLUMNS[i]).asText());
-        p.println();
+    private static void printRow(CSVPrinter printer, String router, JsonNode row) throws IOException {
+        printer.print(router);
+        for (var i = 1; i < COLUMNS.length; i++)
+            printer.print(row.get(COLUMNS[i]).asText());
+        printer.println();
     }
 
     private static String schemaJson() {
-        var n = JSON.createObjectNode();
-        var all = n.putArray("fields");
-        for (var c : COLUMNS)
-            all.addObject()
-                    .put("name", c)
+        var schema = JSON.createObjectNode();
+        var fields = schema.putArray("fields");
+        for (var column : COLUMNS)
+            fields.addObject()
+                    .put("name", column)
                     .put(
                             "type",
                             List.of("no", "tokens", "takenAt", "firstAt", "endedAt")
-                                            .contains(c)
+                                            .contains(column)
                                     ? "integer"
                                     : "string");
-        return n.put("timeUnit", "microseconds since 1970, UTC; firstAt is 0 when there was no first token")
+        return schema.put("timeUnit", "microseconds since 1970, UTC; firstAt is 0 when there was no first token")
                         .toPrettyString()
                 + "\n";
     }
--- a/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
@@ -9,36 +9,46 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** {@code craneway zone}: empties a zone or takes it back, and optionally confirms the plan at once. */
 @Command(
         name = "zone",
-        description = "Empties a zone or takes it back: the intent, its plan, and with --confirm its confirmation.")
+        description =
+                "Empties a zone or takes it back: submits the intent, prints its plan, and with --confirm confirms it.")
 public final class ZoneCommand {
     @Command(name = "empty")
     int empty(
-            @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin At at) {
-        return submitIntent(Intent.EMPTY_ZONE, zone, confirm, at);
+            @Parameters(paramLabel = "ZONE") String zone,
+            @Option(names = "--confirm") boolean confirm,
+            @Mixin At operators) {
+        return submitIntent(Intent.EMPTY_ZONE, zone, confirm, operators);
     }
 
     @Command(name = "take-back")
     int takeBack(
-            @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin At at) {
-        return submitIntent(Intent.TAKE_BACK_ZONE, zone, confirm, at);
+            @Parameters(paramLabel = "ZONE") String zone,
+            @Option(names = "--confirm") boolean confirm,
+            @Mixin At operators) {
+        return submitIntent(Intent.TAKE_BACK_ZONE, zone, confirm, operators);
     }
 
-    private static int submitIntent(String intent, String zone, boolean confirm, At at) {
-        String plan;
-        try (var w = new OperatorClient()) {
-            plan = w.call(
-                            at.validAddresses(),
+    private static int submitIntent(String intent, String zone, boolean confirm, At operators) {
+        String planJson;
+        try (var client = new OperatorClient()) {
+            planJson = client.call(
+                            operators.validAddresses(),
                             Methods.POST,
                             "/v1/intents",
                             Map.of(),
                             "{\"intent\":\"" + intent + "\",\"zone\":\"" + zone.replaceAll("[\"\\\\]", "") + "\"}")
                     .text();
         }
-        System.out.println(PlanFormatter.format(plan));
+        System.out.println(PlanFormatter.format(planJson));
         return confirm
-                ? PlanCommand.requestPlan(Methods.POST, PlanFormatter.parseJson(plan).path("plan").asLong(), "/confirm", at)
+                ? PlanCommand.requestPlan(
+                        Methods.POST,
+                        PlanFormatter.parseJson(planJson).path("plan").asLong(),
+                        "/confirm",
+                        operators)
                 : 0;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The commands of operators: manifest, intent, plan, zone, status, usage and core. */
+/** The commands for operators: manifest, intent, plan, zone, status, usage and core. */
 package craneway.command.operator;
--- a/prog/craneway/src/main/java/craneway/command/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/package-info.java
@@ -1,2 +1,4 @@
-/** The command line {@code craneway}, and what its commands share: exit codes and calls to operators' addresses. */
+/**
+ * The command line {@code craneway} and what its commands share: exit codes and HTTP requests to operator addresses.
+ */
 package craneway.command;
--- a/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
@@ -7,10 +7,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** {@code craneway proof}: measures the limits of the promises over many simulated runs. */
 @Command(
         name = "proof",
-        description =
-                "Runs random schedules and days on both deployments' shapes and prints the figures of docs/proof.md. Exit code 1 when a promise broke.")
+        description = "Runs random fault schedules and simulated days on the shapes of both deployments "
+                + "and prints the figures of docs/proof.md. Exit code 1 if a promise was broken.")
 public final class ProofCommand implements Callable<Integer> {
     @Option(names = "--seeds", paramLabel = "FROM-TO", required = true)
     String seeds;
@@ -18,12 +19,12 @@
     @Option(names = "--days", paramLabel = "FROM-TO", required = true)
     String days;
 
-    @Option(names = "--commit", required = true, description = "the commit that was built, for the record")
+    @Option(names = "--commit", required = true, description = "the commit that was built, to print with the figures")
     String commit;
 
     @Override
     public Integer call() {
-        var all = List.of(
+        var sweeps = List.of(
                 new SeedSweep(Shape.MATICAR, false, seeds),
                 new SeedSweep(Shape.BRANNOCK, false, seeds),
                 new SeedSweep(Shape.MATICAR, true, days),
@@ -31,31 +32,41 @@
         System.out.printf("At commit %s, seeds %s, days %s:%n%n", commit, seeds, days);
         System.out.println(
                 "| | maticar | brannock | maticar days | brannock days | limit |\n|---|---|---|---|---|---|");
-        printRow("runs", all.stream().map(s -> Long.toString(s.seedCount)).toList(), "");
+        printRow(
+                "runs",
+                sweeps.stream().map(sweep -> Long.toString(sweep.seedCount)).toList(),
+                "");
         printRow(
                 "runs that broke a promise",
-                all.stream().map(s -> Long.toString(s.failedSeeds)).toList(),
+                sweeps.stream().map(sweep -> Long.toString(sweep.failedSeeds)).toList(),
                 "0");
         printRow(
                 "submissions",
-                all.stream().map(s -> Long.toString(s.submissionCount.get())).toList(),
+                sweeps.stream()
+                        .map(sweep -> Long.toString(sweep.submissionCount.get()))
+                        .toList(),
                 "");
         printRow(
                 "runs an hour",
-                all.stream().map(s -> String.format("%.0f", s.seedsPerHour)).toList(),
+                sweeps.stream()
+                        .map(sweep -> String.format("%.0f", sweep.seedsPerHour))
+                        .toList(),
                 "");
-        for (var l : Limit.values())
-            if (l != Limit.RETURN)
+        for (var limit : Limit.values())
+            if (limit != Limit.RETURN)
                 printRow(
-                        l.words,
-                        all.stream()
-                                .map(s -> s.worstByLimit.containsKey(l) ? String.format("%.3f", s.worstByLimit.get(l)) : "none")
+                        limit.words,
+                        sweeps.stream()
+                                .map(sweep -> sweep.worstByLimit.containsKey(limit)
+                                        ? String.format("%.3f", sweep.worstByLimit.get(limit))
+                                        : "none")
                                 .toList(),
-                        Double.toString(l.value));
-        return all.stream().allMatch(s -> s.failedSeeds == 0) ? 0 : 1;
+                        Double.toString(limit.value));
+        return sweeps.stream().allMatch(sweep -> sweep.failedSeeds == 0) ? 0 : 1;
     }
 
-    private static void printRow(String what, List<String> cells, String limit) {
-        System.out.println("| " + what + " | " + String.join(" | ", cells) + " | " + limit + " |");
+    /** Prints one row of a Markdown table. */
+    private static void printRow(String title, List<String> values, String limit) {
+        System.out.println("| " + title + " | " + String.join(" | ", values) + " | " + limit + " |");
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -8,12 +8,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** {@code craneway replay}: runs one seed of the simulator with a timeline, or sweeps over many seeds. */
 @Command(
         name = "replay",
         description =
-                "Runs a seed of random faults in the simulator and draws its timeline. Exit code 1 when a promise broke.")
+                "Runs a seed of random faults in the simulator and prints its timeline. Exit code 1 if a promise was broken.")
 public final class ReplayCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SEED", arity = "0..1", description = "the seed to draw")
+    @Parameters(paramLabel = "SEED", arity = "0..1", description = "the seed to run")
     Long seed;
 
     @Option(
@@ -31,38 +32,41 @@
 
     @Option(
             names = "--day",
-            description = "runs a simulated day: crowd, swinging mix, region lost and back cold, release, quiet night")
+            description =
+                    "runs a simulated day: load peak, changing mix, loss and cold return of a region, release, quiet night")
     boolean day;
 
-    @Option(names = "--shortest", description = "cuts a failing schedule down first")
+    @Option(names = "--shortest", description = "first reduces a failing schedule to the shortest one that still fails")
     boolean shortest;
 
     @Override
     public Integer call() {
-        if ((seed == null) == (sweep == null)) throw new CommandFailure(2, "name one seed, or --sweep FROM-TO");
+        if ((seed == null) == (sweep == null)) throw new CommandFailure(2, "give either one SEED or --sweep FROM-TO");
         if (sweep == null) return day ? replayDay() : replayFaults();
-        var s = new SeedSweep(SeedSweep.shape(shape), day, sweep);
-        s.print();
-        return s.failedSeeds == 0 ? 0 : 1;
+        var seedSweep = new SeedSweep(SeedSweep.parseShape(shape), day, sweep);
+        seedSweep.print();
+        return seedSweep.failedSeeds == 0 ? 0 : 1;
     }
 
+    /** Runs the seed with its random faults and returns the exit code. */
     private int replayFaults() {
-        var sh = SeedSweep.shape(shape);
-        var faults = Chaos.faults(sh, seed);
-        if (shortest) faults = Chaos.shortest(sh, seed, faults);
-        var r = Chaos.run(sh, seed, faults);
-        System.out.print(r.timeline());
-        faults.forEach(f -> System.out.println("fault " + f.text()));
-        r.wrong().forEach(w -> System.out.println("BROKEN " + w));
-        SeedSweep.print(r.checks().worst);
-        return r.wrong().isEmpty() ? 0 : 1;
+        var fleetShape = SeedSweep.parseShape(shape);
+        var faults = Chaos.faults(fleetShape, seed);
+        if (shortest) faults = Chaos.shortest(fleetShape, seed, faults);
+        var result = Chaos.run(fleetShape, seed, faults);
+        System.out.print(result.timeline());
+        faults.forEach(fault -> System.out.println("fault " + fault.text()));
+        result.wrong().forEach(violation -> System.out.println("BROKEN " + violation));
+        SeedSweep.print(result.checks().worst);
+        return result.wrong().isEmpty() ? 0 : 1;
     }
 
+    /** Runs the simulated day of the seed and returns the exit code. */
     private int replayDay() {
-        var r = Day.run(SeedSweep.shape(shape), seed);
-        System.out.print(r.timeline());
-        r.wrong().forEach(w -> System.out.println("BROKEN " + w));
-        SeedSweep.print(r.checks().worst);
-        return r.wrong().isEmpty() ? 0 : 1;
+        var result = Day.run(SeedSweep.parseShape(shape), seed);
+        System.out.print(result.timeline());
+        result.wrong().forEach(violation -> System.out.println("BROKEN " + violation));
+        SeedSweep.print(result.checks().worst);
+        return result.wrong().isEmpty() ? 0 : 1;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
@@ -11,6 +11,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.LongStream;
 
+/**
+ * Runs a range of seeds in parallel, prints the seeds that broke a promise and collects the worst figure for each
+ * limit. The constructor runs the whole sweep.
+ */
 final class SeedSweep {
     final Map<Limit, Double> worstByLimit = new EnumMap<>(Limit.class);
     final AtomicLong submissionCount = new AtomicLong();
@@ -18,59 +22,81 @@
     final long failedSeeds;
     final double seedsPerHour;
     private final Shape shape;
-    private final boolean day;
+    private final boolean simulatesDays;
 
-    SeedSweep(Shape shape, boolean day, String range) {
+    /**
+     * Runs the sweep.
+     *
+     * @param simulatesDays whether to run the simulated day of each seed instead of its random faults
+     * @param seedRange the first and the last seed as FROM-TO
+     */
+    SeedSweep(Shape shape, boolean simulatesDays, String seedRange) {
         this.shape = shape;
-        this.day = day;
-        if (!range.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, range + " is not FROM-TO");
-        var from = Long.parseLong(range.split("-")[0]);
-        var to = Long.parseLong(range.split("-")[1]);
-        if (to < from) throw new CommandFailure(2, range + ": the end is before the start");
-        var began = System.nanoTime();
-        seedCount = to - from + 1;
-        failedSeeds = LongStream.rangeClosed(from, to)
+        this.simulatesDays = simulatesDays;
+        if (!seedRange.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, seedRange + " is not FROM-TO");
+        var firstSeed = Long.parseLong(seedRange.split("-")[0]);
+        var lastSeed = Long.parseLong(seedRange.split("-")[1]);
+        if (lastSeed < firstSeed) throw new CommandFailure(2, seedRange + ": the end is before the start");
+        var startNanos = System.nanoTime();
+        seedCount = lastSeed - firstSeed + 1;
+        failedSeeds = LongStream.rangeClosed(firstSeed, lastSeed)
                 .parallel()
-                .filter(day ? this::day : this::failsUnderFaults)
+                .filter(simulatesDays ? this::failsOnDay : this::failsUnderFaults)
                 .count();
-        seedsPerHour = seedCount / ((System.nanoTime() - began) / 3.6e12);
+        seedsPerHour = seedCount / ((System.nanoTime() - startNanos) / 3.6e12);
     }
 
-    static Shape shape(String name) {
-        var s = Shape.named(name);
-        if (s == null) throw new CommandFailure(2, "--shape " + name + " is none of maticar, brannock, small");
-        return s;
+    /** Returns the shape with this name; fails with exit code 2 if there is none. */
+    static Shape parseShape(String name) {
+        var found = Shape.named(name);
+        if (found == null) throw new CommandFailure(2, "--shape " + name + " is none of maticar, brannock, small");
+        return found;
     }
 
-    private boolean day(long seed) {
-        var r = Day.run(shape, seed);
-        return recordRun("day " + seed, r.wrong(), r.checks().worst, r.submissions(), List.of());
+    private boolean failsOnDay(long seed) {
+        var result = Day.run(shape, seed);
+        return recordRun("day " + seed, result.wrong(), result.checks().worst, result.submissions(), List.of());
     }
 
     private boolean failsUnderFaults(long seed) {
-        var r = Chaos.run(shape, seed, Chaos.faults(shape, seed));
-        var least = r.wrong().isEmpty() ? r.faults() : Chaos.shortest(shape, seed, r.faults());
-        return recordRun("seed " + seed, r.wrong(), r.checks().worst, r.submissions(), least);
+        var result = Chaos.run(shape, seed, Chaos.faults(shape, seed));
+        var shortestSchedule =
+                result.wrong().isEmpty() ? result.faults() : Chaos.shortest(shape, seed, result.faults());
+        return recordRun("seed " + seed, result.wrong(), result.checks().worst, result.submissions(), shortestSchedule);
     }
 
+    /** Adds the figures of a run, prints its violations and returns whether there were any. */
     private synchronized boolean recordRun(
-            String what, List<String> wrong, Map<Limit, Double> seen, int asked, List<Chaos.Fault> least) {
-        seen.forEach((k, v) -> worstByLimit.merge(k, v, Math::max));
-        submissionCount.addAndGet(asked);
-        if (wrong.isEmpty()) return false;
-        System.out.println(what + " of shape " + shape.name() + ": " + wrong.subList(0, Math.min(3, wrong.size())));
-        least.forEach(f -> System.out.println("  shortest schedule: " + f.text()));
+            String title,
+            List<String> violations,
+            Map<Limit, Double> worstOfRun,
+            int submissions,
+            List<Chaos.Fault> shortestSchedule) {
+        worstOfRun.forEach((limit, worst) -> worstByLimit.merge(limit, worst, Math::max));
+        submissionCount.addAndGet(submissions);
+        if (violations.isEmpty()) return false;
+        System.out.println(
+                title + " of shape " + shape.name() + ": " + violations.subList(0, Math.min(3, violations.size())));
+        shortestSchedule.forEach(fault -> System.out.println("  shortest schedule: " + fault.text()));
         return true;
     }
 
+    /** Prints a summary of the sweep and the worst figures. */
     void print() {
         System.out.printf(
                 "%d %s of shape %s, %d broke a promise, %d submissions, %.0f seeds an hour%n",
-                seedCount, day ? "days" : "seeds", shape.name(), failedSeeds, submissionCount.get(), seedsPerHour);
+                seedCount,
+                simulatesDays ? "days" : "seeds",
+                shape.name(),
+                failedSeeds,
+                submissionCount.get(),
+                seedsPerHour);
         print(worstByLimit);
     }
 
-    static void print(Map<Limit, Double> worst) {
-        worst.forEach((k, v) -> System.out.printf("worst %-10s %8.3f  limit %-5s %s%n", k, v, k.value, k.words));
+    /** Prints the worst figure for each limit. */
+    static void print(Map<Limit, Double> worstByLimit) {
+        worstByLimit.forEach((limit, worst) ->
+                System.out.printf("worst %-10s %8.3f  limit %-5s %s%n", limit, worst, limit.value, limit.words));
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/package-info.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/package-info.java
@@ -1,2 +1,2 @@
-/** Replays seeds of the simulator and sweeps over them. */
+/** Runs seeds of the simulator, one at a time with a timeline or many in a sweep. */
 package craneway.command.replay;
--- a/prog/router/src/main/java/craneway/router/RouterMain.java
+++ b/prog/router/src/main/java/craneway/router/RouterMain.java
@@ -12,13 +12,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/**
+ * The program {@code router}: starts a router process with the values of a startup file and of options, which override
+ * the file.
+ */
 @Command(
         name = "router",
         mixinStandardHelpOptions = true,
         version = "router 0.1.0",
-        description = "Takes transactions, decides where they run, forwards once and streams the reply.")
+        description =
+                "Accepts transactions, decides where they run, forwards them at most once and streams the replies.")
 public final class RouterMain implements Callable<Integer> {
-    @Option(names = "--startup", description = "startup file (JSON); flags go before its values")
+    @Option(names = "--startup", description = "startup file (JSON); options override its values")
     Path startup;
 
     @Option(names = "--name")
@@ -36,34 +41,39 @@
     @Option(names = "--operator", description = "IP:PORT for operators")
     String operator;
 
-    @Option(names = "--platform", description = "IP:PORT for the platform's checks")
+    @Option(names = "--platform", description = "IP:PORT for the health checks of the platform")
     String platform;
 
-    @Option(names = "--partner", description = "IP:PORT for craneway's own processes")
+    @Option(names = "--partner", description = "IP:PORT for other craneway processes")
     String partner;
 
-    @Option(names = "--seeds", description = "three IP:PORT of other processes, with commas")
+    @Option(names = "--seeds", description = "three IP:PORT of other processes, separated by commas")
     String seeds;
 
+    /** Runs the program and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new RouterMain()).execute(args));
     }
 
+    /**
+     * Runs until the process is asked to stop. Returns 0 after a clean stop, 2 if the startup values are invalid, and 3
+     * if another process with the same name and a newer incarnation has taken over.
+     */
     @Override
     public Integer call() throws Exception {
-        var flags = new HashMap<String, String>();
-        flags.put("name", name);
-        flags.put("zone", zone);
-        flags.put("requester", requester);
-        flags.put("runner", runner);
-        flags.put("operator", operator);
-        flags.put("platform", platform);
-        flags.put("partner", partner);
-        flags.put("seeds", seeds);
+        var options = new HashMap<String, String>();
+        options.put("name", name);
+        options.put("zone", zone);
+        options.put("requester", requester);
+        options.put("runner", runner);
+        options.put("operator", operator);
+        options.put("platform", platform);
+        options.put("partner", partner);
+        options.put("seeds", seeds);
         try {
-            var s = Startup.of(startup, flags, Startup.ROUTER);
-            var p = new RouterProcess(s, new EventLog(s.name));
-            return StopSignal.stopped(p::stopGently, p::superseded);
+            var settings = Startup.of(startup, options, Startup.ROUTER);
+            var process = new RouterProcess(settings, new EventLog(settings.name));
+            return StopSignal.stopped(process::stopGently, process::superseded);
         } catch (BadStartupException e) {
             System.err.println(e.getMessage());
             return 2;
--- a/prog/router/src/main/java/craneway/router/package-info.java
+++ b/prog/router/src/main/java/craneway/router/package-info.java
@@ -1,2 +1,2 @@
-/** The program {@code router}. */
+/** The program {@code router}, which accepts requests and streams the responses. */
 package craneway.router;
--- a/prog/store/src/main/java/craneway/store/StoreMain.java
+++ b/prog/store/src/main/java/craneway/store/StoreMain.java
@@ -12,13 +12,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/**
+ * The program {@code store}: starts a store process with the values of a startup file and of options, which override
+ * the file.
+ */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
         version = "store 0.1.0",
-        description = "Holds the parts of the control state on a disk.")
+        description = "Keeps replicas of the parts of the control state on disk.")
 public final class StoreMain implements Callable<Integer> {
-    @Option(names = "--startup", description = "startup file (JSON); flags go before its values")
+    @Option(names = "--startup", description = "startup file (JSON); options override its values")
     Path startup;
 
     @Option(names = "--name")
@@ -30,40 +34,45 @@
     @Option(names = "--operator", description = "IP:PORT for operators")
     String operator;
 
-    @Option(names = "--platform", description = "IP:PORT for the platform's checks")
+    @Option(names = "--platform", description = "IP:PORT for the health checks of the platform")
     String platform;
 
-    @Option(names = "--partner", description = "IP:PORT for craneway's own processes")
+    @Option(names = "--partner", description = "IP:PORT for other craneway processes")
     String partner;
 
-    @Option(names = "--seeds", description = "three IP:PORT of other processes, with commas")
+    @Option(names = "--seeds", description = "three IP:PORT of other processes, separated by commas")
     String seeds;
 
-    @Option(names = "--data", description = "data folder")
+    @Option(names = "--data", description = "folder for the replicas")
     String data;
 
-    @Option(names = "--stores", description = "how many empty stores found a core: 1, 3 or 5")
+    @Option(names = "--stores", description = "number of empty stores that form a new core: 1, 3 or 5")
     String stores;
 
+    /** Runs the program and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new StoreMain()).execute(args));
     }
 
+    /**
+     * Runs until the process is asked to stop. Returns 0 after a clean stop, 2 if the startup values are invalid, and 3
+     * if another process with the same name and a newer incarnation has taken over.
+     */
     @Override
     public Integer call() throws Exception {
-        var flags = new HashMap<String, String>();
-        flags.put("name", name);
-        flags.put("zone", zone);
-        flags.put("operator", operator);
-        flags.put("platform", platform);
-        flags.put("partner", partner);
-        flags.put("seeds", seeds);
-        flags.put("data", data);
-        flags.put("stores", stores);
+        var options = new HashMap<String, String>();
+        options.put("name", name);
+        options.put("zone", zone);
+        options.put("operator", operator);
+        options.put("platform", platform);
+        options.put("partner", partner);
+        options.put("seeds", seeds);
+        options.put("data", data);
+        options.put("stores", stores);
         try {
-            var s = Startup.of(startup, flags, Startup.STORE);
-            var p = new StoreProcess(s, new EventLog(s.name));
-            return StopSignal.stopped(p::stopGently, p::superseded);
+            var settings = Startup.of(startup, options, Startup.STORE);
+            var process = new StoreProcess(settings, new EventLog(settings.name));
+            return StopSignal.stopped(process::stopGently, process::superseded);
         } catch (BadStartupException e) {
             System.err.println(e.getMessage());
             return 2;
--- a/prog/store/src/main/java/craneway/store/package-info.java
+++ b/prog/store/src/main/java/craneway/store/package-info.java
@@ -1,2 +1,2 @@
-/** The program {@code store}. */
+/** The program {@code store}, which holds replicas of the control state. */
 package craneway.store;
--- a/test/standin/src/main/java/craneway/standin/CheckCommand.java
+++ b/test/standin/src/main/java/craneway/standin/CheckCommand.java
@@ -8,32 +8,35 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** {@code standin check}: checks the promises by the journals of a run. */
 @Command(
         name = "check",
-        description = "Compares the requesters' and the runners' journals. Exit code 1 when a promise broke.")
+        description = "Compares the journals of requesters and runners. Exit code 1 if a promise was broken.")
 public final class CheckCommand implements Callable<Integer> {
     @Option(names = "--requesters", required = true, split = ",")
     List<Path> requesters;
 
-    @Option(names = "--planned", description = "nothing was killed: a lost connection counts as broken")
+    @Option(names = "--planned", description = "nothing was killed, so a lost connection breaks a promise")
     boolean planned;
 
-    @Option(names = "--runners", required = true, description = "folder of the runners' journals")
+    @Option(names = "--runners", required = true, description = "folder with the journals of the runners")
     Path runners;
 
     @Override
     public Integer call() throws Exception {
-        var c = new Checker();
-        try (var all = Files.list(runners)) {
-            for (var p : all.filter(f -> f.getFileName().toString().startsWith("runner-"))
+        var checker = new Checker();
+        try (var files = Files.list(runners)) {
+            for (var journal : files.filter(
+                            file -> file.getFileName().toString().startsWith("runner-"))
                     .sorted()
-                    .toList()) c.runner(p);
+                    .toList()) checker.runner(journal);
         }
-        for (var p : requesters) c.requester(p);
-        var wrong = c.verdict(planned);
-        System.out.println(c.counts());
-        wrong.forEach(System.out::println);
-        System.out.println(wrong.isEmpty() ? "every promise checked here was kept" : wrong.size() + " promises broken");
-        return wrong.isEmpty() ? 0 : 1;
+        for (var journal : requesters) checker.requester(journal);
+        var violations = checker.verdict(planned);
+        System.out.println(checker.counts());
+        violations.forEach(System.out::println);
+        System.out.println(
+                violations.isEmpty() ? "every promise checked here was kept" : violations.size() + " promises broken");
+        return violations.isEmpty() ? 0 : 1;
     }
 }
--- a/test/standin/src/main/java/craneway/standin/Faults.java
+++ b/test/standin/src/main/java/craneway/standin/Faults.java
@@ -2,61 +2,70 @@
 
 import java.io.IOException;
 
+/** Injects faults into a fleet of processes. */
 public final class Faults {
     private Faults() {}
 
-    public static void bring(Fleet f, String fault) throws IOException, InterruptedException {
-        var stores = f.names("stores");
-        var routers = f.names("routers");
-        var runners = f.names("runners");
+    /**
+     * Injects one fault and returns once it has taken effect.
+     *
+     * @param fault the name of a fault, such as {@code kill-runner}; it acts on a fixed process of its kind, {@code
+     *     start-all} and {@code rolling} on all
+     * @throws IllegalArgumentException if there is no such fault
+     */
+    public static void bring(Fleet fleet, String fault) throws IOException, InterruptedException {
+        var stores = fleet.names("stores");
+        var routers = fleet.names("routers");
+        var runners = fleet.names("runners");
         switch (fault) {
-            case "kill-runner" -> f.kill(runners.get(0));
+            case "kill-runner" -> fleet.kill(runners.get(0));
             case "restart-runner" -> {
-                f.stop(runners.get(1));
-                f.start(runners.get(1));
+                fleet.stop(runners.get(1));
+                fleet.start(runners.get(1));
             }
-            case "stop-router" -> f.stop(routers.get(0));
-            case "stop-store" -> f.stop(stores.get(0));
-            case "kill-router" -> f.kill(routers.get(1));
-            case "kill-store" -> f.kill(stores.get(1));
+            case "stop-router" -> fleet.stop(routers.get(0));
+            case "stop-store" -> fleet.stop(stores.get(0));
+            case "kill-router" -> fleet.kill(routers.get(1));
+            case "kill-store" -> fleet.kill(stores.get(1));
             case "start-all" -> {
-                for (var n : stores) if (!f.isRunning(n)) f.start(n);
-                for (var n : routers) if (!f.isRunning(n)) f.start(n);
-                for (var n : runners) if (!f.isRunning(n)) f.start(n);
-                f.await(
+                for (var name : stores) if (!fleet.isRunning(name)) fleet.start(name);
+                for (var name : routers) if (!fleet.isRunning(name)) fleet.start(name);
+                for (var name : runners) if (!fleet.isRunning(name)) fleet.start(name);
+                fleet.await(
                         "all ready",
-                        () -> stores.stream().allMatch(f::ready)
-                                && routers.stream().allMatch(f::ready));
+                        () -> stores.stream().allMatch(fleet::ready)
+                                && routers.stream().allMatch(fleet::ready));
             }
             case "freeze-router" -> {
-                f.signal(routers.get(2), "STOP");
-                f.await("its lease has lapsed", () -> f.lapsed(routers.get(2)));
-                f.signal(routers.get(2), "CONT");
+                fleet.signal(routers.get(2), "STOP");
+                fleet.await("its lease has lapsed", () -> fleet.lapsed(routers.get(2)));
+                fleet.signal(routers.get(2), "CONT");
             }
             case "freeze-store" -> {
-                f.signal(stores.get(2), "STOP");
-                f.await("its lease has lapsed", () -> f.lapsed(stores.get(2)));
-                f.signal(stores.get(2), "CONT");
+                fleet.signal(stores.get(2), "STOP");
+                fleet.await("its lease has lapsed", () -> fleet.lapsed(stores.get(2)));
+                fleet.signal(stores.get(2), "CONT");
             }
             case "wipe-store" -> {
-                f.kill(stores.get(1));
-                f.wipe(stores.get(1));
-                f.start(stores.get(1));
-                f.await("the new store votes", () -> f.votes(stores.get(1)));
+                fleet.kill(stores.get(1));
+                fleet.wipe(stores.get(1));
+                fleet.start(stores.get(1));
+                fleet.await("the new store votes", () -> fleet.votes(stores.get(1)));
             }
-            case "rolling" -> restartAllInTurn(f);
-            default -> throw new IllegalArgumentException("no fault " + fault);
+            case "rolling" -> restartAllInTurn(fleet);
+            default -> throw new IllegalArgumentException("unknown fault " + fault);
         }
     }
 
-    private static void restartAllInTurn(Fleet f) throws IOException, InterruptedException {
-        for (var n : f.names("stores")) restart(f, n);
-        for (var n : f.names("routers")) restart(f, n);
+    /** Restarts the stores and then the routers one by one, each after the one before is ready again. */
+    private static void restartAllInTurn(Fleet fleet) throws IOException, InterruptedException {
+        for (var name : fleet.names("stores")) restart(fleet, name);
+        for (var name : fleet.names("routers")) restart(fleet, name);
     }
 
-    private static void restart(Fleet f, String name) throws IOException, InterruptedException {
-        f.stop(name);
-        f.start(name);
-        f.await(name + " ready", () -> f.ready(name));
+    private static void restart(Fleet fleet, String name) throws IOException, InterruptedException {
+        fleet.stop(name);
+        fleet.start(name);
+        fleet.await(name + " ready", () -> fleet.ready(name));
     }
 }
--- a/test/standin/src/main/java/craneway/standin/Fleet.java
+++ b/test/standin/src/main/java/craneway/standin/Fleet.java
@@ -26,19 +26,31 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
+/**
+ * A fleet of real processes on this machine, laid out by {@code craneway fleet}. Methods take processes by name. Not
+ * thread-safe.
+ */
 public final class Fleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** How long to wait for a condition or for the end of a process. */
     private static final long WAIT_TIMEOUT_MILLIS = 90_000;
 
+    /** The folder with the startup files, logs and journals. */
     public final Path folder;
+    /**
+     * The content of {@code fleet.json}: the processes by kind ({@code stores}, {@code routers}, {@code runners}) and
+     * name.
+     */
     public final JsonNode map;
+
     private final Map<String, Process> processes = new TreeMap<>();
     private final XnioWorker worker;
     private final AsyncHttpClient httpClient;
 
+    /** Lays out a fleet in this folder; the other parameters are values of options of {@code craneway fleet}. */
     public Fleet(Path folder, Path manifest, String routers, String runners, String slots) throws IOException {
         this.folder = folder;
-        var code = CranewayMain.run(
+        var exitCode = CranewayMain.run(
                 "fleet",
                 manifest.toString(),
                 "--folder",
@@ -51,34 +63,39 @@
                 runners,
                 "--slots",
                 slots);
-        if (code != 0) throw new IOException("the fleet could not be laid out, code " + code);
+        if (exitCode != 0) throw new IOException("craneway fleet failed with exit code " + exitCode);
         map = JSON.readTree(folder.resolve("fleet.json").toFile());
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
         httpClient = new AsyncHttpClient(worker);
     }
 
+    /** Returns the names of the processes of a kind. */
     public List<String> names(String kind) {
-        var all = new ArrayList<String>();
-        map.get(kind).fieldNames().forEachRemaining(all::add);
-        return all;
+        var names = new ArrayList<String>();
+        map.get(kind).fieldNames().forEachRemaining(names::add);
+        return names;
     }
 
+    /** Returns one field of all processes of a kind, separated by commas. */
     public String addresses(String kind, String field) {
         return String.join(
                 ",",
                 names(kind).stream()
-                        .map(n -> map.get(kind).get(n).get(field).asText())
+                        .map(name -> map.get(kind).get(name).get(field).asText())
                         .toList());
     }
 
+    /** Returns the operator addresses of the stores, separated by commas. */
     public String operators() {
         return addresses("stores", "operator");
     }
 
+    /** Starts all processes. */
     public void startAll() throws IOException {
-        for (var k : List.of("stores", "routers", "runners")) for (var n : names(k)) start(n);
+        for (var kind : List.of("stores", "routers", "runners")) for (var name : names(kind)) start(name);
     }
 
+    /** Starts a process. */
     public void start(String name) throws IOException {
         var startup = folder.resolve("startup").resolve(name + ".json").toString();
         if (map.get("stores").has(name)) startProcess(name, StoreMain.class, "--startup", startup);
@@ -86,7 +103,7 @@
         else startStandinRunner(name, map.get("runners").get(name));
     }
 
-    private void startStandinRunner(String name, JsonNode r) throws IOException {
+    private void startStandinRunner(String name, JsonNode runner) throws IOException {
         startProcess(
                 name,
                 StandinMain.class,
@@ -94,134 +111,150 @@
                 "--name",
                 name,
                 "--listen",
-                r.get("address").asText(),
+                runner.get("address").asText(),
                 "--routers",
-                r.get("routers").asText(),
+                runner.get("routers").asText(),
                 "--service",
-                r.get("service").asText(),
+                runner.get("service").asText(),
                 "--cell",
-                r.get("cell").asText(),
+                runner.get("cell").asText(),
                 "--slots",
-                r.get("slots").asText(),
+                runner.get("slots").asText(),
                 "--journal",
                 folder.resolve("journal").resolve(name + ".jsonl").toString());
     }
 
-    private void startProcess(String name, Class<?> main, String... args) throws IOException {
-        var c = new ArrayList<>(List.of(
+    private void startProcess(String name, Class<?> mainClass, String... arguments) throws IOException {
+        var command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx192m",
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                main.getName()));
-        c.addAll(List.of(args));
-        var log = folder.resolve("log").resolve(name + ".log").toFile();
+                mainClass.getName()));
+        command.addAll(List.of(arguments));
+        var logFile = folder.resolve("log").resolve(name + ".log").toFile();
         processes.put(
                 name,
-                new ProcessBuilder(c)
+                new ProcessBuilder(command)
                         .redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile))
                         .start());
     }
 
+    /** Kills a process and waits for its end. */
     public void kill(String name) throws InterruptedException {
-        var p = processes.remove(name);
-        p.destroyForcibly();
-        p.waitFor();
+        var process = processes.remove(name);
+        process.destroyForcibly();
+        process.waitFor();
     }
 
+    /** Asks a process to stop and does not wait. */
     public void ask(String name) {
         processes.get(name).destroy();
     }
 
+    /** Asks a process to stop, waits for its end and returns its exit code. */
     public int stop(String name) throws InterruptedException {
         ask(name);
         return ended(name);
     }
 
+    /** Waits for the end of a process and returns its exit code; kills the process and fails if it takes too long. */
     public int ended(String name) throws InterruptedException {
-        var p = processes.remove(name);
-        if (!p.waitFor(WAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-            p.destroyForcibly();
+        var process = processes.remove(name);
+        if (!process.waitFor(WAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+            process.destroyForcibly();
             throw new AssertionError(name + " did not stop in " + WAIT_TIMEOUT_MILLIS + " ms");
         }
-        return p.exitValue();
+        return process.exitValue();
     }
 
+    /** Sends a signal, such as {@code STOP}, to a process. */
     public void signal(String name, String signal) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + signal, Long.toString(processes.get(name).pid()))
+        new ProcessBuilder(
+                        "kill", "-" + signal, Long.toString(processes.get(name).pid()))
                 .start()
                 .waitFor();
     }
 
+    /** Deletes a store's data folder. */
     public void wipe(String store) throws IOException {
-        try (var all = Files.walk(folder.resolve("data").resolve(store))) {
-            all.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::delete);
+        try (var files = Files.walk(folder.resolve("data").resolve(store))) {
+            files.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::delete);
         }
     }
 
+    /** Sends a GET request and waits up to 5 s for the response. */
     public BufferedHttpResponse get(String address, String path) throws IOException {
         return BufferedHttpResponse.fetch(httpClient, address, Methods.GET, path, Map.of(), new byte[0], 5_000);
     }
 
+    /** Sends a request and waits up to 15 s for the response. */
     public BufferedHttpResponse call(
             String address, HttpString method, String path, Map<HttpString, String> headers, String body)
             throws IOException {
         return BufferedHttpResponse.fetch(httpClient, address, method, path, headers, body.getBytes(), 15_000);
     }
 
+    /** Returns whether a store or router reports that it is ready. */
     public boolean ready(String name) {
-        var n = map.get("stores").has(name)
+        var node = map.get("stores").has(name)
                 ? map.get("stores").get(name)
                 : map.get("routers").get(name);
         try {
-            return get(n.get("platform").asText(), "/ready").status() == 200;
+            return get(node.get("platform").asText(), "/ready").status() == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
+    /** Returns the status of the core from the first store that replies. */
     public JsonNode status() throws IOException {
-        IOException last = null;
-        for (var a : operators().split(",")) {
+        IOException lastFailure = null;
+        for (var address : operators().split(",")) {
             try {
-                var r = get(a, "/v1/status");
-                if (r.status() == 200) return JSON.readTree(r.body());
+                var response = get(address, "/v1/status");
+                if (response.status() == 200) return JSON.readTree(response.body());
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
             }
         }
-        throw last == null ? new IOException("no store replied") : last;
+        throw lastFailure == null ? new IOException("no store replied") : lastFailure;
     }
 
+    /** Returns the number of runners that are up, or 0 if no store replies. */
     public long runnersUp() {
         try {
-            var n = 0L;
-            for (var s : status().get("services"))
-                for (var r : s.get("runners")) if (r.get("state").asText().equals("up")) n++;
-            return n;
+            var count = 0L;
+            for (var service : status().get("services"))
+                for (var runner : service.get("runners"))
+                    if (runner.get("state").asText().equals("up")) count++;
+            return count;
         } catch (IOException e) {
             return 0;
         }
     }
 
+    /** Returns whether a process was started and has not been stopped or killed. */
     public boolean isRunning(String name) {
         return processes.containsKey(name);
     }
 
+    /** Returns whether the core regards a process's lease as lapsed or does not list the process. */
     public boolean lapsed(String name) {
         try {
-            for (var m : status().get("members"))
-                if (m.get("name").asText().equals(name))
-                    return m.get("state").asText().equals("lapsed");
+            for (var member : status().get("members"))
+                if (member.get("name").asText().equals(name))
+                    return member.get("state").asText().equals("lapsed");
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
+    /** Returns whether a mark such as {@code zone:NAME} is set. */
     public boolean marked(String mark) {
         try {
             return status().path("manifest").path("marks").has(mark);
@@ -230,15 +263,18 @@
         }
     }
 
+    /**
+     * Returns whether all parts are reached and every group has three voters, this store among them, and no learner.
+     */
     public boolean votes(String store) {
         try {
-            var s = status();
-            if (s.get("partsReached").asInt() < s.get("parts").asInt()) return false;
-            for (var g : s.get("groups")) {
-                var text = g.get("group").toString();
-                if (!text.contains("\"" + store + " (")
-                        || text.contains("learner")
-                        || g.get("group").size() != 3) return false;
+            var status = status();
+            if (status.get("partsReached").asInt() < status.get("parts").asInt()) return false;
+            for (var group : status.get("groups")) {
+                var members = group.get("group").toString();
+                if (!members.contains("\"" + store + " (")
+                        || members.contains("learner")
+                        || group.get("group").size() != 3) return false;
             }
             return true;
         } catch (IOException e) {
@@ -246,31 +282,38 @@
         }
     }
 
-    public void await(String what, BooleanSupplier is) {
-        var until = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
-        while (!is.getAsBoolean()) {
-            if (System.nanoTime() > until) throw new AssertionError("not within " + WAIT_TIMEOUT_MILLIS + " ms: " + what);
+    /** Waits until the condition holds; fails with the description if it takes too long. */
+    public void await(String description, BooleanSupplier condition) {
+        var deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos)
+                throw new AssertionError("not within " + WAIT_TIMEOUT_MILLIS + " ms: " + description);
             LockSupport.parkNanos(50_000_000);
         }
     }
 
+    /**
+     * Waits until all processes are ready and this number of runners is up; sends the manifest once the stores are
+     * ready.
+     */
     public void awaitServing(long runners) {
         await("stores ready", () -> names("stores").stream().allMatch(this::ready));
-        var sent = CranewayMain.run(
+        var exitCode = CranewayMain.run(
                 "manifest", "send", folder.resolve("manifest.json").toString(), "--base", "0", "--at", operators());
-        if (sent != 0) throw new AssertionError("manifest not taken, code " + sent);
+        if (exitCode != 0) throw new AssertionError("the manifest was not accepted, exit code " + exitCode);
         await("routers ready", () -> names("routers").stream().allMatch(this::ready));
         await("runners up", () -> runnersUp() == runners);
     }
 
+    /** Returns a checker with the journals of all runners and these requesters. */
     public Checker check(Path... requesters) throws IOException {
-        var c = new Checker();
-        for (var n : names("runners")) {
-            var f = folder.resolve("journal").resolve(n + ".jsonl");
-            if (Files.exists(f)) c.runner(f);
+        var checker = new Checker();
+        for (var name : names("runners")) {
+            var journal = folder.resolve("journal").resolve(name + ".jsonl");
+            if (Files.exists(journal)) checker.runner(journal);
         }
-        for (var r : requesters) c.requester(r);
-        return c;
+        for (var requester : requesters) checker.requester(requester);
+        return checker;
     }
 
     @Override
--- a/test/standin/src/main/java/craneway/standin/RunnerCommand.java
+++ b/test/standin/src/main/java/craneway/standin/RunnerCommand.java
@@ -7,6 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** {@code standin runner}: runs a stand-in model server until the process is asked to stop. */
 @Command(name = "runner", description = "A streaming model server that makes up its tokens.")
 public final class RunnerCommand implements Callable<Integer> {
     @Option(names = "--name", required = true)
@@ -33,7 +34,7 @@
     @Option(names = "--prefill-ms", defaultValue = "40")
     int prefillMillis;
 
-    @Option(names = "--prefixes", defaultValue = "4", description = "how many prefixes the cache keeps")
+    @Option(names = "--prefixes", defaultValue = "4", description = "number of prompts in the prefix cache")
     int prefixes;
 
     @Option(names = "--warm-up-ms", defaultValue = "3000")
@@ -44,26 +45,26 @@
 
     @Override
     public Integer call() throws Exception {
-        var r = new StandinRunner(
+        var runner = new StandinRunner(
                 new StandinRunner.Shape(
                         name, listen, service, cell, slots, tokenMillis, prefillMillis, prefixes, warmUpMillis),
                 routers,
                 journal);
-        r.start();
-        var asked = new CountDownLatch(1);
-        var done = new CountDownLatch(1);
+        runner.start();
+        var stopRequested = new CountDownLatch(1);
+        var drained = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            asked.countDown();
+            stopRequested.countDown();
             try {
-                done.await();
+                drained.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }));
-        asked.await();
-        r.leave();
-        r.drain();
-        done.countDown();
+        stopRequested.await();
+        runner.leave();
+        runner.drain();
+        drained.countDown();
         return 0;
     }
 }
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -29,7 +29,20 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
+/**
+ * A stand-in for a model server: it streams made-up tokens at a fixed pace, simulates a prefix cache and a cold start,
+ * announces itself to routers and writes a journal of the requests it ran. Requests are served on several threads.
+ */
 public final class StandinRunner {
+    /**
+     * The address, capacity and speed of a runner.
+     *
+     * @param slots number of requests that run at once; further ones get status 503
+     * @param tokenMillis time for each token
+     * @param prefillMillis time before the first token if the prompt is not in the prefix cache
+     * @param prefixes number of prompts in the prefix cache
+     * @param warmUpMillis time after the start during which the runner is cold
+     */
     public record Shape(
             String name,
             String listen,
@@ -42,9 +55,10 @@
             int warmUpMillis) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
+    /** Finds the submission id and the idempotency key in the last message of a prompt. */
     private static final Pattern SUBMISSION = Pattern.compile("submission=(\\S+) key=(\\S*)");
 
-    private final Shape shape;
+    private final Shape settings;
     private final List<String> routers;
     private final PrintWriter journal;
     private final long incarnation = System.currentTimeMillis();
@@ -57,65 +71,69 @@
     private Undertow server;
     private volatile boolean leaving;
 
-    public StandinRunner(Shape shape, List<String> routers, Path journal) throws IOException {
-        this.shape = shape;
+    /** Creates a runner that appends to this journal; {@link #start} starts it. */
+    public StandinRunner(Shape settings, List<String> routers, Path journal) throws IOException {
+        this.settings = settings;
         this.routers = routers;
         this.journal =
                 new PrintWriter(Files.newBufferedWriter(journal, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
         this.prefixCache = new LinkedHashMap<>(16, 0.75f, true) {
             @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Boolean> e) {
-                return size() > shape.prefixes;
+            protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                return size() > settings.prefixes;
             }
         };
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 2)
-                        .set(Options.WORKER_TASK_CORE_THREADS, shape.slots + 8)
-                        .set(Options.WORKER_TASK_MAX_THREADS, shape.slots + 8)
+                        .set(Options.WORKER_TASK_CORE_THREADS, settings.slots + 8)
+                        .set(Options.WORKER_TASK_MAX_THREADS, settings.slots + 8)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         httpClient = new AsyncHttpClient(worker);
     }
 
+    /** Starts to serve requests and to announce the runner to the routers every 500 ms. */
     public void start() {
-        var at = shape.listen.lastIndexOf(':');
+        var colon = settings.listen.lastIndexOf(':');
         server = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(
-                        Integer.parseInt(shape.listen.substring(at + 1)),
-                        shape.listen.substring(0, at),
-                        x -> x.dispatch(() -> handleRequest(x)))
+                        Integer.parseInt(settings.listen.substring(colon + 1)),
+                        settings.listen.substring(0, colon),
+                        exchange -> exchange.dispatch(() -> handleRequest(exchange)))
                 .build();
         server.start();
         announcementScheduler.scheduleWithFixedDelay(this::announce, 0, 500, TimeUnit.MILLISECONDS);
     }
 
+    /** Returns the number of requests that are running. */
     public int running() {
         return running.get();
     }
 
     private boolean isCold() {
-        return System.nanoTime() - startedAtNanos < shape.warmUpMillis * 1_000_000L;
+        return System.nanoTime() - startedAtNanos < settings.warmUpMillis * 1_000_000L;
     }
 
     private void announce() {
         if (leaving) return;
-        for (var r : routers) {
+        for (var router : routers) {
             var body = JSON.createObjectNode()
-                    .put("service", shape.service)
-                    .put("name", shape.name)
-                    .put("address", shape.listen)
-                    .put("cell", shape.cell)
-                    .put("slots", shape.slots)
+                    .put("service", settings.service)
+                    .put("name", settings.name)
+                    .put("address", settings.listen)
+                    .put("cell", settings.cell)
+                    .put("slots", settings.slots)
                     .put("incarnation", incarnation)
                     .put("cold", isCold())
                     .put("load", running.get())
                     .toString();
-            announcementScheduler.execute(() -> postToRouter(r, "/v1/announce", body));
+            announcementScheduler.execute(() -> postToRouter(router, "/v1/announce", body));
         }
     }
 
+    /** Sends a message to a router and returns whether it replied with status 200. */
     private boolean postToRouter(String router, String path, String body) {
         try {
             return BufferedHttpResponse.fetch(
@@ -133,24 +151,28 @@
         }
     }
 
+    /** Stops announcing and tells all routers that the runner leaves. Returns whether at least one acknowledged. */
     public boolean leave() {
         leaving = true;
         var body = JSON.createObjectNode()
-                .put("service", shape.service)
-                .put("name", shape.name)
+                .put("service", settings.service)
+                .put("name", settings.name)
                 .put("incarnation", incarnation)
                 .toString();
-        var told = false;
-        for (var r : routers) told |= postToRouter(r, "/v1/leave", body);
-        writeJournalLine("leave", "", "", told ? 1 : 0);
-        return told;
+        var acknowledged = false;
+        for (var router : routers) acknowledged |= postToRouter(router, "/v1/leave", body);
+        writeJournalLine("leave", "", "", acknowledged ? 1 : 0);
+        return acknowledged;
     }
 
+    /** Waits until no request has been running at 40 checks in a row, 100 ms apart, and closes the runner. */
     public void drain() throws InterruptedException {
-        for (var quiet = 0; quiet < 40; quiet = running.get() == 0 ? quiet + 1 : 0) Thread.sleep(100);
+        for (var idleChecks = 0; idleChecks < 40; idleChecks = running.get() == 0 ? idleChecks + 1 : 0)
+            Thread.sleep(100);
         close();
     }
 
+    /** Stops the server and closes the journal; running requests are cut off. */
     public void close() {
         announcementScheduler.shutdownNow();
         server.stop();
@@ -158,24 +180,29 @@
         journal.close();
     }
 
-    private synchronized void writeJournalLine(String what, String sub, String key, int n) {
-        journal.println("{\"at\":" + System.currentTimeMillis() + ",\"runner\":\"" + shape.name + "\",\"what\":\""
-                + what + "\",\"sub\":\"" + sub + "\",\"key\":\"" + key + "\",\"n\":" + n + "}");
+    /**
+     * Writes a line of the journal.
+     *
+     * @param number the number of tokens; for {@code leave}, 1 if a router acknowledged and else 0
+     */
+    private synchronized void writeJournalLine(String event, String submissionId, String key, int number) {
+        journal.println("{\"at\":" + System.currentTimeMillis() + ",\"runner\":\"" + settings.name + "\",\"what\":\""
+                + event + "\",\"sub\":\"" + submissionId + "\",\"key\":\"" + key + "\",\"n\":" + number + "}");
         journal.flush();
     }
 
-    private void handleRequest(HttpServerExchange x) {
-        x.startBlocking();
-        x.getResponseHeaders().put(new HttpString("craneway-load"), running.get());
-        if (running.incrementAndGet() > shape.slots) {
+    private void handleRequest(HttpServerExchange exchange) {
+        exchange.startBlocking();
+        exchange.getResponseHeaders().put(new HttpString("craneway-load"), running.get());
+        if (running.incrementAndGet() > settings.slots) {
             running.decrementAndGet();
-            x.setStatusCode(503).endExchange();
+            exchange.setStatusCode(503).endExchange();
             return;
         }
         try {
-            streamTokens(x);
+            streamTokens(exchange);
         } catch (IOException e) {
-            IoUtils.safeClose(x.getConnection());
+            IoUtils.safeClose(exchange.getConnection());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -183,34 +210,36 @@
         }
     }
 
-    private void streamTokens(HttpServerExchange x) throws IOException, InterruptedException {
-        var n = JSON.readTree(x.getInputStream().readAllBytes());
-        var prompt = n.get("messages").get(0).get("content").asText();
-        Matcher m = SUBMISSION.matcher(n.get("messages")
-                .get(n.get("messages").size() - 1)
+    /** Streams the response. Prefill takes 2 ms on a prefix hit, and three times as long while the runner is cold. */
+    private void streamTokens(HttpServerExchange exchange) throws IOException, InterruptedException {
+        var request = JSON.readTree(exchange.getInputStream().readAllBytes());
+        var prompt = request.get("messages").get(0).get("content").asText();
+        Matcher matcher = SUBMISSION.matcher(request.get("messages")
+                .get(request.get("messages").size() - 1)
                 .get("content")
                 .asText());
-        var sub = m.find() ? m.group(1) : "";
-        var key = sub.isEmpty() ? "" : m.group(2);
-        var tokens = n.path("max_tokens").asInt(16);
-        writeJournalLine("start", sub, key, tokens);
-        var hit = cachePrefix(prompt);
-        Thread.sleep((hit ? 2 : shape.prefillMillis) * (isCold() ? 3L : 1L));
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
-        var o = x.getOutputStream();
+        var submissionId = matcher.find() ? matcher.group(1) : "";
+        var key = submissionId.isEmpty() ? "" : matcher.group(2);
+        var tokens = request.path("max_tokens").asInt(16);
+        writeJournalLine("start", submissionId, key, tokens);
+        var prefixHit = cachePrefix(prompt);
+        Thread.sleep((prefixHit ? 2 : settings.prefillMillis) * (isCold() ? 3L : 1L));
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
+        var output = exchange.getOutputStream();
         for (var i = 0; i < tokens; i++) {
-            var extra = i == 0 ? ",\"prefix\":\"" + (hit ? "hit" : "miss") + "\"" : "";
-            o.write(("data: {\"object\":\"chat.completion.chunk\",\"index_of_token\":" + i + extra
+            var prefixField = i == 0 ? ",\"prefix\":\"" + (prefixHit ? "hit" : "miss") + "\"" : "";
+            output.write(("data: {\"object\":\"chat.completion.chunk\",\"index_of_token\":" + i + prefixField
                             + ",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t" + i + " \"}}]}\n\n")
                     .getBytes(StandardCharsets.UTF_8));
-            o.flush();
-            Thread.sleep(shape.tokenMillis);
+            output.flush();
+            Thread.sleep(settings.tokenMillis);
         }
-        o.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
-        o.close();
-        writeJournalLine("end", sub, key, tokens);
+        output.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
+        output.close();
+        writeJournalLine("end", submissionId, key, tokens);
     }
 
+    /** Adds the prompt to the prefix cache and returns whether it was there already. */
     private boolean cachePrefix(String prompt) {
         synchronized (prefixCache) {
             return prefixCache.put(prompt, true) != null;
--- a/test/standin/src/main/java/craneway/standin/TrialCommand.java
+++ b/test/standin/src/main/java/craneway/standin/TrialCommand.java
@@ -10,10 +10,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** {@code standin trial}: runs load on a fleet of processes while faults are injected, and checks the promises. */
 @Command(
         name = "trial",
-        description =
-                "Brings up a fleet of processes, drives load through faults and compares the journals. Exit code 1 when a promise broke.")
+        description = "Starts a fleet of processes, injects faults under load and compares the journals. "
+                + "Exit code 1 if a promise was broken.")
 public final class TrialCommand implements Callable<Integer> {
     @Option(names = "--manifest", required = true)
     Path manifest;
@@ -46,23 +47,23 @@
             names = "--faults",
             split = ",",
             defaultValue = "kill-runner,stop-router,stop-store",
-            description = "in this order, spread over the load")
+            description = "faults to inject in this order, spread evenly over the load")
     List<String> faults;
 
     @Override
     public Integer call() throws Exception {
-        try (var f = new Fleet(folder, manifest, routers, runners, slots)) {
-            f.startAll();
-            f.awaitServing(f.names("runners").size());
+        try (var fleet = new Fleet(folder, manifest, routers, runners, slots)) {
+            fleet.startAll();
+            fleet.awaitServing(fleet.names("runners").size());
             var journal = folder.resolve("journal").resolve("requesters.jsonl");
             var load = CompletableFuture.supplyAsync(() -> CranewayMain.run(
                     "load",
                     "--to",
-                    f.addresses("routers", "requester"),
+                    fleet.addresses("routers", "requester"),
                     "--platform",
-                    f.addresses("routers", "platform"),
+                    fleet.addresses("routers", "platform"),
                     "--metrics",
-                    f.addresses("routers", "operator"),
+                    fleet.addresses("routers", "operator"),
                     "--service",
                     service,
                     "--work",
@@ -74,27 +75,30 @@
                     "--journal",
                     journal.toString()));
             for (var i = 0; i < faults.size(); i++) {
-                var at = (long) streams * (i + 1) / (faults.size() + 1);
-                f.await("submission " + at, () -> load.isDone() || countLines(journal) >= at);
+                var submissions = (long) streams * (i + 1) / (faults.size() + 1);
+                fleet.await("submission " + submissions, () -> load.isDone() || countLines(journal) >= submissions);
                 System.out.println("at submission " + countLines(journal) + ": " + faults.get(i));
-                Faults.bring(f, faults.get(i));
+                Faults.bring(fleet, faults.get(i));
             }
-            var code = load.join();
-            for (var r : f.names("runners")) if (f.isRunning(r)) f.ask(r);
-            for (var r : f.names("runners")) if (f.isRunning(r)) f.ended(r);
-            var c = f.check(journal);
-            var wrong = c.verdict(faults.stream().noneMatch(x -> x.matches("(kill|freeze)-(router|store)|wipe-store")));
-            System.out.println(c.counts());
-            wrong.forEach(System.out::println);
+            var loadExitCode = load.join();
+            for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ask(runner);
+            for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ended(runner);
+            var checker = fleet.check(journal);
+            var violations = checker.verdict(
+                    faults.stream().noneMatch(fault -> fault.matches("(kill|freeze)-(router|store)|wipe-store")));
+            System.out.println(checker.counts());
+            violations.forEach(System.out::println);
             System.out.println(
-                    wrong.isEmpty() ? "every promise checked here was kept" : wrong.size() + " promises broken");
-            return wrong.isEmpty() ? code : 1;
+                    violations.isEmpty()
+                            ? "every promise checked here was kept"
+                            : violations.size() + " promises broken");
+            return violations.isEmpty() ? loadExitCode : 1;
         }
     }
 
-    private static long countLines(Path p) {
-        try (var l = Files.lines(p)) {
-            return l.count();
+    private static long countLines(Path file) {
+        try (var lines = Files.lines(file)) {
+            return lines.count();
         } catch (IOException e) {
             return 0;
         }
--- a/tool/drill/src/main/java/craneway/drill/Outage.java
+++ b/tool/drill/src/main/java/craneway/drill/Outage.java
@@ -9,8 +9,16 @@
 import java.util.List;
 import java.util.Set;
 
+/**
+ * Checks how soon the runners of a zone stopped and started to get work when the zone was emptied and taken back. Times
+ * are wall clock times in milliseconds. Not thread-safe.
+ */
 public final class Outage {
-    public static final long EMPTY_MILLIS = 5_300, RETURN_MILLIS = 12_000;
+    /** An emptied zone must not get new work later than this after the confirmation (promise 5). */
+    public static final long EMPTY_MILLIS = 5_300;
+
+    /** A zone must get work again within this time after it was taken back (promise 12). */
+    public static final long RETURN_MILLIS = 12_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -19,44 +27,55 @@
     private final long takenBackAtMillis;
     private final List<Long> startTimesMillis = new ArrayList<>();
 
-    public Outage(Set<String> runners, long confirmed, long takenBack) {
-        this.zoneRunners = runners;
-        this.confirmedAtMillis = confirmed;
-        this.takenBackAtMillis = takenBack;
+    /**
+     * Creates a check of one outage.
+     *
+     * @param zoneRunners the names of the runners in the zone
+     * @param confirmedAtMillis when the plan that emptied the zone was confirmed
+     * @param takenBackAtMillis when the zone was taken back
+     */
+    public Outage(Set<String> zoneRunners, long confirmedAtMillis, long takenBackAtMillis) {
+        this.zoneRunners = zoneRunners;
+        this.confirmedAtMillis = confirmedAtMillis;
+        this.takenBackAtMillis = takenBackAtMillis;
     }
 
+    /** Adds a runner's journal; entries of runners outside the zone are ignored. */
     public void runner(Path journal) throws IOException {
-        for (var l : Files.readAllLines(journal)) addEntry(JSON.readTree(l));
+        for (var line : Files.readAllLines(journal)) addEntry(JSON.readTree(line));
     }
 
-    private void addEntry(JsonNode n) {
-        if (n.get("what").asText().equals("start")
-                && zoneRunners.contains(n.get("runner").asText()))
-            startTimesMillis.add(n.get("at").asLong());
+    private void addEntry(JsonNode entry) {
+        if (entry.get("what").asText().equals("start")
+                && zoneRunners.contains(entry.get("runner").asText()))
+            startTimesMillis.add(entry.get("at").asLong());
     }
 
+    /** Returns how long after the confirmation the zone last got new work before it was taken back, or 0. */
     public long lastAfterConfirm() {
         return startTimesMillis.stream()
-                .filter(t -> t > confirmedAtMillis && t < takenBackAtMillis)
-                .mapToLong(t -> t - confirmedAtMillis)
+                .filter(startMillis -> startMillis > confirmedAtMillis && startMillis < takenBackAtMillis)
+                .mapToLong(startMillis -> startMillis - confirmedAtMillis)
                 .max()
                 .orElse(0);
     }
 
+    /** Returns how long after it was taken back the zone first got work, or {@link Long#MAX_VALUE}. */
     public long firstAfterReturn() {
         return startTimesMillis.stream()
-                .filter(t -> t >= takenBackAtMillis)
-                .mapToLong(t -> t - takenBackAtMillis)
+                .filter(startMillis -> startMillis >= takenBackAtMillis)
+                .mapToLong(startMillis -> startMillis - takenBackAtMillis)
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
 
+    /** Returns the violations found, empty if both limits were kept. */
     public List<String> verdict() {
-        var wrong = new ArrayList<String>();
+        var violations = new ArrayList<String>();
         if (lastAfterConfirm() > EMPTY_MILLIS)
-            wrong.add("promise 5: the emptied zone got new work " + lastAfterConfirm() + " ms after the confirm");
+            violations.add("promise 5: the emptied zone got new work " + lastAfterConfirm() + " ms after the confirm");
         if (firstAfterReturn() > RETURN_MILLIS)
-            wrong.add("promise 12: the zone got no work within " + RETURN_MILLIS + " ms after it was taken back");
-        return wrong;
+            violations.add("promise 12: the zone got no work within " + RETURN_MILLIS + " ms after it was taken back");
+        return violations;
     }
 }
--- a/tool/drill/src/main/java/craneway/drill/package-info.java
+++ b/tool/drill/src/main/java/craneway/drill/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the promises of a drill from the journals of clients and runners. */
+/** Checks the promises of the system by the journals that requesters and runners wrote. */
 package craneway.drill;
