--- a/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
@@ -82,12 +82,12 @@
         Files.writeString(folder.resolve("manifest.json"), manifestText);
         for (var i = 0; i < 3; i++) seedAddresses.add(nextAddress());
         for (var i = 0; i < 3; i++) addStore("store-" + zones.get(i), zones.get(i), seedAddresses.get(i));
-        for (var zone = 0; zone < zones.size(); zone++)
-            for (var i = 1; i <= routers.get(zone); i++)
-                addRouter("router-" + zones.get(zone) + "-" + i, zones.get(zone));
-        for (var cell = 0; cell < service.cells().size(); cell++)
-            for (var i = 1; i <= runners.get(cell); i++)
-                addRunner(service, service.cells().get(cell), i);
+        for (var zoneIndex = 0; zoneIndex < zones.size(); zoneIndex++)
+            for (var i = 1; i <= routers.get(zoneIndex); i++)
+                addRouter("router-" + zones.get(zoneIndex) + "-" + i, zones.get(zoneIndex));
+        for (var cellIndex = 0; cellIndex < service.cells().size(); cellIndex++)
+            for (var i = 1; i <= runners.get(cellIndex); i++)
+                addRunner(service, service.cells().get(cellIndex), i);
         Files.writeString(folder.resolve("fleet.json"), fleetJson.toPrettyString() + "\n");
         writeScript("up.sh", String.join("\n", startCommands) + "\n");
         writeScript(
--- a/prog/craneway/src/main/java/craneway/command/load/RouterSelector.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterSelector.java
@@ -46,6 +46,7 @@
         readyAddresses = nowReady.isEmpty() ? requesterAddresses : List.copyOf(nowReady);
     }
 
+    /** Returns whether the router reports within 500 ms that it is ready. */
     private boolean isReady(String address) {
         try {
             return BufferedHttpResponse.fetch(
--- a/prog/craneway/src/main/java/craneway/command/load/SubmissionRecord.java
+++ b/prog/craneway/src/main/java/craneway/command/load/SubmissionRecord.java
@@ -4,8 +4,8 @@
  * The outcome of one submission, a line of the journal.
  *
  * @param verdict {@code whole}, {@code cut}, {@code false-end} or {@code disordered} for a stream; {@code refused} if
- *     no connection was made, {@code lost} if the connection ended before a status, {@code silent} if nothing arrived
- *     in time, {@code strange} for an error status without a problem code; otherwise the name of the problem's work
+ *     no connection was made, {@code lost} if the connection ended before a status, {@code silent} if the response
+ *     stalled, {@code strange} for an error status without a problem code; otherwise the name of the problem's work
  *     outcome in lower case
  * @param resultCode 200 for a stream, the problem code for a problem, otherwise 0
  * @param timeToFirstTokenMicros time until the first piece of the body, 0 if none arrived
--- a/test/standin/src/main/java/craneway/standin/Fleet.java
+++ b/test/standin/src/main/java/craneway/standin/Fleet.java
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Returns the status of the core from the first store that replies. */
+    /** Returns the status of the core from the first store that returns it. */
     public JsonNode status() throws IOException {
         IOException lastFailure = null;
         for (var address : operators().split(",")) {
@@ -293,8 +293,8 @@
     }
 
     /**
-     * Waits until all processes are ready and this number of runners is up; sends the manifest once the stores are
-     * ready.
+     * Waits until the stores are ready, sends the manifest, and waits until the routers are ready and this number of
+     * runners is up.
      */
     public void awaitServing(long runners) {
         await("stores ready", () -> names("stores").stream().allMatch(this::ready));
--- a/tool/drill/src/main/java/craneway/drill/Checker.java
+++ b/tool/drill/src/main/java/craneway/drill/Checker.java
@@ -15,7 +15,7 @@
  * work does not run (2), a stream is complete or visibly cut (3), extra runs stay within a budget (11), and every
  * submission ends with a verdict (12).
  *
- * All runner journals must be added before the first requester journal. Not thread-safe.
+ * <p>All runner journals must be added before the first requester journal. Not thread-safe.
  */
 public final class Checker {
     private static final ObjectMapper JSON = new ObjectMapper();
