--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -41,7 +41,8 @@
     /**
      * Sends a request to these addresses in turn until one responds, and returns the response.
      *
-     * <p>A request other than GET is not sent to a second address, because the failed call may already have taken effect.
+     * <p>A request other than GET is not sent to a second address, because the failed call may already have taken
+     * effect.
      *
      * @param addresses operator addresses as IP:PORT
      * @throws CommandFailure with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
--- a/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
@@ -29,9 +29,9 @@
  */
 @Command(
         name = "drill",
-        description =
-                "Empties a zone of a running fleet under load, takes it back, checks the promises by the journals and writes a report. "
-                        + "Exit code 1 if a promise was broken.")
+        description = "Empties a zone of a running fleet under load, takes it back, "
+                + "checks the promises by the journals and writes a report. "
+                + "Exit code 1 if a promise was broken.")
 public final class DrillCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** How long the drill waits for a condition before it fails. */
--- a/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
@@ -176,6 +176,7 @@
                 + ".log 2>&1 &\necho $! > pid/" + name);
     }
 
+    /** Writes an executable shell script that runs in the folder of the fleet. */
     private void writeScript(String name, String body) throws IOException {
         var script = folder.resolve(name);
         Files.writeString(
--- a/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
@@ -90,6 +90,10 @@
         }
     }
 
+    /**
+     * Submits work with a prompt of a system message that all work of its kind shares, so that runners can cache it,
+     * and a user message that names the submission for the journals.
+     */
     private SubmissionRecord submit(String submissionId, WorkMix.WorkKind kind, String tenant, String key, int tokens) {
         var headers = new HashMap<HttpString, String>();
         headers.put(HeaderNames.TENANT, tenant);
@@ -190,6 +194,10 @@
         };
     }
 
+    /**
+     * Judges a response that has ended. A complete stream has its end marker and a clean end of the connection; if only
+     * one of the two is there, the stream counts as a false end.
+     */
     private static SubmissionRecord recordOfEndedResponse(
             String submissionId,
             WorkMix.WorkKind kind,
--- a/prog/craneway/src/main/java/craneway/command/load/SubmissionRecord.java
+++ b/prog/craneway/src/main/java/craneway/command/load/SubmissionRecord.java
@@ -24,6 +24,7 @@
         long timeToFirstTokenMicros,
         long durationMicros,
         long retryAfterMillis) {
+    /** Creates a record with what the parser found in the response. */
     static SubmissionRecord of(
             String submissionId,
             WorkMix.WorkKind kind,
--- a/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
@@ -15,8 +15,8 @@
 public final class CoreCommand {
     @Command(
             name = "rebuild",
-            description =
-                    "Shows what the store at --at would keep; with --confirm TOKEN it continues alone as a new generation.")
+            description = "Shows what the store at --at would keep; "
+                    + "with --confirm TOKEN it continues alone as a new generation.")
     int rebuild(
             @Mixin At operators,
             @Option(
--- a/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
@@ -41,8 +41,8 @@
 
     @Command(
             name = "quiet",
-            description =
-                    "Shows which cells could be emptied now, and for how many past minutes the other cells had room for their load.")
+            description = "Shows which cells could be emptied now, "
+                    + "and for how many past minutes the other cells had room for their load.")
     int estimateDrains(@Mixin At operators) {
         JsonNode reply;
         try (var client = new OperatorClient()) {
--- a/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
@@ -12,8 +12,8 @@
 /** {@code craneway status}: prints the state of a core as seen by one node, as text or as JSON. */
 @Command(
         name = "status",
-        description =
-                "Shows parts, members, placement tables, runners and marks. Exit code 4 if a part has no reachable owner.")
+        description = "Shows parts, members, placement tables, runners and marks. "
+                + "Exit code 4 if a part has no reachable owner.")
 public final class StatusCommand implements Callable<Integer> {
     @Mixin
     At operatorAddresses;
--- a/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
@@ -30,8 +30,8 @@
 
     @Command(
             name = "export",
-            description =
-                    "Writes the records of finished transactions that these routers still hold, and a schema next to the file.")
+            description = "Writes the records of finished transactions that these routers still hold, "
+                    + "and a schema next to the file.")
     int export(
             @Mixin At operators,
             @Option(names = "--out", required = true, paramLabel = "FILE") Path out,
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -11,8 +11,8 @@
 /** {@code craneway replay}: runs one seed of the simulator with a timeline, or sweeps over many seeds. */
 @Command(
         name = "replay",
-        description =
-                "Runs a seed of random faults in the simulator and prints its timeline. Exit code 1 if a promise was broken.")
+        description = "Runs a seed of random faults in the simulator and prints its timeline. "
+                + "Exit code 1 if a promise was broken.")
 public final class ReplayCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SEED", arity = "0..1", description = "the seed to run")
     Long seed;
@@ -32,8 +32,8 @@
 
     @Option(
             names = "--day",
-            description =
-                    "runs a simulated day: load peak, changing mix, loss and cold return of a region, release, quiet night")
+            description = "runs a simulated day: load peak, changing mix, "
+                    + "loss and cold return of a region, release, quiet night")
     boolean day;
 
     @Option(names = "--shortest", description = "first reduces a failing schedule to the shortest one that still fails")
--- a/test/standin/src/main/java/craneway/standin/Faults.java
+++ b/test/standin/src/main/java/craneway/standin/Faults.java
@@ -7,7 +7,7 @@
     private Faults() {}
 
     /**
-     * Injects one fault and returns once it has taken effect.
+     * Injects one fault, waits until it has taken effect, and resumes a frozen process.
      *
      * @param fault the name of a fault, such as {@code kill-runner}; it acts on a fixed process of its kind, {@code
      *     start-all} and {@code rolling} on all
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -191,6 +191,7 @@
         journal.flush();
     }
 
+    /** Runs a request, or answers 503 if all slots are in use. */
     private void handleRequest(HttpServerExchange exchange) {
         exchange.startBlocking();
         exchange.getResponseHeaders().put(new HttpString("craneway-load"), running.get());
