--- a/prog/craneway/src/main/java/craneway/command/CommandFailure.java
+++ b/prog/craneway/src/main/java/craneway/command/CommandException.java
@@ -1,8 +1,8 @@
 package craneway.command;
 
 /** Ends a command with an exit code and a message for standard error. */
-public final class CommandFailure extends RuntimeException {
-    private final int code;
+public final class CommandException extends RuntimeException {
+    private final int exitCode;
 
     /**
      * Creates a failure.
@@ -10,13 +10,13 @@
      * @param exitCode the exit code of the command
      * @param message the message for standard error
      */
-    public CommandFailure(int exitCode, String message) {
+    public CommandException(int exitCode, String message) {
         super(message);
-        this.code = exitCode;
+        this.exitCode = exitCode;
     }
 
     /** Returns the exit code of the command. */
-    public int code() {
-        return code;
+    public int exitCode() {
+        return exitCode;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/CommandRunner.java
+++ b/prog/craneway/src/main/java/craneway/command/CommandRunner.java
@@ -15,7 +15,7 @@
      *
      * @param command an object annotated as a picocli command
      * @param arguments the arguments after the command's name
-     * @return the command's exit code; that of a {@link CommandFailure}, or 1 for any other exception
+     * @return the command's exit code; that of a {@link CommandException}, or 1 for any other exception
      */
     public static int run(Object command, String... arguments) {
         EventLog.configureLogging();
@@ -25,9 +25,9 @@
     }
 
     private static int reportFailure(Exception exception) {
-        if (exception instanceof CommandFailure failure) {
+        if (exception instanceof CommandException failure) {
             System.err.println(failure.getMessage());
-            return failure.code();
+            return failure.exitCode();
         }
         System.err.println(exception);
         return EXIT_FAILURE;
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -14,13 +14,13 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link CommandFailure}.
+ * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link CommandException}.
  */
 public final class OperatorClient implements AutoCloseable {
     private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
 
     private final XnioWorker worker;
-    private final AsyncHttpClient caller;
+    private final AsyncHttpClient httpClient;
 
     /** Creates a client with I/O threads of its own, which run until {@link #close}. */
     public OperatorClient() {
@@ -28,14 +28,14 @@
             worker = Xnio.getInstance()
                     .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 4, Options.TCP_NODELAY, true));
         } catch (IOException e) {
-            throw new CommandFailure(1, e.getMessage());
+            throw new CommandException(1, e.getMessage());
         }
-        caller = new AsyncHttpClient(worker);
+        httpClient = new AsyncHttpClient(worker);
     }
 
     /** Returns the HTTP client that this client sends its requests with. */
-    public AsyncHttpClient caller() {
-        return caller;
+    public AsyncHttpClient httpClient() {
+        return httpClient;
     }
 
     /**
@@ -48,13 +48,13 @@
      * @throws CommandFailure with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
      *     and 1 if no address responds
      */
-    public BufferedHttpResponse call(
+    public BufferedHttpResponse request(
             List<String> addresses, HttpString method, String path, Map<HttpString, String> headers, String body) {
         IOException lastFailure = null;
         for (var address : addresses) {
             try {
                 return requireSuccess(BufferedHttpResponse.fetch(
-                        caller,
+                        httpClient,
                         address,
                         method,
                         path,
@@ -66,12 +66,12 @@
                 if (!method.equals(Methods.GET)) break;
             }
         }
-        throw new CommandFailure(1, "no reply: " + (lastFailure == null ? "no address" : lastFailure.getMessage()));
+        throw new CommandException(1, "no reply: " + (lastFailure == null ? "no address" : lastFailure.getMessage()));
     }
 
     private static BufferedHttpResponse requireSuccess(BufferedHttpResponse response) {
         if (response.status() < 400) return response;
-        throw new CommandFailure(
+        throw new CommandException(
                 response.status() == 503 ? 4 : 3,
                 "declined (" + response.status() + "): " + response.text().trim());
     }
--- a/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.CommandRunner;
 import craneway.command.OperatorClient;
 import craneway.command.load.LoadCommand;
-import craneway.drill.Checker;
-import craneway.drill.Outage;
+import craneway.drill.JournalChecker;
+import craneway.drill.ZoneOutageChecker;
 import io.undertow.util.Methods;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -67,8 +67,8 @@
     public Integer call() throws IOException {
         fleetJson = JSON.readTree(Files.readString(folder.resolve("fleet.json")));
         var zoneRunners = runnersInZone(zone);
-        if (zoneRunners.isEmpty()) throw new CommandFailure(2, "the fleet has no runner in zone " + zone);
-        if (hold < 6) throw new CommandFailure(2, "--hold-seconds must be at least 6 to check the promise of 5 s");
+        if (zoneRunners.isEmpty()) throw new CommandException(2, "the fleet has no runner in zone " + zone);
+        if (hold < 6) throw new CommandException(2, "--hold-seconds must be at least 6 to check the promise of 5 s");
         var journal = folder.resolve("journal").resolve("drill-" + System.currentTimeMillis() + ".jsonl");
         var load = CompletableFuture.supplyAsync(() -> CommandRunner.run(
                 new LoadCommand(),
@@ -98,36 +98,37 @@
             confirmedAtMillis = System.currentTimeMillis();
             sleepMillis(hold * 1_000L);
             if (load.isDone())
-                throw new CommandFailure(2, "the load ended before the zone was taken back; raise --streams");
+                throw new CommandException(2, "the load ended before the zone was taken back; raise --streams");
             takenBackAtMillis = System.currentTimeMillis();
             confirmIntent(client, "take-back-zone");
         }
         var loadExitCode = load.join();
-        return checkAndReport(journal, new Outage(zoneRunners, confirmedAtMillis, takenBackAtMillis), loadExitCode);
+        return checkAndReport(
+                journal, new ZoneOutageChecker(zoneRunners, confirmedAtMillis, takenBackAtMillis), loadExitCode);
     }
 
     /** Checks the journals, writes and prints the report and returns the exit code. */
-    private int checkAndReport(Path journal, Outage outage, int loadExitCode) throws IOException {
-        var checker = new Checker();
+    private int checkAndReport(Path journal, ZoneOutageChecker outage, int loadExitCode) throws IOException {
+        var checker = new JournalChecker();
         for (var runner : nodeNames("runners")) {
             var runnerJournal = folder.resolve("journal").resolve(runner + ".jsonl");
-            checker.runner(runnerJournal);
-            outage.runner(runnerJournal);
+            checker.addRunnerJournal(runnerJournal);
+            outage.addRunnerJournal(runnerJournal);
         }
-        checker.requester(journal);
-        var violations = new ArrayList<>(checker.verdict(true));
-        violations.addAll(outage.verdict());
+        checker.addRequesterJournal(journal);
+        var violations = new ArrayList<>(checker.findViolations(true));
+        violations.addAll(outage.findViolations());
         if (loadExitCode != 0) violations.add("the load ended with code " + loadExitCode);
-        var text = new StringBuilder("drill of zone " + zone + "\n" + checker.counts() + "\n");
+        var text = new StringBuilder("drill of zone " + zone + "\n" + checker.summary() + "\n");
         text.append("last new work after the confirm: ")
-                .append(outage.lastAfterConfirm())
+                .append(outage.lastStartAfterConfirmMillis())
                 .append(" ms (limit ")
-                .append(Outage.EMPTY_MILLIS)
+                .append(ZoneOutageChecker.EMPTYING_LIMIT_MILLIS)
                 .append(")\n");
         text.append("first work after taking back: ")
-                .append(outage.firstAfterReturn())
+                .append(outage.firstStartAfterReturnMillis())
                 .append(" ms (limit ")
-                .append(Outage.RETURN_MILLIS)
+                .append(ZoneOutageChecker.RETURN_LIMIT_MILLIS)
                 .append(")\n");
         violations.forEach(violation -> text.append("BROKEN ").append(violation).append('\n'));
         text.append(
@@ -142,7 +143,7 @@
     /** Submits an intent for the zone, confirms its plan and waits until every router has acknowledged it. */
     private void confirmIntent(OperatorClient client, String intent) throws IOException {
         var operators = List.of(joinAddresses("stores", "operator").split(","));
-        var plan = JSON.readTree(client.call(
+        var plan = JSON.readTree(client.request(
                                 operators,
                                 Methods.POST,
                                 "/v1/intents",
@@ -154,13 +155,14 @@
                         .text())
                 .get("plan")
                 .asLong();
-        var state = JSON.readTree(client.call(operators, Methods.POST, "/v1/plans/" + plan + "/confirm", Map.of(), "")
-                        .text())
+        var state = JSON.readTree(
+                        client.request(operators, Methods.POST, "/v1/plans/" + plan + "/confirm", Map.of(), "")
+                                .text())
                 .get("state")
                 .asText();
         for (var deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000; state.equals("pending"); ) {
-            if (System.nanoTime() > deadlineNanos) throw new CommandFailure(4, intent + " stayed pending");
-            state = JSON.readTree(client.call(operators, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
+            if (System.nanoTime() > deadlineNanos) throw new CommandException(4, intent + " stayed pending");
+            state = JSON.readTree(client.request(operators, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
                             .text())
                     .get("state")
                     .asText();
@@ -206,7 +208,7 @@
         var deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos)
-                throw new CommandFailure(4, "not within " + WAIT_TIMEOUT_MILLIS + " ms: " + description);
+                throw new CommandException(4, "not within " + WAIT_TIMEOUT_MILLIS + " ms: " + description);
             LockSupport.parkNanos(50_000_000);
         }
     }
--- a/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
 import java.io.IOException;
@@ -67,16 +67,16 @@
     public Integer call() throws IOException {
         var manifestText = Files.readString(manifest);
         var parsedManifest = ManifestReader.read(manifestText)
-                .getOrElseThrow(problem -> new CommandFailure(3, "not valid: " + problem.detail()));
+                .getOrElseThrow(problem -> new CommandException(3, "not valid: " + problem.detail()));
         var zones = List.copyOf(parsedManifest.zones().keySet());
         var service = parsedManifest.services().values().iterator().next();
         if (routers.size() != zones.size())
-            throw new CommandFailure(2, "--routers needs " + zones.size() + " numbers, one for each zone");
+            throw new CommandException(2, "--routers needs " + zones.size() + " numbers, one for each zone");
         if (runners.size() != service.cells().size())
-            throw new CommandFailure(2, "--runners needs " + service.cells().size() + " numbers, one for each cell");
-        if (zones.size() < 3) throw new CommandFailure(2, "a fleet needs three zones for its three stores");
+            throw new CommandException(2, "--runners needs " + service.cells().size() + " numbers, one for each cell");
+        if (zones.size() < 3) throw new CommandException(2, "a fleet needs three zones for its three stores");
         if (Files.exists(folder) && Files.list(folder).findAny().isPresent())
-            throw new CommandFailure(2, folder + " is not empty");
+            throw new CommandException(2, folder + " is not empty");
         for (var directory : List.of("startup", "data", "log", "pid", "journal"))
             Files.createDirectories(folder.resolve(directory));
         Files.writeString(folder.resolve("manifest.json"), manifestText);
--- a/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
@@ -1,6 +1,6 @@
 package craneway.command.load;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import craneway.http.Addresses;
 import java.io.IOException;
@@ -78,11 +78,11 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         for (var address : to)
-            if (Addresses.isInvalid(address)) throw new CommandFailure(2, "--to " + address + " is not IP:PORT");
+            if (Addresses.isInvalid(address)) throw new CommandException(2, "--to " + address + " is not IP:PORT");
         if (streams < 1 || atOnce < 1 || tenants < 1 || tokens < 1 || asks < 1)
-            throw new CommandFailure(2, "--streams, --at-once, --tenants, --tokens and --asks must be at least 1");
+            throw new CommandException(2, "--streams, --at-once, --tenants, --tokens and --asks must be at least 1");
         if (!platform.isEmpty() && platform.size() != to.size())
-            throw new CommandFailure(2, "--platform needs one address for each address of --to");
+            throw new CommandException(2, "--platform needs one address for each address of --to");
         var workMix = WorkMix.parse(work);
         var report = new LoadReport(journal);
         try (var client = new OperatorClient();
@@ -103,7 +103,7 @@
         var threads = new ArrayList<Thread>();
         for (var i = 0; i < atOnce; i++) {
             var loadClient = new LoadClient(
-                    client.caller(),
+                    client.httpClient(),
                     routerSelector,
                     service,
                     workMix,
--- a/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
@@ -17,9 +17,9 @@
         for (var address : operatorAddresses) {
             String metricsText;
             try {
-                metricsText = client.call(List.of(address), Methods.GET, "/metrics", Map.of(), "")
+                metricsText = client.request(List.of(address), Methods.GET, "/metrics", Map.of(), "")
                         .text();
-            } catch (craneway.command.CommandFailure e) {
+            } catch (craneway.command.CommandException e) {
                 continue;
             }
             requestsAccepted += sumOfMetric(metricsText, "craneway_transactions_taken_total");
--- a/prog/craneway/src/main/java/craneway/command/load/RouterSelector.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterSelector.java
@@ -50,7 +50,7 @@
     private boolean isReady(String address) {
         try {
             return BufferedHttpResponse.fetch(
-                                    client.caller(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
+                                    client.httpClient(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
                             .status()
                     == 200;
         } catch (IOException e) {
--- a/prog/craneway/src/main/java/craneway/command/load/WorkMix.java
+++ b/prog/craneway/src/main/java/craneway/command/load/WorkMix.java
@@ -1,6 +1,6 @@
 package craneway.command.load;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -20,12 +20,12 @@
         var kinds = new ArrayList<WorkKind>();
         for (var entry : entries) {
             if (!entry.matches("[A-Za-z0-9._-]+:\\d{1,4}(:once)?"))
-                throw new CommandFailure(2, "--work " + entry + " is not NAME:SHARE[:once]");
+                throw new CommandException(2, "--work " + entry + " is not NAME:SHARE[:once]");
             var fields = entry.split(":");
             kinds.add(new WorkKind(fields[0], Integer.parseInt(fields[1]), fields.length == 3));
         }
         var shareSum = kinds.stream().mapToInt(WorkKind::share).sum();
-        if (shareSum == 0) throw new CommandFailure(2, "--work: the shares must not all be 0");
+        if (shareSum == 0) throw new CommandException(2, "--work: the shares must not all be 0");
         return new WorkMix(kinds, shareSum);
     }
 
--- a/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
@@ -1,6 +1,6 @@
 package craneway.command.measure;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.sim.Measures;
 import java.util.Arrays;
 import java.util.concurrent.Callable;
@@ -22,10 +22,11 @@
 
     @Override
     public Integer call() {
-        if (!seeds.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, "--seeds " + seeds + " is not FROM-TO");
+        if (!seeds.matches("\\d{1,15}-\\d{1,15}"))
+            throw new CommandException(2, "--seeds " + seeds + " is not FROM-TO");
         var firstSeed = Long.parseLong(seeds.split("-")[0]);
         var lastSeed = Long.parseLong(seeds.split("-")[1]);
-        if (lastSeed < firstSeed) throw new CommandFailure(2, "--seeds " + seeds + ": the end is before the start");
+        if (lastSeed < firstSeed) throw new CommandException(2, "--seeds " + seeds + ": the end is before the start");
         var allSeeds = LongStream.rangeClosed(firstSeed, lastSeed).toArray();
         switch (measurement) {
             case "owner-killed" -> {
@@ -56,7 +57,7 @@
                                 .parallel()
                                 .mapToDouble(Measures::coldShare)
                                 .toArray());
-            default -> throw new CommandFailure(2, "unknown measurement " + measurement);
+            default -> throw new CommandException(2, "unknown measurement " + measurement);
         }
         return 0;
     }
--- a/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
@@ -1,7 +1,7 @@
 package craneway.command.operator;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import io.undertow.util.Methods;
 import java.util.List;
@@ -18,19 +18,19 @@
             description = "Shows what the store at --at would keep; "
                     + "with --confirm TOKEN it continues alone as a new generation.")
     int rebuild(
-            @Mixin At operators,
+            @Mixin OperatorAddresses operators,
             @Option(
                             names = "--confirm",
                             paramLabel = "TOKEN",
                             description = "the token that was printed without this option")
                     String token) {
         if (operators.validAddresses().size() != 1)
-            throw new CommandFailure(2, "--at must be the operator address of the one store to continue from");
+            throw new CommandException(2, "--at must be the operator address of the one store to continue from");
         JsonNode proposal;
         try (var client = new OperatorClient()) {
             proposal = PlanFormatter.parseJson((token == null
-                            ? client.call(operators.validAddresses(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
-                            : client.call(
+                            ? client.request(operators.validAddresses(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
+                            : client.request(
                                     operators.validAddresses(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
                     .text());
         }
@@ -50,10 +50,10 @@
     @Command(
             name = "accept-claims",
             description = "Allows run-once work again after a rebuild, although claims may be lost.")
-    int acceptClaims(@Mixin At operators) {
+    int acceptClaims(@Mixin OperatorAddresses operators) {
         try (var client = new OperatorClient()) {
             System.out.println(
-                    client.call(operators.validAddresses(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
+                    client.request(operators.validAddresses(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
                             .text()
                             .strip());
         }
--- a/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
@@ -20,12 +20,12 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Command(name = "empty-zone")
-    int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At operators) {
+    int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin OperatorAddresses operators) {
         return submit(newIntent(Intent.EMPTY_ZONE).put("zone", zone), operators);
     }
 
     @Command(name = "take-back-zone")
-    int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At operators) {
+    int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin OperatorAddresses operators) {
         return submit(newIntent(Intent.TAKE_BACK_ZONE).put("zone", zone), operators);
     }
 
@@ -33,7 +33,7 @@
     int emptyCell(
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
-            @Mixin At operators) {
+            @Mixin OperatorAddresses operators) {
         return submit(newIntent(Intent.EMPTY_CELL).put("service", service).put("cell", cell), operators);
     }
 
@@ -41,7 +41,7 @@
     int takeBackCell(
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
-            @Mixin At operators) {
+            @Mixin OperatorAddresses operators) {
         return submit(newIntent(Intent.TAKE_BACK_CELL).put("service", service).put("cell", cell), operators);
     }
 
@@ -49,14 +49,14 @@
     int keepTenant(
             @Parameters(paramLabel = "TENANT") String tenant,
             @Option(names = "--in", required = true, split = ",") List<String> regions,
-            @Mixin At operators) {
+            @Mixin OperatorAddresses operators) {
         var intent = newIntent(Intent.KEEP_TENANT).put("tenant", tenant);
         regions.forEach(intent.putArray("regions")::add);
         return submit(intent, operators);
     }
 
     @Command(name = "release-tenant")
-    int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin At operators) {
+    int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin OperatorAddresses operators) {
         return submit(newIntent(Intent.RELEASE_TENANT).put("tenant", tenant), operators);
     }
 
@@ -64,10 +64,10 @@
         return JSON.createObjectNode().put("intent", name);
     }
 
-    private static int submit(ObjectNode intent, At operators) {
+    private static int submit(ObjectNode intent, OperatorAddresses operators) {
         try (var client = new OperatorClient()) {
             System.out.println(PlanFormatter.format(
-                    client.call(operators.validAddresses(), Methods.POST, "/v1/intents", Map.of(), intent.toString())
+                    client.request(operators.validAddresses(), Methods.POST, "/v1/intents", Map.of(), intent.toString())
                             .text()));
         }
         return 0;
--- a/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import craneway.http.BufferedHttpResponse;
 import craneway.http.HeaderNames;
@@ -38,7 +38,7 @@
                     + "Exit code 5 while a node may still act on the older manifest.")
     int send(
             @Parameters(paramLabel = "FILE") Path file,
-            @Mixin At operators,
+            @Mixin OperatorAddresses operators,
             @Option(
                             names = "--base",
                             required = true,
@@ -47,7 +47,7 @@
         var text = readFile(file);
         requireValid(text);
         try (var client = new OperatorClient()) {
-            return printRolloutState(client.call(
+            return printRolloutState(client.request(
                     operators.validAddresses(),
                     Methods.PUT,
                     "/v1/manifest",
@@ -60,9 +60,9 @@
             name = "watch",
             description = "Waits up to 3 s until a manifest is in force on every node. "
                     + "Exit code 5 while a node may still act on an older manifest.")
-    int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin At operators) {
+    int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin OperatorAddresses operators) {
         try (var client = new OperatorClient()) {
-            return printRolloutState(client.call(
+            return printRolloutState(client.request(
                     operators.validAddresses(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
         }
     }
@@ -79,7 +79,7 @@
     }
 
     @Command(name = "show", description = "Prints the manifest in force, and its version on standard error.")
-    int show(@Mixin At operators) {
+    int show(@Mixin OperatorAddresses operators) {
         var response = fetchManifest(operators);
         System.err.println("version " + response.headers().getFirst(HeaderNames.MANIFEST_VERSION));
         System.out.print(response.text());
@@ -87,7 +87,7 @@
     }
 
     @Command(name = "diff", description = "Compares a file with the manifest in force. Exit code 1 if they differ.")
-    int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin At operators) throws IOException {
+    int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin OperatorAddresses operators) throws IOException {
         var fileValues = new TreeMap<String, String>();
         var currentValues = new TreeMap<String, String>();
         var text = readFile(file);
@@ -125,9 +125,9 @@
         else values.put(path, node.toString());
     }
 
-    private static BufferedHttpResponse fetchManifest(At operators) {
+    private static BufferedHttpResponse fetchManifest(OperatorAddresses operators) {
         try (var client = new OperatorClient()) {
-            return client.call(operators.validAddresses(), Methods.GET, "/v1/manifest", Map.of(), "");
+            return client.request(operators.validAddresses(), Methods.GET, "/v1/manifest", Map.of(), "");
         }
     }
 
@@ -135,13 +135,13 @@
         try {
             return Files.readString(file);
         } catch (IOException e) {
-            throw new CommandFailure(2, "cannot read " + file + ": " + e.getMessage());
+            throw new CommandException(2, "cannot read " + file + ": " + e.getMessage());
         }
     }
 
     private static void requireValid(String text) {
         var manifest = ManifestReader.read(text);
         if (manifest.isLeft())
-            throw new CommandFailure(3, "not valid: " + manifest.getLeft().detail());
+            throw new CommandException(3, "not valid: " + manifest.getLeft().detail());
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/At.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/OperatorAddresses.java
@@ -1,12 +1,12 @@
 package craneway.command.operator;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.http.Addresses;
 import java.util.List;
 import picocli.CommandLine.Option;
 
 /** The option {@code --at}: the operator addresses that a command sends its requests to. */
-public final class At {
+public final class OperatorAddresses {
     @Option(
             names = "--at",
             required = true,
@@ -17,7 +17,7 @@
     /** Returns the addresses in the given order; fails with exit code 2 if one is not IP:PORT. */
     List<String> validAddresses() {
         for (var address : addresses)
-            if (Addresses.isInvalid(address)) throw new CommandFailure(2, "--at " + address + " is not IP:PORT");
+            if (Addresses.isInvalid(address)) throw new CommandException(2, "--at " + address + " is not IP:PORT");
         return addresses;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
@@ -16,26 +16,26 @@
     static final int EXIT_PENDING = 5;
 
     @Command(name = "show")
-    int show(@Parameters(paramLabel = "PLAN") long plan, @Mixin At operators) {
+    int show(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses operators) {
         return requestPlan(Methods.GET, plan, "", operators);
     }
 
     @Command(
             name = "confirm",
             description = "Puts a plan in force. Exit code 5 while a router has not acknowledged it.")
-    int confirm(@Parameters(paramLabel = "PLAN") long plan, @Mixin At operators) {
+    int confirm(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses operators) {
         return requestPlan(Methods.POST, plan, "/confirm", operators);
     }
 
     @Command(name = "stop")
-    int stop(@Parameters(paramLabel = "PLAN") long plan, @Mixin At operators) {
+    int stop(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses operators) {
         return requestPlan(Methods.POST, plan, "/stop", operators);
     }
 
     @Command(
             name = "watch",
             description = "Waits up to 3 s until every router has acknowledged the plan. Exit code 5 if one has not.")
-    int watch(@Parameters(paramLabel = "PLAN") long plan, @Mixin At operators) {
+    int watch(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses operators) {
         return requestPlan(Methods.GET, plan, "/watch", operators);
     }
 
@@ -43,11 +43,11 @@
             name = "quiet",
             description = "Shows which cells could be emptied now, "
                     + "and for how many past minutes the other cells had room for their load.")
-    int estimateDrains(@Mixin At operators) {
+    int estimateDrains(@Mixin OperatorAddresses operators) {
         JsonNode reply;
         try (var client = new OperatorClient()) {
             reply = PlanFormatter.parseJson(
-                    client.call(operators.validAddresses(), Methods.GET, "/v1/quiet", Map.of(), "")
+                    client.request(operators.validAddresses(), Methods.GET, "/v1/quiet", Map.of(), "")
                             .text());
         }
         for (var cell : reply.get("cells")) System.out.println(formatCell(cell));
@@ -78,9 +78,10 @@
      *
      * @param pathSuffix the part of the path after the number of the plan
      */
-    static int requestPlan(HttpString method, long plan, String pathSuffix, At operators) {
+    static int requestPlan(HttpString method, long plan, String pathSuffix, OperatorAddresses operators) {
         try (var client = new OperatorClient()) {
-            var reply = client.call(operators.validAddresses(), method, "/v1/plans/" + plan + pathSuffix, Map.of(), "")
+            var reply = client.request(
+                            operators.validAddresses(), method, "/v1/plans/" + plan + pathSuffix, Map.of(), "")
                     .text();
             System.out.println(PlanFormatter.format(reply));
             return "pending".equals(PlanFormatter.parseJson(reply).path("state").asText()) ? EXIT_PENDING : 0;
--- a/prog/craneway/src/main/java/craneway/command/operator/PlanFormatter.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanFormatter.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 
 /** Formats plans, which the operator interface returns as JSON, as text. */
 final class PlanFormatter {
@@ -16,7 +16,7 @@
         try {
             return JSON.readTree(text);
         } catch (JsonProcessingException e) {
-            throw new CommandFailure(1, "the reply is not valid JSON: " + e.getOriginalMessage());
+            throw new CommandException(1, "the reply is not valid JSON: " + e.getOriginalMessage());
         }
     }
 
--- a/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
@@ -16,7 +16,7 @@
                 + "Exit code 4 if a part has no reachable owner.")
 public final class StatusCommand implements Callable<Integer> {
     @Mixin
-    At operatorAddresses;
+    OperatorAddresses operatorAddresses;
 
     @Option(names = "--json")
     boolean json;
@@ -25,7 +25,7 @@
     public Integer call() {
         JsonNode status;
         try (var client = new OperatorClient()) {
-            var text = client.call(operatorAddresses.validAddresses(), Methods.GET, "/v1/status", Map.of(), "")
+            var text = client.request(operatorAddresses.validAddresses(), Methods.GET, "/v1/status", Map.of(), "")
                     .text();
             status = PlanFormatter.parseJson(text);
             System.out.print(json ? text : format(status));
--- a/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -33,7 +33,7 @@
             description = "Writes the records of finished transactions that these routers still hold, "
                     + "and a schema next to the file.")
     int export(
-            @Mixin At operators,
+            @Mixin OperatorAddresses operators,
             @Option(names = "--out", required = true, paramLabel = "FILE") Path out,
             @Option(names = "--format", defaultValue = "csv", description = "csv") String format,
             @Option(
@@ -43,10 +43,10 @@
                     String from,
             @Option(names = "--to", paramLabel = "TIME", description = "ended before this time") String to)
             throws IOException {
-        if (!format.equals("csv")) throw new CommandFailure(2, "--format " + format + " is not csv");
+        if (!format.equals("csv")) throw new CommandException(2, "--format " + format + " is not csv");
         var fromMicros = parseMicros("--from", from, 0);
         var toMicros = parseMicros("--to", to, Long.MAX_VALUE);
-        if (toMicros <= fromMicros) throw new CommandFailure(2, "--to is not after --from");
+        if (toMicros <= fromMicros) throw new CommandException(2, "--to is not after --from");
         var rowCount = 0;
         try (var client = new OperatorClient();
                 var writer = Files.newBufferedWriter(out);
@@ -55,7 +55,7 @@
             for (var address : operators.validAddresses())
                 rowCount += exportRows(client, address, fromMicros, toMicros, printer);
         } catch (IOException e) {
-            throw new CommandFailure(2, "cannot write " + out + ": " + e.getMessage());
+            throw new CommandException(2, "cannot write " + out + ": " + e.getMessage());
         }
         Files.writeString(out.resolveSibling(out.getFileName() + ".schema.json"), schemaJson());
         System.out.println(rowCount + " rows");
@@ -68,7 +68,7 @@
         try {
             return Instant.parse(text).toEpochMilli() * 1000;
         } catch (DateTimeParseException e) {
-            throw new CommandFailure(2, option + " " + text + " is no time such as 2026-01-31T00:00:00Z");
+            throw new CommandException(2, option + " " + text + " is no time such as 2026-01-31T00:00:00Z");
         }
     }
 
@@ -82,7 +82,7 @@
         var rowCount = 0;
         for (long lastRowNumber = 0; ; ) {
             var page = PlanFormatter.parseJson(
-                    client.call(List.of(address), Methods.GET, "/v1/usage?after=" + lastRowNumber, Map.of(), "")
+                    client.request(List.of(address), Methods.GET, "/v1/usage?after=" + lastRowNumber, Map.of(), "")
                             .text());
             if (page.get("rows").isEmpty()) return rowCount;
             for (var row : page.get("rows")) {
--- a/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
@@ -19,7 +19,7 @@
     int empty(
             @Parameters(paramLabel = "ZONE") String zone,
             @Option(names = "--confirm") boolean confirm,
-            @Mixin At operators) {
+            @Mixin OperatorAddresses operators) {
         return submitIntent(Intent.EMPTY_ZONE, zone, confirm, operators);
     }
 
@@ -27,14 +27,14 @@
     int takeBack(
             @Parameters(paramLabel = "ZONE") String zone,
             @Option(names = "--confirm") boolean confirm,
-            @Mixin At operators) {
+            @Mixin OperatorAddresses operators) {
         return submitIntent(Intent.TAKE_BACK_ZONE, zone, confirm, operators);
     }
 
-    private static int submitIntent(String intent, String zone, boolean confirm, At operators) {
+    private static int submitIntent(String intent, String zone, boolean confirm, OperatorAddresses operators) {
         String planJson;
         try (var client = new OperatorClient()) {
-            planJson = client.call(
+            planJson = client.request(
                             operators.validAddresses(),
                             Methods.POST,
                             "/v1/intents",
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -1,6 +1,6 @@
 package craneway.command.replay;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.sim.Chaos;
 import craneway.sim.Day;
 import java.util.concurrent.Callable;
@@ -41,7 +41,7 @@
 
     @Override
     public Integer call() {
-        if ((seed == null) == (sweep == null)) throw new CommandFailure(2, "give either one SEED or --sweep FROM-TO");
+        if ((seed == null) == (sweep == null)) throw new CommandException(2, "give either one SEED or --sweep FROM-TO");
         if (sweep == null) return day ? replayDay() : replayFaults();
         var seedSweep = new SeedSweep(SeedSweep.parseShape(shape), day, sweep);
         seedSweep.print();
--- a/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
@@ -1,6 +1,6 @@
 package craneway.command.replay;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.sim.Chaos;
 import craneway.sim.Day;
 import craneway.sim.Limit;
@@ -33,10 +33,10 @@
     SeedSweep(Shape shape, boolean simulatesDays, String seedRange) {
         this.shape = shape;
         this.simulatesDays = simulatesDays;
-        if (!seedRange.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, seedRange + " is not FROM-TO");
+        if (!seedRange.matches("\\d{1,15}-\\d{1,15}")) throw new CommandException(2, seedRange + " is not FROM-TO");
         var firstSeed = Long.parseLong(seedRange.split("-")[0]);
         var lastSeed = Long.parseLong(seedRange.split("-")[1]);
-        if (lastSeed < firstSeed) throw new CommandFailure(2, seedRange + ": the end is before the start");
+        if (lastSeed < firstSeed) throw new CommandException(2, seedRange + ": the end is before the start");
         var startNanos = System.nanoTime();
         seedCount = lastSeed - firstSeed + 1;
         failedSeeds = LongStream.rangeClosed(firstSeed, lastSeed)
@@ -49,7 +49,7 @@
     /** Returns the shape with this name; fails with exit code 2 if there is none. */
     static Shape parseShape(String name) {
         var found = Shape.named(name);
-        if (found == null) throw new CommandFailure(2, "--shape " + name + " is none of maticar, brannock, small");
+        if (found == null) throw new CommandException(2, "--shape " + name + " is none of maticar, brannock, small");
         return found;
     }
 
--- a/test/standin/src/main/java/craneway/standin/CheckCommand.java
+++ b/test/standin/src/main/java/craneway/standin/CheckCommand.java
@@ -1,6 +1,6 @@
 package craneway.standin;
 
-import craneway.drill.Checker;
+import craneway.drill.JournalChecker;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -24,16 +24,16 @@
 
     @Override
     public Integer call() throws Exception {
-        var checker = new Checker();
+        var checker = new JournalChecker();
         try (var files = Files.list(runners)) {
             for (var journal : files.filter(
                             file -> file.getFileName().toString().startsWith("runner-"))
                     .sorted()
-                    .toList()) checker.runner(journal);
+                    .toList()) checker.addRunnerJournal(journal);
         }
-        for (var journal : requesters) checker.requester(journal);
-        var violations = checker.verdict(planned);
-        System.out.println(checker.counts());
+        for (var journal : requesters) checker.addRequesterJournal(journal);
+        var violations = checker.findViolations(planned);
+        System.out.println(checker.summary());
         violations.forEach(System.out::println);
         System.out.println(
                 violations.isEmpty() ? "every promise checked here was kept" : violations.size() + " promises broken");
--- a/test/standin/src/main/java/craneway/standin/Faults.java
+++ b/test/standin/src/main/java/craneway/standin/FaultInjector.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /** Injects faults into a fleet of processes. */
-public final class Faults {
-    private Faults() {}
+public final class FaultInjector {
+    private FaultInjector() {}
 
     /**
      * Injects one fault, waits until it has taken effect, and resumes a frozen process.
@@ -13,10 +13,10 @@
      *     start-all} and {@code rolling} on all
      * @throws IllegalArgumentException if there is no such fault
      */
-    public static void bring(Fleet fleet, String fault) throws IOException, InterruptedException {
-        var stores = fleet.names("stores");
-        var routers = fleet.names("routers");
-        var runners = fleet.names("runners");
+    public static void inject(Fleet fleet, String fault) throws IOException, InterruptedException {
+        var stores = fleet.processNames("stores");
+        var routers = fleet.processNames("routers");
+        var runners = fleet.processNames("runners");
         switch (fault) {
             case "kill-runner" -> fleet.kill(runners.get(0));
             case "restart-runner" -> {
@@ -31,26 +31,26 @@
                 for (var name : stores) if (!fleet.isRunning(name)) fleet.start(name);
                 for (var name : routers) if (!fleet.isRunning(name)) fleet.start(name);
                 for (var name : runners) if (!fleet.isRunning(name)) fleet.start(name);
-                fleet.await(
+                fleet.awaitCondition(
                         "all ready",
-                        () -> stores.stream().allMatch(fleet::ready)
-                                && routers.stream().allMatch(fleet::ready));
+                        () -> stores.stream().allMatch(fleet::isReady)
+                                && routers.stream().allMatch(fleet::isReady));
             }
             case "freeze-router" -> {
-                fleet.signal(routers.get(2), "STOP");
-                fleet.await("its lease has lapsed", () -> fleet.lapsed(routers.get(2)));
-                fleet.signal(routers.get(2), "CONT");
+                fleet.sendSignal(routers.get(2), "STOP");
+                fleet.awaitCondition("its lease has lapsed", () -> fleet.hasLeaseLapsed(routers.get(2)));
+                fleet.sendSignal(routers.get(2), "CONT");
             }
             case "freeze-store" -> {
-                fleet.signal(stores.get(2), "STOP");
-                fleet.await("its lease has lapsed", () -> fleet.lapsed(stores.get(2)));
-                fleet.signal(stores.get(2), "CONT");
+                fleet.sendSignal(stores.get(2), "STOP");
+                fleet.awaitCondition("its lease has lapsed", () -> fleet.hasLeaseLapsed(stores.get(2)));
+                fleet.sendSignal(stores.get(2), "CONT");
             }
             case "wipe-store" -> {
                 fleet.kill(stores.get(1));
-                fleet.wipe(stores.get(1));
+                fleet.deleteData(stores.get(1));
                 fleet.start(stores.get(1));
-                fleet.await("the new store votes", () -> fleet.votes(stores.get(1)));
+                fleet.awaitCondition("the new store votes", () -> fleet.isVoterInEveryGroup(stores.get(1)));
             }
             case "rolling" -> restartAllInTurn(fleet);
             default -> throw new IllegalArgumentException("unknown fault " + fault);
@@ -59,13 +59,13 @@
 
     /** Restarts the stores and then the routers one by one, each after the one before is ready again. */
     private static void restartAllInTurn(Fleet fleet) throws IOException, InterruptedException {
-        for (var name : fleet.names("stores")) restart(fleet, name);
-        for (var name : fleet.names("routers")) restart(fleet, name);
+        for (var name : fleet.processNames("stores")) restart(fleet, name);
+        for (var name : fleet.processNames("routers")) restart(fleet, name);
     }
 
     private static void restart(Fleet fleet, String name) throws IOException, InterruptedException {
         fleet.stop(name);
         fleet.start(name);
-        fleet.await(name + " ready", () -> fleet.ready(name));
+        fleet.awaitCondition(name + " ready", () -> fleet.isReady(name));
     }
 }
--- a/test/standin/src/main/java/craneway/standin/Fleet.java
+++ b/test/standin/src/main/java/craneway/standin/Fleet.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CranewayMain;
-import craneway.drill.Checker;
+import craneway.drill.JournalChecker;
 import craneway.http.AsyncHttpClient;
 import craneway.http.BufferedHttpResponse;
 import craneway.router.RouterMain;
@@ -41,7 +41,7 @@
      * The content of {@code fleet.json}: the processes by kind ({@code stores}, {@code routers}, {@code runners}) and
      * name.
      */
-    public final JsonNode map;
+    public final JsonNode fleetJson;
 
     private final Map<String, Process> processes = new TreeMap<>();
     private final XnioWorker worker;
@@ -64,15 +64,15 @@
                 "--slots",
                 slots);
         if (exitCode != 0) throw new IOException("craneway fleet failed with exit code " + exitCode);
-        map = JSON.readTree(folder.resolve("fleet.json").toFile());
+        fleetJson = JSON.readTree(folder.resolve("fleet.json").toFile());
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
         httpClient = new AsyncHttpClient(worker);
     }
 
     /** Returns the names of the processes of a kind. */
-    public List<String> names(String kind) {
+    public List<String> processNames(String kind) {
         var names = new ArrayList<String>();
-        map.get(kind).fieldNames().forEachRemaining(names::add);
+        fleetJson.get(kind).fieldNames().forEachRemaining(names::add);
         return names;
     }
 
@@ -80,27 +80,27 @@
     public String addresses(String kind, String field) {
         return String.join(
                 ",",
-                names(kind).stream()
-                        .map(name -> map.get(kind).get(name).get(field).asText())
+                processNames(kind).stream()
+                        .map(name -> fleetJson.get(kind).get(name).get(field).asText())
                         .toList());
     }
 
     /** Returns the operator addresses of the stores, separated by commas. */
-    public String operators() {
+    public String operatorAddresses() {
         return addresses("stores", "operator");
     }
 
     /** Starts all processes. */
     public void startAll() throws IOException {
-        for (var kind : List.of("stores", "routers", "runners")) for (var name : names(kind)) start(name);
+        for (var kind : List.of("stores", "routers", "runners")) for (var name : processNames(kind)) start(name);
     }
 
     /** Starts a process. */
     public void start(String name) throws IOException {
         var startup = folder.resolve("startup").resolve(name + ".json").toString();
-        if (map.get("stores").has(name)) startProcess(name, StoreMain.class, "--startup", startup);
-        else if (map.get("routers").has(name)) startProcess(name, RouterMain.class, "--startup", startup);
-        else startStandinRunner(name, map.get("runners").get(name));
+        if (fleetJson.get("stores").has(name)) startProcess(name, StoreMain.class, "--startup", startup);
+        else if (fleetJson.get("routers").has(name)) startProcess(name, RouterMain.class, "--startup", startup);
+        else startStandinRunner(name, fleetJson.get("runners").get(name));
     }
 
     private void startStandinRunner(String name, JsonNode runner) throws IOException {
@@ -151,18 +151,18 @@
     }
 
     /** Asks a process to stop and does not wait. */
-    public void ask(String name) {
+    public void requestStop(String name) {
         processes.get(name).destroy();
     }
 
     /** Asks a process to stop, waits for its end and returns its exit code. */
     public int stop(String name) throws InterruptedException {
-        ask(name);
-        return ended(name);
+        requestStop(name);
+        return awaitExit(name);
     }
 
     /** Waits for the end of a process and returns its exit code; kills the process and fails if it takes too long. */
-    public int ended(String name) throws InterruptedException {
+    public int awaitExit(String name) throws InterruptedException {
         var process = processes.remove(name);
         if (!process.waitFor(WAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             process.destroyForcibly();
@@ -172,7 +172,7 @@
     }
 
     /** Sends a signal, such as {@code STOP}, to a process. */
-    public void signal(String name, String signal) throws IOException, InterruptedException {
+    public void sendSignal(String name, String signal) throws IOException, InterruptedException {
         new ProcessBuilder(
                         "kill", "-" + signal, Long.toString(processes.get(name).pid()))
                 .start()
@@ -180,7 +180,7 @@
     }
 
     /** Deletes a store's data folder. */
-    public void wipe(String store) throws IOException {
+    public void deleteData(String store) throws IOException {
         try (var files = Files.walk(folder.resolve("data").resolve(store))) {
             files.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::delete);
         }
@@ -192,17 +192,17 @@
     }
 
     /** Sends a request and waits up to 15 s for the response. */
-    public BufferedHttpResponse call(
+    public BufferedHttpResponse send(
             String address, HttpString method, String path, Map<HttpString, String> headers, String body)
             throws IOException {
         return BufferedHttpResponse.fetch(httpClient, address, method, path, headers, body.getBytes(), 15_000);
     }
 
     /** Returns whether a store or router reports that it is ready. */
-    public boolean ready(String name) {
-        var node = map.get("stores").has(name)
-                ? map.get("stores").get(name)
-                : map.get("routers").get(name);
+    public boolean isReady(String name) {
+        var node = fleetJson.get("stores").has(name)
+                ? fleetJson.get("stores").get(name)
+                : fleetJson.get("routers").get(name);
         try {
             return get(node.get("platform").asText(), "/ready").status() == 200;
         } catch (IOException e) {
@@ -211,9 +211,9 @@
     }
 
     /** Returns the status of the core from the first store that returns it. */
-    public JsonNode status() throws IOException {
+    public JsonNode fetchStatus() throws IOException {
         IOException lastFailure = null;
-        for (var address : operators().split(",")) {
+        for (var address : operatorAddresses().split(",")) {
             try {
                 var response = get(address, "/v1/status");
                 if (response.status() == 200) return JSON.readTree(response.body());
@@ -225,10 +225,10 @@
     }
 
     /** Returns the number of runners that are up, or 0 if no store replies. */
-    public long runnersUp() {
+    public long countRunnersUp() {
         try {
             var count = 0L;
-            for (var service : status().get("services"))
+            for (var service : fetchStatus().get("services"))
                 for (var runner : service.get("runners"))
                     if (runner.get("state").asText().equals("up")) count++;
             return count;
@@ -243,9 +243,9 @@
     }
 
     /** Returns whether the core regards a process's lease as lapsed or does not list the process. */
-    public boolean lapsed(String name) {
+    public boolean hasLeaseLapsed(String name) {
         try {
-            for (var member : status().get("members"))
+            for (var member : fetchStatus().get("members"))
                 if (member.get("name").asText().equals(name))
                     return member.get("state").asText().equals("lapsed");
             return true;
@@ -255,9 +255,9 @@
     }
 
     /** Returns whether a mark such as {@code zone:NAME} is set. */
-    public boolean marked(String mark) {
+    public boolean hasMark(String mark) {
         try {
-            return status().path("manifest").path("marks").has(mark);
+            return fetchStatus().path("manifest").path("marks").has(mark);
         } catch (IOException e) {
             return false;
         }
@@ -266,9 +266,9 @@
     /**
      * Returns whether all parts are reached and every group has three voters, this store among them, and no learner.
      */
-    public boolean votes(String store) {
+    public boolean isVoterInEveryGroup(String store) {
         try {
-            var status = status();
+            var status = fetchStatus();
             if (status.get("partsReached").asInt() < status.get("parts").asInt()) return false;
             for (var group : status.get("groups")) {
                 var members = group.get("group").toString();
@@ -283,7 +283,7 @@
     }
 
     /** Waits until the condition holds; fails with the description if it takes too long. */
-    public void await(String description, BooleanSupplier condition) {
+    public void awaitCondition(String description, BooleanSupplier condition) {
         var deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MILLIS * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos)
@@ -297,22 +297,28 @@
      * runners is up.
      */
     public void awaitServing(long runners) {
-        await("stores ready", () -> names("stores").stream().allMatch(this::ready));
+        awaitCondition("stores ready", () -> processNames("stores").stream().allMatch(this::isReady));
         var exitCode = CranewayMain.run(
-                "manifest", "send", folder.resolve("manifest.json").toString(), "--base", "0", "--at", operators());
+                "manifest",
+                "send",
+                folder.resolve("manifest.json").toString(),
+                "--base",
+                "0",
+                "--at",
+                operatorAddresses());
         if (exitCode != 0) throw new AssertionError("the manifest was not accepted, exit code " + exitCode);
-        await("routers ready", () -> names("routers").stream().allMatch(this::ready));
-        await("runners up", () -> runnersUp() == runners);
+        awaitCondition("routers ready", () -> processNames("routers").stream().allMatch(this::isReady));
+        awaitCondition("runners up", () -> countRunnersUp() == runners);
     }
 
     /** Returns a checker with the journals of all runners and these requesters. */
-    public Checker check(Path... requesters) throws IOException {
-        var checker = new Checker();
-        for (var name : names("runners")) {
+    public JournalChecker checkJournals(Path... requesters) throws IOException {
+        var checker = new JournalChecker();
+        for (var name : processNames("runners")) {
             var journal = folder.resolve("journal").resolve(name + ".jsonl");
-            if (Files.exists(journal)) checker.runner(journal);
+            if (Files.exists(journal)) checker.addRunnerJournal(journal);
         }
-        for (var requester : requesters) checker.requester(requester);
+        for (var requester : requesters) checker.addRequesterJournal(requester);
         return checker;
     }
 
--- a/test/standin/src/main/java/craneway/standin/RunnerCommand.java
+++ b/test/standin/src/main/java/craneway/standin/RunnerCommand.java
@@ -46,7 +46,7 @@
     @Override
     public Integer call() throws Exception {
         var runner = new StandinRunner(
-                new StandinRunner.Shape(
+                new StandinRunner.Settings(
                         name, listen, service, cell, slots, tokenMillis, prefillMillis, prefixes, warmUpMillis),
                 routers,
                 journal);
@@ -62,8 +62,8 @@
             }
         }));
         stopRequested.await();
-        runner.leave();
-        runner.drain();
+        runner.announceLeave();
+        runner.drainAndClose();
         drained.countDown();
         return 0;
     }
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -43,27 +43,27 @@
      * @param prefixes number of prompts in the prefix cache
      * @param warmUpMillis time after the start during which the runner is cold
      */
-    public record Shape(
+    public record Settings(
             String name,
-            String listen,
+            String listenAddress,
             String service,
             String cell,
             int slots,
-            int tokenMillis,
+            int millisPerToken,
             int prefillMillis,
-            int prefixes,
+            int prefixCacheSize,
             int warmUpMillis) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
     /** Finds the submission id and the idempotency key in the last message of a prompt. */
     private static final Pattern SUBMISSION = Pattern.compile("submission=(\\S+) key=(\\S*)");
 
-    private final Shape settings;
+    private final Settings settings;
     private final List<String> routers;
     private final PrintWriter journal;
     private final long incarnation = System.currentTimeMillis();
     private final long startedAtNanos = System.nanoTime();
-    private final AtomicInteger running = new AtomicInteger();
+    private final AtomicInteger requestsInFlight = new AtomicInteger();
     private final Map<String, Boolean> prefixCache;
     private final XnioWorker worker;
     private final AsyncHttpClient httpClient;
@@ -72,7 +72,7 @@
     private volatile boolean leaving;
 
     /** Creates a runner that appends to this journal; {@link #start} starts it. */
-    public StandinRunner(Shape settings, List<String> routers, Path journal) throws IOException {
+    public StandinRunner(Settings settings, List<String> routers, Path journal) throws IOException {
         this.settings = settings;
         this.routers = routers;
         this.journal =
@@ -80,7 +80,7 @@
         this.prefixCache = new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                return size() > settings.prefixes;
+                return size() > settings.prefixCacheSize;
             }
         };
         worker = Xnio.getInstance()
@@ -95,12 +95,12 @@
 
     /** Starts to serve requests and to announce the runner to the routers every 500 ms. */
     public void start() {
-        var colon = settings.listen.lastIndexOf(':');
+        var colon = settings.listenAddress.lastIndexOf(':');
         server = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(
-                        Integer.parseInt(settings.listen.substring(colon + 1)),
-                        settings.listen.substring(0, colon),
+                        Integer.parseInt(settings.listenAddress.substring(colon + 1)),
+                        settings.listenAddress.substring(0, colon),
                         exchange -> exchange.dispatch(() -> handleRequest(exchange)))
                 .build();
         server.start();
@@ -108,8 +108,8 @@
     }
 
     /** Returns the number of requests that are running. */
-    public int running() {
-        return running.get();
+    public int requestsInFlight() {
+        return requestsInFlight.get();
     }
 
     private boolean isCold() {
@@ -122,12 +122,12 @@
             var body = JSON.createObjectNode()
                     .put("service", settings.service)
                     .put("name", settings.name)
-                    .put("address", settings.listen)
+                    .put("address", settings.listenAddress)
                     .put("cell", settings.cell)
                     .put("slots", settings.slots)
                     .put("incarnation", incarnation)
                     .put("cold", isCold())
-                    .put("load", running.get())
+                    .put("load", requestsInFlight.get())
                     .toString();
             announcementScheduler.execute(() -> postToRouter(router, "/v1/announce", body));
         }
@@ -152,7 +152,7 @@
     }
 
     /** Stops announcing and tells all routers that the runner leaves. Returns whether at least one acknowledged. */
-    public boolean leave() {
+    public boolean announceLeave() {
         leaving = true;
         var body = JSON.createObjectNode()
                 .put("service", settings.service)
@@ -166,8 +166,8 @@
     }
 
     /** Waits until no request has been running at 40 checks in a row, 100 ms apart, and closes the runner. */
-    public void drain() throws InterruptedException {
-        for (var idleChecks = 0; idleChecks < 40; idleChecks = running.get() == 0 ? idleChecks + 1 : 0)
+    public void drainAndClose() throws InterruptedException {
+        for (var idleChecks = 0; idleChecks < 40; idleChecks = requestsInFlight.get() == 0 ? idleChecks + 1 : 0)
             Thread.sleep(100);
         close();
     }
@@ -194,9 +194,9 @@
     /** Runs a request, or answers 503 if all slots are in use. */
     private void handleRequest(HttpServerExchange exchange) {
         exchange.startBlocking();
-        exchange.getResponseHeaders().put(new HttpString("craneway-load"), running.get());
-        if (running.incrementAndGet() > settings.slots) {
-            running.decrementAndGet();
+        exchange.getResponseHeaders().put(new HttpString("craneway-load"), requestsInFlight.get());
+        if (requestsInFlight.incrementAndGet() > settings.slots) {
+            requestsInFlight.decrementAndGet();
             exchange.setStatusCode(503).endExchange();
             return;
         }
@@ -207,7 +207,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            running.decrementAndGet();
+            requestsInFlight.decrementAndGet();
         }
     }
 
@@ -233,7 +233,7 @@
                             + ",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t" + i + " \"}}]}\n\n")
                     .getBytes(StandardCharsets.UTF_8));
             output.flush();
-            Thread.sleep(settings.tokenMillis);
+            Thread.sleep(settings.millisPerToken);
         }
         output.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
         output.close();
--- a/test/standin/src/main/java/craneway/standin/TrialCommand.java
+++ b/test/standin/src/main/java/craneway/standin/TrialCommand.java
@@ -54,7 +54,7 @@
     public Integer call() throws Exception {
         try (var fleet = new Fleet(folder, manifest, routers, runners, slots)) {
             fleet.startAll();
-            fleet.awaitServing(fleet.names("runners").size());
+            fleet.awaitServing(fleet.processNames("runners").size());
             var journal = folder.resolve("journal").resolve("requesters.jsonl");
             var load = CompletableFuture.supplyAsync(() -> CranewayMain.run(
                     "load",
@@ -76,17 +76,18 @@
                     journal.toString()));
             for (var i = 0; i < faults.size(); i++) {
                 var submissions = (long) streams * (i + 1) / (faults.size() + 1);
-                fleet.await("submission " + submissions, () -> load.isDone() || countLines(journal) >= submissions);
+                fleet.awaitCondition(
+                        "submission " + submissions, () -> load.isDone() || countLines(journal) >= submissions);
                 System.out.println("at submission " + countLines(journal) + ": " + faults.get(i));
-                Faults.bring(fleet, faults.get(i));
+                FaultInjector.inject(fleet, faults.get(i));
             }
             var loadExitCode = load.join();
-            for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ask(runner);
-            for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ended(runner);
-            var checker = fleet.check(journal);
-            var violations = checker.verdict(
+            for (var runner : fleet.processNames("runners")) if (fleet.isRunning(runner)) fleet.requestStop(runner);
+            for (var runner : fleet.processNames("runners")) if (fleet.isRunning(runner)) fleet.awaitExit(runner);
+            var checker = fleet.checkJournals(journal);
+            var violations = checker.findViolations(
                     faults.stream().noneMatch(fault -> fault.matches("(kill|freeze)-(router|store)|wipe-store")));
-            System.out.println(checker.counts());
+            System.out.println(checker.summary());
             violations.forEach(System.out::println);
             System.out.println(
                     violations.isEmpty()
--- a/tool/drill/src/main/java/craneway/drill/Checker.java
+++ b/tool/drill/src/main/java/craneway/drill/JournalChecker.java
@@ -17,7 +17,7 @@
  *
  * <p>All runner journals must be added before the first requester journal. Not thread-safe.
  */
-public final class Checker {
+public final class JournalChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** Extra runs that are permitted in addition to a fifth of the submissions. */
     private static final int EXTRA_RUN_ALLOWANCE = 20;
@@ -34,7 +34,7 @@
     private int declinedCount;
 
     /** Adds a runner's journal. */
-    public void runner(Path journal) throws IOException {
+    public void addRunnerJournal(Path journal) throws IOException {
         for (var line : Files.readAllLines(journal)) addRunnerEntry(JSON.readTree(line));
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** Adds a requester's journal and compares its entries with the runner journals added before. */
-    public void requester(Path journal) throws IOException {
+    public void addRequesterJournal(Path journal) throws IOException {
         for (var line : Files.readAllLines(journal)) addRequesterEntry(JSON.readTree(line));
     }
 
@@ -91,7 +91,7 @@
      *
      * @param planned whether nothing was killed, so that a lost connection is a violation too
      */
-    public List<String> verdict(boolean planned) {
+    public List<String> findViolations(boolean planned) {
         if (planned)
             lostSubmissions.forEach(submissionId ->
                     violations.add("promise 12: " + submissionId + " lost its connection without a verdict"));
@@ -106,7 +106,7 @@
     }
 
     /** Returns a summary of the submissions and runs in one line. */
-    public String counts() {
+    public String summary() {
         return submissionCount + " submissions told, " + wholeCount + " whole, " + declinedCount + " declined, "
                 + lostSubmissions.size() + " lost their router, " + runCount + " runs, " + runsByKey.size()
                 + " run-once keys run";
--- a/tool/drill/src/main/java/craneway/drill/Outage.java
+++ b/tool/drill/src/main/java/craneway/drill/ZoneOutageChecker.java
@@ -13,12 +13,12 @@
  * Checks how soon the runners of a zone stopped and started to get work when the zone was emptied and taken back. Times
  * are wall clock times in milliseconds. Not thread-safe.
  */
-public final class Outage {
+public final class ZoneOutageChecker {
     /** An emptied zone must not get new work later than this after the confirmation (promise 5). */
-    public static final long EMPTY_MILLIS = 5_300;
+    public static final long EMPTYING_LIMIT_MILLIS = 5_300;
 
     /** A zone must get work again within this time after it was taken back (promise 12). */
-    public static final long RETURN_MILLIS = 12_000;
+    public static final long RETURN_LIMIT_MILLIS = 12_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -34,14 +34,14 @@
      * @param confirmedAtMillis when the plan that emptied the zone was confirmed
      * @param takenBackAtMillis when the zone was taken back
      */
-    public Outage(Set<String> zoneRunners, long confirmedAtMillis, long takenBackAtMillis) {
+    public ZoneOutageChecker(Set<String> zoneRunners, long confirmedAtMillis, long takenBackAtMillis) {
         this.zoneRunners = zoneRunners;
         this.confirmedAtMillis = confirmedAtMillis;
         this.takenBackAtMillis = takenBackAtMillis;
     }
 
     /** Adds a runner's journal; entries of runners outside the zone are ignored. */
-    public void runner(Path journal) throws IOException {
+    public void addRunnerJournal(Path journal) throws IOException {
         for (var line : Files.readAllLines(journal)) addEntry(JSON.readTree(line));
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** Returns how long after the confirmation the zone last got new work before it was taken back, or 0. */
-    public long lastAfterConfirm() {
+    public long lastStartAfterConfirmMillis() {
         return startTimesMillis.stream()
                 .filter(startMillis -> startMillis > confirmedAtMillis && startMillis < takenBackAtMillis)
                 .mapToLong(startMillis -> startMillis - confirmedAtMillis)
@@ -61,7 +61,7 @@
     }
 
     /** Returns how long after it was taken back the zone first got work, or {@link Long#MAX_VALUE}. */
-    public long firstAfterReturn() {
+    public long firstStartAfterReturnMillis() {
         return startTimesMillis.stream()
                 .filter(startMillis -> startMillis >= takenBackAtMillis)
                 .mapToLong(startMillis -> startMillis - takenBackAtMillis)
@@ -70,12 +70,14 @@
     }
 
     /** Returns the violations found, empty if both limits were kept. */
-    public List<String> verdict() {
+    public List<String> findViolations() {
         var violations = new ArrayList<String>();
-        if (lastAfterConfirm() > EMPTY_MILLIS)
-            violations.add("promise 5: the emptied zone got new work " + lastAfterConfirm() + " ms after the confirm");
-        if (firstAfterReturn() > RETURN_MILLIS)
-            violations.add("promise 12: the zone got no work within " + RETURN_MILLIS + " ms after it was taken back");
+        if (lastStartAfterConfirmMillis() > EMPTYING_LIMIT_MILLIS)
+            violations.add("promise 5: the emptied zone got new work " + lastStartAfterConfirmMillis()
+                    + " ms after the confirm");
+        if (firstStartAfterReturnMillis() > RETURN_LIMIT_MILLIS)
+            violations.add(
+                    "promise 12: the zone got no work within " + RETURN_LIMIT_MILLIS + " ms after it was taken back");
         return violations;
     }
 }
