--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -30,8 +30,8 @@
 
 /** Hollow stores and routers on one simulated clock: no requests, only what the control plane itself says. */
 final class Cluster {
-    private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
-    static final long SECOND = 1_000_000, TICK = 20_000, DELAY = 4_000;
+    private static final ThreadMXBean THREAD_CPU = ManagementFactory.getThreadMXBean();
+    static final long MICROS_PER_SECOND = 1_000_000, TICK_MICROS = 20_000, DEFAULT_DELAY_MICROS = 4_000;
 
     final class Member implements Port {
         final String name;
@@ -40,31 +40,31 @@
         String address;
         Disk disk = new Disk();
         /** Where it is not 0: a process of an older release, whose lives come from a clock that is this far off. */
-        long wall;
+        long legacyClockOffsetMillis;
 
-        boolean fenced = true;
+        boolean supportsIdentifiedCommands = true;
         /** What this machine's steady clock shows when the simulation begins. */
-        final long origin = originStep * members.size();
+        final long clockOffsetMicros = clockOffsetStepMicros * members.size();
 
-        boolean up;
-        boolean hung;
-        boolean frozen;
+        boolean running;
+        boolean diskHung;
+        boolean paused;
         /** How long a slowed process takes for each message and each tick. */
-        long cost;
+        long handlingCostMicros;
 
-        private long busyUntil;
-        private boolean tickHeld;
-        private final Deque<Runnable> waiting = new ArrayDeque<>();
-        int life;
+        private long busyUntilMicros;
+        private boolean tickPending;
+        private final Deque<Runnable> deferredActions = new ArrayDeque<>();
+        int startCount;
         Store store;
         Router router;
         OperatorCommands operator;
-        final Deque<Runnable> desk = new ArrayDeque<>();
-        long sent;
+        final Deque<Runnable> queuedPartWork = new ArrayDeque<>();
+        long sentMessages;
         long sentBytes;
-        long got;
-        long gotBytes;
-        long cpu;
+        long receivedMessages;
+        long receivedBytes;
+        long cpuNanos;
 
         Member(String name, String kind, String zone) {
             this.name = name;
@@ -74,69 +74,69 @@
         }
 
         void start() {
-            up = true;
-            life++;
+            running = true;
+            startCount++;
             var random = new Random(sim.random.nextLong());
-            var self = wall == 0
+            var self = legacyClockOffsetMillis == 0
                     ? Node.ofNewProcess(name, kind, zone, address, random.nextLong())
-                    : new Node(name, kind, zone, address, 1_000_000_000L + sim.now() / 1_000 + wall);
-            self.supportsIdentifiedCommands = fenced;
+                    : new Node(name, kind, zone, address, 1_000_000_000L + sim.now() / 1_000 + legacyClockOffsetMillis);
+            self.supportsIdentifiedCommands = supportsIdentifiedCommands;
             if (kind.equals(Node.STORE))
                 store = new Store(
-                        this, disk, self, seeds, new StoreOptions(founders, quorum, pace, p -> this::work), random);
-            else router = new Router(this, self, seeds, pace, random);
+                        this, disk, self, seedAddresses, new StoreOptions(founderCount, quorum, timingProfile, p -> this::runPartWork), random);
+            else router = new Router(this, self, seedAddresses, timingProfile, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
-            var mine = life;
-            sim.after((long) (sim.random.nextDouble() * TICK), () -> tick(mine));
+            var mine = startCount;
+            sim.after((long) (sim.random.nextDouble() * TICK_MICROS), () -> tick(mine));
         }
 
-        private void work(Runnable r) {
-            if (hung) desk.add(r);
+        private void runPartWork(Runnable r) {
+            if (diskHung) queuedPartWork.add(r);
             else r.run();
         }
 
-        void hang(boolean is) {
-            hung = is;
-            while (!hung && !desk.isEmpty()) desk.poll().run();
+        void setDiskHung(boolean is) {
+            diskHung = is;
+            while (!diskHung && !queuedPartWork.isEmpty()) queuedPartWork.poll().run();
         }
 
         /** On waking it first takes what came meanwhile and what is asked of it; its timers fire a little later. */
-        void freeze(boolean is) {
-            frozen = is;
-            while (!frozen && !waiting.isEmpty()) waiting.poll().run();
-            if (frozen || !tickHeld) return;
-            tickHeld = false;
-            var mine = life;
-            sim.after(TICK, () -> tick(mine));
+        void setPaused(boolean is) {
+            paused = is;
+            while (!paused && !deferredActions.isEmpty()) deferredActions.poll().run();
+            if (paused || !tickPending) return;
+            tickPending = false;
+            var mine = startCount;
+            sim.after(TICK_MICROS, () -> tick(mine));
         }
 
         /** Does something in the process: at once, once it is free where it is slowed, on waking where it is frozen. */
-        void act(Runnable what) {
-            if (frozen) {
-                waiting.add(what);
+        void execute(Runnable what) {
+            if (paused) {
+                deferredActions.add(what);
                 return;
             }
-            if (cost == 0) {
+            if (handlingCostMicros == 0) {
                 what.run();
                 return;
             }
-            busyUntil = Math.max(busyUntil, sim.now()) + cost;
-            var mine = life;
-            sim.at(busyUntil, () -> {
-                if (!up || life != mine) return;
-                if (frozen) waiting.add(what);
+            busyUntilMicros = Math.max(busyUntilMicros, sim.now()) + handlingCostMicros;
+            var mine = startCount;
+            sim.at(busyUntilMicros, () -> {
+                if (!running || startCount != mine) return;
+                if (paused) deferredActions.add(what);
                 else what.run();
             });
         }
 
         void crash() {
-            up = false;
-            frozen = false;
-            waiting.clear();
-            tickHeld = false;
-            busyUntil = 0;
-            desk.clear();
-            hung = false;
+            running = false;
+            paused = false;
+            deferredActions.clear();
+            tickPending = false;
+            busyUntilMicros = 0;
+            queuedPartWork.clear();
+            diskHung = false;
         }
 
         void losePower() {
@@ -150,35 +150,35 @@
         }
 
         private void tick(int mine) {
-            if (!up || life != mine) return;
-            if (frozen) {
-                tickHeld = true;
+            if (!running || startCount != mine) return;
+            if (paused) {
+                tickPending = true;
                 return;
             }
-            act(() -> {
-                timed(this::tickOnce);
-                sim.after(TICK, () -> tick(mine));
+            execute(() -> {
+                runMeasured(this::tickComponents);
+                sim.after(TICK_MICROS, () -> tick(mine));
             });
         }
 
-        private void tickOnce() {
+        private void tickComponents() {
             if (store != null) store.tick();
             else router.tick();
             operator.tick(now());
         }
 
         /** Adds the processor time that this takes to the member's. */
-        void timed(Runnable r) {
-            var from = CPU.getCurrentThreadCpuTime();
+        void runMeasured(Runnable r) {
+            var from = THREAD_CPU.getCurrentThreadCpuTime();
             r.run();
-            cpu += CPU.getCurrentThreadCpuTime() - from;
+            cpuNanos += THREAD_CPU.getCurrentThreadCpuTime() - from;
         }
 
-        void clear() {
-            sent = sentBytes = got = gotBytes = cpu = 0;
+        void resetCounters() {
+            sentMessages = sentBytes = receivedMessages = receivedBytes = cpuNanos = 0;
         }
 
-        long core() {
+        long coreId() {
             return (store == null ? router.directory() : store.directory()).self().coreId;
         }
 
@@ -188,34 +188,34 @@
 
         @Override
         public long now() {
-            return sim.now() + origin;
+            return sim.now() + clockOffsetMicros;
         }
 
         @Override
         public void send(String to, Object message) {
-            if (!up) return;
-            var mine = core();
-            if (sim.random.nextDouble() < lost) return;
+            if (!running) return;
+            var mine = coreId();
+            if (sim.random.nextDouble() < lossRate) return;
             var b = Codec.encodeTagged(message);
-            meter.sent(this, to, message, b);
+            meter.recordSent(this, to, message, b);
             if (!to.equals(address)) {
-                sent++;
+                sentMessages++;
                 sentBytes += b.length;
             }
-            Runnable arrival = () -> arrive(to, b, mine, message instanceof Hello);
-            if (hold.test(this, to, message)) held.add(arrival);
-            else sim.after(delay, arrival);
+            Runnable arrival = () -> deliver(to, b, mine, message instanceof Hello);
+            if (holdFilter.test(this, to, message)) heldMessages.add(arrival);
+            else sim.after(oneWayDelayMicros, arrival);
         }
 
-        private void arrive(String to, byte[] b, long core, boolean hello) {
-            var m = at(to);
-            if (m == null || !m.up || cut.contains(name + ">" + m.name)) return;
-            if (!hello && core != 0 && m.core() != 0 && m.core() != core) return;
+        private void deliver(String to, byte[] b, long core, boolean hello) {
+            var m = runningMemberAt(to);
+            if (m == null || !m.running || blockedPaths.contains(name + ">" + m.name)) return;
+            if (!hello && core != 0 && m.coreId() != 0 && m.coreId() != core) return;
             if (m != this) {
-                m.got++;
-                m.gotBytes += b.length;
+                m.receivedMessages++;
+                m.receivedBytes += b.length;
             }
-            m.act(() -> m.timed(() -> {
+            m.execute(() -> m.runMeasured(() -> {
                 if (m.store != null) m.store.receive(Codec.decodeTagged(b));
                 else m.router.receive(Codec.decodeTagged(b));
             }));
@@ -223,93 +223,93 @@
 
         @Override
         public void logEvent(Event e, String detail) {
-            notes.add(sim.now() / 1_000 + " " + name + " " + e + " " + detail);
+            eventLog.add(sim.now() / 1_000 + " " + name + " " + e + " " + detail);
         }
     }
 
     /** Chooses the messages that are kept back on their way until they are released. */
-    interface Hold {
+    interface MessageFilter {
         boolean test(Member from, String to, Object message);
     }
 
     final Sim sim = new Sim(17);
-    final List<Runnable> held = new ArrayList<>();
-    Hold hold = (from, to, message) -> false;
+    final List<Runnable> heldMessages = new ArrayList<>();
+    MessageFilter holdFilter = (from, to, message) -> false;
     final Map<String, Member> members = new TreeMap<>();
-    final List<String> notes = new ArrayList<>();
-    final Set<String> cut = new HashSet<>();
-    final Meter meter = new Meter(sim);
-    final TimingProfile pace;
+    final List<String> eventLog = new ArrayList<>();
+    final Set<String> blockedPaths = new HashSet<>();
+    final TrafficMeter meter = new TrafficMeter(sim);
+    final TimingProfile timingProfile;
     final Quorum quorum;
-    int founders = 3;
-    long originStep;
-    double lost;
-    long delay = DELAY;
-    List<String> seeds = List.of("s1", "s2", "s3");
+    int founderCount = 3;
+    long clockOffsetStepMicros;
+    double lossRate;
+    long oneWayDelayMicros = DEFAULT_DELAY_MICROS;
+    List<String> seedAddresses = List.of("s1", "s2", "s3");
 
     Cluster(TimingProfile pace, Quorum quorum) {
-        this.pace = pace;
+        this.timingProfile = pace;
         this.quorum = quorum;
     }
 
-    Member add(String name, String kind, String zone) {
+    Member addMember(String name, String kind, String zone) {
         var m = new Member(name, kind, zone);
         members.put(name, m);
         m.start();
         return m;
     }
 
-    Cluster stores(String... zones) {
-        for (var i = 0; i < zones.length; i++) add("s" + (i + 1), Node.STORE, zones[i]);
+    Cluster addStores(String... zones) {
+        for (var i = 0; i < zones.length; i++) addMember("s" + (i + 1), Node.STORE, zones[i]);
         return this;
     }
 
-    Cluster routers(int n) {
-        for (var i = 1; i <= n; i++) add("r" + i, Node.ROUTER, "z" + (i % 3 + 1));
+    Cluster addRouters(int n) {
+        for (var i = 1; i <= n; i++) addMember("r" + i, Node.ROUTER, "z" + (i % 3 + 1));
         return this;
     }
 
-    Member get(String name) {
+    Member member(String name) {
         return members.get(name);
     }
 
-    Member at(String address) {
+    Member runningMemberAt(String address) {
         var named = members.get(address);
-        if (named != null && named.up && named.address.equals(address)) return named;
+        if (named != null && named.running && named.address.equals(address)) return named;
         return members.values().stream()
-                .filter(m -> m.up && m.address.equals(address))
+                .filter(m -> m.running && m.address.equals(address))
                 .findFirst()
                 .orElse(null);
     }
 
     /** Lets all arrive that was kept back, in the order in which it was sent. */
-    void release() {
-        hold = (from, to, message) -> false;
-        var all = List.copyOf(held);
-        held.clear();
+    void releaseHeldMessages() {
+        holdFilter = (from, to, message) -> false;
+        var all = List.copyOf(heldMessages);
+        heldMessages.clear();
         all.forEach(Runnable::run);
     }
 
-    void clear() {
-        meter.clear();
-        members.values().forEach(Member::clear);
+    void resetCounters() {
+        meter.reset();
+        members.values().forEach(Member::resetCounters);
     }
 
-    void run(double seconds) {
-        sim.runUntil(sim.now() + (long) (seconds * SECOND));
+    void runFor(double seconds) {
+        sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
     /** Seconds until it holds, or the most. */
-    double until(BooleanSupplier holds, double most) {
+    double runUntil(BooleanSupplier holds, double most) {
         var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * SECOND) sim.runUntil(sim.now() + TICK);
-        return (sim.now() - from) / (double) SECOND;
+        while (!holds.getAsBoolean() && sim.now() - from < most * MICROS_PER_SECOND) sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - from) / (double) MICROS_PER_SECOND;
     }
 
-    Member owner(int part) {
+    Member leaderOf(int part) {
         Member best = null;
         for (var m : members.values()) {
-            if (!m.up || m.hung || m.store == null || m.store.replicas().length == 0) continue;
+            if (!m.running || m.diskHung || m.store == null || m.store.replicas().length == 0) continue;
             var g = m.store.replicas()[part].group();
             if (g.hasLease(m.now())
                     && (best == null
@@ -318,35 +318,35 @@
         return best;
     }
 
-    boolean ownedBut(Member not) {
-        for (var p = 0; p < Parts.COUNT; p++) if (owner(p) == null || owner(p) == not) return false;
+    boolean allPartsLedByOtherThan(Member not) {
+        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) == null || leaderOf(p) == not) return false;
         return true;
     }
 
-    boolean owned() {
-        return ownedBut(null);
+    boolean allPartsHaveLeaders() {
+        return allPartsLedByOtherThan(null);
     }
 
-    boolean ownedBy(Member m) {
-        for (var p = 0; p < Parts.COUNT; p++) if (owner(p) != m) return false;
+    boolean allPartsLedBy(Member m) {
+        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) != m) return false;
         return true;
     }
 
     /** Whether a router holds this version of the manifest, its tables and a lease of every part. */
-    boolean current(Member r, long version) {
+    boolean isRouterCurrent(Member r, long version) {
         var v = r.router.membership().view();
-        if (!r.up || !r.router.membership().isCurrent() || v.manifestRow().version != version) return false;
+        if (!r.running || !r.router.membership().isCurrent() || v.manifestRow().version != version) return false;
         for (var p = 0; p < Parts.COUNT; p++) if (!v.hasLease(p, r.now())) return false;
         return v.services().size() == v.manifest().services().size();
     }
 
-    boolean allCurrent(long version) {
-        return members.values().stream().allMatch(m -> m.router == null || current(m, version));
+    boolean allRoutersCurrent(long version) {
+        return members.values().stream().allMatch(m -> m.router == null || isRouterCurrent(m, version));
     }
 
-    Set<String> voters(int part) {
+    Set<String> voterNames(int part) {
         var all = new HashSet<String>();
-        var g = owner(part).store.replicas()[part].group();
+        var g = leaderOf(part).store.replicas()[part].group();
         for (var v : g.members().voters) all.add(nameOf(v));
         return all;
     }
@@ -359,23 +359,23 @@
                 .orElse("?");
     }
 
-    boolean votesEverywhere(Member m, int voters) {
+    boolean isVoterOfAllParts(Member m, int voters) {
         for (var p = 0; p < Parts.COUNT; p++) {
-            if (owner(p) == null) return false;
-            var g = owner(p).store.replicas()[p].group().members();
+            if (leaderOf(p) == null) return false;
+            var g = leaderOf(p).store.replicas()[p].group().members();
             if (!g.isVoter(m.storeId()) || g.voters.length != voters) return false;
         }
         return true;
     }
 
-    Map<String, Integer> perZone(int part) {
+    Map<String, Integer> replicasPerZone(int part) {
         var all = new HashMap<String, Integer>();
-        var k = owner(part).store.replicas()[part];
+        var k = leaderOf(part).store.replicas()[part];
         Arrays.stream(k.group().members().zones).forEach(z -> all.merge(z, 1, Integer::sum));
         return all;
     }
 
-    PartReplica keeper(String name, int part) {
-        return get(name).store.replicas()[part];
+    PartReplica replicaOf(String name, int part) {
+        return member(name).store.replicas()[part];
     }
 }
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -26,20 +26,20 @@
 /** Stores on disks that are full at a restart, lose power again and again, or end in the middle of setting files aside. */
 class DiskFaultTest {
     private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
-    private static final Set<String> WRITES = Set.of("append", "sync", "overwrite", "replace", "rename", "delete");
+    private static final Set<String> WRITE_METHODS = Set.of("append", "sync", "overwrite", "replace", "rename", "delete");
 
     private static final class Crash extends RuntimeException {}
 
-    private static Cluster three() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).stores("z1", "z2", "z3");
-        assertTrue(c.until(c::owned, 10) < 8, () -> "founding: " + c.notes);
-        c.run(5);
+    private static Cluster threeStores() {
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        assertTrue(c.runUntil(c::allPartsHaveLeaders, 10) < 8, () -> "founding: " + c.eventLog);
+        c.runFor(5);
         return c;
     }
 
-    private static boolean level(Cluster c, Cluster.Member m) {
+    private static boolean isCaughtUp(Cluster c, Cluster.Member m) {
         for (var p = 0; p < Parts.COUNT; p++) {
-            var owner = c.owner(p);
+            var owner = c.leaderOf(p);
             if (owner == null || m.store.replicas().length == 0) return false;
             var last = owner.store.replicas()[p].group().lastIndex();
             if (m.store.replicas()[p].group().appliedIndex() < last) return false;
@@ -51,39 +51,39 @@
     void aStoreThatRestartsWithAFullDiskStaysUpSaysSoAndCatchesUpOnceThereIsSpace() {
         for (var name : List.of("s1", "s2", "s3"))
             for (var power : List.of(true, false)) {
-                var c = three();
-                var m = c.get(name);
+                var c = threeStores();
+                var m = c.member(name);
                 var id = m.storeId();
                 if (power) m.losePower();
                 else m.crash();
                 m.disk.full(true);
                 m.start();
-                c.add("r1", Node.ROUTER, "z1");
-                c.run(5);
-                assertTrue(c.owned(), () -> name + ": " + String.join("\n", c.notes));
-                assertTrue(c.notes.stream().anyMatch(n -> n.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
+                c.addMember("r1", Node.ROUTER, "z1");
+                c.runFor(5);
+                assertTrue(c.allPartsHaveLeaders(), () -> name + ": " + String.join("\n", c.eventLog));
+                assertTrue(c.eventLog.stream().anyMatch(n -> n.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
                 m.disk.full(false);
-                c.run(3);
+                c.runFor(3);
                 assertEquals(id, m.storeId());
-                assertTrue(level(c, m), () -> name + ": " + String.join("\n", c.notes));
+                assertTrue(isCaughtUp(c, m), () -> name + ": " + String.join("\n", c.eventLog));
             }
     }
 
     @Test
     void noStoreIsCalledLostHoweverOftenPowerGoes() {
-        var c = three();
+        var c = threeStores();
         var random = new Random(5);
-        c.add("r1", Node.ROUTER, "z1");
+        c.addMember("r1", Node.ROUTER, "z1");
         for (var i = 0; i < 60; i++) {
             var all = List.of("s1", "s2", "s3").subList(0, 1 + random.nextInt(3));
-            all.forEach(n -> c.get(n).losePower());
-            c.run(0.2);
-            all.forEach(n -> c.get(n).start());
-            c.run(random.nextDouble() * 1.5);
+            all.forEach(n -> c.member(n).losePower());
+            c.runFor(0.2);
+            all.forEach(n -> c.member(n).start());
+            c.runFor(random.nextDouble() * 1.5);
         }
-        c.run(5);
-        assertTrue(c.owned(), () -> String.join("\n", c.notes));
-        assertTrue(c.notes.stream().noneMatch(n -> n.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
+        c.runFor(5);
+        assertTrue(c.allPartsHaveLeaders(), () -> String.join("\n", c.eventLog));
+        assertTrue(c.eventLog.stream().noneMatch(n -> n.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
     }
 
     private long now = 1_000_000;
@@ -100,7 +100,7 @@
         public void logEvent(Event e, String detail) {}
     };
 
-    private Store store(Folder folder) {
+    private Store newStore(Folder folder) {
         var self = new Node("s1", Node.STORE, "z1", "s1", 1);
         return new Store(
                 port,
@@ -111,18 +111,18 @@
                 new Random(now));
     }
 
-    private void run(Store s) {
+    private void runStore(Store s) {
         for (var i = 0; i < 100; i++) {
             now += 20_000;
             s.tick();
         }
     }
 
-    private static Folder crashing(Disk disk, int at) {
+    private static Folder crashingFolder(Disk disk, int at) {
         var step = new int[1];
         return (Folder)
                 Proxy.newProxyInstance(Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, (p, m, a) -> {
-                    if (WRITES.contains(m.getName()) && step[0]++ == at) throw new Crash();
+                    if (WRITE_METHODS.contains(m.getName()) && step[0]++ == at) throw new Crash();
                     try {
                         return m.invoke(disk, a);
                     } catch (InvocationTargetException e) {
@@ -136,15 +136,15 @@
     void aDamagedFolderIsSetAsideWholeThoughTheProcessEndsInTheMiddleOfIt() {
         for (var step = 0; ; step++) {
             var disk = new Disk();
-            var first = store(disk);
-            run(first);
+            var first = newStore(disk);
+            runStore(first);
             var id = first.directory().self().storeId;
             disk.damage("p2.log.1", 60);
             var kept = new HashMap<String, byte[]>();
             for (var n : List.of("identity", "core", "p2.log.1")) kept.put("lost." + n, disk.read(n));
-            var ended = starts(crashing(disk, step));
+            var ended = startsWithoutCrash(crashingFolder(disk, step));
             disk.losePower(new Random(step));
-            assertNotEquals(id, store(disk).directory().self().storeId, "step " + step);
+            assertNotEquals(id, newStore(disk).directory().self().storeId, "step " + step);
             kept.forEach((n, b) -> assertArrayEquals(b, disk.read(n), n));
             if (ended) return;
         }
@@ -154,17 +154,17 @@
     void aSecondDamagedFolderDoesNotTakeTheFilesOfTheFirst() {
         var disk = new Disk();
         for (var i = 0; i < 2; i++) {
-            run(store(disk));
+            runStore(newStore(disk));
             disk.damage("p2.log.1", 60);
             var damaged = disk.read("p2.log.1");
-            store(disk);
+            newStore(disk);
             assertArrayEquals(damaged, disk.read(i == 0 ? "lost.p2.log.1" : "lost.2.p2.log.1"));
         }
     }
 
-    private boolean starts(Folder folder) {
+    private boolean startsWithoutCrash(Folder folder) {
         try {
-            store(folder);
+            newStore(folder);
             return true;
         } catch (Crash e) {
             return false;
--- a/test/sim/src/test/java/craneway/sim/EmptyFullDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/FullReplacementDiskTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A store whose disk was replaced by an empty one that is full ends at its start until there is space, then joins again. */
-class EmptyFullDiskTest {
+class FullReplacementDiskTest {
     private static final long SEED = 7045;
 
     @Test
--- a/test/sim/src/test/java/craneway/sim/GroupTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
@@ -21,10 +21,10 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-class GroupTest {
-    private static final long TICK = 10_000;
+class GroupReplicationTest {
+    private static final long TICK_MICROS = 10_000;
 
-    private static final class Counter implements StateMachine {
+    private static final class CountingStateMachine implements StateMachine {
         int applied;
 
         @Override
@@ -43,23 +43,23 @@
         }
     }
 
-    private final class One implements GroupListener {
+    private final class Replica implements GroupListener {
         final Disk disk = new Disk();
-        final Counter counter = new Counter();
+        final CountingStateMachine counter = new CountingStateMachine();
         final Group group;
-        int sent;
-        int entries;
+        int sentMessages;
+        int sentEntries;
 
-        One(long id, Members all) {
+        Replica(long id, Members all) {
             group = new Group(0, id, 9, disk, all, counter, new Random(id), this, TimingProfile.LOW_TRAFFIC, now);
         }
 
         @Override
         public void send(PartMessage m) {
-            if (drop.test(m)) return;
-            sent++;
-            entries += m.entries.size();
-            mail.add(m);
+            if (dropFilter.test(m)) return;
+            sentMessages++;
+            sentEntries += m.entries.size();
+            inFlightMessages.add(m);
         }
 
         @Override
@@ -73,120 +73,120 @@
     }
 
     private long now = 1_000_000;
-    private Predicate<PartMessage> drop = m -> false;
-    private final List<PartMessage> mail = new ArrayList<>();
-    private final List<One> ones = new ArrayList<>();
+    private Predicate<PartMessage> dropFilter = m -> false;
+    private final List<PartMessage> inFlightMessages = new ArrayList<>();
+    private final List<Replica> replicas = new ArrayList<>();
 
-    private One elect(int n) {
+    private Replica startAndElect(int n) {
         var ids = new long[n];
         var zones = new String[n];
         for (var i = 0; i < n; i++) {
             ids[i] = i + 1;
             zones[i] = "z" + i;
         }
-        for (var id : ids) ones.add(new One(id, Members.of(ids, zones)));
-        run(4_000_000);
-        return ones.stream()
+        for (var id : ids) replicas.add(new Replica(id, Members.of(ids, zones)));
+        runFor(4_000_000);
+        return replicas.stream()
                 .filter(o -> o.group.role() == Role.LEADER)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private void run(long micros) {
-        for (var end = now + micros; now < end; now += TICK) {
-            for (var o : ones) {
+    private void runFor(long micros) {
+        for (var end = now + micros; now < end; now += TICK_MICROS) {
+            for (var o : replicas) {
                 o.group.tick(now);
                 o.group.syncAndSend(now);
             }
-            deliver();
+            deliverMessages();
         }
     }
 
-    private void deliver() {
-        while (!mail.isEmpty()) {
-            var all = List.copyOf(mail);
-            mail.clear();
+    private void deliverMessages() {
+        while (!inFlightMessages.isEmpty()) {
+            var all = List.copyOf(inFlightMessages);
+            inFlightMessages.clear();
             for (var m : all) {
-                var o = ones.get((int) m.to - 1);
+                var o = replicas.get((int) m.to - 1);
                 o.group.receive(m, now);
                 o.group.syncAndSend(now);
             }
         }
     }
 
-    private void propose(One owner, int bytes) {
+    private void propose(Replica owner, int bytes) {
         owner.group.propose(new byte[bytes], now);
         owner.group.syncAndSend(now);
-        deliver();
+        deliverMessages();
     }
 
     @Test
     void aLostAppendIsMadeUpForWithinABeat() {
-        var owner = elect(3);
-        drop = m -> m.kind == PartMessage.APPEND && !m.entries.isEmpty();
+        var owner = startAndElect(3);
+        dropFilter = m -> m.kind == PartMessage.APPEND && !m.entries.isEmpty();
         propose(owner, 10);
         assertEquals(0, owner.counter.applied);
-        drop = m -> false;
-        run(TimingProfile.LOW_TRAFFIC.heartbeatInterval() + TICK);
-        for (var o : ones) assertEquals(owner.group.lastIndex(), o.group.lastIndex());
+        dropFilter = m -> false;
+        runFor(TimingProfile.LOW_TRAFFIC.heartbeatInterval() + TICK_MICROS);
+        for (var o : replicas) assertEquals(owner.group.lastIndex(), o.group.lastIndex());
         assertEquals(1, owner.counter.applied);
     }
 
     @Test
     void aLargeAppendIsNotSentAgainWhileOnItsWay() {
-        var owner = elect(3);
+        var owner = startAndElect(3);
         var held = new ArrayList<PartMessage>();
-        drop = m -> {
+        dropFilter = m -> {
             if (m.kind != PartMessage.APPEND || m.entries.isEmpty()) return false;
             held.add(m);
             return true;
         };
         propose(owner, 100_000);
-        run(350_000);
+        runFor(350_000);
         assertEquals(2, held.size());
         assertEquals(Role.LEADER, owner.group.role());
-        drop = m -> false;
-        mail.addAll(held);
-        deliver();
+        dropFilter = m -> false;
+        inFlightMessages.addAll(held);
+        deliverMessages();
         assertEquals(1, owner.counter.applied);
     }
 
     @Test
     void aLargeAppendThatIsLostGoesAgain() {
-        var owner = elect(3);
-        drop = m -> m.kind == PartMessage.APPEND && !m.entries.isEmpty();
+        var owner = startAndElect(3);
+        dropFilter = m -> m.kind == PartMessage.APPEND && !m.entries.isEmpty();
         propose(owner, 100_000);
-        drop = m -> false;
-        run(700_000);
+        dropFilter = m -> false;
+        runFor(700_000);
         assertEquals(1, owner.counter.applied);
     }
 
     @Test
     void aFollowerWhoseLargeEntriesWereNeverCommittedIsBroughtIntoLine() {
-        var old = elect(3);
-        var id = ones.indexOf(old) + 1;
-        drop = m -> m.from == id || m.to == id;
+        var old = startAndElect(3);
+        var id = replicas.indexOf(old) + 1;
+        dropFilter = m -> m.from == id || m.to == id;
         for (var i = 0; i < 20; i++) propose(old, 2_000);
-        run(4_000_000);
-        var owner = ones.stream()
+        runFor(4_000_000);
+        var owner = replicas.stream()
                 .filter(o -> o != old && o.group.role() == Role.LEADER)
                 .findFirst()
                 .orElseThrow();
         for (var i = 0; i < 30; i++) propose(owner, 2_000);
-        drop = m -> false;
-        run(3_000_000);
-        for (var o : ones) assertEquals(30, o.counter.applied);
+        dropFilter = m -> false;
+        runFor(3_000_000);
+        for (var o : replicas) assertEquals(30, o.counter.applied);
     }
 
     @Test
     void anOwnerThatCannotHandOverGoesOnOwning() {
-        var owner = elect(3);
-        var to = ones.stream().filter(o -> o != owner).findFirst().get();
+        var owner = startAndElect(3);
+        var to = replicas.stream().filter(o -> o != owner).findFirst().get();
         to.disk.full(true);
         propose(owner, 10);
         var term = owner.group.term();
-        assertTrue(owner.group.transferLeadership(ones.indexOf(to) + 1, now));
-        run(2_000_000);
+        assertTrue(owner.group.transferLeadership(replicas.indexOf(to) + 1, now));
+        runFor(2_000_000);
         assertEquals(Role.LEADER, owner.group.role());
         assertEquals(term, owner.group.term());
         propose(owner, 10);
@@ -195,14 +195,14 @@
 
     @Test
     void nothingIsCommittedBeforeAMajorityHasSyncedIt() {
-        var owner = elect(3);
+        var owner = startAndElect(3);
         owner.group.propose(new byte[10], now);
         owner.group.tick(now);
         assertEquals(0, owner.counter.applied);
-        ones.stream().filter(o -> o != owner).forEach(o -> o.disk.full(true));
+        replicas.stream().filter(o -> o != owner).forEach(o -> o.disk.full(true));
         owner.group.syncAndSend(now);
-        deliver();
-        run(300_000);
+        deliverMessages();
+        runFor(300_000);
         assertEquals(0, owner.counter.applied);
     }
 
--- a/test/sim/src/test/java/craneway/sim/HungDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/HungDiskTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.Timeout;
 
 class HungDiskTest {
-    private final AtomicBoolean hangs = new AtomicBoolean();
-    private final CountDownLatch hung = new CountDownLatch(1);
-    private final CountDownLatch freed = new CountDownLatch(1);
+    private final AtomicBoolean diskHangs = new AtomicBoolean();
+    private final CountDownLatch writeBlocked = new CountDownLatch(1);
+    private final CountDownLatch diskReleased = new CountDownLatch(1);
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final LinkedBlockingQueue<Object> sent = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Object> sentMessages = new LinkedBlockingQueue<>();
 
     private final Port port = new Port() {
         @Override
@@ -39,23 +39,23 @@
 
         @Override
         public void send(String address, Object message) {
-            sent.add(message);
+            sentMessages.add(message);
         }
 
         @Override
         public void logEvent(Event e, String detail) {}
     };
 
-    private Folder folder() {
+    private Folder hangingFolder() {
         var disk = new Disk();
         return (Folder)
                 Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Folder.class}, (p, m, a) -> {
-                    if (hangs.get()
+                    if (diskHangs.get()
                             && (m.getName().equals("sync")
                                     || m.getName().equals("append")
                                     || m.getName().equals("replace"))) {
-                        hung.countDown();
-                        freed.await();
+                        writeBlocked.countDown();
+                        diskReleased.await();
                     }
                     synchronized (disk) {
                         return m.invoke(disk, a);
@@ -70,28 +70,28 @@
         var self = new Node("s1", Node.STORE, "z1", "s1", 1);
         var store = new Store(
                 port,
-                folder(),
+                hangingFolder(),
                 self,
                 List.of(),
                 new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> part),
                 new Random(1));
-        for (var i = 0; i < 100 && store.replicas().length == 0; i++) tick(store);
-        hangs.set(true);
-        while (!hung.await(1, TimeUnit.MILLISECONDS)) tick(store);
-        for (var i = 0; i < 50; i++) tick(store);
-        sent.clear();
+        for (var i = 0; i < 100 && store.replicas().length == 0; i++) advanceAndTick(store);
+        diskHangs.set(true);
+        while (!writeBlocked.await(1, TimeUnit.MILLISECONDS)) advanceAndTick(store);
+        for (var i = 0; i < 50; i++) advanceAndTick(store);
+        sentMessages.clear();
         var h = new Hello();
         h.from = new Node("s2", Node.STORE, "z2", "s2", 1);
         h.wantsReply = true;
         store.receive(h);
-        assertTrue(sent.stream().anyMatch(m -> m instanceof Hello));
-        freed.countDown();
+        assertTrue(sentMessages.stream().anyMatch(m -> m instanceof Hello));
+        diskReleased.countDown();
         part.shutdown();
         assertTrue(part.awaitTermination(20, TimeUnit.SECONDS));
         assertFalse(store.replicas().length == 0);
     }
 
-    private void tick(Store store) {
+    private void advanceAndTick(Store store) {
         now.addAndGet(20_000);
         store.tick();
     }
--- a/test/sim/src/test/java/craneway/sim/LeaderLearnedTest.java
+++ b/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A node that knows the leader of some parts only learns the others from the answers to its joined renewals. */
-class LeaderLearnedTest {
+class LeaderDiscoveryTest {
     private static final int KNOWN_PART = 0;
     private static final int UNKNOWN_PART = 1;
     private static final int JOIN_ATTEMPTS = 20;
@@ -19,10 +19,10 @@
     void aLeaderThatOnlySomeRenewalsOfAMessageNameIsToldAgain() {
         var cluster = new Cluster(
                 TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, Map.of("z1", "a", "z2", "b", "z3", "c")));
-        cluster.stores("z1", "z2", "z3");
-        cluster.until(cluster::owned, 10);
-        cluster.run(8);
-        var leader = cluster.owner(KNOWN_PART);
+        cluster.addStores("z1", "z2", "z3");
+        cluster.runUntil(cluster::allPartsHaveLeaders, 10);
+        cluster.runFor(8);
+        var leader = cluster.leaderOf(KNOWN_PART);
         var follower = cluster.members.values().stream()
                 .filter(m -> m != leader)
                 .findFirst()
@@ -31,10 +31,10 @@
         for (var attempt = 0; attempt < JOIN_ATTEMPTS; attempt++) {
             client.leader(UNKNOWN_PART, null);
             assertNull(client.leader(UNKNOWN_PART));
-            cluster.run(2);
+            cluster.runFor(2);
             assertNotNull(client.leader(UNKNOWN_PART), "attempt " + attempt);
-            assertEquals(cluster.owner(UNKNOWN_PART).name, client.leader(UNKNOWN_PART).name);
-            cluster.run(0.07);
+            assertEquals(cluster.leaderOf(UNKNOWN_PART).name, client.leader(UNKNOWN_PART).name);
+            cluster.runFor(0.07);
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -14,83 +14,83 @@
 
 /** A store that is told to stop leads nothing and stays until its successor counts, or until the others hold all it holds. */
 class PlannedLeaveTest {
-    private static final double GRACE = 6.5;
+    private static final double SHUTDOWN_GRACE_SECONDS = 6.5;
 
-    private static Cluster three() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).stores("z1", "z2", "z3");
-        c.until(c::owned, 10);
-        c.run(5);
+    private static Cluster threeStores() {
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).addStores("z1", "z2", "z3");
+        c.runUntil(c::allPartsHaveLeaders, 10);
+        c.runFor(5);
         return c;
     }
 
-    private static long order(Cluster c) throws IOException {
+    private static long putManifest(Cluster c) throws IOException {
         var resource = PlannedLeaveTest.class.getResource("/craneway/sim/maticar.json");
         var text = Files.readString(Path.of(resource.getPath()));
         var version = new long[1];
-        c.owner(0)
+        c.leaderOf(0)
                 .operator
                 .putManifest(0, text, r -> version[0] = r.isRight() ? r.get().version() : -1);
-        c.until(() -> version[0] != 0, 10);
-        assertTrue(version[0] > 0, () -> String.join("\n", c.notes));
+        c.runUntil(() -> version[0] != 0, 10);
+        assertTrue(version[0] > 0, () -> String.join("\n", c.eventLog));
         return version[0];
     }
 
     /** What the process does at SIGTERM, and the seconds it took. */
-    private static double stop(Cluster c, Cluster.Member m) {
-        var took = c.until(() -> !m.store.continuePlannedLeave(), GRACE);
+    private static double stopGracefully(Cluster c, Cluster.Member m) {
+        var took = c.runUntil(() -> !m.store.continuePlannedLeave(), SHUTDOWN_GRACE_SECONDS);
         m.store.membership().leave(c.sim.now());
-        c.run(0.5);
+        c.runFor(0.5);
         m.crash();
         return took;
     }
 
-    private static Cluster.Member other(Cluster c, Cluster.Member... not) {
+    private static Cluster.Member memberExcept(Cluster c, Cluster.Member... not) {
         return c.members.values().stream()
                 .filter(m -> !java.util.List.of(not).contains(m))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void holds(Cluster c, long version) {
-        assertTrue(c.until(() -> c.owner(0) != null, 6) < 3, () -> String.join("\n", c.notes));
-        assertEquals(version, c.owner(0).store.replicas()[0].records().rows().manifest.version);
+    private static void assertManifestKept(Cluster c, long version) {
+        assertTrue(c.runUntil(() -> c.leaderOf(0) != null, 6) < 3, () -> String.join("\n", c.eventLog));
+        assertEquals(version, c.leaderOf(0).store.replicas()[0].records().rows().manifest.version);
     }
 
     @Test
     void aPlannedReplacementAndALossRightAfterItKeepAllThatWasAcknowledged() throws IOException {
         for (var seed = 0; seed < 10; seed++) {
-            var c = three();
-            c.run(seed * 0.037);
-            if (seed > 4) c.delay = 35_000;
-            var version = order(c);
-            var leader = c.owner(0);
-            var leaver = seed % 2 == 0 ? leader : other(c, leader);
-            var spare = c.add("s4", Node.STORE, leaver.zone);
-            c.run(1.5);
-            var took = stop(c, leaver);
-            assertTrue(took < 5, () -> took + " s\n" + String.join("\n", c.notes));
+            var c = threeStores();
+            c.runFor(seed * 0.037);
+            if (seed > 4) c.oneWayDelayMicros = 35_000;
+            var version = putManifest(c);
+            var leader = c.leaderOf(0);
+            var leaver = seed % 2 == 0 ? leader : memberExcept(c, leader);
+            var spare = c.addMember("s4", Node.STORE, leaver.zone);
+            c.runFor(1.5);
+            var took = stopGracefully(c, leaver);
+            assertTrue(took < 5, () -> took + " s\n" + String.join("\n", c.eventLog));
             for (var p = 0; p < Parts.COUNT; p++) {
                 var part = p;
-                var voters = c.voters(p);
+                var voters = c.voterNames(p);
                 assertTrue(voters.contains("s4") && !voters.contains(leaver.name), () -> "part " + part + voters);
             }
             leaver.loseDisk();
-            other(c, leaver, spare).loseDisk();
-            holds(c, version);
+            memberExcept(c, leaver, spare).loseDisk();
+            assertManifestKept(c, version);
         }
     }
 
     @Test
     void aLeaverStaysWhileAnotherVoterLacksWhatItHolds() throws IOException {
-        var c = three();
-        var leader = c.owner(0);
-        var leaver = other(c, leader);
-        var away = other(c, leader, leaver);
-        c.cut.add(leader.name + ">" + away.name);
-        c.cut.add(away.name + ">" + leader.name);
-        var version = order(c);
-        c.sim.after(3 * Cluster.SECOND, c.cut::clear);
-        var took = stop(c, leaver);
+        var c = threeStores();
+        var leader = c.leaderOf(0);
+        var leaver = memberExcept(c, leader);
+        var away = memberExcept(c, leader, leaver);
+        c.blockedPaths.add(leader.name + ">" + away.name);
+        c.blockedPaths.add(away.name + ">" + leader.name);
+        var version = putManifest(c);
+        c.sim.after(3 * Cluster.MICROS_PER_SECOND, c.blockedPaths::clear);
+        var took = stopGracefully(c, leaver);
         leaver.loseDisk();
         leader.loseDisk();
         assertTrue(took > 2.9, () -> "left after " + took + " s");
@@ -102,23 +102,23 @@
     @Test
     void withoutASpareAStoreThatStopsIsGoneSoon() throws IOException {
         for (var leads : new boolean[] {true, false}) {
-            var c = three();
-            var version = order(c);
-            var leader = c.owner(0);
-            var took = stop(c, leads ? leader : other(c, leader));
-            assertTrue(took < 2.5, () -> took + " s\n" + String.join("\n", c.notes));
-            holds(c, version);
+            var c = threeStores();
+            var version = putManifest(c);
+            var leader = c.leaderOf(0);
+            var took = stopGracefully(c, leads ? leader : memberExcept(c, leader));
+            assertTrue(took < 2.5, () -> took + " s\n" + String.join("\n", c.eventLog));
+            assertManifestKept(c, version);
         }
     }
 
     @Test
     void allStoresToldToStopTogetherAreGoneWithinTheGrace() {
-        var c = three();
-        for (var i = 0; i < GRACE * 10; i++) {
-            var up = c.members.values().stream().filter(m -> m.up).toList();
+        var c = threeStores();
+        for (var i = 0; i < SHUTDOWN_GRACE_SECONDS * 10; i++) {
+            var up = c.members.values().stream().filter(m -> m.running).toList();
             for (var m : up) if (!m.store.continuePlannedLeave()) m.crash();
-            c.run(0.1);
+            c.runFor(0.1);
         }
-        assertTrue(c.members.values().stream().noneMatch(m -> m.up));
+        assertTrue(c.members.values().stream().noneMatch(m -> m.running));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -24,25 +24,25 @@
  * a way whose disks take a while to sync, and what the logs of both ends hold. Arguments: join, away, or both.
  */
 public final class RejoinCost {
-    private static final long WAY = 35_000;
-    private static final long TICK = 20_000;
-    private static final long SECOND = 1_000_000;
-    private static final int DATAGRAM = 1_200;
-    private static final double BYTES_PER_MICRO = (64 << 10) / (2.0 * WAY);
-    private static final int SEEDS = 5;
+    private static final long ONE_WAY_DELAY_MICROS = 35_000;
+    private static final long TICK_MICROS = 20_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final int CONNECTION_MIN_BYTES = 1_200;
+    private static final double BYTES_PER_MICRO = (64 << 10) / (2.0 * ONE_WAY_DELAY_MICROS);
+    private static final int SEED_COUNT = 5;
 
     private final Sim sim;
-    private final long sync;
+    private final long syncMicros;
     private final Map<String, Member> members = new TreeMap<>();
-    private final Map<String, Long> free = new HashMap<>();
-    private long version;
+    private final Map<String, Long> pathBusyUntil = new HashMap<>();
+    private long manifestVersion;
 
     private RejoinCost(long seed, long sync) {
         sim = new Sim(seed);
-        this.sync = sync;
+        this.syncMicros = sync;
         for (var i = 1; i <= 3; i++) new Member("s" + i, "z" + i).start();
-        until(() -> leader() != null, 20);
-        run(5);
+        runUntil(() -> leader() != null, 20);
+        runFor(5);
     }
 
     private final class Member implements Port {
@@ -50,9 +50,9 @@
         final String zone;
         Disk disk = new Disk();
         Store store;
-        boolean up;
-        int life;
-        long largeBytes;
+        boolean running;
+        int startCount;
+        long connectionBytes;
 
         Member(String name, String zone) {
             this.name = name;
@@ -61,27 +61,27 @@
         }
 
         void start() {
-            up = true;
-            life++;
+            running = true;
+            startCount++;
             var self = new Node(name, Node.STORE, zone, name, 1_000_000_000L + sim.now());
             var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> this::afterSync);
             var random = new Random(sim.random.nextLong());
             store = new Store(this, disk, self, List.of("s1", "s2", "s3"), rules, random);
-            tick(life);
+            tick(startCount);
         }
 
         /** What a part does counts once its disk has synced. */
         private void afterSync(Runnable work) {
-            var mine = life;
-            sim.after(sync, () -> {
-                if (up && life == mine) work.run();
+            var mine = startCount;
+            sim.after(syncMicros, () -> {
+                if (running && startCount == mine) work.run();
             });
         }
 
         private void tick(int mine) {
-            if (!up || life != mine) return;
+            if (!running || startCount != mine) return;
             store.tick();
-            sim.after(TICK, () -> tick(mine));
+            sim.after(TICK_MICROS, () -> tick(mine));
         }
 
         @Override
@@ -92,31 +92,31 @@
         @Override
         public void send(String to, Object message) {
             var peer = members.get(to);
-            if (!up || peer == null || !peer.up) return;
+            if (!running || peer == null || !peer.running) return;
             var b = Codec.encodeTagged(message);
-            var length = deflated(b);
+            var length = compressedLength(b);
             if (to.equals(name)) {
-                sim.after(0, () -> peer.arrive(b));
-            } else if (length < DATAGRAM) {
-                sim.after(WAY, () -> peer.arrive(b));
+                sim.after(0, () -> peer.deliver(b));
+            } else if (length < CONNECTION_MIN_BYTES) {
+                sim.after(ONE_WAY_DELAY_MICROS, () -> peer.deliver(b));
             } else {
-                largeBytes += length;
+                connectionBytes += length;
                 var lane = name + ">" + to;
-                var begins = Math.max(sim.now(), free.getOrDefault(lane, 0L));
-                var ends = begins + 2 * WAY + (long) (length / BYTES_PER_MICRO);
-                free.put(lane, ends);
-                sim.at(ends + WAY, () -> peer.arrive(b));
+                var begins = Math.max(sim.now(), pathBusyUntil.getOrDefault(lane, 0L));
+                var ends = begins + 2 * ONE_WAY_DELAY_MICROS + (long) (length / BYTES_PER_MICRO);
+                pathBusyUntil.put(lane, ends);
+                sim.at(ends + ONE_WAY_DELAY_MICROS, () -> peer.deliver(b));
             }
         }
 
-        private void arrive(byte[] b) {
-            if (up) store.receive(Codec.decodeTagged(b));
+        private void deliver(byte[] b) {
+            if (running) store.receive(Codec.decodeTagged(b));
         }
 
         @Override
         public void logEvent(Event e, String detail) {}
 
-        boolean votes() {
+        boolean isVoterOfAllParts() {
             for (var p = 0; p < Parts.COUNT; p++) {
                 var leader = leader(p);
                 if (leader == null || store.replicas().length == 0) return false;
@@ -126,7 +126,7 @@
             return true;
         }
 
-        boolean level() {
+        boolean isCaughtUp() {
             var leader = leader();
             if (leader == null || store.replicas().length == 0) return false;
             return manifestPart(this).appliedIndex() == manifestPart(leader).appliedIndex();
@@ -142,8 +142,8 @@
     }
 
     /** As frames on the wire are. */
-    private static int deflated(byte[] b) {
-        if (b.length < DATAGRAM) return b.length;
+    private static int compressedLength(byte[] b) {
+        if (b.length < CONNECTION_MIN_BYTES) return b.length;
         var d = new Deflater(Deflater.BEST_SPEED, true);
         d.setInput(b);
         d.finish();
@@ -160,7 +160,7 @@
 
     private Member leader(int part) {
         for (var m : members.values()) {
-            if (!m.up || m.store.replicas().length == 0) continue;
+            if (!m.running || m.store.replicas().length == 0) continue;
             if (m.store.replicas()[part].group().hasLease(sim.now())) return m;
         }
         return null;
@@ -168,37 +168,37 @@
 
     private Member follower() {
         return members.values().stream()
-                .filter(m -> m.up && m != leader())
+                .filter(m -> m.running && m != leader())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private void run(double seconds) {
-        sim.runUntil(sim.now() + (long) (seconds * SECOND));
+    private void runFor(double seconds) {
+        sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
-    private double until(BooleanSupplier holds, double most) {
+    private double runUntil(BooleanSupplier holds, double most) {
         var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * SECOND) sim.runUntil(sim.now() + TICK);
-        return (sim.now() - from) / (double) SECOND;
+        while (!holds.getAsBoolean() && sim.now() - from < most * MICROS_PER_SECOND) sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - from) / (double) MICROS_PER_SECOND;
     }
 
-    private void change(int routes, int round) {
+    private void putManifest(int routes, int round) {
         var c = new Commands.ManifestPut();
-        c.baseVersion = version;
-        c.text = text(routes, round);
+        c.baseVersion = manifestVersion;
+        c.text = manifestText(routes, round);
         var done = new boolean[1];
-        until(() -> leader() != null, 20);
-        leader().store.coreClient().request(Parts.MANIFEST_PART, c, 10 * SECOND, v -> {
+        runUntil(() -> leader() != null, 20);
+        leader().store.coreClient().request(Parts.MANIFEST_PART, c, 10 * MICROS_PER_SECOND, v -> {
             done[0] = true;
             if (v.kind != 0) throw new IllegalStateException(v.detail);
-            version = Long.parseLong(v.detail);
+            manifestVersion = Long.parseLong(v.detail);
         });
-        until(() -> done[0], 20);
+        runUntil(() -> done[0], 20);
         if (!done[0]) throw new IllegalStateException("no answer");
     }
 
-    private static String text(int routes, int round) {
+    private static String manifestText(int routes, int round) {
         var b = new StringBuilder("{\"name\": \"large\", \"regions\": [\"r1\"], \"lapsedGraceMs\": 30000, "
                 + "\"claimRetentionMs\": " + (3_600_000 + round) + ", \"zones\": [");
         for (var z = 1; z <= 3; z++)
@@ -208,8 +208,8 @@
                 "\"cells\": [{\"name\": \"cell-1\", \"zone\": \"z1\", \"weight\": 1}]}], \"tenants\": [], \"routes\": [");
         for (var r = 0; r < routes; r++)
             b.append(r > 0 ? ", " : "")
-                    .append("{\"name\": \"r-" + word(round, r) + "\", \"host\": \"" + word(r, 1) + ".example\", ")
-                    .append("\"prefix\": \"/" + word(r, 2)
+                    .append("{\"name\": \"r-" + randomName(round, r) + "\", \"host\": \"" + randomName(r, 1) + ".example\", ")
+                    .append("\"prefix\": \"/" + randomName(r, 2)
                             + "/\", \"kind\": \"stream\", \"deadlineMs\": 15000, \"targetMs\": 600, \"pauseMs\": 400, ")
                     .append("\"resume\": true, \"tries\": 2, \"regions\": [\"r1\"], ")
                     .append("\"shares\": [{\"service\": \"svc\", \"weight\": 1}]}");
@@ -217,45 +217,45 @@
     }
 
     /** Names that deflate as poorly as given ones. */
-    private static String word(int a, int b) {
+    private static String randomName(int a, int b) {
         return Long.toString(Hash.of(a, b) >>> 22, 36);
     }
 
-    private static void join(int routes, long sync) {
-        var times = new double[SEEDS];
+    private static void measureJoin(int routes, long sync) {
+        var times = new double[SEED_COUNT];
         var bytes = 0L;
-        for (var seed = 0; seed < SEEDS; seed++) {
+        for (var seed = 0; seed < SEED_COUNT; seed++) {
             var c = new RejoinCost(seed, sync);
-            for (var i = 0; i < 3; i++) c.change(routes, i);
-            c.run(3 + seed * 0.037);
+            for (var i = 0; i < 3; i++) c.putManifest(routes, i);
+            c.runFor(3 + seed * 0.037);
             var back = c.follower();
-            back.up = false;
+            back.running = false;
             back.disk = new Disk();
-            c.run(0.7);
-            c.members.values().forEach(m -> m.largeBytes = 0);
+            c.runFor(0.7);
+            c.members.values().forEach(m -> m.connectionBytes = 0);
             back.start();
-            times[seed] = c.until(back::votes, 60);
-            bytes = c.members.values().stream().mapToLong(m -> m.largeBytes).sum();
+            times[seed] = c.runUntil(back::isVoterOfAllParts, 60);
+            bytes = c.members.values().stream().mapToLong(m -> m.connectionBytes).sum();
         }
         java.util.Arrays.sort(times);
         System.out.printf(
                 "| %d | %d | %.1f | %.2f | %.2f | %d |%n",
-                routes, text(routes, 0).length(), sync / 1e3, times[SEEDS / 2], times[SEEDS - 1], bytes / 1_000);
+                routes, manifestText(routes, 0).length(), sync / 1e3, times[SEED_COUNT / 2], times[SEED_COUNT - 1], bytes / 1_000);
     }
 
-    private static void away(long sync, boolean lost) {
+    private static void measureReturn(long sync, boolean lost) {
         var c = new RejoinCost(7, sync);
-        for (var i = 0; i < 400; i++) c.change(400, i);
+        for (var i = 0; i < 400; i++) c.putManifest(400, i);
         var back = c.follower();
-        back.up = false;
-        for (var i = 400; i < 1_000; i++) c.change(400, i);
+        back.running = false;
+        for (var i = 400; i < 1_000; i++) c.putManifest(400, i);
         if (lost) back.disk = new Disk();
-        c.members.values().forEach(m -> m.largeBytes = 0);
-        var heap = heap();
+        c.members.values().forEach(m -> m.connectionBytes = 0);
+        var heap = usedHeapBytes();
         back.start();
-        var level = c.until(back::level, 120);
-        var votes = level + c.until(back::votes, 60);
-        var sent = c.members.values().stream().mapToLong(m -> m.largeBytes).sum();
+        var level = c.runUntil(back::isCaughtUp, 120);
+        var votes = level + c.runUntil(back::isVoterOfAllParts, 60);
+        var sent = c.members.values().stream().mapToLong(m -> m.connectionBytes).sum();
         System.out.printf(
                 "| %s | %.1f | %.2f | %.2f | %d | %d | %d | %d |%n",
                 lost ? "lost disk" : "away",
@@ -265,10 +265,10 @@
                 sent / 1_000,
                 c.leader().diskBytes() / 1_000,
                 back.diskBytes() / 1_000,
-                (heap() - heap) / 1_000);
+                (usedHeapBytes() - heap) / 1_000);
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         System.gc();
         var r = Runtime.getRuntime();
         return r.totalMemory() - r.freeMemory();
@@ -281,13 +281,13 @@
             System.out.println(
                     "| routes | text, bytes | sync, ms | s to a vote on all parts, median | most | large kB sent |");
             System.out.println("|---|---|---|---|---|---|");
-            for (var routes : List.of(390, 4_000)) for (var sync : List.of(500L, 5_000L)) join(routes, sync);
+            for (var routes : List.of(390, 4_000)) for (var sync : List.of(500L, 5_000L)) measureJoin(routes, sync);
         }
         if (which.contains("away")) {
             System.out.println(
                     "| member | sync, ms | s until level | s until it votes | large kB sent | leader's disk kB | its disk kB | heap kB more |");
             System.out.println("|---|---|---|---|---|---|---|---|");
-            for (var sync : List.of(500L, 5_000L)) for (var lost : List.of(false, true)) away(sync, lost);
+            for (var sync : List.of(500L, 5_000L)) for (var lost : List.of(false, true)) measureReturn(sync, lost);
         }
     }
 }
--- /dev/null
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -0,0 +1,162 @@
+package craneway.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import craneway.control.store.Quorum;
+import craneway.data.runner.Announcement;
+import craneway.model.unit.TimingProfile;
+import craneway.state.message.Node;
+import java.io.IOException;
+import java.net.URISyntaxException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** How soon routers hold the newest manifest, tables and leases; 35 ms one way. */
+class RouterViewFreshnessTest {
+    private static final int ROUTERS = 9;
+
+    private String manifestText;
+    private Cluster cluster;
+    private long version;
+
+    @BeforeEach
+    void startCluster() throws IOException, URISyntaxException {
+        manifestText = Files.readString(Path.of(
+                RouterViewFreshnessTest.class.getResource("/craneway/sim/maticar.json").toURI()));
+        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
+        cluster.oneWayDelayMicros = 35_000;
+        cluster.addStores("z1", "z2", "z3").addRouters(ROUTERS);
+        cluster.runUntil(cluster::allPartsHaveLeaders, 10);
+        putManifest();
+        cluster.runFor(5);
+    }
+
+    private void putManifest() {
+        var from = version;
+        cluster.member("s1")
+                .operator
+                .putManifest(
+                        from,
+                        manifestText.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + from)),
+                        r -> version = r.isRight() ? r.get().version() : -1);
+        cluster.runUntil(() -> version != from, 5);
+        assertTrue(version > from, this::eventLog);
+    }
+
+    private String eventLog() {
+        return String.join("\n", cluster.eventLog);
+    }
+
+    private List<Cluster.Member> routers() {
+        return cluster.members.values().stream().filter(m -> m.router != null).toList();
+    }
+
+    private void assertBelow(double most, double is) {
+        assertTrue(is < most, () -> is + " s; " + eventLog());
+    }
+
+    @Test
+    void aRouterThatStartsAnewIsCurrentSoon() {
+        for (var i = 0; i < 30; i++) {
+            var r = cluster.member("r" + (1 + i % ROUTERS));
+            r.crash();
+            cluster.runFor(0.5 + i * 0.037);
+            r.start();
+            assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(r, version), 5));
+        }
+    }
+
+    @Test
+    void aNewRouterIsCurrentSoonAndIsToldAsServing() {
+        var r = cluster.addMember("r99", Node.ROUTER, "z2");
+        assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(r, version), 5));
+        assertBelow(0.3, cluster.runUntil(() -> r.router.directory().self().serving, 5));
+    }
+
+    @Test
+    void allAreCurrentSoonAfterPowerCameBack() {
+        for (var i = 0; i < 20; i++) {
+            cluster.members.values().forEach(Cluster.Member::losePower);
+            cluster.runFor(1.4);
+            for (var m : cluster.members.values()) cluster.sim.after((long) (cluster.sim.random.nextDouble() * 160_000), m::start);
+            cluster.runFor(0.16);
+            assertBelow(0.8, cluster.runUntil(() -> cluster.allRoutersCurrent(version), 8));
+            cluster.runFor(5);
+        }
+    }
+
+    @Test
+    void routersServeOnAndNewsFlowsAgainSoonAfterTheOwnerIsLost() {
+        for (var i = 0; i < 12; i++) {
+            var o = cluster.leaderOf(0);
+            if (i % 3 == 0) o.crash();
+            else if (i % 3 == 1) o.setDiskHung(true);
+            else cluster.members.keySet().forEach(m -> blockPaths(o.name, m));
+            for (var t = 0; t < 70; t++) {
+                cluster.runFor(0.02);
+                for (var r : routers())
+                    assertEquals(version, r.router.membership().view().manifestRow().version);
+                for (var r : routers())
+                    assertNotNull(r.router.membership().view().manifest());
+                for (var r : routers())
+                    assertEquals(
+                            r.router.membership().view().manifest().services().keySet(),
+                            r.router.membership().view().services().keySet());
+            }
+            var from = version;
+            var other = cluster.members.values().stream()
+                    .filter(m -> m.store != null && m != o)
+                    .findFirst()
+                    .get();
+            other.operator.putManifest(
+                    from,
+                    manifestText.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_700_000 + i)),
+                    r -> version = r.isRight() ? r.get().version() : -1);
+            cluster.runUntil(() -> version != from, 5);
+            assertTrue(version > from, this::eventLog);
+            assertBelow(0.5, cluster.runUntil(() -> cluster.allRoutersCurrent(version), 5));
+            if (i % 3 == 0) o.start();
+            else if (i % 3 == 1) o.setDiskHung(false);
+            else cluster.blockedPaths.clear();
+            cluster.runFor(6);
+        }
+    }
+
+    @Test
+    void aNewOwnerTakesNoRunnerForDarkThatWentOnAnnouncing() {
+        var v = cluster.member("r1").router.membership().view().manifest();
+        var s = v.services().values().iterator().next();
+        for (var i = 0; i < 6; i++) {
+            for (var t = 0; t < 6; t++) {
+                announceRunner(s.name(), s.cells().get(0).name());
+                cluster.runFor(1.2);
+            }
+            var o = cluster.leaderOf(0);
+            o.crash();
+            cluster.runFor(1.2);
+            for (var t = 0; t < 3; t++) {
+                announceRunner(s.name(), s.cells().get(0).name());
+                cluster.runFor(1.2);
+            }
+            o.start();
+        }
+        assertTrue(cluster.eventLog.stream().noneMatch(n -> n.contains("RUNNER_DARK")), this::eventLog);
+    }
+
+    private void announceRunner(String service, String cell) {
+        cluster.member("r1")
+                .router
+                .announceRunner(new Announcement(service, "run-1", "10.0.0.1:80", cell, 4, 1, false, 0), x -> {});
+    }
+
+    private void blockPaths(String a, String b) {
+        if (a.equals(b)) return;
+        cluster.blockedPaths.add(a + ">" + b);
+        cluster.blockedPaths.add(b + ">" + a);
+    }
+}
--- a/test/sim/src/test/java/craneway/sim/CapacityCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -26,47 +26,47 @@
 import java.util.function.ToLongFunction;
 
 /** Prints what the control plane costs as nodes, runners, routes and tenants grow: hollow nodes on one simulated clock, lean pace. */
-public final class CapacityCost {
-    private static final int SECONDS = 20, ROUTERS = 9, CHANGES = 5, TURNS = 3;
-    private static final String SERVICE = "model", CELL = "a";
-    private static final int[] NODES = {10, 30, 100, 200, 390},
-            RUNNERS = {100, 1_000, 12_000},
-            ROUTES = {100, 1_000, 12_000},
-            TENANTS = {100, 1_000, 12_000, 34_000};
+public final class ScalingCost {
+    private static final int MEASURED_SECONDS = 20, ROUTER_COUNT = 9, CHANGE_COUNT = 5, REPETITIONS = 3;
+    private static final String SERVICE = "model", CELL_PREFIX = "a";
+    private static final int[] NODE_COUNTS = {10, 30, 100, 200, 390},
+            RUNNER_COUNTS = {100, 1_000, 12_000},
+            ROUTE_COUNTS = {100, 1_000, 12_000},
+            TENANT_COUNTS = {100, 1_000, 12_000, 34_000};
 
-    private CapacityCost() {}
+    private ScalingCost() {}
 
     public static void main(String[] a) {
         var which = a.length == 0 ? List.of("nodes", "runners", "routes", "tenants", "memory", "placing") : List.of(a);
-        if (which.contains("nodes")) nodes();
-        if (which.contains("runners")) runners();
-        if (which.contains("routes")) manifests("routes", ROUTES, n -> text(n, 0, 1));
-        if (which.contains("tenants")) manifests("tenants", TENANTS, n -> text(6, n, 1));
-        if (which.contains("memory")) memory();
-        if (which.contains("placing")) placing();
+        if (which.contains("nodes")) measureNodes();
+        if (which.contains("runners")) measureRunners();
+        if (which.contains("routes")) measureManifests("routes", ROUTE_COUNTS, n -> manifestText(n, 0, 1));
+        if (which.contains("tenants")) measureManifests("tenants", TENANT_COUNTS, n -> manifestText(6, n, 1));
+        if (which.contains("memory")) measureMemory();
+        if (which.contains("placing")) measurePlacement();
     }
 
-    private interface Texts {
-        String of(int n);
+    private interface ManifestTexts {
+        String ofSize(int n);
     }
 
-    private static void table(String... heads) {
+    private static void printTableHead(String... heads) {
         System.out.println("\n| " + String.join(" | ", heads) + " |");
         System.out.println("|" + "---|".repeat(heads.length));
     }
 
-    private static void row(Object... cells) {
+    private static void printRow(Object... cells) {
         var all = new ArrayList<String>();
-        for (var c : cells) all.add(c instanceof Double d ? figure(d) : c.toString());
+        for (var c : cells) all.add(c instanceof Double d ? formatFigure(d) : c.toString());
         System.out.println("| " + String.join(" | ", all) + " |");
     }
 
-    private static String figure(double d) {
+    private static String formatFigure(double d) {
         return String.format(Locale.ROOT, Math.abs(d) < 10 ? "%.2f" : Math.abs(d) < 100 ? "%.1f" : "%.0f", d);
     }
 
     /** A line through the points by least squares, with the largest distance from it as a share of the value. */
-    private static void fit(String what, int[] at, IntToDoubleFunction value) {
+    private static void printLinearFit(String what, int[] at, IntToDoubleFunction value) {
         double n = at.length, x = 0, y = 0, xx = 0, xy = 0;
         for (var i = 0; i < at.length; i++) {
             x += at[i];
@@ -86,22 +86,22 @@
                 Locale.ROOT, "fit %s: %.4g + %.4g a step; farthest point %.0f %% off%n", what, start, slope, 100 * off);
     }
 
-    private static Cluster cluster(int routers, String text, long seed) {
+    private static Cluster startCluster(int routers, String text, long seed) {
         var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         c.sim.random.setSeed(seed);
-        c.stores("z1", "z2", "z3").routers(routers);
-        c.until(c::owned, 20);
-        if (put(c, 0, text) == 0) throw new IllegalStateException("manifest refused");
-        c.run(20);
+        c.addStores("z1", "z2", "z3").addRouters(routers);
+        c.runUntil(c::allPartsHaveLeaders, 20);
+        if (putManifest(c, 0, text) == 0) throw new IllegalStateException("manifest refused");
+        c.runFor(20);
         return c;
     }
 
-    private static long put(Cluster c, long base, String text) {
+    private static long putManifest(Cluster c, long base, String text) {
         var v = new AtomicLong();
-        c.get("s1")
+        c.member("s1")
                 .operator
                 .putManifest(base, text, r -> v.set(r.isRight() ? r.get().version() : -1));
-        c.until(() -> v.get() != 0, 10);
+        c.runUntil(() -> v.get() != 0, 10);
         return v.get();
     }
 
@@ -113,19 +113,19 @@
         return all.stream().mapToLong(f).average().orElse(0);
     }
 
-    private static double middle(double[] all) {
+    private static double median(double[] all) {
         var s = all.clone();
         Arrays.sort(s);
         return s[s.length / 2];
     }
 
-    private static String spread(double[] all) {
-        return figure(middle(all)) + " (" + figure(Arrays.stream(all).min().orElse(0)) + "-"
-                + figure(Arrays.stream(all).max().orElse(0)) + ")";
+    private static String medianAndRange(double[] all) {
+        return formatFigure(median(all)) + " (" + formatFigure(Arrays.stream(all).min().orElse(0)) + "-"
+                + formatFigure(Arrays.stream(all).max().orElse(0)) + ")";
     }
 
-    private static void nodes() {
-        table(
+    private static void measureNodes() {
+        printTableHead(
                 "nodes",
                 "router: messages/s out",
                 "bytes/s in and out",
@@ -134,86 +134,86 @@
                 "bytes/s in and out",
                 "core %",
                 "bytes sent in all for one router that starts again");
-        var cost = new double[NODES.length][5];
-        for (var i = 0; i < NODES.length; i++) {
-            var cpu = new double[TURNS];
-            var own = new double[TURNS];
-            var again = new double[TURNS];
+        var cost = new double[NODE_COUNTS.length][5];
+        for (var i = 0; i < NODE_COUNTS.length; i++) {
+            var cpu = new double[REPETITIONS];
+            var own = new double[REPETITIONS];
+            var again = new double[REPETITIONS];
             double out = 0, bytes = 0, in = 0, owned = 0;
-            for (var t = 0; t < TURNS; t++) {
-                var c = cluster(NODES[i] - 3, text(6, 0, 1), 17 + t);
-                c.clear();
-                c.run(SECONDS);
+            for (var t = 0; t < REPETITIONS; t++) {
+                var c = startCluster(NODE_COUNTS[i] - 3, manifestText(6, 0, 1), 17 + t);
+                c.resetCounters();
+                c.runFor(MEASURED_SECONDS);
                 var r = routersOf(c);
-                var o = c.owner(0);
-                out = mean(r, m -> m.sent) / SECONDS;
-                bytes = mean(r, m -> m.sentBytes + m.gotBytes) / SECONDS;
-                cpu[t] = mean(r, m -> m.cpu) / SECONDS / 1e7;
-                in = (double) o.got / SECONDS;
-                owned = (double) (o.sentBytes + o.gotBytes) / SECONDS;
-                own[t] = o.cpu / 1e7 / SECONDS;
-                var calm = (double) c.meter.bytes / SECONDS * 10;
-                c.get("r1").crash();
-                c.run(1);
-                c.clear();
-                c.get("r1").start();
-                c.run(10);
+                var o = c.leaderOf(0);
+                out = mean(r, m -> m.sentMessages) / MEASURED_SECONDS;
+                bytes = mean(r, m -> m.sentBytes + m.receivedBytes) / MEASURED_SECONDS;
+                cpu[t] = mean(r, m -> m.cpuNanos) / MEASURED_SECONDS / 1e7;
+                in = (double) o.receivedMessages / MEASURED_SECONDS;
+                owned = (double) (o.sentBytes + o.receivedBytes) / MEASURED_SECONDS;
+                own[t] = o.cpuNanos / 1e7 / MEASURED_SECONDS;
+                var calm = (double) c.meter.bytes / MEASURED_SECONDS * 10;
+                c.member("r1").crash();
+                c.runFor(1);
+                c.resetCounters();
+                c.member("r1").start();
+                c.runFor(10);
                 again[t] = c.meter.bytes - calm;
             }
-            cost[i] = new double[] {bytes, middle(cpu), owned, middle(own), middle(again)};
-            row(NODES[i], out, bytes, spread(cpu), in, owned, spread(own), spread(again));
+            cost[i] = new double[] {bytes, median(cpu), owned, median(own), median(again)};
+            printRow(NODE_COUNTS[i], out, bytes, medianAndRange(cpu), in, owned, medianAndRange(own), medianAndRange(again));
         }
-        fit("router bytes/s", NODES, i -> cost[i][0]);
-        fit("router core %", NODES, i -> cost[i][1]);
-        fit("owner bytes/s", NODES, i -> cost[i][2]);
-        fit("owner core %", NODES, i -> cost[i][3]);
-        fit("bytes for a start", NODES, i -> cost[i][4]);
+        printLinearFit("router bytes/s", NODE_COUNTS, i -> cost[i][0]);
+        printLinearFit("router core %", NODE_COUNTS, i -> cost[i][1]);
+        printLinearFit("owner bytes/s", NODE_COUNTS, i -> cost[i][2]);
+        printLinearFit("owner core %", NODE_COUNTS, i -> cost[i][3]);
+        printLinearFit("bytes for a start", NODE_COUNTS, i -> cost[i][4]);
     }
 
-    private static Commands.RunnerPut runner(int i, int slots) {
+    private static Commands.RunnerPut runnerPut(int i, int slots) {
         var c = new Commands.RunnerPut();
         c.service = SERVICE;
         c.runner = "runner-" + i;
         c.address = "10." + i / 60_000 + "." + i / 250 % 240 + "." + (i % 250 + 1) + ":8080";
-        c.cell = CELL + i % 3;
+        c.cell = CELL_PREFIX + i % 3;
         c.slots = slots;
         c.incarnation = 1;
         return c;
     }
 
-    private static void announce(Cluster c, int i, int slots) {
-        c.get("s" + (i % 3 + 1))
+    private static void announceRunner(Cluster c, int i, int slots) {
+        c.member("s" + (i % 3 + 1))
                 .store
                 .coreClient()
-                .request(Parts.partOf(SERVICE), runner(i, slots), 3_000_000, v -> {});
+                .request(Parts.partOf(SERVICE), runnerPut(i, slots), 3_000_000, v -> {});
     }
 
     /** All at one moment, taken by the owner as one batch. */
-    private static void fill(Cluster c, int n) {
-        var o = c.owner(Parts.partOf(SERVICE));
+    private static void announceAllAtOnce(Cluster c, int n) {
+        var o = c.leaderOf(Parts.partOf(SERVICE));
         for (var i = 0; i < n; i += 500) {
-            o.hang(true);
-            for (var k = i; k < Math.min(n, i + 500); k++) announce(c, k, 128);
-            c.run(0.02);
-            o.hang(false);
+            o.setDiskHung(true);
+            for (var k = i; k < Math.min(n, i + 500); k++) announceRunner(c, k, 128);
+            c.runFor(0.02);
+            o.setDiskHung(false);
         }
     }
 
-    private static void beat(Cluster c, int n, int seconds, Runnable each) {
+    private static void sendHeartbeats(Cluster c, int n, int seconds, Runnable each) {
         for (var s = 0; s < seconds; s++) {
             each.run();
             for (var t = 0; t < 50; t++) {
                 for (var i = t; i < n; i += 50) {
                     var k = i;
-                    c.get("s" + (i % 3 + 1)).timed(() -> announce(c, k, 128));
+                    c.member("s" + (i % 3 + 1)).runMeasured(() -> announceRunner(c, k, 128));
                 }
-                c.run(0.02);
+                c.runFor(0.02);
             }
         }
     }
 
-    private static void runners() {
-        table(
+    private static void measureRunners() {
+        printTableHead(
                 "runners",
                 "row of the service, bytes",
                 "owner core %, no beats",
@@ -225,17 +225,17 @@
                 "router ms",
                 "owner ms",
                 "routers that had it after 1 s");
-        var cost = new double[RUNNERS.length][7];
-        for (var x = -1; x < RUNNERS.length; x++) {
-            var n = RUNNERS[Math.max(0, x)];
-            var c = cluster(ROUTERS, text(6, 0, 1), 17);
-            fill(c, n);
-            beat(c, n, 3, () -> {});
-            var o = c.owner(Parts.partOf(SERVICE));
+        var cost = new double[RUNNER_COUNTS.length][7];
+        for (var x = -1; x < RUNNER_COUNTS.length; x++) {
+            var n = RUNNER_COUNTS[Math.max(0, x)];
+            var c = startCluster(ROUTER_COUNT, manifestText(6, 0, 1), 17);
+            announceAllAtOnce(c, n);
+            sendHeartbeats(c, n, 3, () -> {});
+            var o = c.leaderOf(Parts.partOf(SERVICE));
             var others = c.members.values().stream()
                     .filter(m -> m.store != null && m != o)
                     .toList();
-            var up = c.get("r1")
+            var up = c.member("r1")
                     .router
                     .membership()
                     .view()
@@ -244,25 +244,25 @@
                     .runners
                     .size();
             if (up != n) throw new IllegalStateException(up + " of " + n + " known");
-            c.clear();
-            c.run(1);
-            var idle = o.cpu / 1e7;
-            beat(c, n, 2, () -> {});
-            c.clear();
-            beat(c, n, 5, () -> {});
-            var owner = o.cpu / 5e7;
-            var other = mean(others, m -> m.cpu) / 5e7;
+            c.resetCounters();
+            c.runFor(1);
+            var idle = o.cpuNanos / 1e7;
+            sendHeartbeats(c, n, 2, () -> {});
+            c.resetCounters();
+            sendHeartbeats(c, n, 5, () -> {});
+            var owner = o.cpuNanos / 5e7;
+            var other = mean(others, m -> m.cpuNanos) / 5e7;
             var bytes = (double) c.meter.bytes / 5 / n;
-            var router = mean(routersOf(c), m -> m.cpu) / 5e7;
-            var calm = mean(routersOf(c), m -> m.gotBytes);
+            var router = mean(routersOf(c), m -> m.cpuNanos) / 5e7;
+            var calm = mean(routersOf(c), m -> m.receivedBytes);
             var no = new int[1];
-            c.clear();
-            beat(c, n, CHANGES, () -> {
+            c.resetCounters();
+            sendHeartbeats(c, n, CHANGE_COUNT, () -> {
                 no[0]++;
-                announce(c, n, 100 + no[0]);
+                announceRunner(c, n, 100 + no[0]);
             });
             var had = routersOf(c).stream()
-                    .filter(m -> slots(m, "runner-" + n) == 100 + no[0])
+                    .filter(m -> knownSlots(m, "runner-" + n) == 100 + no[0])
                     .count();
             var row = Codec.encode(o.store
                             .replicas()[Parts.partOf(SERVICE)]
@@ -271,12 +271,12 @@
                             .services
                             .get(SERVICE))
                     .length;
-            var changed = (mean(routersOf(c), m -> m.gotBytes) - calm) / CHANGES;
-            var took = (mean(routersOf(c), m -> m.cpu) / 1e6 - router * 50) / CHANGES;
-            var gave = (o.cpu / 1e6 - owner * 50) / CHANGES;
+            var changed = (mean(routersOf(c), m -> m.receivedBytes) - calm) / CHANGE_COUNT;
+            var took = (mean(routersOf(c), m -> m.cpuNanos) / 1e6 - router * 50) / CHANGE_COUNT;
+            var gave = (o.cpuNanos / 1e6 - owner * 50) / CHANGE_COUNT;
             if (x < 0) continue;
             cost[x] = new double[] {row, idle, owner, other, changed, took, gave};
-            row(n, row, idle, owner, other, bytes, router, changed, took, gave, had + " of " + ROUTERS);
+            printRow(n, row, idle, owner, other, bytes, router, changed, took, gave, had + " of " + ROUTER_COUNT);
         }
         var names = List.of(
                 "row bytes",
@@ -288,17 +288,17 @@
                 "owner ms a change");
         for (var k = 0; k < names.size(); k++) {
             var j = k;
-            fit(names.get(k), RUNNERS, i -> cost[i][j]);
+            printLinearFit(names.get(k), RUNNER_COUNTS, i -> cost[i][j]);
         }
     }
 
-    private static int slots(Cluster.Member m, String runner) {
+    private static int knownSlots(Cluster.Member m, String runner) {
         var r = m.router.membership().view().services().get(SERVICE).runners.get(runner);
         return r == null ? 0 : r.slots;
     }
 
-    private static void manifests(String what, int[] sizes, Texts texts) {
-        table(
+    private static void measureManifests(String what, int[] sizes, ManifestTexts texts) {
+        printTableHead(
                 what,
                 "manifest bytes",
                 "one change: bytes a router",
@@ -308,50 +308,50 @@
                 "s until all current");
         var cost = new double[sizes.length][4];
         for (var x = -1; x < sizes.length; x++) {
-            var text = texts.of(sizes[Math.max(0, x)]);
-            var c = cluster(ROUTERS, text, 17);
-            c.clear();
-            c.run(CHANGES * 2);
-            var calm = mean(routersOf(c), m -> m.gotBytes);
+            var text = texts.ofSize(sizes[Math.max(0, x)]);
+            var c = startCluster(ROUTER_COUNT, text, 17);
+            c.resetCounters();
+            c.runFor(CHANGE_COUNT * 2);
+            var calm = mean(routersOf(c), m -> m.receivedBytes);
             var calmAll = c.meter.bytes;
-            var router = mean(routersOf(c), m -> m.cpu);
-            var owner = c.owner(0).cpu;
-            c.clear();
-            var after = new double[CHANGES];
-            var version = c.get("s1").store.replicas()[0].records().rows().manifest.version;
-            for (var k = 0; k < CHANGES; k++) {
+            var router = mean(routersOf(c), m -> m.cpuNanos);
+            var owner = c.leaderOf(0).cpuNanos;
+            c.resetCounters();
+            var after = new double[CHANGE_COUNT];
+            var version = c.member("s1").store.replicas()[0].records().rows().manifest.version;
+            for (var k = 0; k < CHANGE_COUNT; k++) {
                 var from = c.sim.now();
-                var v = put(c, version, text.replace("\"claimRetentionMs\": 1", "\"claimRetentionMs\": 1" + (k + 1)));
+                var v = putManifest(c, version, text.replace("\"claimRetentionMs\": 1", "\"claimRetentionMs\": 1" + (k + 1)));
                 version = v;
-                c.until(() -> c.allCurrent(v), 10);
+                c.runUntil(() -> c.allRoutersCurrent(v), 10);
                 after[k] = (c.sim.now() - from) / 1e6;
-                c.run(Math.max(0, 2 - after[k]));
+                c.runFor(Math.max(0, 2 - after[k]));
             }
             if (x < 0) continue;
             cost[x] = new double[] {
                 text.length(),
-                (mean(routersOf(c), m -> m.gotBytes) - calm) / CHANGES,
-                (mean(routersOf(c), m -> m.cpu) - router) / 1e6 / CHANGES,
-                (c.owner(0).cpu - owner) / 1e6 / CHANGES
+                (mean(routersOf(c), m -> m.receivedBytes) - calm) / CHANGE_COUNT,
+                (mean(routersOf(c), m -> m.cpuNanos) - router) / 1e6 / CHANGE_COUNT,
+                (c.leaderOf(0).cpuNanos - owner) / 1e6 / CHANGE_COUNT
             };
-            row(
+            printRow(
                     sizes[x],
                     text.length(),
                     cost[x][1],
-                    (double) (c.meter.bytes - calmAll) / CHANGES,
+                    (double) (c.meter.bytes - calmAll) / CHANGE_COUNT,
                     cost[x][2],
                     cost[x][3],
-                    spread(after));
+                    medianAndRange(after));
         }
         var names = List.of("manifest bytes", "bytes a router and change", "router ms a change", "owner ms a change");
         for (var k = 0; k < names.size(); k++) {
             var j = k;
-            fit(names.get(k), sizes, i -> cost[i][j]);
+            printLinearFit(names.get(k), sizes, i -> cost[i][j]);
         }
     }
 
     /** A manifest of six services, three regions, so many routes and tenants. */
-    private static String text(int routes, int tenants, int retention) {
+    private static String manifestText(int routes, int tenants, int retention) {
         var b = new StringBuilder(
                 "{\"name\": \"large\", \"regions\": [\"r1\", \"r2\", \"r3\"], \"lapsedGraceMs\": 30000, \"claimRetentionMs\": "
                         + retention + "00000, \"zones\": [");
@@ -364,7 +364,7 @@
                             + "\", \"work\": [{\"name\": \"w\"}], \"weighed\": \"slots\", \"cells\": [");
             for (var z = 0; z < 3; z++)
                 b.append(z > 0 ? ", " : "")
-                        .append("{\"name\": \"" + CELL + z + "\", \"zone\": \"z" + (z + 1) + "\", \"weight\": 1}");
+                        .append("{\"name\": \"" + CELL_PREFIX + z + "\", \"zone\": \"z" + (z + 1) + "\", \"weight\": 1}");
             b.append("]}");
         }
         b.append("], \"tenants\": [");
@@ -380,34 +380,34 @@
         return b.append("]}").toString();
     }
 
-    private static void memory() {
-        table("held by each router", "size", "heap, kB");
-        for (var n : RUNNERS) {
+    private static void measureMemory() {
+        printTableHead("held by each router", "size", "heap, kB");
+        for (var n : RUNNER_COUNTS) {
             var s = new Rows.Service();
             s.name = SERVICE;
-            for (var i = 0; i < n; i++) s.runners.put("runner-" + i, of(runner(i, 128)));
+            for (var i = 0; i < n; i++) s.runners.put("runner-" + i, runnerRow(runnerPut(i, 128)));
             var b = Codec.encode(s);
-            row("row of a service with runners", n, heap(() -> Codec.decode(Rows.Service.class, b)) / 1e3);
+            printRow("row of a service with runners", n, heapBytesPerInstance(() -> Codec.decode(Rows.Service.class, b)) / 1e3);
         }
-        for (var n : TENANTS) {
-            var text = text(6, n, 1);
-            row(
+        for (var n : TENANT_COUNTS) {
+            var text = manifestText(6, n, 1);
+            printRow(
                     "manifest with tenants",
                     n,
-                    heap(() -> ManifestReader.readValidated(text).get()) / 1e3);
+                    heapBytesPerInstance(() -> ManifestReader.readValidated(text).get()) / 1e3);
         }
-        for (var n : ROUTES) {
-            var text = text(n, 0, 1);
-            row(
+        for (var n : ROUTE_COUNTS) {
+            var text = manifestText(n, 0, 1);
+            printRow(
                     "manifest with routes",
                     n,
-                    heap(() -> ManifestReader.readValidated(text).get()) / 1e3);
+                    heapBytesPerInstance(() -> ManifestReader.readValidated(text).get()) / 1e3);
         }
-        for (var n : NODES)
-            row(
+        for (var n : NODE_COUNTS)
+            printRow(
                     "list of nodes, one part",
                     n,
-                    heap(() -> {
+                    heapBytesPerInstance(() -> {
                                 var all = new ArrayList<byte[]>();
                                 for (var i = 0; i < n; i++)
                                     all.add(Codec.encode(new Node(
@@ -424,19 +424,19 @@
     }
 
     /** What one request costs a router that knows so many runners of one service in three zones, and what a new view costs it. */
-    private static void placing() {
-        table(
+    private static void measurePlacement() {
+        printTableHead(
                 "runners",
                 "choice of a runner, us",
                 "a new view, us",
                 "a notice of reading with three shared parts, bytes");
-        var cost = new double[RUNNERS.length][2];
-        for (var x = -1; x < RUNNERS.length; x++) {
-            var n = RUNNERS[Math.max(0, x)];
+        var cost = new double[RUNNER_COUNTS.length][2];
+        for (var x = -1; x < RUNNER_COUNTS.length; x++) {
+            var n = RUNNER_COUNTS[Math.max(0, x)];
             var pool = new RunnerPool();
             var placer = new RunnerPlacer(pool, new ColdRunnerLimiter("r1"), "z1", "r1");
             var views = new ArrayList<CoreView>();
-            for (var i = 0; i < 40; i++) views.add(view(n));
+            for (var i = 0; i < 40; i++) views.add(coreView(n));
             var from = System.nanoTime();
             views.forEach(pool::applyView);
             var follow = (System.nanoTime() - from) / 1e3 / views.size();
@@ -449,14 +449,14 @@
                 all[t] = (System.nanoTime() - from) / 2e5;
             }
             if (x < 0) continue;
-            cost[x] = new double[] {middle(all), follow};
-            row(n, spread(all), follow, Codec.encodeTagged(notice()).length);
+            cost[x] = new double[] {median(all), follow};
+            printRow(n, medianAndRange(all), follow, Codec.encodeTagged(prefillNotice()).length);
         }
-        fit("choice us", RUNNERS, i -> cost[i][0]);
-        fit("view us", RUNNERS, i -> cost[i][1]);
+        printLinearFit("choice us", RUNNER_COUNTS, i -> cost[i][0]);
+        printLinearFit("view us", RUNNER_COUNTS, i -> cost[i][1]);
     }
 
-    private static PrefillNotice notice() {
+    private static PrefillNotice prefillNotice() {
         var m = new PrefillNotice();
         m.runner = "runner-4711";
         m.prefillTokens = 9_000;
@@ -465,22 +465,22 @@
         return m;
     }
 
-    private static CoreView view(int runners) {
+    private static CoreView coreView(int runners) {
         var s = new Rows.Service();
         s.name = SERVICE;
         for (var z = 0; z < 3; z++) {
             s.regions.add("r" + (z + 1));
             s.cellRegions.add("r" + (z + 1));
-            s.cells.add(CELL + z);
+            s.cells.add(CELL_PREFIX + z);
             s.zones.add("z" + (z + 1));
             s.weights.add(1);
         }
-        for (var i = 0; i < runners; i++) s.runners.put("runner-" + i, of(runner(i, 128)));
+        for (var i = 0; i < runners; i++) s.runners.put("runner-" + i, runnerRow(runnerPut(i, 128)));
         var none = new ArrayList<List<Node>>();
         for (var i = 0; i < Parts.COUNT; i++) none.add(List.of());
         return new CoreView(
                 new Rows.Manifest(),
-                ManifestReader.readValidated(text(6, 0, 1)).get(),
+                ManifestReader.readValidated(manifestText(6, 0, 1)).get(),
                 Map.of(SERVICE, s),
                 new long[Parts.COUNT],
                 none,
@@ -488,7 +488,7 @@
                 new long[Parts.COUNT]);
     }
 
-    private static Rows.Runner of(Commands.RunnerPut p) {
+    private static Rows.Runner runnerRow(Commands.RunnerPut p) {
         var r = new Rows.Runner();
         r.name = p.runner;
         r.address = p.address;
@@ -498,18 +498,18 @@
         return r;
     }
 
-    private static double heap(Supplier<Object> made) {
+    private static double heapBytesPerInstance(Supplier<Object> made) {
         var kept = new Object[12];
         for (var i = 0; i < kept.length; i++) kept[i] = made.get();
         Arrays.fill(kept, 1, kept.length, null);
-        var from = used();
+        var from = usedHeapBytes();
         for (var i = 1; i < kept.length; i++) kept[i] = made.get();
-        var to = used();
+        var to = usedHeapBytes();
         if (kept[0] == null) throw new IllegalStateException();
         return (double) (to - from) / (kept.length - 1);
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         for (var i = 0; i < 3; i++) System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
--- a/test/sim/src/test/java/craneway/sim/SlowPaths.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -23,17 +23,17 @@
  * Groups of one part on simulated long paths. As on the wire, a small message is a datagram, and large ones go one after the other
  * over a connection each, whose window of 64 KB bounds its bytes a second. An outage ends the connections that are open then.
  */
-final class SlowPaths {
-    static final long WAY = 35_000;
-    static final long SECOND = 1_000_000;
-    private static final long TICK = 10_000;
-    private static final long CONNECT = 2 * WAY;
-    private static final int DATAGRAM = 1_200;
-    private static final int WINDOW = 64 << 10;
-    static final double BYTES_PER_MICRO = WINDOW / (2.0 * WAY);
+final class SlowNetwork {
+    static final long ONE_WAY_DELAY_MICROS = 35_000;
+    static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long TICK_MICROS = 10_000;
+    private static final long CONNECT_MICROS = 2 * ONE_WAY_DELAY_MICROS;
+    private static final int CONNECTION_MIN_BYTES = 1_200;
+    private static final int WINDOW_BYTES = 64 << 10;
+    static final double BYTES_PER_MICRO = WINDOW_BYTES / (2.0 * ONE_WAY_DELAY_MICROS);
 
     /** Keeps every command, so that its snapshot is as large as all of them. */
-    static final class Heap implements StateMachine {
+    static final class AppendingStateMachine implements StateMachine {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int applied;
 
@@ -58,13 +58,13 @@
     final class Peer implements GroupListener {
         final long id;
         final Disk disk;
-        Heap heap = new Heap();
+        AppendingStateMachine stateMachine = new AppendingStateMachine();
         Group group;
-        boolean up;
+        boolean running;
         /** Whether it neither knows nor tells what came with snapshot pieces. */
         boolean earlierVersion;
 
-        final List<String> notes = new ArrayList<>();
+        final List<String> eventLog = new ArrayList<>();
 
         Peer(long id, Disk disk) {
             this.id = id;
@@ -72,19 +72,19 @@
         }
 
         void start() {
-            up = true;
-            heap = new Heap();
+            running = true;
+            stateMachine = new AppendingStateMachine();
             group = new Group(
-                    0, id, 9, disk, members, heap, new Random(id), this, TimingProfile.LOW_TRAFFIC, sim.now());
+                    0, id, 9, disk, members, stateMachine, new Random(id), this, TimingProfile.LOW_TRAFFIC, sim.now());
         }
 
         void stop() {
-            up = false;
+            running = false;
         }
 
         @Override
         public void send(PartMessage m) {
-            if (up) path(m);
+            if (running) transmit(m);
         }
 
         @Override
@@ -95,11 +95,11 @@
 
         @Override
         public void logEvent(Event e, String detail) {
-            notes.add(e + " " + detail);
+            eventLog.add(e + " " + detail);
         }
 
-        long count(Event e) {
-            return notes.stream().filter(n -> n.startsWith(e + " ")).count();
+        long countEvents(Event e) {
+            return eventLog.stream().filter(n -> n.startsWith(e + " ")).count();
         }
     }
 
@@ -107,17 +107,17 @@
     final Random random;
     final Members members;
     final Map<Long, Peer> peers = new TreeMap<>();
-    private final Map<String, Long> free = new HashMap<>();
+    private final Map<String, Long> pathBusyUntil = new HashMap<>();
     /** Every so many microseconds all open connections end; 0: never. */
-    long outageEvery;
+    long outageIntervalMicros;
 
-    double lost;
-    double doubled;
-    long late;
-    Predicate<PartMessage> drop = m -> false;
-    long largeBytes;
+    double lossRate;
+    double duplicationRate;
+    long maxExtraDelayMicros;
+    Predicate<PartMessage> dropFilter = m -> false;
+    long connectionBytes;
 
-    SlowPaths(long seed, int voters) {
+    SlowNetwork(long seed, int voters) {
         sim = new Sim(seed);
         random = new Random(seed);
         var ids = new long[voters];
@@ -138,78 +138,78 @@
 
     private void tick() {
         for (var p : peers.values()) {
-            if (!p.up) continue;
+            if (!p.running) continue;
             p.group.tick(sim.now());
             p.group.syncAndSend(sim.now());
         }
-        sim.after(TICK, this::tick);
+        sim.after(TICK_MICROS, this::tick);
     }
 
-    private void path(PartMessage m) {
+    private void transmit(PartMessage m) {
         var to = peers.get(m.to);
-        if (to == null || !to.up || drop.test(m) || random.nextDouble() < lost) return;
+        if (to == null || !to.running || dropFilter.test(m) || random.nextDouble() < lossRate) return;
         if (peers.get(m.from).earlierVersion) m.supportsSnapshotPieces = false;
-        if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) to.notes.add("unknown kind " + m.kind);
+        if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) to.eventLog.add("unknown kind " + m.kind);
         if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) return;
         var b = Codec.encode(m);
-        carry(m.from, m.to, b);
-        if (random.nextDouble() < doubled) carry(m.from, m.to, b);
+        scheduleDelivery(m.from, m.to, b);
+        if (random.nextDouble() < duplicationRate) scheduleDelivery(m.from, m.to, b);
     }
 
-    private void carry(long from, long to, byte[] b) {
-        var extra = late > 0 ? (long) (random.nextDouble() * late) : 0;
-        if (b.length < DATAGRAM) {
-            sim.after(WAY + extra, () -> arrive(to, b));
+    private void scheduleDelivery(long from, long to, byte[] b) {
+        var extra = maxExtraDelayMicros > 0 ? (long) (random.nextDouble() * maxExtraDelayMicros) : 0;
+        if (b.length < CONNECTION_MIN_BYTES) {
+            sim.after(ONE_WAY_DELAY_MICROS + extra, () -> deliver(to, b));
             return;
         }
-        largeBytes += b.length;
+        connectionBytes += b.length;
         var lane = from + ">" + to;
-        var begins = Math.max(sim.now(), free.getOrDefault(lane, 0L));
-        var ends = begins + CONNECT + (long) (b.length / BYTES_PER_MICRO);
-        var cutAt = outageEvery == 0 ? Long.MAX_VALUE : (begins / outageEvery + 1) * outageEvery;
-        free.put(lane, Math.min(ends, cutAt));
-        if (ends < cutAt) sim.at(ends + WAY + extra, () -> arrive(to, b));
+        var begins = Math.max(sim.now(), pathBusyUntil.getOrDefault(lane, 0L));
+        var ends = begins + CONNECT_MICROS + (long) (b.length / BYTES_PER_MICRO);
+        var cutAt = outageIntervalMicros == 0 ? Long.MAX_VALUE : (begins / outageIntervalMicros + 1) * outageIntervalMicros;
+        pathBusyUntil.put(lane, Math.min(ends, cutAt));
+        if (ends < cutAt) sim.at(ends + ONE_WAY_DELAY_MICROS + extra, () -> deliver(to, b));
     }
 
-    private void arrive(long to, byte[] b) {
+    private void deliver(long to, byte[] b) {
         var p = peers.get(to);
-        if (p == null || !p.up) return;
+        if (p == null || !p.running) return;
         p.group.receive(Codec.decode(PartMessage.class, b), sim.now());
         p.group.syncAndSend(sim.now());
     }
 
-    void run(double seconds) {
-        sim.runUntil(sim.now() + (long) (seconds * SECOND));
+    void runFor(double seconds) {
+        sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
     /** Seconds until it holds, or the most. */
-    double until(BooleanSupplier holds, double most) {
+    double runUntil(BooleanSupplier holds, double most) {
         var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * SECOND) sim.runUntil(sim.now() + TICK);
-        return (sim.now() - from) / (double) SECOND;
+        while (!holds.getAsBoolean() && sim.now() - from < most * MICROS_PER_SECOND) sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - from) / (double) MICROS_PER_SECOND;
     }
 
     Peer leader() {
         return peers.values().stream()
-                .filter(p -> p.up && p.group.role() == Role.LEADER && p.group.isReadyLeader())
+                .filter(p -> p.running && p.group.role() == Role.LEADER && p.group.isReadyLeader())
                 .findFirst()
                 .orElse(null);
     }
 
     /** Proposes commands of incompressible bytes, each once the last is applied. */
-    void propose(int commands, int bytes) {
+    void proposeRandomCommands(int commands, int bytes) {
         for (var i = 0; i < commands; i++) {
             var b = new byte[bytes];
             random.nextBytes(b);
-            until(() -> leader() != null, 30);
+            runUntil(() -> leader() != null, 30);
             var leader = leader();
             var at = leader.group.propose(b, sim.now());
             leader.group.syncAndSend(sim.now());
-            until(() -> leader.group.appliedIndex() >= at, 60);
+            runUntil(() -> leader.group.appliedIndex() >= at, 60);
         }
     }
 
-    boolean level(Peer p) {
+    boolean isCaughtUp(Peer p) {
         var leader = leader();
         return leader != null && p.group.appliedIndex() == leader.group.lastIndex();
     }
--- a/test/sim/src/test/java/craneway/sim/Meter.java
+++ b/test/sim/src/test/java/craneway/sim/TrafficMeter.java
@@ -9,53 +9,53 @@
 import java.util.zip.Deflater;
 
 /** Counts what members say: messages and their bytes, and the datagrams and bytes that batches of two milliseconds would make. */
-final class Meter {
-    private static final long LINGER = 2_000;
-    private static final int HEAD = 14, MOST = 1_200, DEFLATE_FROM = 300;
+final class TrafficMeter {
+    private static final long BATCH_DELAY_MICROS = 2_000;
+    private static final int FRAME_HEADER_BYTES = 14, MAX_FRAME_BYTES = 1_200, MIN_COMPRESSED_BYTES = 300;
 
     private final Sim sim;
-    private final Map<String, List<byte[]>> open = new HashMap<>();
-    final Map<String, Long> byKind = new TreeMap<>();
+    private final Map<String, List<byte[]>> openBatches = new HashMap<>();
+    final Map<String, Long> bytesByType = new TreeMap<>();
     long messages;
     long bytes;
     long frames;
-    long framed;
+    long frameBytes;
 
-    Meter(Sim sim) {
+    TrafficMeter(Sim sim) {
         this.sim = sim;
     }
 
-    void sent(Cluster.Member from, String to, Object m, byte[] b) {
+    void recordSent(Cluster.Member from, String to, Object m, byte[] b) {
         if (to.equals(from.address)) return;
         messages++;
         bytes += b.length;
-        byKind.merge(m.getClass().getSimpleName(), (long) b.length, Long::sum);
+        bytesByType.merge(m.getClass().getSimpleName(), (long) b.length, Long::sum);
         var lane = from.name + ">" + to;
-        var batch = open.get(lane);
+        var batch = openBatches.get(lane);
         if (batch == null) {
-            open.put(lane, batch = new ArrayList<>());
-            sim.after(LINGER, () -> close(open.remove(lane)));
+            openBatches.put(lane, batch = new ArrayList<>());
+            sim.after(BATCH_DELAY_MICROS, () -> countBatch(openBatches.remove(lane)));
         }
         batch.add(b);
     }
 
-    private void close(List<byte[]> batch) {
+    private void countBatch(List<byte[]> batch) {
         var whole = new ByteArrayOutputStream();
         for (var b : batch) {
-            if (whole.size() > 0 && whole.size() + b.length + 2 > MOST) frame(whole);
+            if (whole.size() > 0 && whole.size() + b.length + 2 > MAX_FRAME_BYTES) countFrame(whole);
             whole.write(b.length);
             whole.writeBytes(b);
         }
-        frame(whole);
+        countFrame(whole);
     }
 
-    private void frame(ByteArrayOutputStream whole) {
+    private void countFrame(ByteArrayOutputStream whole) {
         frames++;
-        framed += HEAD + (whole.size() > DEFLATE_FROM ? deflated(whole.toByteArray()) : whole.size());
+        frameBytes += FRAME_HEADER_BYTES + (whole.size() > MIN_COMPRESSED_BYTES ? compressedLength(whole.toByteArray()) : whole.size());
         whole.reset();
     }
 
-    private static int deflated(byte[] b) {
+    private static int compressedLength(byte[] b) {
         var d = new Deflater(Deflater.BEST_SPEED, true);
         d.setInput(b);
         d.finish();
@@ -66,8 +66,8 @@
         return Math.min(n, b.length);
     }
 
-    void clear() {
-        messages = bytes = frames = framed = 0;
-        byKind.clear();
+    void reset() {
+        messages = bytes = frames = frameBytes = 0;
+        bytesByType.clear();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/WireFormatTest.java
+++ b/test/sim/src/test/java/craneway/sim/WireFormatTest.java
@@ -24,7 +24,7 @@
 /** What is on the wire and on disk must not change when classes or fields get other names. */
 class WireFormatTest {
     /** In the order of their tags, from 1; new ones are added at the end. */
-    private static final List<Class<?>> TAGGED = List.of(
+    private static final List<Class<?>> TAGGED_TYPES = List.of(
             PartMessage.class,
             Messages.Hello.class,
             Messages.Renewal.class,
@@ -67,7 +67,7 @@
             Messages.RenewalReplies.class);
 
     /** Types of the fields in the order in which they are written; new ones are added at the end. */
-    private static final Map<Class<?>, String> FIELDS = Map.ofEntries(
+    private static final Map<Class<?>, String> FIELD_TYPES = Map.ofEntries(
             Map.entry(PartMessage.class, "int,int,long,long,long,long,long,long,long,boolean,List,message,boolean"),
             Map.entry(Messages.Hello.class, "message,boolean,long,message,List,long,long,boolean"),
             Map.entry(Messages.Renewal.class, "int,message,long,boolean,long,List,List,List"),
@@ -125,8 +125,8 @@
 
     @Test
     void tagsStayWithTheirClasses() throws ReflectiveOperationException {
-        for (var i = 0; i < TAGGED.size(); i++) {
-            var type = TAGGED.get(i);
+        for (var i = 0; i < TAGGED_TYPES.size(); i++) {
+            var type = TAGGED_TYPES.get(i);
             var message = type.getDeclaredConstructor().newInstance();
             assertEquals(i + 1, Codec.encodeTagged(message)[0], type.getName());
             assertEquals(type, Codec.decodeTagged(new byte[] {(byte) (i + 1)}).getClass());
@@ -135,21 +135,21 @@
 
     @Test
     void fieldsAreOnlyAddedAtTheEnd() {
-        FIELDS.forEach((type, expected) -> {
-            var actual = fields(type);
+        FIELD_TYPES.forEach((type, expected) -> {
+            var actual = fieldTypes(type);
             assertTrue((actual + ",").startsWith(expected + ","), type + " has " + actual);
         });
     }
 
-    private static String fields(Class<?> type) {
+    private static String fieldTypes(Class<?> type) {
         return Arrays.stream(type.getDeclaredFields())
                 .filter(f -> !Modifier.isStatic(f.getModifiers()) && !f.isSynthetic())
-                .map(f -> kind(f.getType()))
+                .map(f -> typeName(f.getType()))
                 .collect(Collectors.joining(","));
     }
 
     /** Classes of the product are nested messages, whatever they are called. */
-    private static String kind(Class<?> type) {
+    private static String typeName(Class<?> type) {
         return type.getName().startsWith("craneway.") ? "message" : type.getSimpleName();
     }
 }
