--- a/lib/log/src/main/java/craneway/log/EventLog.java
+++ b/lib/log/src/main/java/craneway/log/EventLog.java
@@ -55,7 +55,7 @@
                 .log("CW%d %s %s: %s", event.code(), node, event.text(), detail);
     }
 
-    /** Logs an unexpected exception as {@link StoreFault#INTERNAL_ERROR} with its stack trace. */
+    /** Logs an unexpected exception as {@link Event#INTERNAL_ERROR} with its stack trace. */
     public void logInternalError(Throwable exception) {
         var stackTrace = new StringWriter();
         exception.printStackTrace(new PrintWriter(stackTrace));
