--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -28,28 +28,37 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 
-/** Hollow stores and routers on one simulated clock: no requests, only what the control plane itself says. */
+/**
+ * Stores and routers on one simulated clock and network. They exchange only control-plane messages; no client sends
+ * requests. Not safe for several threads. Times are microseconds of the simulated clock unless a name says otherwise.
+ */
 final class Cluster {
     private static final ThreadMXBean THREAD_CPU = ManagementFactory.getThreadMXBean();
-    static final long MICROS_PER_SECOND = 1_000_000, TICK_MICROS = 20_000, DEFAULT_DELAY_MICROS = 4_000;
+    static final long MICROS_PER_SECOND = 1_000_000;
+    static final long TICK_MICROS = 20_000;
+    static final long DEFAULT_DELAY_MICROS = 4_000;
 
+    /** A store or a router with its disk, its network port and its share of the simulated machine's faults. */
     final class Member implements Port {
         final String name;
         final String kind;
         final String zone;
         String address;
         Disk disk = new Disk();
-        /** Where it is not 0: a process of an older release, whose lives come from a clock that is this far off. */
+        /**
+         * If not 0, the process is of an older release that takes its incarnation from its wall clock, and that clock is
+         * off by this many milliseconds.
+         */
         long legacyClockOffsetMillis;
 
         boolean supportsIdentifiedCommands = true;
-        /** What this machine's steady clock shows when the simulation begins. */
+        /** What the monotonic clock of this member shows when the simulated clock shows 0. */
         final long clockOffsetMicros = clockOffsetStepMicros * members.size();
 
         boolean running;
         boolean diskHung;
         boolean paused;
-        /** How long a slowed process takes for each message and each tick. */
+        /** How long the process takes to handle each message and each tick; 0 if it isn't slowed down. */
         long handlingCostMicros;
 
         private long busyUntilMicros;
@@ -83,52 +92,59 @@
             self.supportsIdentifiedCommands = supportsIdentifiedCommands;
             if (kind.equals(Node.STORE))
                 store = new Store(
-                        this, disk, self, seedAddresses, new StoreOptions(founderCount, quorum, timingProfile, p -> this::runPartWork), random);
+                        this,
+                        disk,
+                        self,
+                        seedAddresses,
+                        new StoreOptions(founderCount, quorum, timingProfile, p -> this::runPartWork),
+                        random);
             else router = new Router(this, self, seedAddresses, timingProfile, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
-            var mine = startCount;
-            sim.after((long) (sim.random.nextDouble() * TICK_MICROS), () -> tick(mine));
+            var currentStart = startCount;
+            sim.after((long) (sim.random.nextDouble() * TICK_MICROS), () -> tick(currentStart));
         }
 
-        private void runPartWork(Runnable r) {
-            if (diskHung) queuedPartWork.add(r);
-            else r.run();
+        private void runPartWork(Runnable work) {
+            if (diskHung) queuedPartWork.add(work);
+            else work.run();
         }
 
-        void setDiskHung(boolean is) {
-            diskHung = is;
+        /** Starts or ends a disk hang: meanwhile the work of all parts is queued. */
+        void setDiskHung(boolean hung) {
+            diskHung = hung;
             while (!diskHung && !queuedPartWork.isEmpty()) queuedPartWork.poll().run();
         }
 
-        /** On waking it first takes what came meanwhile and what is asked of it; its timers fire a little later. */
-        void setPaused(boolean is) {
-            paused = is;
+        /** Pauses or resumes the process. A resumed process first handles all deferred actions, then its timers fire. */
+        void setPaused(boolean pause) {
+            paused = pause;
             while (!paused && !deferredActions.isEmpty()) deferredActions.poll().run();
             if (paused || !tickPending) return;
             tickPending = false;
-            var mine = startCount;
-            sim.after(TICK_MICROS, () -> tick(mine));
+            var currentStart = startCount;
+            sim.after(TICK_MICROS, () -> tick(currentStart));
         }
 
-        /** Does something in the process: at once, once it is free where it is slowed, on waking where it is frozen. */
-        void execute(Runnable what) {
+        /** Runs an action in the process: at once, after the queued ones if it is slowed down, or when it resumes. */
+        void execute(Runnable action) {
             if (paused) {
-                deferredActions.add(what);
+                deferredActions.add(action);
                 return;
             }
             if (handlingCostMicros == 0) {
-                what.run();
+                action.run();
                 return;
             }
             busyUntilMicros = Math.max(busyUntilMicros, sim.now()) + handlingCostMicros;
-            var mine = startCount;
+            var currentStart = startCount;
             sim.at(busyUntilMicros, () -> {
-                if (!running || startCount != mine) return;
-                if (paused) deferredActions.add(what);
-                else what.run();
+                if (!running || startCount != currentStart) return;
+                if (paused) deferredActions.add(action);
+                else action.run();
             });
         }
 
+        /** Ends the process without notice; its disk keeps all writes. */
         void crash() {
             running = false;
             paused = false;
@@ -139,25 +155,27 @@
             diskHung = false;
         }
 
+        /** Ends the process; its disk loses writes that were not synced. */
         void losePower() {
             crash();
             disk.losePower(sim.random);
         }
 
+        /** Ends the process and replaces its disk by an empty one. */
         void loseDisk() {
             crash();
             disk = new Disk();
         }
 
-        private void tick(int mine) {
-            if (!running || startCount != mine) return;
+        private void tick(int expectedStart) {
+            if (!running || startCount != expectedStart) return;
             if (paused) {
                 tickPending = true;
                 return;
             }
             execute(() -> {
                 runMeasured(this::tickComponents);
-                sim.after(TICK_MICROS, () -> tick(mine));
+                sim.after(TICK_MICROS, () -> tick(expectedStart));
             });
         }
 
@@ -167,11 +185,11 @@
             operator.tick(now());
         }
 
-        /** Adds the processor time that this takes to the member's. */
-        void runMeasured(Runnable r) {
-            var from = THREAD_CPU.getCurrentThreadCpuTime();
-            r.run();
-            cpuNanos += THREAD_CPU.getCurrentThreadCpuTime() - from;
+        /** Runs an action and adds the processor time that it takes to {@link #cpuNanos}. */
+        void runMeasured(Runnable action) {
+            var startNanos = THREAD_CPU.getCurrentThreadCpuTime();
+            action.run();
+            cpuNanos += THREAD_CPU.getCurrentThreadCpuTime() - startNanos;
         }
 
         void resetCounters() {
@@ -194,30 +212,30 @@
         @Override
         public void send(String to, Object message) {
             if (!running) return;
-            var mine = coreId();
+            var senderCore = coreId();
             if (sim.random.nextDouble() < lossRate) return;
-            var b = Codec.encodeTagged(message);
-            meter.recordSent(this, to, message, b);
+            var encoded = Codec.encodeTagged(message);
+            meter.recordSent(this, to, message, encoded);
             if (!to.equals(address)) {
                 sentMessages++;
-                sentBytes += b.length;
+                sentBytes += encoded.length;
             }
-            Runnable arrival = () -> deliver(to, b, mine, message instanceof Hello);
+            Runnable arrival = () -> deliver(to, encoded, senderCore, message instanceof Hello);
             if (holdFilter.test(this, to, message)) heldMessages.add(arrival);
             else sim.after(oneWayDelayMicros, arrival);
         }
 
-        private void deliver(String to, byte[] b, long core, boolean hello) {
-            var m = runningMemberAt(to);
-            if (m == null || !m.running || blockedPaths.contains(name + ">" + m.name)) return;
-            if (!hello && core != 0 && m.coreId() != 0 && m.coreId() != core) return;
-            if (m != this) {
-                m.receivedMessages++;
-                m.receivedBytes += b.length;
+        private void deliver(String to, byte[] encoded, long senderCore, boolean hello) {
+            var receiver = runningMemberAt(to);
+            if (receiver == null || !receiver.running || blockedPaths.contains(name + ">" + receiver.name)) return;
+            if (!hello && senderCore != 0 && receiver.coreId() != 0 && receiver.coreId() != senderCore) return;
+            if (receiver != this) {
+                receiver.receivedMessages++;
+                receiver.receivedBytes += encoded.length;
             }
-            m.execute(() -> m.runMeasured(() -> {
-                if (m.store != null) m.store.receive(Codec.decodeTagged(b));
-                else m.router.receive(Codec.decodeTagged(b));
+            receiver.execute(() -> receiver.runMeasured(() -> {
+                if (receiver.store != null) receiver.store.receive(Codec.decodeTagged(encoded));
+                else receiver.router.receive(Codec.decodeTagged(encoded));
             }));
         }
 
@@ -227,7 +245,7 @@
         }
     }
 
-    /** Chooses the messages that are kept back on their way until they are released. */
+    /** Selects messages to hold on their way until {@link #releaseHeldMessages}. */
     interface MessageFilter {
         boolean test(Member from, String to, Object message);
     }
@@ -237,35 +255,42 @@
     MessageFilter holdFilter = (from, to, message) -> false;
     final Map<String, Member> members = new TreeMap<>();
     final List<String> eventLog = new ArrayList<>();
+    /** Paths that deliver nothing, as "sender>receiver" by member name. */
     final Set<String> blockedPaths = new HashSet<>();
+
     final TrafficMeter meter = new TrafficMeter(sim);
     final TimingProfile timingProfile;
     final Quorum quorum;
     int founderCount = 3;
+    /** How far the monotonic clock of each member is ahead of that of the member added before it. */
     long clockOffsetStepMicros;
+    /** The share of messages that is lost, 0 to 1. */
     double lossRate;
+
     long oneWayDelayMicros = DEFAULT_DELAY_MICROS;
     List<String> seedAddresses = List.of("s1", "s2", "s3");
 
-    Cluster(TimingProfile pace, Quorum quorum) {
-        this.timingProfile = pace;
+    Cluster(TimingProfile timingProfile, Quorum quorum) {
+        this.timingProfile = timingProfile;
         this.quorum = quorum;
     }
 
     Member addMember(String name, String kind, String zone) {
-        var m = new Member(name, kind, zone);
-        members.put(name, m);
-        m.start();
-        return m;
+        var member = new Member(name, kind, zone);
+        members.put(name, member);
+        member.start();
+        return member;
     }
 
+    /** Adds and starts a store {@code s1}, {@code s2}, ... in each of these zones. */
     Cluster addStores(String... zones) {
         for (var i = 0; i < zones.length; i++) addMember("s" + (i + 1), Node.STORE, zones[i]);
         return this;
     }
 
-    Cluster addRouters(int n) {
-        for (var i = 1; i <= n; i++) addMember("r" + i, Node.ROUTER, "z" + (i % 3 + 1));
+    /** Adds and starts routers {@code r1}, {@code r2}, ... over the zones z1 to z3 in turn. */
+    Cluster addRouters(int count) {
+        for (var i = 1; i <= count; i++) addMember("r" + i, Node.ROUTER, "z" + (i % 3 + 1));
         return this;
     }
 
@@ -273,6 +298,7 @@
         return members.get(name);
     }
 
+    /** The running member that receives what is sent to this address, or null. */
     Member runningMemberAt(String address) {
         var named = members.get(address);
         if (named != null && named.running && named.address.equals(address)) return named;
@@ -282,12 +308,12 @@
                 .orElse(null);
     }
 
-    /** Lets all arrive that was kept back, in the order in which it was sent. */
+    /** Stops holding messages and delivers the held ones at once, in the order in which they were sent. */
     void releaseHeldMessages() {
         holdFilter = (from, to, message) -> false;
-        var all = List.copyOf(heldMessages);
+        var deliveries = List.copyOf(heldMessages);
         heldMessages.clear();
-        all.forEach(Runnable::run);
+        deliveries.forEach(Runnable::run);
     }
 
     void resetCounters() {
@@ -299,27 +325,31 @@
         sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
-    /** Seconds until it holds, or the most. */
-    double runUntil(BooleanSupplier holds, double most) {
-        var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * MICROS_PER_SECOND) sim.runUntil(sim.now() + TICK_MICROS);
-        return (sim.now() - from) / (double) MICROS_PER_SECOND;
+    /** Runs until the condition holds, at most {@code maxSeconds}; returns the simulated seconds that passed. */
+    double runUntil(BooleanSupplier condition, double maxSeconds) {
+        var startedAt = sim.now();
+        while (!condition.getAsBoolean() && sim.now() - startedAt < maxSeconds * MICROS_PER_SECOND)
+            sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - startedAt) / (double) MICROS_PER_SECOND;
     }
 
+    /** The running member with a leader lease for a part, the one of the highest term if there are several, or null. */
     Member leaderOf(int part) {
-        Member best = null;
+        Member leader = null;
         for (var m : members.values()) {
             if (!m.running || m.diskHung || m.store == null || m.store.replicas().length == 0) continue;
-            var g = m.store.replicas()[part].group();
-            if (g.hasLease(m.now())
-                    && (best == null
-                            || g.term() > best.store.replicas()[part].group().term())) best = m;
+            var group = m.store.replicas()[part].group();
+            if (group.hasLease(m.now())
+                    && (leader == null
+                            || group.term()
+                                    > leader.store.replicas()[part].group().term())) leader = m;
         }
-        return best;
+        return leader;
     }
 
-    boolean allPartsLedByOtherThan(Member not) {
-        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) == null || leaderOf(p) == not) return false;
+    /** Whether every part has a leader and none of them is this member. */
+    boolean allPartsLedByOtherThan(Member excluded) {
+        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) == null || leaderOf(p) == excluded) return false;
         return true;
     }
 
@@ -327,52 +357,55 @@
         return allPartsLedByOtherThan(null);
     }
 
-    boolean allPartsLedBy(Member m) {
-        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) != m) return false;
+    boolean allPartsLedBy(Member member) {
+        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) != member) return false;
         return true;
     }
 
-    /** Whether a router holds this version of the manifest, its tables and a lease of every part. */
-    boolean isRouterCurrent(Member r, long version) {
-        var v = r.router.membership().view();
-        if (!r.running || !r.router.membership().isCurrent() || v.manifestRow().version != version) return false;
-        for (var p = 0; p < Parts.COUNT; p++) if (!v.hasLease(p, r.now())) return false;
-        return v.services().size() == v.manifest().services().size();
+    /** Whether a router has this version of the manifest, a row for each of its services and a lease of every part. */
+    boolean isRouterCurrent(Member member, long version) {
+        var view = member.router.membership().view();
+        if (!member.running || !member.router.membership().isCurrent() || view.manifestRow().version != version)
+            return false;
+        for (var p = 0; p < Parts.COUNT; p++) if (!view.hasLease(p, member.now())) return false;
+        return view.services().size() == view.manifest().services().size();
     }
 
     boolean allRoutersCurrent(long version) {
         return members.values().stream().allMatch(m -> m.router == null || isRouterCurrent(m, version));
     }
 
+    /** The names of the voters of a part; "?" stands for a store that no member has the id of. */
     Set<String> voterNames(int part) {
-        var all = new HashSet<String>();
-        var g = leaderOf(part).store.replicas()[part].group();
-        for (var v : g.members().voters) all.add(nameOf(v));
-        return all;
+        var names = new HashSet<String>();
+        var group = leaderOf(part).store.replicas()[part].group();
+        for (var voter : group.members().voters) names.add(nameOf(voter));
+        return names;
     }
 
-    private String nameOf(long id) {
+    private String nameOf(long storeId) {
         return members.values().stream()
-                .filter(m -> m.store != null && m.storeId() == id)
+                .filter(m -> m.store != null && m.storeId() == storeId)
                 .map(m -> m.name)
                 .findFirst()
                 .orElse("?");
     }
 
-    boolean isVoterOfAllParts(Member m, int voters) {
+    /** Whether a store is one of this many voters of every part. */
+    boolean isVoterOfAllParts(Member member, int voterCount) {
         for (var p = 0; p < Parts.COUNT; p++) {
             if (leaderOf(p) == null) return false;
-            var g = leaderOf(p).store.replicas()[p].group().members();
-            if (!g.isVoter(m.storeId()) || g.voters.length != voters) return false;
+            var groupMembers = leaderOf(p).store.replicas()[p].group().members();
+            if (!groupMembers.isVoter(member.storeId()) || groupMembers.voters.length != voterCount) return false;
         }
         return true;
     }
 
     Map<String, Integer> replicasPerZone(int part) {
-        var all = new HashMap<String, Integer>();
-        var k = leaderOf(part).store.replicas()[part];
-        Arrays.stream(k.group().members().zones).forEach(z -> all.merge(z, 1, Integer::sum));
-        return all;
+        var counts = new HashMap<String, Integer>();
+        var replica = leaderOf(part).store.replicas()[part];
+        Arrays.stream(replica.group().members().zones).forEach(z -> counts.merge(z, 1, Integer::sum));
+        return counts;
     }
 
     PartReplica replicaOf(String name, int part) {
--- a/test/sim/src/test/java/craneway/sim/ConcurrentConfigurationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ConcurrentConfigurationTest.java
@@ -17,7 +17,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Configurations by several operators at several nodes: one prevails, and what was acknowledged is acknowledged again. */
+/**
+ * Several operators put configurations with the same version at several stores: exactly one is acknowledged, and repeating it
+ * is acknowledged again, also after a lost response, a leader change, a restart of all stores or a lost disk.
+ */
 class ConcurrentConfigurationTest extends ThreeStoreTestBase {
     private static final String MANIFEST_TEXT = readManifest();
 
@@ -29,7 +32,7 @@
         }
     }
 
-    /** One call of an operator. */
+    /** One attempt of an operator to put a configuration. */
     private final class PutCall {
         final long baseVersion;
         final long version;
@@ -37,17 +40,18 @@
         ProblemKind rejection;
         boolean acknowledged;
 
-        PutCall(long base, long number, String source) {
-            this.baseVersion = base;
-            this.version = number;
+        PutCall(long baseVersion, long version, String source) {
+            this.baseVersion = baseVersion;
+            this.version = version;
             this.source = source;
         }
 
-        PutCall sendTo(Cluster.Member m) {
-            new PlatformCommands(m.store.coreClient()).putManifest(baseVersion, version, MANIFEST_TEXT, source, m.now(), r -> {
-                acknowledged = r.isRight();
-                rejection = r.isRight() ? null : r.getLeft().kind();
-            });
+        PutCall sendTo(Cluster.Member member) {
+            new PlatformCommands(member.store.coreClient())
+                    .putManifest(baseVersion, version, MANIFEST_TEXT, source, member.now(), result -> {
+                        acknowledged = result.isRight();
+                        rejection = result.isRight() ? null : result.getLeft().kind();
+                    });
             return this;
         }
 
@@ -55,25 +59,25 @@
             return acknowledged || rejection != null;
         }
 
-        /** The same order again, as one whose answer was lost, until it has a clear answer. */
-        PutCall repeatUntilResolved(Cluster.Member m) {
+        /** Repeats the call as after a lost response, until the result is not transient. */
+        PutCall repeatUntilResolved(Cluster.Member member) {
             for (var i = 0; i < 10; i++) {
-                var c = new PutCall(baseVersion, version, source).sendTo(m);
-                ConcurrentConfigurationTest.this.cluster.runUntil(c::hasResponse, 3);
-                if (c.acknowledged || !c.rejection.isTransient()) return c;
+                var retry = new PutCall(baseVersion, version, source).sendTo(member);
+                ConcurrentConfigurationTest.this.cluster.runUntil(retry::hasResponse, 3);
+                if (retry.acknowledged || !retry.rejection.isTransient()) return retry;
                 ConcurrentConfigurationTest.this.cluster.runFor(0.3);
             }
-            throw new AssertionError("no clear answer: " + eventLog());
+            throw new AssertionError("no definite result: " + eventLog());
         }
     }
 
-    private PutCall call(long base, long number, String source) {
-        return new PutCall(base, number, source);
+    private PutCall call(long baseVersion, long version, String source) {
+        return new PutCall(baseVersion, version, source);
     }
 
     private void awaitResponses(PutCall... calls) {
         cluster.runUntil(() -> List.of(calls).stream().allMatch(PutCall::hasResponse), 3);
-        for (var x : calls) assertTrue(x.hasResponse(), this::eventLog);
+        for (var call : calls) assertTrue(call.hasResponse(), this::eventLog);
     }
 
     private String storedSourceText() {
@@ -86,17 +90,17 @@
                 .sourceText;
     }
 
-    private void assertOnlyAcknowledged(PutCall won, PutCall lost) {
-        for (var m : cluster.members.values()) {
-            if (!m.running) continue;
-            assertTrue(won.repeatUntilResolved(m).acknowledged, this::eventLog);
-            assertEquals(ProblemKind.RACE_LOST, lost.repeatUntilResolved(m).rejection, this::eventLog);
+    private void assertOnlyAcknowledged(PutCall winner, PutCall loser) {
+        for (var member : cluster.members.values()) {
+            if (!member.running) continue;
+            assertTrue(winner.repeatUntilResolved(member).acknowledged, this::eventLog);
+            assertEquals(ProblemKind.RACE_LOST, loser.repeatUntilResolved(member).rejection, this::eventLog);
         }
-        assertEquals(won.source, storedSourceText());
+        assertEquals(winner.source, storedSourceText());
     }
 
     @Test
-    void ofTwoUnderOneNumberAtTwoNodesOneIsAcknowledged() {
+    void ofTwoConfigurationsWithOneVersionExactlyOneIsAcknowledged() {
         for (var i = 0; i < 10; i++) {
             var a = call(i, i + 1, "a" + i).sendTo(i % 2 == 0 ? first : second);
             cluster.runFor(0.001 * i);
@@ -108,7 +112,7 @@
     }
 
     @Test
-    void theSameOneByTwoOperatorsIsAcknowledgedToBoth() {
+    void theSameConfigurationFromTwoOperatorsIsAcknowledgedToBoth() {
         var a = call(0, 1, "same").sendTo(first);
         var b = call(0, 1, "same").sendTo(second);
         awaitResponses(a, b);
@@ -116,8 +120,9 @@
     }
 
     @Test
-    void neitherIsAcknowledgedWhereNoMajorityIsReached() {
-        cluster.holdFilter = (f, t, m) -> m instanceof CommandRequest && (f == first || f == second);
+    void noConfigurationIsAcknowledgedWhileRequestsDoNotReachTheLeader() {
+        cluster.holdFilter =
+                (from, to, message) -> message instanceof CommandRequest && (from == first || from == second);
         var a = call(0, 1, "a").sendTo(first);
         var b = call(0, 1, "b").sendTo(second);
         awaitResponses(a, b);
@@ -130,8 +135,9 @@
     }
 
     @Test
-    void oneWhoseAnswerWasLostIsAcknowledgedWhenSentAgainAndNeverRefused() {
-        cluster.holdFilter = (f, t, m) -> m instanceof CommandResult v && v.kind == 0 && t.equals(first.address);
+    void aConfigurationWhoseResponseWasLostIsAcknowledgedWhenRepeated() {
+        cluster.holdFilter = (from, to, message) ->
+                message instanceof CommandResult result && result.kind == 0 && to.equals(first.address);
         var a = call(0, 1, "a").sendTo(first);
         cluster.runFor(0.1);
         var b = call(0, 1, "b").sendTo(second);
@@ -144,15 +150,15 @@
     }
 
     @Test
-    void whatWasAcknowledgedIsSoAgainAfterALeaderChangeAndARestartOfAll() {
+    void anAcknowledgedConfigurationIsAcknowledgedAgainAfterALeaderChangeAndRestarts() {
         var a = call(0, 1, "a").sendTo(first);
         var b = call(0, 1, "b").sendTo(second);
         awaitResponses(a, b);
-        var won = a.acknowledged ? a : b;
-        var lost = a.acknowledged ? b : a;
+        var winner = a.acknowledged ? a : b;
+        var loser = a.acknowledged ? b : a;
         leader.crash();
         cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5);
-        assertOnlyAcknowledged(won, lost);
+        assertOnlyAcknowledged(winner, loser);
         leader.start();
         cluster.runFor(3);
         for (var i = 0; i < 3; i++) {
@@ -160,33 +166,38 @@
             cluster.runFor(1 + i);
             cluster.members.values().forEach(Cluster.Member::start);
             cluster.runUntil(cluster::allPartsHaveLeaders, 8);
-            assertOnlyAcknowledged(won, lost);
+            assertOnlyAcknowledged(winner, loser);
         }
     }
 
     @Test
-    void ofEightUnderWayAtOnceOneIsAcknowledgedAndItsCopiesToo() {
+    void ofEightConcurrentConfigurationsOneAndItsRepetitionsAreAcknowledged() {
         var nodes = List.copyOf(cluster.members.values());
         for (var round = 0; round < 5; round++) {
-            var all = new ArrayList<PutCall>();
+            var calls = new ArrayList<PutCall>();
             for (var i = 0; i < 8; i++)
-                all.add(call(round * 10, round * 10 + 10, "round " + round + " operator " + i)
+                calls.add(call(round * 10, round * 10 + 10, "round " + round + " operator " + i)
                         .sendTo(nodes.get(i % 3)));
-            awaitResponses(all.toArray(PutCall[]::new));
-            var won = all.stream().filter(x -> x.acknowledged).toList();
-            assertEquals(1, won.size(), this::eventLog);
-            for (var x : all) if (!x.acknowledged) assertEquals(ProblemKind.RACE_LOST, x.rejection);
-            for (var m : nodes) assertTrue(won.get(0).repeatUntilResolved(m).acknowledged);
-            assertEquals(won.get(0).source, storedSourceText());
+            awaitResponses(calls.toArray(PutCall[]::new));
+            var winners = calls.stream().filter(call -> call.acknowledged).toList();
+            assertEquals(1, winners.size(), this::eventLog);
+            for (var call : calls) if (!call.acknowledged) assertEquals(ProblemKind.RACE_LOST, call.rejection);
+            for (var node : nodes) assertTrue(winners.get(0).repeatUntilResolved(node).acknowledged);
+            assertEquals(winners.get(0).source, storedSourceText());
         }
     }
 
-    private int sessionCount(Cluster.Member m) {
-        return m.store.replicas()[Parts.MANIFEST_PART].records().rows().sessions.size();
+    private int sessionCount(Cluster.Member store) {
+        return store.store
+                .replicas()[Parts.MANIFEST_PART]
+                .records()
+                .rows()
+                .sessions
+                .size();
     }
 
     @Test
-    void whatWasAcknowledgedIsSoAgainByALeaderThatLostItsDiskAndGotASnapshot() {
+    void anAcknowledgedConfigurationIsAcknowledgedAgainByALeaderRestoredFromASnapshot() {
         var padding = "x".repeat(100_000);
         PutCall last = null;
         for (var i = 0; i < 60; i++) {
@@ -198,7 +209,10 @@
         first.loseDisk();
         cluster.runFor(0.5);
         first.start();
-        cluster.runUntil(() -> cluster.eventLog.stream().anyMatch(n -> n.contains(" " + first.name + " SNAPSHOT_LOADED part 0 ")), 10);
+        cluster.runUntil(
+                () -> cluster.eventLog.stream()
+                        .anyMatch(event -> event.contains(" " + first.name + " SNAPSHOT_LOADED part 0 ")),
+                10);
         cluster.runUntil(() -> cluster.isVoterOfAllParts(first, 3), 20);
         makeLeader(first);
         assertEquals(2, sessionCount(first));
--- a/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
+++ b/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
@@ -13,8 +13,9 @@
 import java.util.Set;
 
 /**
- * An operator who sends one order after another, configurations and zone marks in turn, each again until it is answered
- * clearly, to any store that runs, and reads back meanwhile. What breaks a promise stands in {@link #violations}.
+ * An operator that sends configurations and zone marks one after the other to the running stores in turn, repeats each until its
+ * result is definite, and reads the manifest back meanwhile. A refused command, a lost mark and a stale read are recorded in
+ * {@link #violations}.
  */
 final class ContinuousOperator {
     private static final long COMMAND_INTERVAL_MICROS = 100_000;
@@ -37,12 +38,12 @@
     private int acknowledgedCount;
     private int readCount;
     private final Map<Long, String> sourceByVersion = new HashMap<>();
-    /** A store that this operator does not talk to; another does. */
+    /** A store that this operator does not use, or null. */
     Cluster.Member avoidedStore;
 
-    ContinuousOperator(Cluster cluster, String text) {
+    ContinuousOperator(Cluster cluster, String manifestText) {
         this.cluster = cluster;
-        this.manifestText = text;
+        this.manifestText = manifestText;
         lastAcknowledgedAt = cluster.sim.now();
         cluster.sim.after(COMMAND_INTERVAL_MICROS, this::sendCommands);
         cluster.sim.after(READ_INTERVAL_MICROS, this::sendReads);
@@ -60,57 +61,65 @@
         return acknowledgedVersion;
     }
 
-    /** The source of the configuration that was acknowledged under this number. */
-    String sourceOf(long number) {
-        return sourceByVersion.get(number);
+    /** The source text of the configuration that was acknowledged with this version. */
+    String sourceOf(long version) {
+        return sourceByVersion.get(version);
     }
 
     int readCount() {
         return readCount;
     }
 
-    /** The longest time without an acknowledgement since it was asked last, in seconds. */
+    /** The longest time without an acknowledgement since the last call of this method, in seconds. */
     double takeLongestGapSeconds() {
-        var is = Math.max(longestGapMicros, cluster.sim.now() - lastAcknowledgedAt);
+        var longestMicros = Math.max(longestGapMicros, cluster.sim.now() - lastAcknowledgedAt);
         longestGapMicros = 0;
         lastAcknowledgedAt = cluster.sim.now();
-        return is / (double) Cluster.MICROS_PER_SECOND;
+        return longestMicros / (double) Cluster.MICROS_PER_SECOND;
     }
 
     private Cluster.Member nextRunningStore() {
-        var up = cluster.members.values().stream()
+        var runningStores = cluster.members.values().stream()
                 .filter(m -> m.running && !m.diskHung && m.store != null && m != avoidedStore)
                 .toList();
-        return up.isEmpty() ? null : up.get(Math.floorMod(nextStoreIndex++, up.size()));
+        return runningStores.isEmpty()
+                ? null
+                : runningStores.get(Math.floorMod(nextStoreIndex++, runningStores.size()));
     }
 
     private void sendCommands() {
         if (stopped) return;
         var now = cluster.sim.now();
-        var to = nextRunningStore();
-        if (to != null && (!awaitingResponse || now - lastSentAt > RESPONSE_TIMEOUT_MICROS)) sendCommand(to, now);
+        var store = nextRunningStore();
+        if (store != null && (!awaitingResponse || now - lastSentAt > RESPONSE_TIMEOUT_MICROS)) sendCommand(store, now);
         cluster.sim.after(COMMAND_INTERVAL_MICROS, this::sendCommands);
     }
 
-    private void sendCommand(Cluster.Member to, long now) {
-        var passing = new PlatformCommands(to.store.coreClient());
+    private void sendCommand(Cluster.Member store, long now) {
+        var commands = new PlatformCommands(store.store.coreClient());
         var number = commandNumber;
         awaitingResponse = true;
         lastSentAt = now;
-        if (number % 3 == 2) passing.markZone("m" + number, true, now, r -> handleResponse(number, r));
+        if (number % 3 == 2) commands.markZone("m" + number, true, now, result -> handleResponse(number, result));
         else {
             sentVersion = acknowledgedVersion + 1;
-            passing.putManifest(acknowledgedVersion, sentVersion, manifestText, "source " + number, now, r -> handleResponse(number, r));
+            commands.putManifest(
+                    acknowledgedVersion,
+                    sentVersion,
+                    manifestText,
+                    "source " + number,
+                    now,
+                    result -> handleResponse(number, result));
         }
     }
 
-    private void handleResponse(long number, Either<Problem, Void> r) {
+    private void handleResponse(long number, Either<Problem, Void> result) {
         if (number != commandNumber) return;
         awaitingResponse = false;
-        if (r.isLeft()) {
-            var kind = r.getLeft().kind();
+        if (result.isLeft()) {
+            var kind = result.getLeft().kind();
             if (kind == ProblemKind.RACE_LOST || kind == ProblemKind.BAD_MANIFEST)
-                recordViolation("order " + number + " refused: " + r.getLeft());
+                recordViolation("command " + number + " refused: " + result.getLeft());
             return;
         }
         if (number % 3 == 2) markedZones.add("m" + number);
@@ -127,27 +136,30 @@
 
     private void sendReads() {
         if (stopped) return;
-        var to = nextRunningStore();
-        if (to != null) readManifest(to);
+        var store = nextRunningStore();
+        if (store != null) readManifest(store);
         cluster.sim.after(READ_INTERVAL_MICROS, this::sendReads);
     }
 
-    /** Reads back at this store; an answer must hold all that was acknowledged before it was asked. */
-    void readManifest(Cluster.Member to) {
-        var least = acknowledgedVersion;
-        var zones = Set.copyOf(markedZones);
-        new PlatformCommands(to.store.coreClient()).readManifest(r -> {
-            if (r.isRight()) checkRead(to.name, least, zones, r.get());
+    /** Reads the manifest from this store; the response must contain all that was acknowledged before the request. */
+    void readManifest(Cluster.Member store) {
+        var minVersion = acknowledgedVersion;
+        var expectedZones = Set.copyOf(markedZones);
+        new PlatformCommands(store.store.coreClient()).readManifest(result -> {
+            if (result.isRight()) checkRead(store.name, minVersion, expectedZones, result.get());
         });
     }
 
-    private void checkRead(String at, long least, Set<String> zones, Rows.Manifest m) {
+    private void checkRead(String storeName, long minVersion, Set<String> expectedZones, Rows.Manifest manifest) {
         readCount++;
-        if (m.version < least || m.version > sentVersion) recordViolation(at + " reads " + m.version + ", acknowledged " + least);
-        for (var z : zones) if (!m.marks.containsKey("zone:" + z)) recordViolation(at + " has lost the mark of " + z);
+        if (manifest.version < minVersion || manifest.version > sentVersion)
+            recordViolation(storeName + " returned version " + manifest.version + ", acknowledged was " + minVersion);
+        for (var zone : expectedZones)
+            if (!manifest.marks.containsKey("zone:" + zone))
+                recordViolation(storeName + " has lost the mark of " + zone);
     }
 
-    private void recordViolation(String what) {
-        violations.add(cluster.sim.now() / 1_000 + " " + what);
+    private void recordViolation(String description) {
+        violations.add(cluster.sim.now() / 1_000 + " " + description);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/DelayedCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/DelayedCommandTest.java
@@ -10,19 +10,24 @@
 import java.util.ArrayList;
 import org.junit.jupiter.api.Test;
 
-/** A copy of an order that arrives after a later, reverse order was acknowledged has no effect. */
+/**
+ * A copy of a command that is delayed on the network or in a leader's queue, and arrives after a later, opposite command was
+ * acknowledged, must have no effect.
+ */
 class DelayedCommandTest extends ThreeStoreTestBase {
     private static Cluster.MessageFilter firstRequestTo(Cluster.Member from, String to) {
-        var kept = new int[1];
-        return (f, t, m) -> f == from && t.equals(to) && m instanceof CommandRequest && kept[0]++ == 0;
+        var matched = new int[1];
+        return (sender, receiver, message) ->
+                sender == from && receiver.equals(to) && message instanceof CommandRequest && matched[0]++ == 0;
     }
 
     private static Cluster.MessageFilter allRequestsTo(Cluster.Member from, String to) {
-        return (f, t, m) -> f == from && t.equals(to) && m instanceof CommandRequest;
+        return (sender, receiver, message) ->
+                sender == from && receiver.equals(to) && message instanceof CommandRequest;
     }
 
     @Test
-    void aCopyHeldUpOnItsWayDoesNotUndoATakeBack() {
+    void aDelayedCopyDoesNotMarkAZoneAgainAfterItWasUnmarked() {
         openSessions();
         cluster.holdFilter = firstRequestTo(first, leader.address);
         assertMarkAcknowledged(first, true);
@@ -35,7 +40,7 @@
     }
 
     @Test
-    void aCopyHeldUpOnItsWayDoesNotTakeAZoneBack() {
+    void aDelayedCopyDoesNotUnmarkAZoneAfterItWasMarkedAgain() {
         assertMarkAcknowledged(first, true);
         cluster.holdFilter = firstRequestTo(first, leader.address);
         assertMarkAcknowledged(first, false);
@@ -47,12 +52,12 @@
     }
 
     @Test
-    void anOrderThatGotNoAnswerAndArrivesLaterHasNoEffect() {
+    void aCommandThatTimedOutAndArrivesLaterHasNoEffect() {
         openSessions();
         cluster.holdFilter = allRequestsTo(first, leader.address);
-        var lost = markZone(first, true);
-        cluster.runUntil(lost::hasArrived, 3);
-        assertFalse(lost.isAcknowledged());
+        var delayed = markZone(first, true);
+        cluster.runUntil(delayed::hasArrived, 3);
+        assertFalse(delayed.isAcknowledged());
         assertMarkAcknowledged(second, true);
         assertMarkAcknowledged(second, false);
         cluster.releaseHeldMessages();
@@ -61,13 +66,13 @@
     }
 
     @Test
-    void aCopyThatReachesALeaderOfALaterTermHasNoEffect() {
+    void aCopyThatReachesTheLeaderInALaterTermHasNoEffect() {
         openSessions();
-        var term = leader.store.replicas()[Parts.MANIFEST_PART].group().term();
+        var initialTerm = leader.store.replicas()[Parts.MANIFEST_PART].group().term();
         cluster.holdFilter = allRequestsTo(first, leader.address);
-        var lost = markZone(first, true);
-        cluster.runUntil(lost::hasArrived, 3);
-        assertFalse(lost.isAcknowledged());
+        var delayed = markZone(first, true);
+        cluster.runUntil(delayed::hasArrived, 3);
+        assertFalse(delayed.isAcknowledged());
         leader.store.transferLeadership();
         cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5);
         assertMarkAcknowledged(second, true);
@@ -78,39 +83,41 @@
             cluster.runUntil(cluster::allPartsHaveLeaders, 5);
         }
         assertEquals(leader, cluster.leaderOf(Parts.MANIFEST_PART));
-        assertTrue(leader.store.replicas()[Parts.MANIFEST_PART].group().term() > term);
+        assertTrue(leader.store.replicas()[Parts.MANIFEST_PART].group().term() > initialTerm);
         cluster.releaseHeldMessages();
         cluster.runFor(2);
         assertFalse(isZoneEmptied(), this::eventLog);
     }
 
     @Test
-    void aCopyBoundByTheLastLeadersClockHasNoEffectAtTheNext() {
+    void aCopyWithADeadlineOnTheOldLeadersClockHasNoEffectAtTheNewLeader() {
         makeLeader(cluster.member("s3"));
         openSessions();
         var copies = new ArrayList<CommandRequest>();
-        cluster.holdFilter = (f, t, m) -> f == first && m instanceof CommandRequest a && copies.add(a);
-        var lost = markZone(first, true);
-        cluster.runUntil(lost::hasArrived, 3);
-        cluster.holdFilter = (f, t, m) -> false;
+        cluster.holdFilter = (from, to, message) ->
+                from == first && message instanceof CommandRequest request && copies.add(request);
+        var delayed = markZone(first, true);
+        cluster.runUntil(delayed::hasArrived, 3);
+        cluster.holdFilter = (from, to, message) -> false;
         leader.crash();
         cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5);
-        var next = cluster.leaderOf(Parts.MANIFEST_PART);
-        assertTrue(next.now() < copies.get(0).leaderDeadline, "the next leader's clock is behind the bound");
+        var newLeader = cluster.leaderOf(Parts.MANIFEST_PART);
+        assertTrue(
+                newLeader.now() < copies.get(0).leaderDeadline, "the new leader's clock must be before the deadline");
         assertMarkAcknowledged(second, true);
         assertMarkAcknowledged(second, false);
-        for (var a : copies) first.send(next.address, a);
+        for (var request : copies) first.send(newLeader.address, request);
         cluster.runFor(1);
         assertFalse(isZoneEmptied(), this::eventLog);
     }
 
     @Test
-    void anOrderInAFrozenLeadersQueueHasNoEffectOnceItWakes() {
+    void aCommandQueuedAtALeaderWithAHungDiskHasNoEffectOnceTheDiskRecovers() {
         openSessions();
         leader.setDiskHung(true);
-        var lost = markZone(first, true);
-        cluster.runUntil(lost::hasArrived, 3);
-        assertFalse(lost.isAcknowledged());
+        var delayed = markZone(first, true);
+        cluster.runUntil(delayed::hasArrived, 3);
+        assertFalse(delayed.isAcknowledged());
         cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5);
         assertMarkAcknowledged(second, true);
         assertMarkAcknowledged(second, false);
@@ -120,14 +127,17 @@
     }
 
     @Test
-    void aLostAnswerAndACopyAreAcknowledgedOnceAndTakenOnce() {
+    void aRetryAfterALostResponseIsExecutedAndAcknowledgedOnce() {
         openSessions();
-        var before = marksVersion();
-        var lost = new int[1];
-        cluster.holdFilter = (f, t, m) -> m instanceof CommandResult v && v.kind == 0 && t.equals(first.address) && lost[0]++ == 0;
+        var versionBefore = marksVersion();
+        var matched = new int[1];
+        cluster.holdFilter = (from, to, message) -> message instanceof CommandResult result
+                && result.kind == 0
+                && to.equals(first.address)
+                && matched[0]++ == 0;
         assertMarkAcknowledged(first, true);
-        assertEquals(1, lost[0] - 1);
-        assertEquals(before + 1, marksVersion());
+        assertEquals(1, matched[0] - 1);
+        assertEquals(versionBefore + 1, marksVersion());
     }
 
     private long marksVersion() {
@@ -141,31 +151,31 @@
     }
 
     @Test
-    void anOrderIsTakenThoughTheLeaderChangesMeanwhile() {
+    void aCommandIsExecutedThoughTheLeaderChangesMeanwhile() {
         openSessions();
         cluster.holdFilter = allRequestsTo(first, leader.address);
-        var order = markZone(first, true);
+        var outcome = markZone(first, true);
         cluster.runFor(0.02);
         leader.store.transferLeadership();
-        cluster.holdFilter = (f, t, m) -> false;
-        cluster.runUntil(order::hasArrived, 3);
-        assertTrue(order.isAcknowledged(), this::eventLog);
+        cluster.holdFilter = (from, to, message) -> false;
+        cluster.runUntil(outcome::hasArrived, 3);
+        assertTrue(outcome.isAcknowledged(), this::eventLog);
         cluster.runUntil(cluster::allPartsHaveLeaders, 5);
         assertTrue(isZoneEmptied(), this::eventLog);
     }
 
     @Test
-    void theTableOfLivesOutlivesALeaderChangeASnapshotAndARestartOfAll() {
+    void sessionsSurviveAPowerLossOfAllStores() {
         assertMarkAcknowledged(first, true);
         assertMarkAcknowledged(second, false);
-        var lives = sessionCount();
-        assertTrue(lives >= 2);
+        var sessionsBefore = sessionCount();
+        assertTrue(sessionsBefore >= 2);
         cluster.members.values().forEach(Cluster.Member::losePower);
         cluster.runFor(2);
         cluster.members.values().forEach(Cluster.Member::start);
         cluster.runUntil(cluster::allPartsHaveLeaders, 8);
         assertTrue(cluster.allPartsHaveLeaders(), this::eventLog);
-        assertEquals(lives, sessionCount());
+        assertEquals(sessionsBefore, sessionCount());
     }
 
     private int sessionCount() {
@@ -179,14 +189,14 @@
     }
 
     @Test
-    void whileAMemberIsOlderCommandsAreLoggedAsItReadsThem() {
+    void commandsAreLoggedWithoutSessionsWhileAMemberIsOfAnOlderRelease() {
         restartMember(first, false);
         assertMarkAcknowledged(first, true);
         assertMarkAcknowledged(second, false);
         assertEquals(0, sessionCount());
         cluster.holdFilter = allRequestsTo(second, cluster.leaderOf(Parts.MANIFEST_PART).address);
-        var lost = markZone(second, true);
-        cluster.runUntil(lost::hasArrived, 3);
+        var delayed = markZone(second, true);
+        cluster.runUntil(delayed::hasArrived, 3);
         cluster.releaseHeldMessages();
         cluster.runFor(1);
         assertFalse(isZoneEmptied(), this::eventLog);
@@ -195,11 +205,11 @@
         assertEquals(1, sessionCount());
     }
 
-    private void restartMember(Cluster.Member m, boolean fenced) {
-        m.crash();
+    private void restartMember(Cluster.Member member, boolean supportsIdentifiedCommands) {
+        member.crash();
         cluster.runFor(0.5);
-        m.supportsIdentifiedCommands = fenced;
-        m.start();
+        member.supportsIdentifiedCommands = supportsIdentifiedCommands;
+        member.start();
         cluster.runFor(3);
         cluster.runUntil(cluster::allPartsHaveLeaders, 5);
     }
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -23,67 +23,76 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Stores on disks that are full at a restart, lose power again and again, or end in the middle of setting files aside. */
+/**
+ * Stores whose disk is full at a restart, that lose power repeatedly, or that crash while they move the files of a damaged
+ * folder aside.
+ */
 class DiskFaultTest {
     private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
-    private static final Set<String> WRITE_METHODS = Set.of("append", "sync", "overwrite", "replace", "rename", "delete");
+    private static final Set<String> WRITE_METHODS =
+            Set.of("append", "sync", "overwrite", "replace", "rename", "delete");
 
+    /** Thrown by a simulated disk where the process ends. */
     private static final class Crash extends RuntimeException {}
 
     private static Cluster threeStores() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
-        assertTrue(c.runUntil(c::allPartsHaveLeaders, 10) < 8, () -> "founding: " + c.eventLog);
-        c.runFor(5);
-        return c;
+        var cluster =
+                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        assertTrue(
+                cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8,
+                () -> "not founded in time: " + cluster.eventLog);
+        cluster.runFor(5);
+        return cluster;
     }
 
-    private static boolean isCaughtUp(Cluster c, Cluster.Member m) {
+    private static boolean isCaughtUp(Cluster cluster, Cluster.Member store) {
         for (var p = 0; p < Parts.COUNT; p++) {
-            var owner = c.leaderOf(p);
-            if (owner == null || m.store.replicas().length == 0) return false;
-            var last = owner.store.replicas()[p].group().lastIndex();
-            if (m.store.replicas()[p].group().appliedIndex() < last) return false;
+            var leader = cluster.leaderOf(p);
+            if (leader == null || store.store.replicas().length == 0) return false;
+            var lastIndex = leader.store.replicas()[p].group().lastIndex();
+            if (store.store.replicas()[p].group().appliedIndex() < lastIndex) return false;
         }
         return true;
     }
 
     @Test
-    void aStoreThatRestartsWithAFullDiskStaysUpSaysSoAndCatchesUpOnceThereIsSpace() {
+    void aStoreRestartedWithAFullDiskLogsItAndCatchesUpOnceThereIsSpace() {
         for (var name : List.of("s1", "s2", "s3"))
-            for (var power : List.of(true, false)) {
-                var c = threeStores();
-                var m = c.member(name);
-                var id = m.storeId();
-                if (power) m.losePower();
-                else m.crash();
-                m.disk.full(true);
-                m.start();
-                c.addMember("r1", Node.ROUTER, "z1");
-                c.runFor(5);
-                assertTrue(c.allPartsHaveLeaders(), () -> name + ": " + String.join("\n", c.eventLog));
-                assertTrue(c.eventLog.stream().anyMatch(n -> n.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
-                m.disk.full(false);
-                c.runFor(3);
-                assertEquals(id, m.storeId());
-                assertTrue(isCaughtUp(c, m), () -> name + ": " + String.join("\n", c.eventLog));
+            for (var losesPower : List.of(true, false)) {
+                var cluster = threeStores();
+                var store = cluster.member(name);
+                var storeId = store.storeId();
+                if (losesPower) store.losePower();
+                else store.crash();
+                store.disk.full(true);
+                store.start();
+                cluster.addMember("r1", Node.ROUTER, "z1");
+                cluster.runFor(5);
+                assertTrue(cluster.allPartsHaveLeaders(), () -> name + ": " + String.join("\n", cluster.eventLog));
+                assertTrue(cluster.eventLog.stream()
+                        .anyMatch(event -> event.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
+                store.disk.full(false);
+                cluster.runFor(3);
+                assertEquals(storeId, store.storeId());
+                assertTrue(isCaughtUp(cluster, store), () -> name + ": " + String.join("\n", cluster.eventLog));
             }
     }
 
     @Test
-    void noStoreIsCalledLostHoweverOftenPowerGoes() {
-        var c = threeStores();
+    void repeatedPowerLossNeverCountsAsADamagedDataDirectory() {
+        var cluster = threeStores();
         var random = new Random(5);
-        c.addMember("r1", Node.ROUTER, "z1");
+        cluster.addMember("r1", Node.ROUTER, "z1");
         for (var i = 0; i < 60; i++) {
-            var all = List.of("s1", "s2", "s3").subList(0, 1 + random.nextInt(3));
-            all.forEach(n -> c.member(n).losePower());
-            c.runFor(0.2);
-            all.forEach(n -> c.member(n).start());
-            c.runFor(random.nextDouble() * 1.5);
+            var failedStores = List.of("s1", "s2", "s3").subList(0, 1 + random.nextInt(3));
+            failedStores.forEach(name -> cluster.member(name).losePower());
+            cluster.runFor(0.2);
+            failedStores.forEach(name -> cluster.member(name).start());
+            cluster.runFor(random.nextDouble() * 1.5);
         }
-        c.runFor(5);
-        assertTrue(c.allPartsHaveLeaders(), () -> String.join("\n", c.eventLog));
-        assertTrue(c.eventLog.stream().noneMatch(n -> n.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
+        cluster.runFor(5);
+        assertTrue(cluster.allPartsHaveLeaders(), () -> String.join("\n", cluster.eventLog));
+        assertTrue(cluster.eventLog.stream().noneMatch(name -> name.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
     }
 
     private long now = 1_000_000;
@@ -111,47 +120,48 @@
                 new Random(now));
     }
 
-    private void runStore(Store s) {
+    private void runStore(Store store) {
         for (var i = 0; i < 100; i++) {
             now += 20_000;
-            s.tick();
+            store.tick();
         }
     }
 
-    private static Folder crashingFolder(Disk disk, int at) {
-        var step = new int[1];
-        return (Folder)
-                Proxy.newProxyInstance(Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, (p, m, a) -> {
-                    if (WRITE_METHODS.contains(m.getName()) && step[0]++ == at) throw new Crash();
+    /** A folder that throws {@link Crash} instead of doing its write number {@code crashStep}, counted from 0. */
+    private static Folder crashingFolder(Disk disk, int crashStep) {
+        var nextStep = new int[1];
+        return (Folder) Proxy.newProxyInstance(
+                Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, (proxy, method, arguments) -> {
+                    if (WRITE_METHODS.contains(method.getName()) && nextStep[0]++ == crashStep) throw new Crash();
                     try {
-                        return m.invoke(disk, a);
+                        return method.invoke(disk, arguments);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
                 });
     }
 
-    /** A crash and a loss of power at any step: no start takes the rest for a store that still has its entries. */
+    /** After a crash and a power loss at any step, the next start must not take the remaining files for an intact store. */
     @Test
-    void aDamagedFolderIsSetAsideWholeThoughTheProcessEndsInTheMiddleOfIt() {
+    void aDamagedFolderIsMovedAsideCompletelyThoughTheProcessCrashesMeanwhile() {
         for (var step = 0; ; step++) {
             var disk = new Disk();
-            var first = newStore(disk);
-            runStore(first);
-            var id = first.directory().self().storeId;
+            var damagedStore = newStore(disk);
+            runStore(damagedStore);
+            var oldStoreId = damagedStore.directory().self().storeId;
             disk.damage("p2.log.1", 60);
-            var kept = new HashMap<String, byte[]>();
-            for (var n : List.of("identity", "core", "p2.log.1")) kept.put("lost." + n, disk.read(n));
-            var ended = startsWithoutCrash(crashingFolder(disk, step));
+            var expectedFiles = new HashMap<String, byte[]>();
+            for (var name : List.of("identity", "core", "p2.log.1")) expectedFiles.put("lost." + name, disk.read(name));
+            var completed = startsWithoutCrash(crashingFolder(disk, step));
             disk.losePower(new Random(step));
-            assertNotEquals(id, newStore(disk).directory().self().storeId, "step " + step);
-            kept.forEach((n, b) -> assertArrayEquals(b, disk.read(n), n));
-            if (ended) return;
+            assertNotEquals(oldStoreId, newStore(disk).directory().self().storeId, "step " + step);
+            expectedFiles.forEach((name, bytes) -> assertArrayEquals(bytes, disk.read(name), name));
+            if (completed) return;
         }
     }
 
     @Test
-    void aSecondDamagedFolderDoesNotTakeTheFilesOfTheFirst() {
+    void aSecondDamagedFolderDoesNotOverwriteTheFilesOfTheFirst() {
         var disk = new Disk();
         for (var i = 0; i < 2; i++) {
             runStore(newStore(disk));
--- a/test/sim/src/test/java/craneway/sim/FullReplacementDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/FullReplacementDiskTest.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A store whose disk was replaced by an empty one that is full ends at its start until there is space, then joins again. */
+/**
+ * A store whose lost disk was replaced by an empty but full one can't write its identity: it must exit at each start until there
+ * is space, then join again, and no invariant may be violated meanwhile.
+ */
 class FullReplacementDiskTest {
     private static final long SEED = 7045;
 
@@ -16,7 +19,7 @@
     }
 
     @Test
-    void itBreaksNoPromiseMeanwhile() {
+    void noInvariantIsViolatedWhileTheDiskIsFull() {
         var faults = List.of(
                 new Chaos.Fault(2, "store-1", "disk-loss"),
                 new Chaos.Fault(2.1, "store-1", "disk-full"),
--- a/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
@@ -21,9 +21,11 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
+/** Replication, leadership and recovery of a single group over in-memory disks, without a simulated network. */
 class GroupReplicationTest {
     private static final long TICK_MICROS = 10_000;
 
+    /** Counts the commands that were applied; its snapshot has as many bytes. */
     private static final class CountingStateMachine implements StateMachine {
         int applied;
 
@@ -43,6 +45,7 @@
         }
     }
 
+    /** One replica of the group on a disk of its own. */
     private final class Replica implements GroupListener {
         final Disk disk = new Disk();
         final CountingStateMachine counter = new CountingStateMachine();
@@ -50,26 +53,26 @@
         int sentMessages;
         int sentEntries;
 
-        Replica(long id, Members all) {
-            group = new Group(0, id, 9, disk, all, counter, new Random(id), this, TimingProfile.LOW_TRAFFIC, now);
+        Replica(long id, Members members) {
+            group = new Group(0, id, 9, disk, members, counter, new Random(id), this, TimingProfile.LOW_TRAFFIC, now);
         }
 
         @Override
-        public void send(PartMessage m) {
-            if (dropFilter.test(m)) return;
+        public void send(PartMessage message) {
+            if (dropFilter.test(message)) return;
             sentMessages++;
-            sentEntries += m.entries.size();
-            inFlightMessages.add(m);
+            sentEntries += message.entries.size();
+            inFlightMessages.add(message);
         }
 
         @Override
         public void onApplied(long index, long term, Object result) {}
 
         @Override
-        public void onLeadershipChanged(boolean owns, long term) {}
+        public void onLeadershipChanged(boolean isLeader, long term) {}
 
         @Override
-        public void logEvent(Event e, String detail) {}
+        public void logEvent(Event event, String detail) {}
     }
 
     private long now = 1_000_000;
@@ -77,26 +80,26 @@
     private final List<PartMessage> inFlightMessages = new ArrayList<>();
     private final List<Replica> replicas = new ArrayList<>();
 
-    private Replica startAndElect(int n) {
-        var ids = new long[n];
-        var zones = new String[n];
-        for (var i = 0; i < n; i++) {
+    private Replica startAndElect(int count) {
+        var ids = new long[count];
+        var zones = new String[count];
+        for (var i = 0; i < count; i++) {
             ids[i] = i + 1;
             zones[i] = "z" + i;
         }
         for (var id : ids) replicas.add(new Replica(id, Members.of(ids, zones)));
         runFor(4_000_000);
         return replicas.stream()
-                .filter(o -> o.group.role() == Role.LEADER)
+                .filter(replica -> replica.group.role() == Role.LEADER)
                 .findFirst()
                 .orElseThrow();
     }
 
     private void runFor(long micros) {
         for (var end = now + micros; now < end; now += TICK_MICROS) {
-            for (var o : replicas) {
-                o.group.tick(now);
-                o.group.syncAndSend(now);
+            for (var replica : replicas) {
+                replica.group.tick(now);
+                replica.group.syncAndSend(now);
             }
             deliverMessages();
         }
@@ -104,152 +107,155 @@
 
     private void deliverMessages() {
         while (!inFlightMessages.isEmpty()) {
-            var all = List.copyOf(inFlightMessages);
+            var messages = List.copyOf(inFlightMessages);
             inFlightMessages.clear();
-            for (var m : all) {
-                var o = replicas.get((int) m.to - 1);
-                o.group.receive(m, now);
-                o.group.syncAndSend(now);
+            for (var message : messages) {
+                var receiver = replicas.get((int) message.to - 1);
+                receiver.group.receive(message, now);
+                receiver.group.syncAndSend(now);
             }
         }
     }
 
-    private void propose(Replica owner, int bytes) {
-        owner.group.propose(new byte[bytes], now);
-        owner.group.syncAndSend(now);
+    private void propose(Replica leader, int bytes) {
+        leader.group.propose(new byte[bytes], now);
+        leader.group.syncAndSend(now);
         deliverMessages();
     }
 
     @Test
-    void aLostAppendIsMadeUpForWithinABeat() {
-        var owner = startAndElect(3);
-        dropFilter = m -> m.kind == PartMessage.APPEND && !m.entries.isEmpty();
-        propose(owner, 10);
-        assertEquals(0, owner.counter.applied);
-        dropFilter = m -> false;
+    void aLostAppendIsRepeatedWithinAHeartbeat() {
+        var leader = startAndElect(3);
+        dropFilter = message -> message.kind == PartMessage.APPEND && !message.entries.isEmpty();
+        propose(leader, 10);
+        assertEquals(0, leader.counter.applied);
+        dropFilter = message -> false;
         runFor(TimingProfile.LOW_TRAFFIC.heartbeatInterval() + TICK_MICROS);
-        for (var o : replicas) assertEquals(owner.group.lastIndex(), o.group.lastIndex());
-        assertEquals(1, owner.counter.applied);
+        for (var replica : replicas) assertEquals(leader.group.lastIndex(), replica.group.lastIndex());
+        assertEquals(1, leader.counter.applied);
     }
 
     @Test
-    void aLargeAppendIsNotSentAgainWhileOnItsWay() {
-        var owner = startAndElect(3);
-        var held = new ArrayList<PartMessage>();
-        dropFilter = m -> {
-            if (m.kind != PartMessage.APPEND || m.entries.isEmpty()) return false;
-            held.add(m);
+    void aLargeAppendIsNotRepeatedWhileInFlight() {
+        var leader = startAndElect(3);
+        var droppedMessages = new ArrayList<PartMessage>();
+        dropFilter = message -> {
+            if (message.kind != PartMessage.APPEND || message.entries.isEmpty()) return false;
+            droppedMessages.add(message);
             return true;
         };
-        propose(owner, 100_000);
+        propose(leader, 100_000);
         runFor(350_000);
-        assertEquals(2, held.size());
-        assertEquals(Role.LEADER, owner.group.role());
-        dropFilter = m -> false;
-        inFlightMessages.addAll(held);
+        assertEquals(2, droppedMessages.size());
+        assertEquals(Role.LEADER, leader.group.role());
+        dropFilter = message -> false;
+        inFlightMessages.addAll(droppedMessages);
         deliverMessages();
-        assertEquals(1, owner.counter.applied);
+        assertEquals(1, leader.counter.applied);
     }
 
     @Test
-    void aLargeAppendThatIsLostGoesAgain() {
-        var owner = startAndElect(3);
-        dropFilter = m -> m.kind == PartMessage.APPEND && !m.entries.isEmpty();
-        propose(owner, 100_000);
-        dropFilter = m -> false;
+    void aLostLargeAppendIsRepeated() {
+        var leader = startAndElect(3);
+        dropFilter = message -> message.kind == PartMessage.APPEND && !message.entries.isEmpty();
+        propose(leader, 100_000);
+        dropFilter = message -> false;
         runFor(700_000);
-        assertEquals(1, owner.counter.applied);
+        assertEquals(1, leader.counter.applied);
     }
 
     @Test
-    void aFollowerWhoseLargeEntriesWereNeverCommittedIsBroughtIntoLine() {
-        var old = startAndElect(3);
-        var id = replicas.indexOf(old) + 1;
-        dropFilter = m -> m.from == id || m.to == id;
-        for (var i = 0; i < 20; i++) propose(old, 2_000);
+    void uncommittedEntriesOfAnOldLeaderAreReplaced() {
+        var oldLeader = startAndElect(3);
+        var oldLeaderId = replicas.indexOf(oldLeader) + 1;
+        dropFilter = message -> message.from == oldLeaderId || message.to == oldLeaderId;
+        for (var i = 0; i < 20; i++) propose(oldLeader, 2_000);
         runFor(4_000_000);
-        var owner = replicas.stream()
-                .filter(o -> o != old && o.group.role() == Role.LEADER)
+        var leader = replicas.stream()
+                .filter(replica -> replica != oldLeader && replica.group.role() == Role.LEADER)
                 .findFirst()
                 .orElseThrow();
-        for (var i = 0; i < 30; i++) propose(owner, 2_000);
-        dropFilter = m -> false;
+        for (var i = 0; i < 30; i++) propose(leader, 2_000);
+        dropFilter = message -> false;
         runFor(3_000_000);
-        for (var o : replicas) assertEquals(30, o.counter.applied);
+        for (var replica : replicas) assertEquals(30, replica.counter.applied);
     }
 
     @Test
-    void anOwnerThatCannotHandOverGoesOnOwning() {
-        var owner = startAndElect(3);
-        var to = replicas.stream().filter(o -> o != owner).findFirst().get();
-        to.disk.full(true);
-        propose(owner, 10);
-        var term = owner.group.term();
-        assertTrue(owner.group.transferLeadership(replicas.indexOf(to) + 1, now));
+    void aLeaderWhoseTransferFailsKeepsTheLeadership() {
+        var leader = startAndElect(3);
+        var target = replicas.stream()
+                .filter(replica -> replica != leader)
+                .findFirst()
+                .get();
+        target.disk.full(true);
+        propose(leader, 10);
+        var term = leader.group.term();
+        assertTrue(leader.group.transferLeadership(replicas.indexOf(target) + 1, now));
         runFor(2_000_000);
-        assertEquals(Role.LEADER, owner.group.role());
-        assertEquals(term, owner.group.term());
-        propose(owner, 10);
-        assertEquals(2, owner.counter.applied);
+        assertEquals(Role.LEADER, leader.group.role());
+        assertEquals(term, leader.group.term());
+        propose(leader, 10);
+        assertEquals(2, leader.counter.applied);
     }
 
     @Test
-    void nothingIsCommittedBeforeAMajorityHasSyncedIt() {
-        var owner = startAndElect(3);
-        owner.group.propose(new byte[10], now);
-        owner.group.tick(now);
-        assertEquals(0, owner.counter.applied);
-        replicas.stream().filter(o -> o != owner).forEach(o -> o.disk.full(true));
-        owner.group.syncAndSend(now);
+    void anEntryIsNotCommittedBeforeAMajorityHasSyncedIt() {
+        var leader = startAndElect(3);
+        leader.group.propose(new byte[10], now);
+        leader.group.tick(now);
+        assertEquals(0, leader.counter.applied);
+        replicas.stream().filter(replica -> replica != leader).forEach(replica -> replica.disk.full(true));
+        leader.group.syncAndSend(now);
         deliverMessages();
         runFor(300_000);
-        assertEquals(0, owner.counter.applied);
+        assertEquals(0, leader.counter.applied);
     }
 
     @Test
-    void anOlderSegmentThatComesBackAfterPowerLossIsPassedOver() {
+    void anOldSegmentThatReappearsAfterAPowerLossIsIgnored() {
         var disk = new Disk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.saveTermAndVote(1, 1);
         for (var i = 1; i <= 5; i++) log.append(new LogEntry(i, 1, LogEntry.COMMAND, new byte[20]));
         log.sync();
-        var old = disk.fileNames().stream()
-                .filter(n -> n.contains("log."))
+        var oldSegment = disk.fileNames().stream()
+                .filter(name -> name.contains("log."))
                 .findFirst()
                 .get();
         log.append(new LogEntry(6, 1, LogEntry.COMMAND, new byte[20]));
-        var torn = disk.read(old);
-        var image = new Snapshot();
-        image.index = 4;
-        image.term = 1;
-        image.body = new byte[4];
-        log.installSnapshot(image);
-        torn[torn.length - 3] ^= 9;
-        disk.replace(old, torn);
-        var back = new SegmentLog(disk, "p0.", 1);
-        assertEquals(6, back.lastIndex());
-        assertEquals(4, back.snapshot().index);
-        assertEquals(1, back.votedFor());
+        var damagedSegment = disk.read(oldSegment);
+        var snapshot = new Snapshot();
+        snapshot.index = 4;
+        snapshot.term = 1;
+        snapshot.body = new byte[4];
+        log.installSnapshot(snapshot);
+        damagedSegment[damagedSegment.length - 3] ^= 9;
+        disk.replace(oldSegment, damagedSegment);
+        var reopenedLog = new SegmentLog(disk, "p0.", 1);
+        assertEquals(6, reopenedLog.lastIndex());
+        assertEquals(4, reopenedLog.snapshot().index);
+        assertEquals(1, reopenedLog.votedFor());
     }
 
     @Test
-    void aSyncedEntryThatIsDamagedIsALostDisk() {
+    void aDamagedSyncedEntryIsReportedAsALostDisk() {
         var disk = new Disk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.append(new LogEntry(1, 1, LogEntry.COMMAND, new byte[20]));
         log.sync();
         disk.damage(
                 disk.fileNames().stream()
-                        .filter(n -> n.contains("log."))
+                        .filter(name -> name.contains("log."))
                         .findFirst()
                         .get(),
                 40);
-        var lost = false;
+        var detected = false;
         try {
             new SegmentLog(disk, "p0.", 1);
         } catch (DiskLostException e) {
-            lost = true;
+            detected = true;
         }
-        assertTrue(lost);
+        assertTrue(detected);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/HungDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/HungDiskTest.java
@@ -24,6 +24,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/**
+ * A disk whose writes hang blocks the thread of a part; the thread that receives messages must still answer hellos.
+ */
 class HungDiskTest {
     private final AtomicBoolean diskHangs = new AtomicBoolean();
     private final CountDownLatch writeBlocked = new CountDownLatch(1);
@@ -48,46 +51,46 @@
 
     private Folder hangingFolder() {
         var disk = new Disk();
-        return (Folder)
-                Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Folder.class}, (p, m, a) -> {
+        return (Folder) Proxy.newProxyInstance(
+                getClass().getClassLoader(), new Class<?>[] {Folder.class}, (proxy, method, arguments) -> {
                     if (diskHangs.get()
-                            && (m.getName().equals("sync")
-                                    || m.getName().equals("append")
-                                    || m.getName().equals("replace"))) {
+                            && (method.getName().equals("sync")
+                                    || method.getName().equals("append")
+                                    || method.getName().equals("replace"))) {
                         writeBlocked.countDown();
                         diskReleased.await();
                     }
                     synchronized (disk) {
-                        return m.invoke(disk, a);
+                        return method.invoke(disk, arguments);
                     }
                 });
     }
 
     @Test
     @Timeout(30)
-    void theThreadThatReceivesGoesOnWhileADiskHangs() throws Exception {
-        var part = Executors.newSingleThreadExecutor();
+    void messagesAreReceivedAndAnsweredWhileADiskHangs() throws Exception {
+        var partExecutor = Executors.newSingleThreadExecutor();
         var self = new Node("s1", Node.STORE, "z1", "s1", 1);
         var store = new Store(
                 port,
                 hangingFolder(),
                 self,
                 List.of(),
-                new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> part),
+                new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, part -> partExecutor),
                 new Random(1));
         for (var i = 0; i < 100 && store.replicas().length == 0; i++) advanceAndTick(store);
         diskHangs.set(true);
         while (!writeBlocked.await(1, TimeUnit.MILLISECONDS)) advanceAndTick(store);
         for (var i = 0; i < 50; i++) advanceAndTick(store);
         sentMessages.clear();
-        var h = new Hello();
-        h.from = new Node("s2", Node.STORE, "z2", "s2", 1);
-        h.wantsReply = true;
-        store.receive(h);
-        assertTrue(sentMessages.stream().anyMatch(m -> m instanceof Hello));
+        var hello = new Hello();
+        hello.from = new Node("s2", Node.STORE, "z2", "s2", 1);
+        hello.wantsReply = true;
+        store.receive(hello);
+        assertTrue(sentMessages.stream().anyMatch(message -> message instanceof Hello));
         diskReleased.countDown();
-        part.shutdown();
-        assertTrue(part.awaitTermination(20, TimeUnit.SECONDS));
+        partExecutor.shutdown();
+        assertTrue(partExecutor.awaitTermination(20, TimeUnit.SECONDS));
         assertFalse(store.replicas().length == 0);
     }
 
--- a/test/sim/src/test/java/craneway/sim/IdleScanRateTest.java
+++ b/test/sim/src/test/java/craneway/sim/IdleScanRateTest.java
@@ -18,16 +18,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How often the control plane looks through all runners and members while nothing happens. */
+/**
+ * How often leaders and routers iterate over all runners or members while nothing changes: with thousands of rows they must do so
+ * only a limited number of times per second, yet notice a silent runner in time.
+ */
 class IdleScanRateTest {
     private static final int RUNNER_COUNT = 5_000;
 
-    /** A map that counts how often somebody goes through its values. */
+    /** A map that counts how often its values are iterated over. */
     private static final class ScanCountingMap<V> extends TreeMap<String, V> {
         int scanCount;
 
-        ScanCountingMap(TreeMap<String, V> all) {
-            super(all);
+        ScanCountingMap(TreeMap<String, V> entries) {
+            super(entries);
         }
 
         @Override
@@ -43,14 +46,14 @@
 
     @BeforeEach
     void startCluster() throws IOException, URISyntaxException {
-        var text = Files.readString(Path.of(
+        var manifestText = Files.readString(Path.of(
                 IdleScanRateTest.class.getResource("/craneway/sim/maticar.json").toURI()));
         cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         cluster.addStores("z1", "z2", "z3").addRouters(1);
         cluster.runUntil(cluster::allPartsHaveLeaders, 10);
-        cluster.member("s1").operator.putManifest(0, text, r -> {});
+        cluster.member("s1").operator.putManifest(0, manifestText, r -> {});
         cluster.runFor(6);
-        var s = cluster.member("r1")
+        var service = cluster.member("r1")
                 .router
                 .membership()
                 .view()
@@ -59,25 +62,25 @@
                 .values()
                 .iterator()
                 .next();
-        serviceName = s.name();
-        cellName = s.cells().get(0).name();
+        serviceName = service.name();
+        cellName = service.cells().get(0).name();
     }
 
-    private void announceRunners(int n) {
-        var o = cluster.leaderOf(Parts.partOf(serviceName));
-        o.setDiskHung(true);
-        for (var i = 0; i < n; i++) {
-            var r = new Commands.RunnerPut();
-            r.service = serviceName;
-            r.runner = "run-" + i;
-            r.address = "10.0.0.1:80";
-            r.cell = cellName;
-            r.slots = 4;
-            r.incarnation = 1;
-            cluster.member("s1").store.coreClient().request(Parts.partOf(serviceName), r, 800_000, x -> {});
+    private void announceRunners(int count) {
+        var leader = cluster.leaderOf(Parts.partOf(serviceName));
+        leader.setDiskHung(true);
+        for (var i = 0; i < count; i++) {
+            var put = new Commands.RunnerPut();
+            put.service = serviceName;
+            put.runner = "run-" + i;
+            put.address = "10.0.0.1:80";
+            put.cell = cellName;
+            put.slots = 4;
+            put.incarnation = 1;
+            cluster.member("s1").store.coreClient().request(Parts.partOf(serviceName), put, 800_000, result -> {});
         }
         cluster.runFor(0.02);
-        o.setDiskHung(false);
+        leader.setDiskHung(false);
         cluster.runFor(0.5);
     }
 
@@ -92,36 +95,39 @@
     }
 
     @Test
-    void manyRunnersAreLookedThroughLessOften() {
+    void manyRunnersAreScannedOnlySomeTimesPerSecond() {
         announceRunners(RUNNER_COUNT);
-        var all = new ScanCountingMap<>(serviceRow().runners);
-        serviceRow().runners = all;
+        var map = new ScanCountingMap<>(serviceRow().runners);
+        serviceRow().runners = map;
         cluster.runFor(1);
-        assertEquals(RUNNER_COUNT, all.size());
-        assertTrue(all.scanCount > 0 && all.scanCount < 40, () -> all.scanCount + " looks a second");
+        assertEquals(RUNNER_COUNT, map.size());
+        assertTrue(map.scanCount > 0 && map.scanCount < 40, () -> map.scanCount + " scans in a second");
     }
 
     @Test
-    void oneOfManyRunnersThatFallsSilentIsDarkInTime() {
+    void silentRunnersAmongManyAreMarkedDarkInTime() {
         announceRunners(RUNNER_COUNT);
-        var took = cluster.runUntil(() -> serviceRow().runners.values().stream().noneMatch(Rows.Runner::isUp), 6);
-        assertTrue(took < 3.2, () -> took + " s");
+        var seconds =
+                cluster.runUntil(() -> serviceRow().runners.values().stream().noneMatch(Rows.Runner::isUp), 6);
+        assertTrue(seconds < 3.2, () -> seconds + " s");
     }
 
     @Test
-    void aRouterMeetsRunnersWhenTheirRowChanges() {
+    void aRouterScansRunnersOnlyWhenTheirRowChanges() {
         announceRunners(50);
         cluster.runFor(1);
-        var s = cluster.member("r1").router.membership().view().services().get(serviceName);
-        var all = new ScanCountingMap<>(s.runners);
-        s.runners = all;
+        var service = cluster.member("r1").router.membership().view().services().get(serviceName);
+        var map = new ScanCountingMap<>(service.runners);
+        service.runners = map;
         cluster.runFor(0.5);
-        assertSame(s, cluster.member("r1").router.membership().view().services().get(serviceName));
-        assertTrue(all.scanCount <= 1, () -> all.scanCount + " looks a second");
+        assertSame(
+                service,
+                cluster.member("r1").router.membership().view().services().get(serviceName));
+        assertTrue(map.scanCount <= 1, () -> map.scanCount + " scans in a second");
     }
 
     @Test
-    void manyMembersAreLookedThroughLessOften() {
+    void manyMembersAreScannedOnlySomeTimesPerSecond() {
         cluster.addRouters(300);
         cluster.runFor(4);
         var rows = cluster.leaderOf(Parts.MANIFEST_PART)
@@ -129,9 +135,9 @@
                 .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows();
-        var all = new ScanCountingMap<>(rows.members);
-        rows.members = all;
+        var map = new ScanCountingMap<>(rows.members);
+        rows.members = map;
         cluster.runFor(1);
-        assertTrue(all.scanCount > 5 && all.scanCount < 25, () -> all.scanCount + " looks a second");
+        assertTrue(map.scanCount > 5 && map.scanCount < 25, () -> map.scanCount + " scans in a second");
     }
 }
--- a/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
@@ -19,19 +19,22 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A store that is cut off, frozen, slowed or heard one way only, as leader, as follower, as a store without a vote: it never
- * confirms what does not stand, never reads back old, answers in time and never with a refusal, and serves soon once it is back.
+ * A store that is partitioned, paused, slowed down or reachable in one direction only, as leader, follower or non-voter. It must
+ * not confirm a command that is lost or return stale reads, must answer in time and with transient errors only, and must serve
+ * again soon after the impairment ends.
  */
 class ImpairedStoreTest {
     private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a");
     private static final double MAX_RECOVERY_SECONDS = 3;
+    /** How long a slowed store takes for each message and each tick. */
     private static final long SLOWED_HANDLING_MICROS = 15_000;
+
     private static final long NETWORK_RECOVERY_DELAY_MICROS = 500_000;
 
     enum Impairment {
         PARTITIONED,
         PAUSED,
-        /** It wakes before the net is back, so that nothing tells it of the time that has passed. */
+        /** It resumes before the network does, so that no message shows how much time has passed. */
         PAUSED_AND_PARTITIONED,
         SLOWED,
         INBOUND_BLOCKED,
@@ -45,8 +48,8 @@
     }
 
     static Stream<Arguments> combinations() {
-        return Stream.of(Impairment.values()).flatMap(t -> Stream.of(Role.values())
-                .flatMap(p -> Stream.of(3.0, 8.0, 20.0).map(s -> Arguments.of(t, p, s))));
+        return Stream.of(Impairment.values()).flatMap(impairment -> Stream.of(Role.values())
+                .flatMap(role -> Stream.of(3.0, 8.0, 20.0).map(seconds -> Arguments.of(impairment, role, seconds))));
     }
 
     private static String readManifest() {
@@ -59,78 +62,86 @@
         }
     }
 
-    private static Cluster.Member memberWithRole(Cluster c, Role part) {
-        var leader = c.leaderOf(0);
-        if (part == Role.LEADER) return leader;
-        var voters = c.voterNames(0);
-        return c.members.values().stream()
-                .filter(m -> m != leader && voters.contains(m.name) == (part == Role.FOLLOWER))
+    private static Cluster.Member memberWithRole(Cluster cluster, Role role) {
+        var leader = cluster.leaderOf(0);
+        if (role == Role.LEADER) return leader;
+        var voters = cluster.voterNames(0);
+        return cluster.members.values().stream()
+                .filter(m -> m != leader && voters.contains(m.name) == (role == Role.FOLLOWER))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void setImpairment(Cluster c, Cluster.Member m, Impairment t, boolean on) {
-        switch (t) {
-            case PAUSED -> m.setPaused(on);
+    private static void setImpairment(Cluster cluster, Cluster.Member store, Impairment impairment, boolean active) {
+        switch (impairment) {
+            case PAUSED -> store.setPaused(active);
             case PAUSED_AND_PARTITIONED -> {
-                if (on) blockPaths(c, m, t);
-                else c.sim.after(NETWORK_RECOVERY_DELAY_MICROS, c.blockedPaths::clear);
-                m.setPaused(on);
+                if (active) blockPaths(cluster, store, impairment);
+                else cluster.sim.after(NETWORK_RECOVERY_DELAY_MICROS, cluster.blockedPaths::clear);
+                store.setPaused(active);
             }
-            case SLOWED -> m.handlingCostMicros = on ? SLOWED_HANDLING_MICROS : 0;
+            case SLOWED -> store.handlingCostMicros = active ? SLOWED_HANDLING_MICROS : 0;
             default -> {
-                if (!on) c.blockedPaths.clear();
-                else blockPaths(c, m, t);
+                if (!active) cluster.blockedPaths.clear();
+                else blockPaths(cluster, store, impairment);
             }
         }
     }
 
-    private static void blockPaths(Cluster c, Cluster.Member m, Impairment t) {
-        for (var x : c.members.values()) {
-            if (x == m) continue;
-            if (t != Impairment.INBOUND_BLOCKED) c.blockedPaths.add(m.name + ">" + x.name);
-            if (t != Impairment.OUTBOUND_BLOCKED) c.blockedPaths.add(x.name + ">" + m.name);
+    private static void blockPaths(Cluster cluster, Cluster.Member store, Impairment impairment) {
+        for (var member : cluster.members.values()) {
+            if (member == store) continue;
+            if (impairment != Impairment.INBOUND_BLOCKED) cluster.blockedPaths.add(store.name + ">" + member.name);
+            if (impairment != Impairment.OUTBOUND_BLOCKED) cluster.blockedPaths.add(member.name + ">" + store.name);
         }
     }
 
     @ParameterizedTest
     @MethodSource("pairs")
-    void neverConfirmsNorReadsBackOldAndServesSoonAfterwards(Impairment trouble, Role part, double seconds) {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
-        c.runUntil(c::allPartsHaveLeaders, 10);
-        c.addMember("s4", Node.STORE, "z4");
-        c.runFor(6);
-        var m = memberWithRole(c, part);
-        var others = new ContinuousOperator(c, readManifest());
-        others.avoidedStore = m;
-        c.runFor(4);
-        var here = new SingleStoreClients(c, m, others, readManifest());
-        c.runFor(3);
-        assertTrue(here.confirmedCommands() > 0, () -> String.join("\n", c.eventLog));
-        assertTrue(here.confirmedHeartbeats() > 0, () -> String.join("\n", c.eventLog));
-        others.takeLongestGapSeconds();
-        here.allowSlowResponses(trouble == Impairment.PAUSED || trouble == Impairment.PAUSED_AND_PARTITIONED || trouble == Impairment.SLOWED);
-        if (trouble == Impairment.PARTITIONED) here.expectNoConfirmationsUntil(c.sim.now() + (long) (seconds * Cluster.MICROS_PER_SECOND));
-        setImpairment(c, m, trouble, true);
-        c.runFor(seconds);
-        var meanwhile = others.takeLongestGapSeconds();
-        setImpairment(c, m, trouble, false);
-        var back = c.sim.now();
-        c.runUntil(() -> here.lastConfirmedAt() > back, 10);
-        var took = (c.sim.now() - back) / 1e6;
-        c.runFor(4);
-        here.allowSlowResponses(false);
-        c.runFor(4);
-        here.stop();
-        others.stop();
-        c.runFor(2);
-        here.checkConfirmedState();
-        var faults = new ArrayList<>(others.violations);
-        faults.addAll(here.violations);
-        System.out.println(trouble + " " + part + " " + seconds + " s: others waited " + meanwhile + " s, back after "
-                + took + " s, slowest answer " + here.slowestResponseMicros() / 1e6 + " s, faults " + faults.size());
-        assertEquals(List.of(), faults);
-        assertTrue(took < MAX_RECOVERY_SECONDS, () -> "serves after " + took + " s");
-        assertTrue(meanwhile < TwoFaultsRun.MAX_UNAVAILABLE_SECONDS, () -> "others wait " + meanwhile + " s");
+    void confirmsNothingThatIsLostReadsNothingStaleAndServesSoonAfterwards(
+            Impairment impairment, Role role, double seconds) {
+        var cluster =
+                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        cluster.runUntil(cluster::allPartsHaveLeaders, 10);
+        cluster.addMember("s4", Node.STORE, "z4");
+        cluster.runFor(6);
+        var store = memberWithRole(cluster, role);
+        var otherOperator = new ContinuousOperator(cluster, readManifest());
+        otherOperator.avoidedStore = store;
+        cluster.runFor(4);
+        var clients = new SingleStoreClients(cluster, store, otherOperator, readManifest());
+        cluster.runFor(3);
+        assertTrue(clients.confirmedCommands() > 0, () -> String.join("\n", cluster.eventLog));
+        assertTrue(clients.confirmedHeartbeats() > 0, () -> String.join("\n", cluster.eventLog));
+        otherOperator.takeLongestGapSeconds();
+        clients.allowSlowResponses(impairment == Impairment.PAUSED
+                || impairment == Impairment.PAUSED_AND_PARTITIONED
+                || impairment == Impairment.SLOWED);
+        if (impairment == Impairment.PARTITIONED)
+            clients.expectNoConfirmationsUntil(cluster.sim.now() + (long) (seconds * Cluster.MICROS_PER_SECOND));
+        setImpairment(cluster, store, impairment, true);
+        cluster.runFor(seconds);
+        var longestGapSeconds = otherOperator.takeLongestGapSeconds();
+        setImpairment(cluster, store, impairment, false);
+        var endedAt = cluster.sim.now();
+        cluster.runUntil(() -> clients.lastConfirmedAt() > endedAt, 10);
+        var recoverySeconds = (cluster.sim.now() - endedAt) / 1e6;
+        cluster.runFor(4);
+        clients.allowSlowResponses(false);
+        cluster.runFor(4);
+        clients.stop();
+        otherOperator.stop();
+        cluster.runFor(2);
+        clients.checkConfirmedState();
+        var violations = new ArrayList<>(otherOperator.violations);
+        violations.addAll(clients.violations);
+        System.out.println(impairment + " " + role + " " + seconds + " s: longest gap at the other stores "
+                + longestGapSeconds + " s, served again after " + recoverySeconds + " s, slowest response "
+                + clients.slowestResponseMicros() / 1e6 + " s, violations " + violations.size());
+        assertEquals(List.of(), violations);
+        assertTrue(recoverySeconds < MAX_RECOVERY_SECONDS, () -> "served again after " + recoverySeconds + " s");
+        assertTrue(
+                longestGapSeconds < TwoFaultsRun.MAX_UNAVAILABLE_SECONDS,
+                () -> "the other stores acknowledged nothing for " + longestGapSeconds + " s");
     }
 }
--- a/test/sim/src/test/java/craneway/sim/InvalidCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/InvalidCommandTest.java
@@ -12,33 +12,36 @@
 import craneway.state.message.Messages.CommandResult;
 import org.junit.jupiter.api.Test;
 
-/** Commands that no process of this core can have sent are refused with a numbered event and have no effect. */
+/**
+ * Commands that no process of this core can have sent (unknown session, wrong deadline or term, unreadable body) are rejected
+ * with an event and have no effect.
+ */
 class InvalidCommandTest extends ThreeStoreTestBase {
     private static Commands.ZoneMark zoneMark(boolean emptied) {
-        var m = new Commands.ZoneMark();
-        m.zone = "z1";
-        m.emptied = emptied;
-        return m;
+        var mark = new Commands.ZoneMark();
+        mark.zone = "z1";
+        mark.emptied = emptied;
+        return mark;
     }
 
-    private CommandRequest forgedRequest(long life, long term, long bound) {
-        var a = new CommandRequest();
-        a.id = 4711;
-        a.part = Parts.MANIFEST_PART;
-        a.from = first.store.directory().self();
-        a.sessionId = life;
-        a.lowestPending = a.id;
-        a.leaderTerm = term;
-        a.leaderDeadline = bound;
-        a.body = Codec.encodeTagged(zoneMark(true));
-        return a;
+    private CommandRequest forgedRequest(long sessionId, long leaderTerm, long leaderDeadline) {
+        var request = new CommandRequest();
+        request.id = 4711;
+        request.part = Parts.MANIFEST_PART;
+        request.from = first.store.directory().self();
+        request.sessionId = sessionId;
+        request.lowestPending = request.id;
+        request.leaderTerm = leaderTerm;
+        request.leaderDeadline = leaderDeadline;
+        request.body = Codec.encodeTagged(zoneMark(true));
+        return request;
     }
 
-    private void assertRejected(CommandRequest a, Event e) {
-        var before = countEvents(e);
-        first.send(leader.address, a);
+    private void assertRejected(CommandRequest request, Event event) {
+        var countBefore = countEvents(event);
+        first.send(leader.address, request);
         cluster.runFor(0.5);
-        assertEquals(before + 1, countEvents(e), this::eventLog);
+        assertEquals(countBefore + 1, countEvents(event), this::eventLog);
         assertFalse(isZoneEmptied(), this::eventLog);
         assertEquals(leader, cluster.leaderOf(Parts.MANIFEST_PART));
         assertMarkAcknowledged(second, true);
@@ -46,13 +49,13 @@
     }
 
     @Test
-    void aCommandOfAnUnknownLifeIsRefusedWithAnEvent() {
+    void aCommandOfAnUnknownSessionIsRejectedWithAnEvent() {
         openSessions();
         assertRejected(forgedRequest(99, leaderTerm(), leader.now() + 500_000), Event.UNKNOWN_INSTANCE);
     }
 
     @Test
-    void aCopyAfterItsBoundIsRefusedWithAnEvent() {
+    void aCommandAfterItsDeadlineOrOfAnotherTermIsRejectedWithAnEvent() {
         openSessions();
         assertRejected(forgedRequest(99, leaderTerm(), leader.now() - 1), Event.LATE_COMMAND);
         assertRejected(forgedRequest(99, leaderTerm() + 1, leader.now() + 500_000), Event.LATE_COMMAND);
@@ -60,36 +63,36 @@
     }
 
     @Test
-    void aCommandThatCannotBeReadIsRefusedWithAnEvent() {
+    void aCommandThatCannotBeDecodedIsRejectedWithAnEvent() {
         openSessions();
-        var a = forgedRequest(99, leaderTerm(), leader.now() + 500_000);
-        a.body = new byte[] {120, 3, 1};
-        assertRejected(a, Event.BAD_MESSAGE);
+        var request = forgedRequest(99, leaderTerm(), leader.now() + 500_000);
+        request.body = new byte[] {120, 3, 1};
+        assertRejected(request, Event.BAD_MESSAGE);
     }
 
     @Test
-    void aProcessTooOldToTellItsLifeIsStillServed() {
-        var a = forgedRequest(0, 0, 0);
-        first.send(leader.address, a);
+    void aCommandWithoutASessionFromAnOlderReleaseIsStillExecuted() {
+        var request = forgedRequest(0, 0, 0);
+        first.send(leader.address, request);
         cluster.runFor(0.5);
         assertTrue(isZoneEmptied(), this::eventLog);
     }
 
     @Test
-    void anAnswerToAnEarlierLifeOfTheAddressIsNotTaken() {
+    void aResponseToAnEarlierIncarnationAtTheAddressIsDiscarded() {
         openSessions();
-        cluster.holdFilter = (f, t, m) -> t.equals(first.address) && m instanceof CommandResult;
-        var lost = markZone(first, true);
+        cluster.holdFilter = (from, to, message) -> to.equals(first.address) && message instanceof CommandResult;
+        var outcome = markZone(first, true);
         cluster.runFor(0.1);
-        assertFalse(lost.hasArrived());
+        assertFalse(outcome.hasArrived());
         first.crash();
         cluster.runFor(0.3);
         first.start();
-        var before = countEvents(Event.STALE_REPLY);
-        var kept = cluster.heldMessages.size();
-        assertTrue(kept > 0);
+        var countBefore = countEvents(Event.STALE_REPLY);
+        var heldCount = cluster.heldMessages.size();
+        assertTrue(heldCount > 0);
         cluster.releaseHeldMessages();
-        assertEquals(before + kept, countEvents(Event.STALE_REPLY), this::eventLog);
+        assertEquals(countBefore + heldCount, countEvents(Event.STALE_REPLY), this::eventLog);
         cluster.runFor(3);
         assertMarkAcknowledged(first, false);
     }
--- a/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
+++ b/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
@@ -9,14 +9,16 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A node that knows the leader of some parts only learns the others from the answers to its joined renewals. */
+/**
+ * A node that knows the leaders of some parts must learn those of the other parts from the replies to its batched renewals.
+ */
 class LeaderDiscoveryTest {
     private static final int KNOWN_PART = 0;
     private static final int UNKNOWN_PART = 1;
     private static final int JOIN_ATTEMPTS = 20;
 
     @Test
-    void aLeaderThatOnlySomeRenewalsOfAMessageNameIsToldAgain() {
+    void aForgottenLeaderIsLearnedAgainFromBatchedRenewals() {
         var cluster = new Cluster(
                 TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, Map.of("z1", "a", "z2", "b", "z3", "c")));
         cluster.addStores("z1", "z2", "z3");
--- a/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
+++ b/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
@@ -8,38 +8,48 @@
 import craneway.model.unit.TimingProfile;
 import org.junit.jupiter.api.Test;
 
-/** A learner becomes a voter only once it holds what its leader had when a short catch-up round began. */
+/**
+ * A learner is promoted to voter only once it has all entries that its leader had when a short catch-up round began; a store
+ * that lost its disk and receives no entries must not vote.
+ */
 class LearnerPromotionTest {
     @Test
-    void aLearnerThatHoldsNothingIsNotMadeAVoter() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).addStores("z1", "z2", "z3");
-        c.runUntil(c::allPartsHaveLeaders, 10);
-        c.runFor(5);
-        var leader = c.leaderOf(0);
-        var back =
-                c.members.values().stream().filter(m -> m != leader).findFirst().orElseThrow();
-        back.loseDisk();
-        c.runFor(0.7);
-        back.start();
-        for (var m : c.members.values()) if (m != back) blockPathOnceJoined(c, m, back);
+    void aLearnerWithoutEntriesIsNotPromoted() {
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).addStores("z1", "z2", "z3");
+        cluster.runUntil(cluster::allPartsHaveLeaders, 10);
+        cluster.runFor(5);
+        var leader = cluster.leaderOf(0);
+        var learner = cluster.members.values().stream()
+                .filter(m -> m != leader)
+                .findFirst()
+                .orElseThrow();
+        learner.loseDisk();
+        cluster.runFor(0.7);
+        learner.start();
+        for (var member : cluster.members.values())
+            if (member != learner) blockPathOnceJoined(cluster, member, learner);
         for (var i = 0; i < 250; i++) {
-            c.runFor(0.02);
-            assertFalse(isVoterOfAnyPart(c, back), () -> "a store that holds nothing votes: " + c.eventLog);
+            cluster.runFor(0.02);
+            assertFalse(
+                    isVoterOfAnyPart(cluster, learner),
+                    () -> "a store without any entries is a voter: " + cluster.eventLog);
         }
-        c.blockedPaths.clear();
-        assertTrue(c.runUntil(() -> c.isVoterOfAllParts(back, 3), 10) < 5, () -> String.join("\n", c.eventLog));
+        cluster.blockedPaths.clear();
+        assertTrue(
+                cluster.runUntil(() -> cluster.isVoterOfAllParts(learner, 3), 10) < 5,
+                () -> String.join("\n", cluster.eventLog));
     }
 
-    /** The core and the greetings have reached it; from here on it can ask, and nothing reaches it. */
-    private static void blockPathOnceJoined(Cluster c, Cluster.Member from, Cluster.Member to) {
-        c.runUntil(() -> to.coreId() != 0 && to.store.coreClient().leader(0) != null, 5);
-        c.blockedPaths.add(from.name + ">" + to.name);
+    /** Waits until the store has joined the core and knows a leader, then blocks the path to it: it can send but not receive. */
+    private static void blockPathOnceJoined(Cluster cluster, Cluster.Member from, Cluster.Member to) {
+        cluster.runUntil(() -> to.coreId() != 0 && to.store.coreClient().leader(0) != null, 5);
+        cluster.blockedPaths.add(from.name + ">" + to.name);
     }
 
-    private static boolean isVoterOfAnyPart(Cluster c, Cluster.Member m) {
+    private static boolean isVoterOfAnyPart(Cluster cluster, Cluster.Member member) {
         for (var p = 0; p < Parts.COUNT; p++) {
-            var leader = c.leaderOf(p);
-            if (leader != null && leader.store.replicas()[p].group().members().isVoter(m.storeId())) return true;
+            var leader = cluster.leaderOf(p);
+            if (leader != null && leader.store.replicas()[p].group().members().isVoter(member.storeId())) return true;
         }
         return false;
     }
--- a/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that stood still reads orders whose callers have gone: they have sent the order to another node since, and after its
- * acknowledgement the reverse one. Callers give a call one second of silence.
+ * A node that was paused reads commands whose callers gave up after one second: meanwhile they sent the command to another node
+ * and, once it was acknowledged, the opposite one. The stale commands must not be executed.
  */
 class PausedNodeCommandTest {
     private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
     private static final long TICK_MICROS = 20_000;
 
-    /** The operators' side of a store: a socket for each caller, and the guard, on the simulated clock. */
+    /** The operator endpoint of a store: commands that wait unread in sockets, and the pause guard, on the simulated clock. */
     private final class OperatorEndpoint {
         final Cluster.Member node;
         final PlatformCommands platformCommands;
@@ -32,10 +32,10 @@
         boolean paused;
         boolean guardEnabled = true;
 
-        OperatorEndpoint(Cluster.Member at) {
-            this.node = at;
-            platformCommands = new PlatformCommands(at.store.coreClient());
-            pauseGuard = new PauseGuard(at.now());
+        OperatorEndpoint(Cluster.Member node) {
+            this.node = node;
+            platformCommands = new PlatformCommands(node.store.coreClient());
+            pauseGuard = new PauseGuard(node.now());
             tick();
         }
 
@@ -49,17 +49,17 @@
         }
 
         CommandStatus sendCommand(PauseGuard.Connection connection, boolean emptied) {
-            var call = new CommandStatus();
-            Runnable read = () -> readCommand(connection, emptied, call);
+            var status = new CommandStatus();
+            Runnable read = () -> readCommand(connection, emptied, status);
             if (paused) unreadCommands.add(read);
             else read.run();
-            return call;
+            return status;
         }
 
-        private void readCommand(PauseGuard.Connection connection, boolean emptied, CommandStatus call) {
+        private void readCommand(PauseGuard.Connection connection, boolean emptied, CommandStatus command) {
             var now = node.now();
-            if (guardEnabled && !pauseGuard.admits(connection, now, now)) call.status = 503;
-            else platformCommands.markZone("z1", emptied, now, r -> call.status = r.isRight() ? 200 : 503);
+            if (guardEnabled && !pauseGuard.admits(connection, now, now)) command.status = 503;
+            else platformCommands.markZone("z1", emptied, now, result -> command.status = result.isRight() ? 200 : 503);
         }
 
         void resume() {
@@ -68,6 +68,7 @@
         }
     }
 
+    /** The HTTP status of a command; 0 until it is answered. */
     private static final class CommandStatus {
         int status;
     }
@@ -78,7 +79,8 @@
 
     @BeforeEach
     void startCluster() {
-        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        cluster =
+                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
         assertTrue(cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8, () -> String.join("\n", cluster.eventLog));
         cluster.runFor(5);
         var followers = cluster.members.values().stream()
@@ -90,10 +92,10 @@
         assertMarkAcknowledged(otherEndpoint, false);
     }
 
-    private void assertMarkAcknowledged(OperatorEndpoint at, boolean emptied) {
-        var call = at.sendCommand(emptied);
-        cluster.runUntil(() -> call.status != 0, 2);
-        assertEquals(200, call.status, () -> String.join("\n", cluster.eventLog));
+    private void assertMarkAcknowledged(OperatorEndpoint endpoint, boolean emptied) {
+        var command = endpoint.sendCommand(emptied);
+        cluster.runUntil(() -> command.status != 0, 2);
+        assertEquals(200, command.status, () -> String.join("\n", cluster.eventLog));
     }
 
     private boolean isZoneEmptied() {
@@ -107,46 +109,47 @@
                 .containsKey("zone:z1");
     }
 
-    private CommandStatus sendCommandDuringPause(PauseGuard.Connection connection, double seconds) {
+    /** Sends a command to a paused endpoint, the same and the opposite one to the other, then resumes the paused one. */
+    private CommandStatus sendCommandDuringPause(PauseGuard.Connection connection, double pauseSeconds) {
         pausedEndpoint.paused = true;
         cluster.runFor(0.1);
-        var call = pausedEndpoint.sendCommand(connection, true);
+        var command = pausedEndpoint.sendCommand(connection, true);
         cluster.runFor(1);
         assertMarkAcknowledged(otherEndpoint, true);
         assertMarkAcknowledged(otherEndpoint, false);
-        cluster.runFor(seconds);
+        cluster.runFor(pauseSeconds);
         pausedEndpoint.resume();
         cluster.runFor(2);
-        return call;
+        return command;
     }
 
     @Test
-    void anOrderReadAfterAFreezeDoesNotUndoATakeBack() {
+    void aCommandReadAfterAPauseIsRejectedAndHasNoEffect() {
         for (var seconds : new double[] {0, 0.5, 2, 18}) {
-            var call = sendCommandDuringPause(new PauseGuard.Connection(), seconds);
-            assertEquals(503, call.status);
+            var command = sendCommandDuringPause(new PauseGuard.Connection(), seconds);
+            assertEquals(503, command.status);
             assertFalse(isZoneEmptied());
         }
     }
 
     @Test
-    void norDoesOneOnAConnectionThatWasOpenBefore() {
-        var kept = new PauseGuard.Connection();
-        var before = pausedEndpoint.sendCommand(kept, false);
-        cluster.runUntil(() -> before.status != 0, 2);
-        assertEquals(503, sendCommandDuringPause(kept, 2).status);
+    void aCommandReadAfterAPauseOnAnOlderConnectionIsRejectedToo() {
+        var connection = new PauseGuard.Connection();
+        var commandBefore = pausedEndpoint.sendCommand(connection, false);
+        cluster.runUntil(() -> commandBefore.status != 0, 2);
+        assertEquals(503, sendCommandDuringPause(connection, 2).status);
         assertFalse(isZoneEmptied());
     }
 
     @Test
-    void withoutTheGuardItWould() {
+    void withoutTheGuardAStaleCommandIsExecuted() {
         pausedEndpoint.guardEnabled = false;
         assertEquals(200, sendCommandDuringPause(new PauseGuard.Connection(), 2).status);
         assertTrue(isZoneEmptied());
     }
 
     @Test
-    void ordersAreTakenAgainSoonAfterAFreeze() {
+    void commandsAreAcceptedAgainSoonAfterAPause() {
         pausedEndpoint.paused = true;
         cluster.runFor(5);
         pausedEndpoint.resume();
@@ -156,15 +159,16 @@
     }
 
     @Test
-    void anOrderHeldUpBetweenItsReadingAndItsAskingHasNoEffect() {
-        var since = pausedEndpoint.node.now();
+    void aCommandDelayedBetweenReadingAndRequestHasNoEffect() {
+        var readAt = pausedEndpoint.node.now();
         cluster.runFor(1);
         assertMarkAcknowledged(otherEndpoint, true);
         assertMarkAcknowledged(otherEndpoint, false);
-        var call = new CommandStatus();
-        pausedEndpoint.platformCommands.markZone("z1", true, since, r -> call.status = r.isRight() ? 200 : 503);
+        var command = new CommandStatus();
+        pausedEndpoint.platformCommands.markZone(
+                "z1", true, readAt, result -> command.status = result.isRight() ? 200 : 503);
         cluster.runFor(2);
-        assertEquals(503, call.status);
+        assertEquals(503, command.status);
         assertFalse(isZoneEmptied());
     }
 }
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -12,113 +12,123 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** A store that is told to stop leads nothing and stays until its successor counts, or until the others hold all it holds. */
+/**
+ * A planned shutdown of a store: it hands over the leadership of all parts and stays until its replacement is a voter, or until
+ * the other voters have all its entries, so that the loss of another disk right afterwards loses no acknowledged command.
+ */
 class PlannedLeaveTest {
     private static final double SHUTDOWN_GRACE_SECONDS = 6.5;
 
     private static Cluster threeStores() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).addStores("z1", "z2", "z3");
-        c.runUntil(c::allPartsHaveLeaders, 10);
-        c.runFor(5);
-        return c;
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).addStores("z1", "z2", "z3");
+        cluster.runUntil(cluster::allPartsHaveLeaders, 10);
+        cluster.runFor(5);
+        return cluster;
     }
 
-    private static long putManifest(Cluster c) throws IOException {
+    private static long putManifest(Cluster cluster) throws IOException {
         var resource = PlannedLeaveTest.class.getResource("/craneway/sim/maticar.json");
         var text = Files.readString(Path.of(resource.getPath()));
         var version = new long[1];
-        c.leaderOf(0)
+        cluster.leaderOf(0)
                 .operator
-                .putManifest(0, text, r -> version[0] = r.isRight() ? r.get().version() : -1);
-        c.runUntil(() -> version[0] != 0, 10);
-        assertTrue(version[0] > 0, () -> String.join("\n", c.eventLog));
+                .putManifest(
+                        0,
+                        text,
+                        result -> version[0] = result.isRight() ? result.get().version() : -1);
+        cluster.runUntil(() -> version[0] != 0, 10);
+        assertTrue(version[0] > 0, () -> String.join("\n", cluster.eventLog));
         return version[0];
     }
 
-    /** What the process does at SIGTERM, and the seconds it took. */
-    private static double stopGracefully(Cluster c, Cluster.Member m) {
-        var took = c.runUntil(() -> !m.store.continuePlannedLeave(), SHUTDOWN_GRACE_SECONDS);
-        m.store.membership().leave(c.sim.now());
-        c.runFor(0.5);
-        m.crash();
-        return took;
+    /** Does what the process does at SIGTERM and returns the seconds until it left. */
+    private static double stopGracefully(Cluster cluster, Cluster.Member store) {
+        var leaveSeconds = cluster.runUntil(() -> !store.store.continuePlannedLeave(), SHUTDOWN_GRACE_SECONDS);
+        store.store.membership().leave(cluster.sim.now());
+        cluster.runFor(0.5);
+        store.crash();
+        return leaveSeconds;
     }
 
-    private static Cluster.Member memberExcept(Cluster c, Cluster.Member... not) {
-        return c.members.values().stream()
-                .filter(m -> !java.util.List.of(not).contains(m))
+    private static Cluster.Member memberExcept(Cluster cluster, Cluster.Member... excluded) {
+        return cluster.members.values().stream()
+                .filter(m -> !java.util.List.of(excluded).contains(m))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void assertManifestKept(Cluster c, long version) {
-        assertTrue(c.runUntil(() -> c.leaderOf(0) != null, 6) < 3, () -> String.join("\n", c.eventLog));
-        assertEquals(version, c.leaderOf(0).store.replicas()[0].records().rows().manifest.version);
+    private static void assertManifestKept(Cluster cluster, long version) {
+        assertTrue(
+                cluster.runUntil(() -> cluster.leaderOf(0) != null, 6) < 3, () -> String.join("\n", cluster.eventLog));
+        assertEquals(version, cluster.leaderOf(0).store.replicas()[0].records().rows().manifest.version);
     }
 
     @Test
-    void aPlannedReplacementAndALossRightAfterItKeepAllThatWasAcknowledged() throws IOException {
+    void aPlannedReplacementFollowedByALostDiskKeepsAcknowledgedCommands() throws IOException {
         for (var seed = 0; seed < 10; seed++) {
-            var c = threeStores();
-            c.runFor(seed * 0.037);
-            if (seed > 4) c.oneWayDelayMicros = 35_000;
-            var version = putManifest(c);
-            var leader = c.leaderOf(0);
-            var leaver = seed % 2 == 0 ? leader : memberExcept(c, leader);
-            var spare = c.addMember("s4", Node.STORE, leaver.zone);
-            c.runFor(1.5);
-            var took = stopGracefully(c, leaver);
-            assertTrue(took < 5, () -> took + " s\n" + String.join("\n", c.eventLog));
-            for (var p = 0; p < Parts.COUNT; p++) {
-                var part = p;
-                var voters = c.voterNames(p);
-                assertTrue(voters.contains("s4") && !voters.contains(leaver.name), () -> "part " + part + voters);
+            var cluster = threeStores();
+            cluster.runFor(seed * 0.037);
+            if (seed > 4) cluster.oneWayDelayMicros = 35_000;
+            var version = putManifest(cluster);
+            var leader = cluster.leaderOf(0);
+            var leaver = seed % 2 == 0 ? leader : memberExcept(cluster, leader);
+            var spare = cluster.addMember("s4", Node.STORE, leaver.zone);
+            cluster.runFor(1.5);
+            var leaveSeconds = stopGracefully(cluster, leaver);
+            assertTrue(leaveSeconds < 5, () -> leaveSeconds + " s\n" + String.join("\n", cluster.eventLog));
+            for (var part = 0; part < Parts.COUNT; part++) {
+                var reportedPart = part;
+                var voters = cluster.voterNames(part);
+                assertTrue(
+                        voters.contains("s4") && !voters.contains(leaver.name), () -> "part " + reportedPart + voters);
             }
             leaver.loseDisk();
-            memberExcept(c, leaver, spare).loseDisk();
-            assertManifestKept(c, version);
+            memberExcept(cluster, leaver, spare).loseDisk();
+            assertManifestKept(cluster, version);
         }
     }
 
     @Test
-    void aLeaverStaysWhileAnotherVoterLacksWhatItHolds() throws IOException {
-        var c = threeStores();
-        var leader = c.leaderOf(0);
-        var leaver = memberExcept(c, leader);
-        var away = memberExcept(c, leader, leaver);
-        c.blockedPaths.add(leader.name + ">" + away.name);
-        c.blockedPaths.add(away.name + ">" + leader.name);
-        var version = putManifest(c);
-        c.sim.after(3 * Cluster.MICROS_PER_SECOND, c.blockedPaths::clear);
-        var took = stopGracefully(c, leaver);
+    void aLeavingStoreStaysWhileAnotherVoterLacksItsEntries() throws IOException {
+        var cluster = threeStores();
+        var leader = cluster.leaderOf(0);
+        var leaver = memberExcept(cluster, leader);
+        var unreachable = memberExcept(cluster, leader, leaver);
+        cluster.blockedPaths.add(leader.name + ">" + unreachable.name);
+        cluster.blockedPaths.add(unreachable.name + ">" + leader.name);
+        var version = putManifest(cluster);
+        cluster.sim.after(3 * Cluster.MICROS_PER_SECOND, cluster.blockedPaths::clear);
+        var leaveSeconds = stopGracefully(cluster, leaver);
         leaver.loseDisk();
         leader.loseDisk();
-        assertTrue(took > 2.9, () -> "left after " + took + " s");
-        var log = away.store.replicas()[0].group();
-        assertTrue(log.lastIndex() > 1, () -> "holds " + log.lastIndex() + " entries");
-        assertEquals(version, away.store.replicas()[0].records().rows().manifest.version);
+        assertTrue(leaveSeconds > 2.9, () -> "left after " + leaveSeconds + " s");
+        var group = unreachable.store.replicas()[0].group();
+        assertTrue(group.lastIndex() > 1, () -> "holds " + group.lastIndex() + " entries");
+        assertEquals(version, unreachable.store.replicas()[0].records().rows().manifest.version);
     }
 
     @Test
-    void withoutASpareAStoreThatStopsIsGoneSoon() throws IOException {
-        for (var leads : new boolean[] {true, false}) {
-            var c = threeStores();
-            var version = putManifest(c);
-            var leader = c.leaderOf(0);
-            var took = stopGracefully(c, leads ? leader : memberExcept(c, leader));
-            assertTrue(took < 2.5, () -> took + " s\n" + String.join("\n", c.eventLog));
-            assertManifestKept(c, version);
+    void withoutAReplacementALeavingStoreStopsSoon() throws IOException {
+        for (var leaderLeaves : new boolean[] {true, false}) {
+            var cluster = threeStores();
+            var version = putManifest(cluster);
+            var leader = cluster.leaderOf(0);
+            var leaveSeconds = stopGracefully(cluster, leaderLeaves ? leader : memberExcept(cluster, leader));
+            assertTrue(leaveSeconds < 2.5, () -> leaveSeconds + " s\n" + String.join("\n", cluster.eventLog));
+            assertManifestKept(cluster, version);
         }
     }
 
     @Test
-    void allStoresToldToStopTogetherAreGoneWithinTheGrace() {
-        var c = threeStores();
+    void allStoresThatLeaveTogetherStopWithinTheGracePeriod() {
+        var cluster = threeStores();
         for (var i = 0; i < SHUTDOWN_GRACE_SECONDS * 10; i++) {
-            var up = c.members.values().stream().filter(m -> m.running).toList();
-            for (var m : up) if (!m.store.continuePlannedLeave()) m.crash();
-            c.runFor(0.1);
+            var runningStores = cluster.members.values().stream()
+                    .filter(store -> store.running)
+                    .toList();
+            for (var store : runningStores) if (!store.store.continuePlannedLeave()) store.crash();
+            cluster.runFor(0.1);
         }
-        assertTrue(c.members.values().stream().noneMatch(m -> m.running));
+        assertTrue(cluster.members.values().stream().noneMatch(store -> store.running));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
@@ -24,225 +24,242 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The lives of a process name: restarts with a clock that was set back, late messages of an earlier life, twins. */
+/**
+ * Successive and concurrent processes under one name: restarts with a clock that was set back, late messages of an earlier
+ * incarnation, and two running processes with the same name. The newest incarnation must get its leases and never be superseded
+ * by an earlier one.
+ */
 class ProcessIncarnationTest {
     private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
 
-    private static Cluster threeStoresThreeRouters(TimingProfile pace) {
-        var c = new Cluster(pace, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
-        assertTrue(c.runUntil(c::allPartsHaveLeaders, 10) < 8, () -> "founding: " + c.eventLog);
-        c.addRouters(3);
-        c.runFor(8);
-        return c;
+    private static Cluster threeStoresThreeRouters(TimingProfile timingProfile) {
+        var cluster = new Cluster(timingProfile, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        assertTrue(
+                cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8,
+                () -> "not founded in time: " + cluster.eventLog);
+        cluster.addRouters(3);
+        cluster.runFor(8);
+        return cluster;
     }
 
-    private static Membership membership(Cluster.Member m) {
-        return m.store == null ? m.router.membership() : m.store.membership();
+    private static Membership membership(Cluster.Member member) {
+        return member.store == null ? member.router.membership() : member.store.membership();
     }
 
-    private static boolean holdsAllLeases(Cluster.Member m, Cluster c) {
-        var v = membership(m).view();
-        for (var p = 0; p < Parts.COUNT; p++) if (!v.hasLease(p, c.sim.now())) return false;
+    private static boolean holdsAllLeases(Cluster.Member member, Cluster cluster) {
+        var view = membership(member).view();
+        for (var p = 0; p < Parts.COUNT; p++) if (!view.hasLease(p, cluster.sim.now())) return false;
         return true;
     }
 
-    private static String eventLog(Cluster c) {
-        return String.join("\n", c.eventLog);
+    private static String eventLog(Cluster cluster) {
+        return String.join("\n", cluster.eventLog);
     }
 
-    private static Node copyOf(Node n) {
-        return Codec.decode(Node.class, Codec.encode(n));
+    private static Node copyOf(Node node) {
+        return Codec.decode(Node.class, Codec.encode(node));
     }
 
-    /** Leaves while one owner cannot hear it, so that one part keeps the record of the life that ended. */
-    private static void leaveAllButOnePart(Cluster c, Cluster.Member m) {
-        var deaf = c.members.values().stream()
-                .filter(x -> x != m && x.store != null && c.leaderOf(1) == x)
+    /** Leaves while the leader of part 1 does not receive it, so that this part keeps the row of the ended incarnation. */
+    private static void leaveAllButOnePart(Cluster cluster, Cluster.Member member) {
+        var unreachedLeader = cluster.members.values().stream()
+                .filter(candidate -> candidate != member && candidate.store != null && cluster.leaderOf(1) == candidate)
                 .findFirst()
                 .orElseThrow();
-        c.blockedPaths.add(m.name + ">" + deaf.name);
-        membership(m).leave(c.sim.now());
-        c.runFor(4);
-        m.crash();
-        c.blockedPaths.clear();
+        cluster.blockedPaths.add(member.name + ">" + unreachedLeader.name);
+        membership(member).leave(cluster.sim.now());
+        cluster.runFor(4);
+        member.crash();
+        cluster.blockedPaths.clear();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
-    void aRouterThatLeftAllPartsButOneIsNotSupersededByItsOwnRecord(long wall) {
-        var c = threeStoresThreeRouters(TimingProfile.STANDARD);
-        var m = c.member("r1");
-        leaveAllButOnePart(c, m);
-        m.legacyClockOffsetMillis = wall;
-        m.start();
-        c.runFor(4);
-        assertFalse(membership(m).isSuperseded(), () -> eventLog(c));
-        assertTrue(holdsAllLeases(m, c), () -> eventLog(c));
+    void aRouterThatLeftAllPartsButOneIsNotSupersededByItsOwnRow(long clockOffsetMillis) {
+        var cluster = threeStoresThreeRouters(TimingProfile.STANDARD);
+        var router = cluster.member("r1");
+        leaveAllButOnePart(cluster, router);
+        router.legacyClockOffsetMillis = clockOffsetMillis;
+        router.start();
+        cluster.runFor(4);
+        assertFalse(membership(router).isSuperseded(), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
-    void aStoreThatLeftAllPartsButOneComesBackWithoutItsDisk(long wall) {
-        var c = threeStoresThreeRouters(TimingProfile.STANDARD);
-        var m = c.members.values().stream()
-                .filter(x -> x.store != null && c.leaderOf(0) != x && c.leaderOf(1) != x)
+    void aStoreThatLeftAllPartsButOneBecomesAVoterAgainWithoutItsDisk(long clockOffsetMillis) {
+        var cluster = threeStoresThreeRouters(TimingProfile.STANDARD);
+        var store = cluster.members.values().stream()
+                .filter(member ->
+                        member.store != null && cluster.leaderOf(0) != member && cluster.leaderOf(1) != member)
                 .findFirst()
                 .orElseThrow();
-        leaveAllButOnePart(c, m);
-        m.loseDisk();
-        m.legacyClockOffsetMillis = wall;
-        m.start();
-        c.runFor(6);
-        assertFalse(membership(m).isSuperseded(), () -> eventLog(c));
-        assertTrue(c.isVoterOfAllParts(m, 3), () -> eventLog(c));
+        leaveAllButOnePart(cluster, store);
+        store.loseDisk();
+        store.legacyClockOffsetMillis = clockOffsetMillis;
+        store.start();
+        cluster.runFor(6);
+        assertFalse(membership(store).isSuperseded(), () -> eventLog(cluster));
+        assertTrue(cluster.isVoterOfAllParts(store, 3), () -> eventLog(cluster));
     }
 
-    /** Nobody but the records of the core knows the earlier life; its disk is lost, the new one must not be taken for it. */
+    /** Only the rows of the core know the earlier incarnation, whose disk is lost; the new one must not be taken for it. */
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
-    void aStoreWithoutItsDiskVotesAgainThoughAllStartAnew(long wall) {
+    void aStoreThatLostItsDiskBecomesAVoterAgainThoughAllStoresRestart(long clockOffsetMillis) {
         for (var name : List.of("s1", "s2", "s3")) {
-            var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-            var victim = c.member(name);
-            for (var m : c.members.values()) {
-                if (m == victim) m.loseDisk();
-                else m.losePower();
+            var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+            var victim = cluster.member(name);
+            for (var member : cluster.members.values()) {
+                if (member == victim) member.loseDisk();
+                else member.losePower();
             }
-            victim.legacyClockOffsetMillis = wall;
-            c.runFor(0.5);
-            c.members.values().forEach(Cluster.Member::start);
-            assertTrue(c.runUntil(() -> c.leaderOf(0) != null, 15) < 4, () -> eventLog(c));
-            assertTrue(c.runUntil(() -> c.isVoterOfAllParts(victim, 3), 15) < 5, () -> eventLog(c));
+            victim.legacyClockOffsetMillis = clockOffsetMillis;
+            cluster.runFor(0.5);
+            cluster.members.values().forEach(Cluster.Member::start);
+            assertTrue(cluster.runUntil(() -> cluster.leaderOf(0) != null, 15) < 4, () -> eventLog(cluster));
+            assertTrue(cluster.runUntil(() -> cluster.isVoterOfAllParts(victim, 3), 15) < 5, () -> eventLog(cluster));
         }
     }
 
     private static Renewals renewalsFrom(Node from, long now) {
-        var all = new Renewals();
-        all.from = from;
-        all.sentAt = now;
+        var renewals = new Renewals();
+        renewals.from = from;
+        renewals.sentAt = now;
         for (var p = 0; p < Parts.COUNT; p++) {
-            var r = new Renewal();
-            r.part = p;
-            all.parts.add(r);
+            var renewal = new Renewal();
+            renewal.part = p;
+            renewals.parts.add(renewal);
         }
-        return all;
+        return renewals;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000, 20_000})
-    void aLateRenewalOfAnEarlierLifeDoesNotEndTheNewOne(long wall) {
-        var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var m = c.member("r1");
-        var late = copyOf(m.router.directory().self());
-        m.crash();
-        c.runFor(0.5);
-        m.legacyClockOffsetMillis = wall;
-        m.start();
-        c.runFor(3);
-        assertTrue(holdsAllLeases(m, c), () -> eventLog(c));
-        c.leaderOf(0).store.receive(renewalsFrom(late, c.sim.now()));
-        c.runFor(3);
-        assertFalse(membership(m).isSuperseded(), () -> eventLog(c));
-        assertTrue(holdsAllLeases(m, c), () -> eventLog(c));
+    void aLateRenewalOfAnEarlierIncarnationDoesNotSupersedeTheNewOne(long clockOffsetMillis) {
+        var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+        var router = cluster.member("r1");
+        var earlier = copyOf(router.router.directory().self());
+        router.crash();
+        cluster.runFor(0.5);
+        router.legacyClockOffsetMillis = clockOffsetMillis;
+        router.start();
+        cluster.runFor(3);
+        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
+        cluster.leaderOf(0).store.receive(renewalsFrom(earlier, cluster.sim.now()));
+        cluster.runFor(3);
+        assertFalse(membership(router).isSuperseded(), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
-    void aLateRenewalAfterTheLeaveDoesNotEndTheNewLife(long wall) {
-        var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var m = c.member("r1");
-        var late = copyOf(m.router.directory().self());
-        membership(m).leave(c.sim.now());
-        c.runFor(0.3);
-        m.crash();
-        m.legacyClockOffsetMillis = wall;
-        m.start();
-        c.runFor(3);
-        assertTrue(holdsAllLeases(m, c), () -> eventLog(c));
-        c.leaderOf(0).store.receive(renewalsFrom(late, c.sim.now()));
-        c.runFor(3);
-        assertFalse(membership(m).isSuperseded(), () -> eventLog(c));
-        assertTrue(holdsAllLeases(m, c), () -> eventLog(c));
+    void aLateRenewalSentBeforeTheLeaveDoesNotSupersedeTheNewIncarnation(long clockOffsetMillis) {
+        var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+        var router = cluster.member("r1");
+        var earlier = copyOf(router.router.directory().self());
+        membership(router).leave(cluster.sim.now());
+        cluster.runFor(0.3);
+        router.crash();
+        router.legacyClockOffsetMillis = clockOffsetMillis;
+        router.start();
+        cluster.runFor(3);
+        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
+        cluster.leaderOf(0).store.receive(renewalsFrom(earlier, cluster.sim.now()));
+        cluster.runFor(3);
+        assertFalse(membership(router).isSuperseded(), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
-    void aStoreThatStartsAgainIsHeardAtOnce(long wall) {
-        var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var o = c.leaderOf(0);
-        var m = c.members.values().stream()
-                .filter(x -> x.store != null && x != o)
+    void aRestartedStoreIsHeardAtOnce(long clockOffsetMillis) {
+        var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+        var leader = cluster.leaderOf(0);
+        var store = cluster.members.values().stream()
+                .filter(member -> member.store != null && member != leader)
                 .findFirst()
                 .orElseThrow();
-        membership(m).leave(c.sim.now());
-        c.runFor(0.3);
-        m.crash();
-        m.legacyClockOffsetMillis = wall;
-        m.start();
-        c.runFor(3);
-        assertTrue(o.store.directory().wasHeardRecently(m.name, c.sim.now()), () -> eventLog(c));
-        assertEquals(m.store.directory().self().incarnation, o.store.directory().nodeByName(m.name).incarnation);
+        membership(store).leave(cluster.sim.now());
+        cluster.runFor(0.3);
+        store.crash();
+        store.legacyClockOffsetMillis = clockOffsetMillis;
+        store.start();
+        cluster.runFor(3);
+        assertTrue(leader.store.directory().wasHeardRecently(store.name, cluster.sim.now()), () -> eventLog(cluster));
+        assertEquals(
+                store.store.directory().self().incarnation,
+                leader.store.directory().nodeByName(store.name).incarnation);
     }
 
-    /** A twin at another address: the one that started last stays, the earlier one is told so and ends. */
+    /** Two processes with one name at different addresses: the later one stays, the earlier one learns that it is superseded. */
     @Test
-    void ofTwinsTheOneThatStartedLastStays() {
-        var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var old = c.member("r1");
-        var self = old.router.directory().self();
-        var twin = c.new Member("r1", Node.ROUTER, old.zone);
-        twin.address = "elsewhere";
-        c.members.put("twin", twin);
-        twin.start();
-        c.runFor(4);
-        assertTrue(old.router.membership().isSuperseded(), () -> eventLog(c));
-        assertFalse(twin.router.membership().isSuperseded(), () -> eventLog(c));
-        assertTrue(holdsAllLeases(twin, c), () -> eventLog(c));
-        assertNotEquals(self.incarnation, twin.router.directory().self().incarnation);
-    }
-
-    /** A rolling release and its way back: lives by the clock and lives by the core follow one another under each name. */
+    void ofTwoProcessesWithOneNameTheLaterOneStays() {
+        var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+        var earlier = cluster.member("r1");
+        var earlierNode = earlier.router.directory().self();
+        var later = cluster.new Member("r1", Node.ROUTER, earlier.zone);
+        later.address = "elsewhere";
+        cluster.members.put("twin", later);
+        later.start();
+        cluster.runFor(4);
+        assertTrue(earlier.router.membership().isSuperseded(), () -> eventLog(cluster));
+        assertFalse(later.router.membership().isSuperseded(), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(later, cluster), () -> eventLog(cluster));
+        assertNotEquals(earlierNode.incarnation, later.router.directory().self().incarnation);
+    }
+
+    /**
+     * A rolling upgrade and its rollback: under each name, incarnations taken from the wall clock and incarnations assigned by the
+     * core follow one another.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, -20_000, 20_000})
-    void aRollingReleaseKeepsEveryNameAndItsWayBackToo(long wall) {
-        var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        for (var older : List.of(true, false, true)) {
-            for (var m : List.copyOf(c.members.values())) {
-                membership(m).leave(c.sim.now());
-                m.crash();
-                c.runFor(0.4);
-                m.legacyClockOffsetMillis = older ? wall : 0;
-                m.start();
-                c.runFor(3);
-                assertFalse(membership(m).isSuperseded(), () -> m.name + "\n" + eventLog(c));
-                assertTrue(holdsAllLeases(m, c), () -> m.name + "\n" + eventLog(c));
+    void noMemberIsSupersededInARollingUpgradeAndItsRollback(long clockOffsetMillis) {
+        var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+        for (var olderRelease : List.of(true, false, true)) {
+            for (var member : List.copyOf(cluster.members.values())) {
+                membership(member).leave(cluster.sim.now());
+                member.crash();
+                cluster.runFor(0.4);
+                member.legacyClockOffsetMillis = olderRelease ? clockOffsetMillis : 0;
+                member.start();
+                cluster.runFor(3);
+                assertFalse(membership(member).isSuperseded(), () -> member.name + "\n" + eventLog(cluster));
+                assertTrue(holdsAllLeases(member, cluster), () -> member.name + "\n" + eventLog(cluster));
             }
         }
-        for (var m : c.members.values()) if (m.store != null) assertTrue(c.isVoterOfAllParts(m, 3), () -> eventLog(c));
+        for (var member : cluster.members.values())
+            if (member.store != null) assertTrue(cluster.isVoterOfAllParts(member, 3), () -> eventLog(cluster));
     }
 
-    /** While the lease of a twin elsewhere may still run, a configuration does not count as being everywhere. */
+    /** A configuration is not confirmed at all routers while an earlier process with the same name may still hold its lease. */
     @Test
-    void anEarlierLifeElsewhereCountsUntilItsLeaseIsOver() throws IOException, URISyntaxException {
-        var c = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var old = c.member("r1");
-        var twin = c.new Member("r1", Node.ROUTER, old.zone);
-        twin.address = "elsewhere";
-        c.members.put("twin", twin);
-        old.setPaused(true);
-        twin.start();
-        c.runFor(0.6);
-        assertTrue(holdsAllLeases(twin, c), () -> eventLog(c));
-        assertTrue(holdsAllLeases(old, c), "the earlier life still holds its lease");
-        var text = Files.readString(Path.of(
-                ProcessIncarnationTest.class.getResource("/craneway/sim/maticar.json").toURI()));
+    void anEarlierProcessWithTheSameNameCountsUntilItsLeaseHasExpired() throws IOException, URISyntaxException {
+        var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
+        var earlier = cluster.member("r1");
+        var later = cluster.new Member("r1", Node.ROUTER, earlier.zone);
+        later.address = "elsewhere";
+        cluster.members.put("twin", later);
+        earlier.setPaused(true);
+        later.start();
+        cluster.runFor(0.6);
+        assertTrue(holdsAllLeases(later, cluster), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(earlier, cluster), "the earlier incarnation must still hold its leases");
+        var text = Files.readString(Path.of(ProcessIncarnationTest.class
+                .getResource("/craneway/sim/maticar.json")
+                .toURI()));
         var confirmed = new ArrayList<Boolean>();
-        c.leaderOf(0)
+        cluster.leaderOf(0)
                 .operator
                 .putManifest(
-                        0, text, r -> confirmed.add(r.get().routersStillActing().isEmpty() && holdsAllLeases(old, c)));
-        c.runUntil(() -> !confirmed.isEmpty(), 6);
-        assertEquals(List.of(false), confirmed, () -> eventLog(c));
-        assertFalse(holdsAllLeases(old, c));
+                        0,
+                        text,
+                        result -> confirmed.add(
+                                result.get().routersStillActing().isEmpty() && holdsAllLeases(earlier, cluster)));
+        cluster.runUntil(() -> !confirmed.isEmpty(), 6);
+        assertEquals(List.of(false), confirmed, () -> eventLog(cluster));
+        assertFalse(holdsAllLeases(earlier, cluster));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -20,15 +20,19 @@
 import java.util.zip.Deflater;
 
 /**
- * Prints how long a store takes from its start until it votes on all parts or is level again, over paths of 64 KB windows at 35 ms
- * a way whose disks take a while to sync, and what the logs of both ends hold. Arguments: join, away, or both.
+ * Prints how long a store takes from its start until it is a voter of all parts or has caught up, on network paths with 64 KB
+ * windows and a one-way delay of 35 ms and with slow disk syncs, and how many bytes were sent and are on the disks of both ends.
+ * Arguments: join, away, or both (the default).
  */
 public final class RejoinCost {
     private static final long ONE_WAY_DELAY_MICROS = 35_000;
     private static final long TICK_MICROS = 20_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
+    /** Messages from this size on are compressed and sent over a connection, smaller ones as a datagram. */
     private static final int CONNECTION_MIN_BYTES = 1_200;
+    /** A window of 64 KB per round trip. */
     private static final double BYTES_PER_MICRO = (64 << 10) / (2.0 * ONE_WAY_DELAY_MICROS);
+
     private static final int SEED_COUNT = 5;
 
     private final Sim sim;
@@ -37,14 +41,15 @@
     private final Map<String, Long> pathBusyUntil = new HashMap<>();
     private long manifestVersion;
 
-    private RejoinCost(long seed, long sync) {
+    private RejoinCost(long seed, long syncMicros) {
         sim = new Sim(seed);
-        this.syncMicros = sync;
+        this.syncMicros = syncMicros;
         for (var i = 1; i <= 3; i++) new Member("s" + i, "z" + i).start();
         runUntil(() -> leader() != null, 20);
         runFor(5);
     }
 
+    /** A store with its disk and its network port. */
     private final class Member implements Port {
         final String name;
         final String zone;
@@ -64,24 +69,24 @@
             running = true;
             startCount++;
             var self = new Node(name, Node.STORE, zone, name, 1_000_000_000L + sim.now());
-            var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> this::afterSync);
+            var options = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> this::afterSync);
             var random = new Random(sim.random.nextLong());
-            store = new Store(this, disk, self, List.of("s1", "s2", "s3"), rules, random);
+            store = new Store(this, disk, self, List.of("s1", "s2", "s3"), options, random);
             tick(startCount);
         }
 
-        /** What a part does counts once its disk has synced. */
+        /** Runs the work of a part once its disk sync has finished. */
         private void afterSync(Runnable work) {
-            var mine = startCount;
+            var currentStart = startCount;
             sim.after(syncMicros, () -> {
-                if (running && startCount == mine) work.run();
+                if (running && startCount == currentStart) work.run();
             });
         }
 
-        private void tick(int mine) {
-            if (!running || startCount != mine) return;
+        private void tick(int expectedStart) {
+            if (!running || startCount != expectedStart) return;
             store.tick();
-            sim.after(TICK_MICROS, () -> tick(mine));
+            sim.after(TICK_MICROS, () -> tick(expectedStart));
         }
 
         @Override
@@ -91,26 +96,26 @@
 
         @Override
         public void send(String to, Object message) {
-            var peer = members.get(to);
-            if (!running || peer == null || !peer.running) return;
-            var b = Codec.encodeTagged(message);
-            var length = compressedLength(b);
+            var receiver = members.get(to);
+            if (!running || receiver == null || !receiver.running) return;
+            var encoded = Codec.encodeTagged(message);
+            var length = compressedLength(encoded);
             if (to.equals(name)) {
-                sim.after(0, () -> peer.deliver(b));
+                sim.after(0, () -> receiver.deliver(encoded));
             } else if (length < CONNECTION_MIN_BYTES) {
-                sim.after(ONE_WAY_DELAY_MICROS, () -> peer.deliver(b));
+                sim.after(ONE_WAY_DELAY_MICROS, () -> receiver.deliver(encoded));
             } else {
                 connectionBytes += length;
-                var lane = name + ">" + to;
-                var begins = Math.max(sim.now(), pathBusyUntil.getOrDefault(lane, 0L));
-                var ends = begins + 2 * ONE_WAY_DELAY_MICROS + (long) (length / BYTES_PER_MICRO);
-                pathBusyUntil.put(lane, ends);
-                sim.at(ends + ONE_WAY_DELAY_MICROS, () -> peer.deliver(b));
+                var path = name + ">" + to;
+                var startsAt = Math.max(sim.now(), pathBusyUntil.getOrDefault(path, 0L));
+                var endsAt = startsAt + 2 * ONE_WAY_DELAY_MICROS + (long) (length / BYTES_PER_MICRO);
+                pathBusyUntil.put(path, endsAt);
+                sim.at(endsAt + ONE_WAY_DELAY_MICROS, () -> receiver.deliver(encoded));
             }
         }
 
-        private void deliver(byte[] b) {
-            if (running) store.receive(Codec.decodeTagged(b));
+        private void deliver(byte[] encoded) {
+            if (running) store.receive(Codec.decodeTagged(encoded));
         }
 
         @Override
@@ -120,8 +125,8 @@
             for (var p = 0; p < Parts.COUNT; p++) {
                 var leader = leader(p);
                 if (leader == null || store.replicas().length == 0) return false;
-                var m = leader.store.replicas()[p].group().members();
-                if (!m.isVoter(store.directory().self().storeId) || m.voters.length != 3) return false;
+                var members = leader.store.replicas()[p].group().members();
+                if (!members.isVoter(store.directory().self().storeId) || members.voters.length != 3) return false;
             }
             return true;
         }
@@ -132,26 +137,28 @@
             return manifestPart(this).appliedIndex() == manifestPart(leader).appliedIndex();
         }
 
-        private craneway.state.part.Group manifestPart(Member m) {
-            return m.store.replicas()[Parts.MANIFEST_PART].group();
+        private craneway.state.part.Group manifestPart(Member member) {
+            return member.store.replicas()[Parts.MANIFEST_PART].group();
         }
 
         long diskBytes() {
-            return disk.fileNames().stream().mapToLong(n -> disk.read(n).length).sum();
+            return disk.fileNames().stream()
+                    .mapToLong(name -> disk.read(name).length)
+                    .sum();
         }
     }
 
-    /** As frames on the wire are. */
-    private static int compressedLength(byte[] b) {
-        if (b.length < CONNECTION_MIN_BYTES) return b.length;
-        var d = new Deflater(Deflater.BEST_SPEED, true);
-        d.setInput(b);
-        d.finish();
-        var n = 0;
-        var some = new byte[64 << 10];
-        while (!d.finished()) n += d.deflate(some);
-        d.end();
-        return Math.min(n, b.length);
+    /** The length after the compression that frames on the wire get. */
+    private static int compressedLength(byte[] bytes) {
+        if (bytes.length < CONNECTION_MIN_BYTES) return bytes.length;
+        var deflater = new Deflater(Deflater.BEST_SPEED, true);
+        deflater.setInput(bytes);
+        deflater.finish();
+        var length = 0;
+        var buffer = new byte[64 << 10];
+        while (!deflater.finished()) length += deflater.deflate(buffer);
+        deflater.end();
+        return Math.min(length, bytes.length);
     }
 
     private Member leader() {
@@ -159,9 +166,9 @@
     }
 
     private Member leader(int part) {
-        for (var m : members.values()) {
-            if (!m.running || m.store.replicas().length == 0) continue;
-            if (m.store.replicas()[part].group().hasLease(sim.now())) return m;
+        for (var member : members.values()) {
+            if (!member.running || member.store.replicas().length == 0) continue;
+            if (member.store.replicas()[part].group().hasLease(sim.now())) return member;
         }
         return null;
     }
@@ -177,117 +184,130 @@
         sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
-    private double runUntil(BooleanSupplier holds, double most) {
-        var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * MICROS_PER_SECOND) sim.runUntil(sim.now() + TICK_MICROS);
-        return (sim.now() - from) / (double) MICROS_PER_SECOND;
+    private double runUntil(BooleanSupplier condition, double maxSeconds) {
+        var startedAt = sim.now();
+        while (!condition.getAsBoolean() && sim.now() - startedAt < maxSeconds * MICROS_PER_SECOND)
+            sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - startedAt) / (double) MICROS_PER_SECOND;
     }
 
     private void putManifest(int routes, int round) {
-        var c = new Commands.ManifestPut();
-        c.baseVersion = manifestVersion;
-        c.text = manifestText(routes, round);
+        var put = new Commands.ManifestPut();
+        put.baseVersion = manifestVersion;
+        put.text = manifestText(routes, round);
         var done = new boolean[1];
         runUntil(() -> leader() != null, 20);
-        leader().store.coreClient().request(Parts.MANIFEST_PART, c, 10 * MICROS_PER_SECOND, v -> {
+        leader().store.coreClient().request(Parts.MANIFEST_PART, put, 10 * MICROS_PER_SECOND, result -> {
             done[0] = true;
-            if (v.kind != 0) throw new IllegalStateException(v.detail);
-            manifestVersion = Long.parseLong(v.detail);
+            if (result.kind != 0) throw new IllegalStateException(result.detail);
+            manifestVersion = Long.parseLong(result.detail);
         });
         runUntil(() -> done[0], 20);
-        if (!done[0]) throw new IllegalStateException("no answer");
+        if (!done[0]) throw new IllegalStateException("the leader did not answer the manifest put");
     }
 
     private static String manifestText(int routes, int round) {
-        var b = new StringBuilder("{\"name\": \"large\", \"regions\": [\"r1\"], \"lapsedGraceMs\": 30000, "
+        var json = new StringBuilder("{\"name\": \"large\", \"regions\": [\"r1\"], \"lapsedGraceMs\": 30000, "
                 + "\"claimRetentionMs\": " + (3_600_000 + round) + ", \"zones\": [");
-        for (var z = 1; z <= 3; z++)
-            b.append(z > 1 ? ", " : "").append("{\"name\": \"z" + z + "\", \"region\": \"r1\"}");
-        b.append("], \"services\": [{\"name\": \"svc\", \"work\": [{\"name\": \"w\"}], \"weighed\": \"slots\", ");
-        b.append(
+        for (var zone = 1; zone <= 3; zone++)
+            json.append(zone > 1 ? ", " : "").append("{\"name\": \"z" + zone + "\", \"region\": \"r1\"}");
+        json.append("], \"services\": [{\"name\": \"svc\", \"work\": [{\"name\": \"w\"}], \"weighed\": \"slots\", ");
+        json.append(
                 "\"cells\": [{\"name\": \"cell-1\", \"zone\": \"z1\", \"weight\": 1}]}], \"tenants\": [], \"routes\": [");
-        for (var r = 0; r < routes; r++)
-            b.append(r > 0 ? ", " : "")
-                    .append("{\"name\": \"r-" + randomName(round, r) + "\", \"host\": \"" + randomName(r, 1) + ".example\", ")
-                    .append("\"prefix\": \"/" + randomName(r, 2)
+        for (var route = 0; route < routes; route++)
+            json.append(route > 0 ? ", " : "")
+                    .append("{\"name\": \"r-" + randomName(round, route) + "\", \"host\": \"" + randomName(route, 1)
+                            + ".example\", ")
+                    .append("\"prefix\": \"/" + randomName(route, 2)
                             + "/\", \"kind\": \"stream\", \"deadlineMs\": 15000, \"targetMs\": 600, \"pauseMs\": 400, ")
                     .append("\"resume\": true, \"tries\": 2, \"regions\": [\"r1\"], ")
                     .append("\"shares\": [{\"service\": \"svc\", \"weight\": 1}]}");
-        return b.append("]}").toString();
+        return json.append("]}").toString();
     }
 
-    /** Names that deflate as poorly as given ones. */
-    private static String randomName(int a, int b) {
-        return Long.toString(Hash.of(a, b) >>> 22, 36);
+    /** A pseudo-random name that compresses as badly as real names do. */
+    private static String randomName(int first, int second) {
+        return Long.toString(Hash.of(first, second) >>> 22, 36);
     }
 
-    private static void measureJoin(int routes, long sync) {
+    private static void measureJoin(int routes, long syncMicros) {
         var times = new double[SEED_COUNT];
-        var bytes = 0L;
+        var connectionBytes = 0L;
         for (var seed = 0; seed < SEED_COUNT; seed++) {
-            var c = new RejoinCost(seed, sync);
-            for (var i = 0; i < 3; i++) c.putManifest(routes, i);
-            c.runFor(3 + seed * 0.037);
-            var back = c.follower();
-            back.running = false;
-            back.disk = new Disk();
-            c.runFor(0.7);
-            c.members.values().forEach(m -> m.connectionBytes = 0);
-            back.start();
-            times[seed] = c.runUntil(back::isVoterOfAllParts, 60);
-            bytes = c.members.values().stream().mapToLong(m -> m.connectionBytes).sum();
+            var run = new RejoinCost(seed, syncMicros);
+            for (var i = 0; i < 3; i++) run.putManifest(routes, i);
+            run.runFor(3 + seed * 0.037);
+            var rejoining = run.follower();
+            rejoining.running = false;
+            rejoining.disk = new Disk();
+            run.runFor(0.7);
+            run.members.values().forEach(member -> member.connectionBytes = 0);
+            rejoining.start();
+            times[seed] = run.runUntil(rejoining::isVoterOfAllParts, 60);
+            connectionBytes = run.members.values().stream()
+                    .mapToLong(member -> member.connectionBytes)
+                    .sum();
         }
         java.util.Arrays.sort(times);
         System.out.printf(
                 "| %d | %d | %.1f | %.2f | %.2f | %d |%n",
-                routes, manifestText(routes, 0).length(), sync / 1e3, times[SEED_COUNT / 2], times[SEED_COUNT - 1], bytes / 1_000);
+                routes,
+                manifestText(routes, 0).length(),
+                syncMicros / 1e3,
+                times[SEED_COUNT / 2],
+                times[SEED_COUNT - 1],
+                connectionBytes / 1_000);
     }
 
-    private static void measureReturn(long sync, boolean lost) {
-        var c = new RejoinCost(7, sync);
-        for (var i = 0; i < 400; i++) c.putManifest(400, i);
-        var back = c.follower();
-        back.running = false;
-        for (var i = 400; i < 1_000; i++) c.putManifest(400, i);
-        if (lost) back.disk = new Disk();
-        c.members.values().forEach(m -> m.connectionBytes = 0);
-        var heap = usedHeapBytes();
-        back.start();
-        var level = c.runUntil(back::isCaughtUp, 120);
-        var votes = level + c.runUntil(back::isVoterOfAllParts, 60);
-        var sent = c.members.values().stream().mapToLong(m -> m.connectionBytes).sum();
+    private static void measureReturn(long syncMicros, boolean diskLost) {
+        var run = new RejoinCost(7, syncMicros);
+        for (var i = 0; i < 400; i++) run.putManifest(400, i);
+        var returning = run.follower();
+        returning.running = false;
+        for (var i = 400; i < 1_000; i++) run.putManifest(400, i);
+        if (diskLost) returning.disk = new Disk();
+        run.members.values().forEach(member -> member.connectionBytes = 0);
+        var heapBefore = usedHeapBytes();
+        returning.start();
+        var caughtUpSeconds = run.runUntil(returning::isCaughtUp, 120);
+        var voterSeconds = caughtUpSeconds + run.runUntil(returning::isVoterOfAllParts, 60);
+        var sent = run.members.values().stream()
+                .mapToLong(member -> member.connectionBytes)
+                .sum();
         System.out.printf(
                 "| %s | %.1f | %.2f | %.2f | %d | %d | %d | %d |%n",
-                lost ? "lost disk" : "away",
-                sync / 1e3,
-                level,
-                votes,
+                diskLost ? "lost disk" : "away",
+                syncMicros / 1e3,
+                caughtUpSeconds,
+                voterSeconds,
                 sent / 1_000,
-                c.leader().diskBytes() / 1_000,
-                back.diskBytes() / 1_000,
-                (usedHeapBytes() - heap) / 1_000);
+                run.leader().diskBytes() / 1_000,
+                returning.diskBytes() / 1_000,
+                (usedHeapBytes() - heapBefore) / 1_000);
     }
 
     private static long usedHeapBytes() {
         System.gc();
-        var r = Runtime.getRuntime();
-        return r.totalMemory() - r.freeMemory();
+        var runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** Prints the tables that the arguments name, or all. */
-    public static void main(String[] a) {
-        var which = a.length == 0 ? List.of("join", "away") : List.of(a);
-        if (which.contains("join")) {
+    /** Prints the tables named by the arguments, or all of them. */
+    public static void main(String[] arguments) {
+        var tables = arguments.length == 0 ? List.of("join", "away") : List.of(arguments);
+        if (tables.contains("join")) {
             System.out.println(
                     "| routes | text, bytes | sync, ms | s to a vote on all parts, median | most | large kB sent |");
             System.out.println("|---|---|---|---|---|---|");
-            for (var routes : List.of(390, 4_000)) for (var sync : List.of(500L, 5_000L)) measureJoin(routes, sync);
+            for (var routes : List.of(390, 4_000))
+                for (var syncMicros : List.of(500L, 5_000L)) measureJoin(routes, syncMicros);
         }
-        if (which.contains("away")) {
+        if (tables.contains("away")) {
             System.out.println(
                     "| member | sync, ms | s until level | s until it votes | large kB sent | leader's disk kB | its disk kB | heap kB more |");
             System.out.println("|---|---|---|---|---|---|---|---|");
-            for (var sync : List.of(500L, 5_000L)) for (var lost : List.of(false, true)) measureReturn(sync, lost);
+            for (var syncMicros : List.of(500L, 5_000L))
+                for (var diskLost : List.of(false, true)) measureReturn(syncMicros, diskLost);
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How soon routers hold the newest manifest, tables and leases; 35 ms one way. */
+/**
+ * How soon routers have the newest manifest, service rows and leases after their own restart, a power loss of all members or the
+ * loss of the leader. The one-way network delay is 35 ms.
+ */
 class RouterViewFreshnessTest {
     private static final int ROUTERS = 9;
 
@@ -26,8 +29,9 @@
 
     @BeforeEach
     void startCluster() throws IOException, URISyntaxException {
-        manifestText = Files.readString(Path.of(
-                RouterViewFreshnessTest.class.getResource("/craneway/sim/maticar.json").toURI()));
+        manifestText = Files.readString(Path.of(RouterViewFreshnessTest.class
+                .getResource("/craneway/sim/maticar.json")
+                .toURI()));
         cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         cluster.oneWayDelayMicros = 35_000;
         cluster.addStores("z1", "z2", "z3").addRouters(ROUTERS);
@@ -37,15 +41,16 @@
     }
 
     private void putManifest() {
-        var from = version;
+        var previousVersion = version;
         cluster.member("s1")
                 .operator
                 .putManifest(
-                        from,
-                        manifestText.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + from)),
-                        r -> version = r.isRight() ? r.get().version() : -1);
-        cluster.runUntil(() -> version != from, 5);
-        assertTrue(version > from, this::eventLog);
+                        previousVersion,
+                        manifestText.replaceFirst(
+                                "\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + previousVersion)),
+                        result -> version = result.isRight() ? result.get().version() : -1);
+        cluster.runUntil(() -> version != previousVersion, 5);
+        assertTrue(version > previousVersion, this::eventLog);
     }
 
     private String eventLog() {
@@ -56,34 +61,35 @@
         return cluster.members.values().stream().filter(m -> m.router != null).toList();
     }
 
-    private void assertBelow(double most, double is) {
-        assertTrue(is < most, () -> is + " s; " + eventLog());
+    private void assertBelow(double maxSeconds, double seconds) {
+        assertTrue(seconds < maxSeconds, () -> seconds + " s; " + eventLog());
     }
 
     @Test
-    void aRouterThatStartsAnewIsCurrentSoon() {
+    void aRestartedRouterHasACurrentViewSoon() {
         for (var i = 0; i < 30; i++) {
-            var r = cluster.member("r" + (1 + i % ROUTERS));
-            r.crash();
+            var router = cluster.member("r" + (1 + i % ROUTERS));
+            router.crash();
             cluster.runFor(0.5 + i * 0.037);
-            r.start();
-            assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(r, version), 5));
+            router.start();
+            assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(router, version), 5));
         }
     }
 
     @Test
-    void aNewRouterIsCurrentSoonAndIsToldAsServing() {
+    void aNewRouterHasACurrentViewAndIsReportedAsServingSoon() {
         var r = cluster.addMember("r99", Node.ROUTER, "z2");
         assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(r, version), 5));
         assertBelow(0.3, cluster.runUntil(() -> r.router.directory().self().serving, 5));
     }
 
     @Test
-    void allAreCurrentSoonAfterPowerCameBack() {
+    void allRoutersAreCurrentSoonAfterAPowerLoss() {
         for (var i = 0; i < 20; i++) {
             cluster.members.values().forEach(Cluster.Member::losePower);
             cluster.runFor(1.4);
-            for (var m : cluster.members.values()) cluster.sim.after((long) (cluster.sim.random.nextDouble() * 160_000), m::start);
+            for (var member : cluster.members.values())
+                cluster.sim.after((long) (cluster.sim.random.nextDouble() * 160_000), member::start);
             cluster.runFor(0.16);
             assertBelow(0.8, cluster.runUntil(() -> cluster.allRoutersCurrent(version), 8));
             cluster.runFor(5);
@@ -91,12 +97,12 @@
     }
 
     @Test
-    void routersServeOnAndNewsFlowsAgainSoonAfterTheOwnerIsLost() {
+    void routersKeepTheirViewAndGetUpdatesAgainSoonAfterTheLeaderIsLost() {
         for (var i = 0; i < 12; i++) {
-            var o = cluster.leaderOf(0);
-            if (i % 3 == 0) o.crash();
-            else if (i % 3 == 1) o.setDiskHung(true);
-            else cluster.members.keySet().forEach(m -> blockPaths(o.name, m));
+            var leader = cluster.leaderOf(0);
+            if (i % 3 == 0) leader.crash();
+            else if (i % 3 == 1) leader.setDiskHung(true);
+            else cluster.members.keySet().forEach(m -> blockPaths(leader.name, m));
             for (var t = 0; t < 70; t++) {
                 cluster.runFor(0.02);
                 for (var r : routers())
@@ -108,44 +114,44 @@
                             r.router.membership().view().manifest().services().keySet(),
                             r.router.membership().view().services().keySet());
             }
-            var from = version;
+            var previousVersion = version;
             var other = cluster.members.values().stream()
-                    .filter(m -> m.store != null && m != o)
+                    .filter(m -> m.store != null && m != leader)
                     .findFirst()
                     .get();
             other.operator.putManifest(
-                    from,
+                    previousVersion,
                     manifestText.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_700_000 + i)),
                     r -> version = r.isRight() ? r.get().version() : -1);
-            cluster.runUntil(() -> version != from, 5);
-            assertTrue(version > from, this::eventLog);
+            cluster.runUntil(() -> version != previousVersion, 5);
+            assertTrue(version > previousVersion, this::eventLog);
             assertBelow(0.5, cluster.runUntil(() -> cluster.allRoutersCurrent(version), 5));
-            if (i % 3 == 0) o.start();
-            else if (i % 3 == 1) o.setDiskHung(false);
+            if (i % 3 == 0) leader.start();
+            else if (i % 3 == 1) leader.setDiskHung(false);
             else cluster.blockedPaths.clear();
             cluster.runFor(6);
         }
     }
 
     @Test
-    void aNewOwnerTakesNoRunnerForDarkThatWentOnAnnouncing() {
-        var v = cluster.member("r1").router.membership().view().manifest();
-        var s = v.services().values().iterator().next();
+    void aNewLeaderDoesNotMarkAnAnnouncingRunnerAsDark() {
+        var manifest = cluster.member("r1").router.membership().view().manifest();
+        var service = manifest.services().values().iterator().next();
         for (var i = 0; i < 6; i++) {
             for (var t = 0; t < 6; t++) {
-                announceRunner(s.name(), s.cells().get(0).name());
+                announceRunner(service.name(), service.cells().get(0).name());
                 cluster.runFor(1.2);
             }
-            var o = cluster.leaderOf(0);
-            o.crash();
+            var leader = cluster.leaderOf(0);
+            leader.crash();
             cluster.runFor(1.2);
             for (var t = 0; t < 3; t++) {
-                announceRunner(s.name(), s.cells().get(0).name());
+                announceRunner(service.name(), service.cells().get(0).name());
                 cluster.runFor(1.2);
             }
-            o.start();
+            leader.start();
         }
-        assertTrue(cluster.eventLog.stream().noneMatch(n -> n.contains("RUNNER_DARK")), this::eventLog);
+        assertTrue(cluster.eventLog.stream().noneMatch(event -> event.contains("RUNNER_DARK")), this::eventLog);
     }
 
     private void announceRunner(String service, String cell) {
@@ -154,9 +160,9 @@
                 .announceRunner(new Announcement(service, "run-1", "10.0.0.1:80", cell, 4, 1, false, 0), x -> {});
     }
 
-    private void blockPaths(String a, String b) {
-        if (a.equals(b)) return;
-        cluster.blockedPaths.add(a + ">" + b);
-        cluster.blockedPaths.add(b + ">" + a);
+    private void blockPaths(String first, String second) {
+        if (first.equals(second)) return;
+        cluster.blockedPaths.add(first + ">" + second);
+        cluster.blockedPaths.add(second + ">" + first);
     }
 }
