--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -25,103 +25,125 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 
-/** Prints what the control plane costs as nodes, runners, routes and tenants grow: hollow nodes on one simulated clock, lean pace. */
+/**
+ * Prints the traffic, processor time and memory that the control plane needs as nodes, runners, routes and tenants grow, measured
+ * on a simulated cluster with the low-traffic timing profile. The arguments name the tables to print; by default all are printed.
+ */
 public final class ScalingCost {
-    private static final int MEASURED_SECONDS = 20, ROUTER_COUNT = 9, CHANGE_COUNT = 5, REPETITIONS = 3;
-    private static final String SERVICE = "model", CELL_PREFIX = "a";
-    private static final int[] NODE_COUNTS = {10, 30, 100, 200, 390},
-            RUNNER_COUNTS = {100, 1_000, 12_000},
-            ROUTE_COUNTS = {100, 1_000, 12_000},
-            TENANT_COUNTS = {100, 1_000, 12_000, 34_000};
+    private static final int MEASURED_SECONDS = 20;
+    private static final int ROUTER_COUNT = 9;
+    private static final int CHANGE_COUNT = 5;
+    private static final int REPETITIONS = 3;
+    private static final String SERVICE = "model";
+    private static final String CELL_PREFIX = "a";
+    private static final int[] NODE_COUNTS = {10, 30, 100, 200, 390};
+    private static final int[] RUNNER_COUNTS = {100, 1_000, 12_000};
+    private static final int[] ROUTE_COUNTS = {100, 1_000, 12_000};
+    private static final int[] TENANT_COUNTS = {100, 1_000, 12_000, 34_000};
 
     private ScalingCost() {}
 
-    public static void main(String[] a) {
-        var which = a.length == 0 ? List.of("nodes", "runners", "routes", "tenants", "memory", "placing") : List.of(a);
-        if (which.contains("nodes")) measureNodes();
-        if (which.contains("runners")) measureRunners();
-        if (which.contains("routes")) measureManifests("routes", ROUTE_COUNTS, n -> manifestText(n, 0, 1));
-        if (which.contains("tenants")) measureManifests("tenants", TENANT_COUNTS, n -> manifestText(6, n, 1));
-        if (which.contains("memory")) measureMemory();
-        if (which.contains("placing")) measurePlacement();
+    /** Prints the tables named by the arguments, or all of them. */
+    public static void main(String[] arguments) {
+        var tables = arguments.length == 0
+                ? List.of("nodes", "runners", "routes", "tenants", "memory", "placing")
+                : List.of(arguments);
+        if (tables.contains("nodes")) measureNodes();
+        if (tables.contains("runners")) measureRunners();
+        if (tables.contains("routes")) measureManifests("routes", ROUTE_COUNTS, size -> manifestText(size, 0, 1));
+        if (tables.contains("tenants")) measureManifests("tenants", TENANT_COUNTS, size -> manifestText(6, size, 1));
+        if (tables.contains("memory")) measureMemory();
+        if (tables.contains("placing")) measurePlacement();
     }
 
+    /** Makes a manifest with a number of routes or tenants. */
     private interface ManifestTexts {
-        String ofSize(int n);
+        String ofSize(int size);
     }
 
-    private static void printTableHead(String... heads) {
-        System.out.println("\n| " + String.join(" | ", heads) + " |");
-        System.out.println("|" + "---|".repeat(heads.length));
+    private static void printTableHead(String... columnHeads) {
+        System.out.println("\n| " + String.join(" | ", columnHeads) + " |");
+        System.out.println("|" + "---|".repeat(columnHeads.length));
     }
 
     private static void printRow(Object... cells) {
-        var all = new ArrayList<String>();
-        for (var c : cells) all.add(c instanceof Double d ? formatFigure(d) : c.toString());
-        System.out.println("| " + String.join(" | ", all) + " |");
+        var texts = new ArrayList<String>();
+        for (var cell : cells) texts.add(cell instanceof Double d ? formatFigure(d) : cell.toString());
+        System.out.println("| " + String.join(" | ", texts) + " |");
     }
 
-    private static String formatFigure(double d) {
-        return String.format(Locale.ROOT, Math.abs(d) < 10 ? "%.2f" : Math.abs(d) < 100 ? "%.1f" : "%.0f", d);
+    private static String formatFigure(double value) {
+        return String.format(
+                Locale.ROOT, Math.abs(value) < 10 ? "%.2f" : Math.abs(value) < 100 ? "%.1f" : "%.0f", value);
     }
 
-    /** A line through the points by least squares, with the largest distance from it as a share of the value. */
-    private static void printLinearFit(String what, int[] at, IntToDoubleFunction value) {
-        double n = at.length, x = 0, y = 0, xx = 0, xy = 0;
-        for (var i = 0; i < at.length; i++) {
-            x += at[i];
-            y += value.applyAsDouble(i);
-            xx += (double) at[i] * at[i];
-            xy += at[i] * value.applyAsDouble(i);
+    /** Prints a least-squares line through the points and the largest deviation from it as a share of the value. */
+    private static void printLinearFit(String quantity, int[] sizes, IntToDoubleFunction value) {
+        double count = sizes.length, sumX = 0, sumY = 0, sumXX = 0, sumXY = 0;
+        for (var i = 0; i < sizes.length; i++) {
+            sumX += sizes[i];
+            sumY += value.applyAsDouble(i);
+            sumXX += (double) sizes[i] * sizes[i];
+            sumXY += sizes[i] * value.applyAsDouble(i);
         }
-        var slope = (n * xy - x * y) / (n * xx - x * x);
-        var start = (y - slope * x) / n;
-        var off = 0.0;
-        for (var i = 0; i < at.length; i++)
-            off = Math.max(
-                    off,
-                    Math.abs(start + slope * at[i] - value.applyAsDouble(i))
+        var slope = (count * sumXY - sumX * sumY) / (count * sumXX - sumX * sumX);
+        var intercept = (sumY - slope * sumX) / count;
+        var maxDeviation = 0.0;
+        for (var i = 0; i < sizes.length; i++)
+            maxDeviation = Math.max(
+                    maxDeviation,
+                    Math.abs(intercept + slope * sizes[i] - value.applyAsDouble(i))
                             / Math.max(1e-9, Math.abs(value.applyAsDouble(i))));
         System.out.printf(
-                Locale.ROOT, "fit %s: %.4g + %.4g a step; farthest point %.0f %% off%n", what, start, slope, 100 * off);
+                Locale.ROOT,
+                "fit %s: %.4g + %.4g a step; farthest point %.0f %% off%n",
+                quantity,
+                intercept,
+                slope,
+                100 * maxDeviation);
     }
 
-    private static Cluster startCluster(int routers, String text, long seed) {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
-        c.sim.random.setSeed(seed);
-        c.addStores("z1", "z2", "z3").addRouters(routers);
-        c.runUntil(c::allPartsHaveLeaders, 20);
-        if (putManifest(c, 0, text) == 0) throw new IllegalStateException("manifest refused");
-        c.runFor(20);
-        return c;
+    private static Cluster startCluster(int routers, String manifestText, long seed) {
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
+        cluster.sim.random.setSeed(seed);
+        cluster.addStores("z1", "z2", "z3").addRouters(routers);
+        cluster.runUntil(cluster::allPartsHaveLeaders, 20);
+        if (putManifest(cluster, 0, manifestText) == 0) throw new IllegalStateException("manifest refused");
+        cluster.runFor(20);
+        return cluster;
     }
 
-    private static long putManifest(Cluster c, long base, String text) {
-        var v = new AtomicLong();
-        c.member("s1")
+    /** Puts a manifest and returns its version; -1 if it was refused, 0 if no answer came. */
+    private static long putManifest(Cluster cluster, long baseVersion, String manifestText) {
+        var version = new AtomicLong();
+        cluster.member("s1")
                 .operator
-                .putManifest(base, text, r -> v.set(r.isRight() ? r.get().version() : -1));
-        c.runUntil(() -> v.get() != 0, 10);
-        return v.get();
+                .putManifest(
+                        baseVersion,
+                        manifestText,
+                        result -> version.set(result.isRight() ? result.get().version() : -1));
+        cluster.runUntil(() -> version.get() != 0, 10);
+        return version.get();
     }
 
-    private static List<Cluster.Member> routersOf(Cluster c) {
-        return c.members.values().stream().filter(m -> m.router != null).toList();
+    private static List<Cluster.Member> routersOf(Cluster cluster) {
+        return cluster.members.values().stream().filter(m -> m.router != null).toList();
     }
 
-    private static double mean(List<Cluster.Member> all, ToLongFunction<Cluster.Member> f) {
-        return all.stream().mapToLong(f).average().orElse(0);
+    private static double mean(List<Cluster.Member> members, ToLongFunction<Cluster.Member> quantity) {
+        return members.stream().mapToLong(quantity).average().orElse(0);
     }
 
-    private static double median(double[] all) {
-        var s = all.clone();
-        Arrays.sort(s);
-        return s[s.length / 2];
+    private static double median(double[] values) {
+        var sorted = values.clone();
+        Arrays.sort(sorted);
+        return sorted[sorted.length / 2];
     }
 
-    private static String medianAndRange(double[] all) {
-        return formatFigure(median(all)) + " (" + formatFigure(Arrays.stream(all).min().orElse(0)) + "-"
-                + formatFigure(Arrays.stream(all).max().orElse(0)) + ")";
+    private static String medianAndRange(double[] values) {
+        return formatFigure(median(values)) + " ("
+                + formatFigure(Arrays.stream(values).min().orElse(0)) + "-"
+                + formatFigure(Arrays.stream(values).max().orElse(0)) + ")";
     }
 
     private static void measureNodes() {
@@ -136,32 +158,42 @@
                 "bytes sent in all for one router that starts again");
         var cost = new double[NODE_COUNTS.length][5];
         for (var i = 0; i < NODE_COUNTS.length; i++) {
-            var cpu = new double[REPETITIONS];
-            var own = new double[REPETITIONS];
-            var again = new double[REPETITIONS];
-            double out = 0, bytes = 0, in = 0, owned = 0;
-            for (var t = 0; t < REPETITIONS; t++) {
-                var c = startCluster(NODE_COUNTS[i] - 3, manifestText(6, 0, 1), 17 + t);
-                c.resetCounters();
-                c.runFor(MEASURED_SECONDS);
-                var r = routersOf(c);
-                var o = c.leaderOf(0);
-                out = mean(r, m -> m.sentMessages) / MEASURED_SECONDS;
-                bytes = mean(r, m -> m.sentBytes + m.receivedBytes) / MEASURED_SECONDS;
-                cpu[t] = mean(r, m -> m.cpuNanos) / MEASURED_SECONDS / 1e7;
-                in = (double) o.receivedMessages / MEASURED_SECONDS;
-                owned = (double) (o.sentBytes + o.receivedBytes) / MEASURED_SECONDS;
-                own[t] = o.cpuNanos / 1e7 / MEASURED_SECONDS;
-                var calm = (double) c.meter.bytes / MEASURED_SECONDS * 10;
-                c.member("r1").crash();
-                c.runFor(1);
-                c.resetCounters();
-                c.member("r1").start();
-                c.runFor(10);
-                again[t] = c.meter.bytes - calm;
+            var routerCpuPercent = new double[REPETITIONS];
+            var leaderCpuPercent = new double[REPETITIONS];
+            var restartBytes = new double[REPETITIONS];
+            double routerMessages = 0, routerBytes = 0, leaderMessages = 0, leaderBytes = 0;
+            for (var repetition = 0; repetition < REPETITIONS; repetition++) {
+                var cluster = startCluster(NODE_COUNTS[i] - 3, manifestText(6, 0, 1), 17 + repetition);
+                cluster.resetCounters();
+                cluster.runFor(MEASURED_SECONDS);
+                var routers = routersOf(cluster);
+                var leader = cluster.leaderOf(0);
+                routerMessages = mean(routers, m -> m.sentMessages) / MEASURED_SECONDS;
+                routerBytes = mean(routers, m -> m.sentBytes + m.receivedBytes) / MEASURED_SECONDS;
+                routerCpuPercent[repetition] = mean(routers, m -> m.cpuNanos) / MEASURED_SECONDS / 1e7;
+                leaderMessages = (double) leader.receivedMessages / MEASURED_SECONDS;
+                leaderBytes = (double) (leader.sentBytes + leader.receivedBytes) / MEASURED_SECONDS;
+                leaderCpuPercent[repetition] = leader.cpuNanos / 1e7 / MEASURED_SECONDS;
+                var idleBytes = (double) cluster.meter.bytes / MEASURED_SECONDS * 10;
+                cluster.member("r1").crash();
+                cluster.runFor(1);
+                cluster.resetCounters();
+                cluster.member("r1").start();
+                cluster.runFor(10);
+                restartBytes[repetition] = cluster.meter.bytes - idleBytes;
             }
-            cost[i] = new double[] {bytes, median(cpu), owned, median(own), median(again)};
-            printRow(NODE_COUNTS[i], out, bytes, medianAndRange(cpu), in, owned, medianAndRange(own), medianAndRange(again));
+            cost[i] = new double[] {
+                routerBytes, median(routerCpuPercent), leaderBytes, median(leaderCpuPercent), median(restartBytes)
+            };
+            printRow(
+                    NODE_COUNTS[i],
+                    routerMessages,
+                    routerBytes,
+                    medianAndRange(routerCpuPercent),
+                    leaderMessages,
+                    leaderBytes,
+                    medianAndRange(leaderCpuPercent),
+                    medianAndRange(restartBytes));
         }
         printLinearFit("router bytes/s", NODE_COUNTS, i -> cost[i][0]);
         printLinearFit("router core %", NODE_COUNTS, i -> cost[i][1]);
@@ -170,44 +202,47 @@
         printLinearFit("bytes for a start", NODE_COUNTS, i -> cost[i][4]);
     }
 
-    private static Commands.RunnerPut runnerPut(int i, int slots) {
-        var c = new Commands.RunnerPut();
-        c.service = SERVICE;
-        c.runner = "runner-" + i;
-        c.address = "10." + i / 60_000 + "." + i / 250 % 240 + "." + (i % 250 + 1) + ":8080";
-        c.cell = CELL_PREFIX + i % 3;
-        c.slots = slots;
-        c.incarnation = 1;
-        return c;
+    private static Commands.RunnerPut runnerPut(int number, int slots) {
+        var put = new Commands.RunnerPut();
+        put.service = SERVICE;
+        put.runner = "runner-" + number;
+        put.address = "10." + number / 60_000 + "." + number / 250 % 240 + "." + (number % 250 + 1) + ":8080";
+        put.cell = CELL_PREFIX + number % 3;
+        put.slots = slots;
+        put.incarnation = 1;
+        return put;
     }
 
-    private static void announceRunner(Cluster c, int i, int slots) {
-        c.member("s" + (i % 3 + 1))
+    private static void announceRunner(Cluster cluster, int number, int slots) {
+        cluster.member("s" + (number % 3 + 1))
                 .store
                 .coreClient()
-                .request(Parts.partOf(SERVICE), runnerPut(i, slots), 3_000_000, v -> {});
+                .request(Parts.partOf(SERVICE), runnerPut(number, slots), 3_000_000, result -> {});
     }
 
-    /** All at one moment, taken by the owner as one batch. */
-    private static void announceAllAtOnce(Cluster c, int n) {
-        var o = c.leaderOf(Parts.partOf(SERVICE));
-        for (var i = 0; i < n; i += 500) {
-            o.setDiskHung(true);
-            for (var k = i; k < Math.min(n, i + 500); k++) announceRunner(c, k, 128);
-            c.runFor(0.02);
-            o.setDiskHung(false);
+    /** Announces runners in batches of 500, each of which the leader commits at once. */
+    private static void announceAllAtOnce(Cluster cluster, int count) {
+        var leader = cluster.leaderOf(Parts.partOf(SERVICE));
+        for (var batchStart = 0; batchStart < count; batchStart += 500) {
+            leader.setDiskHung(true);
+            for (var number = batchStart; number < Math.min(count, batchStart + 500); number++)
+                announceRunner(cluster, number, 128);
+            cluster.runFor(0.02);
+            leader.setDiskHung(false);
         }
     }
 
-    private static void sendHeartbeats(Cluster c, int n, int seconds, Runnable each) {
-        for (var s = 0; s < seconds; s++) {
-            each.run();
-            for (var t = 0; t < 50; t++) {
-                for (var i = t; i < n; i += 50) {
-                    var k = i;
-                    c.member("s" + (i % 3 + 1)).runMeasured(() -> announceRunner(c, k, 128));
+    /** Lets every runner announce itself once a second, spread over the second; runs an action at the start of each. */
+    private static void sendHeartbeats(Cluster cluster, int count, int seconds, Runnable everySecond) {
+        for (var second = 0; second < seconds; second++) {
+            everySecond.run();
+            for (var slot = 0; slot < 50; slot++) {
+                for (var number = slot; number < count; number += 50) {
+                    var runnerNumber = number;
+                    cluster.member("s" + (number % 3 + 1))
+                            .runMeasured(() -> announceRunner(cluster, runnerNumber, 128));
                 }
-                c.runFor(0.02);
+                cluster.runFor(0.02);
             }
         }
     }
@@ -226,16 +261,16 @@
                 "owner ms",
                 "routers that had it after 1 s");
         var cost = new double[RUNNER_COUNTS.length][7];
-        for (var x = -1; x < RUNNER_COUNTS.length; x++) {
-            var n = RUNNER_COUNTS[Math.max(0, x)];
-            var c = startCluster(ROUTER_COUNT, manifestText(6, 0, 1), 17);
-            announceAllAtOnce(c, n);
-            sendHeartbeats(c, n, 3, () -> {});
-            var o = c.leaderOf(Parts.partOf(SERVICE));
-            var others = c.members.values().stream()
-                    .filter(m -> m.store != null && m != o)
+        for (var sizeIndex = -1; sizeIndex < RUNNER_COUNTS.length; sizeIndex++) {
+            var count = RUNNER_COUNTS[Math.max(0, sizeIndex)];
+            var cluster = startCluster(ROUTER_COUNT, manifestText(6, 0, 1), 17);
+            announceAllAtOnce(cluster, count);
+            sendHeartbeats(cluster, count, 3, () -> {});
+            var leader = cluster.leaderOf(Parts.partOf(SERVICE));
+            var otherStores = cluster.members.values().stream()
+                    .filter(m -> m.store != null && m != leader)
                     .toList();
-            var up = c.member("r1")
+            var knownRunners = cluster.member("r1")
                     .router
                     .membership()
                     .view()
@@ -243,42 +278,62 @@
                     .get(SERVICE)
                     .runners
                     .size();
-            if (up != n) throw new IllegalStateException(up + " of " + n + " known");
-            c.resetCounters();
-            c.runFor(1);
-            var idle = o.cpuNanos / 1e7;
-            sendHeartbeats(c, n, 2, () -> {});
-            c.resetCounters();
-            sendHeartbeats(c, n, 5, () -> {});
-            var owner = o.cpuNanos / 5e7;
-            var other = mean(others, m -> m.cpuNanos) / 5e7;
-            var bytes = (double) c.meter.bytes / 5 / n;
-            var router = mean(routersOf(c), m -> m.cpuNanos) / 5e7;
-            var calm = mean(routersOf(c), m -> m.receivedBytes);
-            var no = new int[1];
-            c.resetCounters();
-            sendHeartbeats(c, n, CHANGE_COUNT, () -> {
-                no[0]++;
-                announceRunner(c, n, 100 + no[0]);
+            if (knownRunners != count) throw new IllegalStateException(knownRunners + " of " + count + " known");
+            cluster.resetCounters();
+            cluster.runFor(1);
+            var leaderIdlePercent = leader.cpuNanos / 1e7;
+            sendHeartbeats(cluster, count, 2, () -> {});
+            cluster.resetCounters();
+            sendHeartbeats(cluster, count, 5, () -> {});
+            var leaderPercent = leader.cpuNanos / 5e7;
+            var otherStorePercent = mean(otherStores, m -> m.cpuNanos) / 5e7;
+            var bytesPerHeartbeat = (double) cluster.meter.bytes / 5 / count;
+            var routerPercent = mean(routersOf(cluster), m -> m.cpuNanos) / 5e7;
+            var idleBytes = mean(routersOf(cluster), m -> m.receivedBytes);
+            var changes = new int[1];
+            cluster.resetCounters();
+            sendHeartbeats(cluster, count, CHANGE_COUNT, () -> {
+                changes[0]++;
+                announceRunner(cluster, count, 100 + changes[0]);
             });
-            var had = routersOf(c).stream()
-                    .filter(m -> knownSlots(m, "runner-" + n) == 100 + no[0])
+            var updatedRouters = routersOf(cluster).stream()
+                    .filter(m -> knownSlots(m, "runner-" + count) == 100 + changes[0])
                     .count();
-            var row = Codec.encode(o.store
+            var rowBytes = Codec.encode(leader.store
                             .replicas()[Parts.partOf(SERVICE)]
                             .records()
                             .rows()
                             .services
                             .get(SERVICE))
                     .length;
-            var changed = (mean(routersOf(c), m -> m.receivedBytes) - calm) / CHANGE_COUNT;
-            var took = (mean(routersOf(c), m -> m.cpuNanos) / 1e6 - router * 50) / CHANGE_COUNT;
-            var gave = (o.cpuNanos / 1e6 - owner * 50) / CHANGE_COUNT;
-            if (x < 0) continue;
-            cost[x] = new double[] {row, idle, owner, other, changed, took, gave};
-            printRow(n, row, idle, owner, other, bytes, router, changed, took, gave, had + " of " + ROUTER_COUNT);
+            var bytesPerChange = (mean(routersOf(cluster), m -> m.receivedBytes) - idleBytes) / CHANGE_COUNT;
+            var routerMillisPerChange =
+                    (mean(routersOf(cluster), m -> m.cpuNanos) / 1e6 - routerPercent * 50) / CHANGE_COUNT;
+            var leaderMillisPerChange = (leader.cpuNanos / 1e6 - leaderPercent * 50) / CHANGE_COUNT;
+            if (sizeIndex < 0) continue;
+            cost[sizeIndex] = new double[] {
+                rowBytes,
+                leaderIdlePercent,
+                leaderPercent,
+                otherStorePercent,
+                bytesPerChange,
+                routerMillisPerChange,
+                leaderMillisPerChange
+            };
+            printRow(
+                    count,
+                    rowBytes,
+                    leaderIdlePercent,
+                    leaderPercent,
+                    otherStorePercent,
+                    bytesPerHeartbeat,
+                    routerPercent,
+                    bytesPerChange,
+                    routerMillisPerChange,
+                    leaderMillisPerChange,
+                    updatedRouters + " of " + ROUTER_COUNT);
         }
-        var names = List.of(
+        var quantities = List.of(
                 "row bytes",
                 "owner core % without beats",
                 "owner core % with beats",
@@ -286,20 +341,26 @@
                 "bytes a router and change",
                 "router ms a change",
                 "owner ms a change");
-        for (var k = 0; k < names.size(); k++) {
-            var j = k;
-            printLinearFit(names.get(k), RUNNER_COUNTS, i -> cost[i][j]);
+        for (var column = 0; column < quantities.size(); column++) {
+            var currentColumn = column;
+            printLinearFit(quantities.get(column), RUNNER_COUNTS, i -> cost[i][currentColumn]);
         }
     }
 
-    private static int knownSlots(Cluster.Member m, String runner) {
-        var r = m.router.membership().view().services().get(SERVICE).runners.get(runner);
-        return r == null ? 0 : r.slots;
+    private static int knownSlots(Cluster.Member member, String runner) {
+        var runnerRow = member.router
+                .membership()
+                .view()
+                .services()
+                .get(SERVICE)
+                .runners
+                .get(runner);
+        return runnerRow == null ? 0 : runnerRow.slots;
     }
 
-    private static void measureManifests(String what, int[] sizes, ManifestTexts texts) {
+    private static void measureManifests(String quantity, int[] sizes, ManifestTexts texts) {
         printTableHead(
-                what,
+                quantity,
                 "manifest bytes",
                 "one change: bytes a router",
                 "bytes in all, 12 nodes",
@@ -307,123 +368,137 @@
                 "owner ms",
                 "s until all current");
         var cost = new double[sizes.length][4];
-        for (var x = -1; x < sizes.length; x++) {
-            var text = texts.ofSize(sizes[Math.max(0, x)]);
-            var c = startCluster(ROUTER_COUNT, text, 17);
-            c.resetCounters();
-            c.runFor(CHANGE_COUNT * 2);
-            var calm = mean(routersOf(c), m -> m.receivedBytes);
-            var calmAll = c.meter.bytes;
-            var router = mean(routersOf(c), m -> m.cpuNanos);
-            var owner = c.leaderOf(0).cpuNanos;
-            c.resetCounters();
-            var after = new double[CHANGE_COUNT];
-            var version = c.member("s1").store.replicas()[0].records().rows().manifest.version;
+        for (var sizeIndex = -1; sizeIndex < sizes.length; sizeIndex++) {
+            var manifestText = texts.ofSize(sizes[Math.max(0, sizeIndex)]);
+            var cluster = startCluster(ROUTER_COUNT, manifestText, 17);
+            cluster.resetCounters();
+            cluster.runFor(CHANGE_COUNT * 2);
+            var idleBytes = mean(routersOf(cluster), m -> m.receivedBytes);
+            var idleBytesOfAll = cluster.meter.bytes;
+            var routerIdleNanos = mean(routersOf(cluster), m -> m.cpuNanos);
+            var leaderIdleNanos = cluster.leaderOf(0).cpuNanos;
+            cluster.resetCounters();
+            var updateSeconds = new double[CHANGE_COUNT];
+            var version = cluster.member("s1").store.replicas()[0].records().rows().manifest.version;
             for (var k = 0; k < CHANGE_COUNT; k++) {
-                var from = c.sim.now();
-                var v = putManifest(c, version, text.replace("\"claimRetentionMs\": 1", "\"claimRetentionMs\": 1" + (k + 1)));
-                version = v;
-                c.runUntil(() -> c.allRoutersCurrent(v), 10);
-                after[k] = (c.sim.now() - from) / 1e6;
-                c.runFor(Math.max(0, 2 - after[k]));
+                var startedAt = cluster.sim.now();
+                var newVersion = putManifest(
+                        cluster,
+                        version,
+                        manifestText.replace("\"claimRetentionMs\": 1", "\"claimRetentionMs\": 1" + (k + 1)));
+                version = newVersion;
+                cluster.runUntil(() -> cluster.allRoutersCurrent(newVersion), 10);
+                updateSeconds[k] = (cluster.sim.now() - startedAt) / 1e6;
+                cluster.runFor(Math.max(0, 2 - updateSeconds[k]));
             }
-            if (x < 0) continue;
-            cost[x] = new double[] {
-                text.length(),
-                (mean(routersOf(c), m -> m.receivedBytes) - calm) / CHANGE_COUNT,
-                (mean(routersOf(c), m -> m.cpuNanos) - router) / 1e6 / CHANGE_COUNT,
-                (c.leaderOf(0).cpuNanos - owner) / 1e6 / CHANGE_COUNT
+            if (sizeIndex < 0) continue;
+            cost[sizeIndex] = new double[] {
+                manifestText.length(),
+                (mean(routersOf(cluster), m -> m.receivedBytes) - idleBytes) / CHANGE_COUNT,
+                (mean(routersOf(cluster), m -> m.cpuNanos) - routerIdleNanos) / 1e6 / CHANGE_COUNT,
+                (cluster.leaderOf(0).cpuNanos - leaderIdleNanos) / 1e6 / CHANGE_COUNT
             };
             printRow(
-                    sizes[x],
-                    text.length(),
-                    cost[x][1],
-                    (double) (c.meter.bytes - calmAll) / CHANGE_COUNT,
-                    cost[x][2],
-                    cost[x][3],
-                    medianAndRange(after));
+                    sizes[sizeIndex],
+                    manifestText.length(),
+                    cost[sizeIndex][1],
+                    (double) (cluster.meter.bytes - idleBytesOfAll) / CHANGE_COUNT,
+                    cost[sizeIndex][2],
+                    cost[sizeIndex][3],
+                    medianAndRange(updateSeconds));
         }
-        var names = List.of("manifest bytes", "bytes a router and change", "router ms a change", "owner ms a change");
-        for (var k = 0; k < names.size(); k++) {
+        var quantities =
+                List.of("manifest bytes", "bytes a router and change", "router ms a change", "owner ms a change");
+        for (var k = 0; k < quantities.size(); k++) {
             var j = k;
-            printLinearFit(names.get(k), sizes, i -> cost[i][j]);
+            printLinearFit(quantities.get(k), sizes, i -> cost[i][j]);
         }
     }
 
-    /** A manifest of six services, three regions, so many routes and tenants. */
+    /** A manifest with six services, three regions and the given numbers of routes and tenants. */
     private static String manifestText(int routes, int tenants, int retention) {
-        var b = new StringBuilder(
+        var json = new StringBuilder(
                 "{\"name\": \"large\", \"regions\": [\"r1\", \"r2\", \"r3\"], \"lapsedGraceMs\": 30000, \"claimRetentionMs\": "
                         + retention + "00000, \"zones\": [");
-        for (var z = 1; z <= 3; z++)
-            b.append(z > 1 ? ", " : "").append("{\"name\": \"z" + z + "\", \"region\": \"r" + z + "\"}");
-        b.append("], \"services\": [");
-        for (var s = 0; s < 6; s++) {
-            b.append(s > 0 ? ", " : "")
-                    .append("{\"name\": \"" + SERVICE + (s == 0 ? "" : s)
+        for (var zone = 1; zone <= 3; zone++)
+            json.append(zone > 1 ? ", " : "").append("{\"name\": \"z" + zone + "\", \"region\": \"r" + zone + "\"}");
+        json.append("], \"services\": [");
+        for (var service = 0; service < 6; service++) {
+            json.append(service > 0 ? ", " : "")
+                    .append("{\"name\": \"" + SERVICE + (service == 0 ? "" : service)
                             + "\", \"work\": [{\"name\": \"w\"}], \"weighed\": \"slots\", \"cells\": [");
-            for (var z = 0; z < 3; z++)
-                b.append(z > 0 ? ", " : "")
-                        .append("{\"name\": \"" + CELL_PREFIX + z + "\", \"zone\": \"z" + (z + 1) + "\", \"weight\": 1}");
-            b.append("]}");
+            for (var zone = 0; zone < 3; zone++)
+                json.append(zone > 0 ? ", " : "")
+                        .append("{\"name\": \"" + CELL_PREFIX + zone + "\", \"zone\": \"z" + (zone + 1)
+                                + "\", \"weight\": 1}");
+            json.append("]}");
         }
-        b.append("], \"tenants\": [");
-        for (var t = 0; t < tenants; t++)
-            b.append(t > 0 ? ", " : "")
-                    .append("{\"name\": \"tenant-" + t + "\", \"regions\": [\"r" + (t % 3 + 1) + "\"]}");
-        b.append("], \"routes\": [");
-        for (var r = 0; r < routes; r++)
-            b.append(r > 0 ? ", " : "")
-                    .append("{\"name\": \"route-" + r + "\", \"host\": \"api.example\", \"prefix\": \"/p" + r
+        json.append("], \"tenants\": [");
+        for (var tenant = 0; tenant < tenants; tenant++)
+            json.append(tenant > 0 ? ", " : "")
+                    .append("{\"name\": \"tenant-" + tenant + "\", \"regions\": [\"r" + (tenant % 3 + 1) + "\"]}");
+        json.append("], \"routes\": [");
+        for (var route = 0; route < routes; route++)
+            json.append(route > 0 ? ", " : "")
+                    .append("{\"name\": \"route-" + route + "\", \"host\": \"api.example\", \"prefix\": \"/p" + route
                             + "/\", \"kind\": \"stream\", \"deadlineMs\": 15000, \"targetMs\": 600, \"pauseMs\": 400, \"resume\": true, \"tries\": 2, \"regions\": [\"r"
-                            + (r % 3 + 1) + "\"], \"shares\": [{\"service\": \"" + SERVICE + "\", \"weight\": 1}]}");
-        return b.append("]}").toString();
+                            + (route % 3 + 1) + "\"], \"shares\": [{\"service\": \"" + SERVICE
+                            + "\", \"weight\": 1}]}");
+        return json.append("]}").toString();
     }
 
     private static void measureMemory() {
         printTableHead("held by each router", "size", "heap, kB");
-        for (var n : RUNNER_COUNTS) {
-            var s = new Rows.Service();
-            s.name = SERVICE;
-            for (var i = 0; i < n; i++) s.runners.put("runner-" + i, runnerRow(runnerPut(i, 128)));
-            var b = Codec.encode(s);
-            printRow("row of a service with runners", n, heapBytesPerInstance(() -> Codec.decode(Rows.Service.class, b)) / 1e3);
+        for (var count : RUNNER_COUNTS) {
+            var service = new Rows.Service();
+            service.name = SERVICE;
+            for (var number = 0; number < count; number++)
+                service.runners.put("runner-" + number, runnerRow(runnerPut(number, 128)));
+            var encoded = Codec.encode(service);
+            printRow(
+                    "row of a service with runners",
+                    count,
+                    heapBytesPerInstance(() -> Codec.decode(Rows.Service.class, encoded)) / 1e3);
         }
-        for (var n : TENANT_COUNTS) {
-            var text = manifestText(6, n, 1);
+        for (var count : TENANT_COUNTS) {
+            var manifestText = manifestText(6, count, 1);
             printRow(
                     "manifest with tenants",
-                    n,
-                    heapBytesPerInstance(() -> ManifestReader.readValidated(text).get()) / 1e3);
+                    count,
+                    heapBytesPerInstance(() ->
+                                    ManifestReader.readValidated(manifestText).get())
+                            / 1e3);
         }
-        for (var n : ROUTE_COUNTS) {
-            var text = manifestText(n, 0, 1);
+        for (var count : ROUTE_COUNTS) {
+            var manifestText = manifestText(count, 0, 1);
             printRow(
                     "manifest with routes",
-                    n,
-                    heapBytesPerInstance(() -> ManifestReader.readValidated(text).get()) / 1e3);
+                    count,
+                    heapBytesPerInstance(() ->
+                                    ManifestReader.readValidated(manifestText).get())
+                            / 1e3);
         }
-        for (var n : NODE_COUNTS)
+        for (var count : NODE_COUNTS)
             printRow(
                     "list of nodes, one part",
-                    n,
+                    count,
                     heapBytesPerInstance(() -> {
-                                var all = new ArrayList<byte[]>();
-                                for (var i = 0; i < n; i++)
-                                    all.add(Codec.encode(new Node(
-                                            "counter-" + i,
+                                var nodes = new ArrayList<byte[]>();
+                                for (var number = 0; number < count; number++)
+                                    nodes.add(Codec.encode(new Node(
+                                            "counter-" + number,
                                             Node.ROUTER,
-                                            "zone-" + i % 96,
-                                            "10.0.0." + i + ":7001",
+                                            "zone-" + number % 96,
+                                            "10.0.0." + number + ":7001",
                                             1)));
-                                return all.stream()
-                                        .map(b -> Codec.decode(Node.class, b))
+                                return nodes.stream()
+                                        .map(encoded -> Codec.decode(Node.class, encoded))
                                         .toList();
                             })
                             / 1e3);
     }
 
-    /** What one request costs a router that knows so many runners of one service in three zones, and what a new view costs it. */
+    /** Measures the choice of a runner for one request and the application of a new view, by the number of runners in three zones. */
     private static void measurePlacement() {
         printTableHead(
                 "runners",
@@ -431,82 +506,84 @@
                 "a new view, us",
                 "a notice of reading with three shared parts, bytes");
         var cost = new double[RUNNER_COUNTS.length][2];
-        for (var x = -1; x < RUNNER_COUNTS.length; x++) {
-            var n = RUNNER_COUNTS[Math.max(0, x)];
+        for (var sizeIndex = -1; sizeIndex < RUNNER_COUNTS.length; sizeIndex++) {
+            var count = RUNNER_COUNTS[Math.max(0, sizeIndex)];
             var pool = new RunnerPool();
             var placer = new RunnerPlacer(pool, new ColdRunnerLimiter("r1"), "z1", "r1");
             var views = new ArrayList<CoreView>();
-            for (var i = 0; i < 40; i++) views.add(coreView(n));
-            var from = System.nanoTime();
+            for (var i = 0; i < 40; i++) views.add(coreView(count));
+            var startNanos = System.nanoTime();
             views.forEach(pool::applyView);
-            var follow = (System.nanoTime() - from) / 1e3 / views.size();
+            var viewMicros = (System.nanoTime() - startNanos) / 1e3 / views.size();
             var route = pool.view().manifest().routes().match("api.example", "/p0/x");
-            var p = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
-            var all = new double[9];
-            for (var t = 0; t < all.length; t++) {
-                from = System.nanoTime();
-                for (var i = 0; i < 200; i++) placer.selectRunner(route, SERVICE, p, Set.of(), 10_000_000);
-                all[t] = (System.nanoTime() - from) / 2e5;
+            var prompt = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
+            var choiceMicros = new double[9];
+            for (var repetition = 0; repetition < choiceMicros.length; repetition++) {
+                startNanos = System.nanoTime();
+                for (var i = 0; i < 200; i++) placer.selectRunner(route, SERVICE, prompt, Set.of(), 10_000_000);
+                choiceMicros[repetition] = (System.nanoTime() - startNanos) / 2e5;
             }
-            if (x < 0) continue;
-            cost[x] = new double[] {median(all), follow};
-            printRow(n, medianAndRange(all), follow, Codec.encodeTagged(prefillNotice()).length);
+            if (sizeIndex < 0) continue;
+            cost[sizeIndex] = new double[] {median(choiceMicros), viewMicros};
+            printRow(count, medianAndRange(choiceMicros), viewMicros, Codec.encodeTagged(prefillNotice()).length);
         }
         printLinearFit("choice us", RUNNER_COUNTS, i -> cost[i][0]);
         printLinearFit("view us", RUNNER_COUNTS, i -> cost[i][1]);
     }
 
     private static PrefillNotice prefillNotice() {
-        var m = new PrefillNotice();
-        m.runner = "runner-4711";
-        m.prefillTokens = 9_000;
-        m.sharedPartIds = new long[] {1L << 60, 1L << 61, 1L << 62};
-        m.sharedPartTokens = new int[] {2_500, 3_700, 2_800};
-        return m;
+        var notice = new PrefillNotice();
+        notice.runner = "runner-4711";
+        notice.prefillTokens = 9_000;
+        notice.sharedPartIds = new long[] {1L << 60, 1L << 61, 1L << 62};
+        notice.sharedPartTokens = new int[] {2_500, 3_700, 2_800};
+        return notice;
     }
 
     private static CoreView coreView(int runners) {
-        var s = new Rows.Service();
-        s.name = SERVICE;
-        for (var z = 0; z < 3; z++) {
-            s.regions.add("r" + (z + 1));
-            s.cellRegions.add("r" + (z + 1));
-            s.cells.add(CELL_PREFIX + z);
-            s.zones.add("z" + (z + 1));
-            s.weights.add(1);
+        var service = new Rows.Service();
+        service.name = SERVICE;
+        for (var zone = 0; zone < 3; zone++) {
+            service.regions.add("r" + (zone + 1));
+            service.cellRegions.add("r" + (zone + 1));
+            service.cells.add(CELL_PREFIX + zone);
+            service.zones.add("z" + (zone + 1));
+            service.weights.add(1);
         }
-        for (var i = 0; i < runners; i++) s.runners.put("runner-" + i, runnerRow(runnerPut(i, 128)));
-        var none = new ArrayList<List<Node>>();
-        for (var i = 0; i < Parts.COUNT; i++) none.add(List.of());
+        for (var number = 0; number < runners; number++)
+            service.runners.put("runner-" + number, runnerRow(runnerPut(number, 128)));
+        var noNodes = new ArrayList<List<Node>>();
+        for (var number = 0; number < Parts.COUNT; number++) noNodes.add(List.of());
         return new CoreView(
                 new Rows.Manifest(),
                 ManifestReader.readValidated(manifestText(6, 0, 1)).get(),
-                Map.of(SERVICE, s),
+                Map.of(SERVICE, service),
                 new long[Parts.COUNT],
-                none,
+                noNodes,
                 0,
                 new long[Parts.COUNT]);
     }
 
-    private static Rows.Runner runnerRow(Commands.RunnerPut p) {
-        var r = new Rows.Runner();
-        r.name = p.runner;
-        r.address = p.address;
-        r.cell = p.cell;
-        r.slots = p.slots;
-        r.incarnation = p.incarnation;
-        return r;
+    private static Rows.Runner runnerRow(Commands.RunnerPut put) {
+        var row = new Rows.Runner();
+        row.name = put.runner;
+        row.address = put.address;
+        row.cell = put.cell;
+        row.slots = put.slots;
+        row.incarnation = put.incarnation;
+        return row;
     }
 
-    private static double heapBytesPerInstance(Supplier<Object> made) {
-        var kept = new Object[12];
-        for (var i = 0; i < kept.length; i++) kept[i] = made.get();
-        Arrays.fill(kept, 1, kept.length, null);
-        var from = usedHeapBytes();
-        for (var i = 1; i < kept.length; i++) kept[i] = made.get();
-        var to = usedHeapBytes();
-        if (kept[0] == null) throw new IllegalStateException();
-        return (double) (to - from) / (kept.length - 1);
+    /** The mean heap use of one of eleven instances; the first one is made before the measurement as a warm-up. */
+    private static double heapBytesPerInstance(Supplier<Object> factory) {
+        var instances = new Object[12];
+        for (var i = 0; i < instances.length; i++) instances[i] = factory.get();
+        Arrays.fill(instances, 1, instances.length, null);
+        var usedBefore = usedHeapBytes();
+        for (var i = 1; i < instances.length; i++) instances[i] = factory.get();
+        var usedAfter = usedHeapBytes();
+        if (instances[0] == null) throw new IllegalStateException();
+        return (double) (usedAfter - usedBefore) / (instances.length - 1);
     }
 
     private static long usedHeapBytes() {
--- a/test/sim/src/test/java/craneway/sim/SingleStoreClients.java
+++ b/test/sim/src/test/java/craneway/sim/SingleStoreClients.java
@@ -12,7 +12,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** An operator and runners who talk to one store alone, in trouble or not, while another operator works at the others. */
+/**
+ * An operator and runners that use one store only, whether it is impaired or not, while a {@link ContinuousOperator} uses the
+ * others. Checks that responses are in time and that what this store confirmed is kept; errors go to {@link #violations}.
+ */
 final class SingleStoreClients {
     private static final long CALL_INTERVAL_MICROS = 200_000;
     private static final long MAX_RESPONSE_MICROS = 1_000_000;
@@ -36,11 +39,11 @@
     private long lastConfirmedAt = -1;
     private long slowestResponseMicros;
 
-    SingleStoreClients(Cluster cluster, Cluster.Member member, ContinuousOperator others, String text) {
+    SingleStoreClients(Cluster cluster, Cluster.Member target, ContinuousOperator otherOperator, String manifestText) {
         this.cluster = cluster;
-        this.target = member;
-        this.otherOperator = others;
-        this.manifestText = text;
+        this.target = target;
+        this.otherOperator = otherOperator;
+        this.manifestText = manifestText;
         cluster.sim.after(CALL_INTERVAL_MICROS, this::sendCalls);
     }
 
@@ -48,9 +51,9 @@
         stopped = true;
     }
 
-    /** Answers may come late from now on, since the process itself runs late. */
-    void allowSlowResponses(boolean is) {
-        allowSlowResponses = is;
+    /** Sets whether responses may be slow, because the process itself is slowed down or paused. */
+    void allowSlowResponses(boolean allow) {
+        allowSlowResponses = allow;
     }
 
     int confirmedCommands() {
@@ -65,7 +68,7 @@
         return slowestResponseMicros;
     }
 
-    /** When an order that was sent after that time was confirmed here first; -1 for not yet. */
+    /** When this store last confirmed a command; -1 if it has confirmed none yet. */
     long lastConfirmedAt() {
         return lastConfirmedAt;
     }
@@ -78,80 +81,87 @@
     }
 
     private void sendCall(long number) {
-        var passing = new PlatformCommands(target.store.coreClient());
+        var commands = new PlatformCommands(target.store.coreClient());
         var mark = "t" + number;
         switch ((int) (number % 5)) {
             case 0, 1 ->
-                passing.markZone(mark, true, cluster.sim.now(), responseHandler("order", ok -> {
+                commands.markZone(mark, true, cluster.sim.now(), responseHandler("command", ok -> {
                     confirmedMarks.add(mark);
                     confirmedCommands++;
                     lastConfirmedAt = cluster.sim.now();
                 }));
             case 2 -> sendReads();
-            case 3 -> repeatAcknowledgedCommand(passing);
-            default -> sendHeartbeat(passing, "r" + number / 10, number % 10 == 9);
+            case 3 -> repeatAcknowledgedCommand(commands);
+            default -> sendHeartbeat(commands, "r" + number / 10, number % 10 == 9);
         }
     }
 
     private void sendReads() {
         otherOperator.readManifest(target);
-        var asked = cluster.sim.now();
-        new PlatformCommands(target.store.coreClient()).readManifest(r -> checkResponseTime("read", asked));
-    }
-
-    /** The order that was acknowledged last, once more: it is acknowledged again or left without a clear answer. */
-    private void repeatAcknowledgedCommand(PlatformCommands passing) {
-        var v = otherOperator.acknowledgedVersion();
-        if (v > 0)
-            passing.putManifest(
-                    v - 1, v, manifestText, otherOperator.sourceOf(v), cluster.sim.now(), responseHandler("order sent again", ok -> {}));
-    }
-
-    private void sendHeartbeat(PlatformCommands passing, String runner, boolean last) {
-        var c = new RunnerPut();
-        c.service = SERVICE;
-        c.runner = runner;
-        c.address = "10.0.0.1:1";
-        c.cell = CELL;
-        c.slots = 4;
-        c.incarnation = 1;
-        c.sequence = last ? 2 : 1;
-        c.state = last ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        passing.reportRunnerHeartbeat(c, cluster.sim.now(), responseHandler("beat", ok -> {
+        var sentAt = cluster.sim.now();
+        new PlatformCommands(target.store.coreClient()).readManifest(result -> checkResponseTime("read", sentAt));
+    }
+
+    /** Repeats the last acknowledged configuration, which must be acknowledged again or get a transient error. */
+    private void repeatAcknowledgedCommand(PlatformCommands commands) {
+        var version = otherOperator.acknowledgedVersion();
+        if (version > 0)
+            commands.putManifest(
+                    version - 1,
+                    version,
+                    manifestText,
+                    otherOperator.sourceOf(version),
+                    cluster.sim.now(),
+                    responseHandler("repeated command", ok -> {}));
+    }
+
+    private void sendHeartbeat(PlatformCommands commands, String runner, boolean leaves) {
+        var put = new RunnerPut();
+        put.service = SERVICE;
+        put.runner = runner;
+        put.address = "10.0.0.1:1";
+        put.cell = CELL;
+        put.slots = 4;
+        put.incarnation = 1;
+        put.sequence = leaves ? 2 : 1;
+        put.state = leaves ? Rows.Runner.LEAVING : Rows.Runner.UP;
+        commands.reportRunnerHeartbeat(put, cluster.sim.now(), responseHandler("heartbeat", ok -> {
             confirmedHeartbeats++;
-            if (last) confirmedLeaves.add(runner);
+            if (leaves) confirmedLeaves.add(runner);
         }));
     }
 
-    private <T> Consumer<Either<Problem, T>> responseHandler(String what, Consumer<T> taken) {
-        var asked = cluster.sim.now();
-        return r -> {
-            checkResponseTime(what, asked);
-            var status = r.isRight() ? 200 : r.getLeft().kind().status();
-            if (status >= 400 && status < 500) recordViolation(what + " refused: " + r.getLeft());
-            if (r.isLeft()) return;
-            if (what.contains("order") && asked >= partitionedSince && cluster.sim.now() < partitionedUntil)
-                recordViolation(what + " confirmed while cut off");
-            taken.accept(r.get());
+    private <T> Consumer<Either<Problem, T>> responseHandler(String description, Consumer<T> onSuccess) {
+        var sentAt = cluster.sim.now();
+        return result -> {
+            checkResponseTime(description, sentAt);
+            var status = result.isRight() ? 200 : result.getLeft().kind().status();
+            if (status >= 400 && status < 500) recordViolation(description + " refused: " + result.getLeft());
+            if (result.isLeft()) return;
+            if (description.contains("command") && sentAt >= partitionedSince && cluster.sim.now() < partitionedUntil)
+                recordViolation(description + " confirmed while partitioned");
+            onSuccess.accept(result.get());
         };
     }
 
-    /** Both ways cut until then: nothing that is sent to it meanwhile may be confirmed. */
-    void expectNoConfirmationsUntil(long when) {
+    /** Declares that the store is partitioned from now until this time: no command sent to it meanwhile may be confirmed. */
+    void expectNoConfirmationsUntil(long endsAt) {
         partitionedSince = cluster.sim.now();
-        partitionedUntil = when;
+        partitionedUntil = endsAt;
     }
 
-    private void checkResponseTime(String what, long asked) {
-        var took = cluster.sim.now() - asked;
-        slowestResponseMicros = Math.max(slowestResponseMicros, took);
-        if (!allowSlowResponses && took > MAX_RESPONSE_MICROS) recordViolation(what + " answered after " + took / 1e6 + " s");
+    private void checkResponseTime(String description, long sentAt) {
+        var responseMicros = cluster.sim.now() - sentAt;
+        slowestResponseMicros = Math.max(slowestResponseMicros, responseMicros);
+        if (!allowSlowResponses && responseMicros > MAX_RESPONSE_MICROS)
+            recordViolation(description + " answered after " + responseMicros / 1e6 + " s");
     }
 
-    /** What was confirmed here stands at the leader. */
+    /** Checks that the leaders have all marks and runner leaves that this store confirmed. */
     void checkConfirmedState() {
         var rows = cluster.leaderOf(0).store.replicas()[0].records().rows().manifest;
-        for (var m : confirmedMarks) if (!rows.marks.containsKey("zone:" + m)) recordViolation("confirmed order is lost: " + m);
+        for (var mark : confirmedMarks)
+            if (!rows.marks.containsKey("zone:" + mark)) recordViolation("a confirmed mark is lost: " + mark);
         var part = Parts.partOf(SERVICE);
         var runners = cluster.leaderOf(part)
                 .store
@@ -161,13 +171,14 @@
                 .services
                 .get(SERVICE)
                 .runners;
-        for (var r : confirmedLeaves) {
-            var row = runners.get(r);
-            if (row != null && row.state != Rows.Runner.LEAVING) recordViolation("a leave that was acknowledged is lost: " + r);
+        for (var runner : confirmedLeaves) {
+            var row = runners.get(runner);
+            if (row != null && row.state != Rows.Runner.LEAVING)
+                recordViolation("a confirmed leave of a runner is lost: " + runner);
         }
     }
 
-    private void recordViolation(String what) {
-        violations.add(cluster.sim.now() / 1_000 + " " + target.name + ": " + what);
+    private void recordViolation(String description) {
+        violations.add(cluster.sim.now() / 1_000 + " " + target.name + ": " + description);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -20,19 +20,24 @@
 import java.util.function.Predicate;
 
 /**
- * Groups of one part on simulated long paths. As on the wire, a small message is a datagram, and large ones go one after the other
- * over a connection each, whose window of 64 KB bounds its bytes a second. An outage ends the connections that are open then.
+ * The replicas of one group on a simulated network with long paths. As in production, a small message is a datagram, and large
+ * messages go one after the other over a new connection each, whose throughput is limited by its 64 KB window. An outage ends all
+ * connections that are open at that time. Not safe for several threads.
  */
 final class SlowNetwork {
     static final long ONE_WAY_DELAY_MICROS = 35_000;
     static final long MICROS_PER_SECOND = 1_000_000;
     private static final long TICK_MICROS = 10_000;
+    /** One round trip to open a connection. */
     private static final long CONNECT_MICROS = 2 * ONE_WAY_DELAY_MICROS;
+    /** Messages from this size on are sent over a connection, smaller ones as a datagram. */
     private static final int CONNECTION_MIN_BYTES = 1_200;
+
     private static final int WINDOW_BYTES = 64 << 10;
+    /** A window per round trip. */
     static final double BYTES_PER_MICRO = WINDOW_BYTES / (2.0 * ONE_WAY_DELAY_MICROS);
 
-    /** Keeps every command, so that its snapshot is as large as all of them. */
+    /** Appends every command to its state, so that a snapshot is as large as all commands together. */
     static final class AppendingStateMachine implements StateMachine {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int applied;
@@ -55,13 +60,14 @@
         }
     }
 
+    /** One replica of the group; it keeps its disk when it stops. */
     final class Peer implements GroupListener {
         final long id;
         final Disk disk;
         AppendingStateMachine stateMachine = new AppendingStateMachine();
         Group group;
         boolean running;
-        /** Whether it neither knows nor tells what came with snapshot pieces. */
+        /** Whether it runs a release without snapshot pieces, which ignores their messages and does not announce support. */
         boolean earlierVersion;
 
         final List<String> eventLog = new ArrayList<>();
@@ -83,23 +89,25 @@
         }
 
         @Override
-        public void send(PartMessage m) {
-            if (running) transmit(m);
+        public void send(PartMessage message) {
+            if (running) transmit(message);
         }
 
         @Override
         public void onApplied(long index, long term, Object result) {}
 
         @Override
-        public void onLeadershipChanged(boolean owns, long term) {}
+        public void onLeadershipChanged(boolean isLeader, long term) {}
 
         @Override
-        public void logEvent(Event e, String detail) {
-            eventLog.add(e + " " + detail);
+        public void logEvent(Event event, String detail) {
+            eventLog.add(event + " " + detail);
         }
 
-        long countEvents(Event e) {
-            return eventLog.stream().filter(n -> n.startsWith(e + " ")).count();
+        long countEvents(Event event) {
+            return eventLog.stream()
+                    .filter(line -> line.startsWith(event + " "))
+                    .count();
         }
     }
 
@@ -108,13 +116,18 @@
     final Members members;
     final Map<Long, Peer> peers = new TreeMap<>();
     private final Map<String, Long> pathBusyUntil = new HashMap<>();
-    /** Every so many microseconds all open connections end; 0: never. */
+    /** The time between outages, which end all open connections; 0 for no outages. */
     long outageIntervalMicros;
 
+    /** The share of messages that is lost, 0 to 1. */
     double lossRate;
+
+    /** The share of messages that is delivered twice, 0 to 1. */
     double duplicationRate;
+
     long maxExtraDelayMicros;
     Predicate<PartMessage> dropFilter = m -> false;
+    /** The bytes sent over connections so far. */
     long connectionBytes;
 
     SlowNetwork(long seed, int voters) {
@@ -131,64 +144,69 @@
     }
 
     Peer start(long id) {
-        var p = peers.computeIfAbsent(id, k -> new Peer(k, new Disk()));
-        p.start();
-        return p;
+        var peer = peers.computeIfAbsent(id, k -> new Peer(k, new Disk()));
+        peer.start();
+        return peer;
     }
 
     private void tick() {
-        for (var p : peers.values()) {
-            if (!p.running) continue;
-            p.group.tick(sim.now());
-            p.group.syncAndSend(sim.now());
+        for (var peer : peers.values()) {
+            if (!peer.running) continue;
+            peer.group.tick(sim.now());
+            peer.group.syncAndSend(sim.now());
         }
         sim.after(TICK_MICROS, this::tick);
     }
 
-    private void transmit(PartMessage m) {
-        var to = peers.get(m.to);
-        if (to == null || !to.running || dropFilter.test(m) || random.nextDouble() < lossRate) return;
-        if (peers.get(m.from).earlierVersion) m.supportsSnapshotPieces = false;
-        if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) to.eventLog.add("unknown kind " + m.kind);
-        if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) return;
-        var b = Codec.encode(m);
-        scheduleDelivery(m.from, m.to, b);
-        if (random.nextDouble() < duplicationRate) scheduleDelivery(m.from, m.to, b);
+    private void transmit(PartMessage message) {
+        var receiver = peers.get(message.to);
+        if (receiver == null || !receiver.running || dropFilter.test(message) || random.nextDouble() < lossRate) return;
+        if (peers.get(message.from).earlierVersion) message.supportsSnapshotPieces = false;
+        if (receiver.earlierVersion && message.kind > PartMessage.TIMEOUT_NOW)
+            receiver.eventLog.add("unknown kind " + message.kind);
+        if (receiver.earlierVersion && message.kind > PartMessage.TIMEOUT_NOW) return;
+        var encoded = Codec.encode(message);
+        scheduleDelivery(message.from, message.to, encoded);
+        if (random.nextDouble() < duplicationRate) scheduleDelivery(message.from, message.to, encoded);
     }
 
-    private void scheduleDelivery(long from, long to, byte[] b) {
-        var extra = maxExtraDelayMicros > 0 ? (long) (random.nextDouble() * maxExtraDelayMicros) : 0;
-        if (b.length < CONNECTION_MIN_BYTES) {
-            sim.after(ONE_WAY_DELAY_MICROS + extra, () -> deliver(to, b));
+    private void scheduleDelivery(long from, long to, byte[] encoded) {
+        var extraDelay = maxExtraDelayMicros > 0 ? (long) (random.nextDouble() * maxExtraDelayMicros) : 0;
+        if (encoded.length < CONNECTION_MIN_BYTES) {
+            sim.after(ONE_WAY_DELAY_MICROS + extraDelay, () -> deliver(to, encoded));
             return;
         }
-        connectionBytes += b.length;
-        var lane = from + ">" + to;
-        var begins = Math.max(sim.now(), pathBusyUntil.getOrDefault(lane, 0L));
-        var ends = begins + CONNECT_MICROS + (long) (b.length / BYTES_PER_MICRO);
-        var cutAt = outageIntervalMicros == 0 ? Long.MAX_VALUE : (begins / outageIntervalMicros + 1) * outageIntervalMicros;
-        pathBusyUntil.put(lane, Math.min(ends, cutAt));
-        if (ends < cutAt) sim.at(ends + ONE_WAY_DELAY_MICROS + extra, () -> deliver(to, b));
+        connectionBytes += encoded.length;
+        var path = from + ">" + to;
+        var startsAt = Math.max(sim.now(), pathBusyUntil.getOrDefault(path, 0L));
+        var endsAt = startsAt + CONNECT_MICROS + (long) (encoded.length / BYTES_PER_MICRO);
+        var outageAt = outageIntervalMicros == 0
+                ? Long.MAX_VALUE
+                : (startsAt / outageIntervalMicros + 1) * outageIntervalMicros;
+        pathBusyUntil.put(path, Math.min(endsAt, outageAt));
+        if (endsAt < outageAt) sim.at(endsAt + ONE_WAY_DELAY_MICROS + extraDelay, () -> deliver(to, encoded));
     }
 
-    private void deliver(long to, byte[] b) {
-        var p = peers.get(to);
-        if (p == null || !p.running) return;
-        p.group.receive(Codec.decode(PartMessage.class, b), sim.now());
-        p.group.syncAndSend(sim.now());
+    private void deliver(long to, byte[] encoded) {
+        var peer = peers.get(to);
+        if (peer == null || !peer.running) return;
+        peer.group.receive(Codec.decode(PartMessage.class, encoded), sim.now());
+        peer.group.syncAndSend(sim.now());
     }
 
     void runFor(double seconds) {
         sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
-    /** Seconds until it holds, or the most. */
-    double runUntil(BooleanSupplier holds, double most) {
-        var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * MICROS_PER_SECOND) sim.runUntil(sim.now() + TICK_MICROS);
-        return (sim.now() - from) / (double) MICROS_PER_SECOND;
+    /** Runs until the condition holds, at most {@code maxSeconds}; returns the simulated seconds that passed. */
+    double runUntil(BooleanSupplier condition, double maxSeconds) {
+        var startedAt = sim.now();
+        while (!condition.getAsBoolean() && sim.now() - startedAt < maxSeconds * MICROS_PER_SECOND)
+            sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - startedAt) / (double) MICROS_PER_SECOND;
     }
 
+    /** The running leader that can accept commands, or null. */
     Peer leader() {
         return peers.values().stream()
                 .filter(p -> p.running && p.group.role() == Role.LEADER && p.group.isReadyLeader())
@@ -196,21 +214,21 @@
                 .orElse(null);
     }
 
-    /** Proposes commands of incompressible bytes, each once the last is applied. */
-    void proposeRandomCommands(int commands, int bytes) {
-        for (var i = 0; i < commands; i++) {
-            var b = new byte[bytes];
-            random.nextBytes(b);
+    /** Proposes commands of random bytes, each after the previous one was applied at the leader. */
+    void proposeRandomCommands(int commandCount, int commandBytes) {
+        for (var i = 0; i < commandCount; i++) {
+            var command = new byte[commandBytes];
+            random.nextBytes(command);
             runUntil(() -> leader() != null, 30);
             var leader = leader();
-            var at = leader.group.propose(b, sim.now());
+            var index = leader.group.propose(command, sim.now());
             leader.group.syncAndSend(sim.now());
-            runUntil(() -> leader.group.appliedIndex() >= at, 60);
+            runUntil(() -> leader.group.appliedIndex() >= index, 60);
         }
     }
 
-    boolean isCaughtUp(Peer p) {
+    boolean isCaughtUp(Peer peer) {
         var leader = leader();
-        return leader != null && p.group.appliedIndex() == leader.group.lastIndex();
+        return leader != null && peer.group.appliedIndex() == leader.group.lastIndex();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -12,190 +12,201 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A follower that needs a snapshot gets it over a path of 64 KB windows at 35 ms a way, whatever that path loses. */
+/**
+ * The transfer of a large snapshot to a follower over a path with a 64 KB window and a one-way delay of 35 ms: it must complete
+ * and not start over in spite of outages, lost or repeated messages, restarts, leader changes and older releases.
+ */
 class SnapshotTransferTest {
     private static final int COMMANDS = 60;
     private static final int COMMAND_BYTES = 100_000;
     private static final long SNAPSHOT_BYTES = 4_100_000;
     private static final long TOTAL_BYTES = COMMANDS * COMMAND_BYTES;
 
-    /** Three voters of which the third comes, with nothing, once the others hold a snapshot of some 4 MB and its log is gone. */
+    /**
+     * A group of three voters of which two run and have replaced their log by a snapshot of about 4 MB; the third has no data and
+     * isn't started yet.
+     */
     private static SlowNetwork groupWithSnapshot(long seed) {
-        var paths = new SlowNetwork(seed, 3);
-        paths.start(1);
-        paths.start(2);
-        paths.proposeRandomCommands(COMMANDS, COMMAND_BYTES);
-        assertTrue(paths.leader().countEvents(Event.SNAPSHOT_TAKEN) > 0);
-        paths.connectionBytes = 0;
-        return paths;
+        var network = new SlowNetwork(seed, 3);
+        network.start(1);
+        network.start(2);
+        network.proposeRandomCommands(COMMANDS, COMMAND_BYTES);
+        assertTrue(network.leader().countEvents(Event.SNAPSHOT_TAKEN) > 0);
+        network.connectionBytes = 0;
+        return network;
     }
 
-    private static double assertCatchesUp(SlowNetwork paths, SlowNetwork.Peer p, double most) {
-        var took = paths.runUntil(() -> paths.isCaughtUp(p), most);
-        assertTrue(took < most, () -> "not caught up after " + took + " s: " + p.eventLog);
-        assertArrayEquals(paths.leader().stateMachine.encodeSnapshot(), p.stateMachine.encodeSnapshot());
-        return took;
+    private static double assertCatchesUp(SlowNetwork network, SlowNetwork.Peer peer, double maxSeconds) {
+        var seconds = network.runUntil(() -> network.isCaughtUp(peer), maxSeconds);
+        assertTrue(seconds < maxSeconds, () -> "not caught up after " + seconds + " s: " + peer.eventLog);
+        assertArrayEquals(network.leader().stateMachine.encodeSnapshot(), peer.stateMachine.encodeSnapshot());
+        return seconds;
     }
 
     @Test
-    void aLargeSnapshotArrivesOverASlowPath() {
-        var paths = groupWithSnapshot(1);
-        assertCatchesUp(paths, paths.start(3), 40);
-        assertTrue(paths.connectionBytes < 1.1 * TOTAL_BYTES, () -> paths.connectionBytes + " bytes were sent");
+    void aLargeSnapshotIsTransferredOverASlowPath() {
+        var network = groupWithSnapshot(1);
+        assertCatchesUp(network, network.start(3), 40);
+        assertTrue(network.connectionBytes < 1.1 * TOTAL_BYTES, () -> network.connectionBytes + " bytes were sent");
     }
 
     @Test
-    void aLargeSnapshotArrivesThoughConnectionsEndEveryThreeSeconds() {
-        var paths = groupWithSnapshot(2);
-        paths.outageIntervalMicros = 3 * SlowNetwork.MICROS_PER_SECOND;
-        assertCatchesUp(paths, paths.start(3), 60);
-        assertTrue(paths.connectionBytes < 1.5 * TOTAL_BYTES, () -> paths.connectionBytes + " bytes were sent");
+    void aLargeSnapshotIsTransferredThoughConnectionsEndEveryThreeSeconds() {
+        var network = groupWithSnapshot(2);
+        network.outageIntervalMicros = 3 * SlowNetwork.MICROS_PER_SECOND;
+        assertCatchesUp(network, network.start(3), 60);
+        assertTrue(network.connectionBytes < 1.5 * TOTAL_BYTES, () -> network.connectionBytes + " bytes were sent");
     }
 
     @Test
-    void aLargeSnapshotArrivesThoughMessagesAreLostDoubledAndOvertaken() {
+    void aLargeSnapshotIsTransferredThoughMessagesAreLostDuplicatedAndReordered() {
         for (var seed = 0; seed < 20; seed++) {
-            var paths = groupWithSnapshot(seed);
-            paths.lossRate = 0.05;
-            paths.duplicationRate = 0.1;
-            paths.maxExtraDelayMicros = 200_000;
-            assertCatchesUp(paths, paths.start(3), 120);
+            var network = groupWithSnapshot(seed);
+            network.lossRate = 0.05;
+            network.duplicationRate = 0.1;
+            network.maxExtraDelayMicros = 200_000;
+            assertCatchesUp(network, network.start(3), 120);
         }
     }
 
     @Test
-    void aTransferGoesOnWhereItWasWhenTheLeaderChanges() {
+    void aTransferIsResumedByTheNextLeader() {
         for (var seed = 0; seed < 10; seed++) {
-            var paths = groupWithSnapshot(seed);
-            var third = paths.start(3);
-            paths.runUntil(() -> paths.connectionBytes > SNAPSHOT_BYTES / 2, 30);
-            var old = paths.leader();
-            old.stop();
-            paths.runUntil(() -> paths.leader() != null, 30);
-            paths.connectionBytes = 0;
-            assertCatchesUp(paths, third, 60);
-            assertTrue(paths.connectionBytes < TOTAL_BYTES - SNAPSHOT_BYTES / 3, () -> paths.connectionBytes + " bytes were sent anew");
+            var network = groupWithSnapshot(seed);
+            var third = network.start(3);
+            network.runUntil(() -> network.connectionBytes > SNAPSHOT_BYTES / 2, 30);
+            var oldLeader = network.leader();
+            oldLeader.stop();
+            network.runUntil(() -> network.leader() != null, 30);
+            network.connectionBytes = 0;
+            assertCatchesUp(network, third, 60);
+            assertTrue(
+                    network.connectionBytes < TOTAL_BYTES - SNAPSHOT_BYTES / 3,
+                    () -> network.connectionBytes + " bytes were sent after the leader change");
         }
     }
 
     @Test
-    void aTransferEndsThoughTheReceiverStartsAgainInItsMiddle() {
-        var paths = groupWithSnapshot(3);
-        var third = paths.start(3);
-        paths.runUntil(() -> paths.connectionBytes > SNAPSHOT_BYTES / 2, 30);
+    void aTransferCompletesThoughTheReceiverRestarts() {
+        var network = groupWithSnapshot(3);
+        var third = network.start(3);
+        network.runUntil(() -> network.connectionBytes > SNAPSHOT_BYTES / 2, 30);
         third.stop();
-        paths.runFor(0.3);
-        paths.start(3);
-        assertCatchesUp(paths, third, 60);
+        network.runFor(0.3);
+        network.start(3);
+        assertCatchesUp(network, third, 60);
     }
 
     @Test
-    void aTransferGoesOnAsSoonAsAReceiverThatWasAwayIsBack() {
+    void aTransferIsResumedAtOnceWhenTheReceiverReturns() {
         for (var seed = 0; seed < 5; seed++) {
-            var paths = groupWithSnapshot(seed);
-            var third = paths.start(3);
-            paths.runUntil(() -> paths.connectionBytes > SNAPSHOT_BYTES / 2, 30);
+            var network = groupWithSnapshot(seed);
+            var third = network.start(3);
+            network.runUntil(() -> network.connectionBytes > SNAPSHOT_BYTES / 2, 30);
             third.stop();
-            paths.runFor(30 + seed * 1.3);
-            paths.connectionBytes = 0;
-            paths.start(3);
-            paths.runFor(0.6);
-            assertTrue(paths.connectionBytes > 0, "nothing was sent yet");
-            assertCatchesUp(paths, third, 20);
+            network.runFor(30 + seed * 1.3);
+            network.connectionBytes = 0;
+            network.start(3);
+            network.runFor(0.6);
+            assertTrue(network.connectionBytes > 0, "the transfer was not resumed");
+            assertCatchesUp(network, third, 20);
         }
     }
 
     @Test
-    void aReceiverOfAnEarlierVersionGetsTheSnapshotWhole() {
-        var paths = groupWithSnapshot(4);
-        paths.peers.put(3L, paths.new Peer(3, new Disk()));
-        paths.peers.get(3L).earlierVersion = true;
-        var third = paths.start(3);
-        assertCatchesUp(paths, third, 60);
+    void aReceiverOfAnEarlierVersionGetsTheSnapshotInOneMessage() {
+        var network = groupWithSnapshot(4);
+        network.peers.put(3L, network.new Peer(3, new Disk()));
+        network.peers.get(3L).earlierVersion = true;
+        var third = network.start(3);
+        assertCatchesUp(network, third, 60);
         assertFalse(third.eventLog.stream().anyMatch(n -> n.startsWith("unknown kind")), third.eventLog::toString);
     }
 
     @Test
-    void aReceiverThatGoesBackToAnEarlierVersionInTheMiddleGetsTheSnapshotWhole() {
-        var paths = groupWithSnapshot(5);
-        var third = paths.start(3);
-        paths.runUntil(() -> paths.connectionBytes > SNAPSHOT_BYTES / 2, 30);
+    void aReceiverThatIsDowngradedDuringTheTransferGetsTheSnapshotInOneMessage() {
+        var network = groupWithSnapshot(5);
+        var third = network.start(3);
+        network.runUntil(() -> network.connectionBytes > SNAPSHOT_BYTES / 2, 30);
         third.stop();
-        paths.runFor(0.3);
+        network.runFor(0.3);
         third.earlierVersion = true;
-        paths.start(3);
-        assertCatchesUp(paths, third, 60);
+        network.start(3);
+        assertCatchesUp(network, third, 60);
     }
 
     @Test
-    void aFollowerCountsAsCaughtUpOnlyOnceRoundsAreShort() {
-        var paths = groupWithSnapshot(6);
-        var third = paths.start(3);
-        var early = new ArrayList<Long>();
-        paths.runUntil(
+    void aFollowerCountsAsCaughtUpOnlyOnceCatchUpRoundsAreShort() {
+        var network = groupWithSnapshot(6);
+        var third = network.start(3);
+        var tooEarly = new ArrayList<Long>();
+        network.runUntil(
                 () -> {
-                    var leader = paths.leader();
-                    var lacks = leader.group.lastIndex() - leader.group.matchIndexOf(3);
-                    if (leader.group.isCaughtUp(3, paths.sim.now()) && lacks > 5) early.add(lacks);
-                    return paths.isCaughtUp(third);
+                    var leader = network.leader();
+                    var missingEntries = leader.group.lastIndex() - leader.group.matchIndexOf(3);
+                    if (leader.group.isCaughtUp(3, network.sim.now()) && missingEntries > 5)
+                        tooEarly.add(missingEntries);
+                    return network.isCaughtUp(third);
                 },
                 40);
-        assertEquals(List.of(), early);
-        assertTrue(paths.runUntil(() -> paths.leader().group.isCaughtUp(3, paths.sim.now()), 2) < 1.5);
+        assertEquals(List.of(), tooEarly);
+        assertTrue(network.runUntil(() -> network.leader().group.isCaughtUp(3, network.sim.now()), 2) < 1.5);
     }
 
-    private static PartMessage snapshotPiece(SlowNetwork paths, long term, long offset, int fill) {
-        var m = new PartMessage();
-        m.kind = PartMessage.SNAPSHOT_PIECE;
-        m.from = paths.leader().id;
-        m.to = 3;
-        m.term = term;
-        m.snapshotPiece = new SnapshotPiece();
-        m.snapshotPiece.index = 40;
-        m.snapshotPiece.term = 1;
-        m.snapshotPiece.totalBytes = 2_000;
-        m.snapshotPiece.checksum = 77;
-        m.snapshotPiece.offset = offset;
-        m.snapshotPiece.bytes = new byte[1_000];
-        m.snapshotPiece.bytes[0] = (byte) fill;
-        return m;
+    private static PartMessage snapshotPiece(SlowNetwork network, long term, long offset, int firstByte) {
+        var message = new PartMessage();
+        message.kind = PartMessage.SNAPSHOT_PIECE;
+        message.from = network.leader().id;
+        message.to = 3;
+        message.term = term;
+        message.snapshotPiece = new SnapshotPiece();
+        message.snapshotPiece.index = 40;
+        message.snapshotPiece.term = 1;
+        message.snapshotPiece.totalBytes = 2_000;
+        message.snapshotPiece.checksum = 77;
+        message.snapshotPiece.offset = offset;
+        message.snapshotPiece.bytes = new byte[1_000];
+        message.snapshotPiece.bytes[0] = (byte) firstByte;
+        return message;
     }
 
-    private static void assertRejected(SlowNetwork paths, SlowNetwork.Peer p, PartMessage m) {
-        var before = p.countEvents(Event.SNAPSHOT_REJECTED);
-        p.group.receive(m, paths.sim.now());
-        p.group.syncAndSend(paths.sim.now());
-        assertEquals(before + 1, p.countEvents(Event.SNAPSHOT_REJECTED), p.eventLog::toString);
-        assertEquals(0, p.group.appliedIndex());
-        assertEquals(0, p.group.lastIndex());
+    private static void assertRejected(SlowNetwork network, SlowNetwork.Peer peer, PartMessage message) {
+        var rejectionsBefore = peer.countEvents(Event.SNAPSHOT_REJECTED);
+        peer.group.receive(message, network.sim.now());
+        peer.group.syncAndSend(network.sim.now());
+        assertEquals(rejectionsBefore + 1, peer.countEvents(Event.SNAPSHOT_REJECTED), peer.eventLog::toString);
+        assertEquals(0, peer.group.appliedIndex());
+        assertEquals(0, peer.group.lastIndex());
     }
 
     @Test
-    void aPieceOutOfPlaceOfAPastTermOrOfADamagedWholeIsRefusedWithoutEffect() {
-        var paths = groupWithSnapshot(7);
-        paths.dropFilter = m -> m.to == 3 && m.kind != PartMessage.SNAPSHOT_PIECE_REPLY && m.kind != PartMessage.APPEND_REPLY;
-        var third = paths.start(3);
-        var term = paths.leader().group.term();
-        assertRejected(paths, third, snapshotPiece(paths, term, 1_000, 1));
-        var none = snapshotPiece(paths, term, 0, 1);
-        none.snapshotPiece = null;
-        assertRejected(paths, third, none);
-        var empty = snapshotPiece(paths, term, 0, 1);
-        empty.snapshotPiece.bytes = null;
-        assertRejected(paths, third, empty);
-        var beyond = snapshotPiece(paths, term, 1_500, 1);
-        assertRejected(paths, third, beyond);
-        third.group.receive(snapshotPiece(paths, term, 0, 1), paths.sim.now());
+    void invalidPiecesAreRejectedWithoutEffect() {
+        var network = groupWithSnapshot(7);
+        network.dropFilter = message -> message.to == 3
+                && message.kind != PartMessage.SNAPSHOT_PIECE_REPLY
+                && message.kind != PartMessage.APPEND_REPLY;
+        var third = network.start(3);
+        var term = network.leader().group.term();
+        assertRejected(network, third, snapshotPiece(network, term, 1_000, 1));
+        var withoutPiece = snapshotPiece(network, term, 0, 1);
+        withoutPiece.snapshotPiece = null;
+        assertRejected(network, third, withoutPiece);
+        var withoutBytes = snapshotPiece(network, term, 0, 1);
+        withoutBytes.snapshotPiece.bytes = null;
+        assertRejected(network, third, withoutBytes);
+        var beyondEnd = snapshotPiece(network, term, 1_500, 1);
+        assertRejected(network, third, beyondEnd);
+        third.group.receive(snapshotPiece(network, term, 0, 1), network.sim.now());
         assertEquals(0, third.group.appliedIndex());
-        var other = snapshotPiece(paths, term, 0, 1);
-        other.snapshotPiece.checksum = 78;
-        assertRejected(paths, third, other);
-        assertRejected(paths, third, snapshotPiece(paths, term - 1, 1_000, 1));
-        assertRejected(paths, third, snapshotPiece(paths, term, 1_000, 2));
-        var whole = snapshotPiece(paths, term, 0, 1);
-        whole.kind = PartMessage.SNAPSHOT;
-        assertRejected(paths, third, whole);
-        paths.dropFilter = m -> false;
-        assertCatchesUp(paths, third, 40);
+        var otherChecksum = snapshotPiece(network, term, 0, 1);
+        otherChecksum.snapshotPiece.checksum = 78;
+        assertRejected(network, third, otherChecksum);
+        assertRejected(network, third, snapshotPiece(network, term - 1, 1_000, 1));
+        assertRejected(network, third, snapshotPiece(network, term, 1_000, 2));
+        var wholeSnapshot = snapshotPiece(network, term, 0, 1);
+        wholeSnapshot.kind = PartMessage.SNAPSHOT;
+        assertRejected(network, third, wholeSnapshot);
+        network.dropFilter = message -> false;
+        assertCatchesUp(network, third, 40);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
+++ b/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Three stores on the simulated clock whose zone orders are given by two operators, neither at the leader of the part. */
+/** A simulated cluster of three stores; two operators send zone marks to the two stores that do not lead the manifest part. */
 abstract class ThreeStoreTestBase {
     static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
 
@@ -36,13 +36,14 @@
         second = others.get(1);
     }
 
-    /** Hands the leadership over until this store has it; the two others then take the operators' orders. */
+    /** Transfers the leadership until this store has it; the operators then use the two other stores. */
     void makeLeader(Cluster.Member wanted) {
         for (var i = 0; i < 10 && cluster.leaderOf(Parts.MANIFEST_PART) != wanted; i++) {
             cluster.replicaOf(cluster.leaderOf(Parts.MANIFEST_PART).name, Parts.MANIFEST_PART)
                     .group()
                     .transferLeadership(
-                            wanted.storeId(), cluster.leaderOf(Parts.MANIFEST_PART).now());
+                            wanted.storeId(),
+                            cluster.leaderOf(Parts.MANIFEST_PART).now());
             cluster.runFor(1);
             cluster.runUntil(cluster::allPartsHaveLeaders, 5);
         }
@@ -57,7 +58,7 @@
         return String.join("\n", cluster.eventLog);
     }
 
-    /** The answers of one order, as they come. */
+    /** The result of one command; null until it arrives. */
     static final class CommandOutcome {
         Either<Problem, Void> result;
 
@@ -70,25 +71,26 @@
         }
     }
 
-    static CommandOutcome markZone(Cluster.Member at, boolean emptied) {
-        var a = new CommandOutcome();
-        new PlatformCommands(at.store.coreClient()).markZone("z1", emptied, at.now(), r -> {
-            assertEquals(null, a.result, "one order has one answer");
-            a.result = r;
+    static CommandOutcome markZone(Cluster.Member store, boolean emptied) {
+        var outcome = new CommandOutcome();
+        new PlatformCommands(store.store.coreClient()).markZone("z1", emptied, store.now(), answer -> {
+            assertEquals(null, outcome.result, "a command got a second result");
+            outcome.result = answer;
         });
-        return a;
+        return outcome;
     }
 
-    void assertMarkAcknowledged(Cluster.Member at, boolean emptied) {
-        var a = markZone(at, emptied);
-        cluster.runUntil(a::hasArrived, 3);
-        assertTrue(a.isAcknowledged(), this::eventLog);
+    void assertMarkAcknowledged(Cluster.Member store, boolean emptied) {
+        var outcome = markZone(store, emptied);
+        cluster.runUntil(outcome::hasArrived, 3);
+        assertTrue(outcome.isAcknowledged(), this::eventLog);
     }
 
     boolean isZoneEmptied() {
-        var o = cluster.leaderOf(Parts.MANIFEST_PART);
-        assertNotNull(o, this::eventLog);
-        return o.store
+        var currentLeader = cluster.leaderOf(Parts.MANIFEST_PART);
+        assertNotNull(currentLeader, this::eventLog);
+        return currentLeader
+                .store
                 .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
@@ -97,7 +99,7 @@
                 .containsKey("zone:z1");
     }
 
-    /** An order that both nodes have asked before, so that what follows is as in a running core. */
+    /** Sends a command from both stores, so that each has a session with the leader, as in a core that has been running. */
     void openSessions() {
         assertMarkAcknowledged(first, true);
         assertMarkAcknowledged(second, false);
@@ -107,7 +109,9 @@
         return leader.store.replicas()[Parts.MANIFEST_PART].group().term();
     }
 
-    long countEvents(Event e) {
-        return cluster.eventLog.stream().filter(n -> n.contains(" " + e + " ")).count();
+    long countEvents(Event event) {
+        return cluster.eventLog.stream()
+                .filter(n -> n.contains(" " + event + " "))
+                .count();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/TrafficMeter.java
+++ b/test/sim/src/test/java/craneway/sim/TrafficMeter.java
@@ -8,10 +8,16 @@
 import java.util.TreeMap;
 import java.util.zip.Deflater;
 
-/** Counts what members say: messages and their bytes, and the datagrams and bytes that batches of two milliseconds would make. */
+/**
+ * Counts the messages between members and their bytes, and estimates the datagrams and bytes on the wire, where messages to
+ * one receiver are batched for two milliseconds and large frames are compressed.
+ */
 final class TrafficMeter {
     private static final long BATCH_DELAY_MICROS = 2_000;
-    private static final int FRAME_HEADER_BYTES = 14, MAX_FRAME_BYTES = 1_200, MIN_COMPRESSED_BYTES = 300;
+    private static final int FRAME_HEADER_BYTES = 14;
+    private static final int MAX_FRAME_BYTES = 1_200;
+    /** Frames above this size are compressed. */
+    private static final int MIN_COMPRESSED_BYTES = 300;
 
     private final Sim sim;
     private final Map<String, List<byte[]>> openBatches = new HashMap<>();
@@ -25,45 +31,46 @@
         this.sim = sim;
     }
 
-    void recordSent(Cluster.Member from, String to, Object m, byte[] b) {
+    void recordSent(Cluster.Member from, String to, Object message, byte[] encoded) {
         if (to.equals(from.address)) return;
         messages++;
-        bytes += b.length;
-        bytesByType.merge(m.getClass().getSimpleName(), (long) b.length, Long::sum);
-        var lane = from.name + ">" + to;
-        var batch = openBatches.get(lane);
+        bytes += encoded.length;
+        bytesByType.merge(message.getClass().getSimpleName(), (long) encoded.length, Long::sum);
+        var path = from.name + ">" + to;
+        var batch = openBatches.get(path);
         if (batch == null) {
-            openBatches.put(lane, batch = new ArrayList<>());
-            sim.after(BATCH_DELAY_MICROS, () -> countBatch(openBatches.remove(lane)));
+            openBatches.put(path, batch = new ArrayList<>());
+            sim.after(BATCH_DELAY_MICROS, () -> countBatch(openBatches.remove(path)));
         }
-        batch.add(b);
+        batch.add(encoded);
     }
 
     private void countBatch(List<byte[]> batch) {
-        var whole = new ByteArrayOutputStream();
-        for (var b : batch) {
-            if (whole.size() > 0 && whole.size() + b.length + 2 > MAX_FRAME_BYTES) countFrame(whole);
-            whole.write(b.length);
-            whole.writeBytes(b);
+        var frame = new ByteArrayOutputStream();
+        for (var message : batch) {
+            if (frame.size() > 0 && frame.size() + message.length + 2 > MAX_FRAME_BYTES) countFrame(frame);
+            frame.write(message.length);
+            frame.writeBytes(message);
         }
-        countFrame(whole);
+        countFrame(frame);
     }
 
-    private void countFrame(ByteArrayOutputStream whole) {
+    private void countFrame(ByteArrayOutputStream frame) {
         frames++;
-        frameBytes += FRAME_HEADER_BYTES + (whole.size() > MIN_COMPRESSED_BYTES ? compressedLength(whole.toByteArray()) : whole.size());
-        whole.reset();
+        frameBytes += FRAME_HEADER_BYTES
+                + (frame.size() > MIN_COMPRESSED_BYTES ? compressedLength(frame.toByteArray()) : frame.size());
+        frame.reset();
     }
 
-    private static int compressedLength(byte[] b) {
-        var d = new Deflater(Deflater.BEST_SPEED, true);
-        d.setInput(b);
-        d.finish();
-        var n = 0;
-        var some = new byte[4_096];
-        while (!d.finished()) n += d.deflate(some);
-        d.end();
-        return Math.min(n, b.length);
+    private static int compressedLength(byte[] bytes) {
+        var deflater = new Deflater(Deflater.BEST_SPEED, true);
+        deflater.setInput(bytes);
+        deflater.finish();
+        var length = 0;
+        var buffer = new byte[4_096];
+        while (!deflater.finished()) length += deflater.deflate(buffer);
+        deflater.end();
+        return Math.min(length, bytes.length);
     }
 
     void reset() {
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -10,8 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One run: two events at stores, the second some time after the first, under an operator who never rests. */
+/**
+ * One run of two faults at stores, the second some time after the first, while an operator sends commands all the time. Records a
+ * violation if commands get no acknowledgement for too long, an acknowledged one is lost, or a group lacks voters at the end.
+ */
 final class TwoFaultsRun {
+    /** What happens to a store. */
     enum StoreFault {
         KILL,
         POWER,
@@ -26,16 +30,28 @@
         }
     }
 
-    /** The second event strikes the same store as the first (or the one in its place), or another one. */
-    record FaultPair(int storeCount, StoreFault firstFault, StoreFault secondFault, long gapMicros, boolean hitsLeader, boolean sameStore) {
+    /** Two faults; the second hits the same store as the first, or the store that replaced it, or another one. */
+    record FaultPair(
+            int storeCount,
+            StoreFault firstFault,
+            StoreFault secondFault,
+            long gapMicros,
+            boolean hitsLeader,
+            boolean sameStore) {
         @Override
         public String toString() {
-            return storeCount + " stores: " + firstFault + (hitsLeader ? " of the leader, " : " of a follower, ") + secondFault
-                    + (sameStore ? " of the same " : " of another ") + gapMicros / 1e6 + " s later";
+            return storeCount + " stores: " + firstFault + (hitsLeader ? " of the leader, " : " of a follower, ")
+                    + secondFault + (sameStore ? " of the same " : " of another ") + gapMicros / 1e6 + " s later";
         }
     }
 
-    record Outcome(FaultPair scenario, List<String> violations, double longestGapSeconds, boolean availabilityRequired, List<String> eventLog) {}
+    /** What was seen in a run; commands must keep being acknowledged only if availability was required. */
+    record Outcome(
+            FaultPair scenario,
+            List<String> violations,
+            double longestGapSeconds,
+            boolean availabilityRequired,
+            List<String> eventLog) {}
 
     private static final Map<String, String> REGIONS =
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
@@ -43,13 +59,13 @@
     private static final long PARTITION_MICROS = 3_000_000;
     private static final long LEADERSHIP_TRANSFER_MICROS = 2_000_000;
     private static final long SHUTDOWN_DELAY_MICROS = 500_000;
-    /** Within this time a store that permits it has taken an order again. */
+    /** How long no command may be acknowledged if the faults stay within what the core tolerates. */
     static final double MAX_UNAVAILABLE_SECONDS = 3;
 
-    /** So long after the end of a run a group may still lack a voter. */
+    /** How long after the end of a run a group may still lack a voter. */
     private static final double MAX_SETTLE_SECONDS = 8;
 
-    private final FaultPair run;
+    private final FaultPair faultPair;
     private final Cluster cluster;
     private final long resyncMicros;
     private final List<Cluster.Member> currentStores = new ArrayList<>();
@@ -57,60 +73,71 @@
     private int addedStores;
     private long lastRecoveryAt;
 
-    private TwoFaultsRun(FaultPair run) {
-        this.run = run;
-        resyncMicros = run.storeCount == 3 ? 4_000_000 : 6_000_000;
-        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(run.storeCount == 3 ? 1 : 2, REGIONS));
-        cluster.founderCount = run.storeCount;
-        for (var i = 1; i <= run.storeCount; i++) currentStores.add(cluster.addMember("s" + i, Node.STORE, "z" + i));
+    private TwoFaultsRun(FaultPair faultPair) {
+        this.faultPair = faultPair;
+        resyncMicros = faultPair.storeCount == 3 ? 4_000_000 : 6_000_000;
+        cluster = new Cluster(
+                TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(faultPair.storeCount == 3 ? 1 : 2, REGIONS));
+        cluster.founderCount = faultPair.storeCount;
+        for (var i = 1; i <= faultPair.storeCount; i++)
+            currentStores.add(cluster.addMember("s" + i, Node.STORE, "z" + i));
     }
 
-    static Outcome play(FaultPair run, String text) {
-        return new TwoFaultsRun(run).play(text);
+    static Outcome play(FaultPair faultPair, String manifestText) {
+        return new TwoFaultsRun(faultPair).play(manifestText);
     }
 
-    private Outcome play(String text) {
+    private Outcome play(String manifestText) {
         cluster.runUntil(this::isSettled, 25);
         cluster.runFor(4);
-        var operator = new ContinuousOperator(cluster, text);
+        var operator = new ContinuousOperator(cluster, manifestText);
         cluster.runFor(2);
-        var faults = operator.violations;
-        if (operator.acknowledgedCount() == 0) faults.add("no order was taken before the events");
+        var violations = operator.violations;
+        if (operator.acknowledgedCount() == 0) violations.add("no command was acknowledged before the faults");
         operator.takeLongestGapSeconds();
-        var victim = firstTarget();
-        var began = cluster.sim.now();
-        applyFault(run.firstFault, victim);
-        var place = currentStores.indexOf(victim);
-        var permitted = run.sameStore || run.storeCount > 3;
-        var gap = run.gapMicros;
-        if (!permitted && run.firstFault.losesData() && run.secondFault.losesData()) gap = minDelayBetweenDiskLosses(began) + run.gapMicros;
-        if (gap >= lastRecoveryAt - began + resyncMicros) permitted = true;
-        cluster.runFor(gap / 1e6);
-        var next = run.sameStore ? place : (place + 1) % currentStores.size();
-        cluster.runUntil(() -> !removedStores.contains(currentStores.get(next)), 3);
-        applyFault(run.secondFault, currentStores.get(next));
+        var target = firstTarget();
+        var startedAt = cluster.sim.now();
+        applyFault(faultPair.firstFault, target);
+        var targetIndex = currentStores.indexOf(target);
+        var availabilityRequired = faultPair.sameStore || faultPair.storeCount > 3;
+        var delayMicros = faultPair.gapMicros;
+        if (!availabilityRequired && faultPair.firstFault.losesData() && faultPair.secondFault.losesData())
+            delayMicros = minDelayBetweenDiskLosses(startedAt) + faultPair.gapMicros;
+        if (delayMicros >= lastRecoveryAt - startedAt + resyncMicros) availabilityRequired = true;
+        cluster.runFor(delayMicros / 1e6);
+        var nextIndex = faultPair.sameStore ? targetIndex : (targetIndex + 1) % currentStores.size();
+        cluster.runUntil(() -> !removedStores.contains(currentStores.get(nextIndex)), 3);
+        applyFault(faultPair.secondFault, currentStores.get(nextIndex));
         cluster.runFor(Math.max(0, lastRecoveryAt - cluster.sim.now()) / 1e6);
-        var during = operator.takeLongestGapSeconds();
-        if (permitted && during > MAX_UNAVAILABLE_SECONDS) faults.add("no order was taken for " + during + " s");
+        var gapDuringFaults = operator.takeLongestGapSeconds();
+        if (availabilityRequired && gapDuringFaults > MAX_UNAVAILABLE_SECONDS)
+            violations.add("no command was acknowledged for " + gapDuringFaults + " s");
         cluster.runFor(8);
-        var after = operator.takeLongestGapSeconds();
-        if (after > MAX_UNAVAILABLE_SECONDS + 1) faults.add("no order was taken for " + after + " s after the last return");
+        var gapAfterRecovery = operator.takeLongestGapSeconds();
+        if (gapAfterRecovery > MAX_UNAVAILABLE_SECONDS + 1)
+            violations.add("no command was acknowledged for " + gapAfterRecovery + " s after the last recovery");
         operator.stop();
         cluster.runFor(2);
         checkFinalState(operator);
-        return new Outcome(run, faults, Math.max(permitted ? during : 0, after), permitted, cluster.eventLog);
+        return new Outcome(
+                faultPair,
+                violations,
+                Math.max(availabilityRequired ? gapDuringFaults : 0, gapAfterRecovery),
+                availabilityRequired,
+                cluster.eventLog);
     }
 
     private void checkFinalState(ContinuousOperator operator) {
-        for (var m : currentStores) {
-            var had = operator.readCount();
-            operator.readManifest(m);
+        for (var store : currentStores) {
+            var readsBefore = operator.readCount();
+            operator.readManifest(store);
             cluster.runFor(0.5);
-            if (operator.readCount() == had) operator.violations.add(m.name + " does not read back at the end");
-            if (m.store.membership().isSuperseded()) operator.violations.add(m.name + " was superseded");
+            if (operator.readCount() == readsBefore)
+                operator.violations.add(store.name + " did not answer a read at the end");
+            if (store.store.membership().isSuperseded()) operator.violations.add(store.name + " was superseded");
         }
-        var whole = cluster.runUntil(this::isSettled, MAX_SETTLE_SECONDS);
-        if (whole >= MAX_SETTLE_SECONDS)
+        var settleSeconds = cluster.runUntil(this::isSettled, MAX_SETTLE_SECONDS);
+        if (settleSeconds >= MAX_SETTLE_SECONDS)
             operator.violations.add("the group does not have its " + cluster.quorum.voterCount() + " voters");
     }
 
@@ -119,104 +146,113 @@
             if (cluster.leaderOf(p) == null) return false;
             var voters = cluster.voterNames(p);
             if (voters.size() != cluster.quorum.voterCount() || voters.contains("?")) return false;
-            for (var v : voters) if (!currentStores.contains(cluster.member(v))) return false;
+            for (var voter : voters) if (!currentStores.contains(cluster.member(voter))) return false;
         }
         return true;
     }
 
     private Cluster.Member firstTarget() {
-        var o = cluster.leaderOf(0);
-        return run.hitsLeader ? o : currentStores.get((currentStores.indexOf(o) + 1) % currentStores.size());
+        var leader = cluster.leaderOf(0);
+        return faultPair.hitsLeader
+                ? leader
+                : currentStores.get((currentStores.indexOf(leader) + 1) % currentStores.size());
     }
 
-    /** The time from the first event until another store may lose its disk. */
-    private long minDelayBetweenDiskLosses(long began) {
-        return lastRecoveryAt + resyncMicros - began;
+    /** The time from the first fault until another store may lose its disk. */
+    private long minDelayBetweenDiskLosses(long startedAt) {
+        return lastRecoveryAt + resyncMicros - startedAt;
     }
 
-    private void applyFault(StoreFault e, Cluster.Member m) {
-        switch (e) {
-            case KILL -> restartAfter(m, m::crash);
-            case POWER -> restartAfter(m, m::losePower);
-            case LOST_DISK -> restartAfter(m, m::loseDisk);
-            case SEEDS -> restartWithOtherSeeds(m);
+    private void applyFault(StoreFault fault, Cluster.Member store) {
+        switch (fault) {
+            case KILL -> restartAfter(store, store::crash);
+            case POWER -> restartAfter(store, store::losePower);
+            case LOST_DISK -> restartAfter(store, store::loseDisk);
+            case SEEDS -> restartWithOtherSeeds(store);
             case REPLACE -> {
-                m.crash();
-                removedStores.add(m);
-                addReplacement(m, RESTART_DELAY_MICROS);
+                store.crash();
+                removedStores.add(store);
+                addReplacement(store, RESTART_DELAY_MICROS);
             }
             case PLANNED_REPLACE -> {
-                addReplacement(m, 0);
-                cluster.sim.after(1_000_000, () -> terminate(m, cluster.sim.now()));
+                addReplacement(store, 0);
+                cluster.sim.after(1_000_000, () -> terminate(store, cluster.sim.now()));
                 expectRecoveryIn(1_000_000 + LEADERSHIP_TRANSFER_MICROS + SHUTDOWN_DELAY_MICROS);
             }
-            case CUT -> partition(m);
+            case CUT -> partition(store);
         }
     }
 
-    private void expectRecoveryIn(long in) {
-        lastRecoveryAt = Math.max(lastRecoveryAt, cluster.sim.now() + in);
+    private void expectRecoveryIn(long delayMicros) {
+        lastRecoveryAt = Math.max(lastRecoveryAt, cluster.sim.now() + delayMicros);
     }
 
-    private void restartAfter(Cluster.Member m, Runnable down) {
-        if (removedStores.contains(m)) return;
-        if (!m.running) {
-            cluster.sim.after(RESTART_DELAY_MICROS, () -> restartAfter(m, down));
+    private void restartAfter(Cluster.Member store, Runnable stop) {
+        if (removedStores.contains(store)) return;
+        if (!store.running) {
+            cluster.sim.after(RESTART_DELAY_MICROS, () -> restartAfter(store, stop));
             expectRecoveryIn(2 * RESTART_DELAY_MICROS);
             return;
         }
-        down.run();
+        stop.run();
         cluster.sim.after(RESTART_DELAY_MICROS, () -> {
-            if (!m.running && !removedStores.contains(m)) {
-                m.start();
+            if (!store.running && !removedStores.contains(store)) {
+                store.start();
                 updateSeedAddresses();
             }
         });
         expectRecoveryIn(RESTART_DELAY_MICROS);
     }
 
-    private void restartWithOtherSeeds(Cluster.Member m) {
-        var others = currentStores.stream().filter(x -> x != m).toList();
-        restartAfter(m, m::crash);
+    private void restartWithOtherSeeds(Cluster.Member store) {
+        var others = currentStores.stream().filter(other -> other != store).toList();
+        restartAfter(store, store::crash);
         cluster.sim.after(
-                RESTART_DELAY_MICROS - 1, () -> cluster.seedAddresses = List.of(others.get(addedStores % others.size()).address, "nowhere"));
+                RESTART_DELAY_MICROS - 1,
+                () -> cluster.seedAddresses = List.of(others.get(addedStores % others.size()).address, "nowhere"));
     }
 
-    private void addReplacement(Cluster.Member m, long in) {
-        var place = currentStores.indexOf(m);
-        cluster.sim.after(in, () -> {
+    private void addReplacement(Cluster.Member store, long delayMicros) {
+        var index = currentStores.indexOf(store);
+        cluster.sim.after(delayMicros, () -> {
             updateSeedAddresses();
-            var by = cluster.addMember("n" + ++addedStores, Node.STORE, m.zone);
-            currentStores.set(place, by);
+            var replacement = cluster.addMember("n" + ++addedStores, Node.STORE, store.zone);
+            currentStores.set(index, replacement);
         });
-        expectRecoveryIn(in);
+        expectRecoveryIn(delayMicros);
     }
 
-    /** Seeds follow the operator's list. */
+    /** Sets the seed addresses of stores that start from now on to those of the running stores. */
     private void updateSeedAddresses() {
-        cluster.seedAddresses =
-                currentStores.stream().filter(m -> m.running).limit(3).map(m -> m.address).toList();
+        cluster.seedAddresses = currentStores.stream()
+                .filter(m -> m.running)
+                .limit(3)
+                .map(m -> m.address)
+                .toList();
     }
 
-    /** What the process does on SIGTERM. */
-    private void terminate(Cluster.Member m, long since) {
-        removedStores.add(m);
-        if (!m.running) return;
-        if (m.store.transferLeadership() && cluster.sim.now() < since + LEADERSHIP_TRANSFER_MICROS) {
-            cluster.sim.after(100_000, () -> terminate(m, since));
+    /** Does what the process does on SIGTERM: transfers the leadership, leaves and stops. */
+    private void terminate(Cluster.Member store, long startedAt) {
+        removedStores.add(store);
+        if (!store.running) return;
+        if (store.store.transferLeadership() && cluster.sim.now() < startedAt + LEADERSHIP_TRANSFER_MICROS) {
+            cluster.sim.after(100_000, () -> terminate(store, startedAt));
             return;
         }
-        m.store.membership().leave(cluster.sim.now());
-        cluster.sim.after(SHUTDOWN_DELAY_MICROS, m::crash);
+        store.store.membership().leave(cluster.sim.now());
+        cluster.sim.after(SHUTDOWN_DELAY_MICROS, store::crash);
     }
 
-    private void partition(Cluster.Member m) {
-        for (var x : List.copyOf(cluster.members.values())) {
-            cluster.blockedPaths.add(m.name + ">" + x.name);
-            cluster.blockedPaths.add(x.name + ">" + m.name);
+    private void partition(Cluster.Member store) {
+        for (var member : List.copyOf(cluster.members.values())) {
+            cluster.blockedPaths.add(store.name + ">" + member.name);
+            cluster.blockedPaths.add(member.name + ">" + store.name);
         }
-        cluster.blockedPaths.remove(m.name + ">" + m.name);
-        cluster.sim.after(PARTITION_MICROS, () -> cluster.blockedPaths.removeIf(k -> k.startsWith(m.name + ">") || k.endsWith(">" + m.name)));
+        cluster.blockedPaths.remove(store.name + ">" + store.name);
+        cluster.sim.after(
+                PARTITION_MICROS,
+                () -> cluster.blockedPaths.removeIf(
+                        path -> path.startsWith(store.name + ">") || path.endsWith(">" + store.name)));
         expectRecoveryIn(PARTITION_MICROS);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsTest.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import craneway.sim.TwoFaultsRun.StoreFault;
 import craneway.sim.TwoFaultsRun.FaultPair;
+import craneway.sim.TwoFaultsRun.StoreFault;
 import java.io.IOException;
 import java.net.URISyntaxException;
 import java.nio.file.Files;
@@ -12,7 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every order of two events, the second 0 to 10 s after the first; all of them with -Dcraneway.events=all. */
+/**
+ * All pairs of two faults at stores, the second 0 to 10 s after the first: a sample by default, every pair with
+ * {@code -Dcraneway.events=all}.
+ */
 class TwoFaultsTest {
     private static final long GAP_STEP_MICROS = 250_000;
     private static final long COARSE_GAP_STEP_MICROS = 1_250_000;
@@ -32,56 +35,58 @@
         }
     }
 
-    private static List<FaultPair> scenarios(int stores, long step) {
-        var all = new ArrayList<FaultPair>();
+    private static List<FaultPair> scenarios(int storeCount, long gapStepMicros) {
+        var pairs = new ArrayList<FaultPair>();
         for (var first : StoreFault.values())
             for (var second : StoreFault.values())
-                for (var gap = 0L; gap <= MAX_GAP_MICROS; gap += step)
+                for (var gap = 0L; gap <= MAX_GAP_MICROS; gap += gapStepMicros)
                     for (var same : new boolean[] {false, true})
                         for (var leader : new boolean[] {false, true})
-                            all.add(new FaultPair(stores, first, second, gap, leader, same));
-        return all;
+                            pairs.add(new FaultPair(storeCount, first, second, gap, leader, same));
+        return pairs;
     }
 
-    private static void playSampled(List<FaultPair> all, int every) {
-        var text = readManifest();
+    private static void playSampled(List<FaultPair> pairs, int interval) {
+        var manifestText = readManifest();
         var wrong = new ArrayList<String>();
         var played = 0;
-        var permitted = 0;
-        var worst = 0.0;
-        for (var i = every / 2; i < all.size(); i += every) {
-            if (!all.get(i).toString().contains(DESCRIPTION_FILTER)) continue;
-            var r = TwoFaultsRun.play(all.get(i), text);
+        var requiredAvailability = 0;
+        var longestGapSeconds = 0.0;
+        for (var i = interval / 2; i < pairs.size(); i += interval) {
+            if (!pairs.get(i).toString().contains(DESCRIPTION_FILTER)) continue;
+            var outcome = TwoFaultsRun.play(pairs.get(i), manifestText);
             played++;
-            if (r.availabilityRequired()) permitted++;
-            worst = Math.max(worst, r.longestGapSeconds());
-            if (!r.violations().isEmpty()) {
-                wrong.add(r.scenario() + ": " + r.violations());
+            if (outcome.availabilityRequired()) requiredAvailability++;
+            longestGapSeconds = Math.max(longestGapSeconds, outcome.longestGapSeconds());
+            if (!outcome.violations().isEmpty()) {
+                wrong.add(outcome.scenario() + ": " + outcome.violations());
                 System.out.println(wrong.get(wrong.size() - 1));
             }
             if (played % 500 == 0) System.out.println("two events: " + played + " runs so far");
-            if (PRINT_EVENTS) r.eventLog().forEach(System.out::println);
+            if (PRINT_EVENTS) outcome.eventLog().forEach(System.out::println);
         }
-        System.out.println("two events: " + played + " of " + all.size() + " runs, " + permitted
-                + " within what may be lost, longest time without an order " + worst + " s, " + wrong.size()
+        System.out.println("two events: " + played + " of " + pairs.size() + " runs, " + requiredAvailability
+                + " within the tolerated faults, longest time without an acknowledgement " + longestGapSeconds + " s, "
+                + wrong.size()
                 + " wrong");
         assertEquals(List.of(), wrong);
     }
 
-    /** Part 2 had its leader later than part 0: the store without its disk never learned who leads it and never joined it. */
+    /** When part 2 got its leader later than part 0, the store without its disk never learned that leader and never joined it. */
     @Test
-    void aStoreJoinsEveryPartThoughOneGetsItsLeaderLater() {
-        var r = TwoFaultsRun.play(new FaultPair(3, StoreFault.POWER, StoreFault.LOST_DISK, 500_000, true, false), readManifest());
-        assertEquals(List.of(), r.violations(), () -> String.join("\n", r.eventLog()));
+    void aStoreWithoutItsDiskJoinsAPartThatGetsItsLeaderLater() {
+        var outcome = TwoFaultsRun.play(
+                new FaultPair(3, StoreFault.POWER, StoreFault.LOST_DISK, 500_000, true, false), readManifest());
+        assertEquals(List.of(), outcome.violations(), () -> String.join("\n", outcome.eventLog()));
     }
 
     @Test
-    void ofThreeStores() {
+    void threeStoresKeepTheirGuaranteesThroughTwoFaults() {
         playSampled(scenarios(3, GAP_STEP_MICROS), PLAY_ALL ? 1 : SAMPLING_INTERVAL);
     }
 
     @Test
-    void ofSixStores() {
+    void sixStoresKeepTheirGuaranteesThroughTwoFaults() {
         playSampled(scenarios(6, COARSE_GAP_STEP_MICROS), PLAY_ALL ? 1 : SAMPLING_INTERVAL);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/WireFormatTest.java
+++ b/test/sim/src/test/java/craneway/sim/WireFormatTest.java
@@ -21,9 +21,9 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What is on the wire and on disk must not change when classes or fields get other names. */
+/** The formats on the wire and on disk must stay the same when classes or fields are renamed. */
 class WireFormatTest {
-    /** In the order of their tags, from 1; new ones are added at the end. */
+    /** The tagged messages in the order of their tags, which start at 1; new ones are added at the end. */
     private static final List<Class<?>> TAGGED_TYPES = List.of(
             PartMessage.class,
             Messages.Hello.class,
@@ -66,7 +66,7 @@
             Messages.Renewals.class,
             Messages.RenewalReplies.class);
 
-    /** Types of the fields in the order in which they are written; new ones are added at the end. */
+    /** The types of the fields of each class in the order in which they are written; new fields are added at the end. */
     private static final Map<Class<?>, String> FIELD_TYPES = Map.ofEntries(
             Map.entry(PartMessage.class, "int,int,long,long,long,long,long,long,long,boolean,List,message,boolean"),
             Map.entry(Messages.Hello.class, "message,boolean,long,message,List,long,long,boolean"),
@@ -124,7 +124,7 @@
                     "long,long,long,long,TreeMap,message,TreeMap,TreeMap,TreeMap,TreeMap,boolean,long"));
 
     @Test
-    void tagsStayWithTheirClasses() throws ReflectiveOperationException {
+    void classesKeepTheirTags() throws ReflectiveOperationException {
         for (var i = 0; i < TAGGED_TYPES.size(); i++) {
             var type = TAGGED_TYPES.get(i);
             var message = type.getDeclaredConstructor().newInstance();
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void fieldsAreOnlyAddedAtTheEnd() {
+    void fieldsAreAddedAtTheEndOnly() {
         FIELD_TYPES.forEach((type, expected) -> {
             var actual = fieldTypes(type);
             assertTrue((actual + ",").startsWith(expected + ","), type + " has " + actual);
@@ -143,12 +143,12 @@
 
     private static String fieldTypes(Class<?> type) {
         return Arrays.stream(type.getDeclaredFields())
-                .filter(f -> !Modifier.isStatic(f.getModifiers()) && !f.isSynthetic())
-                .map(f -> typeName(f.getType()))
+                .filter(field -> !Modifier.isStatic(field.getModifiers()) && !field.isSynthetic())
+                .map(field -> typeName(field.getType()))
                 .collect(Collectors.joining(","));
     }
 
-    /** Classes of the product are nested messages, whatever they are called. */
+    /** The simple name of a type; classes of the product count as nested messages regardless of their names. */
     private static String typeName(Class<?> type) {
         return type.getName().startsWith("craneway.") ? "message" : type.getSimpleName();
     }
