--- a/test/sim/src/test/java/craneway/sim/ConcurrentConfigurationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ConcurrentConfigurationTest.java
@@ -102,60 +102,60 @@
     @Test
     void ofTwoConfigurationsWithOneVersionExactlyOneIsAcknowledged() {
         for (var i = 0; i < 10; i++) {
-            var a = call(i, i + 1, "a" + i).sendTo(i % 2 == 0 ? first : second);
+            var callA = call(i, i + 1, "a" + i).sendTo(i % 2 == 0 ? first : second);
             cluster.runFor(0.001 * i);
-            var b = call(i, i + 1, "b" + i).sendTo(i % 2 == 0 ? second : first);
-            awaitResponses(a, b);
-            assertTrue(a.acknowledged ^ b.acknowledged, this::eventLog);
-            assertOnlyAcknowledged(a.acknowledged ? a : b, a.acknowledged ? b : a);
+            var callB = call(i, i + 1, "b" + i).sendTo(i % 2 == 0 ? second : first);
+            awaitResponses(callA, callB);
+            assertTrue(callA.acknowledged ^ callB.acknowledged, this::eventLog);
+            assertOnlyAcknowledged(callA.acknowledged ? callA : callB, callA.acknowledged ? callB : callA);
         }
     }
 
     @Test
     void theSameConfigurationFromTwoOperatorsIsAcknowledgedToBoth() {
-        var a = call(0, 1, "same").sendTo(first);
-        var b = call(0, 1, "same").sendTo(second);
-        awaitResponses(a, b);
-        assertTrue(a.acknowledged && b.acknowledged, this::eventLog);
+        var callA = call(0, 1, "same").sendTo(first);
+        var callB = call(0, 1, "same").sendTo(second);
+        awaitResponses(callA, callB);
+        assertTrue(callA.acknowledged && callB.acknowledged, this::eventLog);
     }
 
     @Test
     void noConfigurationIsAcknowledgedWhileRequestsDoNotReachTheLeader() {
         cluster.holdFilter =
                 (from, to, message) -> message instanceof CommandRequest && (from == first || from == second);
-        var a = call(0, 1, "a").sendTo(first);
-        var b = call(0, 1, "b").sendTo(second);
-        awaitResponses(a, b);
-        assertTrue(a.rejection.isTransient() && b.rejection.isTransient());
+        var callA = call(0, 1, "a").sendTo(first);
+        var callB = call(0, 1, "b").sendTo(second);
+        awaitResponses(callA, callB);
+        assertTrue(callA.rejection.isTransient() && callB.rejection.isTransient());
         cluster.releaseHeldMessages();
         cluster.runFor(1);
         assertEquals("", storedSourceText());
-        assertTrue(b.repeatUntilResolved(first).acknowledged);
-        assertOnlyAcknowledged(b, a);
+        assertTrue(callB.repeatUntilResolved(first).acknowledged);
+        assertOnlyAcknowledged(callB, callA);
     }
 
     @Test
     void aConfigurationWhoseResponseWasLostIsAcknowledgedWhenRepeated() {
         cluster.holdFilter = (from, to, message) ->
                 message instanceof CommandResult result && result.kind == 0 && to.equals(first.address);
-        var a = call(0, 1, "a").sendTo(first);
+        var callA = call(0, 1, "a").sendTo(first);
         cluster.runFor(0.1);
-        var b = call(0, 1, "b").sendTo(second);
-        awaitResponses(a, b);
-        assertFalse(a.acknowledged);
-        assertTrue(a.rejection.isTransient());
-        assertEquals(ProblemKind.RACE_LOST, b.rejection);
+        var callB = call(0, 1, "b").sendTo(second);
+        awaitResponses(callA, callB);
+        assertFalse(callA.acknowledged);
+        assertTrue(callA.rejection.isTransient());
+        assertEquals(ProblemKind.RACE_LOST, callB.rejection);
         cluster.releaseHeldMessages();
-        assertOnlyAcknowledged(a, b);
+        assertOnlyAcknowledged(callA, callB);
     }
 
     @Test
     void anAcknowledgedConfigurationIsAcknowledgedAgainAfterALeaderChangeAndRestarts() {
-        var a = call(0, 1, "a").sendTo(first);
-        var b = call(0, 1, "b").sendTo(second);
-        awaitResponses(a, b);
-        var winner = a.acknowledged ? a : b;
-        var loser = a.acknowledged ? b : a;
+        var callA = call(0, 1, "a").sendTo(first);
+        var callB = call(0, 1, "b").sendTo(second);
+        awaitResponses(callA, callB);
+        var winner = callA.acknowledged ? callA : callB;
+        var loser = callA.acknowledged ? callB : callA;
         leader.crash();
         cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5);
         assertOnlyAcknowledged(winner, loser);
@@ -187,8 +187,8 @@
         }
     }
 
-    private int sessionCount(Cluster.Member store) {
-        return store.store
+    private int sessionCount(Cluster.Member member) {
+        return member.store
                 .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
--- a/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
+++ b/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
@@ -90,13 +90,14 @@
     private void sendCommands() {
         if (stopped) return;
         var now = cluster.sim.now();
-        var store = nextRunningStore();
-        if (store != null && (!awaitingResponse || now - lastSentAt > RESPONSE_TIMEOUT_MICROS)) sendCommand(store, now);
+        var member = nextRunningStore();
+        if (member != null && (!awaitingResponse || now - lastSentAt > RESPONSE_TIMEOUT_MICROS))
+            sendCommand(member, now);
         cluster.sim.after(COMMAND_INTERVAL_MICROS, this::sendCommands);
     }
 
-    private void sendCommand(Cluster.Member store, long now) {
-        var commands = new PlatformCommands(store.store.coreClient());
+    private void sendCommand(Cluster.Member member, long now) {
+        var commands = new PlatformCommands(member.store.coreClient());
         var number = commandNumber;
         awaitingResponse = true;
         lastSentAt = now;
@@ -136,17 +137,17 @@
 
     private void sendReads() {
         if (stopped) return;
-        var store = nextRunningStore();
-        if (store != null) readManifest(store);
+        var member = nextRunningStore();
+        if (member != null) readManifest(member);
         cluster.sim.after(READ_INTERVAL_MICROS, this::sendReads);
     }
 
     /** Reads the manifest from this store; the response must contain all that was acknowledged before the request. */
-    void readManifest(Cluster.Member store) {
+    void readManifest(Cluster.Member member) {
         var minVersion = acknowledgedVersion;
         var expectedZones = Set.copyOf(markedZones);
-        new PlatformCommands(store.store.coreClient()).readManifest(result -> {
-            if (result.isRight()) checkRead(store.name, minVersion, expectedZones, result.get());
+        new PlatformCommands(member.store.coreClient()).readManifest(result -> {
+            if (result.isRight()) checkRead(member.name, minVersion, expectedZones, result.get());
         });
     }
 
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -23,12 +23,12 @@
  * and its voters again, that acknowledged configurations survive, and that nodes whose clock went back are not shut out.
  */
 class CoreFailoverTest {
-    private static final Map<String, String> REGIONS =
+    private static final Map<String, String> REGION_BY_ZONE =
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
 
     private static Cluster threeStores() {
-        var cluster =
-                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGION_BY_ZONE))
+                .addStores("z1", "z2", "z3");
         assertTrue(
                 cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8,
                 () -> "not founded in time: " + cluster.eventLog);
@@ -37,7 +37,7 @@
     }
 
     private static Cluster sixStores() {
-        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(2, REGIONS));
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(2, REGION_BY_ZONE));
         cluster.addStores("z1", "z2", "z3");
         cluster.runUntil(cluster::allPartsHaveLeaders, 10);
         cluster.addMember("s4", Node.STORE, "z4");
@@ -247,7 +247,7 @@
 
     @Test
     void sixFoundersSettleOnFiveVoters() {
-        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(2, REGIONS));
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(2, REGION_BY_ZONE));
         cluster.founderCount = 6;
         cluster.addStores("z1", "z2", "z3", "z4", "z5", "z6");
         assertBelow(
@@ -261,7 +261,7 @@
         for (var region : Set.of("a", "b", "c")) {
             var cluster = sixStores();
             cluster.members.values().stream()
-                    .filter(m -> REGIONS.get(m.zone).equals(region))
+                    .filter(m -> REGION_BY_ZONE.get(m.zone).equals(region))
                     .forEach(Cluster.Member::crash);
             assertBelow(
                     2,
@@ -288,7 +288,7 @@
 
     @Test
     void anAcknowledgedConfigurationSurvivesALostDiskAndPowerLossOfAllOthers() throws Exception {
-        var text = Files.readString(Path.of(
+        var manifestText = Files.readString(Path.of(
                 CoreFailoverTest.class.getResource("/craneway/sim/maticar.json").toURI()));
         for (var i = 0; i < 3; i++) {
             var cluster = threeStores();
@@ -297,14 +297,14 @@
                     .operator
                     .putManifest(
                             0,
-                            text,
+                            manifestText,
                             result ->
                                     version[0] = result.isRight() ? result.get().version() : -1);
             cluster.runUntil(() -> version[0] != 0, 10);
             assertTrue(version[0] > 0, () -> String.join("\n", cluster.eventLog));
-            var victim = cluster.member("s" + (i + 1));
+            var storeWithoutDisk = cluster.member("s" + (i + 1));
             for (var member : cluster.members.values()) {
-                if (member == victim) member.loseDisk();
+                if (member == storeWithoutDisk) member.loseDisk();
                 else member.losePower();
             }
             cluster.runFor(0.5);
@@ -313,25 +313,25 @@
             assertEquals(
                     version[0],
                     cluster.leaderOf(0).store.replicas()[0].records().rows().manifest.version);
-            assertBelow(5, cluster.runUntil(() -> cluster.isVoterOfAllParts(victim, 3), 15), cluster);
+            assertBelow(5, cluster.runUntil(() -> cluster.isVoterOfAllParts(storeWithoutDisk, 3), 15), cluster);
         }
     }
 
     @Test
     void acknowledgedConfigurationsSurviveTwoLostDisksOfSixAndPowerLossOfAllOthers() throws Exception {
-        var text = Files.readString(Path.of(
+        var manifestText = Files.readString(Path.of(
                 CoreFailoverTest.class.getResource("/craneway/sim/maticar.json").toURI()));
         var cluster = sixStores();
         var lastVersion = 0L;
         for (var round = 0; round < 12; round++) {
             var version = new long[1];
-            var changed =
-                    text.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + round));
+            var changedManifest = manifestText.replaceFirst(
+                    "\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + round));
             cluster.member("s" + (1 + round % 6))
                     .operator
                     .putManifest(
                             lastVersion,
-                            changed,
+                            changedManifest,
                             result ->
                                     version[0] = result.isRight() ? result.get().version() : -1);
             cluster.runUntil(() -> version[0] != 0, 20);
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -28,7 +28,7 @@
  * folder aside.
  */
 class DiskFaultTest {
-    private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
+    private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
     private static final Set<String> WRITE_METHODS =
             Set.of("append", "sync", "overwrite", "replace", "rename", "delete");
 
@@ -36,8 +36,8 @@
     private static final class Crash extends RuntimeException {}
 
     private static Cluster threeStores() {
-        var cluster =
-                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGION_BY_ZONE))
+                .addStores("z1", "z2", "z3");
         assertTrue(
                 cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8,
                 () -> "not founded in time: " + cluster.eventLog);
@@ -45,12 +45,12 @@
         return cluster;
     }
 
-    private static boolean isCaughtUp(Cluster cluster, Cluster.Member store) {
+    private static boolean isCaughtUp(Cluster cluster, Cluster.Member member) {
         for (var p = 0; p < Parts.COUNT; p++) {
             var leader = cluster.leaderOf(p);
-            if (leader == null || store.store.replicas().length == 0) return false;
+            if (leader == null || member.store.replicas().length == 0) return false;
             var lastIndex = leader.store.replicas()[p].group().lastIndex();
-            if (store.store.replicas()[p].group().appliedIndex() < lastIndex) return false;
+            if (member.store.replicas()[p].group().appliedIndex() < lastIndex) return false;
         }
         return true;
     }
--- a/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
@@ -24,7 +24,7 @@
  * again soon after the impairment ends.
  */
 class ImpairedStoreTest {
-    private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a");
+    private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a");
     private static final double MAX_RECOVERY_SECONDS = 3;
     /** How long a slowed store takes for each message and each tick. */
     private static final long SLOWED_HANDLING_MICROS = 15_000;
@@ -97,11 +97,11 @@
     }
 
     @ParameterizedTest
-    @MethodSource("pairs")
+    @MethodSource("combinations")
     void confirmsNothingThatIsLostReadsNothingStaleAndServesSoonAfterwards(
             Impairment impairment, Role role, double seconds) {
-        var cluster =
-                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGION_BY_ZONE))
+                .addStores("z1", "z2", "z3");
         cluster.runUntil(cluster::allPartsHaveLeaders, 10);
         cluster.addMember("s4", Node.STORE, "z4");
         cluster.runFor(6);
--- a/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
@@ -20,7 +20,7 @@
  * and, once it was acknowledged, the opposite one. The stale commands must not be executed.
  */
 class PausedNodeCommandTest {
-    private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
+    private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
     private static final long TICK_MICROS = 20_000;
 
     /** The operator endpoint of a store: commands that wait unread in sockets, and the pause guard, on the simulated clock. */
@@ -79,8 +79,8 @@
 
     @BeforeEach
     void startCluster() {
-        cluster =
-                new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGION_BY_ZONE))
+                .addStores("z1", "z2", "z3");
         assertTrue(cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8, () -> String.join("\n", cluster.eventLog));
         cluster.runFor(5);
         var followers = cluster.members.values().stream()
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -42,11 +42,11 @@
     }
 
     /** Does what the process does at SIGTERM and returns the seconds until it left. */
-    private static double stopGracefully(Cluster cluster, Cluster.Member store) {
-        var leaveSeconds = cluster.runUntil(() -> !store.store.continuePlannedLeave(), SHUTDOWN_GRACE_SECONDS);
-        store.store.membership().leave(cluster.sim.now());
+    private static double stopGracefully(Cluster cluster, Cluster.Member member) {
+        var leaveSeconds = cluster.runUntil(() -> !member.store.continuePlannedLeave(), SHUTDOWN_GRACE_SECONDS);
+        member.store.membership().leave(cluster.sim.now());
         cluster.runFor(0.5);
-        store.crash();
+        member.crash();
         return leaveSeconds;
     }
 
@@ -124,11 +124,11 @@
         var cluster = threeStores();
         for (var i = 0; i < SHUTDOWN_GRACE_SECONDS * 10; i++) {
             var runningStores = cluster.members.values().stream()
-                    .filter(store -> store.running)
+                    .filter(member -> member.running)
                     .toList();
-            for (var store : runningStores) if (!store.store.continuePlannedLeave()) store.crash();
+            for (var member : runningStores) if (!member.store.continuePlannedLeave()) member.crash();
             cluster.runFor(0.1);
         }
-        assertTrue(cluster.members.values().stream().noneMatch(store -> store.running));
+        assertTrue(cluster.members.values().stream().noneMatch(member -> member.running));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
@@ -30,10 +30,11 @@
  * by an earlier one.
  */
 class ProcessIncarnationTest {
-    private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
+    private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
 
     private static Cluster threeStoresThreeRouters(TimingProfile timingProfile) {
-        var cluster = new Cluster(timingProfile, Quorum.toleratingLosses(1, REGIONS)).addStores("z1", "z2", "z3");
+        var cluster =
+                new Cluster(timingProfile, Quorum.toleratingLosses(1, REGION_BY_ZONE)).addStores("z1", "z2", "z3");
         assertTrue(
                 cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8,
                 () -> "not founded in time: " + cluster.eventLog);
@@ -110,16 +111,18 @@
     void aStoreThatLostItsDiskBecomesAVoterAgainThoughAllStoresRestart(long clockOffsetMillis) {
         for (var name : List.of("s1", "s2", "s3")) {
             var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-            var victim = cluster.member(name);
+            var storeWithoutDisk = cluster.member(name);
             for (var member : cluster.members.values()) {
-                if (member == victim) member.loseDisk();
+                if (member == storeWithoutDisk) member.loseDisk();
                 else member.losePower();
             }
-            victim.legacyClockOffsetMillis = clockOffsetMillis;
+            storeWithoutDisk.legacyClockOffsetMillis = clockOffsetMillis;
             cluster.runFor(0.5);
             cluster.members.values().forEach(Cluster.Member::start);
             assertTrue(cluster.runUntil(() -> cluster.leaderOf(0) != null, 15) < 4, () -> eventLog(cluster));
-            assertTrue(cluster.runUntil(() -> cluster.isVoterOfAllParts(victim, 3), 15) < 5, () -> eventLog(cluster));
+            assertTrue(
+                    cluster.runUntil(() -> cluster.isVoterOfAllParts(storeWithoutDisk, 3), 15) < 5,
+                    () -> eventLog(cluster));
         }
     }
 
@@ -139,37 +142,37 @@
     @ValueSource(longs = {0, -20_000, 20_000})
     void aLateRenewalOfAnEarlierIncarnationDoesNotSupersedeTheNewOne(long clockOffsetMillis) {
         var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var router = cluster.member("r1");
-        var earlier = copyOf(router.router.directory().self());
-        router.crash();
+        var member = cluster.member("r1");
+        var earlier = copyOf(member.router.directory().self());
+        member.crash();
         cluster.runFor(0.5);
-        router.legacyClockOffsetMillis = clockOffsetMillis;
-        router.start();
+        member.legacyClockOffsetMillis = clockOffsetMillis;
+        member.start();
         cluster.runFor(3);
-        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(member, cluster), () -> eventLog(cluster));
         cluster.leaderOf(0).store.receive(renewalsFrom(earlier, cluster.sim.now()));
         cluster.runFor(3);
-        assertFalse(membership(router).isSuperseded(), () -> eventLog(cluster));
-        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
+        assertFalse(membership(member).isSuperseded(), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(member, cluster), () -> eventLog(cluster));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
     void aLateRenewalSentBeforeTheLeaveDoesNotSupersedeTheNewIncarnation(long clockOffsetMillis) {
         var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
-        var router = cluster.member("r1");
-        var earlier = copyOf(router.router.directory().self());
-        membership(router).leave(cluster.sim.now());
+        var member = cluster.member("r1");
+        var earlier = copyOf(member.router.directory().self());
+        membership(member).leave(cluster.sim.now());
         cluster.runFor(0.3);
-        router.crash();
-        router.legacyClockOffsetMillis = clockOffsetMillis;
-        router.start();
+        member.crash();
+        member.legacyClockOffsetMillis = clockOffsetMillis;
+        member.start();
         cluster.runFor(3);
-        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(member, cluster), () -> eventLog(cluster));
         cluster.leaderOf(0).store.receive(renewalsFrom(earlier, cluster.sim.now()));
         cluster.runFor(3);
-        assertFalse(membership(router).isSuperseded(), () -> eventLog(cluster));
-        assertTrue(holdsAllLeases(router, cluster), () -> eventLog(cluster));
+        assertFalse(membership(member).isSuperseded(), () -> eventLog(cluster));
+        assertTrue(holdsAllLeases(member, cluster), () -> eventLog(cluster));
     }
 
     @ParameterizedTest
@@ -177,20 +180,20 @@
     void aRestartedStoreIsHeardAtOnce(long clockOffsetMillis) {
         var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
         var leader = cluster.leaderOf(0);
-        var store = cluster.members.values().stream()
-                .filter(member -> member.store != null && member != leader)
+        var member = cluster.members.values().stream()
+                .filter(candidate -> candidate.store != null && candidate != leader)
                 .findFirst()
                 .orElseThrow();
-        membership(store).leave(cluster.sim.now());
+        membership(member).leave(cluster.sim.now());
         cluster.runFor(0.3);
-        store.crash();
-        store.legacyClockOffsetMillis = clockOffsetMillis;
-        store.start();
+        member.crash();
+        member.legacyClockOffsetMillis = clockOffsetMillis;
+        member.start();
         cluster.runFor(3);
-        assertTrue(leader.store.directory().wasHeardRecently(store.name, cluster.sim.now()), () -> eventLog(cluster));
+        assertTrue(leader.store.directory().wasHeardRecently(member.name, cluster.sim.now()), () -> eventLog(cluster));
         assertEquals(
-                store.store.directory().self().incarnation,
-                leader.store.directory().nodeByName(store.name).incarnation);
+                member.store.directory().self().incarnation,
+                leader.store.directory().nodeByName(member.name).incarnation);
     }
 
     /** Two processes with one name at different addresses: the later one stays, the earlier one learns that it is superseded. */
@@ -247,7 +250,7 @@
         cluster.runFor(0.6);
         assertTrue(holdsAllLeases(later, cluster), () -> eventLog(cluster));
         assertTrue(holdsAllLeases(earlier, cluster), "the earlier incarnation must still hold its leases");
-        var text = Files.readString(Path.of(ProcessIncarnationTest.class
+        var manifestText = Files.readString(Path.of(ProcessIncarnationTest.class
                 .getResource("/craneway/sim/maticar.json")
                 .toURI()));
         var confirmed = new ArrayList<Boolean>();
@@ -255,7 +258,7 @@
                 .operator
                 .putManifest(
                         0,
-                        text,
+                        manifestText,
                         result -> confirmed.add(
                                 result.get().routersStillActing().isEmpty() && holdsAllLeases(earlier, cluster)));
         cluster.runUntil(() -> !confirmed.isEmpty(), 6);
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -21,7 +21,7 @@
  * loss of the leader. The one-way network delay is 35 ms.
  */
 class RouterViewFreshnessTest {
-    private static final int ROUTERS = 9;
+    private static final int ROUTER_COUNT = 9;
 
     private String manifestText;
     private Cluster cluster;
@@ -34,7 +34,7 @@
                 .toURI()));
         cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         cluster.oneWayDelayMicros = 35_000;
-        cluster.addStores("z1", "z2", "z3").addRouters(ROUTERS);
+        cluster.addStores("z1", "z2", "z3").addRouters(ROUTER_COUNT);
         cluster.runUntil(cluster::allPartsHaveLeaders, 10);
         putManifest();
         cluster.runFor(5);
@@ -68,7 +68,7 @@
     @Test
     void aRestartedRouterHasACurrentViewSoon() {
         for (var i = 0; i < 30; i++) {
-            var router = cluster.member("r" + (1 + i % ROUTERS));
+            var router = cluster.member("r" + (1 + i % ROUTER_COUNT));
             router.crash();
             cluster.runFor(0.5 + i * 0.037);
             router.start();
@@ -78,9 +78,9 @@
 
     @Test
     void aNewRouterHasACurrentViewAndIsReportedAsServingSoon() {
-        var r = cluster.addMember("r99", Node.ROUTER, "z2");
-        assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(r, version), 5));
-        assertBelow(0.3, cluster.runUntil(() -> r.router.directory().self().serving, 5));
+        var router = cluster.addMember("r99", Node.ROUTER, "z2");
+        assertBelow(0.3, cluster.runUntil(() -> cluster.isRouterCurrent(router, version), 5));
+        assertBelow(0.3, cluster.runUntil(() -> router.router.directory().self().serving, 5));
     }
 
     @Test
--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -380,16 +380,16 @@
             cluster.resetCounters();
             var updateSeconds = new double[CHANGE_COUNT];
             var version = cluster.member("s1").store.replicas()[0].records().rows().manifest.version;
-            for (var k = 0; k < CHANGE_COUNT; k++) {
+            for (var change = 0; change < CHANGE_COUNT; change++) {
                 var startedAt = cluster.sim.now();
                 var newVersion = putManifest(
                         cluster,
                         version,
-                        manifestText.replace("\"claimRetentionMs\": 1", "\"claimRetentionMs\": 1" + (k + 1)));
+                        manifestText.replace("\"claimRetentionMs\": 1", "\"claimRetentionMs\": 1" + (change + 1)));
                 version = newVersion;
                 cluster.runUntil(() -> cluster.allRoutersCurrent(newVersion), 10);
-                updateSeconds[k] = (cluster.sim.now() - startedAt) / 1e6;
-                cluster.runFor(Math.max(0, 2 - updateSeconds[k]));
+                updateSeconds[change] = (cluster.sim.now() - startedAt) / 1e6;
+                cluster.runFor(Math.max(0, 2 - updateSeconds[change]));
             }
             if (sizeIndex < 0) continue;
             cost[sizeIndex] = new double[] {
@@ -409,9 +409,9 @@
         }
         var quantities =
                 List.of("manifest bytes", "bytes a router and change", "router ms a change", "owner ms a change");
-        for (var k = 0; k < quantities.size(); k++) {
-            var j = k;
-            printLinearFit(quantities.get(k), sizes, i -> cost[i][j]);
+        for (var column = 0; column < quantities.size(); column++) {
+            var currentColumn = column;
+            printLinearFit(quantities.get(column), sizes, i -> cost[i][currentColumn]);
         }
     }
 
@@ -574,7 +574,7 @@
         return row;
     }
 
-    /** The mean heap use of one of eleven instances; the first one is made before the measurement as a warm-up. */
+    /** The mean heap use of an instance over eleven instances, after a first round of twelve as a warm-up. */
     private static double heapBytesPerInstance(Supplier<Object> factory) {
         var instances = new Object[12];
         for (var i = 0; i < instances.length; i++) instances[i] = factory.get();
--- a/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
+++ b/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
@@ -16,7 +16,7 @@
 
 /** A simulated cluster of three stores; two operators send zone marks to the two stores that do not lead the manifest part. */
 abstract class ThreeStoreTestBase {
-    static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
+    static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
 
     Cluster cluster;
     Cluster.Member leader;
@@ -25,7 +25,7 @@
 
     @BeforeEach
     void startCluster() {
-        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS));
+        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGION_BY_ZONE));
         cluster.clockOffsetStepMicros = 10 * Cluster.MICROS_PER_SECOND;
         cluster.addStores("z1", "z2", "z3");
         assertTrue(cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8, this::eventLog);
@@ -71,17 +71,17 @@
         }
     }
 
-    static CommandOutcome markZone(Cluster.Member store, boolean emptied) {
+    static CommandOutcome markZone(Cluster.Member member, boolean emptied) {
         var outcome = new CommandOutcome();
-        new PlatformCommands(store.store.coreClient()).markZone("z1", emptied, store.now(), answer -> {
+        new PlatformCommands(member.store.coreClient()).markZone("z1", emptied, member.now(), answer -> {
             assertEquals(null, outcome.result, "a command got a second result");
             outcome.result = answer;
         });
         return outcome;
     }
 
-    void assertMarkAcknowledged(Cluster.Member store, boolean emptied) {
-        var outcome = markZone(store, emptied);
+    void assertMarkAcknowledged(Cluster.Member member, boolean emptied) {
+        var outcome = markZone(member, emptied);
         cluster.runUntil(outcome::hasArrived, 3);
         assertTrue(outcome.isAcknowledged(), this::eventLog);
     }
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -15,7 +15,10 @@
  * violation if commands get no acknowledgement for too long, an acknowledged one is lost, or a group lacks voters at the end.
  */
 final class TwoFaultsRun {
-    /** What happens to a store. */
+    /**
+     * What happens to a store: a crash, a power loss or a lost disk with a restart; an unplanned or a planned replacement by a new
+     * store; a restart with other seed addresses; a network partition.
+     */
     enum StoreFault {
         KILL,
         POWER,
@@ -53,13 +56,15 @@
             boolean availabilityRequired,
             List<String> eventLog) {}
 
-    private static final Map<String, String> REGIONS =
+    private static final Map<String, String> REGION_BY_ZONE =
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
     private static final long RESTART_DELAY_MICROS = 700_000;
     private static final long PARTITION_MICROS = 3_000_000;
+    /** How long a store that stops tries to transfer its leaderships. */
     private static final long LEADERSHIP_TRANSFER_MICROS = 2_000_000;
+    /** The time between leaving the core and the end of the process, for the last replies. */
     private static final long SHUTDOWN_DELAY_MICROS = 500_000;
-    /** How long no command may be acknowledged if the faults stay within what the core tolerates. */
+    /** The longest time without an acknowledged command while the faults stay within what the core tolerates. */
     static final double MAX_UNAVAILABLE_SECONDS = 3;
 
     /** How long after the end of a run a group may still lack a voter. */
@@ -67,7 +72,9 @@
 
     private final FaultPair faultPair;
     private final Cluster cluster;
+    /** How long after the last recovery the core tolerates another fault. */
     private final long resyncMicros;
+
     private final List<Cluster.Member> currentStores = new ArrayList<>();
     private final Set<Cluster.Member> removedStores = new HashSet<>();
     private int addedStores;
@@ -77,7 +84,7 @@
         this.faultPair = faultPair;
         resyncMicros = faultPair.storeCount == 3 ? 4_000_000 : 6_000_000;
         cluster = new Cluster(
-                TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(faultPair.storeCount == 3 ? 1 : 2, REGIONS));
+                TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(faultPair.storeCount == 3 ? 1 : 2, REGION_BY_ZONE));
         cluster.founderCount = faultPair.storeCount;
         for (var i = 1; i <= faultPair.storeCount; i++)
             currentStores.add(cluster.addMember("s" + i, Node.STORE, "z" + i));
@@ -128,13 +135,13 @@
     }
 
     private void checkFinalState(ContinuousOperator operator) {
-        for (var store : currentStores) {
+        for (var member : currentStores) {
             var readsBefore = operator.readCount();
-            operator.readManifest(store);
+            operator.readManifest(member);
             cluster.runFor(0.5);
             if (operator.readCount() == readsBefore)
-                operator.violations.add(store.name + " did not answer a read at the end");
-            if (store.store.membership().isSuperseded()) operator.violations.add(store.name + " was superseded");
+                operator.violations.add(member.name + " did not answer a read at the end");
+            if (member.store.membership().isSuperseded()) operator.violations.add(member.name + " was superseded");
         }
         var settleSeconds = cluster.runUntil(this::isSettled, MAX_SETTLE_SECONDS);
         if (settleSeconds >= MAX_SETTLE_SECONDS)
@@ -232,15 +239,15 @@
     }
 
     /** Does what the process does on SIGTERM: transfers the leadership, leaves and stops. */
-    private void terminate(Cluster.Member store, long startedAt) {
-        removedStores.add(store);
-        if (!store.running) return;
-        if (store.store.transferLeadership() && cluster.sim.now() < startedAt + LEADERSHIP_TRANSFER_MICROS) {
-            cluster.sim.after(100_000, () -> terminate(store, startedAt));
+    private void terminate(Cluster.Member member, long startedAt) {
+        removedStores.add(member);
+        if (!member.running) return;
+        if (member.store.transferLeadership() && cluster.sim.now() < startedAt + LEADERSHIP_TRANSFER_MICROS) {
+            cluster.sim.after(100_000, () -> terminate(member, startedAt));
             return;
         }
-        store.store.membership().leave(cluster.sim.now());
-        cluster.sim.after(SHUTDOWN_DELAY_MICROS, store::crash);
+        member.store.membership().leave(cluster.sim.now());
+        cluster.sim.after(SHUTDOWN_DELAY_MICROS, member::crash);
     }
 
     private void partition(Cluster.Member store) {
