--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -92,7 +92,7 @@
         }
         cluster.runFor(5);
         assertTrue(cluster.allPartsHaveLeaders(), () -> String.join("\n", cluster.eventLog));
-        assertTrue(cluster.eventLog.stream().noneMatch(name -> name.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
+        assertTrue(cluster.eventLog.stream().noneMatch(event -> event.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
     }
 
     private long now = 1_000_000;
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsTest.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsTest.java
@@ -48,7 +48,7 @@
 
     private static void playSampled(List<FaultPair> pairs, int interval) {
         var manifestText = readManifest();
-        var wrong = new ArrayList<String>();
+        var failures = new ArrayList<String>();
         var played = 0;
         var requiredAvailability = 0;
         var longestGapSeconds = 0.0;
@@ -59,17 +59,17 @@
             if (outcome.availabilityRequired()) requiredAvailability++;
             longestGapSeconds = Math.max(longestGapSeconds, outcome.longestGapSeconds());
             if (!outcome.violations().isEmpty()) {
-                wrong.add(outcome.scenario() + ": " + outcome.violations());
-                System.out.println(wrong.get(wrong.size() - 1));
+                failures.add(outcome.scenario() + ": " + outcome.violations());
+                System.out.println(failures.get(failures.size() - 1));
             }
             if (played % 500 == 0) System.out.println("two events: " + played + " runs so far");
             if (PRINT_EVENTS) outcome.eventLog().forEach(System.out::println);
         }
         System.out.println("two events: " + played + " of " + pairs.size() + " runs, " + requiredAvailability
                 + " within the tolerated faults, longest time without an acknowledgement " + longestGapSeconds + " s, "
-                + wrong.size()
+                + failures.size()
                 + " wrong");
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), failures);
     }
 
     /** When part 2 got its leader later than part 0, the store without its disk never learned that leader and never joined it. */
