--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -46,8 +46,8 @@
         String address;
         Disk disk = new Disk();
         /**
-         * If not 0, the process is of an older release that takes its incarnation from its wall clock, and that clock is
-         * off by this many milliseconds.
+         * If not 0, the process is of an older release that takes its incarnation from its wall clock, and that clock
+         * is off by this many milliseconds.
          */
         long legacyClockOffsetMillis;
 
@@ -115,7 +115,9 @@
             while (!diskHung && !queuedPartWork.isEmpty()) queuedPartWork.poll().run();
         }
 
-        /** Pauses or resumes the process. A resumed process first handles all deferred actions, then its timers fire. */
+        /**
+         * Pauses or resumes the process. A resumed process first handles all deferred actions, then its timers fire.
+         */
         void setPaused(boolean pause) {
             paused = pause;
             while (!paused && !deferredActions.isEmpty()) deferredActions.poll().run();
--- a/test/sim/src/test/java/craneway/sim/ConcurrentConfigurationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ConcurrentConfigurationTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several operators put configurations with the same version at several stores: exactly one is acknowledged, and repeating it
- * is acknowledged again, also after a lost response, a leader change, a restart of all stores or a lost disk.
+ * Several operators put configurations with the same version at several stores: exactly one is acknowledged, and
+ * repeating it is acknowledged again, also after a lost response, a leader change, a restart of all stores or a lost
+ * disk.
  */
 class ConcurrentConfigurationTest extends ThreeStoreTestBase {
     private static final String MANIFEST_TEXT = readManifest();
--- a/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
+++ b/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * An operator that sends configurations and zone marks one after the other to the running stores in turn, repeats each until its
- * result is definite, and reads the manifest back meanwhile. A refused command, a lost mark and a stale read are recorded in
- * {@link #violations}.
+ * An operator that sends configurations and zone marks one after the other to the running stores in turn, repeats each
+ * until its result is definite, and reads the manifest back meanwhile. A refused command, a lost mark and a stale read
+ * are recorded in {@link #violations}.
  */
 final class ContinuousOperator {
     private static final long COMMAND_INTERVAL_MICROS = 100_000;
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Founding, failover, restarts and membership changes of a core of three or six stores. Checks how soon every part has a leader
- * and its voters again, that acknowledged configurations survive, and that nodes whose clock went back are not shut out.
+ * Founding, failover, restarts and membership changes of a core of three or six stores. Checks how soon every part has
+ * a leader and its voters again, that acknowledged configurations survive, and that nodes whose clock went back are not
+ * shut out.
  */
 class CoreFailoverTest {
     private static final Map<String, String> REGION_BY_ZONE =
--- a/test/sim/src/test/java/craneway/sim/DelayedCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/DelayedCommandTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A copy of a command that is delayed on the network or in a leader's queue, and arrives after a later, opposite command was
- * acknowledged, must have no effect.
+ * A copy of a command that is delayed on the network or in a leader's queue, and arrives after a later, opposite
+ * command was acknowledged, must have no effect.
  */
 class DelayedCommandTest extends ThreeStoreTestBase {
     private static Cluster.MessageFilter firstRequestTo(Cluster.Member from, String to) {
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stores whose disk is full at a restart, that lose power repeatedly, or that crash while they move the files of a damaged
- * folder aside.
+ * Stores whose disk is full at a restart, that lose power repeatedly, or that crash while they move the files of a
+ * damaged folder aside.
  */
 class DiskFaultTest {
     private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
@@ -141,7 +141,9 @@
                 });
     }
 
-    /** After a crash and a power loss at any step, the next start must not take the remaining files for an intact store. */
+    /**
+     * After a crash and a power loss at any step, the next start must not take the remaining files for an intact store.
+     */
     @Test
     void aDamagedFolderIsMovedAsideCompletelyThoughTheProcessCrashesMeanwhile() {
         for (var step = 0; ; step++) {
--- a/test/sim/src/test/java/craneway/sim/FullReplacementDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/FullReplacementDiskTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A store whose lost disk was replaced by an empty but full one can't write its identity: it must exit at each start until there
- * is space, then join again, and no invariant may be violated meanwhile.
+ * A store whose lost disk was replaced by an empty but full one can't write its identity: it must exit at each start
+ * until there is space, then join again, and no invariant may be violated meanwhile.
  */
 class FullReplacementDiskTest {
     private static final long SEED = 7045;
--- a/test/sim/src/test/java/craneway/sim/IdleScanRateTest.java
+++ b/test/sim/src/test/java/craneway/sim/IdleScanRateTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How often leaders and routers iterate over all runners or members while nothing changes: with thousands of rows they must do so
- * only a limited number of times per second, yet notice a silent runner in time.
+ * How often leaders and routers iterate over all runners or members while nothing changes: with thousands of rows they
+ * must do so only a limited number of times per second, yet notice a silent runner in time.
  */
 class IdleScanRateTest {
     private static final int RUNNER_COUNT = 5_000;
--- a/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A store that is partitioned, paused, slowed down or reachable in one direction only, as leader, follower or non-voter. It must
- * not confirm a command that is lost or return stale reads, must answer in time and with transient errors only, and must serve
- * again soon after the impairment ends.
+ * A store that is partitioned, paused, slowed down or reachable in one direction only, as leader, follower or
+ * non-voter. It must not confirm a command that is lost or return stale reads, must answer in time and with transient
+ * errors only, and must serve again soon after the impairment ends.
  */
 class ImpairedStoreTest {
     private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a");
--- a/test/sim/src/test/java/craneway/sim/InvalidCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/InvalidCommandTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Commands that no process of this core can have sent (unknown session, wrong deadline or term, unreadable body) are rejected
- * with an event and have no effect.
+ * Commands that no process of this core can have sent (unknown session, wrong deadline or term, unreadable body) are
+ * rejected with an event and have no effect.
  */
 class InvalidCommandTest extends ThreeStoreTestBase {
     private static Commands.ZoneMark zoneMark(boolean emptied) {
--- a/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
+++ b/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that knows the leaders of some parts must learn those of the other parts from the replies to its batched renewals.
+ * A node that knows the leaders of some parts must learn those of the other parts from the replies to its batched
+ * renewals.
  */
 class LeaderDiscoveryTest {
     private static final int KNOWN_PART = 0;
--- a/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
+++ b/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A learner is promoted to voter only once it has all entries that its leader had when a short catch-up round began; a store
- * that lost its disk and receives no entries must not vote.
+ * A learner is promoted to voter only once it has all entries that its leader had when a short catch-up round began; a
+ * store that lost its disk and receives no entries must not vote.
  */
 class LearnerPromotionTest {
     @Test
@@ -40,7 +40,10 @@
                 () -> String.join("\n", cluster.eventLog));
     }
 
-    /** Waits until the store has joined the core and knows a leader, then blocks the path to it: it can send but not receive. */
+    /**
+     * Waits until the store has joined the core and knows a leader, then blocks the path to it: it can send but not
+     * receive.
+     */
     private static void blockPathOnceJoined(Cluster cluster, Cluster.Member from, Cluster.Member to) {
         cluster.runUntil(() -> to.coreId() != 0 && to.store.coreClient().leader(0) != null, 5);
         cluster.blockedPaths.add(from.name + ">" + to.name);
--- a/test/sim/src/test/java/craneway/sim/LogCompactionTest.java
+++ b/test/sim/src/test/java/craneway/sim/LogCompactionTest.java
@@ -6,7 +6,10 @@
 import craneway.model.event.Event;
 import org.junit.jupiter.api.Test;
 
-/** A log is compacted by a snapshot after a number of entries, also if the entries are too small to reach its byte limit. */
+/**
+ * A log is compacted by a snapshot after a number of entries, also if the entries are too small to reach its byte
+ * limit.
+ */
 class LogCompactionTest {
     private static final int MAX_LOG_ENTRIES = 4_096;
 
--- a/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
@@ -16,14 +16,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that was paused reads commands whose callers gave up after one second: meanwhile they sent the command to another node
- * and, once it was acknowledged, the opposite one. The stale commands must not be executed.
+ * A node that was paused reads commands whose callers gave up after one second: meanwhile they sent the command to
+ * another node and, once it was acknowledged, the opposite one. The stale commands must not be executed.
  */
 class PausedNodeCommandTest {
     private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
     private static final long TICK_MICROS = 20_000;
 
-    /** The operator endpoint of a store: commands that wait unread in sockets, and the pause guard, on the simulated clock. */
+    /**
+     * The operator endpoint of a store: commands that wait unread in sockets, and the pause guard, on the simulated
+     * clock.
+     */
     private final class OperatorEndpoint {
         final Cluster.Member node;
         final PlatformCommands platformCommands;
@@ -109,7 +112,9 @@
                 .containsKey("zone:z1");
     }
 
-    /** Sends a command to a paused endpoint, the same and the opposite one to the other, then resumes the paused one. */
+    /**
+     * Sends a command to a paused endpoint, the same and the opposite one to the other, then resumes the paused one.
+     */
     private CommandStatus sendCommandDuringPause(PauseGuard.Connection connection, double pauseSeconds) {
         pausedEndpoint.paused = true;
         cluster.runFor(0.1);
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A planned shutdown of a store: it hands over the leadership of all parts and stays until its replacement is a voter, or until
- * the other voters have all its entries, so that the loss of another disk right afterwards loses no acknowledged command.
+ * A planned shutdown of a store: it hands over the leadership of all parts and stays until its replacement is a voter,
+ * or until the other voters have all its entries, so that the loss of another disk right afterwards loses no
+ * acknowledged command.
  */
 class PlannedLeaveTest {
     private static final double SHUTDOWN_GRACE_SECONDS = 6.5;
--- a/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Successive and concurrent processes under one name: restarts with a clock that was set back, late messages of an earlier
- * incarnation, and two running processes with the same name. The newest incarnation must get its leases and never be superseded
- * by an earlier one.
+ * Successive and concurrent processes under one name: restarts with a clock that was set back, late messages of an
+ * earlier incarnation, and two running processes with the same name. The newest incarnation must get its leases and
+ * never be superseded by an earlier one.
  */
 class ProcessIncarnationTest {
     private static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
@@ -61,7 +61,9 @@
         return Codec.decode(Node.class, Codec.encode(node));
     }
 
-    /** Leaves while the leader of part 1 does not receive it, so that this part keeps the row of the ended incarnation. */
+    /**
+     * Leaves while the leader of part 1 does not receive it, so that this part keeps the row of the ended incarnation.
+     */
     private static void leaveAllButOnePart(Cluster cluster, Cluster.Member member) {
         var unreachedLeader = cluster.members.values().stream()
                 .filter(candidate -> candidate != member && candidate.store != null && cluster.leaderOf(1) == candidate)
@@ -105,7 +107,9 @@
         assertTrue(cluster.isVoterOfAllParts(store, 3), () -> eventLog(cluster));
     }
 
-    /** Only the rows of the core know the earlier incarnation, whose disk is lost; the new one must not be taken for it. */
+    /**
+     * Only the rows of the core know the earlier incarnation, whose disk is lost; the new one must not be taken for it.
+     */
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
     void aStoreThatLostItsDiskBecomesAVoterAgainThoughAllStoresRestart(long clockOffsetMillis) {
@@ -196,7 +200,10 @@
                 leader.store.directory().nodeByName(member.name).incarnation);
     }
 
-    /** Two processes with one name at different addresses: the later one stays, the earlier one learns that it is superseded. */
+    /**
+     * Two processes with one name at different addresses: the later one stays, the earlier one learns that it is
+     * superseded.
+     */
     @Test
     void ofTwoProcessesWithOneNameTheLaterOneStays() {
         var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
@@ -214,8 +221,8 @@
     }
 
     /**
-     * A rolling upgrade and its rollback: under each name, incarnations taken from the wall clock and incarnations assigned by the
-     * core follow one another.
+     * A rolling upgrade and its rollback: under each name, incarnations taken from the wall clock and incarnations
+     * assigned by the core follow one another.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, -20_000, 20_000})
@@ -237,7 +244,10 @@
             if (member.store != null) assertTrue(cluster.isVoterOfAllParts(member, 3), () -> eventLog(cluster));
     }
 
-    /** A configuration is not confirmed at all routers while an earlier process with the same name may still hold its lease. */
+    /**
+     * A configuration is not confirmed at all routers while an earlier process with the same name may still hold its
+     * lease.
+     */
     @Test
     void anEarlierProcessWithTheSameNameCountsUntilItsLeaseHasExpired() throws IOException, URISyntaxException {
         var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -20,9 +20,9 @@
 import java.util.zip.Deflater;
 
 /**
- * Prints how long a store takes from its start until it is a voter of all parts or has caught up, on network paths with 64 KB
- * windows and a one-way delay of 35 ms and with slow disk syncs, and how many bytes were sent and are on the disks of both ends.
- * Arguments: join, away, or both (the default).
+ * Prints how long a store takes from its start until it is a voter of all parts or has caught up, on network paths with
+ * 64 KB windows and a one-way delay of 35 ms and with slow disk syncs, and how many bytes were sent and are on the
+ * disks of both ends. Arguments: join, away, or both (the default).
  */
 public final class RejoinCost {
     private static final long ONE_WAY_DELAY_MICROS = 35_000;
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How soon routers have the newest manifest, service rows and leases after their own restart, a power loss of all members or the
- * loss of the leader. The one-way network delay is 35 ms.
+ * How soon routers have the newest manifest, service rows and leases after their own restart, a power loss of all
+ * members or the loss of the leader. The one-way network delay is 35 ms.
  */
 class RouterViewFreshnessTest {
     private static final int ROUTER_COUNT = 9;
--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -26,8 +26,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Prints the traffic, processor time and memory that the control plane needs as nodes, runners, routes and tenants grow, measured
- * on a simulated cluster with the low-traffic timing profile. The arguments name the tables to print; by default all are printed.
+ * Prints the traffic, processor time and memory that the control plane needs as nodes, runners, routes and tenants
+ * grow, measured on a simulated cluster with the low-traffic timing profile. The arguments name the tables to print; by
+ * default all are printed.
  */
 public final class ScalingCost {
     private static final int MEASURED_SECONDS = 20;
@@ -498,7 +499,10 @@
                             / 1e3);
     }
 
-    /** Measures the choice of a runner for one request and the application of a new view, by the number of runners in three zones. */
+    /**
+     * Measures the choice of a runner for one request and the application of a new view, by the number of runners in
+     * three zones.
+     */
     private static void measurePlacement() {
         printTableHead(
                 "runners",
--- a/test/sim/src/test/java/craneway/sim/SingleStoreClients.java
+++ b/test/sim/src/test/java/craneway/sim/SingleStoreClients.java
@@ -13,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * An operator and runners that use one store only, whether it is impaired or not, while a {@link ContinuousOperator} uses the
- * others. Checks that responses are in time and that what this store confirmed is kept; errors go to {@link #violations}.
+ * An operator and runners that use one store only, whether it is impaired or not, while a {@link ContinuousOperator}
+ * uses the others. Checks that responses are in time and that what this store confirmed is kept; errors go to {@link
+ * #violations}.
  */
 final class SingleStoreClients {
     private static final long CALL_INTERVAL_MICROS = 200_000;
@@ -144,7 +145,10 @@
         };
     }
 
-    /** Declares that the store is partitioned from now until this time: no command sent to it meanwhile may be confirmed. */
+    /**
+     * Declares that the store is partitioned from now until this time: no command sent to it meanwhile may be
+     * confirmed.
+     */
     void expectNoConfirmationsUntil(long endsAt) {
         partitionedSince = cluster.sim.now();
         partitionedUntil = endsAt;
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -20,9 +20,9 @@
 import java.util.function.Predicate;
 
 /**
- * The replicas of one group on a simulated network with long paths. As in production, a small message is a datagram, and large
- * messages go one after the other over a new connection each, whose throughput is limited by its 64 KB window. An outage ends all
- * connections that are open at that time. Not safe for several threads.
+ * The replicas of one group on a simulated network with long paths. As in production, a small message is a datagram,
+ * and large messages go one after the other over a new connection each, whose throughput is limited by its 64 KB
+ * window. An outage ends all connections that are open at that time. Not safe for several threads.
  */
 final class SlowNetwork {
     static final long ONE_WAY_DELAY_MICROS = 35_000;
@@ -67,7 +67,10 @@
         AppendingStateMachine stateMachine = new AppendingStateMachine();
         Group group;
         boolean running;
-        /** Whether it runs a release without snapshot pieces, which ignores their messages and does not announce support. */
+        /**
+         * Whether it runs a release without snapshot pieces, which ignores their messages and does not announce
+         * support.
+         */
         boolean earlierVersion;
 
         final List<String> eventLog = new ArrayList<>();
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The transfer of a large snapshot to a follower over a path with a 64 KB window and a one-way delay of 35 ms: it must complete
- * and not start over in spite of outages, lost or repeated messages, restarts, leader changes and older releases.
+ * The transfer of a large snapshot to a follower over a path with a 64 KB window and a one-way delay of 35 ms: it must
+ * complete and not start over in spite of outages, lost or repeated messages, restarts, leader changes and older
+ * releases.
  */
 class SnapshotTransferTest {
     private static final int COMMANDS = 60;
@@ -23,8 +24,8 @@
     private static final long TOTAL_BYTES = COMMANDS * COMMAND_BYTES;
 
     /**
-     * A group of three voters of which two run and have replaced their log by a snapshot of about 4 MB; the third has no data and
-     * isn't started yet.
+     * A group of three voters of which two run and have replaced their log by a snapshot of about 4 MB; the third has
+     * no data and isn't started yet.
      */
     private static SlowNetwork groupWithSnapshot(long seed) {
         var network = new SlowNetwork(seed, 3);
--- a/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
+++ b/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A simulated cluster of three stores; two operators send zone marks to the two stores that do not lead the manifest part. */
+/**
+ * A simulated cluster of three stores; two operators send zone marks to the two stores that do not lead the manifest
+ * part.
+ */
 abstract class ThreeStoreTestBase {
     static final Map<String, String> REGION_BY_ZONE = Map.of("z1", "a", "z2", "b", "z3", "c");
 
@@ -99,7 +102,9 @@
                 .containsKey("zone:z1");
     }
 
-    /** Sends a command from both stores, so that each has a session with the leader, as in a core that has been running. */
+    /**
+     * Sends a command from both stores, so that each has a session with the leader, as in a core that has been running.
+     */
     void openSessions() {
         assertMarkAcknowledged(first, true);
         assertMarkAcknowledged(second, false);
--- a/test/sim/src/test/java/craneway/sim/TrafficAndRecoveryCost.java
+++ b/test/sim/src/test/java/craneway/sim/TrafficAndRecoveryCost.java
@@ -10,8 +10,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Prints the traffic of an idle control plane per node, by timing profile and number of nodes, and how long the core and the
- * routers take to recover from faults.
+ * Prints the traffic of an idle control plane per node, by timing profile and number of nodes, and how long the core
+ * and the routers take to recover from faults.
  */
 public final class TrafficAndRecoveryCost {
     private static final int MEASURED_SECONDS = 30;
--- a/test/sim/src/test/java/craneway/sim/TrafficMeter.java
+++ b/test/sim/src/test/java/craneway/sim/TrafficMeter.java
@@ -9,8 +9,8 @@
 import java.util.zip.Deflater;
 
 /**
- * Counts the messages between members and their bytes, and estimates the datagrams and bytes on the wire, where messages to
- * one receiver are batched for two milliseconds and large frames are compressed.
+ * Counts the messages between members and their bytes, and estimates the datagrams and bytes on the wire, where
+ * messages to one receiver are batched for two milliseconds and large frames are compressed.
  */
 final class TrafficMeter {
     private static final long BATCH_DELAY_MICROS = 2_000;
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -11,13 +11,14 @@
 import java.util.Set;
 
 /**
- * One run of two faults at stores, the second some time after the first, while an operator sends commands all the time. Records a
- * violation if commands get no acknowledgement for too long, an acknowledged one is lost, or a group lacks voters at the end.
+ * One run of two faults at stores, the second some time after the first, while an operator sends commands all the time.
+ * Records a violation if commands get no acknowledgement for too long, an acknowledged one is lost, or a group lacks
+ * voters at the end.
  */
 final class TwoFaultsRun {
     /**
-     * What happens to a store: a crash, a power loss or a lost disk with a restart; an unplanned or a planned replacement by a new
-     * store; a restart with other seed addresses; a network partition.
+     * What happens to a store: a crash, a power loss or a lost disk with a restart; an unplanned or a planned
+     * replacement by a new store; a restart with other seed addresses; a network partition.
      */
     enum StoreFault {
         KILL,
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsTest.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsTest.java
@@ -72,7 +72,10 @@
         assertEquals(List.of(), failures);
     }
 
-    /** When part 2 got its leader later than part 0, the store without its disk never learned that leader and never joined it. */
+    /**
+     * When part 2 got its leader later than part 0, the store without its disk never learned that leader and never
+     * joined it.
+     */
     @Test
     void aStoreWithoutItsDiskJoinsAPartThatGetsItsLeaderLater() {
         var outcome = TwoFaultsRun.play(
--- a/test/sim/src/test/java/craneway/sim/WireFormatTest.java
+++ b/test/sim/src/test/java/craneway/sim/WireFormatTest.java
@@ -66,7 +66,9 @@
             Messages.Renewals.class,
             Messages.RenewalReplies.class);
 
-    /** The types of the fields of each class in the order in which they are written; new fields are added at the end. */
+    /**
+     * The types of the fields of each class in the order in which they are written; new fields are added at the end.
+     */
     private static final Map<Class<?>, String> FIELD_TYPES = Map.ofEntries(
             Map.entry(PartMessage.class, "int,int,long,long,long,long,long,long,long,boolean,List,message,boolean"),
             Map.entry(Messages.Hello.class, "message,boolean,long,message,List,long,long,boolean"),
