--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -28,43 +28,52 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 
-/** Hollow stores and routers on one simulated clock: no requests, only what the control plane itself says. */
+/**
+ * Stores and routers on one simulated clock and network. They exchange only control-plane messages; no client sends
+ * requests. Not safe for several threads. Times are microseconds of the simulated clock unless a name says otherwise.
+ */
 final class Cluster {
-    private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
-    static final long SECOND = 1_000_000, TICK = 20_000, DELAY = 4_000;
+    private static final ThreadMXBean THREAD_CPU = ManagementFactory.getThreadMXBean();
+    static final long MICROS_PER_SECOND = 1_000_000;
+    static final long TICK_MICROS = 20_000;
+    static final long DEFAULT_DELAY_MICROS = 4_000;
 
+    /** A store or a router with its disk, its network port and its share of the simulated machine's faults. */
     final class Member implements Port {
         final String name;
         final String kind;
         final String zone;
         String address;
         Disk disk = new Disk();
-        /** Where it is not 0: a process of an older release, whose lives come from a clock that is this far off. */
-        long wall;
-
-        boolean fenced = true;
-        /** What this machine's steady clock shows when the simulation begins. */
-        final long origin = originStep * members.size();
-
-        boolean up;
-        boolean hung;
-        boolean frozen;
-        /** How long a slowed process takes for each message and each tick. */
-        long cost;
-
-        private long busyUntil;
-        private boolean tickHeld;
-        private final Deque<Runnable> waiting = new ArrayDeque<>();
-        int life;
+        /**
+         * If not 0, the process is of an older release that takes its incarnation from its wall clock, and that clock
+         * is off by this many milliseconds.
+         */
+        long legacyClockOffsetMillis;
+
+        boolean supportsIdentifiedCommands = true;
+        /** What the monotonic clock of this member shows when the simulated clock shows 0. */
+        final long clockOffsetMicros = clockOffsetStepMicros * members.size();
+
+        boolean running;
+        boolean diskHung;
+        boolean paused;
+        /** How long the process takes to handle each message and each tick; 0 if it isn't slowed down. */
+        long handlingCostMicros;
+
+        private long busyUntilMicros;
+        private boolean tickPending;
+        private final Deque<Runnable> deferredActions = new ArrayDeque<>();
+        int startCount;
         Store store;
         Router router;
         OperatorCommands operator;
-        final Deque<Runnable> desk = new ArrayDeque<>();
-        long sent;
+        final Deque<Runnable> queuedPartWork = new ArrayDeque<>();
+        long sentMessages;
         long sentBytes;
-        long got;
-        long gotBytes;
-        long cpu;
+        long receivedMessages;
+        long receivedBytes;
+        long cpuNanos;
 
         Member(String name, String kind, String zone) {
             this.name = name;
@@ -74,111 +83,122 @@
         }
 
         void start() {
-            up = true;
-            life++;
+            running = true;
+            startCount++;
             var random = new Random(sim.random.nextLong());
-            var self = wall == 0
+            var self = legacyClockOffsetMillis == 0
                     ? Node.ofNewProcess(name, kind, zone, address, random.nextLong())
-                    : new Node(name, kind, zone, address, 1_000_000_000L + sim.now() / 1_000 + wall);
-            self.supportsIdentifiedCommands = fenced;
+                    : new Node(name, kind, zone, address, 1_000_000_000L + sim.now() / 1_000 + legacyClockOffsetMillis);
+            self.supportsIdentifiedCommands = supportsIdentifiedCommands;
             if (kind.equals(Node.STORE))
                 store = new Store(
-                        this, disk, self, seeds, new StoreOptions(founders, quorum, pace, p -> this::work), random);
-            else router = new Router(this, self, seeds, pace, random);
+                        this,
+                        disk,
+                        self,
+                        seedAddresses,
+                        new StoreOptions(founderCount, quorum, timingProfile, p -> this::runPartWork),
+                        random);
+            else router = new Router(this, self, seedAddresses, timingProfile, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
-            var mine = life;
-            sim.after((long) (sim.random.nextDouble() * TICK), () -> tick(mine));
+            var currentStart = startCount;
+            sim.after((long) (sim.random.nextDouble() * TICK_MICROS), () -> tick(currentStart));
         }
 
-        private void work(Runnable r) {
-            if (hung) desk.add(r);
-            else r.run();
+        private void runPartWork(Runnable work) {
+            if (diskHung) queuedPartWork.add(work);
+            else work.run();
         }
 
-        void hang(boolean is) {
-            hung = is;
-            while (!hung && !desk.isEmpty()) desk.poll().run();
+        /** Starts or ends a disk hang: meanwhile the work of all parts is queued. */
+        void setDiskHung(boolean hung) {
+            diskHung = hung;
+            while (!diskHung && !queuedPartWork.isEmpty()) queuedPartWork.poll().run();
         }
 
-        /** On waking it first takes what came meanwhile and what is asked of it; its timers fire a little later. */
-        void freeze(boolean is) {
-            frozen = is;
-            while (!frozen && !waiting.isEmpty()) waiting.poll().run();
-            if (frozen || !tickHeld) return;
-            tickHeld = false;
-            var mine = life;
-            sim.after(TICK, () -> tick(mine));
+        /**
+         * Pauses or resumes the process. A resumed process first handles all deferred actions, then its timers fire.
+         */
+        void setPaused(boolean pause) {
+            paused = pause;
+            while (!paused && !deferredActions.isEmpty()) deferredActions.poll().run();
+            if (paused || !tickPending) return;
+            tickPending = false;
+            var currentStart = startCount;
+            sim.after(TICK_MICROS, () -> tick(currentStart));
         }
 
-        /** Does something in the process: at once, once it is free where it is slowed, on waking where it is frozen. */
-        void act(Runnable what) {
-            if (frozen) {
-                waiting.add(what);
+        /** Runs an action in the process: at once, after the queued ones if it is slowed down, or when it resumes. */
+        void execute(Runnable action) {
+            if (paused) {
+                deferredActions.add(action);
                 return;
             }
-            if (cost == 0) {
-                what.run();
+            if (handlingCostMicros == 0) {
+                action.run();
                 return;
             }
-            busyUntil = Math.max(busyUntil, sim.now()) + cost;
-            var mine = life;
-            sim.at(busyUntil, () -> {
-                if (!up || life != mine) return;
-                if (frozen) waiting.add(what);
-                else what.run();
+            busyUntilMicros = Math.max(busyUntilMicros, sim.now()) + handlingCostMicros;
+            var currentStart = startCount;
+            sim.at(busyUntilMicros, () -> {
+                if (!running || startCount != currentStart) return;
+                if (paused) deferredActions.add(action);
+                else action.run();
             });
         }
 
+        /** Ends the process without notice; its disk keeps all writes. */
         void crash() {
-            up = false;
-            frozen = false;
-            waiting.clear();
-            tickHeld = false;
-            busyUntil = 0;
-            desk.clear();
-            hung = false;
+            running = false;
+            paused = false;
+            deferredActions.clear();
+            tickPending = false;
+            busyUntilMicros = 0;
+            queuedPartWork.clear();
+            diskHung = false;
         }
 
+        /** Ends the process; its disk loses writes that were not synced. */
         void losePower() {
             crash();
             disk.losePower(sim.random);
         }
 
+        /** Ends the process and replaces its disk by an empty one. */
         void loseDisk() {
             crash();
             disk = new Disk();
         }
 
-        private void tick(int mine) {
-            if (!up || life != mine) return;
-            if (frozen) {
-                tickHeld = true;
+        private void tick(int expectedStart) {
+            if (!running || startCount != expectedStart) return;
+            if (paused) {
+                tickPending = true;
                 return;
             }
-            act(() -> {
-                timed(this::tickOnce);
-                sim.after(TICK, () -> tick(mine));
+            execute(() -> {
+                runMeasured(this::tickComponents);
+                sim.after(TICK_MICROS, () -> tick(expectedStart));
             });
         }
 
-        private void tickOnce() {
+        private void tickComponents() {
             if (store != null) store.tick();
             else router.tick();
             operator.tick(now());
         }
 
-        /** Adds the processor time that this takes to the member's. */
-        void timed(Runnable r) {
-            var from = CPU.getCurrentThreadCpuTime();
-            r.run();
-            cpu += CPU.getCurrentThreadCpuTime() - from;
+        /** Runs an action and adds the processor time that it takes to {@link #cpuNanos}. */
+        void runMeasured(Runnable action) {
+            var startNanos = THREAD_CPU.getCurrentThreadCpuTime();
+            action.run();
+            cpuNanos += THREAD_CPU.getCurrentThreadCpuTime() - startNanos;
         }
 
-        void clear() {
-            sent = sentBytes = got = gotBytes = cpu = 0;
+        void resetCounters() {
+            sentMessages = sentBytes = receivedMessages = receivedBytes = cpuNanos = 0;
         }
 
-        long core() {
+        long coreId() {
             return (store == null ? router.directory() : store.directory()).self().coreId;
         }
 
@@ -188,194 +208,209 @@
 
         @Override
         public long now() {
-            return sim.now() + origin;
+            return sim.now() + clockOffsetMicros;
         }
 
         @Override
         public void send(String to, Object message) {
-            if (!up) return;
-            var mine = core();
-            if (sim.random.nextDouble() < lost) return;
-            var b = Codec.encodeTagged(message);
-            meter.sent(this, to, message, b);
+            if (!running) return;
+            var senderCore = coreId();
+            if (sim.random.nextDouble() < lossRate) return;
+            var encoded = Codec.encodeTagged(message);
+            meter.recordSent(this, to, message, encoded);
             if (!to.equals(address)) {
-                sent++;
-                sentBytes += b.length;
+                sentMessages++;
+                sentBytes += encoded.length;
             }
-            Runnable arrival = () -> arrive(to, b, mine, message instanceof Hello);
-            if (hold.test(this, to, message)) held.add(arrival);
-            else sim.after(delay, arrival);
+            Runnable arrival = () -> deliver(to, encoded, senderCore, message instanceof Hello);
+            if (holdFilter.test(this, to, message)) heldMessages.add(arrival);
+            else sim.after(oneWayDelayMicros, arrival);
         }
 
-        private void arrive(String to, byte[] b, long core, boolean hello) {
-            var m = at(to);
-            if (m == null || !m.up || cut.contains(name + ">" + m.name)) return;
-            if (!hello && core != 0 && m.core() != 0 && m.core() != core) return;
-            if (m != this) {
-                m.got++;
-                m.gotBytes += b.length;
+        private void deliver(String to, byte[] encoded, long senderCore, boolean hello) {
+            var receiver = runningMemberAt(to);
+            if (receiver == null || !receiver.running || blockedPaths.contains(name + ">" + receiver.name)) return;
+            if (!hello && senderCore != 0 && receiver.coreId() != 0 && receiver.coreId() != senderCore) return;
+            if (receiver != this) {
+                receiver.receivedMessages++;
+                receiver.receivedBytes += encoded.length;
             }
-            m.act(() -> m.timed(() -> {
-                if (m.store != null) m.store.receive(Codec.decodeTagged(b));
-                else m.router.receive(Codec.decodeTagged(b));
+            receiver.execute(() -> receiver.runMeasured(() -> {
+                if (receiver.store != null) receiver.store.receive(Codec.decodeTagged(encoded));
+                else receiver.router.receive(Codec.decodeTagged(encoded));
             }));
         }
 
         @Override
         public void logEvent(Event e, String detail) {
-            notes.add(sim.now() / 1_000 + " " + name + " " + e + " " + detail);
+            eventLog.add(sim.now() / 1_000 + " " + name + " " + e + " " + detail);
         }
     }
 
-    /** Chooses the messages that are kept back on their way until they are released. */
-    interface Hold {
+    /** Selects messages to hold on their way until {@link #releaseHeldMessages}. */
+    interface MessageFilter {
         boolean test(Member from, String to, Object message);
     }
 
     final Sim sim = new Sim(17);
-    final List<Runnable> held = new ArrayList<>();
-    Hold hold = (from, to, message) -> false;
+    final List<Runnable> heldMessages = new ArrayList<>();
+    MessageFilter holdFilter = (from, to, message) -> false;
     final Map<String, Member> members = new TreeMap<>();
-    final List<String> notes = new ArrayList<>();
-    final Set<String> cut = new HashSet<>();
-    final Meter meter = new Meter(sim);
-    final TimingProfile pace;
+    final List<String> eventLog = new ArrayList<>();
+    /** Paths that deliver nothing, as "sender>receiver" by member name. */
+    final Set<String> blockedPaths = new HashSet<>();
+
+    final TrafficMeter meter = new TrafficMeter(sim);
+    final TimingProfile timingProfile;
     final Quorum quorum;
-    int founders = 3;
-    long originStep;
-    double lost;
-    long delay = DELAY;
-    List<String> seeds = List.of("s1", "s2", "s3");
-
-    Cluster(TimingProfile pace, Quorum quorum) {
-        this.pace = pace;
+    int founderCount = 3;
+    /** How far the monotonic clock of each member is ahead of that of the member added before it. */
+    long clockOffsetStepMicros;
+    /** The share of messages that is lost, 0 to 1. */
+    double lossRate;
+
+    long oneWayDelayMicros = DEFAULT_DELAY_MICROS;
+    List<String> seedAddresses = List.of("s1", "s2", "s3");
+
+    Cluster(TimingProfile timingProfile, Quorum quorum) {
+        this.timingProfile = timingProfile;
         this.quorum = quorum;
     }
 
-    Member add(String name, String kind, String zone) {
-        var m = new Member(name, kind, zone);
-        members.put(name, m);
-        m.start();
-        return m;
+    Member addMember(String name, String kind, String zone) {
+        var member = new Member(name, kind, zone);
+        members.put(name, member);
+        member.start();
+        return member;
     }
 
-    Cluster stores(String... zones) {
-        for (var i = 0; i < zones.length; i++) add("s" + (i + 1), Node.STORE, zones[i]);
+    /** Adds and starts a store {@code s1}, {@code s2}, ... in each of these zones. */
+    Cluster addStores(String... zones) {
+        for (var i = 0; i < zones.length; i++) addMember("s" + (i + 1), Node.STORE, zones[i]);
         return this;
     }
 
-    Cluster routers(int n) {
-        for (var i = 1; i <= n; i++) add("r" + i, Node.ROUTER, "z" + (i % 3 + 1));
+    /** Adds and starts routers {@code r1}, {@code r2}, ... over the zones z1 to z3 in turn. */
+    Cluster addRouters(int count) {
+        for (var i = 1; i <= count; i++) addMember("r" + i, Node.ROUTER, "z" + (i % 3 + 1));
         return this;
     }
 
-    Member get(String name) {
+    Member member(String name) {
         return members.get(name);
     }
 
-    Member at(String address) {
+    /** The running member that receives what is sent to this address, or null. */
+    Member runningMemberAt(String address) {
         var named = members.get(address);
-        if (named != null && named.up && named.address.equals(address)) return named;
+        if (named != null && named.running && named.address.equals(address)) return named;
         return members.values().stream()
-                .filter(m -> m.up && m.address.equals(address))
+                .filter(m -> m.running && m.address.equals(address))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Lets all arrive that was kept back, in the order in which it was sent. */
-    void release() {
-        hold = (from, to, message) -> false;
-        var all = List.copyOf(held);
-        held.clear();
-        all.forEach(Runnable::run);
+    /** Stops holding messages and delivers the held ones at once, in the order in which they were sent. */
+    void releaseHeldMessages() {
+        holdFilter = (from, to, message) -> false;
+        var deliveries = List.copyOf(heldMessages);
+        heldMessages.clear();
+        deliveries.forEach(Runnable::run);
     }
 
-    void clear() {
-        meter.clear();
-        members.values().forEach(Member::clear);
+    void resetCounters() {
+        meter.reset();
+        members.values().forEach(Member::resetCounters);
     }
 
-    void run(double seconds) {
-        sim.runUntil(sim.now() + (long) (seconds * SECOND));
+    void runFor(double seconds) {
+        sim.runUntil(sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
-    /** Seconds until it holds, or the most. */
-    double until(BooleanSupplier holds, double most) {
-        var from = sim.now();
-        while (!holds.getAsBoolean() && sim.now() - from < most * SECOND) sim.runUntil(sim.now() + TICK);
-        return (sim.now() - from) / (double) SECOND;
+    /** Runs until the condition holds, at most {@code maxSeconds}; returns the simulated seconds that passed. */
+    double runUntil(BooleanSupplier condition, double maxSeconds) {
+        var startedAt = sim.now();
+        while (!condition.getAsBoolean() && sim.now() - startedAt < maxSeconds * MICROS_PER_SECOND)
+            sim.runUntil(sim.now() + TICK_MICROS);
+        return (sim.now() - startedAt) / (double) MICROS_PER_SECOND;
     }
 
-    Member owner(int part) {
-        Member best = null;
+    /** The running member with a leader lease for a part, the one of the highest term if there are several, or null. */
+    Member leaderOf(int part) {
+        Member leader = null;
         for (var m : members.values()) {
-            if (!m.up || m.hung || m.store == null || m.store.replicas().length == 0) continue;
-            var g = m.store.replicas()[part].group();
-            if (g.hasLease(m.now())
-                    && (best == null
-                            || g.term() > best.store.replicas()[part].group().term())) best = m;
+            if (!m.running || m.diskHung || m.store == null || m.store.replicas().length == 0) continue;
+            var group = m.store.replicas()[part].group();
+            if (group.hasLease(m.now())
+                    && (leader == null
+                            || group.term()
+                                    > leader.store.replicas()[part].group().term())) leader = m;
         }
-        return best;
+        return leader;
     }
 
-    boolean ownedBut(Member not) {
-        for (var p = 0; p < Parts.COUNT; p++) if (owner(p) == null || owner(p) == not) return false;
+    /** Whether every part has a leader and none of them is this member. */
+    boolean allPartsLedByOtherThan(Member excluded) {
+        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) == null || leaderOf(p) == excluded) return false;
         return true;
     }
 
-    boolean owned() {
-        return ownedBut(null);
+    boolean allPartsHaveLeaders() {
+        return allPartsLedByOtherThan(null);
     }
 
-    boolean ownedBy(Member m) {
-        for (var p = 0; p < Parts.COUNT; p++) if (owner(p) != m) return false;
+    boolean allPartsLedBy(Member member) {
+        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) != member) return false;
         return true;
     }
 
-    /** Whether a router holds this version of the manifest, its tables and a lease of every part. */
-    boolean current(Member r, long version) {
-        var v = r.router.membership().view();
-        if (!r.up || !r.router.membership().isCurrent() || v.manifestRow().version != version) return false;
-        for (var p = 0; p < Parts.COUNT; p++) if (!v.hasLease(p, r.now())) return false;
-        return v.services().size() == v.manifest().services().size();
+    /** Whether a router has this version of the manifest, a row for each of its services and a lease of every part. */
+    boolean isRouterCurrent(Member member, long version) {
+        var view = member.router.membership().view();
+        if (!member.running || !member.router.membership().isCurrent() || view.manifestRow().version != version)
+            return false;
+        for (var p = 0; p < Parts.COUNT; p++) if (!view.hasLease(p, member.now())) return false;
+        return view.services().size() == view.manifest().services().size();
     }
 
-    boolean allCurrent(long version) {
-        return members.values().stream().allMatch(m -> m.router == null || current(m, version));
+    boolean allRoutersCurrent(long version) {
+        return members.values().stream().allMatch(m -> m.router == null || isRouterCurrent(m, version));
     }
 
-    Set<String> voters(int part) {
-        var all = new HashSet<String>();
-        var g = owner(part).store.replicas()[part].group();
-        for (var v : g.members().voters) all.add(nameOf(v));
-        return all;
+    /** The names of the voters of a part; "?" stands for a store that no member has the id of. */
+    Set<String> voterNames(int part) {
+        var names = new HashSet<String>();
+        var group = leaderOf(part).store.replicas()[part].group();
+        for (var voter : group.members().voters) names.add(nameOf(voter));
+        return names;
     }
 
-    private String nameOf(long id) {
+    private String nameOf(long storeId) {
         return members.values().stream()
-                .filter(m -> m.store != null && m.storeId() == id)
+                .filter(m -> m.store != null && m.storeId() == storeId)
                 .map(m -> m.name)
                 .findFirst()
                 .orElse("?");
     }
 
-    boolean votesEverywhere(Member m, int voters) {
+    /** Whether a store is one of this many voters of every part. */
+    boolean isVoterOfAllParts(Member member, int voterCount) {
         for (var p = 0; p < Parts.COUNT; p++) {
-            if (owner(p) == null) return false;
-            var g = owner(p).store.replicas()[p].group().members();
-            if (!g.isVoter(m.storeId()) || g.voters.length != voters) return false;
+            if (leaderOf(p) == null) return false;
+            var groupMembers = leaderOf(p).store.replicas()[p].group().members();
+            if (!groupMembers.isVoter(member.storeId()) || groupMembers.voters.length != voterCount) return false;
         }
         return true;
     }
 
-    Map<String, Integer> perZone(int part) {
-        var all = new HashMap<String, Integer>();
-        var k = owner(part).store.replicas()[part];
-        Arrays.stream(k.group().members().zones).forEach(z -> all.merge(z, 1, Integer::sum));
-        return all;
+    Map<String, Integer> replicasPerZone(int part) {
+        var counts = new HashMap<String, Integer>();
+        var replica = leaderOf(part).store.replicas()[part];
+        Arrays.stream(replica.group().members().zones).forEach(z -> counts.merge(z, 1, Integer::sum));
+        return counts;
     }
 
-    PartReplica keeper(String name, int part) {
-        return get(name).store.replicas()[part];
+    PartReplica replicaOf(String name, int part) {
+        return member(name).store.replicas()[part];
     }
 }
