--- a/lib/process/src/main/java/craneway/process/DataDirectory.java
+++ b/lib/process/src/main/java/craneway/process/DataDirectory.java
@@ -20,7 +20,7 @@
     }
 
     /** The names of all files. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     /** The first bytes of a file, at most so many, or null if there is none. */
     byte[] read(String name, int most) throws IOException;
@@ -38,5 +38,5 @@
     void sync() throws IOException;
 
     /** How many bytes may still be written, or 0 if that is not known. */
-    long usable();
+    long usableBytes();
 }
--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -104,7 +104,7 @@
 
     private void removeTemporary() {
         guard(() -> {
-            for (var n : directory.names()) if (n.endsWith(TEMPORARY)) removeQuietly(n);
+            for (var n : directory.fileNames()) if (n.endsWith(TEMPORARY)) removeQuietly(n);
             return null;
         });
     }
@@ -119,7 +119,7 @@
 
     @Override
     public List<String> names() {
-        return guard(() -> directory.names().stream()
+        return guard(() -> directory.fileNames().stream()
                 .filter(n -> !n.endsWith(TEMPORARY) && !n.equals(LOCK))
                 .sorted()
                 .toList());
@@ -147,7 +147,7 @@
     }
 
     private void look(int len) {
-        var free = directory.usable();
+        var free = directory.usableBytes();
         if (free > 0 && free < reserve + len) throw new DiskException(true, "the disk is full but for its reserve");
         unseen.set(0);
     }
--- a/lib/process/src/main/java/craneway/process/NioDirectory.java
+++ b/lib/process/src/main/java/craneway/process/NioDirectory.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         try (var all = Files.list(root)) {
             return all.map(p -> p.getFileName().toString()).toList();
         }
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public long usable() {
+    public long usableBytes() {
         return root.toFile().getUsableSpace();
     }
 }
--- a/lib/process/src/main/java/craneway/process/MetricsText.java
+++ b/lib/process/src/main/java/craneway/process/PrometheusText.java
@@ -16,10 +16,10 @@
 import java.util.List;
 import java.util.Map;
 
-final class MetricsText {
+final class PrometheusText {
     private final List<MetricSnapshot> all = new ArrayList<>();
 
-    MetricsText counter(String name, String help, long v) {
+    PrometheusText addCounter(String name, String help, long v) {
         all.add(CounterSnapshot.builder()
                 .name("craneway_" + name)
                 .help(help)
@@ -28,7 +28,7 @@
         return this;
     }
 
-    MetricsText counters(String name, String help, String label, Map<String, Long> values) {
+    PrometheusText addCounters(String name, String help, String label, Map<String, Long> values) {
         var b = CounterSnapshot.builder().name("craneway_" + name).help(help);
         values.forEach((k, v) -> b.dataPoint(CounterDataPointSnapshot.builder()
                 .labels(Labels.of(label, k))
@@ -38,7 +38,7 @@
         return this;
     }
 
-    MetricsText gauge(String name, String help, long v) {
+    PrometheusText addGauge(String name, String help, long v) {
         all.add(GaugeSnapshot.builder()
                 .name("craneway_" + name)
                 .help(help)
@@ -47,7 +47,7 @@
         return this;
     }
 
-    MetricsText gauges(String name, String help, String label, Map<String, Long> values) {
+    PrometheusText addGauges(String name, String help, String label, Map<String, Long> values) {
         var b = GaugeSnapshot.builder().name("craneway_" + name).help(help);
         values.forEach((k, v) -> b.dataPoint(GaugeDataPointSnapshot.builder()
                 .labels(Labels.of(label, k))
@@ -57,7 +57,7 @@
         return this;
     }
 
-    String text() {
+    String render() {
         var out = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(out, new MetricSnapshots(all));
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -46,7 +46,7 @@
                 new OperatorHandler(
                         s.name,
                         operator,
-                        () -> Metrics.of(router),
+                        () -> ProcessMetrics.render(router),
                         after -> UsageJson.of(
                                 s.name,
                                 router.executor().usage(),
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -35,7 +35,7 @@
                 new PeerHandler(this::core, store.directory()::sameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
-                s.operator, new OperatorHandler(s.name, operator, () -> Metrics.of(store), null, store), MANIFEST_BODY);
+                s.operator, new OperatorHandler(s.name, operator, () -> ProcessMetrics.render(store), null, store), MANIFEST_BODY);
         host.listen(s.platform, new ReadinessHandler(this::ready), SMALL);
         host.tick(() -> {
             store.tickNode();
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -53,7 +53,7 @@
         for (var step = 0; ; step++) {
             var d = start.afterKill();
             var at = step;
-            d.faults(n -> {
+            d.injectFaults(n -> {
                 if (n == at) throw new FakeDirectory.Crash();
             });
             var ended = true;
@@ -62,7 +62,7 @@
             } catch (FakeDirectory.Crash e) {
                 ended = false;
             }
-            for (var o = 0L; o < d.outcomes(); o++) check.on(on(d.afterPowerLoss(o)), ended);
+            for (var o = 0L; o < d.outcomeCount(); o++) check.on(on(d.afterPowerLoss(o)), ended);
             check.on(on(d.afterKill()), ended);
             if (ended) return;
         }
@@ -91,7 +91,7 @@
         on(d).replace("f", new byte[1]);
         assertEquals(
                 List.of("make f.tmp", "write f.tmp", "sync f.tmp", "rename f.tmp to f", "sync the directory"),
-                d.done());
+                d.completedSteps());
     }
 
     @Test
@@ -139,7 +139,7 @@
     }
 
     private static void failAt(FakeDirectory d, int step) {
-        d.faults(n -> {
+        d.injectFaults(n -> {
             if (n == step) throw new IOException("No space left on device");
         });
     }
@@ -153,7 +153,7 @@
             var e = assertThrows(DiskException.class, () -> f.replace("f", NEW));
             assertTrue(e.full());
             assertArrayEquals(OLD, f.read("f"));
-            assertEquals(List.of("f"), d.names());
+            assertEquals(List.of("f"), d.fileNames());
         }
     }
 
@@ -223,12 +223,12 @@
         for (var step = 0; ; step++) {
             var d = new FakeDirectory();
             var at = step;
-            d.faults(n -> {
+            d.injectFaults(n -> {
                 if (n == at) throw new FakeDirectory.Crash();
             });
             var acknowledged = new ArrayList<Long>();
             var ended = play(on(d), acknowledged);
-            for (var o = 0L; o < d.outcomes(); o++) holds(d.afterPowerLoss(o), acknowledged);
+            for (var o = 0L; o < d.outcomeCount(); o++) holds(d.afterPowerLoss(o), acknowledged);
             crashAgain(d.afterKill(), acknowledged);
             if (ended) return;
         }
@@ -238,7 +238,7 @@
         for (var step = 0; step < 12; step++) {
             var d = left.afterKill();
             var at = step;
-            d.faults(n -> {
+            d.injectFaults(n -> {
                 if (n == at) throw new FakeDirectory.Crash();
             });
             try {
@@ -246,7 +246,7 @@
             } catch (FakeDirectory.Crash e) {
                 // The loss of power comes next.
             }
-            for (var o = 0L; o < d.outcomes(); o++) holds(d.afterPowerLoss(o), acknowledged);
+            for (var o = 0L; o < d.outcomeCount(); o++) holds(d.afterPowerLoss(o), acknowledged);
         }
     }
 
--- a/lib/process/src/test/java/craneway/process/FakeDirectory.java
+++ b/lib/process/src/test/java/craneway/process/FakeDirectory.java
@@ -19,8 +19,8 @@
     static final class Crash extends RuntimeException {}
 
     /** What happens at one step, given its number. */
-    interface Faults {
-        void at(int step) throws IOException;
+    interface FaultInjector {
+        void beforeStep(int step) throws IOException;
     }
 
     private record Write(long at, byte[] bytes) {}
@@ -44,30 +44,30 @@
 
     private final Map<String, Inode> names = new TreeMap<>();
     private final List<NameChange> changes = new ArrayList<>();
-    private final List<String> done = new ArrayList<>();
-    private Faults faults = step -> {};
+    private final List<String> completedSteps = new ArrayList<>();
+    private FaultInjector injectFaults = step -> {};
     private boolean shortWrites;
-    private int steps;
+    private int stepCount;
 
-    void faults(Faults f) {
-        faults = f;
-        steps = 0;
+    void injectFaults(FaultInjector f) {
+        injectFaults = f;
+        stepCount = 0;
     }
 
     void shortWrites(boolean are) {
         shortWrites = are;
     }
 
-    int steps() {
-        return steps;
+    int stepCount() {
+        return stepCount;
     }
 
     /** The steps done so far, by name. */
-    List<String> done() {
-        return done;
+    List<String> completedSteps() {
+        return completedSteps;
     }
 
-    long outcomes() {
+    long outcomeCount() {
         var writes = names.values().stream().mapToInt(i -> i.unsynced.size()).sum();
         return 1L << writes + changes.size();
     }
@@ -128,8 +128,8 @@
     }
 
     private void step(String what) throws IOException {
-        faults.at(steps++);
-        done.add(what);
+        injectFaults.beforeStep(stepCount++);
+        completedSteps.add(what);
     }
 
     private void change(String name, String from, Inode to, boolean made) {
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(names.keySet());
     }
 
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public long usable() {
+    public long usableBytes() {
         return 0;
     }
 }
--- a/lib/process/src/test/java/craneway/process/WireCoreTest.java
+++ b/lib/process/src/test/java/craneway/process/StoreClusterTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class WireCoreTest {
+class StoreClusterTest {
     private static final java.util.concurrent.atomic.AtomicInteger PORT =
             new java.util.concurrent.atomic.AtomicInteger(25_000);
 
--- a/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
+++ b/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
@@ -18,7 +18,7 @@
         this.now = now;
     }
 
-    synchronized void bad(String cause) {
+    synchronized void report(String cause) {
         if (now.getAsLong() < due) {
             left++;
             return;
--- a/lib/transport/src/main/java/craneway/transport/Frame.java
+++ b/lib/transport/src/main/java/craneway/transport/Frame.java
@@ -11,20 +11,20 @@
 import java.util.zip.Inflater;
 
 /** Messages as they travel together: version, flags, core id, checksum, and the tagged messages, deflated where that helps. */
-record Frame(int version, long core, byte[] payload) {
-    static final int VERSION = 1, HEAD = 14, DATAGRAM = 1_200, MOST = 80 << 20;
+record Frame(int version, long coreId, byte[] payload) {
+    static final int VERSION = 1, HEADER_BYTES = 14, MAX_DATAGRAM_BYTES = 1_200, MAX_FRAME_BYTES = 80 << 20;
     private static final int DEFLATED = 1, DEFLATE_FROM = 300, SUM_AT = 10;
 
     private static final ThreadLocal<Deflater> DEFLATER =
             ThreadLocal.withInitial(() -> new Deflater(Deflater.BEST_SPEED, true));
     private static final ThreadLocal<Inflater> INFLATER = ThreadLocal.withInitial(() -> new Inflater(true));
 
-    static int room(byte[] m) {
+    static int maxEncodedSize(byte[] m) {
         return m.length + 5;
     }
 
-    static byte[] of(long core, List<byte[]> messages) {
-        var plain = ByteBuffer.allocate(messages.stream().mapToInt(Frame::room).sum());
+    static byte[] encode(long core, List<byte[]> messages) {
+        var plain = ByteBuffer.allocate(messages.stream().mapToInt(Frame::maxEncodedSize).sum());
         for (var m : messages) {
             size(plain, m.length);
             plain.put(m);
@@ -41,7 +41,7 @@
     }
 
     private static byte[] made(long core, int flags, byte[] body, int n) {
-        var b = ByteBuffer.allocate(HEAD + n)
+        var b = ByteBuffer.allocate(HEADER_BYTES + n)
                 .put((byte) VERSION)
                 .put((byte) flags)
                 .putLong(core)
@@ -53,7 +53,7 @@
     private static int sum(byte[] b) {
         var c = new CRC32();
         c.update(b, 0, SUM_AT);
-        c.update(b, HEAD, b.length - HEAD);
+        c.update(b, HEADER_BYTES, b.length - HEADER_BYTES);
         return (int) c.getValue();
     }
 
@@ -68,13 +68,13 @@
         return out.toByteArray();
     }
 
-    static Frame read(byte[] b) {
-        if (b.length < HEAD) throw new BadMessageException("a frame of " + b.length + " bytes");
+    static Frame decode(byte[] b) {
+        if (b.length < HEADER_BYTES) throw new BadMessageException("a frame of " + b.length + " bytes");
         if (b[0] != VERSION && b[0] != VERSION + 1) throw new BadMessageException("wire version " + b[0]);
         var head = ByteBuffer.wrap(b);
         if (head.getInt(SUM_AT) != sum(b)) throw new BadMessageException("checksum differs");
-        var body = new byte[b.length - HEAD];
-        System.arraycopy(b, HEAD, body, 0, body.length);
+        var body = new byte[b.length - HEADER_BYTES];
+        System.arraycopy(b, HEADER_BYTES, body, 0, body.length);
         return new Frame(b[0], head.getLong(2), (b[1] & DEFLATED) == 0 ? body : inflated(body));
     }
 
@@ -87,7 +87,7 @@
             var some = new byte[4_096];
             while (!i.finished()) {
                 var n = i.inflate(some);
-                if (n == 0 || out.size() > MOST) throw new BadMessageException("a deflated frame that does not end");
+                if (n == 0 || out.size() > MAX_FRAME_BYTES) throw new BadMessageException("a deflated frame that does not end");
                 out.write(some, 0, n);
             }
             return out.toByteArray();
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -195,19 +195,19 @@
     private void take(byte[] b, SocketAddress from) {
         received += b.length;
         try {
-            var f = Frame.read(b);
+            var f = Frame.decode(b);
             var mine = core.getAsLong();
-            var foreign = f.core() != 0 && mine != 0 && f.core() != mine;
+            var foreign = f.coreId() != 0 && mine != 0 && f.coreId() != mine;
             for (var m : f.messages()) hand(m, foreign, f, from);
         } catch (BadMessageException e) {
-            notes.bad(e.getMessage() + " from " + from);
+            notes.report(e.getMessage() + " from " + from);
         }
     }
 
     private void hand(byte[] b, boolean foreign, Frame f, SocketAddress from) {
         var m = Codec.readTagged(b);
         if (foreign && !(m instanceof Hello h && h.from != null && kin.test(h))) {
-            notes.bad("core " + Long.toHexString(f.core()) + " from " + from);
+            notes.report("core " + Long.toHexString(f.coreId()) + " from " + from);
             return;
         }
         hand(m);
@@ -278,23 +278,23 @@
 
         private synchronized List<byte[]> small() {
             var some = new ArrayList<byte[]>();
-            var n = Frame.HEAD;
+            var n = Frame.HEADER_BYTES;
             while (!queue.isEmpty()) {
                 var m = queue.peek();
-                if (Frame.HEAD + Frame.room(m) > Frame.DATAGRAM) {
+                if (Frame.HEADER_BYTES + Frame.maxEncodedSize(m) > Frame.MAX_DATAGRAM_BYTES) {
                     squeeze(queue.poll());
                     continue;
                 }
-                n += Frame.room(m);
-                if (n > Frame.DATAGRAM) break;
+                n += Frame.maxEncodedSize(m);
+                if (n > Frame.MAX_DATAGRAM_BYTES) break;
                 some.add(next(queue));
             }
             return some;
         }
 
         private void squeeze(byte[] m) {
-            var one = m.length < 16 * Frame.DATAGRAM ? Frame.of(core.getAsLong(), List.of(m)) : m;
-            if (one == m || one.length > Frame.DATAGRAM) {
+            var one = m.length < 16 * Frame.MAX_DATAGRAM_BYTES ? Frame.encode(core.getAsLong(), List.of(m)) : m;
+            if (one == m || one.length > Frame.MAX_DATAGRAM_BYTES) {
                 large.add(m);
                 return;
             }
@@ -303,7 +303,7 @@
         }
 
         private void datagram(List<byte[]> some) {
-            send(Frame.of(core.getAsLong(), some));
+            send(Frame.encode(core.getAsLong(), some));
         }
 
         private void send(byte[] frame) {
@@ -312,7 +312,7 @@
                 datagrams++;
                 sent += frame.length;
             } catch (IOException | RuntimeException e) {
-                notes.bad("a datagram to " + to + ": " + e);
+                notes.report("a datagram to " + to + ": " + e);
             }
         }
 
@@ -321,7 +321,7 @@
             var some = new ArrayList<byte[]>();
             for (var n = 0; n < BATCH && laden(); n += some.get(some.size() - 1).length) some.add(next(large));
             try {
-                open = new Outgoing(this, Frame.of(core.getAsLong(), some));
+                open = new Outgoing(this, Frame.encode(core.getAsLong(), some));
             } catch (IOException | RuntimeException e) {
                 open = null;
             }
@@ -361,7 +361,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                notes.bad("close: " + e);
+                notes.report("close: " + e);
             }
         }
     }
@@ -438,7 +438,7 @@
 
         private void begin() throws IOException {
             whole = size.flip().getInt();
-            if (whole < Frame.HEAD || whole > Frame.MOST) throw new IOException("a frame of " + whole + " bytes");
+            if (whole < Frame.HEADER_BYTES || whole > Frame.MAX_FRAME_BYTES) throw new IOException("a frame of " + whole + " bytes");
             body = ByteBuffer.allocate(Math.min(whole, 64 << 10));
             held += body.capacity();
         }
--- a/lib/transport/src/test/java/craneway/transport/WireTest.java
+++ b/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SocketTransportTest {
     private static final java.util.concurrent.atomic.AtomicInteger PORT =
             new java.util.concurrent.atomic.AtomicInteger(24_000);
     private final List<SocketTransport> open = new ArrayList<>();
@@ -170,7 +170,7 @@
         var a = new End(5);
         var b = new End(5);
         for (var i = 0; i < 50; i++) raw(b.address, random(40));
-        var good = Frame.of(5, List.of(new byte[] {99, 1, 2}));
+        var good = Frame.encode(5, List.of(new byte[] {99, 1, 2}));
         raw(b.address, good);
         good[20 % good.length] ^= 1;
         raw(b.address, good);
