--- a/lib/process/src/main/java/craneway/process/BadStartupException.java
+++ b/lib/process/src/main/java/craneway/process/BadStartupException.java
@@ -2,8 +2,14 @@
 
 import java.util.List;
 
+/** The settings of a process are invalid; the message lists every fault found, one per line. */
 public final class BadStartupException extends RuntimeException {
-    public BadStartupException(List<String> wrong) {
-        super("startup values are wrong:\n  - " + String.join("\n  - ", wrong));
+    /**
+     * Creates the exception.
+     *
+     * @param faults a description of each fault
+     */
+    public BadStartupException(List<String> faults) {
+        super("the startup settings are invalid:\n  - " + String.join("\n  - ", faults));
     }
 }
--- a/lib/process/src/main/java/craneway/process/DataDirectory.java
+++ b/lib/process/src/main/java/craneway/process/DataDirectory.java
@@ -5,38 +5,41 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** The operations on a directory that {@link DiskFolder} is made of; none lasts without a sync. */
+/**
+ * The primitive operations on a directory from which {@link DiskFolder} builds its guarantees. No change is durable before
+ * the sync that covers it. Tests replace this with a directory in memory that simulates crashes.
+ */
 interface DataDirectory {
-    /** An open file. */
+    /** A file that is open for writing. */
     interface OpenFile extends Closeable {
-        /** Writes some or all of the bytes at a place of the file. */
-        void write(ByteBuffer bytes, long at) throws IOException;
+        /** Writes some or all of the remaining bytes at a position of the file. */
+        void write(ByteBuffer bytes, long position) throws IOException;
 
-        /** The length of the file. */
+        /** Returns the length of the file in bytes. */
         long length() throws IOException;
 
-        /** Makes the bytes of the file last. */
+        /** Makes all bytes written to the file durable. */
         void sync() throws IOException;
     }
 
-    /** The names of all files. */
+    /** Returns the names of all files, in no particular order. */
     List<String> fileNames() throws IOException;
 
-    /** The first bytes of a file, at most so many, or null if there is none. */
-    byte[] read(String name, int most) throws IOException;
+    /** Returns at most the first {@code maxBytes} bytes of a file, or null if the file does not exist. */
+    byte[] read(String name, int maxBytes) throws IOException;
 
-    /** Opens a file, which is made if there is none. */
+    /** Opens a file for writing and creates it if it does not exist. */
     OpenFile open(String name) throws IOException;
 
-    /** Gives a file another name; a file of that name goes. */
+    /** Renames a file atomically and replaces any file that has the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** Removes a file, if it is there. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Makes all renamed and removed names last. */
+    /** Makes all created, renamed and deleted names durable. */
     void sync() throws IOException;
 
-    /** How many bytes may still be written, or 0 if that is not known. */
+    /** Returns the number of bytes that can still be written, or 0 if that is unknown. */
     long usableBytes();
 }
--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -18,109 +18,121 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The data folder of a store on the platform. One process at a time holds it. New bytes of a file are written under a
- * temporary name, synced, renamed, and the directory synced; left-over temporary files are removed at the next start.
+ * The data directory of a store, as a {@link Folder}. A lock file ensures that one process at a time uses it.
+ *
+ * <p>To replace a file, its new bytes are written to a temporary file, which is synced and renamed, and then the directory
+ * is synced. Temporary files that a crash left behind are deleted at the next start. Safe for several threads as long as
+ * each file is used by one thread at a time.
  */
 public final class DiskFolder implements Folder {
-    private static final long RESERVE = 16L << 20;
-    private static final long LOOK = 64 << 10;
-    private static final String LOCK = "lock";
-    private static final String TEMPORARY = ".tmp";
+    /** The free disk space below which appends fail. Other writes ignore it, so files can still be replaced. */
+    private static final long DEFAULT_RESERVE_BYTES = 16L << 20;
 
-    /** A file that is appended to or jotted into, and how long it is. */
-    private static final class Appended {
+    /** The free disk space is checked each time that this many bytes have been appended, not on every append. */
+    private static final long SPACE_CHECK_INTERVAL_BYTES = 64 << 10;
+
+    private static final String LOCK_FILE = "lock";
+    private static final String TEMPORARY_SUFFIX = ".tmp";
+
+    /** A file that is open for writing, and its length. */
+    private static final class WritableFile {
         final DataDirectory.OpenFile file;
         long length;
 
-        Appended(DataDirectory.OpenFile file) throws IOException {
+        WritableFile(DataDirectory.OpenFile file) throws IOException {
             this.file = file;
             length = file.length();
         }
     }
 
-    private interface Work<T> {
+    private interface DiskOperation<T> {
         T run() throws IOException;
     }
 
     private final DataDirectory directory;
-    private final long reserve;
+    private final long reserveBytes;
     private final FileLock lock;
-    private final AtomicLong unseen = new AtomicLong(LOOK);
-    private final Map<String, Appended> open = new ConcurrentHashMap<>();
-    private final Set<String> failed = ConcurrentHashMap.newKeySet();
+    private final AtomicLong appendedSinceSpaceCheck = new AtomicLong(SPACE_CHECK_INTERVAL_BYTES);
+    private final Map<String, WritableFile> openFiles = new ConcurrentHashMap<>();
+    private final Set<String> failedFiles = ConcurrentHashMap.newKeySet();
 
-    /** A folder with the usual reserve. */
+    /** Opens a data directory with the default reserve of 16 MiB. */
     public DiskFolder(Path root) {
-        this(root, RESERVE);
+        this(root, DEFAULT_RESERVE_BYTES);
     }
 
     /**
-     * A folder that takes no more entries once fewer bytes than the reserve are free. Where another process holds it, or
-     * its segments are of a newer format, it is refused with nothing changed.
+     * Opens a data directory that takes no more appended bytes once less disk space than the reserve is free.
+     *
+     * @param reserve bytes
+     * @throws BadStartupException if another process uses the directory, or its log segments have a newer format than this
+     *     version knows; the directory is left unchanged
      */
     public DiskFolder(Path root, long reserve) {
-        this.reserve = reserve;
-        lock = guard(() -> take(root.resolve(LOCK)));
+        this.reserveBytes = reserve;
+        lock = translateFailure(() -> tryLock(root.resolve(LOCK_FILE)));
         if (lock == null)
-            throw new BadStartupException(List.of("data folder " + root + " is in use by another process"));
+            throw new BadStartupException(List.of("data directory " + root + " is in use by another process"));
         directory = new NioDirectory(root);
-        refuseNewerFormat(root);
-        removeTemporary();
+        rejectNewerFormat(root);
+        deleteTemporaryFiles();
     }
 
-    private void refuseNewerFormat(Path root) {
+    private void rejectNewerFormat(Path root) {
         try {
             SegmentLog.checkFormats(this);
         } catch (UnknownFormat e) {
             release();
-            throw new BadStartupException(List.of("data folder " + root + ": " + e.getMessage()));
+            throw new BadStartupException(List.of("data directory " + root + ": " + e.getMessage()));
         }
     }
 
     DiskFolder(DataDirectory directory, long reserve) {
         this.directory = directory;
-        this.reserve = reserve;
+        this.reserveBytes = reserve;
         lock = null;
-        removeTemporary();
+        deleteTemporaryFiles();
     }
 
-    private static FileLock take(Path p) throws IOException {
+    /** Returns null if another process, or another folder of this process, holds the lock. */
+    private static FileLock tryLock(Path file) throws IOException {
         try {
-            return FileChannel.open(p, StandardOpenOption.WRITE, StandardOpenOption.CREATE)
+            return FileChannel.open(file, StandardOpenOption.WRITE, StandardOpenOption.CREATE)
                     .tryLock();
         } catch (OverlappingFileLockException e) {
             return null;
         }
     }
 
-    private static <T> T guard(Work<T> w) {
+    /** Runs an operation and turns an {@link IOException} into a {@link DiskException}. */
+    private static <T> T translateFailure(DiskOperation<T> operation) {
         try {
-            return w.run();
+            return operation.run();
         } catch (IOException e) {
-            var text = String.valueOf(e.getMessage());
-            throw new DiskException(text.contains("No space left"), text);
+            var message = String.valueOf(e.getMessage());
+            throw new DiskException(message.contains("No space left"), message);
         }
     }
 
-    private void removeTemporary() {
-        guard(() -> {
-            for (var n : directory.fileNames()) if (n.endsWith(TEMPORARY)) removeQuietly(n);
+    private void deleteTemporaryFiles() {
+        translateFailure(() -> {
+            for (var name : directory.fileNames()) if (name.endsWith(TEMPORARY_SUFFIX)) deleteQuietly(name);
             return null;
         });
     }
 
-    private void removeQuietly(String name) {
+    private void deleteQuietly(String name) {
         try {
             directory.delete(name);
         } catch (IOException e) {
-            // A left-over file only takes space; it is tried again at the next start.
+            // A temporary file left behind only takes disk space; the next start tries again to delete it.
         }
     }
 
     @Override
     public List<String> names() {
-        return guard(() -> directory.fileNames().stream()
-                .filter(n -> !n.endsWith(TEMPORARY) && !n.equals(LOCK))
+        return translateFailure(() -> directory.fileNames().stream()
+                .filter(name -> !name.endsWith(TEMPORARY_SUFFIX) && !name.equals(LOCK_FILE))
                 .sorted()
                 .toList());
     }
@@ -131,98 +143,100 @@
     }
 
     @Override
-    public byte[] readHead(String name, int most) {
-        return guard(() -> directory.read(name, most));
+    public byte[] readHead(String name, int maxBytes) {
+        return translateFailure(() -> directory.read(name, maxBytes));
     }
 
     @Override
-    public void append(String name, byte[] b, int len) {
-        if (unseen.addAndGet(len) >= LOOK) look(len);
-        attempt(name, () -> {
-            var a = opened(name);
-            writeAll(a.file, ByteBuffer.wrap(b, 0, len), a.length);
-            a.length += len;
+    public void append(String name, byte[] bytes, int length) {
+        if (appendedSinceSpaceCheck.addAndGet(length) >= SPACE_CHECK_INTERVAL_BYTES) checkFreeSpace(length);
+        writeOrMarkFailed(name, () -> {
+            var target = openFile(name);
+            writeAll(target.file, ByteBuffer.wrap(bytes, 0, length), target.length);
+            target.length += length;
             return null;
         });
     }
 
-    private void look(int len) {
-        var free = directory.usableBytes();
-        if (free > 0 && free < reserve + len) throw new DiskException(true, "the disk is full but for its reserve");
-        unseen.set(0);
+    private void checkFreeSpace(int length) {
+        var freeBytes = directory.usableBytes();
+        if (freeBytes > 0 && freeBytes < reserveBytes + length)
+            throw new DiskException(true, "the free disk space is below the reserve");
+        appendedSinceSpaceCheck.set(0);
     }
 
-    private Appended opened(String name) throws IOException {
-        var a = open.get(name);
-        if (a != null) return a;
-        a = new Appended(directory.open(name));
-        open.put(name, a);
-        return a;
+    private WritableFile openFile(String name) throws IOException {
+        var file = openFiles.get(name);
+        if (file != null) return file;
+        file = new WritableFile(directory.open(name));
+        openFiles.put(name, file);
+        return file;
     }
 
-    private static void writeAll(DataDirectory.OpenFile file, ByteBuffer b, long at) throws IOException {
-        while (b.hasRemaining()) file.write(b, at + b.position());
+    private static void writeAll(DataDirectory.OpenFile file, ByteBuffer bytes, long position) throws IOException {
+        while (bytes.hasRemaining()) file.write(bytes, position + bytes.position());
     }
 
     @Override
     public void sync(String name) {
-        attempt(name, () -> {
-            opened(name).file.sync();
+        writeOrMarkFailed(name, () -> {
+            openFile(name).file.sync();
             return null;
         });
     }
 
     /**
-     * After a failed write or sync the platform may call bytes synced that are not on the disk, so the file takes
-     * nothing more until all its bytes are replaced.
+     * Runs a write or sync; if it fails, the file rejects any further write until it is replaced or deleted. After a failed
+     * write or sync, the operating system may report bytes as synced that never reached the disk.
      */
-    private void attempt(String name, Work<Void> w) {
-        if (failed.contains(name)) throw new DiskException(false, name + " failed before and has to be written anew");
+    private void writeOrMarkFailed(String name, DiskOperation<Void> operation) {
+        if (failedFiles.contains(name))
+            throw new DiskException(false, name + " takes no more writes after a failure, until it is replaced");
         try {
-            guard(w);
+            translateFailure(operation);
         } catch (DiskException e) {
-            failed.add(name);
+            failedFiles.add(name);
             throw e;
         }
     }
 
     @Override
-    public void overwrite(String name, byte[] b) {
-        guard(() -> {
-            writeAll(opened(name).file, ByteBuffer.wrap(b), 0);
+    public void overwrite(String name, byte[] bytes) {
+        translateFailure(() -> {
+            writeAll(openFile(name).file, ByteBuffer.wrap(bytes), 0);
             return null;
         });
     }
 
     @Override
-    public void replace(String name, byte[] b) {
-        var temporary = name + TEMPORARY;
+    public void replace(String name, byte[] bytes) {
+        var temporary = name + TEMPORARY_SUFFIX;
         try {
-            guard(() -> {
+            translateFailure(() -> {
                 close(name);
                 directory.delete(temporary);
-                writeAndSync(temporary, b);
+                writeAndSync(temporary, bytes);
                 directory.rename(temporary, name);
                 directory.sync();
                 return null;
             });
         } catch (DiskException e) {
-            removeQuietly(temporary);
+            deleteQuietly(temporary);
             throw e;
         }
-        failed.remove(name);
+        failedFiles.remove(name);
     }
 
-    private void writeAndSync(String name, byte[] b) throws IOException {
+    private void writeAndSync(String name, byte[] bytes) throws IOException {
         try (var file = directory.open(name)) {
-            writeAll(file, ByteBuffer.wrap(b), 0);
+            writeAll(file, ByteBuffer.wrap(bytes), 0);
             file.sync();
         }
     }
 
     @Override
     public void rename(String from, String to) {
-        guard(() -> {
+        translateFailure(() -> {
             close(from);
             close(to);
             directory.rename(from, to);
@@ -233,18 +247,18 @@
 
     @Override
     public void delete(String name) {
-        guard(() -> {
+        translateFailure(() -> {
             close(name);
             directory.delete(name);
             return null;
         });
-        failed.remove(name);
+        failedFiles.remove(name);
     }
 
-    /** Closes all files and gives the folder up to another process. */
+    /** Closes all files and releases the lock, so that another process can use the data directory. */
     public void release() {
-        guard(() -> {
-            for (var n : List.copyOf(open.keySet())) close(n);
+        translateFailure(() -> {
+            for (var name : List.copyOf(openFiles.keySet())) close(name);
             if (lock == null) return null;
             lock.release();
             lock.channel().close();
@@ -253,7 +267,7 @@
     }
 
     private void close(String name) throws IOException {
-        var a = open.remove(name);
-        if (a != null) a.file.close();
+        var file = openFiles.remove(name);
+        if (file != null) file.file.close();
     }
 }
--- a/lib/process/src/main/java/craneway/process/Host.java
+++ b/lib/process/src/main/java/craneway/process/Host.java
@@ -26,56 +26,80 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
+/**
+ * The runtime of one process: its clock, threads, periodic tasks, HTTP servers and client, and its transport to other
+ * processes. Servers are started and stopped by one thread; all other methods are thread-safe.
+ */
 public final class Host implements Port {
-    private static final int IO_THREADS = 4, TICKS = 5;
-    private static final long TICK_MILLIS = 20;
+    private static final int IO_THREADS = 4;
+    private static final int TICK_THREADS = 5;
+    private static final long TICK_INTERVAL_MILLIS = 20;
 
     private final EventLog log;
     private final XnioWorker worker;
-    private final HttpCaller caller;
+    private final HttpCaller httpClient;
     private final Transport transport;
     private final List<Undertow> servers = new ArrayList<>();
     private final List<ExecutorService> executors = new CopyOnWriteArrayList<>();
     private volatile boolean closed;
-    private final ScheduledExecutorService ticks;
-
+    private final ScheduledExecutorService tickScheduler;
+
+    /**
+     * Creates a runtime whose messages to other processes go over HTTP.
+     *
+     * @param threads the number of worker threads
+     * @param core the id of the core that this process belongs to, 0 while it belongs to none
+     */
     public Host(EventLog log, int threads, LongSupplier core) {
-        this((c, now) -> new HttpTransport(c, core, now), log, IO_THREADS, threads, TICKS);
+        this((client, clock) -> new HttpTransport(client, core, clock), log, IO_THREADS, threads, TICK_THREADS);
     }
 
-    /** A host whose messages to other processes go over the given transport, which it closes. */
+    /**
+     * Creates a runtime with the given transport, which {@link #close} closes, and the default number of I/O threads and tick
+     * threads.
+     *
+     * @param threads the number of worker threads
+     */
     public Host(EventLog log, int threads, Transport transport) {
-        this(log, IO_THREADS, threads, TICKS, transport);
+        this(log, IO_THREADS, threads, TICK_THREADS, transport);
     }
 
+    /**
+     * Creates a runtime with the given transport, which {@link #close} closes.
+     *
+     * @param io the number of I/O threads
+     * @param threads the number of worker threads
+     * @param ticking the number of threads that run periodic tasks
+     */
     public Host(EventLog log, int io, int threads, int ticking, Transport transport) {
-        this((c, now) -> transport, log, io, threads, ticking);
+        this((client, clock) -> transport, log, io, threads, ticking);
     }
 
     private Host(
-            BiFunction<HttpCaller, LongSupplier, Transport> transports,
+            BiFunction<HttpCaller, LongSupplier, Transport> transportFactory,
             EventLog log,
-            int io,
-            int threads,
-            int ticking) {
-        ticks = Executors.newScheduledThreadPool(ticking, r -> new Thread(r, "tick"));
+            int ioThreads,
+            int workerThreads,
+            int tickThreads) {
+        tickScheduler = Executors.newScheduledThreadPool(tickThreads, task -> new Thread(task, "tick"));
         this.log = log;
         try {
             worker = Xnio.getInstance()
                     .createWorker(OptionMap.builder()
-                            .set(Options.WORKER_IO_THREADS, io)
-                            .set(Options.WORKER_TASK_CORE_THREADS, threads)
-                            .set(Options.WORKER_TASK_MAX_THREADS, threads)
+                            .set(Options.WORKER_IO_THREADS, ioThreads)
+                            .set(Options.WORKER_TASK_CORE_THREADS, workerThreads)
+                            .set(Options.WORKER_TASK_MAX_THREADS, workerThreads)
                             .set(Options.TCP_NODELAY, true)
                             .getMap());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        caller = new HttpCaller(worker);
-        transport = transports.apply(caller, this::now);
+        httpClient = new HttpCaller(worker);
+        transport = transportFactory.apply(httpClient, this::now);
         if (transport.ticks()) tick(transport::tick);
     }
 
+    /** Returns the time of the steady clock in microseconds. */
     @Override
     public long now() {
         return System.nanoTime() / 1000;
@@ -87,83 +111,102 @@
     }
 
     @Override
-    public void note(Event e, String detail) {
-        log.note(e, detail);
+    public void note(Event event, String detail) {
+        log.note(event, detail);
     }
 
+    /** Returns the log of this process. */
     public EventLog log() {
         return log;
     }
 
+    /** Returns the HTTP client of this process. */
     public HttpCaller caller() {
-        return caller;
+        return httpClient;
     }
 
+    /** Returns the I/O and worker threads of this process. */
     public XnioWorker worker() {
         return worker;
     }
 
+    /**
+     * Starts an HTTP server on an address.
+     *
+     * @param address IP:PORT
+     * @param bodyLimit the largest request body that is accepted, in bytes
+     */
     public void listen(String address, HttpHandler handler, long bodyLimit) {
-        var at = address.lastIndexOf(':');
-        var u = Undertow.builder()
+        var colon = address.lastIndexOf(':');
+        var server = Undertow.builder()
                 .setWorker(worker)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, bodyLimit)
                 .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 32 * 1024)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 60_000)
                 .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
-                .addHttpListener(Integer.parseInt(address.substring(at + 1)), address.substring(0, at), handler)
+                .addHttpListener(Integer.parseInt(address.substring(colon + 1)), address.substring(0, colon), handler)
                 .build();
-        u.start();
-        servers.add(u);
+        server.start();
+        servers.add(server);
     }
 
+    /** Runs a task at once and then 20 ms after the end of each run, until the runtime is closed. */
     public void tick(Runnable each) {
-        tick(each, TICK_MILLIS);
+        tick(each, TICK_INTERVAL_MILLIS);
     }
 
+    /**
+     * Runs a task at once and then again a pause after the end of each run, until the runtime is closed. An exception that
+     * the task throws is logged and does not stop later runs.
+     */
     public void tick(Runnable each, long millis) {
-        ticks.scheduleWithFixedDelay(
+        tickScheduler.scheduleWithFixedDelay(
                 () -> {
-                    guarded(each);
+                    runAndLogFailure(each);
                 },
                 0,
                 millis,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** A thread of its own for work that may wait for a disk. */
+    /**
+     * Creates an executor that runs its tasks one at a time on a thread of its own, so that a task that waits for a disk
+     * delays no other work. Tasks are dropped once the runtime is closed.
+     */
     public Executor singleThread(String name) {
-        var d = Executors.newSingleThreadExecutor(r -> daemon(r, name));
-        executors.add(d);
-        return r -> {
+        var executor = Executors.newSingleThreadExecutor(r -> newDaemonThread(r, name));
+        executors.add(executor);
+        return task -> {
             if (!closed)
-                d.execute(() -> {
-                    if (!closed) guarded(r);
+                executor.execute(() -> {
+                    if (!closed) runAndLogFailure(task);
                 });
         };
     }
 
-    private static Thread daemon(Runnable r, String name) {
-        var t = new Thread(r, name);
-        t.setDaemon(true);
-        return t;
+    private static Thread newDaemonThread(Runnable task, String name) {
+        var thread = new Thread(task, name);
+        thread.setDaemon(true);
+        return thread;
     }
 
-    private void guarded(Runnable r) {
+    private void runAndLogFailure(Runnable task) {
         try {
-            r.run();
+            task.run();
         } catch (RuntimeException e) {
             if (!closed) log.internal(e);
         }
     }
 
+    /** Stops all HTTP servers; the threads and the transport go on. */
     public void stopListening() {
         servers.forEach(Undertow::stop);
     }
 
+    /** Stops the periodic tasks, the executors and the servers, and closes the transport and the worker threads. */
     public void close() {
         closed = true;
-        ticks.shutdownNow();
+        tickScheduler.shutdownNow();
         executors.forEach(ExecutorService::shutdown);
         stopListening();
         transport.close();
--- a/lib/process/src/main/java/craneway/process/NioDirectory.java
+++ b/lib/process/src/main/java/craneway/process/NioDirectory.java
@@ -10,12 +10,12 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 
-/** A directory of the platform. */
+/** A directory of the file system, accessed through {@code java.nio}. */
 final class NioDirectory implements DataDirectory {
-    private record Channel(FileChannel channel) implements OpenFile {
+    private record ChannelFile(FileChannel channel) implements OpenFile {
         @Override
-        public void write(ByteBuffer bytes, long at) throws IOException {
-            channel.write(bytes, at);
+        public void write(ByteBuffer bytes, long position) throws IOException {
+            channel.write(bytes, position);
         }
 
         @Override
@@ -42,15 +42,15 @@
 
     @Override
     public List<String> fileNames() throws IOException {
-        try (var all = Files.list(root)) {
-            return all.map(p -> p.getFileName().toString()).toList();
+        try (var paths = Files.list(root)) {
+            return paths.map(p -> p.getFileName().toString()).toList();
         }
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
+    public byte[] read(String name, int maxBytes) throws IOException {
         try (var in = Files.newInputStream(root.resolve(name))) {
-            return most == Integer.MAX_VALUE ? in.readAllBytes() : in.readNBytes(most);
+            return maxBytes == Integer.MAX_VALUE ? in.readAllBytes() : in.readNBytes(maxBytes);
         } catch (NoSuchFileException e) {
             return null;
         }
@@ -58,7 +58,8 @@
 
     @Override
     public OpenFile open(String name) throws IOException {
-        return new Channel(FileChannel.open(root.resolve(name), StandardOpenOption.WRITE, StandardOpenOption.CREATE));
+        return new ChannelFile(
+                FileChannel.open(root.resolve(name), StandardOpenOption.WRITE, StandardOpenOption.CREATE));
     }
 
     @Override
@@ -75,10 +76,11 @@
         Files.deleteIfExists(root.resolve(name));
     }
 
+    /** Syncs the directory itself; on Linux that makes its names durable. */
     @Override
     public void sync() throws IOException {
-        try (var c = FileChannel.open(root, StandardOpenOption.READ)) {
-            c.force(true);
+        try (var directory = FileChannel.open(root, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -11,60 +11,85 @@
 import craneway.transport.SocketTransport;
 import java.security.SecureRandom;
 
-/** The router on a platform that starts it: control as ever, the whole request path without blocking threads. */
+/**
+ * A router process on a platform that starts and stops it. It takes part in the core like {@link RouterProcess}, but
+ * proxies requests with {@link ProxyServer}, which blocks no thread.
+ */
 public final class PlatformRouterProcess implements AutoCloseable {
-    private static final int IO = 1, THREADS = 2, TICKS = 1, TICK = 100;
-    private static final long LINGER = 5_000_000, MARGIN = 500_000, TELL = 200_000;
+    private static final int IO_THREADS = 1;
+    private static final int WORKER_THREADS = 2;
+    private static final int TICK_THREADS = 1;
+    private static final int TICK_INTERVAL_MILLIS = 100;
+
+    /** How long a router that is shutting down serves new requests, until clients have learned of its leave. */
+    private static final long MAX_SERVING_PERIOD_MICROS = 5_000_000;
+
+    /** The part of the shutdown grace that is left unused, so that the process ends before the platform kills it. */
+    private static final long GRACE_MARGIN_MICROS = 500_000;
+
+    /** The pause between reporting not ready to the other processes and leaving the core. */
+    private static final long NOT_READY_PERIOD_MICROS = 200_000;
 
     private final NodeSettings node;
     private final Host host;
     private final Router router;
     private final ProxyServer server;
 
+    /**
+     * Starts the router and its proxy server.
+     *
+     * @param names the platform's names of headers and paths
+     */
     public PlatformRouterProcess(NodeSettings node, ProtocolNames names, EventLog log) {
         this.node = node;
-        var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
-        host = new Host(log, IO, THREADS, TICKS, wire);
+        var socketTransport =
+                new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
+        host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self =
                 Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seeds(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
-        wire.start(router.directory()::sameOrigin, router::receive);
-        server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::ready, host::send);
+        socketTransport.start(router.directory()::sameOrigin, router::receive);
+        server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::isReady, host::send);
         router.onReading(server::receiveNotice);
         router.onSilence(server::receiveNotice);
-        host.tick(router::tick, TICK);
+        host.tick(router::tick, TICK_INTERVAL_MILLIS);
         log.note(
                 Event.STARTED,
                 "router zone " + node.zone() + " requester " + node.clientAddress() + " partner " + node.peerAddress());
     }
 
-    private long core() {
+    private long coreId() {
         return router == null ? 0 : router.directory().self().coreId;
     }
 
-    private boolean ready() {
+    private boolean isReady() {
         return router.membership().view().manifest() != null
                 && router.directory().self().serving;
     }
 
+    /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
         return router.membership().superseded();
     }
 
-    /** Serves what comes until requesters have heard of the leave, then ends what is open; done within the grace. */
+    /**
+     * Shuts down gracefully within the shutdown grace of the settings: leaves the core, keeps serving new requests until
+     * clients have learned of the leave, then stops listening and waits for the open requests.
+     */
     public void stopGently() throws InterruptedException {
-        var began = host.now();
+        var startedAt = host.now();
         host.note(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
         router.unready();
-        pause(TELL);
+        pause(NOT_READY_PERIOD_MICROS);
         router.membership().leave(host.now());
-        var serve = began + Math.min(LINGER, node.bounds().grace() * 6 / 10);
-        while (host.now() < serve) pause(20_000);
+        var servingUntil =
+                startedAt + Math.min(MAX_SERVING_PERIOD_MICROS, node.bounds().grace() * 6 / 10);
+        while (host.now() < servingUntil) pause(20_000);
         server.stopListening();
-        var until = began + node.bounds().grace() - MARGIN;
-        while (server.unansweredConnectionCount() > 0 && host.now() < until) pause(20_000);
+        var deadline = startedAt + node.bounds().grace() - GRACE_MARGIN_MICROS;
+        while (server.unansweredConnectionCount() > 0 && host.now() < deadline) pause(20_000);
         close();
         host.note(Event.STOPPED, "router");
     }
@@ -73,6 +98,7 @@
         Thread.sleep(micros / 1000);
     }
 
+    /** Closes the process at once, without a graceful shutdown. */
     @Override
     public void close() {
         server.close();
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -24,31 +24,51 @@
 import java.nio.file.Files;
 import java.security.SecureRandom;
 
-/** A store on a platform: keeps the core and serves operators, runners and requesters that ask where to go. */
+/**
+ * A store process on a platform that starts and stops it: holds replicas of the parts of the core, and serves operators,
+ * heartbeats of runners, and clients that look up the addresses of routers.
+ */
 public final class PlatformStoreProcess implements AutoCloseable {
-    private static final int IO = 2, THREADS = 6, TICKS = 2;
-    private static final long CONFIGURATION = 32L << 20,
-            SMALL = 64 << 10,
-            MARGIN = 1_500_000,
-            RESERVE = 8L << 20,
-            LAST_REPLIES = 500,
-            FORGOTTEN = 60_000_000;
+    private static final int IO_THREADS = 2;
+    private static final int WORKER_THREADS = 6;
+    private static final int TICK_THREADS = 2;
+    private static final long MAX_CONFIGURATION_BODY_BYTES = 32L << 20;
+    private static final long MAX_LOOKUP_BODY_BYTES = 64 << 10;
+
+    /** The part of the shutdown grace that is left unused, so that the process ends before the platform kills it. */
+    private static final long GRACE_MARGIN_MICROS = 1_500_000;
+
+    /** The free disk space below which the store takes no more log entries. */
+    private static final long DISK_RESERVE_BYTES = 8L << 20;
+
+    /** The pause before all connections are closed, in which the last responses are sent. */
+    private static final long LAST_RESPONSES_PERIOD_MILLIS = 500;
+
+    /** After this time the store forgets a runner that is leaving or gone. */
+    private static final long FORGET_RUNNER_AFTER_MICROS = 60_000_000;
 
     private final DiskFolder disk;
     private final Host host;
     private final Store store;
-    private final long grace;
+    private final long shutdownGrace;
 
+    /**
+     * Starts the store and all its servers. Creates the data directory if it does not exist.
+     *
+     * @param dialect the formats that operators, runners and clients of the platform use
+     */
     public PlatformStoreProcess(NodeSettings node, PlatformFormats dialect, EventLog log) {
-        made(node);
-        grace = node.bounds().grace();
-        disk = new DiskFolder(node.data(), RESERVE);
-        var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
-        host = new Host(log, IO, THREADS, TICKS, wire);
+        createDataDirectory(node);
+        shutdownGrace = node.bounds().grace();
+        disk = new DiskFolder(node.data(), DISK_RESERVE_BYTES);
+        var socketTransport =
+                new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
+        host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self =
                 Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
-        store = new Store(new Near(node.peerAddress()), disk, self, node.seeds(), rules(node), new SecureRandom());
-        wire.start(store.directory()::sameOrigin, store::receive);
+        store = new Store(
+                new LoopbackPort(node.peerAddress()), disk, self, node.seeds(), storeOptions(node), new SecureRandom());
+        socketTransport.start(store.directory()::sameOrigin, store::receive);
         var callers = new Callers(host::now, log);
         host.tick(callers::tick);
         host.listen(
@@ -59,21 +79,21 @@
                         node.zones().keySet(),
                         host.worker(),
                         callers),
-                CONFIGURATION);
+                MAX_CONFIGURATION_BODY_BYTES);
         host.listen(
                 node.directory(),
                 new RouterAddressHandler(
                         dialect,
                         new RouterAddresses(store, node.zones()),
                         node.bounds().mostTtl()),
-                SMALL);
+                MAX_LOOKUP_BODY_BYTES);
         host.tick(store::tickNode);
         host.tick(this::tickParts);
         log.note(
                 Event.STARTED, "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.data());
     }
 
-    private static void made(NodeSettings node) {
+    private static void createDataDirectory(NodeSettings node) {
         try {
             Files.createDirectories(node.data());
         } catch (IOException e) {
@@ -81,22 +101,24 @@
         }
     }
 
-    private Rules rules(NodeSettings node) {
-        var dark = node.beat() * 22 / 10 + 300_000;
-        var settings = new Settings(node.seeds().size(), true, node.firstStart(), dark, FORGOTTEN);
+    private Rules storeOptions(NodeSettings node) {
+        // More than two heartbeat intervals, so that one lost heartbeat does not make a runner dark.
+        var darkAfterMicros = node.beat() * 22 / 10 + 300_000;
+        var settings =
+                new Settings(node.seeds().size(), true, node.firstStart(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
         return new Rules(
                 settings,
                 Quorum.of(node.losses(), node.zones()),
                 TimingProfile.LOW_TRAFFIC,
-                p -> host.singleThread("part " + p));
+                part -> host.singleThread("part " + part));
     }
 
-    /** Messages of this store to itself need no wire. */
-    private final class Near implements Port {
-        private final String self;
+    /** The runtime's port, except that messages of the store to itself bypass the transport. */
+    private final class LoopbackPort implements Port {
+        private final String ownAddress;
 
-        Near(String self) {
-            this.self = self;
+        LoopbackPort(String ownAddress) {
+            this.ownAddress = ownAddress;
         }
 
         @Override
@@ -106,47 +128,53 @@
 
         @Override
         public void send(String address, Object message) {
-            if (!address.equals(self)) {
+            if (!address.equals(ownAddress)) {
                 host.send(address, message);
                 return;
             }
-            var b = Codec.writeTagged(message);
-            host.worker().execute(() -> store.receive(Codec.readTagged(b)));
+            var encoded = Codec.writeTagged(message);
+            host.worker().execute(() -> store.receive(Codec.readTagged(encoded)));
         }
 
         @Override
-        public void note(Event e, String detail) {
-            host.note(e, detail);
+        public void note(Event event, String detail) {
+            host.note(event, detail);
         }
     }
 
     private void tickParts() {
-        for (var p = 0; p < Parts.COUNT; p++) store.tickPart(p);
+        for (var part = 0; part < Parts.COUNT; part++) store.tickPart(part);
     }
 
-    private long core() {
+    private long coreId() {
         return store == null ? 0 : store.directory().self().coreId;
     }
 
+    /** Returns the store that this process runs. */
     public Store store() {
         return store;
     }
 
+    /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
         return store.membership().superseded();
     }
 
-    /** Hands over what this store leads, stays while it is needed, and ends, within the grace. */
+    /**
+     * Shuts down gracefully within the shutdown grace of the settings: transfers leadership, waits until the core no longer
+     * needs this store, leaves the core, and closes.
+     */
     public void stopGently() throws InterruptedException {
         host.note(Event.STOPPING, "store");
-        var until = host.now() + Math.max(0, grace - MARGIN);
-        while (store.leave() && host.now() < until) Thread.sleep(100);
+        var deadline = host.now() + Math.max(0, shutdownGrace - GRACE_MARGIN_MICROS);
+        while (store.leave() && host.now() < deadline) Thread.sleep(100);
         store.membership().leave(host.now());
-        Thread.sleep(LAST_REPLIES);
+        Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
         host.note(Event.STOPPED, "store");
     }
 
+    /** Closes the process at once, without a graceful shutdown, and releases the data directory. */
     @Override
     public void close() {
         host.close();
--- a/lib/process/src/main/java/craneway/process/PrometheusText.java
+++ b/lib/process/src/main/java/craneway/process/PrometheusText.java
@@ -16,51 +16,60 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * Collects metrics and renders them in the Prometheus text format. Every name gets the prefix {@code craneway_}, and the
+ * format appends {@code _total} to counters.
+ */
 final class PrometheusText {
-    private final List<MetricSnapshot> all = new ArrayList<>();
+    private final List<MetricSnapshot> metrics = new ArrayList<>();
 
-    PrometheusText addCounter(String name, String help, long v) {
-        all.add(CounterSnapshot.builder()
+    /** Adds a counter without labels. */
+    PrometheusText addCounter(String name, String help, long value) {
+        metrics.add(CounterSnapshot.builder()
                 .name("craneway_" + name)
                 .help(help)
-                .dataPoint(CounterDataPointSnapshot.builder().value(v).build())
+                .dataPoint(CounterDataPointSnapshot.builder().value(value).build())
                 .build());
         return this;
     }
 
-    PrometheusText addCounters(String name, String help, String label, Map<String, Long> values) {
-        var b = CounterSnapshot.builder().name("craneway_" + name).help(help);
-        values.forEach((k, v) -> b.dataPoint(CounterDataPointSnapshot.builder()
-                .labels(Labels.of(label, k))
-                .value(v)
+    /** Adds a counter with one label and a value for each value of the label. */
+    PrometheusText addCounters(String name, String help, String label, Map<String, Long> valueByLabel) {
+        var builder = CounterSnapshot.builder().name("craneway_" + name).help(help);
+        valueByLabel.forEach((labelValue, value) -> builder.dataPoint(CounterDataPointSnapshot.builder()
+                .labels(Labels.of(label, labelValue))
+                .value(value)
                 .build()));
-        all.add(b.build());
+        metrics.add(builder.build());
         return this;
     }
 
-    PrometheusText addGauge(String name, String help, long v) {
-        all.add(GaugeSnapshot.builder()
+    /** Adds a gauge without labels. */
+    PrometheusText addGauge(String name, String help, long value) {
+        metrics.add(GaugeSnapshot.builder()
                 .name("craneway_" + name)
                 .help(help)
-                .dataPoint(GaugeDataPointSnapshot.builder().value(v).build())
+                .dataPoint(GaugeDataPointSnapshot.builder().value(value).build())
                 .build());
         return this;
     }
 
-    PrometheusText addGauges(String name, String help, String label, Map<String, Long> values) {
-        var b = GaugeSnapshot.builder().name("craneway_" + name).help(help);
-        values.forEach((k, v) -> b.dataPoint(GaugeDataPointSnapshot.builder()
-                .labels(Labels.of(label, k))
-                .value(v)
+    /** Adds a gauge with one label and a value for each value of the label. */
+    PrometheusText addGauges(String name, String help, String label, Map<String, Long> valueByLabel) {
+        var builder = GaugeSnapshot.builder().name("craneway_" + name).help(help);
+        valueByLabel.forEach((labelValue, value) -> builder.dataPoint(GaugeDataPointSnapshot.builder()
+                .labels(Labels.of(label, labelValue))
+                .value(value)
                 .build()));
-        all.add(b.build());
+        metrics.add(builder.build());
         return this;
     }
 
+    /** Returns all metrics added so far as text. */
     String render() {
         var out = new ByteArrayOutputStream();
         try {
-            PrometheusTextFormatWriter.create().write(out, new MetricSnapshots(all));
+            PrometheusTextFormatWriter.create().write(out, new MetricSnapshots(metrics));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -14,33 +14,48 @@
 import io.undertow.server.HttpHandler;
 import java.security.SecureRandom;
 
+/**
+ * A stand-alone router process: accepts completion requests of clients and announcements of runners, and offers the
+ * operator API, readiness checks and the peer endpoint, each on an address of its own.
+ */
 public final class RouterProcess implements AutoCloseable {
-    private static final int THREADS = 400;
-    private static final long BODY = 8L << 20,
-            ANNOUNCE_BODY = 64 << 10,
-            MANIFEST_BODY = 32L << 20,
-            READINESS = 2_200_000,
-            LAST_REPLIES = 500_000,
-            STREAMS = 60_000_000;
+    /** Each request in flight blocks a worker thread (see {@link CompletionHandler}). */
+    private static final int WORKER_THREADS = 400;
+
+    private static final long MAX_REQUEST_BODY_BYTES = 8L << 20;
+    private static final long MAX_ANNOUNCEMENT_BODY_BYTES = 64 << 10;
+    private static final long MAX_MANIFEST_BODY_BYTES = 32L << 20;
+
+    /** How long a router that is shutting down still accepts requests while load balancers see that it is not ready. */
+    private static final long NOT_READY_PERIOD_MICROS = 2_200_000;
+
+    /** The pause between stopping the servers and closing all connections, in which the last responses are sent. */
+    private static final long LAST_RESPONSES_PERIOD_MICROS = 500_000;
+
+    /** How long a router that is shutting down waits for open response streams to end. */
+    private static final long STREAM_DRAIN_TIMEOUT_MICROS = 60_000_000;
 
     private final Host host;
     private final Router router;
     private final Operator operator;
 
+    /** Starts the router and all its servers. */
     public RouterProcess(Startup s, EventLog log) {
-        host = new Host(log, THREADS, () -> core());
+        host = new Host(log, WORKER_THREADS, () -> coreId());
         var self = Node.started(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
         router = new Router(host, self, s.seeds, new SecureRandom());
         operator = new Operator(host, router.coreClient());
-        var forwarded = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
-        var partner = new PeerHandler(this::core, router.directory()::sameOrigin, router::receive, log);
-        HttpHandler both = x -> (x.getRequestPath().equals("/transaction") ? forwarded : partner).handleRequest(x);
-        host.listen(s.peerAddress, both, 80L << 20);
+        var forwardedRequests = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
+        var peerMessages = new PeerHandler(this::coreId, router.directory()::sameOrigin, router::receive, log);
+        HttpHandler peerEndpoint =
+                exchange -> (exchange.getRequestPath().equals("/transaction") ? forwardedRequests : peerMessages)
+                        .handleRequest(exchange);
+        host.listen(s.peerAddress, peerEndpoint, 80L << 20);
         host.listen(
                 s.clientAddress,
                 new CompletionHandler(router, host.caller(), host::now, log, "/v1/chat/completions", false),
-                BODY);
-        host.listen(s.runner, new RunnerHandler(router), ANNOUNCE_BODY);
+                MAX_REQUEST_BODY_BYTES);
+        host.listen(s.runner, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
         host.listen(
                 s.operator,
                 new OperatorHandler(
@@ -53,8 +68,8 @@
                                 after,
                                 System.currentTimeMillis() * 1000 - host.now()),
                         null),
-                MANIFEST_BODY);
-        host.listen(s.platform, new ReadinessHandler(router::ready), ANNOUNCE_BODY);
+                MAX_MANIFEST_BODY_BYTES);
+        host.listen(s.platform, new ReadinessHandler(router::ready), MAX_ANNOUNCEMENT_BODY_BYTES);
         host.tick(() -> {
             router.tick();
             operator.tick(host.now());
@@ -63,28 +78,34 @@
                 Event.STARTED, "router zone " + s.zone + " requester " + s.clientAddress + " partner " + s.peerAddress);
     }
 
-    private long core() {
+    private long coreId() {
         return router == null ? 0 : router.directory().self().coreId;
     }
 
+    /** Returns the router that this process runs. */
     public Router router() {
         return router;
     }
 
+    /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
         return router.membership().superseded();
     }
 
+    /**
+     * Shuts down gracefully: reports not ready, then refuses new requests and waits for open streams to end, leaves the
+     * core, and closes. Takes at most about 63 s.
+     */
     public void stopGently() throws InterruptedException {
         host.note(Event.STOPPING, router.executor().open() + " transactions open");
         router.unready();
-        pause(READINESS);
+        pause(NOT_READY_PERIOD_MICROS);
         router.executor().stop();
-        var until = host.now() + STREAMS;
-        while (router.executor().open() > 0 && host.now() < until) pause(20_000);
+        var deadline = host.now() + STREAM_DRAIN_TIMEOUT_MICROS;
+        while (router.executor().open() > 0 && host.now() < deadline) pause(20_000);
         router.membership().leave(host.now());
         host.stopListening();
-        pause(LAST_REPLIES);
+        pause(LAST_RESPONSES_PERIOD_MICROS);
         close();
         host.note(Event.STOPPED, "router");
     }
@@ -93,6 +114,7 @@
         Thread.sleep(micros / 1000);
     }
 
+    /** Closes the process at once, without a graceful shutdown. */
     @Override
     public void close() {
         host.close();
--- a/lib/process/src/main/java/craneway/process/Startup.java
+++ b/lib/process/src/main/java/craneway/process/Startup.java
@@ -17,99 +17,139 @@
 import java.util.Map;
 import java.util.stream.StreamSupport;
 
+/**
+ * The startup settings of a stand-alone router or store, read from a JSON file and overridden by command line options.
+ * Addresses are IP:PORT. Immutable.
+ */
 public final class Startup {
-    public static final String ROUTER = "router", STORE = "store";
+    /** The kind of process whose settings {@code router.schema.json} describes. */
+    public static final String ROUTER = "router";
+
+    /** The kind of process whose settings {@code store.schema.json} describes. */
+    public static final String STORE = "store";
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
+    /** The name of the process, unique in its core. */
     public final String name;
+
+    /** The zone in which the process runs. */
     public final String zone;
+
+    /** The address on which a router accepts completion requests; null for a store. */
     public final String clientAddress;
+
+    /** The address on which a router accepts announcements of runners; null for a store. */
     public final String runner;
+
+    /** The address of the operator API. */
     public final String operator;
+
+    /** The address of the liveness and readiness checks. */
     public final String platform;
+
+    /** The address for messages of other craneway processes. */
     public final String peerAddress;
+
+    /** The peer addresses of the three processes that are contacted first. */
     public final List<String> seeds;
+
+    /** The data directory of a store; null for a router. */
     public final Path data;
+
+    /** The number of empty stores that bootstrap a core together: 1, 3 or 5. */
     public final int stores;
 
-    private Startup(JsonNode n) {
-        name = n.get("name").asText();
-        zone = n.get("zone").asText();
-        clientAddress = n.path("requester").asText(null);
-        runner = n.path("runner").asText(null);
-        operator = n.get("operator").asText();
-        platform = n.get("platform").asText();
-        peerAddress = n.get("partner").asText();
-        seeds = StreamSupport.stream(n.get("seeds").spliterator(), false)
+    private Startup(JsonNode settings) {
+        name = settings.get("name").asText();
+        zone = settings.get("zone").asText();
+        clientAddress = settings.path("requester").asText(null);
+        runner = settings.path("runner").asText(null);
+        operator = settings.get("operator").asText();
+        platform = settings.get("platform").asText();
+        peerAddress = settings.get("partner").asText();
+        seeds = StreamSupport.stream(settings.get("seeds").spliterator(), false)
                 .map(JsonNode::asText)
                 .toList();
-        data = n.has("data") ? Path.of(n.get("data").asText()) : null;
-        stores = n.path("stores").asInt(3);
+        data = settings.has("data") ? Path.of(settings.get("data").asText()) : null;
+        stores = settings.path("stores").asInt(3);
     }
 
+    /**
+     * Reads and validates the settings. Creates the data directory of a store if it does not exist.
+     *
+     * @param file the startup file, or null if all settings come from options
+     * @param flags the command line options by settings key; a non-null value overrides the file
+     * @param kind {@link #ROUTER} or {@link #STORE}
+     * @throws BadStartupException if the settings are invalid
+     */
     public static Startup of(Path file, Map<String, String> flags, String kind) {
-        var wrong = new ArrayList<String>();
-        var n = file == null ? JSON.createObjectNode() : read(file, wrong);
-        flags.forEach((k, x) -> {
-            if (x != null) n.set(k, typed(k, x));
+        var faults = new ArrayList<String>();
+        var settings = file == null ? JSON.createObjectNode() : read(file, faults);
+        flags.forEach((key, value) -> {
+            if (value != null) settings.set(key, toJson(key, value));
         });
-        if (wrong.isEmpty()) fits(n, kind, wrong);
-        if (wrong.isEmpty()) means(n, wrong);
-        if (!wrong.isEmpty()) throw new BadStartupException(wrong);
-        return new Startup(n);
+        if (faults.isEmpty()) checkSchema(settings, kind, faults);
+        if (faults.isEmpty()) checkValues(settings, faults);
+        if (!faults.isEmpty()) throw new BadStartupException(faults);
+        return new Startup(settings);
     }
 
-    private static ObjectNode read(Path file, List<String> wrong) {
+    private static ObjectNode read(Path file, List<String> faults) {
         try {
             if (JSON.readTree(Files.readString(file)) instanceof ObjectNode o) return o;
-            wrong.add("startup file " + file + " holds no JSON object");
+            faults.add("startup file " + file + " does not contain a JSON object");
         } catch (IOException e) {
-            wrong.add("startup file " + file + " cannot be read as JSON: "
+            faults.add("startup file " + file + " cannot be read as JSON: "
                     + e.getMessage().lines().findFirst().orElse(""));
         }
         return JSON.createObjectNode();
     }
 
-    private static JsonNode typed(String k, String x) {
-        if (k.equals("stores") && x.matches("\\d{1,4}"))
-            return JSON.getNodeFactory().numberNode(Integer.parseInt(x));
-        if (!k.equals("seeds")) return JSON.getNodeFactory().textNode(x);
-        var all = JSON.createArrayNode();
-        for (var a : x.split(",")) all.add(a);
-        return all;
+    /** Converts the text of an option to the JSON type that the schema requires for its key. */
+    private static JsonNode toJson(String key, String value) {
+        if (key.equals("stores") && value.matches("\\d{1,4}"))
+            return JSON.getNodeFactory().numberNode(Integer.parseInt(value));
+        if (!key.equals("seeds")) return JSON.getNodeFactory().textNode(value);
+        var addresses = JSON.createArrayNode();
+        for (var address : value.split(",")) addresses.add(address);
+        return addresses;
     }
 
-    private static void fits(JsonNode n, String kind, List<String> wrong) {
+    private static void checkSchema(JsonNode settings, String kind, List<String> faults) {
         try (var in = Startup.class.getResourceAsStream("/craneway/" + kind + ".schema.json")) {
             var schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                     .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8));
-            for (var e : schema.validate(n))
-                wrong.add((e.getInstanceLocation().toString().isEmpty() ? "startup" : e.getInstanceLocation()) + ": "
-                        + e.getMessage());
+            for (var error : schema.validate(settings))
+                faults.add((error.getInstanceLocation().toString().isEmpty() ? "startup" : error.getInstanceLocation())
+                        + ": "
+                        + error.getMessage());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void means(JsonNode n, List<String> wrong) {
-        var used = new HashSet<String>();
-        for (var k : List.of("requester", "runner", "operator", "platform", "partner")) {
-            if (!n.has(k)) continue;
-            var a = n.get(k).asText();
-            if (Addresses.bad(a)) wrong.add(k + " \"" + a + "\" is not IP:PORT");
-            else if (!used.add(a)) wrong.add(k + " " + a + " is used twice");
+    /** Checks what the schema cannot express: valid and distinct addresses, and a writable data directory. */
+    private static void checkValues(JsonNode settings, List<String> faults) {
+        var usedAddresses = new HashSet<String>();
+        for (var key : List.of("requester", "runner", "operator", "platform", "partner")) {
+            if (!settings.has(key)) continue;
+            var address = settings.get(key).asText();
+            if (Addresses.bad(address)) faults.add(key + " \"" + address + "\" is not IP:PORT");
+            else if (!usedAddresses.add(address)) faults.add(key + " " + address + " is used more than once");
         }
-        for (var s : n.get("seeds"))
-            if (Addresses.bad(s.asText())) wrong.add("seed \"" + s.asText() + "\" is not IP:PORT");
-        if (n.has("data")) folder(Path.of(n.get("data").asText()), wrong);
+        for (var seed : settings.get("seeds"))
+            if (Addresses.bad(seed.asText())) faults.add("seed \"" + seed.asText() + "\" is not IP:PORT");
+        if (settings.has("data"))
+            prepareDataDirectory(Path.of(settings.get("data").asText()), faults);
     }
 
-    private static void folder(Path p, List<String> wrong) {
+    private static void prepareDataDirectory(Path directory, List<String> faults) {
         try {
-            Files.createDirectories(p);
-            if (!Files.isWritable(p)) wrong.add("data folder " + p + " cannot be written");
+            Files.createDirectories(directory);
+            if (!Files.isWritable(directory)) faults.add("data directory " + directory + " is not writable");
         } catch (IOException e) {
-            wrong.add("data folder " + p + " cannot be made: " + e.getMessage());
+            faults.add("data directory " + directory + " cannot be created: " + e.getMessage());
         }
     }
 }
--- a/lib/process/src/main/java/craneway/process/StopSignal.java
+++ b/lib/process/src/main/java/craneway/process/StopSignal.java
@@ -4,44 +4,63 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
+/**
+ * Blocks the main thread until the process is to stop: because a signal (SIGTERM, SIGINT) arrived, or because a newer
+ * process with the same name replaced this one.
+ */
 public final class StopSignal {
-    private static final int SUPERSEDED = 3;
+    /** The exit code of a process that a newer incarnation replaced. */
+    private static final int SUPERSEDED_EXIT_CODE = 3;
 
     private StopSignal() {}
 
+    /** The graceful shutdown of a process. */
     public interface Stop {
+        /** Shuts the process down and returns once that is complete. */
         void run() throws InterruptedException;
     }
 
-    /** As {@link #stopped}, but the process ends with what is returned here also when a signal stops it. */
+    /**
+     * Does the same as {@link #stopped}, then ends the process with the returned code. Without this, a process that a
+     * signal stopped would end with the JVM's exit code for that signal.
+     */
     public static int ended(Stop stop, BooleanSupplier superseded) throws InterruptedException {
-        var r = stopped(stop, superseded);
-        Runtime.getRuntime().halt(r);
-        return r;
+        var exitCode = stopped(stop, superseded);
+        Runtime.getRuntime().halt(exitCode);
+        return exitCode;
     }
 
+    /**
+     * Waits until a signal arrives or the process is superseded. After a signal it runs the graceful shutdown, during which
+     * a shutdown hook keeps the JVM alive for at most 70 s. The longest graceful shutdown, that of {@link RouterProcess},
+     * takes about 63 s. A superseded process skips the graceful shutdown.
+     *
+     * @param stop the graceful shutdown
+     * @param superseded whether a newer process with the same name has replaced this one; polled every 500 ms
+     * @return the exit code of the process: 0 after a graceful shutdown, 3 if superseded
+     */
     public static int stopped(Stop stop, BooleanSupplier superseded) throws InterruptedException {
-        var asked = new CountDownLatch(1);
-        var done = new CountDownLatch(1);
+        var stopRequested = new CountDownLatch(1);
+        var stopCompleted = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            asked.countDown();
+                            stopRequested.countDown();
                             try {
-                                done.await(70, TimeUnit.SECONDS);
+                                stopCompleted.await(70, TimeUnit.SECONDS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         },
                         "stop"));
-        while (!asked.await(500, TimeUnit.MILLISECONDS))
+        while (!stopRequested.await(500, TimeUnit.MILLISECONDS))
             if (superseded.getAsBoolean()) {
-                System.err.println("another process with this name and a newer incarnation has taken this one's place");
-                done.countDown();
-                return SUPERSEDED;
+                System.err.println("another process with this name and a newer incarnation has replaced this process");
+                stopCompleted.countDown();
+                return SUPERSEDED_EXIT_CODE;
             }
         stop.run();
-        done.countDown();
+        stopCompleted.countDown();
         return 0;
     }
 }
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -11,32 +11,45 @@
 import craneway.transport.PeerHandler;
 import java.security.SecureRandom;
 
+/**
+ * A stand-alone store process: holds replicas of the parts of the core on disk, and offers the operator API, readiness
+ * checks and the peer endpoint, each on an address of its own.
+ */
 public final class StoreProcess implements AutoCloseable {
-    private static final int THREADS = 24;
-    private static final long MANIFEST_BODY = 32L << 20,
-            SMALL = 64 << 10,
-            READINESS = 2_200_000,
-            GRACE = 8_000_000,
-            LAST_REPLIES = 500;
+    private static final int WORKER_THREADS = 24;
+    private static final long MAX_MANIFEST_BODY_BYTES = 32L << 20;
+    private static final long MAX_READINESS_BODY_BYTES = 64 << 10;
+
+    /** How long a store that is shutting down keeps running while the platform's checks see that it is not ready. */
+    private static final long NOT_READY_PERIOD_MICROS = 2_200_000;
+
+    /** How long a store that is shutting down waits until the core no longer needs it. */
+    private static final long LEAVE_TIMEOUT_MICROS = 8_000_000;
+
+    /** The pause between stopping the servers and closing all connections, in which the last responses are sent. */
+    private static final long LAST_RESPONSES_PERIOD_MILLIS = 500;
 
     private final DiskFolder disk;
     private final Host host;
     private final Store store;
     private volatile boolean stopping;
 
+    /** Starts the store and all its servers. */
     public StoreProcess(Startup s, EventLog log) {
         disk = new DiskFolder(s.data);
-        host = new Host(log, THREADS, () -> core());
+        host = new Host(log, WORKER_THREADS, () -> coreId());
         var self = Node.started(s.name, Node.STORE, s.zone, s.peerAddress, new SecureRandom().nextLong());
         store = new Store(host, disk, self, s.seeds, s.stores, new SecureRandom());
         var operator = new Operator(host, store.coreClient());
         host.listen(
                 s.peerAddress,
-                new PeerHandler(this::core, store.directory()::sameOrigin, store::receive, log),
+                new PeerHandler(this::coreId, store.directory()::sameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
-                s.operator, new OperatorHandler(s.name, operator, () -> ProcessMetrics.render(store), null, store), MANIFEST_BODY);
-        host.listen(s.platform, new ReadinessHandler(this::ready), SMALL);
+                s.operator,
+                new OperatorHandler(s.name, operator, () -> ProcessMetrics.render(store), null, store),
+                MAX_MANIFEST_BODY_BYTES);
+        host.listen(s.platform, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
         host.tick(() -> {
             store.tickNode();
             operator.tick(host.now());
@@ -48,37 +61,44 @@
         log.note(Event.STARTED, "store zone " + s.zone + " partner " + s.peerAddress + " data " + s.data);
     }
 
-    private long core() {
+    private long coreId() {
         return store == null ? 0 : store.directory().self().coreId;
     }
 
-    private boolean ready() {
+    private boolean isReady() {
         return !stopping
                 && store.replicas().length > 0
                 && store.membership().view().leased(0, host.now());
     }
 
+    /** Returns the store that this process runs. */
     public Store store() {
         return store;
     }
 
+    /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
         return store.membership().superseded();
     }
 
+    /**
+     * Shuts down gracefully: reports not ready, transfers leadership, waits until the core no longer needs this store or a
+     * timeout of 8 s has passed, leaves the core, and closes.
+     */
     public void stopGently() throws InterruptedException {
         host.note(Event.STOPPING, "store");
         stopping = true;
-        Thread.sleep(READINESS / 1000);
-        var until = host.now() + GRACE;
-        while (store.leave() && host.now() < until) Thread.sleep(100);
+        Thread.sleep(NOT_READY_PERIOD_MICROS / 1000);
+        var deadline = host.now() + LEAVE_TIMEOUT_MICROS;
+        while (store.leave() && host.now() < deadline) Thread.sleep(100);
         store.membership().leave(host.now());
         host.stopListening();
-        Thread.sleep(LAST_REPLIES);
+        Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
         host.note(Event.STOPPED, "store");
     }
 
+    /** Closes the process at once, without a graceful shutdown, and releases the data directory. */
     @Override
     public void close() {
         host.close();
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whatever a folder promised to last does, at every crash point and in every outcome of a loss of power. */
+/**
+ * Checks that everything a folder reported as durable survives a crash at every step of the work and every possible outcome
+ * of a power loss.
+ */
 class DiskFolderTest {
     private static final byte[] OLD = {1, 1, 1, 1, 1, 1};
     private static final byte[] NEW = {2, 2, 2, 2};
@@ -33,145 +36,147 @@
     @TempDir
     Path root;
 
-    private static DiskFolder on(FakeDirectory d) {
-        return new DiskFolder(d, 0);
+    private static DiskFolder openOn(FakeDirectory directory) {
+        return new DiskFolder(directory, 0);
     }
 
-    private static FakeDirectory holding(String name, byte[] bytes) {
-        var d = new FakeDirectory();
-        d.shortWrites(true);
-        on(d).replace(name, bytes);
-        return d;
+    /** Returns a directory with one durable file, whose writes are split in two. */
+    private static FakeDirectory directoryWithFile(String name, byte[] bytes) {
+        var directory = new FakeDirectory();
+        directory.setShortWrites(true);
+        openOn(directory).replace(name, bytes);
+        return directory;
     }
 
-    private interface Check {
-        void on(DiskFolder after, boolean ended);
+    private interface CrashCheck {
+        void verify(DiskFolder afterCrash, boolean completed);
     }
 
-    /** Crashes the work at each of its steps and at its end, and looks at each outcome of a loss of power. */
-    private static void everyCrash(FakeDirectory start, Consumer<DiskFolder> work, Check check) {
+    /** Crashes the work at each of its steps and at its end, and checks every outcome of a power loss. */
+    private static void crashAtEveryStep(FakeDirectory start, Consumer<DiskFolder> work, CrashCheck check) {
         for (var step = 0; ; step++) {
-            var d = start.afterKill();
-            var at = step;
-            d.injectFaults(n -> {
-                if (n == at) throw new FakeDirectory.Crash();
+            var directory = start.afterKill();
+            var crashStep = step;
+            directory.injectFaults(n -> {
+                if (n == crashStep) throw new FakeDirectory.Crash();
             });
-            var ended = true;
+            var completed = true;
             try {
-                work.accept(on(d));
+                work.accept(openOn(directory));
             } catch (FakeDirectory.Crash e) {
-                ended = false;
+                completed = false;
             }
-            for (var o = 0L; o < d.outcomeCount(); o++) check.on(on(d.afterPowerLoss(o)), ended);
-            check.on(on(d.afterKill()), ended);
-            if (ended) return;
+            for (var outcome = 0L; outcome < directory.outcomeCount(); outcome++)
+                check.verify(openOn(directory.afterPowerLoss(outcome)), completed);
+            check.verify(openOn(directory.afterKill()), completed);
+            if (completed) return;
         }
     }
 
     @Test
-    void replaceLeavesOldOrNewBytesAndLastsOnceItReturned() {
-        everyCrash(holding("f", OLD), f -> f.replace("f", NEW), (after, ended) -> {
-            var is = after.read("f");
-            if (ended || is[0] == 2) assertArrayEquals(NEW, is);
-            else assertArrayEquals(OLD, is);
-            assertEquals(List.of("f"), after.names());
+    void replaceLeavesOldOrNewBytesAndIsDurableOnReturn() {
+        crashAtEveryStep(directoryWithFile("f", OLD), folder -> folder.replace("f", NEW), (afterCrash, completed) -> {
+            var content = afterCrash.read("f");
+            if (completed || content[0] == 2) assertArrayEquals(NEW, content);
+            else assertArrayEquals(OLD, content);
+            assertEquals(List.of("f"), afterCrash.names());
         });
     }
 
     @Test
-    void replaceMakesAFileWholeOrNotAtAll() {
-        everyCrash(new FakeDirectory(), f -> f.replace("f", NEW), (after, ended) -> {
-            if (ended || after.read("f") != null) assertArrayEquals(NEW, after.read("f"));
+    void replaceCreatesAFileCompletelyOrNotAtAll() {
+        crashAtEveryStep(new FakeDirectory(), folder -> folder.replace("f", NEW), (afterCrash, completed) -> {
+            if (completed || afterCrash.read("f") != null) assertArrayEquals(NEW, afterCrash.read("f"));
         });
     }
 
     @Test
-    void replaceSyncsTheBytesBeforeTheNameAndTheDirectoryAfterIt() {
-        var d = new FakeDirectory();
-        on(d).replace("f", new byte[1]);
+    void replaceSyncsTheFileBeforeTheRenameAndTheDirectoryAfterIt() {
+        var directory = new FakeDirectory();
+        openOn(directory).replace("f", new byte[1]);
         assertEquals(
                 List.of("make f.tmp", "write f.tmp", "sync f.tmp", "rename f.tmp to f", "sync the directory"),
-                d.completedSteps());
+                directory.completedSteps());
     }
 
     @Test
-    void renameKeepsTheBytesUnderOneOfBothNamesAndLasts() {
-        everyCrash(holding("f", OLD), f -> f.rename("f", "g"), (after, ended) -> {
-            var g = after.read("g");
-            assertArrayEquals(OLD, g == null ? after.read("f") : g);
-            if (ended) assertEquals(List.of("g"), after.names());
+    void renameKeepsTheBytesUnderEitherNameAndIsDurableOnReturn() {
+        crashAtEveryStep(directoryWithFile("f", OLD), folder -> folder.rename("f", "g"), (afterCrash, completed) -> {
+            var g = afterCrash.read("g");
+            assertArrayEquals(OLD, g == null ? afterCrash.read("f") : g);
+            if (completed) assertEquals(List.of("g"), afterCrash.names());
         });
     }
 
     @Test
-    void appendedBytesLastOnceSynced() {
-        Consumer<DiskFolder> work = f -> {
-            f.append("f", NEW, 3);
-            f.sync("f");
+    void appendedBytesAreDurableOnceSynced() {
+        Consumer<DiskFolder> work = folder -> {
+            folder.append("f", NEW, 3);
+            folder.sync("f");
         };
-        everyCrash(holding("f", OLD), work, (after, ended) -> {
-            var is = after.read("f");
-            for (var i = 0; i < OLD.length; i++) assertEquals(1, is[i]);
-            if (ended) assertArrayEquals(new byte[] {1, 1, 1, 1, 1, 1, 2, 2, 2}, is);
+        crashAtEveryStep(directoryWithFile("f", OLD), work, (afterCrash, completed) -> {
+            var content = afterCrash.read("f");
+            for (var i = 0; i < OLD.length; i++) assertEquals(1, content[i]);
+            if (completed) assertArrayEquals(new byte[] {1, 1, 1, 1, 1, 1, 2, 2, 2}, content);
         });
-        everyCrash(new FakeDirectory(), work, (after, ended) -> {
-            if (ended) assertArrayEquals(new byte[] {2, 2, 2}, after.read("f"));
+        crashAtEveryStep(new FakeDirectory(), work, (afterCrash, completed) -> {
+            if (completed) assertArrayEquals(new byte[] {2, 2, 2}, afterCrash.read("f"));
         });
     }
 
     @Test
-    void afterAFailedWriteOrSyncAFileTakesNothingUntilItIsReplaced() {
+    void aFileRejectsWritesAfterAFailedWriteOrSyncUntilItIsReplaced() {
         for (var step = 0; step < 3; step++) {
-            var d = holding("f", OLD);
-            var f = on(d);
-            failAt(d, step);
+            var directory = directoryWithFile("f", OLD);
+            var folder = openOn(directory);
+            failAtStep(directory, step);
             assertThrows(DiskException.class, () -> {
-                f.append("f", NEW, 3);
-                f.sync("f");
+                folder.append("f", NEW, 3);
+                folder.sync("f");
             });
-            assertThrows(DiskException.class, () -> f.sync("f"));
-            assertThrows(DiskException.class, () -> f.append("f", NEW, 3));
-            f.replace("f", NEW);
-            f.append("f", NEW, 1);
-            f.sync("f");
-            assertArrayEquals(new byte[] {2, 2, 2, 2, 2}, f.read("f"));
+            assertThrows(DiskException.class, () -> folder.sync("f"));
+            assertThrows(DiskException.class, () -> folder.append("f", NEW, 3));
+            folder.replace("f", NEW);
+            folder.append("f", NEW, 1);
+            folder.sync("f");
+            assertArrayEquals(new byte[] {2, 2, 2, 2, 2}, folder.read("f"));
         }
     }
 
-    private static void failAt(FakeDirectory d, int step) {
-        d.injectFaults(n -> {
+    private static void failAtStep(FakeDirectory directory, int step) {
+        directory.injectFaults(n -> {
             if (n == step) throw new IOException("No space left on device");
         });
     }
 
     @Test
-    void aFailedReplaceLeavesTheOldBytesAndNoOtherFile() {
+    void aFailedReplaceLeavesTheOldBytesAndNoTemporaryFile() {
         for (var step = 0; step < 5; step++) {
-            var d = holding("f", OLD);
-            var f = on(d);
-            failAt(d, step);
-            var e = assertThrows(DiskException.class, () -> f.replace("f", NEW));
+            var directory = directoryWithFile("f", OLD);
+            var folder = openOn(directory);
+            failAtStep(directory, step);
+            var e = assertThrows(DiskException.class, () -> folder.replace("f", NEW));
             assertTrue(e.full());
-            assertArrayEquals(OLD, f.read("f"));
-            assertEquals(List.of("f"), d.fileNames());
+            assertArrayEquals(OLD, folder.read("f"));
+            assertEquals(List.of("f"), directory.fileNames());
         }
     }
 
     @Test
-    void leftOverTemporaryFilesGoAtTheNextStart() throws IOException {
+    void temporaryFilesOfACrashAreDeletedAtTheNextStart() throws IOException {
         Files.write(root.resolve("p0.image.9.tmp"), NEW);
         Files.write(root.resolve("core"), OLD);
-        var f = new DiskFolder(root);
+        var folder = new DiskFolder(root);
         assertFalse(Files.exists(root.resolve("p0.image.9.tmp")));
-        assertEquals(List.of("core"), f.names());
-        f.release();
+        assertEquals(List.of("core"), folder.names());
+        folder.release();
     }
 
     @Test
-    void aFolderOfANewerFormatIsRefusedWithNothingChanged() throws IOException {
-        var f = new DiskFolder(root, 0);
-        new SegmentLog(f, "p1.", 1);
-        f.release();
+    void aDirectoryOfANewerFormatIsRejectedAndLeftUnchanged() throws IOException {
+        var folder = new DiskFolder(root, 0);
+        new SegmentLog(folder, "p1.", 1);
+        folder.release();
         var segment = root.resolve("p1.log.1");
         var bytes = Files.readAllBytes(segment);
         ByteBuffer.wrap(bytes).putInt(4, 3).putInt(8, ~3);
@@ -186,79 +191,85 @@
     }
 
     private Map<String, Integer> contents() throws IOException {
-        var all = new TreeMap<String, Integer>();
+        var hashByName = new TreeMap<String, Integer>();
         try (var files = Files.list(root)) {
-            for (var p : files.toList()) all.put(p.getFileName().toString(), Arrays.hashCode(Files.readAllBytes(p)));
+            for (var path : files.toList())
+                hashByName.put(path.getFileName().toString(), Arrays.hashCode(Files.readAllBytes(path)));
         }
-        return all;
+        return hashByName;
     }
 
     @Test
-    void onThePlatformFilesAreReplacedRenamedAppendedAndRead() {
-        var f = new DiskFolder(root, 0);
-        f.replace("a", OLD);
-        f.append("a", NEW, 2);
-        f.sync("a");
-        f.replace("b", NEW);
-        f.rename("b", "c");
-        f.overwrite("m", NEW);
-        f.overwrite("m", new byte[] {9});
-        f.release();
-        var again = new DiskFolder(root, 0);
-        again.append("a", NEW, 1);
-        assertArrayEquals(new byte[] {1, 1, 1, 1, 1, 1, 2, 2, 2}, again.read("a"));
-        assertArrayEquals(new byte[] {9, 2, 2, 2}, again.read("m"));
-        assertArrayEquals(new byte[] {1, 1}, again.readHead("a", 2));
-        assertNull(again.read("b"));
-        again.delete("m");
-        again.delete("m");
-        assertEquals(List.of("a", "c"), again.names());
+    void filesOnDiskAreReplacedRenamedAppendedAndRead() {
+        var folder = new DiskFolder(root, 0);
+        folder.replace("a", OLD);
+        folder.append("a", NEW, 2);
+        folder.sync("a");
+        folder.replace("b", NEW);
+        folder.rename("b", "c");
+        folder.overwrite("m", NEW);
+        folder.overwrite("m", new byte[] {9});
+        folder.release();
+        var reopened = new DiskFolder(root, 0);
+        reopened.append("a", NEW, 1);
+        assertArrayEquals(new byte[] {1, 1, 1, 1, 1, 1, 2, 2, 2}, reopened.read("a"));
+        assertArrayEquals(new byte[] {9, 2, 2, 2}, reopened.read("m"));
+        assertArrayEquals(new byte[] {1, 1}, reopened.readHead("a", 2));
+        assertNull(reopened.read("b"));
+        reopened.delete("m");
+        reopened.delete("m");
+        assertEquals(List.of("a", "c"), reopened.names());
         assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
-        again.release();
+        reopened.release();
     }
 
-    /** A log on the folder: entries and a snapshot, with a crash at each step; the second start crashes too. */
+    /**
+     * Writes entries and a snapshot to a segment log and crashes it at each step; the start after that crash crashes at each
+     * step too. No acknowledged entry may be lost.
+     */
     @Test
-    void aLogOnTheFolderKeepsWhatItAcknowledged() {
+    void aSegmentLogKeepsAcknowledgedEntriesAfterCrashes() {
         for (var step = 0; ; step++) {
-            var d = new FakeDirectory();
-            var at = step;
-            d.injectFaults(n -> {
-                if (n == at) throw new FakeDirectory.Crash();
+            var directory = new FakeDirectory();
+            var crashStep = step;
+            directory.injectFaults(n -> {
+                if (n == crashStep) throw new FakeDirectory.Crash();
             });
             var acknowledged = new ArrayList<Long>();
-            var ended = play(on(d), acknowledged);
-            for (var o = 0L; o < d.outcomeCount(); o++) holds(d.afterPowerLoss(o), acknowledged);
-            crashAgain(d.afterKill(), acknowledged);
-            if (ended) return;
+            var completed = writeLog(openOn(directory), acknowledged);
+            for (var outcome = 0L; outcome < directory.outcomeCount(); outcome++)
+                assertHoldsAcknowledged(directory.afterPowerLoss(outcome), acknowledged);
+            crashDuringRestart(directory.afterKill(), acknowledged);
+            if (completed) return;
         }
     }
 
-    private static void crashAgain(FakeDirectory left, List<Long> acknowledged) {
+    private static void crashDuringRestart(FakeDirectory afterFirstCrash, List<Long> acknowledged) {
         for (var step = 0; step < 12; step++) {
-            var d = left.afterKill();
-            var at = step;
-            d.injectFaults(n -> {
-                if (n == at) throw new FakeDirectory.Crash();
+            var directory = afterFirstCrash.afterKill();
+            var crashStep = step;
+            directory.injectFaults(n -> {
+                if (n == crashStep) throw new FakeDirectory.Crash();
             });
             try {
-                new SegmentLog(on(d), "p0.", 1);
+                new SegmentLog(openOn(directory), "p0.", 1);
             } catch (FakeDirectory.Crash e) {
-                // The loss of power comes next.
+                // The power loss follows below.
             }
-            for (var o = 0L; o < d.outcomeCount(); o++) holds(d.afterPowerLoss(o), acknowledged);
+            for (var outcome = 0L; outcome < directory.outcomeCount(); outcome++)
+                assertHoldsAcknowledged(directory.afterPowerLoss(outcome), acknowledged);
         }
     }
 
-    private static boolean play(Folder folder, List<Long> acknowledged) {
+    private static boolean writeLog(Folder folder, List<Long> acknowledged) {
         try {
             var log = new SegmentLog(folder, "p0.", 1);
-            for (var i = 1L; i <= 4; i++) {
-                log.saveTermAndVote(i, 2);
-                log.append(new Entry(i, i, Entry.COMMAND, new byte[(int) i * 5]));
+            for (var index = 1L; index <= 4; index++) {
+                log.saveTermAndVote(index, 2);
+                log.append(new Entry(index, index, Entry.COMMAND, new byte[(int) index * 5]));
                 log.sync();
-                acknowledged.add(i);
-                if (i == 2) log.install(image(1));
+                acknowledged.add(index);
+                if (index == 2) log.install(snapshot(1));
             }
             return true;
         } catch (FakeDirectory.Crash e) {
@@ -266,18 +277,18 @@
         }
     }
 
-    private static Snapshot image(long index) {
-        var i = new Snapshot();
-        i.index = index;
-        i.term = index;
-        i.body = new byte[] {4, 5};
-        return i;
+    private static Snapshot snapshot(long index) {
+        var snapshot = new Snapshot();
+        snapshot.index = index;
+        snapshot.term = index;
+        snapshot.body = new byte[] {4, 5};
+        return snapshot;
     }
 
-    private static void holds(FakeDirectory d, List<Long> acknowledged) {
-        var log = new SegmentLog(on(d), "p0.", 1);
+    private static void assertHoldsAcknowledged(FakeDirectory directory, List<Long> acknowledged) {
+        var log = new SegmentLog(openOn(directory), "p0.", 1);
         assertTrue(log.last() >= acknowledged.size(), log.last() + " of " + acknowledged);
         assertTrue(log.term() >= acknowledged.size());
-        for (var i = log.first(); i <= log.last(); i++) assertEquals(i, log.at(i).term);
+        for (var index = log.first(); index <= log.last(); index++) assertEquals(index, log.at(index).term);
     }
 }
--- a/lib/process/src/test/java/craneway/process/FakeDirectory.java
+++ b/lib/process/src/test/java/craneway/process/FakeDirectory.java
@@ -10,105 +10,122 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory. Each write since its file's sync, and each name made, changed or removed since the directory's,
- * can be kept or lost by itself in a loss of power; a new file lasts through its own sync. It can fail or end the process
- * at any step.
+ * A directory in memory that simulates crashes, power losses and I/O errors at any step.
+ *
+ * <p>In a power loss, each write since the last sync of its file, and each name created, changed or deleted since the last
+ * sync of the directory, is kept or lost independently. The sync of a new file also makes its name durable.
  */
 final class FakeDirectory implements DataDirectory {
-    /** The process ends in the middle of its work. */
+    /** Simulates that the process is killed in the middle of its work. */
     static final class Crash extends RuntimeException {}
 
-    /** What happens at one step, given its number. */
+    /** Decides what fails: called before each step with the step's number. */
     interface FaultInjector {
+        /** Returns normally to let the step happen; throws to make it fail or to kill the process. */
         void beforeStep(int step) throws IOException;
     }
 
-    private record Write(long at, byte[] bytes) {}
+    private record Write(long position, byte[] bytes) {}
 
-    /** One change of a name, with the earlier name if a file was renamed. */
-    private record NameChange(String name, String from, Inode before, Inode after, boolean made) {}
+    /** One change of a name: the file it referred to before and after, and the earlier name if a file was renamed. */
+    private record NameChange(String name, String renamedFrom, Inode before, Inode after, boolean created) {}
 
     private static final class Inode {
+        /** The content that survives any power loss. */
         byte[] durable = {};
+
+        /** The content that a reader sees. */
         byte[] content = {};
+
+        /** The writes that make up the difference. */
         final List<Write> unsynced = new ArrayList<>();
 
         Inode copy() {
-            var c = new Inode();
-            c.durable = durable;
-            c.content = content;
-            c.unsynced.addAll(unsynced);
-            return c;
+            var copy = new Inode();
+            copy.durable = durable;
+            copy.content = content;
+            copy.unsynced.addAll(unsynced);
+            return copy;
         }
     }
 
-    private final Map<String, Inode> names = new TreeMap<>();
-    private final List<NameChange> changes = new ArrayList<>();
+    private final Map<String, Inode> files = new TreeMap<>();
+    private final List<NameChange> unsyncedChanges = new ArrayList<>();
     private final List<String> completedSteps = new ArrayList<>();
-    private FaultInjector injectFaults = step -> {};
+    private FaultInjector faultInjector = step -> {};
     private boolean shortWrites;
     private int stepCount;
 
-    void injectFaults(FaultInjector f) {
-        injectFaults = f;
+    /** Sets the faults to inject and restarts the count of steps at 0. */
+    void injectFaults(FaultInjector injector) {
+        faultInjector = injector;
         stepCount = 0;
     }
 
-    void shortWrites(boolean are) {
-        shortWrites = are;
+    /** Sets whether each write is split, as a file system may do. */
+    void setShortWrites(boolean enabled) {
+        shortWrites = enabled;
     }
 
+    /** Returns the number of steps since the faults were set. */
     int stepCount() {
         return stepCount;
     }
 
-    /** The steps done so far, by name. */
+    /** Returns the descriptions of the steps completed so far. */
     List<String> completedSteps() {
         return completedSteps;
     }
 
+    /** Returns how many outcomes a power loss at this moment can have. */
     long outcomeCount() {
-        var writes = names.values().stream().mapToInt(i -> i.unsynced.size()).sum();
-        return 1L << writes + changes.size();
+        var writes = files.values().stream().mapToInt(i -> i.unsynced.size()).sum();
+        return 1L << writes + unsyncedChanges.size();
     }
 
-    /** What the disk holds after a loss of power; a set bit of the outcome loses one thing. */
+    /** Returns the content of the disk after a power loss; each bit set in the outcome loses one change or write. */
     FakeDirectory afterPowerLoss(long outcome) {
-        var rest = outcome;
-        var kept = new TreeMap<>(names);
-        for (var i = changes.size() - 1; i >= 0; i--, rest >>= 1) {
-            var c = changes.get(i);
-            if (rest % 2 == 1) undo(kept, c);
+        var remainingBits = outcome;
+        var keptFiles = new TreeMap<>(files);
+        for (var i = unsyncedChanges.size() - 1; i >= 0; i--, remainingBits >>= 1) {
+            var change = unsyncedChanges.get(i);
+            if (remainingBits % 2 == 1) undo(keptFiles, change);
         }
         var after = new FakeDirectory();
         after.shortWrites = shortWrites;
-        for (var e : kept.entrySet()) {
+        for (var entry : keptFiles.entrySet()) {
             var inode = new Inode();
-            inode.durable = e.getValue().durable;
-            for (var w : e.getValue().unsynced) {
-                if (rest % 2 == 0) inode.durable = over(inode.durable, w);
-                rest >>= 1;
+            inode.durable = entry.getValue().durable;
+            for (var write : entry.getValue().unsynced) {
+                if (remainingBits % 2 == 0) inode.durable = applyWrite(inode.durable, write);
+                remainingBits >>= 1;
             }
             inode.content = inode.durable;
-            after.names.put(e.getKey(), inode);
+            after.files.put(entry.getKey(), inode);
         }
         return after;
     }
 
-    private static void undo(Map<String, Inode> names, NameChange c) {
-        if (names.get(c.name) != c.after) return;
-        set(names, c.name, c.before);
-        if (c.from != null && !names.containsKey(c.from)) names.put(c.from, c.after);
+    private static void undo(Map<String, Inode> files, NameChange change) {
+        if (files.get(change.name) != change.after) return;
+        set(files, change.name, change.before);
+        if (change.renamedFrom != null && !files.containsKey(change.renamedFrom))
+            files.put(change.renamedFrom, change.after);
     }
 
-    /** The directory as the next process finds it after a kill. */
+    /** Returns the directory as the next process finds it after this one was killed; unsynced changes stay unsynced. */
     FakeDirectory afterKill() {
         var copies = new IdentityHashMap<Inode, Inode>();
         var after = new FakeDirectory();
         after.shortWrites = shortWrites;
-        names.forEach((n, i) -> after.names.put(n, copy(i, copies)));
-        for (var c : changes)
-            after.changes.add(new NameChange(c.name, c.from, copy(c.before, copies), copy(c.after, copies), c.made));
+        files.forEach((name, inode) -> after.files.put(name, copy(inode, copies)));
+        for (var change : unsyncedChanges)
+            after.unsyncedChanges.add(new NameChange(
+                    change.name,
+                    change.renamedFrom,
+                    copy(change.before, copies),
+                    copy(change.after, copies),
+                    change.created));
         return after;
     }
 
@@ -116,66 +133,66 @@
         return inode == null ? null : copies.computeIfAbsent(inode, Inode::copy);
     }
 
-    private static void set(Map<String, Inode> names, String name, Inode to) {
-        if (to == null) names.remove(name);
-        else names.put(name, to);
+    private static void set(Map<String, Inode> files, String name, Inode target) {
+        if (target == null) files.remove(name);
+        else files.put(name, target);
     }
 
-    private static byte[] over(byte[] bytes, Write w) {
-        var all = Arrays.copyOf(bytes, Math.max(bytes.length, (int) w.at + w.bytes.length));
-        System.arraycopy(w.bytes, 0, all, (int) w.at, w.bytes.length);
-        return all;
+    private static byte[] applyWrite(byte[] bytes, Write write) {
+        var result = Arrays.copyOf(bytes, Math.max(bytes.length, (int) write.position + write.bytes.length));
+        System.arraycopy(write.bytes, 0, result, (int) write.position, write.bytes.length);
+        return result;
     }
 
-    private void step(String what) throws IOException {
-        injectFaults.beforeStep(stepCount++);
-        completedSteps.add(what);
+    private void step(String description) throws IOException {
+        faultInjector.beforeStep(stepCount++);
+        completedSteps.add(description);
     }
 
-    private void change(String name, String from, Inode to, boolean made) {
-        changes.add(new NameChange(name, from, names.get(name), to, made));
-        set(names, name, to);
+    private void recordChange(String name, String renamedFrom, Inode target, boolean created) {
+        unsyncedChanges.add(new NameChange(name, renamedFrom, files.get(name), target, created));
+        set(files, name, target);
     }
 
     @Override
     public List<String> fileNames() {
-        return List.copyOf(names.keySet());
+        return List.copyOf(files.keySet());
     }
 
     @Override
-    public byte[] read(String name, int most) {
-        var i = names.get(name);
-        return i == null ? null : Arrays.copyOf(i.content, Math.min(most, i.content.length));
+    public byte[] read(String name, int maxBytes) {
+        var inode = files.get(name);
+        return inode == null ? null : Arrays.copyOf(inode.content, Math.min(maxBytes, inode.content.length));
     }
 
     @Override
     public OpenFile open(String name) throws IOException {
-        if (!names.containsKey(name)) {
+        if (!files.containsKey(name)) {
             step("make " + name);
-            change(name, null, new Inode(), true);
+            recordChange(name, null, new Inode(), true);
         }
-        return new Open(name, names.get(name));
+        return new FakeFile(name, files.get(name));
     }
 
-    private final class Open implements OpenFile {
+    private final class FakeFile implements OpenFile {
         private final String name;
         private final Inode inode;
 
-        Open(String name, Inode inode) {
+        FakeFile(String name, Inode inode) {
             this.name = name;
             this.inode = inode;
         }
 
-        /** With short writes, writes half of the bytes at first. */
+        /** With short writes enabled, the first call writes half of the bytes. */
         @Override
-        public void write(ByteBuffer bytes, long at) throws IOException {
+        public void write(ByteBuffer bytes, long position) throws IOException {
             step("write " + name);
-            var half = shortWrites && bytes.position() == 0 && bytes.remaining() > 1;
-            var part = new byte[half ? bytes.remaining() / 2 : bytes.remaining()];
-            bytes.get(part);
-            var w = new Write(at, part);
-            inode.content = over(inode.content, w);
-            inode.unsynced.add(w);
+            var isShort = shortWrites && bytes.position() == 0 && bytes.remaining() > 1;
+            var written = new byte[isShort ? bytes.remaining() / 2 : bytes.remaining()];
+            bytes.get(written);
+            var write = new Write(position, written);
+            inode.content = applyWrite(inode.content, write);
+            inode.unsynced.add(write);
         }
 
         @Override
@@ -188,7 +205,7 @@
             step("sync " + name);
             inode.durable = inode.content;
             inode.unsynced.clear();
-            changes.removeIf(c -> c.made && c.after == inode);
+            unsyncedChanges.removeIf(change -> change.created && change.after == inode);
         }
 
         @Override
@@ -198,22 +215,22 @@
     @Override
     public void rename(String from, String to) throws IOException {
         step("rename " + from + " to " + to);
-        var i = names.get(from);
-        change(to, from, i, false);
-        names.remove(from);
+        var inode = files.get(from);
+        recordChange(to, from, inode, false);
+        files.remove(from);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        if (!names.containsKey(name)) return;
+        if (!files.containsKey(name)) return;
         step("delete " + name);
-        change(name, null, null, false);
+        recordChange(name, null, null, false);
     }
 
     @Override
     public void sync() throws IOException {
         step("sync the directory");
-        changes.clear();
+        unsyncedChanges.clear();
     }
 
     @Override
--- a/lib/process/src/test/java/craneway/process/StoreClusterTest.java
+++ b/lib/process/src/test/java/craneway/process/StoreClusterTest.java
@@ -28,84 +28,90 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Runs three stores in one JVM that exchange messages over real sockets. */
 class StoreClusterTest {
-    private static final java.util.concurrent.atomic.AtomicInteger PORT =
+    private static final java.util.concurrent.atomic.AtomicInteger NEXT_PORT =
             new java.util.concurrent.atomic.AtomicInteger(25_000);
 
     @TempDir
     Path root;
 
-    private final List<One> ones = new ArrayList<>();
+    private final List<StoreNode> stores = new ArrayList<>();
 
-    private final class One {
+    private final class StoreNode {
         final String address;
         final EventLog log;
         final DiskFolder disk;
-        final SocketTransport wire;
+        final SocketTransport transport;
         final Host host;
         final Store store;
         final Operator operator;
 
-        One(String name, String address, List<String> seeds) throws IOException {
+        StoreNode(String name, String address, List<String> seeds) throws IOException {
             this.address = address;
             log = new EventLog(name);
             disk = new DiskFolder(Files.createDirectories(root.resolve(name)));
-            wire = new SocketTransport(address, this::core, () -> System.nanoTime() / 1000, log);
-            host = new Host(log, 4, wire);
-            var part = host.singleThread("parts");
-            var rules = new Rules(3, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> part);
+            transport = new SocketTransport(address, this::coreId, () -> System.nanoTime() / 1000, log);
+            host = new Host(log, 4, transport);
+            var partExecutor = host.singleThread("parts");
+            var rules = new Rules(3, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> partExecutor);
             store = new Store(
                     host, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, rules, new Random());
             operator = new Operator(host, store.coreClient());
-            wire.start(store.directory()::sameOrigin, store::receive);
+            transport.start(store.directory()::sameOrigin, store::receive);
             host.tick(() -> {
                 store.tick();
                 operator.tick(host.now());
             });
         }
 
-        long core() {
+        long coreId() {
             return store == null ? 0 : store.directory().self().coreId;
         }
 
         CommandResult status(int part) throws Exception {
-            var f = new CompletableFuture<CommandResult>();
-            store.coreClient().ask(part, new Queries.Status(), 20_000_000, f::complete);
-            return f.get(30, TimeUnit.SECONDS);
+            var result = new CompletableFuture<CommandResult>();
+            store.coreClient().ask(part, new Queries.Status(), 20_000_000, result::complete);
+            return result.get(30, TimeUnit.SECONDS);
         }
     }
 
-    /** A port below the range of outgoing connections, free for both UDP and TCP. */
+    /** Returns an address whose port is below the range of ephemeral ports and free for both UDP and TCP. */
     private static String freeAddress() throws IOException {
         while (true) {
-            var p = PORT.getAndIncrement();
-            var at = new InetSocketAddress("127.0.0.1", p);
-            try (var s = new DatagramSocket(at);
-                    var t = new java.net.ServerSocket(p, 1, at.getAddress())) {
-                return "127.0.0.1:" + p;
+            var port = NEXT_PORT.getAndIncrement();
+            var address = new InetSocketAddress("127.0.0.1", port);
+            try (var udp = new DatagramSocket(address);
+                    var tcp = new java.net.ServerSocket(port, 1, address.getAddress())) {
+                return "127.0.0.1:" + port;
             } catch (IOException e) {
-                if (p > 26_000) throw e;
+                if (port > 26_000) throw e;
             }
         }
     }
 
     @AfterEach
     void close() {
-        ones.forEach(o -> o.host.close());
-        ones.forEach(o -> o.disk.release());
+        stores.forEach(node -> node.host.close());
+        stores.forEach(node -> node.disk.release());
     }
 
     @Test
-    void threeStoresFoundACoreAndTakeAManifestOverWires() throws Exception {
+    void threeStoresBootstrapACoreAndAcceptAManifestOverSockets() throws Exception {
         var seeds = List.of(freeAddress(), freeAddress(), freeAddress());
-        for (var a : seeds) ones.add(new One("s" + (ones.size() + 1), a, seeds));
-        for (var p = 0; p < Parts.COUNT; p++) assertEquals(0, ones.get(p % 3).status(p).kind);
-        var text = Files.readString(Path.of("../../docs/examples/maticar.json"));
-        var taken = new CompletableFuture<Long>();
-        ones.get(1)
+        for (var address : seeds) stores.add(new StoreNode("s" + (stores.size() + 1), address, seeds));
+        for (var part = 0; part < Parts.COUNT; part++)
+            assertEquals(0, stores.get(part % 3).status(part).kind);
+        var manifest = Files.readString(Path.of("../../docs/examples/maticar.json"));
+        var version = new CompletableFuture<Long>();
+        stores.get(1)
                 .operator
-                .send(0, text, r -> taken.complete(r.isRight() ? r.get().version() : -1L));
-        assertTrue(taken.get(30, TimeUnit.SECONDS) > 0);
-        for (var o : ones) assertTrue(o.wire.counts().datagrams() > 0);
+                .send(
+                        0,
+                        manifest,
+                        result ->
+                                version.complete(result.isRight() ? result.get().version() : -1L));
+        assertTrue(version.get(30, TimeUnit.SECONDS) > 0);
+        for (var node : stores) assertTrue(node.transport.counts().datagrams() > 0);
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
+++ b/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
@@ -4,27 +4,33 @@
 import craneway.model.event.Log;
 import java.util.function.LongSupplier;
 
-/** Notes bad messages, at most one line a second. */
+/** Logs rejected messages, at most one line per second, and counts those in between. Thread-safe. */
 final class BadMessageLog {
-    private static final long PAUSE = 1_000_000;
+    private static final long MIN_INTERVAL_MICROS = 1_000_000;
 
     private final Log log;
-    private final LongSupplier now;
-    private long due = Long.MIN_VALUE;
-    private int left;
+    private final LongSupplier clock;
+    private long nextLineAt = Long.MIN_VALUE;
+    private int suppressedCount;
 
-    BadMessageLog(Log log, LongSupplier now) {
+    /**
+     * Creates a log.
+     *
+     * @param clock the steady clock, in microseconds
+     */
+    BadMessageLog(Log log, LongSupplier clock) {
         this.log = log;
-        this.now = now;
+        this.clock = clock;
     }
 
+    /** Logs why a message was rejected, or only counts it if the last line is less than a second old. */
     synchronized void report(String cause) {
-        if (now.getAsLong() < due) {
-            left++;
+        if (clock.getAsLong() < nextLineAt) {
+            suppressedCount++;
             return;
         }
-        log.note(Event.BAD_MESSAGE, left == 0 ? cause : cause + " (and " + left + " others)");
-        left = 0;
-        due = now.getAsLong() + PAUSE;
+        log.note(Event.BAD_MESSAGE, suppressedCount == 0 ? cause : cause + " (and " + suppressedCount + " others)");
+        suppressedCount = 0;
+        nextLineAt = clock.getAsLong() + MIN_INTERVAL_MICROS;
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -12,24 +12,43 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongSupplier;
 
+/**
+ * Sends messages as HTTP requests: for each address one request at a time, over a persistent connection, with all messages
+ * that have queued up meanwhile. The messages of a failed request are lost. {@link PeerHandler} receives them.
+ */
 public final class HttpTransport implements Transport {
-    private static final int MOST = 4_000, MOST_BYTES = 64 << 20, BATCH_BYTES = 1 << 20;
-    private static final long CONNECT_MILLIS = 500, PATIENCE = 2_000_000;
-
-    private final HttpCaller caller;
-    private final LongSupplier core;
-    private final LongSupplier now;
-    private final Map<String, Lane> lanes = new ConcurrentHashMap<>();
-
-    public HttpTransport(HttpCaller caller, LongSupplier core, LongSupplier now) {
-        this.caller = caller;
-        this.core = core;
-        this.now = now;
+    /** Beyond this many queued messages for one address, the oldest are dropped. */
+    private static final int MAX_QUEUED_MESSAGES = 4_000;
+
+    /** Beyond this many queued bytes for one address, the oldest messages are dropped. */
+    private static final int MAX_QUEUED_BYTES = 64 << 20;
+
+    /** A batch of this size takes no further message. */
+    private static final int BATCH_BYTES = 1 << 20;
+
+    private static final long CONNECT_TIMEOUT_MILLIS = 500;
+    private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
+
+    private final HttpCaller httpClient;
+    private final LongSupplier coreId;
+    private final LongSupplier clock;
+    private final Map<String, PeerQueue> queues = new ConcurrentHashMap<>();
+
+    /**
+     * Creates a transport.
+     *
+     * @param coreId the id of the core that this process belongs to, 0 while it belongs to none
+     * @param clock the steady clock, in microseconds
+     */
+    public HttpTransport(HttpCaller httpClient, LongSupplier coreId, LongSupplier clock) {
+        this.httpClient = httpClient;
+        this.coreId = coreId;
+        this.clock = clock;
     }
 
     @Override
     public void send(String address, Object message) {
-        lanes.computeIfAbsent(address, Lane::new).send(Codec.writeTagged(message));
+        queues.computeIfAbsent(address, PeerQueue::new).send(Codec.writeTagged(message));
     }
 
     @Override
@@ -37,51 +56,54 @@
         return true;
     }
 
+    /** Cancels each request that has had no response for 2 s, and sends the messages queued behind it. */
     @Override
     public void tick() {
-        for (var l : lanes.values()) l.tick();
+        for (var queue : queues.values()) queue.tick();
     }
 
-    private final class Lane implements HttpCaller.Sink {
+    /** The messages that wait for one address, and the request to it that is in flight, if any. */
+    private final class PeerQueue implements HttpCaller.Sink {
         private final String address;
-        private final Deque<byte[]> waiting = new ArrayDeque<>();
-        private int bytes;
-        private HttpCaller.Call call;
-        private ClientConnection kept;
-        private long since;
+        private final Deque<byte[]> queued = new ArrayDeque<>();
+        private int queuedBytes;
+        private HttpCaller.Call inFlight;
+        private ClientConnection idleConnection;
+        private long sentAt;
 
-        Lane(String address) {
+        PeerQueue(String address) {
             this.address = address;
         }
 
-        synchronized void send(byte[] m) {
-            waiting.add(m);
-            bytes += m.length;
-            while (waiting.size() > MOST || bytes > MOST_BYTES) bytes -= waiting.poll().length;
-            if (call == null) next();
+        synchronized void send(byte[] message) {
+            queued.add(message);
+            queuedBytes += message.length;
+            while (queued.size() > MAX_QUEUED_MESSAGES || queuedBytes > MAX_QUEUED_BYTES)
+                queuedBytes -= queued.poll().length;
+            if (inFlight == null) sendBatch();
         }
 
         synchronized void tick() {
-            if (call == null || now.getAsLong() - since < PATIENCE) return;
-            call.cancel();
-            call = null;
-            kept = null;
-            if (!waiting.isEmpty()) next();
+            if (inFlight == null || clock.getAsLong() - sentAt < REQUEST_TIMEOUT_MICROS) return;
+            inFlight.cancel();
+            inFlight = null;
+            idleConnection = null;
+            if (!queued.isEmpty()) sendBatch();
         }
 
-        private void next() {
-            var b = new MessageBatch();
-            var n = 0;
-            while (!waiting.isEmpty() && n < BATCH_BYTES) {
-                var m = waiting.poll();
-                b.messages.add(m);
-                n += m.length;
+        private void sendBatch() {
+            var batch = new MessageBatch();
+            var batchBytes = 0;
+            while (!queued.isEmpty() && batchBytes < BATCH_BYTES) {
+                var message = queued.poll();
+                batch.messages.add(message);
+                batchBytes += message.length;
             }
-            bytes -= n;
-            since = now.getAsLong();
-            var body = Codec.write(b);
-            call = caller.keep(
-                    kept,
+            queuedBytes -= batchBytes;
+            sentAt = clock.getAsLong();
+            var body = Codec.write(batch);
+            inFlight = httpClient.keep(
+                    idleConnection,
                     address,
                     Methods.POST,
                     "/partner",
@@ -89,39 +111,39 @@
                             HeaderNames.WIRE,
                             HeaderNames.WIRE_VERSION,
                             HeaderNames.CORE,
-                            Long.toHexString(core.getAsLong()),
+                            Long.toHexString(coreId.getAsLong()),
                             HeaderNames.CHECK,
                             HeaderNames.check(body)),
                     body,
-                    CONNECT_MILLIS,
+                    CONNECT_TIMEOUT_MILLIS,
                     this);
         }
 
-        private synchronized void over(boolean keep) {
-            kept = keep && call != null ? call.connection() : null;
-            call = null;
-            if (!waiting.isEmpty()) next();
+        private synchronized void finish(boolean keepConnection) {
+            idleConnection = keepConnection && inFlight != null ? inFlight.connection() : null;
+            inFlight = null;
+            if (!queued.isEmpty()) sendBatch();
         }
 
         @Override
         public void refused(String cause) {
-            over(false);
+            finish(false);
         }
 
         @Override
         public void status(int code, HeaderMap headers) {}
 
         @Override
-        public void chunk(byte[] b) {}
+        public void chunk(byte[] bytes) {}
 
         @Override
         public void end() {
-            over(true);
+            finish(true);
         }
 
         @Override
         public void broken(String cause) {
-            over(false);
+            finish(false);
         }
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/PeerHandler.java
+++ b/lib/transport/src/main/java/craneway/transport/PeerHandler.java
@@ -12,77 +12,90 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 
+/** Receives the message batches that {@link HttpTransport} of another process sends. */
 public final class PeerHandler implements HttpHandler {
-    private final LongSupplier core;
-    private final Predicate<Hello> kin;
-    private final Consumer<Object> receive;
+    private final LongSupplier coreId;
+    private final Predicate<Hello> sameOrigin;
+    private final Consumer<Object> receiver;
     private final EventLog log;
 
-    public PeerHandler(LongSupplier core, Predicate<Hello> kin, Consumer<Object> receive, EventLog log) {
-        this.core = core;
-        this.kin = kin;
-        this.receive = receive;
+    /**
+     * Creates a handler.
+     *
+     * @param coreId the id of the core that this process belongs to, 0 while it belongs to none
+     * @param sameOrigin whether a hello of another core comes from a generation of the same origin and is to be received
+     * @param receiver receives each message; called by several threads
+     */
+    public PeerHandler(LongSupplier coreId, Predicate<Hello> sameOrigin, Consumer<Object> receiver, EventLog log) {
+        this.coreId = coreId;
+        this.sameOrigin = sameOrigin;
+        this.receiver = receiver;
         this.log = log;
     }
 
     @Override
-    public void handleRequest(HttpServerExchange x) {
-        var wire = x.getRequestHeaders().getFirst(HeaderNames.WIRE);
-        if (!HeaderNames.WIRE_VERSION.equals(wire) && !HeaderNames.NEXT_WIRE_VERSION.equals(wire)) {
-            decline(x, "wire version " + wire + " from " + x.getSourceAddress());
+    public void handleRequest(HttpServerExchange exchange) {
+        var wireVersion = exchange.getRequestHeaders().getFirst(HeaderNames.WIRE);
+        if (!HeaderNames.WIRE_VERSION.equals(wireVersion) && !HeaderNames.NEXT_WIRE_VERSION.equals(wireVersion)) {
+            reject(exchange, "wire version " + wireVersion + " from " + exchange.getSourceAddress());
             return;
         }
-        var foreign = foreign(x);
-        x.getRequestReceiver()
+        var foreignCore = describeForeignCore(exchange);
+        exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (e, b) -> e.dispatch(() -> {
-                            if (foreign == null) take(e, b);
-                            else greet(e, b, foreign);
+                        (e, body) -> e.dispatch(() -> {
+                            if (foreignCore == null) receiveBatch(e, body);
+                            else receiveHellos(e, body, foreignCore);
                         }),
-                        (e, p) -> e.setStatusCode(400).endExchange());
+                        (e, failure) -> e.setStatusCode(400).endExchange());
     }
 
-    private void decline(HttpServerExchange x, String cause) {
+    private void reject(HttpServerExchange exchange, String cause) {
         log.note(Event.BAD_MESSAGE, cause);
-        x.setStatusCode(403).endExchange();
+        exchange.setStatusCode(403).endExchange();
     }
 
-    private void greet(HttpServerExchange e, byte[] b, String foreign) {
-        var greeted = false;
+    /** Receives the hellos of a batch from another core that come from the same origin; rejects a batch without any. */
+    private void receiveHellos(HttpServerExchange exchange, byte[] body, String foreignCore) {
+        var received = false;
         try {
-            for (var m : Codec.read(MessageBatch.class, b).messages) {
-                if (!(Codec.readTagged(m) instanceof Hello h) || h.from == null || !kin.test(h)) continue;
-                receive.accept(h);
-                greeted = true;
+            for (var message : Codec.read(MessageBatch.class, body).messages) {
+                if (!(Codec.readTagged(message) instanceof Hello hello)
+                        || hello.from == null
+                        || !sameOrigin.test(hello)) continue;
+                receiver.accept(hello);
+                received = true;
             }
-        } catch (BadMessageException x) {
-            greeted = false;
+        } catch (BadMessageException e) {
+            received = false;
         }
-        if (greeted) e.setStatusCode(204).endExchange();
-        else decline(e, foreign);
+        if (received) exchange.setStatusCode(204).endExchange();
+        else reject(exchange, foreignCore);
     }
 
-    private String foreign(HttpServerExchange x) {
-        var theirs = x.getRequestHeaders().getFirst(HeaderNames.CORE);
-        var mine = Long.toHexString(core.getAsLong());
-        if (theirs == null || !theirs.equals("0") && !mine.equals("0") && !theirs.equals(mine))
-            return "core " + theirs + " from " + x.getSourceAddress();
+    /** Returns a description of the sender if it belongs to another core, otherwise null. */
+    private String describeForeignCore(HttpServerExchange exchange) {
+        var senderCore = exchange.getRequestHeaders().getFirst(HeaderNames.CORE);
+        var ownCore = Long.toHexString(coreId.getAsLong());
+        if (senderCore == null || !senderCore.equals("0") && !ownCore.equals("0") && !senderCore.equals(ownCore))
+            return "core " + senderCore + " from " + exchange.getSourceAddress();
         return null;
     }
 
-    private void take(HttpServerExchange e, byte[] b) {
+    private void receiveBatch(HttpServerExchange exchange, byte[] body) {
         try {
-            if (!HeaderNames.check(b).equals(e.getRequestHeaders().getFirst(HeaderNames.CHECK)))
-                throw new BadMessageException("checksum differs");
-            for (var m : Codec.read(MessageBatch.class, b).messages) receive.accept(Codec.readTagged(m));
-            e.setStatusCode(204);
-        } catch (BadMessageException x) {
-            log.note(Event.BAD_MESSAGE, x.getMessage() + " from " + e.getSourceAddress());
-            e.setStatusCode(400);
-        } catch (RuntimeException x) {
-            log.internal(x);
-            e.setStatusCode(500);
+            if (!HeaderNames.check(body).equals(exchange.getRequestHeaders().getFirst(HeaderNames.CHECK)))
+                throw new BadMessageException("checksum mismatch");
+            for (var message : Codec.read(MessageBatch.class, body).messages)
+                receiver.accept(Codec.readTagged(message));
+            exchange.setStatusCode(204);
+        } catch (BadMessageException e) {
+            log.note(Event.BAD_MESSAGE, e.getMessage() + " from " + exchange.getSourceAddress());
+            exchange.setStatusCode(400);
+        } catch (RuntimeException e) {
+            log.internal(e);
+            exchange.setStatusCode(500);
         }
-        e.endExchange();
+        exchange.endExchange();
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -32,92 +32,142 @@
 import java.util.function.Predicate;
 
 /**
- * Carries messages between processes on one address for UDP and TCP: what waits for an address goes as one datagram if it is
- * small, else over a connection of its own. One thread sends and receives. A message may be lost or come twice, and a large one
- * may be overtaken.
+ * Sends and receives messages over UDP and TCP on one address. The messages that have queued up for an address are sent
+ * together: as UDP datagrams if they fit into one, otherwise as one frame over a TCP connection opened for it. A message may
+ * be lost or duplicated, and a large one may be overtaken by later ones.
+ *
+ * <p>A single thread does all sending and receiving and calls the receiver. Public methods are thread-safe.
  */
 public final class SocketTransport implements Transport {
-    private static final int WAITING = 4_000,
-            WAITING_BYTES = 32 << 20,
-            BATCH = 1 << 20,
-            CONNECTIONS = 64,
-            BURST = 64,
-            HELD = 96 << 20;
-    private static final long LINGER = 2, IDLE = 200, CONNECT = 500_000, PATIENCE = 2_000_000, FORGET = 60_000_000;
-
-    private interface Ready {
-        void ready() throws IOException;
+    /** Beyond this many queued messages for one address, the oldest are dropped, large ones first. */
+    private static final int MAX_QUEUED_MESSAGES = 4_000;
+
+    /** Beyond this many queued bytes for one address, the oldest messages are dropped, large ones first. */
+    private static final int MAX_QUEUED_BYTES = 32 << 20;
+
+    /** A frame of this size for a connection takes no further message. */
+    private static final int CONNECTION_BATCH_BYTES = 1 << 20;
+
+    /**
+     * The most outgoing connections open at once, and the backlog of incoming ones. New incoming connections are closed
+     * while twice as many connections are open in all.
+     */
+    private static final int MAX_OUTGOING_CONNECTIONS = 64;
+
+    /** The most datagrams received before the thread turns to its other work. */
+    private static final int MAX_DATAGRAMS_PER_TURN = 64;
+
+    /** The most bytes of receive buffers over all incoming connections. */
+    private static final int MAX_RECEIVE_BUFFER_BYTES = 96 << 20;
+
+    /** How long messages wait for others that can share their datagram. */
+    private static final long BATCH_DELAY_MILLIS = 2;
+
+    /** How often the thread checks open connections for their deadlines. */
+    private static final long DEADLINE_CHECK_INTERVAL_MILLIS = 200;
+
+    private static final long CONNECT_TIMEOUT_MICROS = 500_000;
+
+    /** A connection that makes no progress for this long is closed. */
+    private static final long PROGRESS_TIMEOUT_MICROS = 2_000_000;
+
+    /** The queue of an address is removed after it has been unused for this long. */
+    private static final long REMOVE_IDLE_QUEUE_AFTER_MICROS = 60_000_000;
+
+    private interface ReadyHandler {
+        void onReady() throws IOException;
     }
 
-    /** What has gone out and come in since the start; bytes without the headers of UDP, TCP and IP. */
+    /**
+     * Traffic since the start; bytes do not include the headers of UDP, TCP and IP.
+     *
+     * @param datagrams datagrams sent
+     * @param connections connections opened by this process
+     * @param sent bytes sent
+     * @param received bytes received
+     */
     public record Counts(long datagrams, long connections, long sent, long received) {}
 
-    private final String address;
-    private final LongSupplier core;
-    private final LongSupplier now;
+    private final String ownAddress;
+    private final LongSupplier coreId;
+    private final LongSupplier clock;
     private final Log log;
-    private final BadMessageLog notes;
+    private final BadMessageLog badMessages;
     private final Selector selector;
     private final DatagramChannel udp;
     private final ServerSocketChannel tcp;
-    private final ByteBuffer in = ByteBuffer.allocateDirect(65_536);
-    private final Map<String, Lane> lanes = new ConcurrentHashMap<>();
-    private final Queue<Lane> due = new ConcurrentLinkedQueue<>();
-    private final Set<Stream> streams = new HashSet<>();
-    private final AtomicBoolean waiting = new AtomicBoolean();
+    private final ByteBuffer datagramBuffer = ByteBuffer.allocateDirect(65_536);
+    private final Map<String, PeerQueue> queues = new ConcurrentHashMap<>();
+    private final Queue<PeerQueue> queuesToFlush = new ConcurrentLinkedQueue<>();
+    private final Set<Connection> connections = new HashSet<>();
+    private final AtomicBoolean flushRequested = new AtomicBoolean();
     private final Thread thread = new Thread(this::run, "wire");
-    private Predicate<Hello> kin;
-    private Consumer<Object> receive;
+    private Predicate<Hello> sameOrigin;
+    private Consumer<Object> receiver;
     private long flushAt;
-    private long swept;
-    private int held;
+    private long idleQueuesRemovedAt;
+    private int receiveBufferBytes;
     private volatile boolean closed;
-    private volatile long datagrams, connections, sent, received;
-
-    /** Binds IP:PORT; nothing is received before {@link #start}. The clock counts microseconds and never steps. */
-    public SocketTransport(String address, LongSupplier core, LongSupplier now, Log log) {
-        this.address = address;
-        this.core = core;
-        this.now = now;
+    private volatile long datagramsSent, connectionsOpened, bytesSent, bytesReceived;
+
+    /**
+     * Binds the address for UDP and TCP. No message is received before {@link #start}.
+     *
+     * @param address IP:PORT
+     * @param coreId the id of the core that this process belongs to, 0 while it belongs to none
+     * @param clock the steady clock, in microseconds
+     */
+    public SocketTransport(String address, LongSupplier coreId, LongSupplier clock, Log log) {
+        this.ownAddress = address;
+        this.coreId = coreId;
+        this.clock = clock;
         this.log = log;
-        notes = new BadMessageLog(log, now);
+        badMessages = new BadMessageLog(log, clock);
         try {
             selector = Selector.open();
             udp = DatagramChannel.open();
             udp.setOption(StandardSocketOptions.SO_RCVBUF, 1 << 20);
-            udp.bind(place(address)).configureBlocking(false);
-            udp.register(selector, SelectionKey.OP_READ, (Ready) this::datagrams);
+            udp.bind(parseAddress(address)).configureBlocking(false);
+            udp.register(selector, SelectionKey.OP_READ, (ReadyHandler) this::receiveDatagrams);
             tcp = ServerSocketChannel.open().setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            tcp.bind(place(address), CONNECTIONS).configureBlocking(false);
-            tcp.register(selector, SelectionKey.OP_ACCEPT, (Ready) this::accept);
+            tcp.bind(parseAddress(address), MAX_OUTGOING_CONNECTIONS).configureBlocking(false);
+            tcp.register(selector, SelectionKey.OP_ACCEPT, (ReadyHandler) this::acceptConnections);
         } catch (IOException e) {
             throw new UncheckedIOException(address + ": " + e.getMessage(), e);
         }
     }
 
-    /** Begins to hand over what arrives; greetings of another core only if they are kin. */
-    public void start(Predicate<Hello> kin, Consumer<Object> receive) {
-        this.kin = kin;
-        this.receive = receive;
+    /**
+     * Starts to deliver received messages. Call it once.
+     *
+     * @param sameOrigin whether a hello of another core comes from a generation of the same origin and is to be delivered;
+     *     all other messages of other cores are rejected
+     * @param receiver receives each message, on the transport's thread
+     */
+    public void start(Predicate<Hello> sameOrigin, Consumer<Object> receiver) {
+        this.sameOrigin = sameOrigin;
+        this.receiver = receiver;
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static InetSocketAddress place(String a) {
-        var at = a.lastIndexOf(':');
-        return new InetSocketAddress(a.substring(0, at), Integer.parseInt(a.substring(at + 1)));
+    private static InetSocketAddress parseAddress(String address) {
+        var colon = address.lastIndexOf(':');
+        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
     @Override
-    public void send(String to, Object message) {
-        lanes.computeIfAbsent(to, Lane::new).add(Codec.writeTagged(message));
-        if (waiting.compareAndSet(false, true) && Thread.currentThread() != thread) selector.wakeup();
+    public void send(String address, Object message) {
+        queues.computeIfAbsent(address, PeerQueue::new).add(Codec.writeTagged(message));
+        if (flushRequested.compareAndSet(false, true) && Thread.currentThread() != thread) selector.wakeup();
     }
 
+    /** Returns the traffic since the start. */
     public Counts counts() {
-        return new Counts(datagrams, connections, sent, received);
+        return new Counts(datagramsSent, connectionsOpened, bytesSent, bytesReceived);
     }
 
+    /** Stops the thread, waiting at most 1 s for it, and closes all sockets. */
     @Override
     public void close() {
         closed = true;
@@ -128,7 +178,7 @@
             udp.close();
             tcp.close();
         } catch (IOException e) {
-            log.note(Event.INTERNAL, "wire: " + e);
+            log.note(Event.INTERNAL, "transport: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -137,331 +187,369 @@
     private void run() {
         while (!closed) {
             try {
-                turn();
+                runOnce();
             } catch (IOException | RuntimeException e) {
-                if (!closed) log.note(Event.INTERNAL, "wire: " + e);
+                if (!closed) log.note(Event.INTERNAL, "transport: " + e);
             }
         }
-        List.copyOf(streams).forEach(Stream::end);
+        List.copyOf(connections).forEach(Connection::end);
     }
 
-    private void turn() throws IOException {
-        selector.select(k -> ready(k), waiting.get() ? LINGER : streams.isEmpty() ? 0 : IDLE);
-        var t = now.getAsLong();
-        for (var s : List.copyOf(streams)) if (t >= s.until) s.end();
-        if (!waiting.get()) return;
-        if (flushAt == 0) flushAt = t + LINGER * 1_000;
-        if (t < flushAt) return;
+    private void runOnce() throws IOException {
+        selector.select(
+                key -> handleReady(key),
+                flushRequested.get() ? BATCH_DELAY_MILLIS : connections.isEmpty() ? 0 : DEADLINE_CHECK_INTERVAL_MILLIS);
+        var now = clock.getAsLong();
+        for (var connection : List.copyOf(connections)) if (now >= connection.deadline) connection.end();
+        if (!flushRequested.get()) return;
+        if (flushAt == 0) flushAt = now + BATCH_DELAY_MILLIS * 1_000;
+        if (now < flushAt) return;
         flushAt = 0;
-        waiting.set(false);
-        for (var l = due.poll(); l != null; l = due.poll()) l.flush(t);
-        if (t - swept > FORGET) sweep(t);
+        flushRequested.set(false);
+        for (var queue = queuesToFlush.poll(); queue != null; queue = queuesToFlush.poll()) queue.flush(now);
+        if (now - idleQueuesRemovedAt > REMOVE_IDLE_QUEUE_AFTER_MICROS) removeIdleQueues(now);
     }
 
-    private void sweep(long t) {
-        swept = t;
-        lanes.values().removeIf(l -> l.idle(t));
+    private void removeIdleQueues(long now) {
+        idleQueuesRemovedAt = now;
+        queues.values().removeIf(queue -> queue.isIdle(now));
     }
 
-    private void ready(SelectionKey k) {
-        var s = k.attachment() instanceof Stream x ? x : null;
+    private void handleReady(SelectionKey key) {
+        var connection = key.attachment() instanceof Connection c ? c : null;
         try {
-            if (s != null) s.ready();
-            else ((Ready) k.attachment()).ready();
+            if (connection != null) connection.onReady();
+            else ((ReadyHandler) key.attachment()).onReady();
         } catch (IOException e) {
-            if (s != null) s.end();
+            if (connection != null) connection.end();
         }
     }
 
-    private void datagrams() throws IOException {
-        for (var i = 0; i < BURST; i++) {
-            in.clear();
-            var from = udp.receive(in);
-            if (from == null) return;
-            in.flip();
-            var b = new byte[in.remaining()];
-            in.get(b);
-            take(b, from);
+    private void receiveDatagrams() throws IOException {
+        for (var i = 0; i < MAX_DATAGRAMS_PER_TURN; i++) {
+            datagramBuffer.clear();
+            var sender = udp.receive(datagramBuffer);
+            if (sender == null) return;
+            datagramBuffer.flip();
+            var frame = new byte[datagramBuffer.remaining()];
+            datagramBuffer.get(frame);
+            receiveFrame(frame, sender);
         }
     }
 
-    private void accept() throws IOException {
-        for (var c = tcp.accept(); c != null; c = tcp.accept()) {
-            if (streams.size() < CONNECTIONS * 2) new Incoming(c);
-            else c.close();
+    private void acceptConnections() throws IOException {
+        for (var channel = tcp.accept(); channel != null; channel = tcp.accept()) {
+            if (connections.size() < MAX_OUTGOING_CONNECTIONS * 2) new IncomingConnection(channel);
+            else channel.close();
         }
     }
 
-    private void take(byte[] b, SocketAddress from) {
-        received += b.length;
+    private void receiveFrame(byte[] bytes, SocketAddress sender) {
+        bytesReceived += bytes.length;
         try {
-            var f = Frame.decode(b);
-            var mine = core.getAsLong();
-            var foreign = f.coreId() != 0 && mine != 0 && f.coreId() != mine;
-            for (var m : f.messages()) hand(m, foreign, f, from);
+            var frame = Frame.decode(bytes);
+            var ownCore = coreId.getAsLong();
+            var foreign = frame.coreId() != 0 && ownCore != 0 && frame.coreId() != ownCore;
+            for (var message : frame.messages()) decodeAndDeliver(message, foreign, frame, sender);
         } catch (BadMessageException e) {
-            notes.report(e.getMessage() + " from " + from);
+            badMessages.report(e.getMessage() + " from " + sender);
         }
     }
 
-    private void hand(byte[] b, boolean foreign, Frame f, SocketAddress from) {
-        var m = Codec.readTagged(b);
-        if (foreign && !(m instanceof Hello h && h.from != null && kin.test(h))) {
-            notes.report("core " + Long.toHexString(f.coreId()) + " from " + from);
+    private void decodeAndDeliver(byte[] encoded, boolean foreign, Frame frame, SocketAddress sender) {
+        var message = Codec.readTagged(encoded);
+        if (foreign && !(message instanceof Hello hello && hello.from != null && sameOrigin.test(hello))) {
+            badMessages.report("core " + Long.toHexString(frame.coreId()) + " from " + sender);
             return;
         }
-        hand(m);
+        deliver(message);
     }
 
-    private void hand(Object m) {
+    private void deliver(Object message) {
         try {
-            receive.accept(m);
+            receiver.accept(message);
         } catch (RuntimeException e) {
-            log.note(Event.INTERNAL, m.getClass().getSimpleName() + ": " + e);
+            log.note(Event.INTERNAL, message.getClass().getSimpleName() + ": " + e);
         }
     }
 
-    private final class Lane {
-        private final String to;
-        private final InetSocketAddress place;
-        private final Deque<byte[]> queue = new ArrayDeque<>();
+    /**
+     * The messages that wait to be sent to one address. Any thread may add messages; everything else runs on the transport's
+     * thread.
+     */
+    private final class PeerQueue {
+        private final String address;
+        private final InetSocketAddress socketAddress;
+
+        /** All messages that have been added, until {@link #takeDatagram} finds that one is too large for a datagram. */
+        private final Deque<byte[]> queued = new ArrayDeque<>();
+
+        /** The messages that need a connection. */
         private final Deque<byte[]> large = new ArrayDeque<>();
-        private final AtomicBoolean marked = new AtomicBoolean();
-        private int bytes;
-        private long used;
-        private Outgoing open;
 
-        Lane(String to) {
-            this.to = to;
-            place = place(to);
-            used = now.getAsLong();
+        private final AtomicBoolean flushScheduled = new AtomicBoolean();
+        private int queuedBytes;
+        private long lastUsedAt;
+        private OutgoingConnection connection;
+
+        PeerQueue(String address) {
+            this.address = address;
+            socketAddress = parseAddress(address);
+            lastUsedAt = clock.getAsLong();
         }
 
-        void add(byte[] m) {
+        void add(byte[] message) {
             synchronized (this) {
-                queue.add(m);
-                bytes += m.length;
-                while (queue.size() + large.size() > WAITING || bytes > WAITING_BYTES)
-                    bytes -= (large.isEmpty() ? queue : large).poll().length;
+                queued.add(message);
+                queuedBytes += message.length;
+                while (queued.size() + large.size() > MAX_QUEUED_MESSAGES || queuedBytes > MAX_QUEUED_BYTES)
+                    queuedBytes -= (large.isEmpty() ? queued : large).poll().length;
             }
-            mark();
+            scheduleFlush();
         }
 
-        private void mark() {
-            if (marked.compareAndSet(false, true)) due.add(this);
+        private void scheduleFlush() {
+            if (flushScheduled.compareAndSet(false, true)) queuesToFlush.add(this);
         }
 
-        private synchronized boolean laden() {
+        private synchronized boolean hasLarge() {
             return !large.isEmpty();
         }
 
-        synchronized boolean idle(long t) {
-            return t - used > FORGET && queue.isEmpty() && large.isEmpty() && open == null;
+        synchronized boolean isIdle(long now) {
+            return now - lastUsedAt > REMOVE_IDLE_QUEUE_AFTER_MICROS
+                    && queued.isEmpty()
+                    && large.isEmpty()
+                    && connection == null;
         }
 
-        void flush(long t) {
-            marked.set(false);
-            used = t;
-            if (to.equals(address)) {
-                for (var m = next(queue); m != null; m = next(queue)) hand(Codec.readTagged(m));
+        /** Sends all queued messages; those to the process's own address are delivered without a socket. */
+        void flush(long now) {
+            flushScheduled.set(false);
+            lastUsedAt = now;
+            if (address.equals(ownAddress)) {
+                for (var message = take(queued); message != null; message = take(queued))
+                    deliver(Codec.readTagged(message));
                 return;
             }
-            for (var some = small(); !some.isEmpty(); some = small()) datagram(some);
-            if (open == null) open();
+            for (var batch = takeDatagram(); !batch.isEmpty(); batch = takeDatagram()) sendBatch(batch);
+            if (connection == null) openConnection();
         }
 
-        private synchronized byte[] next(Deque<byte[]> from) {
-            var m = from.poll();
-            if (m != null) bytes -= m.length;
-            return m;
+        private synchronized byte[] take(Deque<byte[]> source) {
+            var message = source.poll();
+            if (message != null) queuedBytes -= message.length;
+            return message;
         }
 
-        private synchronized List<byte[]> small() {
-            var some = new ArrayList<byte[]>();
-            var n = Frame.HEADER_BYTES;
-            while (!queue.isEmpty()) {
-                var m = queue.peek();
-                if (Frame.HEADER_BYTES + Frame.maxEncodedSize(m) > Frame.MAX_DATAGRAM_BYTES) {
-                    squeeze(queue.poll());
+        /** Takes as many messages off the queue as surely fit into one datagram; empty once the queue is. */
+        private synchronized List<byte[]> takeDatagram() {
+            var batch = new ArrayList<byte[]>();
+            var datagramBytes = Frame.HEADER_BYTES;
+            while (!queued.isEmpty()) {
+                var message = queued.peek();
+                if (Frame.HEADER_BYTES + Frame.maxEncodedSize(message) > Frame.MAX_DATAGRAM_BYTES) {
+                    compressOrDefer(queued.poll());
                     continue;
                 }
-                n += Frame.maxEncodedSize(m);
-                if (n > Frame.MAX_DATAGRAM_BYTES) break;
-                some.add(next(queue));
+                datagramBytes += Frame.maxEncodedSize(message);
+                if (datagramBytes > Frame.MAX_DATAGRAM_BYTES) break;
+                batch.add(take(queued));
             }
-            return some;
-        }
-
-        private void squeeze(byte[] m) {
-            var one = m.length < 16 * Frame.MAX_DATAGRAM_BYTES ? Frame.encode(core.getAsLong(), List.of(m)) : m;
-            if (one == m || one.length > Frame.MAX_DATAGRAM_BYTES) {
-                large.add(m);
+            return batch;
+        }
+
+        /**
+         * Sends a message as a datagram if compression makes it small enough, otherwise leaves it for a connection.
+         * Compression is not tried on messages of 16 times the size of a datagram or more.
+         */
+        private void compressOrDefer(byte[] message) {
+            var frame = message.length < 16 * Frame.MAX_DATAGRAM_BYTES
+                    ? Frame.encode(coreId.getAsLong(), List.of(message))
+                    : message;
+            if (frame == message || frame.length > Frame.MAX_DATAGRAM_BYTES) {
+                large.add(message);
                 return;
             }
-            bytes -= m.length;
-            send(one);
+            queuedBytes -= message.length;
+            sendDatagram(frame);
         }
 
-        private void datagram(List<byte[]> some) {
-            send(Frame.encode(core.getAsLong(), some));
+        private void sendBatch(List<byte[]> messages) {
+            sendDatagram(Frame.encode(coreId.getAsLong(), messages));
         }
 
-        private void send(byte[] frame) {
+        private void sendDatagram(byte[] frame) {
             try {
-                udp.send(ByteBuffer.wrap(frame), place);
-                datagrams++;
-                sent += frame.length;
+                udp.send(ByteBuffer.wrap(frame), socketAddress);
+                datagramsSent++;
+                bytesSent += frame.length;
             } catch (IOException | RuntimeException e) {
-                notes.report("a datagram to " + to + ": " + e);
+                badMessages.report("cannot send a datagram to " + address + ": " + e);
             }
         }
 
-        private void open() {
-            if (!laden() || connections() >= CONNECTIONS) return;
-            var some = new ArrayList<byte[]>();
-            for (var n = 0; n < BATCH && laden(); n += some.get(some.size() - 1).length) some.add(next(large));
+        /** Opens a connection for the large messages, unless there are none or too many connections are open. */
+        private void openConnection() {
+            if (!hasLarge() || countOutgoingConnections() >= MAX_OUTGOING_CONNECTIONS) return;
+            var batch = new ArrayList<byte[]>();
+            for (var batchBytes = 0;
+                    batchBytes < CONNECTION_BATCH_BYTES && hasLarge();
+                    batchBytes += batch.get(batch.size() - 1).length) batch.add(take(large));
             try {
-                open = new Outgoing(this, Frame.encode(core.getAsLong(), some));
+                connection = new OutgoingConnection(this, Frame.encode(coreId.getAsLong(), batch));
             } catch (IOException | RuntimeException e) {
-                open = null;
+                connection = null;
             }
         }
 
-        private long connections() {
-            return streams.stream().filter(s -> s instanceof Outgoing).count();
+        private long countOutgoingConnections() {
+            return connections.stream()
+                    .filter(c -> c instanceof OutgoingConnection)
+                    .count();
         }
 
-        void over() {
-            open = null;
-            for (var l : lanes.values()) if (l.laden()) l.mark();
-            if (!due.isEmpty()) waiting.set(true);
+        /** The connection ended: lets every queue with large messages try again to open one. */
+        void onConnectionEnd() {
+            connection = null;
+            for (var queue : queues.values()) if (queue.hasLarge()) queue.scheduleFlush();
+            if (!queuesToFlush.isEmpty()) flushRequested.set(true);
         }
     }
 
-    private abstract class Stream {
+    /** A TCP connection; it is closed when it makes no progress until its deadline. */
+    private abstract class Connection {
         final SocketChannel channel;
-        long until;
+        long deadline;
 
-        Stream(SocketChannel channel, long patience) throws IOException {
+        Connection(SocketChannel channel, long timeoutMicros) throws IOException {
             this.channel = channel;
-            until = now.getAsLong() + patience;
+            deadline = clock.getAsLong() + timeoutMicros;
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            streams.add(this);
+            connections.add(this);
         }
 
-        abstract void ready() throws IOException;
+        abstract void onReady() throws IOException;
 
-        void progress() {
-            until = now.getAsLong() + PATIENCE;
+        void extendDeadline() {
+            deadline = clock.getAsLong() + PROGRESS_TIMEOUT_MICROS;
         }
 
         void end() {
-            if (!streams.remove(this)) return;
+            if (!connections.remove(this)) return;
             try {
                 channel.close();
             } catch (IOException e) {
-                notes.report("close: " + e);
+                badMessages.report("cannot close a connection: " + e);
             }
         }
     }
 
-    private final class Outgoing extends Stream {
-        private final Lane lane;
-        private final ByteBuffer out;
+    /** Sends one frame after its length (4 bytes) and ends when the peer acknowledges it with one byte. */
+    private final class OutgoingConnection extends Connection {
+        private final PeerQueue queue;
+        private final ByteBuffer unsent;
         private final SelectionKey key;
 
-        Outgoing(Lane lane, byte[] frame) throws IOException {
-            super(SocketChannel.open(), CONNECT);
-            this.lane = lane;
-            out = ByteBuffer.allocate(4 + frame.length)
+        OutgoingConnection(PeerQueue queue, byte[] frame) throws IOException {
+            super(SocketChannel.open(), CONNECT_TIMEOUT_MICROS);
+            this.queue = queue;
+            unsent = ByteBuffer.allocate(4 + frame.length)
                     .putInt(frame.length)
                     .put(frame)
                     .flip();
-            connections++;
+            connectionsOpened++;
             key = channel.register(selector, SelectionKey.OP_CONNECT, this);
             try {
-                if (channel.connect(lane.place)) key.interestOps(SelectionKey.OP_WRITE);
+                if (channel.connect(queue.socketAddress)) key.interestOps(SelectionKey.OP_WRITE);
             } catch (IOException e) {
-                streams.remove(this);
+                connections.remove(this);
                 channel.close();
                 throw e;
             }
         }
 
         @Override
-        void ready() throws IOException {
+        void onReady() throws IOException {
             if (key.isConnectable()) {
                 channel.finishConnect();
-                progress();
+                extendDeadline();
             }
-            if (out.hasRemaining()) write();
+            if (unsent.hasRemaining()) write();
             else if (key.isReadable()) end();
         }
 
         private void write() throws IOException {
-            var n = channel.write(out);
-            sent += n;
-            if (n > 0) progress();
-            key.interestOps(out.hasRemaining() ? SelectionKey.OP_WRITE : SelectionKey.OP_READ);
+            var n = channel.write(unsent);
+            bytesSent += n;
+            if (n > 0) extendDeadline();
+            key.interestOps(unsent.hasRemaining() ? SelectionKey.OP_WRITE : SelectionKey.OP_READ);
         }
 
         @Override
         void end() {
             super.end();
-            lane.over();
+            queue.onConnectionEnd();
         }
     }
 
-    private final class Incoming extends Stream {
-        private final ByteBuffer size = ByteBuffer.allocate(4);
+    /** Receives frames, each after its length (4 bytes), and acknowledges each with one byte. */
+    private final class IncomingConnection extends Connection {
+        private final ByteBuffer length = ByteBuffer.allocate(4);
+
+        /** The part of the frame received so far; null while the length is being received. */
         private ByteBuffer body;
-        private int whole;
 
-        Incoming(SocketChannel c) throws IOException {
-            super(c, PATIENCE);
-            c.register(selector, SelectionKey.OP_READ, this);
+        private int frameBytes;
+
+        IncomingConnection(SocketChannel channel) throws IOException {
+            super(channel, PROGRESS_TIMEOUT_MICROS);
+            channel.register(selector, SelectionKey.OP_READ, this);
         }
 
         @Override
-        void ready() throws IOException {
-            var n = channel.read(body == null ? size : body);
+        void onReady() throws IOException {
+            var n = channel.read(body == null ? length : body);
             if (n < 0) {
                 end();
                 return;
             }
-            progress();
-            if (body == null && !size.hasRemaining()) begin();
-            else if (body != null && body.position() == whole) finish();
-            else if (body != null && !body.hasRemaining()) grow();
+            extendDeadline();
+            if (body == null && !length.hasRemaining()) startFrame();
+            else if (body != null && body.position() == frameBytes) finishFrame();
+            else if (body != null && !body.hasRemaining()) growBuffer();
         }
 
-        private void begin() throws IOException {
-            whole = size.flip().getInt();
-            if (whole < Frame.HEADER_BYTES || whole > Frame.MAX_FRAME_BYTES) throw new IOException("a frame of " + whole + " bytes");
-            body = ByteBuffer.allocate(Math.min(whole, 64 << 10));
-            held += body.capacity();
+        /** Allocates at most 64 KiB at first: a sender that only claims a large frame must not take up much memory. */
+        private void startFrame() throws IOException {
+            frameBytes = length.flip().getInt();
+            if (frameBytes < Frame.HEADER_BYTES || frameBytes > Frame.MAX_FRAME_BYTES)
+                throw new IOException("invalid frame length of " + frameBytes + " bytes");
+            body = ByteBuffer.allocate(Math.min(frameBytes, 64 << 10));
+            receiveBufferBytes += body.capacity();
         }
 
-        private void grow() throws IOException {
-            var more = Math.min(whole, body.capacity() * 2);
-            if (held + more - body.capacity() > HELD) throw new IOException("too much arrives at once");
-            held += more - body.capacity();
-            body = ByteBuffer.allocate(more).put(body.flip());
+        private void growBuffer() throws IOException {
+            var capacity = Math.min(frameBytes, body.capacity() * 2);
+            if (receiveBufferBytes + capacity - body.capacity() > MAX_RECEIVE_BUFFER_BYTES)
+                throw new IOException("the receive buffers exceed their limit");
+            receiveBufferBytes += capacity - body.capacity();
+            body = ByteBuffer.allocate(capacity).put(body.flip());
         }
 
-        private void finish() throws IOException {
-            var b = body.array();
-            held -= b.length;
+        private void finishFrame() throws IOException {
+            var frame = body.array();
+            receiveBufferBytes -= frame.length;
             body = null;
-            size.clear();
+            length.clear();
             channel.write(ByteBuffer.wrap(new byte[] {1}));
-            take(b, channel.getRemoteAddress());
+            receiveFrame(frame, channel.getRemoteAddress());
         }
 
         @Override
         void end() {
-            if (body != null) held -= body.capacity();
+            if (body != null) receiveBufferBytes -= body.capacity();
             body = null;
             super.end();
         }
--- a/lib/transport/src/main/java/craneway/transport/Transport.java
+++ b/lib/transport/src/main/java/craneway/transport/Transport.java
@@ -1,15 +1,18 @@
 package craneway.transport;
 
-/** Carries messages to other processes of the core, each at its peer address (IP:PORT). A message may be lost. */
+/** Sends messages to other processes of the core, each at its peer address (IP:PORT). Thread-safe. */
 public interface Transport {
+    /** Sends a message without blocking. The message may be lost; the caller does not learn of that. */
     void send(String address, Object message);
 
-    /** Whether it wants to be ticked. */
+    /** Whether {@link #tick} has to be called periodically. */
     default boolean ticks() {
         return false;
     }
 
+    /** Cancels what has timed out. */
     default void tick() {}
 
+    /** Stops sending and receiving. */
     default void close() {}
 }
--- a/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
+++ b/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
@@ -24,190 +24,195 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Runs transports in one JVM that exchange messages over real sockets. */
 class SocketTransportTest {
-    private static final java.util.concurrent.atomic.AtomicInteger PORT =
+    private static final java.util.concurrent.atomic.AtomicInteger NEXT_PORT =
             new java.util.concurrent.atomic.AtomicInteger(24_000);
-    private final List<SocketTransport> open = new ArrayList<>();
+    private final List<SocketTransport> openTransports = new ArrayList<>();
 
-    private final class End {
-        final LinkedBlockingQueue<Object> got = new LinkedBlockingQueue<>();
-        final LinkedBlockingQueue<String> notes = new LinkedBlockingQueue<>();
+    private final class Endpoint {
+        final LinkedBlockingQueue<Object> received = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<String> logLines = new LinkedBlockingQueue<>();
         final String address = freeAddress();
-        final SocketTransport wire;
-        volatile long core;
+        final SocketTransport transport;
+        volatile long coreId;
 
-        End(long core) {
-            this.core = core;
-            wire = new SocketTransport(
+        Endpoint(long coreId) {
+            this.coreId = coreId;
+            transport = new SocketTransport(
                     address,
-                    () -> this.core,
+                    () -> this.coreId,
                     () -> System.nanoTime() / 1000,
-                    (e, d) -> notes.add(e == Event.BAD_MESSAGE ? d : e + " " + d));
-            wire.start(h -> h.founding != null && h.founding.origin() == 7, got::add);
-            open.add(wire);
+                    (event, detail) -> logLines.add(event == Event.BAD_MESSAGE ? detail : event + " " + detail));
+            transport.start(hello -> hello.founding != null && hello.founding.origin() == 7, received::add);
+            openTransports.add(transport);
         }
 
-        <T> T next(Class<T> type) throws InterruptedException {
-            var m = got.poll(10, TimeUnit.SECONDS);
-            assertTrue(type.isInstance(m), "got " + m + ", notes " + notes);
-            return type.cast(m);
+        <T> T nextMessage(Class<T> type) throws InterruptedException {
+            var message = received.poll(10, TimeUnit.SECONDS);
+            assertTrue(type.isInstance(message), "received " + message + ", log lines " + logLines);
+            return type.cast(message);
         }
 
-        String note() throws InterruptedException {
-            return notes.poll(10, TimeUnit.SECONDS);
+        String nextLogLine() throws InterruptedException {
+            return logLines.poll(10, TimeUnit.SECONDS);
         }
     }
 
-    /** A port below the range of outgoing connections, free for both UDP and TCP. */
+    /** Returns an address whose port is below the range of ephemeral ports and free for both UDP and TCP. */
     private static String freeAddress() {
         while (true) {
-            var p = PORT.getAndIncrement();
-            var at = new InetSocketAddress("127.0.0.1", p);
-            try (var s = new DatagramSocket(at);
-                    var t = new java.net.ServerSocket(p, 1, at.getAddress())) {
-                return "127.0.0.1:" + p;
+            var port = NEXT_PORT.getAndIncrement();
+            var address = new InetSocketAddress("127.0.0.1", port);
+            try (var udp = new DatagramSocket(address);
+                    var tcp = new java.net.ServerSocket(port, 1, address.getAddress())) {
+                return "127.0.0.1:" + port;
             } catch (IOException e) {
-                if (p > 26_000) throw new IllegalStateException(e);
+                if (port > 26_000) throw new IllegalStateException(e);
             }
         }
     }
 
     @AfterEach
     void close() {
-        open.forEach(SocketTransport::close);
+        openTransports.forEach(SocketTransport::close);
     }
 
     private static Join join(int part) {
-        var j = new Join();
-        j.part = part;
-        j.from = new Node("a", Node.STORE, "z", "1.2.3.4:5", 1);
-        return j;
+        var join = new Join();
+        join.part = part;
+        join.from = new Node("a", Node.STORE, "z", "1.2.3.4:5", 1);
+        return join;
     }
 
     private static News news(long version, byte[] body) {
-        var n = new News();
-        n.topic = "t";
-        n.version = version;
-        n.body = body;
-        return n;
+        var news = new News();
+        news.topic = "t";
+        news.version = version;
+        news.body = body;
+        return news;
     }
 
-    private static byte[] random(int n) {
-        var b = new byte[n];
-        new Random(1).nextBytes(b);
-        return b;
+    private static byte[] randomBytes(int length) {
+        var bytes = new byte[length];
+        new Random(1).nextBytes(bytes);
+        return bytes;
     }
 
     private static int port(String address) {
         return Integer.parseInt(address.substring(address.indexOf(':') + 1));
     }
 
-    private static void raw(String to, byte[] b) throws IOException {
-        try (var s = new DatagramSocket()) {
-            s.send(new DatagramPacket(b, b.length, InetAddress.getByName("127.0.0.1"), port(to)));
+    private static void sendDatagram(String address, byte[] bytes) throws IOException {
+        try (var socket = new DatagramSocket()) {
+            socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getByName("127.0.0.1"), port(address)));
         }
     }
 
     @Test
-    void smallMessagesThatWaitTogetherGoInOneDatagram() throws Exception {
-        var a = new End(5);
-        var b = new End(5);
-        for (var i = 0; i < 4; i++) a.wire.send(b.address, join(i));
-        for (var i = 0; i < 4; i++) assertEquals(i, b.next(Join.class).part);
-        assertTrue(a.wire.counts().datagrams() <= 2, a.wire.counts().toString());
-        assertEquals(0, a.wire.counts().connections());
+    void smallMessagesQueuedTogetherShareADatagram() throws Exception {
+        var sender = new Endpoint(5);
+        var receiver = new Endpoint(5);
+        for (var i = 0; i < 4; i++) sender.transport.send(receiver.address, join(i));
+        for (var i = 0; i < 4; i++) assertEquals(i, receiver.nextMessage(Join.class).part);
+        assertTrue(
+                sender.transport.counts().datagrams() <= 2,
+                sender.transport.counts().toString());
+        assertEquals(0, sender.transport.counts().connections());
     }
 
     @Test
-    void largeMessagesGoOverConnectionsAndArriveWhole() throws Exception {
-        var a = new End(5);
-        var b = new End(5);
-        var body = random(3_000_000);
-        a.wire.send(b.address, news(1, body));
-        a.wire.send(b.address, news(2, body));
-        assertEquals(body.length, b.next(News.class).body.length);
-        assertEquals(2, b.next(News.class).version);
-        assertTrue(a.wire.counts().connections() >= 1);
+    void largeMessagesAreSentOverConnectionsAndArriveComplete() throws Exception {
+        var sender = new Endpoint(5);
+        var receiver = new Endpoint(5);
+        var body = randomBytes(3_000_000);
+        sender.transport.send(receiver.address, news(1, body));
+        sender.transport.send(receiver.address, news(2, body));
+        assertEquals(body.length, receiver.nextMessage(News.class).body.length);
+        assertEquals(2, receiver.nextMessage(News.class).version);
+        assertTrue(sender.transport.counts().connections() >= 1);
     }
 
     @Test
-    void whatDeflatesWellStaysADatagram() throws Exception {
-        var a = new End(5);
-        var b = new End(5);
-        a.wire.send(b.address, news(1, new byte[10_000]));
-        assertEquals(10_000, b.next(News.class).body.length);
-        assertEquals(0, a.wire.counts().connections());
-        assertTrue(a.wire.counts().sent() < 300);
+    void aMessageThatCompressesWellIsSentAsADatagram() throws Exception {
+        var sender = new Endpoint(5);
+        var receiver = new Endpoint(5);
+        sender.transport.send(receiver.address, news(1, new byte[10_000]));
+        assertEquals(10_000, receiver.nextMessage(News.class).body.length);
+        assertEquals(0, sender.transport.counts().connections());
+        assertTrue(sender.transport.counts().sent() < 300);
     }
 
     @Test
-    void aProcessReachesItself() throws Exception {
-        var a = new End(5);
-        a.wire.send(a.address, join(3));
-        assertEquals(3, a.next(Join.class).part);
-        assertEquals(0, a.wire.counts().sent());
+    void messagesToOwnAddressAreDeliveredWithoutASocket() throws Exception {
+        var endpoint = new Endpoint(5);
+        endpoint.transport.send(endpoint.address, join(3));
+        assertEquals(3, endpoint.nextMessage(Join.class).part);
+        assertEquals(0, endpoint.transport.counts().sent());
     }
 
     @Test
-    void anotherCoreIsDeclinedUnlessKin() throws Exception {
-        var a = new End(5);
-        var b = new End(6);
-        a.wire.send(b.address, join(1));
-        assertTrue(b.note().startsWith("core 5 from"));
-        var h = new Hello();
-        h.from = new Node("a", Node.STORE, "z", a.address, 1);
-        h.founding = new Founding();
-        h.founding.origin = 7;
-        a.wire.send(b.address, h);
-        assertEquals("a", b.next(Hello.class).from.name);
-        a.core = 0;
-        a.wire.send(b.address, join(2));
-        assertEquals(2, b.next(Join.class).part);
+    void messagesOfAnotherCoreAreRejectedExceptHellosOfTheSameOrigin() throws Exception {
+        var sender = new Endpoint(5);
+        var receiver = new Endpoint(6);
+        sender.transport.send(receiver.address, join(1));
+        assertTrue(receiver.nextLogLine().startsWith("core 5 from"));
+        var hello = new Hello();
+        hello.from = new Node("a", Node.STORE, "z", sender.address, 1);
+        hello.founding = new Founding();
+        hello.founding.origin = 7;
+        sender.transport.send(receiver.address, hello);
+        assertEquals("a", receiver.nextMessage(Hello.class).from.name);
+        sender.coreId = 0;
+        sender.transport.send(receiver.address, join(2));
+        assertEquals(2, receiver.nextMessage(Join.class).part);
     }
 
     @Test
-    void badDatagramsAreNotedRarelyAndDropped() throws Exception {
-        var a = new End(5);
-        var b = new End(5);
-        for (var i = 0; i < 50; i++) raw(b.address, random(40));
-        var good = Frame.encode(5, List.of(new byte[] {99, 1, 2}));
-        raw(b.address, good);
-        good[20 % good.length] ^= 1;
-        raw(b.address, good);
-        raw(b.address, new byte[0]);
-        a.wire.send(b.address, join(1));
-        assertEquals(1, b.next(Join.class).part);
-        assertTrue(b.note().contains("from /127.0.0.1"));
-        assertTrue(b.notes.size() <= 1, b.notes.toString());
+    void badDatagramsAreDroppedAndLoggedAtALimitedRate() throws Exception {
+        var sender = new Endpoint(5);
+        var receiver = new Endpoint(5);
+        for (var i = 0; i < 50; i++) sendDatagram(receiver.address, randomBytes(40));
+        var wellFormedFrame = Frame.encode(5, List.of(new byte[] {99, 1, 2}));
+        sendDatagram(receiver.address, wellFormedFrame);
+        wellFormedFrame[20 % wellFormedFrame.length] ^= 1;
+        sendDatagram(receiver.address, wellFormedFrame);
+        sendDatagram(receiver.address, new byte[0]);
+        sender.transport.send(receiver.address, join(1));
+        assertEquals(1, receiver.nextMessage(Join.class).part);
+        assertTrue(receiver.nextLogLine().contains("from /127.0.0.1"));
+        assertTrue(receiver.logLines.size() <= 1, receiver.logLines.toString());
     }
 
     @Test
-    void aConnectionThatSendsNoFrameIsClosed() throws Exception {
-        var b = new End(5);
-        try (var s = new Socket("127.0.0.1", port(b.address))) {
-            s.getOutputStream().write(new byte[] {127, 127, 127, 127, 1});
-            s.setSoTimeout(10_000);
-            assertEquals(-1, readOrReset(s));
+    void aConnectionThatSendsAnInvalidLengthIsClosed() throws Exception {
+        var receiver = new Endpoint(5);
+        try (var socket = new Socket("127.0.0.1", port(receiver.address))) {
+            socket.getOutputStream().write(new byte[] {127, 127, 127, 127, 1});
+            socket.setSoTimeout(10_000);
+            assertEquals(-1, readOrReset(socket));
         }
-        assertNull(b.got.poll());
+        assertNull(receiver.received.poll());
     }
 
-    private static int readOrReset(Socket s) {
+    private static int readOrReset(Socket socket) {
         try {
-            return s.getInputStream().read();
+            return socket.getInputStream().read();
         } catch (IOException e) {
             return e instanceof java.net.SocketTimeoutException ? 0 : -1;
         }
     }
 
     @Test
-    void aLargeMessageToADeadAddressDoesNotHoldUpOthers() throws Exception {
-        var a = new End(5);
-        var b = new End(5);
-        a.wire.send(freeAddress(), news(1, random(20_000)));
-        a.wire.send(b.address, news(2, random(20_000)));
-        a.wire.send(b.address, join(1));
-        var got = List.of(b.got.poll(10, TimeUnit.SECONDS), b.got.poll(10, TimeUnit.SECONDS));
-        assertTrue(got.stream().anyMatch(m -> m instanceof News) && got.stream().anyMatch(m -> m instanceof Join));
+    void aLargeMessageToAnUnreachableAddressDoesNotDelayOthers() throws Exception {
+        var sender = new Endpoint(5);
+        var receiver = new Endpoint(5);
+        sender.transport.send(freeAddress(), news(1, randomBytes(20_000)));
+        sender.transport.send(receiver.address, news(2, randomBytes(20_000)));
+        sender.transport.send(receiver.address, join(1));
+        var messages =
+                List.of(receiver.received.poll(10, TimeUnit.SECONDS), receiver.received.poll(10, TimeUnit.SECONDS));
+        assertTrue(messages.stream().anyMatch(message -> message instanceof News)
+                && messages.stream().anyMatch(message -> message instanceof Join));
     }
 }
