--- a/lib/process/src/main/java/craneway/process/DataDirectory.java
+++ b/lib/process/src/main/java/craneway/process/DataDirectory.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The primitive operations on a directory from which {@link DiskFolder} builds its guarantees. No change is durable before
- * the sync that covers it. Tests replace this with a directory in memory that simulates crashes.
+ * The primitive operations on a directory from which {@link DiskFolder} builds its guarantees. No change is durable
+ * before the sync that covers it. Tests replace this with a directory in memory that simulates crashes.
  */
 interface DataDirectory {
     /** A file that is open for writing. */
--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -20,9 +20,9 @@
 /**
  * The data directory of a store, as a {@link Folder}. A lock file ensures that one process at a time uses it.
  *
- * <p>To replace a file, its new bytes are written to a temporary file, which is synced and renamed, and then the directory
- * is synced. Temporary files that a crash left behind are deleted at the next start. Safe for several threads as long as
- * each file is used by one thread at a time.
+ * <p>To replace a file, its new bytes are written to a temporary file, which is synced and renamed, and then the
+ * directory is synced. Temporary files that a crash left behind are deleted at the next start. Safe for several threads
+ * as long as each file is used by one thread at a time.
  */
 public final class DiskFolder implements Folder {
     /** The free disk space below which appends fail. Other writes ignore it, so files can still be replaced. */
@@ -62,14 +62,14 @@
     }
 
     /**
-     * Opens a data directory that takes no more appended bytes once less disk space than the reserve is free.
+     * Opens a data directory.
      *
-     * @param reserve bytes
-     * @throws BadStartupException if another process uses the directory, or its log segments have a newer format than this
-     *     version knows; the directory is left unchanged
+     * @param reserveBytes the free disk space below which appends fail
+     * @throws BadStartupException if another process uses the directory, or its log segments have a newer format than
+     *     this version knows; the directory is left unchanged
      */
-    public DiskFolder(Path root, long reserve) {
-        this.reserveBytes = reserve;
+    public DiskFolder(Path root, long reserveBytes) {
+        this.reserveBytes = reserveBytes;
         lock = translateFailure(() -> tryLock(root.resolve(LOCK_FILE)));
         if (lock == null)
             throw new BadStartupException(List.of("data directory " + root + " is in use by another process"));
@@ -87,9 +87,9 @@
         }
     }
 
-    DiskFolder(DataDirectory directory, long reserve) {
+    DiskFolder(DataDirectory directory, long reserveBytes) {
         this.directory = directory;
-        this.reserveBytes = reserve;
+        this.reserveBytes = reserveBytes;
         lock = null;
         deleteTemporaryFiles();
     }
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Runs a write or sync; if it fails, the file rejects any further write until it is replaced or deleted. After a failed
-     * write or sync, the operating system may report bytes as synced that never reached the disk.
+     * Runs a write or sync; if it fails, the file rejects any further write until it is replaced or deleted. After a
+     * failed write or sync, the operating system may report bytes as synced that never reached the disk.
      */
     private void writeOrMarkFailed(String name, DiskOperation<Void> operation) {
         if (failedFiles.contains(name))
@@ -267,7 +267,7 @@
     }
 
     private void close(String name) throws IOException {
-        var file = openFiles.remove(name);
-        if (file != null) file.file.close();
+        var target = openFiles.remove(name);
+        if (target != null) target.file.close();
     }
 }
--- a/lib/process/src/main/java/craneway/process/Host.java
+++ b/lib/process/src/main/java/craneway/process/Host.java
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Creates a runtime with the given transport, which {@link #close} closes, and the default number of I/O threads and tick
-     * threads.
+     * Creates a runtime with the given transport, which {@link #close} closes, and the default number of I/O threads
+     * and tick threads.
      *
      * @param threads the number of worker threads
      */
@@ -156,8 +156,8 @@
     }
 
     /**
-     * Runs a task at once and then again a pause after the end of each run, until the runtime is closed. An exception that
-     * the task throws is logged and does not stop later runs.
+     * Runs a task at once and then again a pause after the end of each run, until the runtime is closed. An exception
+     * that the task throws is logged and does not stop later runs.
      */
     public void tick(Runnable each, long millis) {
         tickScheduler.scheduleWithFixedDelay(
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Creates an executor that runs its tasks one at a time on a thread of its own, so that a task that waits for a disk
-     * delays no other work. Tasks are dropped once the runtime is closed.
+     * Creates an executor that runs its tasks one at a time on a thread of its own, so that a task that waits for a
+     * disk delays no other work. Tasks are dropped once the runtime is closed.
      */
     public Executor singleThread(String name) {
         var executor = Executors.newSingleThreadExecutor(r -> newDaemonThread(r, name));
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Shuts down gracefully within the shutdown grace of the settings: leaves the core, keeps serving new requests until
-     * clients have learned of the leave, then stops listening and waits for the open requests.
+     * Shuts down gracefully within the shutdown grace of the settings: leaves the core, keeps serving new requests
+     * until clients have learned of the leave, then stops listening and waits for the open requests.
      */
     public void stopGently() throws InterruptedException {
         var startedAt = host.now();
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -25,8 +25,8 @@
 import java.security.SecureRandom;
 
 /**
- * A store process on a platform that starts and stops it: holds replicas of the parts of the core, and serves operators,
- * heartbeats of runners, and clients that look up the addresses of routers.
+ * A store process on a platform that starts and stops it: holds replicas of the parts of the core, and serves
+ * operators, heartbeats of runners, and clients that look up the addresses of routers.
  */
 public final class PlatformStoreProcess implements AutoCloseable {
     private static final int IO_THREADS = 2;
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Shuts down gracefully within the shutdown grace of the settings: transfers leadership, waits until the core no longer
-     * needs this store, leaves the core, and closes.
+     * Shuts down gracefully within the shutdown grace of the settings: transfers leadership, waits until the core no
+     * longer needs this store, leaves the core, and closes.
      */
     public void stopGently() throws InterruptedException {
         host.note(Event.STOPPING, "store");
--- a/lib/process/src/main/java/craneway/process/PrometheusText.java
+++ b/lib/process/src/main/java/craneway/process/PrometheusText.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * Collects metrics and renders them in the Prometheus text format. Every name gets the prefix {@code craneway_}, and the
- * format appends {@code _total} to counters.
+ * Collects metrics and renders them in the Prometheus text format. Every name gets the prefix {@code craneway_}, and
+ * the format appends {@code _total} to counters.
  */
 final class PrometheusText {
     private final List<MetricSnapshot> metrics = new ArrayList<>();
--- a/lib/process/src/main/java/craneway/process/StopSignal.java
+++ b/lib/process/src/main/java/craneway/process/StopSignal.java
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Waits until a signal arrives or the process is superseded. After a signal it runs the graceful shutdown, during which
-     * a shutdown hook keeps the JVM alive for at most 70 s. The longest graceful shutdown, that of {@link RouterProcess},
-     * takes about 63 s. A superseded process skips the graceful shutdown.
+     * Waits until a signal arrives or the process is superseded. After a signal it runs the graceful shutdown, during
+     * which a shutdown hook keeps the JVM alive for at most 70 s. The longest graceful shutdown, that of
+     * {@link RouterProcess}, takes about 63 s. A superseded process skips the graceful shutdown.
      *
      * @param stop the graceful shutdown
      * @param superseded whether a newer process with the same name has replaced this one; polled every 500 ms
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Shuts down gracefully: reports not ready, transfers leadership, waits until the core no longer needs this store or a
-     * timeout of 8 s has passed, leaves the core, and closes.
+     * Shuts down gracefully: reports not ready, transfers leadership, waits until the core no longer needs this store
+     * or a timeout of 8 s has passed, leaves the core, and closes.
      */
     public void stopGently() throws InterruptedException {
         host.note(Event.STOPPING, "store");
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Checks that everything a folder reported as durable survives a crash at every step of the work and every possible outcome
- * of a power loss.
+ * Checks that everything a folder reported as durable survives a crash at every step of the work and every possible
+ * outcome of a power loss.
  */
 class DiskFolderTest {
     private static final byte[] OLD = {1, 1, 1, 1, 1, 1};
@@ -224,8 +224,8 @@
     }
 
     /**
-     * Writes entries and a snapshot to a segment log and crashes it at each step; the start after that crash crashes at each
-     * step too. No acknowledged entry may be lost.
+     * Writes entries and a snapshot to a segment log and crashes it at each step; the start after that crash crashes at
+     * each step too. No acknowledged entry may be lost.
      */
     @Test
     void aSegmentLogKeepsAcknowledgedEntriesAfterCrashes() {
--- a/lib/process/src/test/java/craneway/process/FakeDirectory.java
+++ b/lib/process/src/test/java/craneway/process/FakeDirectory.java
@@ -12,8 +12,8 @@
 /**
  * A directory in memory that simulates crashes, power losses and I/O errors at any step.
  *
- * <p>In a power loss, each write since the last sync of its file, and each name created, changed or deleted since the last
- * sync of the directory, is kept or lost independently. The sync of a new file also makes its name durable.
+ * <p>In a power loss, each write since the last sync of its file, and each name created, changed or deleted since the
+ * last sync of the directory, is kept or lost independently. The sync of a new file also makes its name durable.
  */
 final class FakeDirectory implements DataDirectory {
     /** Simulates that the process is killed in the middle of its work. */
--- a/lib/transport/src/main/java/craneway/transport/Frame.java
+++ b/lib/transport/src/main/java/craneway/transport/Frame.java
@@ -11,9 +11,9 @@
 import java.util.zip.Inflater;
 
 /**
- * The unit in which messages travel over a socket. A frame has a version (1 byte), flags (1 byte), the id of the sender's
- * core (8 bytes), a CRC-32 of everything else (4 bytes), and a payload, which is compressed if that makes it smaller. The
- * payload holds tagged messages, each after its length as a variable-length integer.
+ * The unit in which messages travel over a socket. A frame has a version (1 byte), flags (1 byte), the id of the
+ * sender's core (8 bytes), a CRC-32 of everything else (4 bytes), and a payload, which is compressed if that makes it
+ * smaller. The payload holds tagged messages, each after its length as a variable-length integer.
  *
  * @param coreId the core of the sender, 0 if it belongs to none
  * @param payload the uncompressed payload
@@ -37,7 +37,9 @@
             ThreadLocal.withInitial(() -> new Deflater(Deflater.BEST_SPEED, true));
     private static final ThreadLocal<Inflater> INFLATER = ThreadLocal.withInitial(() -> new Inflater(true));
 
-    /** Returns the most bytes that a message can take in an uncompressed payload: itself and up to 5 bytes of length. */
+    /**
+     * Returns the most bytes that a message can take in an uncompressed payload: itself and up to 5 bytes of length.
+     */
     static int maxEncodedSize(byte[] message) {
         return message.length + 5;
     }
@@ -56,7 +58,9 @@
                 : assemble(coreId, 0, plain.array(), plain.position());
     }
 
-    /** Writes a length as a variable-length integer: 7 bits per byte, lowest first, the top bit set on all but the last. */
+    /**
+     * Writes a length as a variable-length integer: 7 bits per byte, lowest first, the top bit set on all but the last.
+     */
     private static void putLength(ByteBuffer buffer, int length) {
         for (; length > 127; length >>>= 7) buffer.put((byte) (length | 128));
         buffer.put((byte) length);
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -13,8 +13,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Sends messages as HTTP requests: for each address one request at a time, over a persistent connection, with all messages
- * that have queued up meanwhile. The messages of a failed request are lost. {@link PeerHandler} receives them.
+ * Sends messages as HTTP requests: for each address one request at a time, over a persistent connection, with all
+ * messages that have queued up meanwhile. The messages of a failed request are lost. {@link PeerHandler} receives them.
  */
 public final class HttpTransport implements Transport {
     /** Beyond this many queued messages for one address, the oldest are dropped. */
--- a/lib/transport/src/main/java/craneway/transport/PeerHandler.java
+++ b/lib/transport/src/main/java/craneway/transport/PeerHandler.java
@@ -23,7 +23,8 @@
      * Creates a handler.
      *
      * @param coreId the id of the core that this process belongs to, 0 while it belongs to none
-     * @param sameOrigin whether a hello of another core comes from a generation of the same origin and is to be received
+     * @param sameOrigin whether a hello of another core comes from a generation of the same origin and is to be
+     *     received
      * @param receiver receives each message; called by several threads
      */
     public PeerHandler(LongSupplier coreId, Predicate<Hello> sameOrigin, Consumer<Object> receiver, EventLog log) {
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -33,8 +33,8 @@
 
 /**
  * Sends and receives messages over UDP and TCP on one address. The messages that have queued up for an address are sent
- * together: as UDP datagrams if they fit into one, otherwise as one frame over a TCP connection opened for it. A message may
- * be lost or duplicated, and a large one may be overtaken by later ones.
+ * together: as UDP datagrams if they fit into one, otherwise as one frame over a TCP connection opened for it. A
+ * message may be lost or duplicated, and a large one may be overtaken by later ones.
  *
  * <p>A single thread does all sending and receiving and calls the receiver. Public methods are thread-safe.
  */
@@ -140,8 +140,8 @@
     /**
      * Starts to deliver received messages. Call it once.
      *
-     * @param sameOrigin whether a hello of another core comes from a generation of the same origin and is to be delivered;
-     *     all other messages of other cores are rejected
+     * @param sameOrigin whether a hello of another core comes from a generation of the same origin and is to be
+     *     delivered; all other messages of other cores are rejected
      * @param receiver receives each message, on the transport's thread
      */
     public void start(Predicate<Hello> sameOrigin, Consumer<Object> receiver) {
@@ -274,14 +274,16 @@
     }
 
     /**
-     * The messages that wait to be sent to one address. Any thread may add messages; everything else runs on the transport's
-     * thread.
+     * The messages that wait to be sent to one address. Any thread may add messages; everything else runs on the
+     * transport's thread.
      */
     private final class PeerQueue {
         private final String address;
         private final InetSocketAddress socketAddress;
 
-        /** All messages that have been added, until {@link #takeDatagram} finds that one is too large for a datagram. */
+        /**
+         * All messages that have been added, until {@link #takeDatagram} finds that one is too large for a datagram.
+         */
         private final Deque<byte[]> queued = new ArrayDeque<>();
 
         /** The messages that need a connection. */
