--- a/lib/transport/src/main/java/craneway/transport/package-info.java
+++ b/lib/transport/src/main/java/craneway/transport/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Transports that carry messages between the processes of one core: over UDP datagrams and TCP connections ({@link
- * craneway.transport.SocketTransport}) or over HTTP ({@link craneway.transport.HttpTransport}).
+ * Transports that carry messages between the processes of one core.
+ * {@link craneway.transport.SocketTransport} uses UDP datagrams and TCP connections,
+ * {@link craneway.transport.HttpTransport} uses HTTP.
  *
  * <p>A message may be lost, duplicated or reordered, but never damaged: a checksum guards it. Messages of another core
  * are rejected, except {@link craneway.state.message.Messages.Hello} messages between generations of a core that have
