--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -40,42 +40,45 @@
     private final Operator operator;
 
     /** Starts the router and all its servers. */
-    public RouterProcess(Startup s, EventLog log) {
+    public RouterProcess(Startup settings, EventLog log) {
         host = new Host(log, WORKER_THREADS, () -> coreId());
-        var self = Node.started(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
-        router = new Router(host, self, s.seeds, new SecureRandom());
+        var self = Node.started(
+                settings.name, Node.ROUTER, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
+        router = new Router(host, self, settings.seeds, new SecureRandom());
         operator = new Operator(host, router.coreClient());
         var forwardedRequests = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
         var peerMessages = new PeerHandler(this::coreId, router.directory()::sameOrigin, router::receive, log);
         HttpHandler peerEndpoint =
                 exchange -> (exchange.getRequestPath().equals("/transaction") ? forwardedRequests : peerMessages)
                         .handleRequest(exchange);
-        host.listen(s.peerAddress, peerEndpoint, 80L << 20);
+        host.listen(settings.peerAddress, peerEndpoint, 80L << 20);
         host.listen(
-                s.clientAddress,
+                settings.clientAddress,
                 new CompletionHandler(router, host.caller(), host::now, log, "/v1/chat/completions", false),
                 MAX_REQUEST_BODY_BYTES);
-        host.listen(s.runner, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
+        host.listen(settings.runner, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
         host.listen(
-                s.operator,
+                settings.operator,
                 new OperatorHandler(
-                        s.name,
+                        settings.name,
                         operator,
                         () -> ProcessMetrics.render(router),
                         after -> UsageJson.of(
-                                s.name,
+                                settings.name,
                                 router.executor().usage(),
                                 after,
                                 System.currentTimeMillis() * 1000 - host.now()),
                         null),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(s.platform, new ReadinessHandler(router::ready), MAX_ANNOUNCEMENT_BODY_BYTES);
+        host.listen(settings.platform, new ReadinessHandler(router::ready), MAX_ANNOUNCEMENT_BODY_BYTES);
         host.tick(() -> {
             router.tick();
             operator.tick(host.now());
         });
         log.note(
-                Event.STARTED, "router zone " + s.zone + " requester " + s.clientAddress + " partner " + s.peerAddress);
+                Event.STARTED,
+                "router zone " + settings.zone + " requester " + settings.clientAddress + " partner "
+                        + settings.peerAddress);
     }
 
     private long coreId() {
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -35,21 +35,22 @@
     private volatile boolean stopping;
 
     /** Starts the store and all its servers. */
-    public StoreProcess(Startup s, EventLog log) {
-        disk = new DiskFolder(s.data);
+    public StoreProcess(Startup settings, EventLog log) {
+        disk = new DiskFolder(settings.data);
         host = new Host(log, WORKER_THREADS, () -> coreId());
-        var self = Node.started(s.name, Node.STORE, s.zone, s.peerAddress, new SecureRandom().nextLong());
-        store = new Store(host, disk, self, s.seeds, s.stores, new SecureRandom());
+        var self = Node.started(
+                settings.name, Node.STORE, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
+        store = new Store(host, disk, self, settings.seeds, settings.stores, new SecureRandom());
         var operator = new Operator(host, store.coreClient());
         host.listen(
-                s.peerAddress,
+                settings.peerAddress,
                 new PeerHandler(this::coreId, store.directory()::sameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
-                s.operator,
-                new OperatorHandler(s.name, operator, () -> ProcessMetrics.render(store), null, store),
+                settings.operator,
+                new OperatorHandler(settings.name, operator, () -> ProcessMetrics.render(store), null, store),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(s.platform, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
+        host.listen(settings.platform, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
         host.tick(() -> {
             store.tickNode();
             operator.tick(host.now());
@@ -58,7 +59,9 @@
             var part = p;
             host.tick(() -> store.tickPart(part));
         }
-        log.note(Event.STARTED, "store zone " + s.zone + " partner " + s.peerAddress + " data " + s.data);
+        log.note(
+                Event.STARTED,
+                "store zone " + settings.zone + " partner " + settings.peerAddress + " data " + settings.data);
     }
 
     private long coreId() {
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -102,8 +102,8 @@
     @Test
     void renameKeepsTheBytesUnderEitherNameAndIsDurableOnReturn() {
         crashAtEveryStep(directoryWithFile("f", OLD), folder -> folder.rename("f", "g"), (afterCrash, completed) -> {
-            var g = afterCrash.read("g");
-            assertArrayEquals(OLD, g == null ? afterCrash.read("f") : g);
+            var renamed = afterCrash.read("g");
+            assertArrayEquals(OLD, renamed == null ? afterCrash.read("f") : renamed);
             if (completed) assertEquals(List.of("g"), afterCrash.names());
         });
     }
--- a/lib/transport/src/main/java/craneway/transport/Frame.java
+++ b/lib/transport/src/main/java/craneway/transport/Frame.java
@@ -118,10 +118,10 @@
             var out = new ByteArrayOutputStream(compressed.length * 3);
             var chunk = new byte[4_096];
             while (!inflater.finished()) {
-                var n = inflater.inflate(chunk);
-                if (n == 0 || out.size() > MAX_FRAME_BYTES)
+                var chunkBytes = inflater.inflate(chunk);
+                if (chunkBytes == 0 || out.size() > MAX_FRAME_BYTES)
                     throw new BadMessageException("compressed payload is incomplete or too large");
-                out.write(chunk, 0, n);
+                out.write(chunk, 0, chunkBytes);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -483,9 +483,9 @@
         }
 
         private void write() throws IOException {
-            var n = channel.write(unsent);
-            bytesSent += n;
-            if (n > 0) extendDeadline();
+            var written = channel.write(unsent);
+            bytesSent += written;
+            if (written > 0) extendDeadline();
             key.interestOps(unsent.hasRemaining() ? SelectionKey.OP_WRITE : SelectionKey.OP_READ);
         }
 
@@ -512,8 +512,8 @@
 
         @Override
         void onReady() throws IOException {
-            var n = channel.read(body == null ? length : body);
-            if (n < 0) {
+            var received = channel.read(body == null ? length : body);
+            if (received < 0) {
                 end();
                 return;
             }
