--- a/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddressHandler.java
@@ -2,8 +2,8 @@
 
 import craneway.api.platform.PlatformFormats;
 import craneway.http.Exchanges;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -26,15 +26,15 @@
     @Override
     public void handleRequest(HttpServerExchange x) {
         var p = dialect.paths();
-        if (!x.getRequestPath().equals(p.addresses())) Exchanges.noSuchPage(x);
-        else if (!x.getRequestMethod().equals(Methods.GET)) Exchanges.wrongMethod(x);
-        else reply(x, query(x, p.askingZone()), query(x, p.askingRegion()));
+        if (!x.getRequestPath().equals(p.routerAddresses())) Exchanges.sendNotFound(x);
+        else if (!x.getRequestMethod().equals(Methods.GET)) Exchanges.sendMethodNotAllowed(x);
+        else reply(x, query(x, p.zoneParameter()), query(x, p.regionParameter()));
     }
 
     private void reply(HttpServerExchange x, String zone, String region) {
-        var all = whereabouts.near(zone, region);
-        if (all.isEmpty()) Problems.send(x, Problem.of(Kind.NO_PATH, "no router is serving"));
-        else Problems.sendJson(x, dialect.addresses(all, keep));
+        var all = whereabouts.nearestTo(zone, region);
+        if (all.isEmpty()) JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_PATH, "no router is serving"));
+        else JsonResponses.sendJson(x, dialect.addressesResponse(all, keep));
     }
 
     private static String query(HttpServerExchange x, String name) {
--- a/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
@@ -22,7 +22,7 @@
     }
 
     /** At most 64 requester addresses: of the zone; if it has none, of its region; else of all. */
-    public List<String> near(String zone, String region) {
+    public List<String> nearestTo(String zone, String region) {
         var all = serving();
         var r = zones.getOrDefault(zone, region);
         var near = of(all, n -> n.zone.equals(zone));
@@ -38,7 +38,7 @@
     }
 
     private List<Node> serving() {
-        return store.membership().view().members().get(Parts.MANIFEST).stream()
+        return store.membership().view().members().get(Parts.MANIFEST_PART).stream()
                 .filter(n -> n.isRouter() && n.serving && !n.clientAddress.isEmpty() && !stopping(n))
                 .toList();
     }
--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -9,8 +9,8 @@
 import craneway.control.store.Rebuild;
 import craneway.control.store.Store;
 import craneway.http.HeaderNames;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -63,7 +63,7 @@
                 var w = MANIFEST.matcher(path);
                 if (w.matches()) watchManifest(x, Long.parseLong(w.group(1)));
                 else if (m.matches()) plan(x, Long.parseLong(m.group(1)), m.group(2) == null ? "" : m.group(2));
-                else Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
+                else JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_SUCH_PAGE));
             }
         }
     }
@@ -75,7 +75,7 @@
                             e.dispatch();
                             then.accept(b);
                         },
-                        (e, p) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
+                        (e, p) -> JsonResponses.sendProblem(e, Problem.of(ProblemKind.TOO_LARGE)));
     }
 
     private void metrics(HttpServerExchange x) {
@@ -84,14 +84,14 @@
 
     private void core(HttpServerExchange x, String token) {
         if (store == null) {
-            Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE, "a router holds no core; ask a store"));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_SUCH_PAGE, "a router holds no core; ask a store"));
             return;
         }
         reply(x, token.isEmpty() ? store.rebuild() : store.rebuild(token), r -> rebuild(r, !token.isEmpty()));
     }
 
     private static ObjectNode rebuild(Rebuild r, boolean done) {
-        var n = Problems.JSON
+        var n = JsonResponses.JSON
                 .createObjectNode()
                 .put("state", done ? "rebuilt" : "proposed")
                 .put("generation", r.generation())
@@ -106,22 +106,22 @@
         operator.acceptClaims(r -> reply(
                 x,
                 r,
-                n -> Problems.JSON.createObjectNode().put("state", "accepted").put("parts", n)));
+                n -> JsonResponses.JSON.createObjectNode().put("state", "accepted").put("parts", n)));
     }
 
     private void usage(HttpServerExchange x) {
         var q = x.getQueryParameters().get("after");
         var after = q == null ? "0" : q.getFirst();
         if (usage == null)
-            Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE, "a store runs no transactions; ask a router"));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_SUCH_PAGE, "a store runs no transactions; ask a router"));
         else if (!after.matches("\\d{1,18}"))
-            Problems.send(x, Problem.of(Kind.BAD_OPERATOR_INPUT, "after must be a number"));
-        else Problems.sendJson(x, usage.apply(Long.parseLong(after)));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, "after must be a number"));
+        else JsonResponses.sendJson(x, usage.apply(Long.parseLong(after)));
     }
 
     private void status(HttpServerExchange x) {
         x.dispatch();
-        operator.status(parts -> Problems.sendJson(x, StatusJson.of(node, parts).toPrettyString()));
+        operator.status(parts -> JsonResponses.sendJson(x, StatusJson.of(node, parts).toPrettyString()));
     }
 
     private void quiet(HttpServerExchange x) {
@@ -130,7 +130,7 @@
     }
 
     private static ObjectNode cells(List<Quiet> all) {
-        var n = Problems.JSON.createObjectNode();
+        var n = JsonResponses.JSON.createObjectNode();
         var list = n.putArray("cells");
         for (var q : all) {
             var c = list.addObject()
@@ -148,23 +148,23 @@
     private void manifest(HttpServerExchange x) {
         x.dispatch();
         operator.manifest(r -> {
-            if (r.isLeft()) Problems.send(x, r.getLeft());
-            else if (r.get().text.isEmpty()) Problems.send(x, Problem.of(Kind.NO_MANIFEST));
+            if (r.isLeft()) JsonResponses.sendProblem(x, r.getLeft());
+            else if (r.get().text.isEmpty()) JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_MANIFEST));
             else {
-                x.getResponseHeaders().put(HeaderNames.VERSION, r.get().version);
-                Problems.sendJson(x, r.get().text);
+                x.getResponseHeaders().put(HeaderNames.MANIFEST_VERSION, r.get().version);
+                JsonResponses.sendJson(x, r.get().text);
             }
         });
     }
 
     private void send(HttpServerExchange x, byte[] b) {
-        var base = x.getRequestHeaders().getFirst(HeaderNames.BASE);
+        var base = x.getRequestHeaders().getFirst(HeaderNames.BASE_VERSION);
         if (base == null || !base.matches("\\d{1,18}")) {
-            Problems.send(
+            JsonResponses.sendProblem(
                     x,
                     Problem.of(
-                            Kind.BAD_OPERATOR_INPUT,
-                            "name the version this manifest was written against in the header " + HeaderNames.BASE));
+                            ProblemKind.BAD_OPERATOR_INPUT,
+                            "name the version this manifest was written against in the header " + HeaderNames.BASE_VERSION));
             return;
         }
         operator.send(
@@ -179,7 +179,7 @@
     }
 
     private static ObjectNode carried(Operator.Carried c) {
-        var n = Problems.JSON.createObjectNode();
+        var n = JsonResponses.JSON.createObjectNode();
         n.put("version", c.version())
                 .put("state", c.able().isEmpty() ? "confirmed" : "pending")
                 .put("everywhere", c.missing().isEmpty());
@@ -189,7 +189,7 @@
     }
 
     private static ObjectNode confirmed(Operator.Carried c) {
-        var n = Problems.JSON.createObjectNode();
+        var n = JsonResponses.JSON.createObjectNode();
         n.put("plan", c.version()).put("state", c.able().isEmpty() ? "confirmed" : "pending");
         c.able().forEach(n.putArray("notAcknowledged")::add);
         return n;
@@ -199,9 +199,9 @@
         try {
             operator.plan(JSON.readValue(b, Intent.class), r -> reply(x, r, StatusJson::plan));
         } catch (JsonProcessingException e) {
-            Problems.send(x, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
         } catch (IOException e) {
-            Problems.send(x, Problem.of(Kind.BAD_OPERATOR_INPUT, e.getMessage()));
+            JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, e.getMessage()));
         }
     }
 
@@ -214,16 +214,16 @@
             case "POST/stop" ->
                 operator.stop(
                         id,
-                        r -> reply(x, r, v -> Problems.JSON
+                        r -> reply(x, r, v -> JsonResponses.JSON
                                 .createObjectNode()
                                 .put("plan", v)
                                 .put("state", "stopped")));
-            default -> Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+            default -> JsonResponses.sendProblem(x, Problem.of(ProblemKind.WRONG_METHOD));
         }
     }
 
     private static <T> void reply(HttpServerExchange x, Either<Problem, T> r, Function<T, ObjectNode> json) {
-        if (r.isLeft()) Problems.send(x, r.getLeft());
-        else Problems.sendJson(x, json.apply(r.get()).toString());
+        if (r.isLeft()) JsonResponses.sendProblem(x, r.getLeft());
+        else JsonResponses.sendJson(x, json.apply(r.get()).toString());
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -2,10 +2,10 @@
 
 import craneway.api.platform.PlatformFormats;
 import craneway.control.operator.PlatformCommands;
-import craneway.http.Callers;
+import craneway.http.CallerPresence;
 import craneway.http.Exchanges;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.state.message.Commands;
 import craneway.state.record.Rows;
@@ -25,11 +25,11 @@
     private final PlatformCommands passing;
     private final Set<String> zones;
     private final Executor work;
-    private final Callers callers;
+    private final CallerPresence callers;
 
     /** Serves these zones; configurations are read by the executor. */
     public PlatformOperatorHandler(
-            PlatformFormats dialect, PlatformCommands passing, Set<String> zones, Executor work, Callers callers) {
+            PlatformFormats dialect, PlatformCommands passing, Set<String> zones, Executor work, CallerPresence callers) {
         this.dialect = dialect;
         this.passing = passing;
         this.zones = zones;
@@ -42,9 +42,9 @@
         var p = dialect.paths();
         var path = x.getRequestPath();
         if (path.equals(p.configuration())) configuration(x);
-        else if (name(path, p.runner()) != null) runner(x, name(path, p.runner()));
-        else if (name(path, p.zone()) != null) zone(x, name(path, p.zone()));
-        else Exchanges.noSuchPage(x);
+        else if (name(path, p.runnerPrefix()) != null) runner(x, name(path, p.runnerPrefix()));
+        else if (name(path, p.zonePrefix()) != null) zone(x, name(path, p.zonePrefix()));
+        else Exchanges.sendNotFound(x);
     }
 
     private static String name(String path, String start) {
@@ -55,15 +55,15 @@
 
     private void configuration(HttpServerExchange x) {
         switch (x.getRequestMethod().toString()) {
-            case "GET" -> Exchanges.later(x, () -> passing.manifest(r -> readBack(x, r.map(m -> m.source))));
-            case "PUT" -> Exchanges.withBody(x, work, b -> put(x, b));
-            default -> Exchanges.wrongMethod(x);
+            case "GET" -> Exchanges.dispatch(x, () -> passing.manifest(r -> readBack(x, r.map(m -> m.source))));
+            case "PUT" -> Exchanges.readBody(x, work, b -> put(x, b));
+            default -> Exchanges.sendMethodNotAllowed(x);
         }
     }
 
     private static void readBack(HttpServerExchange x, Either<Problem, String> r) {
         if (r.isLeft()) say(x, r.getLeft());
-        else if (r.get().isEmpty()) Exchanges.noSuchPage(x);
+        else if (r.get().isEmpty()) Exchanges.sendNotFound(x);
         else {
             x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             x.getResponseSender().send(r.get(), StandardCharsets.UTF_8);
@@ -72,13 +72,13 @@
 
     private void put(HttpServerExchange x, byte[] b) {
         var base = base(x.getRequestHeaders().getFirst(Headers.IF_MATCH));
-        var c = dialect.configuration(b);
+        var c = dialect.readConfiguration(b);
         if (base < 0)
-            say(x, Problem.of(Kind.BAD_OPERATOR_INPUT, "name the version this builds on in the header If-Match"));
+            say(x, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, "name the version this builds on in the header If-Match"));
         else if (c.isLeft()) say(x, c.getLeft());
         else
             passing.put(
-                    base, c.get().number(), c.get().manifest(), c.get().source(), callers.now(), r -> done(x, r, ""));
+                    base, c.get().version(), c.get().manifest(), c.get().source(), callers.now(), r -> done(x, r, ""));
     }
 
     private static long base(String s) {
@@ -88,23 +88,23 @@
 
     private void zone(HttpServerExchange x, String zone) {
         var m = x.getRequestMethod().toString();
-        if (!zones.contains(zone)) Exchanges.noSuchPage(x);
-        else if (!m.equals("POST") && !m.equals("DELETE")) Exchanges.wrongMethod(x);
+        if (!zones.contains(zone)) Exchanges.sendNotFound(x);
+        else if (!m.equals("POST") && !m.equals("DELETE")) Exchanges.sendMethodNotAllowed(x);
         else whileCallerWaits(x, t -> passing.mark(zone, m.equals("POST"), t, r -> done(x, r, "")));
     }
 
     private void runner(HttpServerExchange x, String id) {
         switch (x.getRequestMethod().toString()) {
-            case "PUT" -> Exchanges.withBody(x, SameThreadExecutor.INSTANCE, b -> beat(x, id, b));
+            case "PUT" -> Exchanges.readBody(x, SameThreadExecutor.INSTANCE, b -> beat(x, id, b));
             case "DELETE" -> whileCallerWaits(x, t -> passing.left(id, t, r -> done(x, r, "")));
-            default -> Exchanges.wrongMethod(x);
+            default -> Exchanges.sendMethodNotAllowed(x);
         }
     }
 
     private void beat(HttpServerExchange x, String id, byte[] b) {
-        var read = dialect.beat(id, b);
+        var read = dialect.readHeartbeat(id, b);
         if (read.isLeft()) say(x, read.getLeft());
-        else passing.beat(runner(read.get()), callers.now(), r -> done(x, r, dialect.taken()));
+        else passing.beat(runner(read.get()), callers.now(), r -> done(x, r, dialect.heartbeatResponse()));
     }
 
     /**
@@ -113,16 +113,16 @@
      */
     private void whileCallerWaits(HttpServerExchange x, LongConsumer then) {
         var began = callers.now();
-        Exchanges.later(x, () -> {
+        Exchanges.dispatch(x, () -> {
             var now = callers.now();
-            if (callers.waits(x, began, now)) then.accept(began);
-            else say(x, Problem.of(Kind.STALE_CALL));
+            if (callers.mayBeWaiting(x, began, now)) then.accept(began);
+            else say(x, Problem.of(ProblemKind.STALE_CALL));
         });
     }
 
-    private static Commands.RunnerPut runner(PlatformFormats.Beat b) {
+    private static Commands.RunnerPut runner(PlatformFormats.RunnerHeartbeat b) {
         var c = new Commands.RunnerPut();
-        var r = b.runner();
+        var r = b.announcement();
         c.service = r.service();
         c.runner = r.name();
         c.address = r.address();
@@ -132,8 +132,8 @@
         c.cold = r.cold();
         c.load = r.load();
         c.state = b.leaving() ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        c.coldFor = b.coldFor();
-        c.goneIn = b.goneIn();
+        c.coldFor = b.remainingColdTime();
+        c.goneIn = b.remainingLifetime();
         c.sequence = b.sequence();
         return c;
     }
@@ -141,7 +141,7 @@
     private static void done(HttpServerExchange x, Either<Problem, Void> r, String json) {
         if (r.isLeft()) say(x, r.getLeft());
         else if (json.isEmpty()) x.endExchange();
-        else Problems.sendJson(x, json);
+        else JsonResponses.sendJson(x, json);
     }
 
     private static void say(HttpServerExchange x, Problem p) {
@@ -152,6 +152,6 @@
                     case BAD_MESSAGE, FOREIGN_CORE, NOT_OWNER, STALE_MEMBER -> 503;
                     default -> p.kind().status() < 500 ? p.kind().status() : 503;
                 };
-        Problems.send(x, p, status);
+        JsonResponses.sendProblem(x, p, status);
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import craneway.control.store.PartStatus;
-import craneway.http.Problems;
+import craneway.http.JsonResponses;
 import craneway.model.unit.Parts;
 import craneway.state.message.Plan;
 import craneway.state.record.Rows;
@@ -13,7 +13,7 @@
     private StatusJson() {}
 
     static ObjectNode of(String node, List<PartStatus> parts) {
-        var n = Problems.JSON.createObjectNode();
+        var n = JsonResponses.JSON.createObjectNode();
         n.put("node", node);
         n.put("partsReached", parts.size());
         n.put("parts", Parts.COUNT);
@@ -28,7 +28,7 @@
                     .put("claims", p.claims);
             p.group.forEach(g.putArray("group")::add);
             for (var m : p.members) members.merge(m.node.name, member(m), StatusJson::worse);
-            if (p.part == Parts.MANIFEST) manifest(n, p);
+            if (p.part == Parts.MANIFEST_PART) manifest(n, p);
         }
         n.putArray("members").addAll(members.values());
         var services = n.putArray("services");
@@ -49,7 +49,7 @@
     }
 
     private static ObjectNode member(Rows.Member m) {
-        return Problems.JSON
+        return JsonResponses.JSON
                 .createObjectNode()
                 .put("name", m.node.name)
                 .put("kind", m.node.kind)
@@ -105,7 +105,7 @@
     }
 
     static ObjectNode plan(Plan p) {
-        var n = Problems.JSON.createObjectNode();
+        var n = JsonResponses.JSON.createObjectNode();
         n.put("plan", p.id)
                 .put("intent", p.intent)
                 .put("state", p.stateName())
--- a/lib/api/src/main/java/craneway/api/operator/UsageJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/UsageJson.java
@@ -1,18 +1,18 @@
 package craneway.api.operator;
 
 import craneway.data.request.Usage;
-import craneway.http.Problems;
+import craneway.http.JsonResponses;
 
 public final class UsageJson {
-    public static final int PAGE = 1_000;
+    public static final int MAX_ROWS = 1_000;
 
     private UsageJson() {}
 
     public static String of(String router, Usage usage, long after, long wallLessNow) {
-        var n = Problems.JSON.createObjectNode();
+        var n = JsonResponses.JSON.createObjectNode();
         n.put("router", router);
         var all = n.putArray("rows");
-        for (var r : usage.after(after, PAGE))
+        for (var r : usage.after(after, MAX_ROWS))
             all.addObject()
                     .put("no", r.no())
                     .put("tenant", r.tenant())
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -1,7 +1,7 @@
 package craneway.control.node;
 
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandRequest;
@@ -127,7 +127,7 @@
     /** Takes a verdict from another process, or from this one. */
     public void receive(CommandResult v) {
         if (v.life != 0 && v.life != life) {
-            port.note(Event.STALE_VERDICT, "life " + Long.toHexString(v.life) + " ask " + v.id);
+            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(v.life) + " ask " + v.id);
             return;
         }
         PendingRequest o;
@@ -135,15 +135,15 @@
             o = open.get(v.id);
             if (o == null) return;
             if (v.term != 0) clocks.merge(o.part, new LeaderClock(v.term, v.clock, port.now()), LeaderClock::better);
-            if (v.kind == Kind.NOT_OWNER.code() || v.kind == Kind.UNCERTAIN.code()) {
+            if (v.kind == ProblemKind.NOT_OWNER.code() || v.kind == ProblemKind.UNCERTAIN.code()) {
                 redirect(o, v.leader);
                 return;
             }
-            if (v.kind == Kind.LATE_COMMAND.code() || v.kind == Kind.UNKNOWN_LIFE.code()) {
+            if (v.kind == ProblemKind.LATE_COMMAND.code() || v.kind == ProblemKind.UNKNOWN_LIFE.code()) {
                 anew(o);
                 return;
             }
-            if (o.clockOnly && v.kind == Kind.BAD_MESSAGE.code()) {
+            if (o.clockOnly && v.kind == ProblemKind.BAD_MESSAGE.code()) {
                 o.plain = true;
                 send(o);
                 return;
@@ -186,7 +186,7 @@
         for (var o : over)
             o.then.accept(
                     o.delivered
-                            ? Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())
-                            : Records.failure(Kind.NO_OWNER, "no store is known"));
+                            ? Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())
+                            : Records.failure(ProblemKind.NO_OWNER, "no store is known"));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/Directory.java
@@ -182,7 +182,7 @@
     }
 
     private void greet(long now) {
-        due = now + timing.hello();
+        due = now + timing.helloInterval();
         var to = new LinkedHashSet<>(seeds);
         for (var k : known.values()) if (self.coreId == 0 || k.node.kind.equals(Node.STORE)) to.add(k.node.peerAddress);
         to.remove(self.peerAddress);
@@ -195,7 +195,7 @@
                 .filter(k -> k.node.kind.equals(Node.STORE))
                 .toList();
         var lost = self.coreId == 0 || stores.stream().noneMatch(k -> now - k.heard < STALE);
-        due = now + (lost ? Math.min(SEARCH, timing.hello()) : timing.hello());
+        due = now + (lost ? Math.min(SEARCH, timing.helloInterval()) : timing.helloInterval());
         var to = new LinkedHashSet<String>();
         if (lost) to.addAll(seeds);
         else if (!seeds.isEmpty() && !self.isRouter()) to.add(seeds.get(Math.floorMod(turn, seeds.size())));
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -65,7 +65,7 @@
         if (l.unanswered >= MAX_UNANSWERED) coreClient.leader(part, null);
         var leader = coreClient.leader(part);
         var stores = leader == null ? directory.stores() : List.of(leader);
-        l.due = now + (timing.lowTraffic() ? again(l, part) : timing.renew());
+        l.due = now + (timing.lowTraffic() ? again(l, part) : timing.leaseRenewalInterval());
         if (stores.isEmpty()) return;
         l.unanswered++;
         var r = renewal(part, l);
@@ -136,6 +136,6 @@
 
     /** How long until the next renewal of a part that is current; all processes of a name keep to one beat. */
     long pause(long now) {
-        return timing.renew() - Math.floorMod(now - Hash.of(directory.self().name), timing.renew());
+        return timing.leaseRenewalInterval() - Math.floorMod(now - Hash.of(directory.self().name), timing.leaseRenewalInterval());
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -2,7 +2,7 @@
 
 import craneway.model.event.Event;
 import craneway.model.manifest.Manifest;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Messages.News;
@@ -116,7 +116,7 @@
 
     public boolean usable(long now) {
         var v = view;
-        return v.manifest() != null && now < v.leaseEnd(Parts.MANIFEST) + Math.max(LEASE, v.grace());
+        return v.manifest() != null && now < v.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE, v.grace());
     }
 
     public synchronized void leave(long now) {
@@ -137,7 +137,7 @@
             var l = leases[p];
             if (l.held && now >= l.until) {
                 l.held = false;
-                port.note(Event.LEASE_LAPSED, "part " + p);
+                port.logEvent(Event.LEASE_LAPSED, "part " + p);
             }
         }
         renewDue(now);
@@ -166,12 +166,12 @@
     public synchronized void receive(RenewReply v, long now) {
         if (v.part < 0 || v.part >= leases.length) return;
         var l = leases[v.part];
-        if (v.kind == Kind.NOT_OWNER.code()) {
+        if (v.kind == ProblemKind.NOT_OWNER.code()) {
             notLeader(v, l, now);
             return;
         }
         l.unanswered = 0;
-        if (v.kind == Kind.STALE_MEMBER.code()) {
+        if (v.kind == ProblemKind.STALE_MEMBER.code()) {
             if (!leaving && claim.refused(v)) for (var x : leases) x.due = now;
             return;
         }
@@ -210,7 +210,7 @@
         if (!l.held && now < l.offered) {
             l.held = true;
             l.heldSince = now;
-            port.note(Event.LEASE_TAKEN, "part " + part);
+            port.logEvent(Event.LEASE_ACQUIRED, "part " + part);
         }
         l.take();
         publish();
@@ -224,8 +224,8 @@
         if (!topics.take(n)) return;
         if (n.topic.equals(Parts.MANIFEST_TOPIC)) renewUntold();
         publish();
-        leases[Parts.of(n.topic)].due = now;
-        take(Parts.of(n.topic), now);
+        leases[Parts.partOf(n.topic)].due = now;
+        take(Parts.partOf(n.topic), now);
         if (!timing.lowTraffic() && !leaving) renewDue(now);
         topics.waiting().forEach(x -> receive(x, now));
     }
@@ -240,7 +240,7 @@
         var since = new long[leases.length];
         var all = new ArrayList<List<Node>>();
         var manifest = topics.manifest();
-        var grace = manifest == null ? 0 : manifest.lapsedGrace();
+        var grace = manifest == null ? 0 : manifest.lapsedLeaseGrace();
         for (var i = 0; i < until.length; i++) {
             until[i] = leases[i].until;
             since[i] = leases[i].heldSince;
--- a/lib/control/src/main/java/craneway/control/node/Port.java
+++ b/lib/control/src/main/java/craneway/control/node/Port.java
@@ -1,8 +1,8 @@
 package craneway.control.node;
 
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 
-public interface Port extends Log {
+public interface Port extends EventSink {
     long now();
 
     void send(String address, Object message);
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -4,7 +4,7 @@
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
 import craneway.model.unit.Parts;
-import craneway.model.unit.Rendezvous;
+import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.News;
@@ -93,20 +93,20 @@
 
     /** Whether some topic of a part has never been told. */
     boolean untold(int part) {
-        return topics.entrySet().stream().anyMatch(e -> Parts.of(e.getKey()) == part && e.getValue().version == 0);
+        return topics.entrySet().stream().anyMatch(e -> Parts.partOf(e.getKey()) == part && e.getValue().version == 0);
     }
 
     /** Tells the versions of a part's topics. */
     void versions(int part, ObjLongConsumer<String> to) {
         topics.forEach((n, t) -> {
-            if (Parts.of(n) == part) to.accept(n, t.version);
+            if (Parts.partOf(n) == part) to.accept(n, t.version);
         });
     }
 
     /** Whether a part's topics are too far behind for its lease to be taken, or kept where it is held. */
     boolean tooFarBehind(int part, boolean held, long now) {
         return topics.entrySet().stream()
-                .filter(e -> Parts.of(e.getKey()) == part)
+                .filter(e -> Parts.partOf(e.getKey()) == part)
                 .map(Map.Entry::getValue)
                 .anyMatch(t -> t.behindSince != 0 && (!held || now - t.behindSince > TIMEOUT));
     }
@@ -129,10 +129,10 @@
         var late = t.behindSince != 0 && now - t.behindSince > IMPATIENT && now - t.pulled > IMPATIENT;
         if (now < t.due && !late || timing.lowTraffic() && t.version == 0) return;
         var home = late ? null : homeOf(name);
-        if (home == null || home.name.equals(directory.self().name)) home = coreClient.leader(Parts.of(name));
+        if (home == null || home.name.equals(directory.self().name)) home = coreClient.leader(Parts.partOf(name));
         if (late) t.pulled = now;
         if (home == null) return;
-        t.due = now + timing.subscribe();
+        t.due = now + timing.subscriptionRenewalInterval();
         var s = new Subscribe();
         s.from = directory.self();
         s.topic = name;
@@ -144,9 +144,9 @@
         if (!directory.self().isRouter()) return null;
         var mine = new TreeMap<String, Node>();
         mine.put(directory.self().name, directory.self());
-        for (var n : members.apply(Parts.of(topic)))
+        for (var n : members.apply(Parts.partOf(topic)))
             if (n.isRouter() && n.serving && n.zone.equals(directory.self().zone)) mine.put(n.name, n);
-        return mine.get(Rendezvous.pick(topic, mine.keySet()));
+        return mine.get(RendezvousHash.pick(topic, mine.keySet()));
     }
 
     /** Takes in a subscriber and sends it what it lacks. */
@@ -192,9 +192,9 @@
     private void takeManifest(Rows.Manifest m) {
         manifestTopic = m;
         if (m.text.isEmpty()) return;
-        manifest = ManifestReader.readChecked(m.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
-        directory.grace(manifest.lapsedGrace());
-        port.note(Event.MANIFEST_TAKEN, "version " + m.version + " marks " + m.marks);
+        manifest = ManifestReader.readValidated(m.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
+        directory.grace(manifest.lapsedLeaseGrace());
+        port.logEvent(Event.MANIFEST_APPLIED, "version " + m.version + " marks " + m.marks);
         for (var s : manifest.services().keySet()) topics.computeIfAbsent(s, k -> new Topic());
         topics.keySet()
                 .removeIf(k ->
@@ -207,6 +207,6 @@
         var old = services.put(s.name, s);
         servicesNow = null;
         if (old == null || old.tableVersion != s.tableVersion)
-            port.note(Event.TABLE_TAKEN, s.name + " version " + s.tableVersion);
+            port.logEvent(Event.TABLE_APPLIED, s.name + " version " + s.tableVersion);
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/Intents.java
@@ -5,9 +5,9 @@
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.MarkKey;
 import craneway.state.message.Plan;
@@ -25,7 +25,7 @@
     private Intents() {}
 
     public static Either<Problem, Plan> plan(Intent i, Rows.Manifest topic, List<PartStatus> parts) {
-        if (topic.text.isEmpty()) return no(Kind.NO_MANIFEST, Kind.NO_MANIFEST.text());
+        if (topic.text.isEmpty()) return no(ProblemKind.NO_MANIFEST, ProblemKind.NO_MANIFEST.text());
         var m = ManifestReader.read(topic.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
         return marks(i, m, topic).flatMap(marks -> planned(i, m, topic, marks, parts));
     }
@@ -117,7 +117,7 @@
 
     private static String unmet(Rows.Service s, Manifest m, Map<String, String> marks, BitSet open) {
         for (var set : sets(s, m, marks)) {
-            var held = open.stream().anyMatch(c -> Units.allows(set, s.regions.indexOf(s.cellRegions.get(c))));
+            var held = open.stream().anyMatch(c -> Units.containsRegion(set, s.regions.indexOf(s.cellRegions.get(c))));
             if (!held)
                 return "service " + s.name + ": no open cell with a runner is left for tenants at home in "
                         + names(s, set);
@@ -143,22 +143,22 @@
 
     private static List<String> names(Rows.Service s, int set) {
         var all = new ArrayList<String>();
-        for (var r = 0; r < s.regions.size(); r++) if (Units.allows(set, r)) all.add(s.regions.get(r));
+        for (var r = 0; r < s.regions.size(); r++) if (Units.containsRegion(set, r)) all.add(s.regions.get(r));
         return all;
     }
 
     private static void steps(Plan p, Rows.Service s, Manifest.Service ms, int[] wanted) {
         var moves = new TreeMap<String, Integer>();
-        for (var u = Units.SLICES; u < wanted.length; u++)
+        for (var u = Units.SLICE_COUNT; u < wanted.length; u++)
             if (wanted[u] != s.homes[u])
                 moves.merge(name(s, s.homes[u]) + " to " + name(s, wanted[u]), 1, Integer::sum);
         moves.forEach((k, n) -> p.steps.add((p.steps.size() + 1) + ". service " + s.name + ": " + n + " units from " + k
-                + " in steps of " + ms.stepUnits() + " (" + (n + ms.stepUnits() - 1) / ms.stepUnits()
+                + " in steps of " + ms.unitsPerStep() + " (" + (n + ms.unitsPerStep() - 1) / ms.unitsPerStep()
                 + " steps, table from version " + s.tableVersion + ")"));
     }
 
     private static String name(Rows.Service s, int cell) {
-        return cell == Table.NOWHERE ? "nowhere" : s.cells.get(cell);
+        return cell == PlacementTable.NOWHERE ? "nowhere" : s.cells.get(cell);
     }
 
     private static String carry(Plan p, Rows.Service s, BitSet open, int[] wanted, Map<String, Integer> loads) {
@@ -175,7 +175,7 @@
             var one = new BitSet();
             one.set(c);
             var units = 0;
-            for (var u = Units.SLICES; u < wanted.length; u++) if (wanted[u] == c) units++;
+            for (var u = Units.SLICE_COUNT; u < wanted.length; u++) if (wanted[u] == c) units++;
             p.loads.add(s.name + "/" + s.cells.get(c) + ": " + units + " units, " + (open.get(c) ? slots(s, one) : 0)
                     + " slots");
         }
@@ -195,10 +195,10 @@
     }
 
     private static <T> Either<Problem, T> bad(String detail) {
-        return no(Kind.BAD_INTENT, detail);
+        return no(ProblemKind.BAD_INTENT, detail);
     }
 
-    private static <T> Either<Problem, T> no(Kind k, String detail) {
+    private static <T> Either<Problem, T> no(ProblemKind k, String detail) {
         return Either.left(Problem.of(k, detail));
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/Operator.java
@@ -4,7 +4,7 @@
 import craneway.control.node.Port;
 import craneway.control.store.PartStatus;
 import craneway.control.store.RolloutStatus;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
@@ -62,7 +62,7 @@
         var q = new Queries.RolloutGet();
         q.version = w.topic;
         q.zone = w.zone;
-        coreClient.ask(Parts.MANIFEST, q, TIMEOUT, v -> {
+        coreClient.ask(Parts.MANIFEST_PART, q, TIMEOUT, v -> {
             if (v.kind != 0) return;
             w.last = Codec.read(RolloutStatus.class, v.body);
             if (w.enough.test(w.last)) close(w);
@@ -81,12 +81,12 @@
     }
 
     private static Problem problem(CommandResult v) {
-        return new Problem(Kind.of(v.kind), v.detail, v.retryAfter);
+        return new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter);
     }
 
     public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 TIMEOUT,
                 v -> then.accept(
@@ -97,7 +97,7 @@
         var c = new Commands.ManifestPut();
         c.base = base;
         c.text = text;
-        coreClient.ask(Parts.MANIFEST, c, TIMEOUT, v -> {
+        coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
             if (v.kind != 0) then.accept(Either.left(problem(v)));
             else
                 watch(
@@ -114,7 +114,7 @@
             if (m.isLeft()) then.accept(Either.left(m.getLeft()));
             else if (m.get().version < version)
                 then.accept(Either.left(Problem.of(
-                        Kind.BAD_OPERATOR_INPUT, "no manifest " + version + "; in force is " + m.get().version)));
+                        ProblemKind.BAD_OPERATOR_INPUT, "no manifest " + version + "; in force is " + m.get().version)));
             else watch(m.get().topicVersion, version, "", s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
         });
     }
@@ -144,10 +144,10 @@
         status(parts -> {
             if (parts.size() < Parts.COUNT) {
                 then.accept(Either.left(Problem.of(
-                        Kind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
                 return;
             }
-            var p = Intents.plan(i, parts.get(Parts.MANIFEST).manifest, parts);
+            var p = Intents.plan(i, parts.get(Parts.MANIFEST_PART).manifest, parts);
             if (p.isLeft()) then.accept(p);
             else put(p.get(), then);
         });
@@ -157,15 +157,15 @@
         status(parts -> {
             if (parts.size() < Parts.COUNT)
                 then.accept(Either.left(Problem.of(
-                        Kind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
-            else then.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST).manifest, parts)));
+                        ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+            else then.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
         });
     }
 
     private void put(Plan p, Consumer<Either<Problem, Plan>> then) {
         var c = new Commands.PlanPut();
         c.plan = p;
-        coreClient.ask(Parts.MANIFEST, c, TIMEOUT, v -> {
+        coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
             p.id = v.version;
             then.accept(v.kind == 0 ? Either.right(p) : Either.left(problem(v)));
         });
@@ -175,7 +175,7 @@
         var q = new Queries.PlanGet();
         q.plan = plan;
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 q,
                 TIMEOUT,
                 v -> then.accept(v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(problem(v))));
@@ -189,7 +189,7 @@
             }
             var c = new Commands.PlanConfirm();
             c.plan = plan;
-            coreClient.ask(Parts.MANIFEST, c, TIMEOUT, v -> {
+            coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
                 if (v.kind != 0) then.accept(Either.left(problem(v)));
                 else watch(v.version, plan, zone(p.get()), s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
             });
@@ -201,7 +201,7 @@
             if (p.isLeft()) then.accept(Either.left(p.getLeft()));
             else if (p.get().state != Plan.CONFIRMED)
                 then.accept(Either.left(Problem.of(
-                        Kind.STALE_PLAN, "plan " + plan + " is " + p.get().stateName())));
+                        ProblemKind.STALE_PLAN, "plan " + plan + " is " + p.get().stateName())));
             else
                 watch(
                         p.get().confirmedTopic,
@@ -238,7 +238,7 @@
         c.plan = plan;
         c.cause = "stopped by an operator";
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 c,
                 TIMEOUT,
                 v -> then.accept(v.kind == 0 ? Either.right(plan) : Either.left(problem(v))));
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -1,7 +1,7 @@
 package craneway.control.operator;
 
 import craneway.control.node.CoreClient;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Parts;
 import craneway.state.message.Codec;
@@ -31,7 +31,7 @@
     /** Reads the newest configuration from its leader. */
     public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
         coreClient.ask(
-                Parts.MANIFEST,
+                Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 TIMEOUT,
                 v -> then.accept(reply(v).map(x -> Codec.read(Rows.Manifest.class, v.body))));
@@ -45,7 +45,7 @@
         c.number = number;
         c.text = text;
         c.source = source;
-        ask(Parts.MANIFEST, c, since, then);
+        ask(Parts.MANIFEST_PART, c, since, then);
     }
 
     /** Empties a zone or takes it back. */
@@ -53,17 +53,17 @@
         var c = new Commands.ZoneMark();
         c.zone = zone;
         c.emptied = emptied;
-        ask(Parts.MANIFEST, c, since, then);
+        ask(Parts.MANIFEST_PART, c, since, then);
     }
 
     /** A call that came too late to count is as good as taken. */
     public void beat(Commands.RunnerPut c, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(Parts.of(c.service), c, since + TIMEOUT, v -> {
-            if (v.kind == Kind.STALE_RUNNER.code()) then.accept(Either.right(null));
+        coreClient.askUntil(Parts.partOf(c.service), c, since + TIMEOUT, v -> {
+            if (v.kind == ProblemKind.STALE_RUNNER.code()) then.accept(Either.right(null));
             else if (v.kind == 0) then.accept(reply(v));
             else
                 then.accept(
-                        Either.left(Problem.of(Kind.NO_OWNER, Kind.of(v.kind).text() + ": " + v.detail)));
+                        Either.left(Problem.of(ProblemKind.NO_OWNER, ProblemKind.of(v.kind).text() + ": " + v.detail)));
         });
     }
 
@@ -72,7 +72,7 @@
         var open = new AtomicInteger(Parts.COUNT - 1);
         var wrong = new AtomicReference<Problem>();
         for (var p = 0; p < Parts.COUNT; p++) {
-            if (p == Parts.MANIFEST) continue;
+            if (p == Parts.MANIFEST_PART) continue;
             var c = new Commands.RunnerLeft();
             c.runner = runner;
             coreClient.askUntil(p, c, since + TIMEOUT, v -> {
@@ -88,6 +88,6 @@
     }
 
     private static Either<Problem, Void> reply(CommandResult v) {
-        return v.kind == 0 ? Either.right(null) : Either.left(new Problem(Kind.of(v.kind), v.detail, v.retryAfter));
+        return v.kind == 0 ? Either.right(null) : Either.left(new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/Mover.java
@@ -1,7 +1,7 @@
 package craneway.control.plan;
 
 import craneway.model.manifest.Manifest;
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Commands.StepAsk;
 import craneway.state.message.Commands.StepMark;
@@ -45,20 +45,20 @@
         for (var x : s.steps) if (x.state == Rows.Step.ASKED) return settle(s, x, wanted, ready, now);
         var units = new ArrayList<Integer>();
         var fresh = true;
-        for (var u = Units.SLICES; u < wanted.length; u++) {
+        for (var u = Units.SLICE_COUNT; u < wanted.length; u++) {
             if (wanted[u] == s.homes[u]) continue;
             units.add(u);
-            fresh &= s.homes[u] == Table.NOWHERE;
+            fresh &= s.homes[u] == PlacementTable.NOWHERE;
         }
         if (units.isEmpty()) return null;
         if (fresh) return command(s, units, wanted);
         if (now < due.computeIfAbsent(s.name, k -> now + m.stepPause())) return null;
         var take = units.stream()
                 .filter(u -> wanted[u] == wanted[units.get(0)])
-                .limit(m.stepUnits())
+                .limit(m.unitsPerStep())
                 .toList();
         due.put(s.name, now + pause(s, wanted[take.get(0)], m));
-        return wanted[take.get(0)] == Table.NOWHERE ? command(s, take, wanted) : ask(s, take, wanted, closed, well);
+        return wanted[take.get(0)] == PlacementTable.NOWHERE ? command(s, take, wanted) : ask(s, take, wanted, closed, well);
     }
 
     private StepMark settle(Rows.Service s, Rows.Step x, int[] wanted, StoreReady ready, long now) {
@@ -84,9 +84,9 @@
         var from = s.homes[units.get(0)];
         a.cause = s.displaced(units.get(0)) == a.to
                 ? "pressure"
-                : from != Table.NOWHERE && closed.get(from)
+                : from != PlacementTable.NOWHERE && closed.get(from)
                         ? "emptied"
-                        : from != Table.NOWHERE && !well.get(from) ? "lost" : "home";
+                        : from != PlacementTable.NOWHERE && !well.get(from) ? "lost" : "home";
         return a;
     }
 
@@ -119,11 +119,11 @@
     }
 
     private static long pause(Rows.Service s, int cell, Manifest.Service m) {
-        if (cell == Table.NOWHERE) return m.stepPause();
+        if (cell == PlacementTable.NOWHERE) return m.stepPause();
         var cold = s.runners.values().stream()
                 .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
                 .anyMatch(r -> r.cold);
-        return cold ? Math.max(m.stepPause(), m.warmUp() / 10) : m.stepPause();
+        return cold ? Math.max(m.stepPause(), m.warmUpTime() / 10) : m.stepPause();
     }
 
     private static TableStep command(Rows.Service s, List<Integer> units, int[] wanted) {
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/Planner.java
@@ -1,7 +1,7 @@
 package craneway.control.plan;
 
 import craneway.model.unit.Hash;
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.record.Rows;
 import java.util.BitSet;
@@ -20,17 +20,17 @@
     private static int wanted(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
         var now = s.homes[unit];
         var away = s.displaced(unit);
-        if (away != Table.NOWHERE && allowed(s, unit, away) && !closed.get(away) && well.get(away)) return away;
+        if (away != PlacementTable.NOWHERE && allowed(s, unit, away) && !closed.get(away) && well.get(away)) return away;
         var best = pick(s, unit, closed, well, weights);
         if (best != now
-                && best != Table.NOWHERE
-                && now != Table.NOWHERE
+                && best != PlacementTable.NOWHERE
+                && now != PlacementTable.NOWHERE
                 && s.heldUntil.containsKey(s.cells.get(best))
                 && allowed(s, unit, now)
                 && !closed.get(now)
                 && well.get(now)) return now;
-        if (best != Table.NOWHERE) return best;
-        if (now != Table.NOWHERE && allowed(s, unit, now) && !closed.get(now)) return now;
+        if (best != PlacementTable.NOWHERE) return best;
+        if (now != PlacementTable.NOWHERE && allowed(s, unit, now) && !closed.get(now)) return now;
         return pick(s, unit, closed, null, weights);
     }
 
@@ -45,11 +45,11 @@
     }
 
     private static int pick(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
-        var best = Table.NOWHERE;
+        var best = PlacementTable.NOWHERE;
         var most = Double.NEGATIVE_INFINITY;
         for (var c = 0; c < s.cells.size(); c++) {
             if (!allowed(s, unit, c) || closed.get(c) || well != null && !well.get(c)) continue;
-            var score = score(unit, s.cells.get(c), weights[c] / squared(s.sharing(c, Units.regionSet(unit))));
+            var score = score(unit, s.cells.get(c), weights[c] / squared(s.sharing(c, Units.regionSetOf(unit))));
             if (score > most) {
                 most = score;
                 best = c;
@@ -64,11 +64,11 @@
     }
 
     private static boolean allowed(Rows.Service s, int unit, int cell) {
-        return s.live(cell) && Units.allows(Units.regionSet(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+        return s.live(cell) && Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
     }
 
     private static double score(int unit, String cell, double weight) {
-        var h = Hash.of(Units.slice(unit), Hash.of(cell)) >>> 11;
+        var h = Hash.of(Units.sliceOf(unit), Hash.of(cell)) >>> 11;
         return weight / -StrictMath.log((h + 0.5) / (1L << 53));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/Pressure.java
@@ -1,6 +1,6 @@
 package craneway.control.plan;
 
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Commands.Displace;
 import craneway.state.record.Rows;
@@ -80,35 +80,35 @@
         for (var c = 0; c < use.length; c++) {
             if (!lasted(fullSince, s, c, FULL_FOR, now)) continue;
             var to = roomiest(s, use, open, c);
-            if (to == Table.NOWHERE) continue;
+            if (to == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
-            for (var u = s.homes.length - 1; u >= Units.SLICES && units.size() < MOST; u--)
-                if (s.homes[u] == c && s.displaced(u) == Table.NOWHERE && allows(s, u, to)) units.add(u);
+            for (var u = s.homes.length - 1; u >= Units.SLICE_COUNT && units.size() < MOST; u--)
+                if (s.homes[u] == c && s.displaced(u) == PlacementTable.NOWHERE && allows(s, u, to)) units.add(u);
             if (!units.isEmpty()) return command(s, units, to);
         }
         return null;
     }
 
     private static int roomiest(Rows.Service s, double[] use, BitSet open, int but) {
-        var best = Table.NOWHERE;
+        var best = PlacementTable.NOWHERE;
         for (var c = 0; c < use.length; c++) {
             if (c == but || !open.get(c) || use[c] > ROOM || s.heldUntil.containsKey(s.cells.get(c))) continue;
-            if (best == Table.NOWHERE || use[c] < use[best]) best = c;
+            if (best == PlacementTable.NOWHERE || use[c] < use[best]) best = c;
         }
         return best;
     }
 
     private static boolean allows(Rows.Service s, int unit, int cell) {
-        return Units.allows(Units.regionSet(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+        return Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
     }
 
     private Displace back(Rows.Service s, long now) {
         var units = new ArrayList<Integer>();
         for (var u : s.displacedUnits) {
             var home = Planner.home(s, u);
-            if (units.size() < MOST && home != Table.NOWHERE && lasted(calmSince, s, home, CALM_FOR, now)) units.add(u);
+            if (units.size() < MOST && home != PlacementTable.NOWHERE && lasted(calmSince, s, home, CALM_FOR, now)) units.add(u);
         }
-        return units.isEmpty() ? null : command(s, units, Table.NOWHERE);
+        return units.isEmpty() ? null : command(s, units, PlacementTable.NOWHERE);
     }
 
     private static Displace command(Rows.Service s, List<Integer> units, int to) {
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -91,9 +91,9 @@
 
     private Optional<Members> settleLearner(Members m, long leadingSince, long now) {
         var led = now - leadingSince;
-        if (leaving(m.learner) || silent(m.learner, now) && led > timing.replace())
+        if (leaving(m.learner) || silent(m.learner, now) && led > timing.storeReplacementDelay())
             return Optional.of(m.without(m.learner));
-        if (knowledge.caughtUp(m.learner) && led > timing.settled()) return Optional.of(promoted(m, now));
+        if (knowledge.caughtUp(m.learner) && led > timing.leaderSettleTime()) return Optional.of(promoted(m, now));
         return Optional.empty();
     }
 
@@ -108,7 +108,7 @@
     }
 
     private boolean silent(long store, long now) {
-        return store != self && now - knowledge.heardFrom(store) >= timing.replace();
+        return store != self && now - knowledge.heardFrom(store) >= timing.storeReplacementDelay();
     }
 
     private Optional<Members> drop(Members m, long now) {
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -10,7 +10,7 @@
 import craneway.model.event.Event;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
 import craneway.state.disk.Folder;
@@ -198,12 +198,12 @@
         w.then.accept(
                 w.term == term
                         ? (CommandResult) result
-                        : Records.failure(Kind.UNCERTAIN, "the part changed its leader"));
+                        : Records.failure(ProblemKind.UNCERTAIN, "the part changed its leader"));
     }
 
     @Override
     public void leadershipChanged(boolean leads, long term) {
-        port.note(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
+        port.logEvent(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
         fence.reset();
         leases.clear(port.now());
         runnersSeen.clear();
@@ -222,12 +222,12 @@
         if (leads) return;
         var all = List.copyOf(waiting.values());
         waiting.clear();
-        all.forEach(w -> w.then.accept(Records.failure(Kind.UNCERTAIN, Kind.UNCERTAIN.text())));
+        all.forEach(w -> w.then.accept(Records.failure(ProblemKind.UNCERTAIN, ProblemKind.UNCERTAIN.text())));
     }
 
     @Override
     public void note(Event e, String detail) {
-        port.note(e, detail);
+        port.logEvent(e, detail);
     }
 
     private void tick(long now) {
@@ -262,7 +262,7 @@
     private void propose(Object command, Consumer<CommandResult> then) {
         var i = group.propose(Codec.writeTagged(command), port.now());
         if (i < 0) {
-            then.accept(Records.failure(Kind.NOT_OWNER, ""));
+            then.accept(Records.failure(ProblemKind.NOT_OWNER, ""));
         } else {
             waiting.put(i, new Waiting(group.term(), then));
         }
@@ -274,20 +274,20 @@
 
     private void onCommandRequest(CommandRequest a, long now) {
         if (!group.hasLease(now)) {
-            var v = Records.failure(Kind.NOT_OWNER, "");
+            var v = Records.failure(ProblemKind.NOT_OWNER, "");
             v.leader = otherLeader();
             reply(a, v);
             return;
         }
         if (a.life != 0 && a.body != null && a.body.length == 0) {
-            decline(a, Kind.LATE_COMMAND);
+            decline(a, ProblemKind.LATE_COMMAND);
             return;
         }
         try {
             decide(a, Codec.readTagged(a.body), now);
         } catch (BadMessageException e) {
-            port.note(Event.BAD_MESSAGE, e.getMessage());
-            reply(a, Records.failure(Kind.BAD_MESSAGE, e.getMessage()));
+            port.logEvent(Event.BAD_MESSAGE, e.getMessage());
+            reply(a, Records.failure(ProblemKind.BAD_MESSAGE, e.getMessage()));
         }
     }
 
@@ -308,8 +308,8 @@
         if (ruling == CommandFence.Ruling.TAKEN) dispatch(a, body, now);
         else {
             var late = ruling == CommandFence.Ruling.LATE;
-            if (a.term != 0) port.note(late ? Event.LATE_COMMAND : Event.UNKNOWN_LIFE, describe(a, body));
-            decline(a, late ? Kind.LATE_COMMAND : Kind.UNKNOWN_LIFE);
+            if (a.term != 0) port.logEvent(late ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describe(a, body));
+            decline(a, late ? ProblemKind.LATE_COMMAND : ProblemKind.UNKNOWN_LIFE);
         }
     }
 
@@ -319,7 +319,7 @@
     }
 
     /** Refuses a command without effect; its sender learns the leader's clock and may ask anew within its patience. */
-    private void decline(CommandRequest a, Kind kind) {
+    private void decline(CommandRequest a, ProblemKind kind) {
         fence.tell(a.life);
         reply(a, Records.failure(kind, kind.text()));
     }
@@ -376,7 +376,7 @@
 
     private CommandResult plan(Queries.PlanGet q) {
         var p = records.rows().plans.get(q.plan);
-        return p == null ? Records.failure(Kind.UNKNOWN_PLAN, "no plan " + q.plan) : withBody(p);
+        return p == null ? Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + q.plan) : withBody(p);
     }
 
     private void putManifest(CommandRequest a, Commands.ManifestPut c) {
@@ -409,14 +409,14 @@
             runnerLoads.put(k, c.load);
         }
         var cell = s == null ? -1 : s.cells.indexOf(c.cell);
-        if (s == null) reply(a, Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service));
+        if (s == null) reply(a, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service));
         else if (cell < 0 || !s.live(cell))
-            reply(a, Records.failure(Kind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell));
+            reply(a, Records.failure(ProblemKind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell));
         else if (same) reply(a, Records.ok());
         else
             proposeFor(a, c, v -> {
                 if (v.kind == 0)
-                    port.note(
+                    port.logEvent(
                             c.state == Rows.Runner.UP ? Event.RUNNER_UP : Event.RUNNER_LEAVING,
                             c.runner + " incarnation " + c.incarnation + (c.cold ? " cold" : ""));
                 reply(a, v);
@@ -466,7 +466,7 @@
 
     private void renew(Renew r, long now, Consumer<RenewReply> then) {
         if (!group.hasLease(now)) {
-            var v = reply(r, Kind.NOT_OWNER.code());
+            var v = reply(r, ProblemKind.NOT_OWNER.code());
             v.leader = otherLeader();
             then.accept(v);
             return;
@@ -476,7 +476,7 @@
         if (m != null) directory.replaced(m.node, r.from);
         var standing = outranking(r.from, m);
         if (standing != null) {
-            var v = reply(r, Kind.STALE_MEMBER.code());
+            var v = reply(r, ProblemKind.STALE_MEMBER.code());
             v.incarnation = standing.incarnation;
             v.known = standing;
             then.accept(v);
@@ -562,7 +562,7 @@
 
     private List<String> topicNames() {
         var all = new ArrayList<>(records.rows().services.keySet());
-        if (part == Parts.MANIFEST) all.add(Parts.MANIFEST_TOPIC);
+        if (part == Parts.MANIFEST_PART) all.add(Parts.MANIFEST_TOPIC);
         return all;
     }
 
@@ -616,7 +616,7 @@
         c.name = m.node.name;
         c.incarnation = m.node.incarnation;
         if (proposedOnce("lapse/" + c.name + "/" + c.incarnation)) return;
-        port.note(Event.MEMBER_LAPSED, m.node.name + " at part " + part);
+        port.logEvent(Event.MEMBER_LEASE_LAPSED, m.node.name + " at part " + part);
         propose(c, v -> proposed.remove("lapse/" + c.name + "/" + c.incarnation));
     }
 
@@ -643,7 +643,7 @@
                 c.runner = r.name;
                 c.incarnation = r.incarnation;
                 c.state = Rows.Runner.DARK;
-                port.note(Event.RUNNER_DARK, k);
+                port.logEvent(Event.RUNNER_DARK, k);
                 propose(c, v -> proposed.remove("dark/" + k));
             }
     }
@@ -722,9 +722,9 @@
 
     private void syncServices() {
         var v = membership.view();
-        if (v.manifest() == null || part == Parts.MANIFEST) return;
+        if (v.manifest() == null || part == Parts.MANIFEST_PART) return;
         for (var s : v.manifest().services().values()) {
-            if (Parts.of(s.name()) != part) continue;
+            if (Parts.partOf(s.name()) != part) continue;
             var row = records.rows().services.get(s.name());
             if (row != null && row.manifestVersion >= v.topic().version || proposedOnce("sync/" + s.name())) continue;
             propose(serviceSync(s, v.manifest(), v.topic().version), x -> proposed.remove("sync/" + s.name()));
@@ -735,8 +735,8 @@
         var c = new Commands.ServiceSync();
         c.service = s.name();
         c.manifestVersion = version;
-        c.bySlots = s.bySlots();
-        c.bound.addAll(m.routes().bound(s.name()));
+        c.bySlots = s.weightedBySlots();
+        c.bound.addAll(m.routes().regionSetsOf(s.name()));
         c.regions.addAll(m.regions());
         for (var x : s.cells()) {
             c.cells.add(x.name());
@@ -790,16 +790,16 @@
     private void noteStep(String service, Object step) {
         var s = records.rows().services.get(service);
         if (step instanceof Commands.Displace d)
-            port.note(
-                    Event.PRESSURE,
+            port.logEvent(
+                    Event.CELL_LOAD_CHANGED,
                     service + " " + d.units.length + " units "
                             + (d.cells[0] < 0 ? "may go back" : "to " + s.cells.get(d.cells[0])));
         if (!(step instanceof Commands.StepMark m)) return;
         var x = s.step(m.id);
         var text = service + " step " + x.id + " " + x.units.length + " units to " + s.cells.get(x.to) + ": "
                 + x.stateName() + ", " + x.cause + ", table version " + s.tableVersion;
-        port.note(
-                m.state == Rows.Step.TAKEN_BACK || m.state == Rows.Step.DROPPED ? Event.MOVE_STOPPED : Event.MOVE_STEP,
+        port.logEvent(
+                m.state == Rows.Step.TAKEN_BACK || m.state == Rows.Step.DROPPED ? Event.MOVE_STEP_CANCELLED : Event.MOVE_STEP,
                 text);
     }
 
@@ -812,7 +812,7 @@
     }
 
     private void balanceLeaders(long now) {
-        if (now - leaderSince < (timing.lowTraffic() ? GATHER : timing.settled())) return;
+        if (now - leaderSince < (timing.lowTraffic() ? GATHER : timing.leaderSettleTime())) return;
         var m = group.members();
         var to = preferredLeader(m);
         if (changes.mayLead(to, m, now) && directory.store(to) != null) group.transferLeadership(to, now);
@@ -820,7 +820,7 @@
 
     private long preferredLeader(Members m) {
         if (!timing.lowTraffic()) return changes.preferredLeader(m, part);
-        var first = part == Parts.MANIFEST ? null : membership.leader(Parts.MANIFEST);
+        var first = part == Parts.MANIFEST_PART ? null : membership.leader(Parts.MANIFEST_PART);
         return first != null && m.isVoter(first.storeId) ? first.storeId : 0;
     }
 
--- a/lib/control/src/main/java/craneway/control/store/Rebuild.java
+++ b/lib/control/src/main/java/craneway/control/store/Rebuild.java
@@ -16,7 +16,7 @@
             var rows = k.records().rows();
             kept.add("part " + g.part() + ": " + g.lastIndex() + " entries of term " + g.term() + ", "
                     + rows.claims.size() + " claims, " + rows.quotas.size() + " quotas"
-                    + (g.part() == Parts.MANIFEST
+                    + (g.part() == Parts.MANIFEST_PART
                             ? ", manifest " + rows.manifest.version + " and its marks"
                             : ", tables of " + rows.services.keySet()));
         }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -5,7 +5,7 @@
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
@@ -81,7 +81,7 @@
         this.port = port;
         this.folder = folder;
         this.rules = rules;
-        saver = rules.executors().apply(Parts.MANIFEST);
+        saver = rules.executors().apply(Parts.MANIFEST_PART);
         settings = rules.settings();
         this.seeds = seeds;
         this.random = random;
@@ -142,7 +142,7 @@
         try {
             return b == null ? 0 : ByteBuffer.wrap(Seal.open(LIFE, b)).getLong();
         } catch (DiskLostException e) {
-            port.note(Event.DISK_FAILED, LIFE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, LIFE + ": " + e.getMessage());
             return 0;
         }
     }
@@ -153,7 +153,7 @@
                     LIFE, Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
             savedLife = incarnation;
         } catch (DiskException e) {
-            port.note(Event.DISK_FAILED, LIFE + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, LIFE + ": " + e.getMessage());
         }
     }
 
@@ -162,7 +162,7 @@
      * its votes and entries.
      */
     private void setAside(String cause) {
-        port.note(Event.DISK_LOST, cause);
+        port.logEvent(Event.DATA_DIRECTORY_DAMAGED, cause);
         if (folder.read(IDENTITY) != null) setAsideFile(IDENTITY);
         for (var n : folder.names()) if (!n.startsWith(LOST)) setAsideFile(n);
     }
@@ -233,7 +233,7 @@
     }
 
     private void surrender(Founding f) {
-        port.note(Event.SURRENDERED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
+        port.logEvent(Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
         closeAll();
         setAside("generation " + f.generation + " of the core lives");
         founders = Set.of();
@@ -247,7 +247,7 @@
         var now = port.now();
         var f = directory.founding();
         if (replicas.length == 0 || f == null)
-            return Either.left(Problem.of(Kind.BAD_INTENT, "this store holds no core to rebuild from"));
+            return Either.left(Problem.of(ProblemKind.BAD_INTENT, "this store holds no core to rebuild from"));
         for (var k : replicas) {
             var p = k.group().part();
             var heard = 0;
@@ -258,7 +258,7 @@
             if (k.group().leaderHeard(now, ALIVE)
                     || heard >= k.group().members().majority() && k.group().members().voters.length > 1)
                 return Either.left(
-                        Problem.of(Kind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
+                        Problem.of(ProblemKind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
         }
         return Either.right(Rebuild.of(f, replicas));
     }
@@ -267,7 +267,7 @@
         var r = rebuild();
         if (r.isLeft()) return r;
         if (!r.get().token().equals(token))
-            return Either.left(Problem.of(Kind.STALE_PLAN, "this store's state moved since; look again"));
+            return Either.left(Problem.of(ProblemKind.STALE_PLAN, "this store's state moved since; look again"));
         var self = directory.self();
         var f = new Founding();
         f.origin = directory.founding().origin();
@@ -277,7 +277,7 @@
         f.zones = new String[] {self.zone};
         closeAll();
         folder.replace(CORE, Seal.close(Codec.write(f)));
-        port.note(Event.REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
+        port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
         directory.follow(f);
         membership.follow();
         start(f);
@@ -314,7 +314,7 @@
             folder.replace(KNOWN, text.getBytes());
             savedKnown = text;
         } catch (DiskException e) {
-            port.note(Event.DISK_FAILED, KNOWN + ": " + e.getMessage());
+            port.logEvent(Event.DISK_WRITE_FAILED, KNOWN + ": " + e.getMessage());
         }
     }
 
@@ -348,8 +348,8 @@
 
     private void sayWaiting(List<Node> empty, long now) {
         sayDue = now + SAY;
-        port.note(
-                Event.WAITING_TO_FOUND,
+        port.logEvent(
+                Event.WAITING_TO_BOOTSTRAP,
                 "sees " + empty.size() + " empty stores "
                         + empty.stream().map(n -> n.name).toList() + " and needs exactly " + settings.founders()
                         + " that see one another");
@@ -371,8 +371,8 @@
 
     private void adopt(Founding f) {
         folder.replace(CORE, Seal.close(Codec.write(f)));
-        port.note(
-                f.has(directory.self().storeId) ? Event.FOUNDED : Event.JOINED_CORE,
+        port.logEvent(
+                f.has(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
                 "core " + Long.toHexString(f.coreId));
         start(f);
     }
@@ -388,9 +388,9 @@
         else if (m instanceof RenewReplies v) membership.receive(v, now);
         else if (m instanceof Renewals r) renewals(r, now);
         else if (m instanceof Renew r) replica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
-        else if (m instanceof Subscribe s) replica(Parts.of(s.topic), k -> k.receive(s));
+        else if (m instanceof Subscribe s) replica(Parts.partOf(s.topic), k -> k.receive(s));
         else if (m instanceof Join j) replica(j.part, k -> k.receive(j));
-        else port.note(Event.BAD_MESSAGE, "a store takes no " + m.getClass().getSimpleName());
+        else port.logEvent(Event.BAD_MESSAGE, "a store takes no " + m.getClass().getSimpleName());
     }
 
     private void renewals(Renewals all, long now) {
@@ -410,7 +410,7 @@
             replica(a.part, k -> k.receive(a));
             return;
         }
-        var v = Records.failure(Kind.NOT_OWNER, "");
+        var v = Records.failure(ProblemKind.NOT_OWNER, "");
         v.id = a.id;
         v.life = a.life;
         port.send(a.from.peerAddress, v);
--- a/lib/control/src/test/java/craneway/control/node/AskerTest.java
+++ b/lib/control/src/test/java/craneway/control/node/AskerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandRequest;
@@ -38,7 +38,7 @@
         }
 
         @Override
-        public void note(Event e, String detail) {
+        public void logEvent(Event e, String detail) {
             notes.add(e);
         }
     };
@@ -86,7 +86,7 @@
         assertEquals(0, last().body.length);
         assertEquals(0, last().term);
         now += 70_000;
-        coreClient.receive(reply(last(), Kind.LATE_COMMAND.code(), 3, 9_000_000));
+        coreClient.receive(reply(last(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000));
         assertEquals(2, sent.size());
         assertTrue(last().body.length > 0);
         assertEquals(3, last().term);
@@ -104,7 +104,7 @@
         now += 400_000;
         coreClient.tick(now);
         now += 10_000;
-        coreClient.receive(reply(last(), Kind.UNCERTAIN.code(), 0, 0));
+        coreClient.receive(reply(last(), ProblemKind.UNCERTAIN.code(), 0, 0));
         now += 100_000;
         coreClient.tick(now);
         assertTrue(sent.size() >= 3);
@@ -175,7 +175,7 @@
         order();
         var v = new CommandResult();
         v.id = last().id;
-        v.kind = Kind.BAD_MESSAGE.code();
+        v.kind = ProblemKind.BAD_MESSAGE.code();
         coreClient.receive(v);
         assertTrue(got.isEmpty());
         assertTrue(last().body.length > 0);
@@ -189,7 +189,7 @@
         v.life = LIFE + 1;
         coreClient.receive(v);
         assertTrue(got.isEmpty());
-        assertEquals(List.of(Event.STALE_VERDICT), notes);
+        assertEquals(List.of(Event.STALE_REPLY), notes);
         v.life = LIFE;
         coreClient.receive(v);
         assertEquals(1, got.size());
@@ -223,11 +223,11 @@
     void lapsesAreNotAnsweredForEverAtOnce() {
         learn(3, 9_000_000);
         order();
-        for (var i = 0; i < 100; i++) coreClient.receive(reply(last(), Kind.LATE_COMMAND.code(), 3, 9_000_000 + i));
+        for (var i = 0; i < 100; i++) coreClient.receive(reply(last(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000 + i));
         assertTrue(sent.size() <= 3, "copies " + sent.size());
         now += TIMEOUT;
         coreClient.tick(now);
-        assertEquals(Kind.UNCERTAIN.code(), got.get(0).kind);
+        assertEquals(ProblemKind.UNCERTAIN.code(), got.get(0).kind);
     }
 
     @Test
--- a/lib/data/src/main/java/craneway/data/placement/ColdShare.java
+++ b/lib/data/src/main/java/craneway/data/placement/ColdShare.java
@@ -1,7 +1,7 @@
 package craneway.data.placement;
 
 import craneway.model.unit.Hash;
-import craneway.model.unit.Rendezvous;
+import craneway.model.unit.RendezvousHash;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
@@ -22,10 +22,10 @@
     public boolean may(String runner, double perSecond, Collection<String> routers, long now) {
         var seats = perSecond <= 0 ? 1 : Math.max(1, (int) (perSecond * CAREFUL));
         var key = Hash.of(runner);
-        var mine = Rendezvous.weight(key, self);
+        var mine = RendezvousHash.weight(key, self);
         var before = 0;
         for (var r : routers)
-            if (!r.equals(self) && Long.compareUnsigned(Rendezvous.weight(key, r), mine) > 0) before++;
+            if (!r.equals(self) && Long.compareUnsigned(RendezvousHash.weight(key, r), mine) > 0) before++;
         return before < seats && now - last.getOrDefault(runner, Long.MIN_VALUE / 2) >= GAP;
     }
 
--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/Placer.java
@@ -1,8 +1,8 @@
 package craneway.data.placement;
 
 import craneway.model.manifest.Route;
-import craneway.model.unit.Rendezvous;
-import craneway.model.unit.Table;
+import craneway.model.unit.RendezvousHash;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.record.Rows;
 import java.util.Collection;
@@ -66,14 +66,14 @@
 
     private double coldRate(String service) {
         var s = pool.view().manifest().service(service);
-        return s == null ? 0 : s.engine().coldPerSecond();
+        return s == null ? 0 : s.engine().coldRequestsPerSecond();
     }
 
     private boolean allowed(Route route, RunnerView r) {
         return r.row.up()
                 && !r.stale
                 && !pool.emptied(r.zone)
-                && (route.regions().isEmpty() || route.regions().contains(r.region));
+                && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(r.region));
     }
 
     /** The zone where the unit is at home, or null. */
@@ -83,11 +83,11 @@
         var near = s.regions.indexOf(region);
         if (near >= 0
                 && p.sharedTokens() < FAR
-                && (route.regions().isEmpty() || route.regions().contains(region))) {
+                && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(region))) {
             var h = zoneOf(s, 1 << near, p);
             if (h != null) return h;
         }
-        return zoneOf(s, set(s, route.regions()), p);
+        return zoneOf(s, set(s, route.allowedRegions()), p);
     }
 
     private static int set(Rows.Service s, List<String> regions) {
@@ -98,9 +98,9 @@
     }
 
     private static String zoneOf(Rows.Service s, int set, Prompt p) {
-        var unit = set * Units.SLICES + p.slice();
-        var cell = unit < s.homes.length ? s.homes[unit] : Table.NOWHERE;
-        return cell == Table.NOWHERE ? null : s.zones.get(cell);
+        var unit = set * Units.SLICE_COUNT + p.slice();
+        var cell = unit < s.homes.length ? s.homes[unit] : PlacementTable.NOWHERE;
+        return cell == PlacementTable.NOWHERE ? null : s.zones.get(cell);
     }
 
     private RunnerView favourite(Route route, String service, Prompt p, String home) {
@@ -109,7 +109,7 @@
         for (var r : pool.of(service)) {
             if (!allowed(route, r) || home != null && !r.zone.equals(home) || r.mixed && r.reader != p.isLong())
                 continue;
-            var w = Rendezvous.weight(p.key(), r.hash);
+            var w = RendezvousHash.weight(p.key(), r.hash);
             if (best == null || Long.compareUnsigned(w, most) > 0) {
                 best = r;
                 most = w;
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -54,7 +54,7 @@
         return a.manifest() == b.manifest()
                 && a.topic() == b.topic()
                 && a.services() == b.services()
-                && a.members().get(Parts.MANIFEST) == b.members().get(Parts.MANIFEST);
+                && a.members().get(Parts.MANIFEST_PART) == b.members().get(Parts.MANIFEST_PART);
     }
 
     /** Some router gave this runner tokens to read. */
@@ -69,7 +69,7 @@
      */
     public void seat(long now) {
         services.forEach((service, all) -> {
-            var bound = view.manifest().routes().bound(service);
+            var bound = view.manifest().routes().regionSetsOf(service);
             var zones = new HashMap<String, List<RunnerView>>();
             for (var r : all)
                 if (r.row.up())
@@ -134,7 +134,7 @@
                     at < 0 ? row.cell : s.zones.get(at),
                     row,
                     Math.max(1, row.slots),
-                    e.cacheTokens());
+                    e.cacheCapacityTokens());
             runners.put(row.name, r);
         }
         r.row = row;
@@ -152,7 +152,7 @@
 
     private static List<String> routers(Membership.View v) {
         var all = new ArrayList<String>();
-        for (var n : v.members().get(Parts.MANIFEST)) if (n.isRouter() && n.serving) all.add(n.name);
+        for (var n : v.members().get(Parts.MANIFEST_PART)) if (n.isRouter() && n.serving) all.add(n.name);
         return all;
     }
 
@@ -170,7 +170,7 @@
     public List<String> peers(String self, String one, String other) {
         var few = routers.size() <= FEW;
         var all = new ArrayList<String>();
-        for (var n : view.members().get(Parts.MANIFEST)) {
+        for (var n : view.members().get(Parts.MANIFEST_PART)) {
             var g = view.manifest().regionOfZone(n.zone);
             if (n.isRouter() && n.serving && !n.name.equals(self) && (few || one.equals(g) || other.equals(g)))
                 all.add(n.peerAddress);
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -70,6 +70,6 @@
     }
 
     public int slice() {
-        return Hash.bucket(Hash.mix(key()), Units.SLICES);
+        return Hash.bucket(Hash.mix(key()), Units.SLICE_COUNT);
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/Decider.java
@@ -5,12 +5,12 @@
 import craneway.data.runner.Chooser;
 import craneway.data.runner.Loads;
 import craneway.model.manifest.Manifest;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
-import craneway.model.unit.Rendezvous;
-import craneway.model.unit.Table;
+import craneway.model.unit.RendezvousHash;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
@@ -33,18 +33,18 @@
 
     public Decision ask(View v, Request t, Set<String> avoided, Map<String, Long> closedSince, long now) {
         var m = v.manifest();
-        if (m == null) return decline(Kind.NO_MANIFEST);
-        if (now >= t.deadline()) return decline(Kind.DEADLINE_PASSED);
+        if (m == null) return decline(ProblemKind.NO_MANIFEST);
+        if (now >= t.deadline()) return decline(ProblemKind.DEADLINE_PASSED);
         var service = m.service(t.service());
-        if (service == null) return new Decision.Decline(Problem.of(Kind.UNKNOWN_SERVICE, "no service " + t.service()));
+        if (service == null) return new Decision.Decline(Problem.of(ProblemKind.UNKNOWN_SERVICE, "no service " + t.service()));
         var work = service.work(t.work());
         if (work == null)
             return new Decision.Decline(
-                    Problem.of(Kind.UNKNOWN_WORK, "service " + t.service() + " has no work " + t.work()));
-        if (work.runOnce() && t.key().isEmpty()) return decline(Kind.RUN_ONCE_WITHOUT_KEY);
-        if (t.body().length > service.bodyLimit()) return decline(Kind.TOO_LARGE);
+                    Problem.of(ProblemKind.UNKNOWN_WORK, "service " + t.service() + " has no work " + t.work()));
+        if (work.runOnce() && t.key().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
+        if (t.body().length > service.maxBodyBytes()) return decline(ProblemKind.TOO_LARGE);
         var row = v.services().get(t.service());
-        if (row == null || row.homes.length == 0) return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
+        if (row == null || row.homes.length == 0) return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
         return placed(v, t, service, row, work.runOnce(), avoided, closedSince, now);
     }
 
@@ -58,30 +58,30 @@
             Map<String, Long> closedSince,
             long now) {
         var set = regionSet(v, t, row);
-        if (set == 0) return decline(Kind.NO_HOME_REGION);
-        var unit = Units.unit(set, t.tenant());
+        if (set == 0) return decline(ProblemKind.NO_HOME_REGION);
+        var unit = Units.unitOf(set, t.tenant());
         var home = row.homes[unit];
-        if (home == Table.NOWHERE)
-            return elsewhere(v, row, unit) ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER)) : decline(Kind.NO_RUNNER);
+        if (home == PlacementTable.NOWHERE)
+            return elsewhere(v, row, unit) ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER)) : decline(ProblemKind.NO_RUNNER);
         var region = row.cellRegions.get(home);
         var here = region.equals(v.manifest().regionOfZone(zone));
-        var leased = v.leased(Parts.of(t.service()), now) && v.leased(Parts.MANIFEST, now);
+        var leased = v.leased(Parts.partOf(t.service()), now) && v.leased(Parts.MANIFEST_PART, now);
         if (!leased && (once || !here || !row.zones.get(home).equals(zone) || pastGrace(v, t, now)))
-            return decline(Kind.CUT_OFF);
+            return decline(ProblemKind.CUT_OFF);
         if (!here && t.forwarded())
             return new Decision.Decline(
-                    Problem.of(Kind.NOT_HOME, "table version " + row.tableVersion, row.tableVersion));
+                    Problem.of(ProblemKind.NOT_HOME, "table version " + row.tableVersion, row.tableVersion));
         if (!here) return forward(v, t, region, unit, once, avoided);
-        if (closed(row, home, v, closedSince, now)) return new Decision.Buffer(Problem.of(Kind.NO_RUNNER));
+        if (closed(row, home, v, closedSince, now)) return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
         return serve(v, t, service, row, home, unit, once, leased, avoided, now);
     }
 
-    private static Decision decline(Kind k) {
+    private static Decision decline(ProblemKind k) {
         return new Decision.Decline(Problem.of(k));
     }
 
     private static boolean pastGrace(View v, Request t, long now) {
-        var end = Math.min(v.leaseEnd(Parts.of(t.service())), v.leaseEnd(Parts.MANIFEST));
+        var end = Math.min(v.leaseEnd(Parts.partOf(t.service())), v.leaseEnd(Parts.MANIFEST_PART));
         return now >= end + v.grace();
     }
 
@@ -102,13 +102,13 @@
 
     private Decision forward(View v, Request t, String region, int unit, boolean once, Set<String> avoided) {
         var there = new HashMap<String, Node>();
-        for (var n : v.members().get(Parts.of(t.service())))
+        for (var n : v.members().get(Parts.partOf(t.service())))
             if (n.isRouter()
                     && n.serving
                     && !avoided.contains(n.name)
                     && region.equals(v.manifest().regionOfZone(n.zone))) there.put(n.name, n);
-        if (there.isEmpty()) return decline(Kind.NO_PATH);
-        return new Decision.Forward(there.get(Rendezvous.pick(t.service() + "/" + unit, there.keySet())), unit, once);
+        if (there.isEmpty()) return decline(ProblemKind.NO_PATH);
+        return new Decision.Forward(there.get(RendezvousHash.pick(t.service() + "/" + unit, there.keySet())), unit, once);
     }
 
     private static boolean closed(Rows.Service row, int home, View v, Map<String, Long> closedSince, long now) {
@@ -140,16 +140,16 @@
                     && (leased || loads.heardLately(r.name, now))) able.add(r);
         if (able.isEmpty())
             return comes(v, row, home, unit, avoided)
-                    ? new Decision.Buffer(Problem.of(Kind.NO_RUNNER))
-                    : decline(Kind.NO_RUNNER);
+                    ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
+                    : decline(ProblemKind.NO_RUNNER);
         var best = chooser.choose(
                 able,
                 Hash.of(t.prefix(), Hash.of(t.service())),
-                service.warmUp(),
-                leased && v.settled(Parts.of(t.service()), now),
+                service.warmUpTime(),
+                leased && v.settled(Parts.partOf(t.service()), now),
                 routersHere(v, t),
                 now);
-        if (best == null) return new Decision.Buffer(Problem.of(Kind.BUSY));
+        if (best == null) return new Decision.Buffer(Problem.of(ProblemKind.BUSY));
         return new Decision.Serve(best, unit, row.tableVersion, once);
     }
 
@@ -159,7 +159,7 @@
         if (known == null || !known.up() || known.incarnation != r.incarnation || !loads.usable(known, now))
             return false;
         if (closed(row, row.cells.indexOf(known.cell), v, closedSince, now)) return false;
-        if (v.leased(Parts.of(t.service()), now) && v.leased(Parts.MANIFEST, now)) return true;
+        if (v.leased(Parts.partOf(t.service()), now) && v.leased(Parts.MANIFEST_PART, now)) return true;
         var work = v.manifest().service(t.service()) == null
                 ? null
                 : v.manifest().service(t.service()).work(t.work());
@@ -177,7 +177,7 @@
         for (var c = 0; c < row.cells.size(); c++) {
             var allowed = row.live(c)
                     && !closed.get(c)
-                    && Units.allows(Units.regionSet(unit), row.regions.indexOf(row.cellRegions.get(c)));
+                    && Units.containsRegion(Units.regionSetOf(unit), row.regions.indexOf(row.cellRegions.get(c)));
             if (allowed && row.runnersUp(c) > 0) return true;
         }
         return false;
@@ -185,7 +185,7 @@
 
     private List<String> routersHere(View v, Request t) {
         var all = new ArrayList<String>();
-        for (var x : v.members().get(Parts.of(t.service()))) if (x.isRouter() && x.zone.equals(zone)) all.add(x.name);
+        for (var x : v.members().get(Parts.partOf(t.service()))) if (x.isRouter() && x.zone.equals(zone)) all.add(x.name);
         return all;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -7,8 +7,8 @@
 import craneway.data.runner.CellSignals;
 import craneway.data.runner.Loads;
 import craneway.model.event.Event;
-import craneway.model.problem.Bearing;
-import craneway.model.problem.Kind;
+import craneway.model.problem.WorkOutcome;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.model.unit.Parts;
@@ -94,14 +94,14 @@
         var c = new RequestState(t, line, port.now());
         requests.put(t.id(), c);
         synchronized (c) {
-            if (stopping) end(c, Problem.of(Kind.STOPPING));
+            if (stopping) end(c, Problem.of(ProblemKind.STOPPING));
             else decide(c);
         }
     }
 
     private void earn(String service) {
         var routers = 0;
-        for (var n : membership.view().members().get(Parts.of(service))) if (n.isRouter()) routers++;
+        for (var n : membership.view().members().get(Parts.partOf(service))) if (n.isRouter()) routers++;
         tries.earn(Math.max(1, routers));
     }
 
@@ -164,9 +164,9 @@
     private void buffer(RequestState c, Problem otherwise, long now) {
         var service = membership.view().manifest().service(c.t.service());
         var n = buffered.computeIfAbsent(c.t.service(), k -> new AtomicInteger());
-        var full = c.state != RequestPhase.BUFFERED && n.get() >= service.buffer();
-        if (full || left(c, now) < 0 || stopping && otherwise.kind() == Kind.NO_RUNNER) {
-            end(c, full ? Problem.of(Kind.BUSY) : otherwise);
+        var full = c.state != RequestPhase.BUFFERED && n.get() >= service.maxBufferedRequests();
+        if (full || left(c, now) < 0 || stopping && otherwise.kind() == ProblemKind.NO_RUNNER) {
+            end(c, full ? Problem.of(ProblemKind.BUSY) : otherwise);
             return;
         }
         if (c.state == RequestPhase.BUFFERED || !c.move(RequestPhase.BUFFERED)) return;
@@ -179,7 +179,7 @@
     private boolean metered(RequestState c) {
         if (c.metered) return true;
         var t = membership.view().manifest().tenant(c.t.tenant());
-        c.metered = t == null || t.quota() == 0 || quotas.take(c.t.service() + "/" + c.t.tenant(), port.now());
+        c.metered = t == null || t.quotaPerMinute() == 0 || quotas.take(c.t.service() + "/" + c.t.tenant(), port.now());
         return c.metered;
     }
 
@@ -191,10 +191,10 @@
         x.unit = s.unit();
         x.tableVersion = s.tableVersion();
         x.region = membership.view().manifest().regionOfZone(directory.self().zone);
-        x.limit = membership.view().manifest().tenant(c.t.tenant()).quota();
+        x.limit = membership.view().manifest().tenant(c.t.tenant()).quotaPerMinute();
         x.count = Math.max(1, x.limit / QUOTA_SHARE);
         coreClient.ask(
-                Parts.of(x.service),
+                Parts.partOf(x.service),
                 x,
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
                 v -> meteredBy(c, v));
@@ -205,8 +205,8 @@
         synchronized (c) {
             if (c.state != RequestPhase.CLAIMING) return;
             if (v.kind == 0) decide(c);
-            else if (v.kind == Kind.QUOTA_SPENT.code()) end(c, Problem.of(Kind.QUOTA_SPENT, v.detail, v.retryAfter));
-            else notAsked(c, Kind.of(v.kind), v);
+            else if (v.kind == ProblemKind.QUOTA_SPENT.code()) end(c, Problem.of(ProblemKind.QUOTA_SPENT, v.detail, v.retryAfter));
+            else notAsked(c, ProblemKind.of(v.kind), v);
         }
     }
 
@@ -222,7 +222,7 @@
         x.incarnation = directory.self().incarnation;
         x.attempt = c.claimNo = claimNo.incrementAndGet();
         coreClient.ask(
-                Parts.of(x.service),
+                Parts.partOf(x.service),
                 x,
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
                 v -> claimed(c, v));
@@ -231,7 +231,7 @@
     private void freeThenDecide(RequestState c) {
         if (!c.move(RequestPhase.CLAIMING)) return;
         coreClient.ask(
-                Parts.of(c.t.service()),
+                Parts.partOf(c.t.service()),
                 finish(c, Rows.Claim.FREED),
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
                 v -> {
@@ -239,7 +239,7 @@
                         if (v.kind == 0) c.claimed = false;
                         if (c.state != RequestPhase.CLAIMING) return;
                         if (v.kind == 0) decide(c);
-                        else end(c, Problem.of(Kind.NO_OWNER));
+                        else end(c, Problem.of(ProblemKind.NO_OWNER));
                     }
                 });
     }
@@ -268,21 +268,21 @@
                 return;
             }
             if (v.kind == 0) decide(c);
-            else notAsked(c, Kind.of(v.kind), v);
+            else notAsked(c, ProblemKind.of(v.kind), v);
         }
     }
 
-    private void notAsked(RequestState c, Kind k, CommandResult v) {
+    private void notAsked(RequestState c, ProblemKind k, CommandResult v) {
         switch (k) {
             case STALE_TABLE, NOT_UNIT_HOME -> {
                 c.needTable = v.version;
-                buffer(c, Problem.of(Kind.NOT_HOME), port.now());
+                buffer(c, Problem.of(ProblemKind.NOT_HOME), port.now());
             }
             case UNCERTAIN, NO_OWNER -> {
                 c.claimed = c.claimNo != 0;
-                end(c, Problem.of(Kind.NO_OWNER));
+                end(c, Problem.of(ProblemKind.NO_OWNER));
             }
-            case STALE_MEMBER -> end(c, Problem.of(Kind.CUT_OFF));
+            case STALE_MEMBER -> end(c, Problem.of(ProblemKind.CUT_OFF));
             default -> end(c, Problem.of(k, v.detail));
         }
     }
@@ -290,15 +290,15 @@
     private void giveBack(RequestState c, int state) {
         if (!c.claimed) return;
         c.claimed = false;
-        coreClient.ask(Parts.of(c.t.service()), finish(c, state), FINISH_PATIENCE, v -> {});
+        coreClient.ask(Parts.partOf(c.t.service()), finish(c, state), FINISH_PATIENCE, v -> {});
     }
 
     private void end(RequestState c, Problem given) {
         if (!c.move(RequestPhase.ENDED)) return;
-        var p = c.started && given.kind().bearing() == Bearing.DECLINED
-                ? Problem.of(Kind.RUN_BROKEN, "an earlier try broke off; then: " + given.detail())
+        var p = c.started && given.kind().workOutcome() == WorkOutcome.DECLINED
+                ? Problem.of(ProblemKind.RUN_BROKEN, "an earlier try broke off; then: " + given.detail())
                 : given;
-        giveBack(c, p.kind().bearing() == Bearing.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
+        giveBack(c, p.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
         requests.remove(c.t.id());
         counts.verdict(p.kind());
         used(c, p.kind().name().toLowerCase());
@@ -340,33 +340,33 @@
 
     private void runnerDeclined(RequestState c, Problem p) {
         var name = c.runner.name;
-        if (p.kind() == Kind.BUSY) loads.reported(name, c.runner.slots, port.now());
+        if (p.kind() == ProblemKind.BUSY) loads.reported(name, c.runner.slots, port.now());
         else c.avoided.add(name);
-        if (p.kind() == Kind.NO_PATH) {
+        if (p.kind() == ProblemKind.NO_PATH) {
             loads.eject(name, port.now());
             signals.problem(c.t.service(), c.runner.cell);
         }
         leaveRunner(c);
-        if (p.kind() == Kind.BUSY) waitForSlot(c);
+        if (p.kind() == ProblemKind.BUSY) waitForSlot(c);
         else again(c, p);
     }
 
     private void peerDeclined(RequestState c, Problem p) {
-        if (p.kind() == Kind.NOT_HOME) {
-            c.needTable = p.retryAfter();
+        if (p.kind() == ProblemKind.NOT_HOME) {
+            c.needTable = p.retryAfterMicros();
             c.notBefore = port.now() + RECHECK;
             c.owesAttempt = true;
-            buffer(c, Problem.of(Kind.NOT_HOME), port.now());
+            buffer(c, Problem.of(ProblemKind.NOT_HOME), port.now());
             return;
         }
         c.avoided.add(c.router);
-        if (p.kind() == Kind.NO_PATH || p.kind() == Kind.STOPPING || p.kind() == Kind.CUT_OFF) again(c, p);
+        if (p.kind() == ProblemKind.NO_PATH || p.kind() == ProblemKind.STOPPING || p.kind() == ProblemKind.CUT_OFF) again(c, p);
         else end(c, p);
     }
 
     private void waitForSlot(RequestState c) {
         c.owesAttempt = c.waitsForSlot = true;
-        buffer(c, Problem.of(Kind.BUSY), port.now());
+        buffer(c, Problem.of(ProblemKind.BUSY), port.now());
     }
 
     private void again(RequestState c, Problem otherwise) {
@@ -374,7 +374,7 @@
         c.owesAttempt = true;
         if (left(c, port.now()) < 0) end(c, otherwise);
         else if (payTry(c)) decide(c);
-        else end(c, Problem.of(Kind.TRIES_SPENT));
+        else end(c, Problem.of(ProblemKind.TRIES_SPENT));
     }
 
     private boolean payTry(RequestState c) {
@@ -435,7 +435,7 @@
         if (c == null) return;
         synchronized (c) {
             var forwarded = c.state == RequestPhase.FORWARDED;
-            if (c.state == RequestPhase.STREAMING) cutOff(c, Problem.of(Kind.RUN_BROKEN));
+            if (c.state == RequestPhase.STREAMING) cutOff(c, Problem.of(ProblemKind.RUN_BROKEN));
             else if (c.state == RequestPhase.RUNNING || forwarded) brokenEarly(c, forwarded);
         }
         wake(c.t.service());
@@ -447,10 +447,10 @@
         leaveRunner(c);
         c.avoided.add(name);
         if (!forwarded) loads.eject(name, port.now());
-        if (c.once) end(c, Problem.of(Kind.OUTCOME_UNKNOWN));
+        if (c.once) end(c, Problem.of(ProblemKind.OUTCOME_UNKNOWN));
         else {
             c.started = true;
-            again(c, Problem.of(Kind.RUN_BROKEN));
+            again(c, Problem.of(ProblemKind.RUN_BROKEN));
         }
     }
 
@@ -459,7 +459,7 @@
         counts.cut.incrementAndGet();
         used(c, "cut");
         if (c.runner != null) signals.problem(c.t.service(), c.runner.cell);
-        port.note(Event.CUT_STREAM, c.t.service() + " " + c.t.work() + " transaction " + c.t.id());
+        port.logEvent(Event.RESPONSE_CUT_OFF, c.t.service() + " " + c.t.work() + " transaction " + c.t.id());
         giveBack(c, Rows.Claim.UNKNOWN);
         leaveRunner(c);
         requests.remove(c.t.id());
@@ -478,7 +478,7 @@
             giveBack(c, ran ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
             leaveRunner(c);
             requests.remove(id);
-            c.line.cut(Problem.of(Kind.RUN_BROKEN, "the requester went away"));
+            c.line.cut(Problem.of(ProblemKind.RUN_BROKEN, "the requester went away"));
         }
         wake(c.t.service());
     }
@@ -502,8 +502,8 @@
                     && c.state != RequestPhase.FORWARDED) return false;
             if (c.runner == null)
                 return c.router != null
-                        && v.leased(Parts.of(c.t.service()), port.now())
-                        && v.members().get(Parts.of(c.t.service())).stream().noneMatch(n -> n.name.equals(c.router));
+                        && v.leased(Parts.partOf(c.t.service()), port.now())
+                        && v.members().get(Parts.partOf(c.t.service())).stream().noneMatch(n -> n.name.equals(c.router));
             var s = v.services().get(c.t.service());
             var r = s == null ? null : s.runners.get(c.runner.name);
             return r == null || r.incarnation != c.runner.incarnation || r.state == Rows.Runner.DARK;
@@ -523,14 +523,14 @@
     private void late(RequestState c) {
         synchronized (c) {
             if (c.state == RequestPhase.STREAMING) {
-                cutOff(c, Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
+                cutOff(c, Problem.of(ProblemKind.RUN_BROKEN, "the deadline passed while the work ran"));
             } else if (c.state == RequestPhase.RUNNING || c.state == RequestPhase.FORWARDED) {
                 leaveRunner(c);
                 end(
                         c,
                         c.once
-                                ? Problem.of(Kind.OUTCOME_UNKNOWN)
-                                : Problem.of(Kind.RUN_BROKEN, "the deadline passed while the work ran"));
+                                ? Problem.of(ProblemKind.OUTCOME_UNKNOWN)
+                                : Problem.of(ProblemKind.RUN_BROKEN, "the deadline passed while the work ran"));
             }
         }
     }
@@ -547,10 +547,10 @@
                     continue;
                 }
                 if (!tableReady(c) || port.now() < c.notBefore) {
-                    if (left(c, port.now()) < 0) end(c, Problem.of(Kind.NOT_HOME));
+                    if (left(c, port.now()) < 0) end(c, Problem.of(ProblemKind.NOT_HOME));
                 } else if (payTry(c)) decide(c);
-                else if (!c.waitsForSlot) end(c, Problem.of(Kind.TRIES_SPENT));
-                else if (left(c, port.now()) < 0) end(c, Problem.of(Kind.BUSY));
+                else if (!c.waitsForSlot) end(c, Problem.of(ProblemKind.TRIES_SPENT));
+                else if (left(c, port.now()) < 0) end(c, Problem.of(ProblemKind.BUSY));
                 if (c.state == RequestPhase.BUFFERED) q.add(c);
                 else buffered.get(service).decrementAndGet();
             }
--- a/lib/data/src/main/java/craneway/data/request/RequestRelay.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestRelay.java
@@ -1,8 +1,8 @@
 package craneway.data.request;
 
 import craneway.data.runner.Loads;
-import craneway.model.problem.Bearing;
-import craneway.model.problem.Kind;
+import craneway.model.problem.WorkOutcome;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
@@ -103,7 +103,7 @@
 
             @Override
             public void refused() {
-                post(() -> executor.notRun(t.id(), no, Problem.of(Kind.NO_PATH)));
+                post(() -> executor.notRun(t.id(), no, Problem.of(ProblemKind.NO_PATH)));
             }
 
             @Override
@@ -143,15 +143,15 @@
     }
 
     private void runnerSaid(int code) {
-        if (code == 503 || code == 429) executor.notRun(t.id(), attempt, Problem.of(Kind.BUSY));
+        if (code == 503 || code == 429) executor.notRun(t.id(), attempt, Problem.of(ProblemKind.BUSY));
         else if (code >= 400 && code < 500)
             executor.refusedWork(
-                    t.id(), attempt, Problem.of(Kind.BAD_FIELD, "the runner declined the body with status " + code));
+                    t.id(), attempt, Problem.of(ProblemKind.BAD_FIELD, "the runner declined the body with status " + code));
         else executor.broken(t.id(), attempt);
     }
 
     private void peerSaid(Map<String, String> h) {
-        var k = isNumber(h.get(HttpExchange.PROBLEM)) ? Kind.find(Integer.parseInt(h.get(HttpExchange.PROBLEM))) : null;
+        var k = isNumber(h.get(HttpExchange.PROBLEM)) ? ProblemKind.find(Integer.parseInt(h.get(HttpExchange.PROBLEM))) : null;
         if (k == null) {
             executor.broken(t.id(), attempt);
             return;
@@ -160,8 +160,8 @@
                 k,
                 k.text(),
                 isNumber(h.get(HttpExchange.RETRY_MICROS)) ? Long.parseLong(h.get(HttpExchange.RETRY_MICROS)) : 0);
-        if (k.bearing() == Bearing.DECLINED) executor.notRun(t.id(), attempt, p);
-        else if (k.bearing() == Bearing.BROKEN && t.key().isEmpty()) executor.broken(t.id(), attempt);
+        if (k.workOutcome() == WorkOutcome.DECLINED) executor.notRun(t.id(), attempt, p);
+        else if (k.workOutcome() == WorkOutcome.BROKEN && t.key().isEmpty()) executor.broken(t.id(), attempt);
         else executor.refusedWork(t.id(), attempt, p);
     }
 
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -99,7 +99,7 @@
 
     private void follow() {
         var f = directory.newer();
-        port.note(Event.SURRENDERED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
+        port.logEvent(Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
         directory.follow(f);
         membership.follow();
     }
@@ -114,7 +114,7 @@
         else if (m instanceof CommandResult v) coreClient.receive(v);
         else if (m instanceof Reading r) reading.accept(r);
         else if (m instanceof Silence s) silence.accept(s);
-        else port.note(Event.BAD_MESSAGE, "a router takes no " + m.getClass().getSimpleName());
+        else port.logEvent(Event.BAD_MESSAGE, "a router takes no " + m.getClass().getSimpleName());
     }
 
     private void greeted(Hello h, long now) {
@@ -134,7 +134,7 @@
         c.incarnation = a.incarnation();
         c.cold = a.cold();
         c.load = a.load();
-        coreClient.ask(Parts.of(a.service()), c, PATIENCE, then);
+        coreClient.ask(Parts.partOf(a.service()), c, PATIENCE, then);
     }
 
     public void leave(String service, String runner, long incarnation, Consumer<CommandResult> then) {
@@ -144,6 +144,6 @@
         c.runner = runner;
         c.incarnation = incarnation;
         c.state = Rows.Runner.LEAVING;
-        coreClient.ask(Parts.of(service), c, PATIENCE, then);
+        coreClient.ask(Parts.partOf(service), c, PATIENCE, then);
     }
 }
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -31,7 +31,7 @@
 
     public synchronized List<Signal> take(int part) {
         var all = new ArrayList<Signal>();
-        cells.values().removeIf(s -> Parts.of(s.service) == part && all.add(s));
+        cells.values().removeIf(s -> Parts.partOf(s.service) == part && all.add(s));
         return all;
     }
 }
--- a/lib/data/src/main/java/craneway/data/runner/Chooser.java
+++ b/lib/data/src/main/java/craneway/data/runner/Chooser.java
@@ -1,6 +1,6 @@
 package craneway.data.runner;
 
-import craneway.model.unit.Rendezvous;
+import craneway.model.unit.RendezvousHash;
 import craneway.state.record.Rows;
 import java.util.List;
 
@@ -32,7 +32,7 @@
         var most = 0L;
         for (var r : from) {
             if (loads.load(r.name, now) >= bound) continue;
-            var w = Rendezvous.weight(prefix, r.name);
+            var w = RendezvousHash.weight(prefix, r.name);
             if (best == null || Long.compareUnsigned(w, most) > 0) {
                 best = r;
                 most = w;
@@ -52,7 +52,7 @@
         var before = 0;
         for (var n : routers)
             if (Long.compareUnsigned(
-                            Rendezvous.weight(runner.hashCode(), n), Rendezvous.weight(runner.hashCode(), self))
+                            RendezvousHash.weight(runner.hashCode(), n), RendezvousHash.weight(runner.hashCode(), self))
                     > 0) before++;
         var n = Math.max(1, routers.size());
         return ramp / n + (before < ramp % n ? 1 : 0);
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientConnections.java
@@ -109,8 +109,8 @@
 
         boolean isExpired(Limits limits, long now) {
             return switch (state) {
-                case IDLE -> limits.idle() > 0 && now - stateSince >= limits.idle();
-                case READING_HEAD -> limits.header() > 0 && now - stateSince >= limits.header();
+                case IDLE -> limits.idleTimeout() > 0 && now - stateSince >= limits.idleTimeout();
+                case READING_HEAD -> limits.headerTimeout() > 0 && now - stateSince >= limits.headerTimeout();
                 case BUSY -> false;
             };
         }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ClientRequestHandler.java
@@ -76,13 +76,13 @@
             waitForManifest(exchange, body, response, receivedAt, disconnectDetector);
             return;
         }
-        advertiseKeepAlive(exchange, manifest.limits().idle());
-        if (body.length > manifest.limits().bodyBytes()) {
+        advertiseKeepAlive(exchange, manifest.limits().idleTimeout());
+        if (body.length > manifest.limits().maxBodyBytes()) {
             response.sendOwn(
                     413,
                     null,
                     "{\"problem\":\"the body is longer than "
-                            + manifest.limits().bodyBytes() + " bytes\"}");
+                            + manifest.limits().maxBodyBytes() + " bytes\"}");
             return;
         }
         var route =
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -33,7 +33,7 @@
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
         prompt = Prompt.of(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
-        service = route.service(Hash.of(tryId == null ? "" : tryId));
+        service = route.selectService(Hash.of(tryId == null ? "" : tryId));
         deadlineAt = receivedAt
                 + Math.min(route.deadline(), millisToMicros(headers.getFirst(names.deadlineMs()), route.deadline()));
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -8,7 +8,7 @@
 import craneway.data.placement.RetryBudget;
 import craneway.data.placement.RunnerView;
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import craneway.model.manifest.Manifest.Limits;
 import craneway.model.manifest.Route;
 import craneway.model.node.NodeSettings;
@@ -50,7 +50,7 @@
     private final ProtocolNames names;
     private final NodeSettings nodeSettings;
     private final BiConsumer<String, Object> peerSender;
-    private final Log log;
+    private final EventSink log;
     private final RunnerConnectionPool runnerConnections;
     private final ClientConnections clientConnections;
     private final Pool pool = new Pool();
@@ -71,7 +71,7 @@
             Supplier<View> currentView,
             NodeSettings nodeSettings,
             ProtocolNames names,
-            Log log,
+            EventSink log,
             BiConsumer<String, Object> peerSender) {
         this.nodeSettings = nodeSettings;
         this.peerSender = peerSender;
@@ -84,7 +84,7 @@
         runnerConnections = new RunnerConnectionPool(ioThread, clock);
         clientConnections = new ClientConnections(clock);
         placer = new Placer(pool, new ColdShare(nodeSettings.name()), nodeSettings.zone(), nodeSettings.region());
-        var bounds = nodeSettings.bounds();
+        var bounds = nodeSettings.tolerances();
         retryBudget = new RetryBudget(bounds.retryWindow(), bounds.retryRatio(), bounds.retrySlack());
     }
 
@@ -189,7 +189,7 @@
     }
 
     void logEvent(Event event, String detail) {
-        log.note(event, detail);
+        log.logEvent(event, detail);
     }
 
     /** Records the load that a runner reported in its response header: running and waiting requests. */
@@ -200,7 +200,7 @@
         try {
             runner.reported(Integer.parseInt(fields[0].trim()), Integer.parseInt(fields[1].trim()), now());
         } catch (NumberFormatException e) {
-            log.note(Event.BAD_MESSAGE, "malformed load header from runner " + runner.id() + ": " + loadHeader);
+            log.logEvent(Event.BAD_MESSAGE, "malformed load header from runner " + runner.id() + ": " + loadHeader);
         }
     }
 
@@ -208,7 +208,7 @@
     void logSlowResponse(String detail) {
         if (now() / 1_000_000 != slowLogSecond) slowLogsThisSecond = 0;
         slowLogSecond = now() / 1_000_000;
-        if (slowLogsThisSecond++ < MAX_SLOW_LOGS_PER_SECOND) log.note(Event.SLOW_ANSWER, detail);
+        if (slowLogsThisSecond++ < MAX_SLOW_LOGS_PER_SECOND) log.logEvent(Event.SLOW_RESPONSE, detail);
     }
 
     /** Tells the routers that use the selected runner which tokens it has to prefill, unless they are few. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -1,7 +1,7 @@
 package craneway.gateway.proxy;
 
 import craneway.control.node.Membership.View;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import craneway.model.node.NodeSettings;
 import craneway.state.message.Messages.Reading;
 import craneway.state.message.Messages.Silence;
@@ -53,7 +53,7 @@
             Supplier<View> currentView,
             NodeSettings nodeSettings,
             ProtocolNames names,
-            Log log,
+            EventSink log,
             BooleanSupplier ready,
             BiConsumer<String, Object> peerSender) {
         try {
@@ -74,7 +74,7 @@
                 parseAddress(nodeSettings.clientAddress()),
                 context.clientConnections(),
                 new HttpContinueReadHandler(requestHandler));
-        readinessServer = startReadinessServer(nodeSettings.readiness(), exchange -> {
+        readinessServer = startReadinessServer(nodeSettings.readinessAddress(), exchange -> {
             var isReady = !draining
                     && ready.getAsBoolean()
                     && exchange.getRequestPath().equals(names.readyPath());
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -82,7 +82,7 @@
         var selected = context.placer().choose(route, request.service, request.prompt, triedRunnerIds, now);
         if (selected == null) waitOrFail(now);
         else if (context.placer().crowds(selected, now)
-                && now - request.receivedAt < route.target() * 4 / 10
+                && now - request.receivedAt < route.firstChunkTarget() * 4 / 10
                 && attempts.sentCount() == 0)
             selectionTimer = context.schedule(SELECTION_RETRY_DELAY_MICROS, this::selectRunner);
         else sendTo(selected, now);
@@ -90,7 +90,7 @@
 
     /** Takes one retry from the route's tries and from the retry budget; returns false if none is left. */
     private boolean acquireRetry(long now) {
-        return attempts.sentCount() < route.tries()
+        return attempts.sentCount() < route.maxAttempts()
                 && context.retryBudget().take(context.placer().routers().size(), now);
     }
 
@@ -113,7 +113,7 @@
      * longer while this router does not know the runners of the service yet.
      */
     private long maxSelectionWait() {
-        return context.pool().knows(request.service) ? Math.max(100_000, route.target() / 4) : STARTUP_WAIT_MICROS;
+        return context.pool().knows(request.service) ? Math.max(100_000, route.firstChunkTarget() / 4) : STARTUP_WAIT_MICROS;
     }
 
     private void sendTo(Placer.Choice selected, long now) {
@@ -131,7 +131,7 @@
                 request.headFor(selected, now, response.streamToContinue()),
                 request.body,
                 new ResponseListener(selected));
-        call.start(route.repeatable(), CONNECT_TIMEOUT_MICROS);
+        call.start(route.isRepeatable(), CONNECT_TIMEOUT_MICROS);
     }
 
     private void releaseRunner() {
@@ -168,12 +168,12 @@
                 : RunnerSilenceDetector.isSilentDuringResponse(choice, timing.lastDataAt(), now);
         if (!silent) return;
         context.reportSilent(choice.runner());
-        if (awaitingResponse ? route.repeatable() : response.isResumable()) failOver(now);
+        if (awaitingResponse ? route.isRepeatable() : response.isResumable()) failOver(now);
     }
 
     /** Moves the request to another runner, if a try, a runner that is not suspected and retry budget are available. */
     private void failOver(long now) {
-        if (attempts.sentCount() >= route.tries()) return;
+        if (attempts.sentCount() >= route.maxAttempts()) return;
         var selected = context.placer().choose(route, request.service, request.prompt, triedRunnerIds, now);
         if (selected == null
                 || selected.runner().suspected(now)
@@ -202,11 +202,11 @@
             }
             response.resume();
             selectRunner();
-        } else if (route.repeatable()) {
+        } else if (route.isRepeatable()) {
             selectRunner();
         } else {
             finish();
-            context.logEvent(Event.CUT_STREAM, route.name() + " " + request.tryId + " may have run: " + cause);
+            context.logEvent(Event.RESPONSE_CUT_OFF, route.name() + " " + request.tryId + " may have run: " + cause);
             response.sendProblem(StatusCodes.BAD_GATEWAY, null, "the runner broke off; it may have run");
         }
     }
@@ -250,7 +250,7 @@
     private void abortResponse(String cause) {
         releaseRunner();
         finish();
-        context.logEvent(Event.CUT_STREAM, route.name() + " " + request.tryId + ": " + cause);
+        context.logEvent(Event.RESPONSE_CUT_OFF, route.name() + " " + request.tryId + ": " + cause);
         response.abort();
     }
 
@@ -308,9 +308,9 @@
                 handleNotRun();
             } else if (outcome == ResponseOutcome.FAILURE
                     && !response.isStarted()
-                    && route.repeatable()
+                    && route.isRepeatable()
                     && status >= StatusCodes.INTERNAL_SERVER_ERROR
-                    && attempts.sentCount() < route.tries()) {
+                    && attempts.sentCount() < route.maxAttempts()) {
                 call.cancel();
                 handleBroken("runner responded with status " + status);
             } else {
@@ -382,7 +382,7 @@
 
         @Override
         public void onInternalFault(RuntimeException fault) {
-            context.logEvent(Event.INTERNAL, route.name() + " " + request.tryId + ": " + fault);
+            context.logEvent(Event.INTERNAL_ERROR, route.name() + " " + request.tryId + ": " + fault);
             if (isStale()) return;
             releaseRunner();
             fail(StatusCodes.BAD_GATEWAY, "an internal fault");
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseRelay.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseRelay.java
@@ -41,7 +41,7 @@
 
     /** Whether another run may continue what the client has received. */
     boolean isResumable() {
-        return route.resume() && stream != null && stream.isResumable();
+        return route.resumable() && stream != null && stream.isResumable();
     }
 
     /** Prepares for another run, which must continue what the client has received. */
@@ -70,7 +70,7 @@
         if (clientResponse.isStarted())
             return status / 100 == SUCCESS_STATUS_CLASS && isStream && stream.startRun(headers);
         if (isStream && !headers.contains(Headers.CONTENT_LENGTH)) {
-            stream = new StreamRelay(route.resume() ? afterEventId : null, versionHeader);
+            stream = new StreamRelay(route.resumable() ? afterEventId : null, versionHeader);
             stream.startRun(headers);
         }
         clientResponse.start(status, headers);
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseTiming.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseTiming.java
@@ -21,7 +21,7 @@
 
     /** Whether the first piece or the longest gap between pieces took longer than the route's targets. */
     private boolean isSlow(Route route, long receivedAt) {
-        return firstDataAt - receivedAt > route.target() || route.pause() != 0 && longestGap > route.pause();
+        return firstDataAt - receivedAt > route.firstChunkTarget() || route.gapTarget() != 0 && longestGap > route.gapTarget();
     }
 
     /** Logs the response if it was slow. */
--- a/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
@@ -3,10 +3,10 @@
 import craneway.data.request.Request;
 import craneway.data.request.RequestRelay;
 import craneway.data.router.Router;
-import craneway.http.HttpCaller;
-import craneway.http.Problems;
+import craneway.http.AsyncHttpClient;
+import craneway.http.JsonResponses;
 import craneway.log.EventLog;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -30,7 +30,7 @@
     private static final long DEFAULT_DEADLINE_MICROS = 60_000_000;
 
     private final Router router;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final LongSupplier clock;
     private final EventLog log;
     private final String path;
@@ -45,7 +45,7 @@
      * @param forwarded whether requests on this path come from other routers
      */
     public CompletionHandler(
-            Router router, HttpCaller caller, LongSupplier clock, EventLog log, String path, boolean forwarded) {
+            Router router, AsyncHttpClient caller, LongSupplier clock, EventLog log, String path, boolean forwarded) {
         this.router = router;
         this.caller = caller;
         this.clock = clock;
@@ -56,9 +56,9 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        if (!exchange.getRequestPath().equals(path)) Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
+        if (!exchange.getRequestPath().equals(path)) JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.NO_SUCH_PAGE));
         else if (!exchange.getRequestMethod().equals(Methods.POST))
-            Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.WRONG_METHOD));
         else exchange.dispatch(() -> handleBlocking(exchange));
     }
 
@@ -68,7 +68,7 @@
             var body = readBody(exchange);
             if (body == null) {
                 exchange.setPersistent(false);
-                Problems.send(exchange, Problem.of(Kind.TOO_LARGE));
+                JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.TOO_LARGE));
                 return;
             }
             var request = RequestParser.parse(
@@ -80,7 +80,7 @@
                     clock.getAsLong());
             if (request.isLeft()) {
                 router.executor().counts().verdict(request.getLeft().kind());
-                Problems.send(exchange, request.getLeft());
+                JsonResponses.sendProblem(exchange, request.getLeft());
                 return;
             }
             relay(exchange, request.get());
@@ -90,7 +90,7 @@
             Thread.currentThread().interrupt();
             IoUtils.safeClose(exchange.getConnection());
         } catch (RuntimeException e) {
-            log.internal(e);
+            log.logInternalError(e);
             IoUtils.safeClose(exchange.getConnection());
         }
     }
@@ -136,6 +136,6 @@
     private long defaultDeadline(String serviceName) {
         var manifest = router.membership().view().manifest();
         var service = manifest == null ? null : manifest.service(serviceName);
-        return service == null ? DEFAULT_DEADLINE_MICROS : service.deadline();
+        return service == null ? DEFAULT_DEADLINE_MICROS : service.defaultDeadline();
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/RequestParser.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/RequestParser.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import craneway.data.request.Request;
 import craneway.http.HeaderNames;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import io.undertow.util.HeaderMap;
@@ -53,27 +53,27 @@
         try {
             root = JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            return problem(Kind.BAD_JSON, "the body is not well-formed JSON: " + e.getOriginalMessage());
+            return problem(ProblemKind.BAD_JSON, "the body is not well-formed JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            return problem(Kind.BAD_JSON, e.getMessage());
+            return problem(ProblemKind.BAD_JSON, e.getMessage());
         }
         var invalidField = findInvalidField(root);
-        if (invalidField != null) return problem(Kind.BAD_FIELD, invalidField);
+        if (invalidField != null) return problem(ProblemKind.BAD_FIELD, invalidField);
         var tenant =
                 headerOrDefault(headers, HeaderNames.TENANT, root.path("user").asText(""));
         if (tenant.isBlank())
             return problem(
-                    Kind.MISSING_TENANT, "name the tenant in the header " + HeaderNames.TENANT + " or the field user");
-        if (tenant.length() > 128) return problem(Kind.BAD_FIELD, "the tenant's name is longer than 128 characters");
-        var idempotencyKey = headerOrDefault(headers, HeaderNames.KEY, "");
-        if (idempotencyKey.length() > 128) return problem(Kind.BAD_FIELD, "the key is longer than 128 characters");
+                    ProblemKind.MISSING_TENANT, "name the tenant in the header " + HeaderNames.TENANT + " or the field user");
+        if (tenant.length() > 128) return problem(ProblemKind.BAD_FIELD, "the tenant's name is longer than 128 characters");
+        var idempotencyKey = headerOrDefault(headers, HeaderNames.IDEMPOTENCY_KEY, "");
+        if (idempotencyKey.length() > 128) return problem(ProblemKind.BAD_FIELD, "the key is longer than 128 characters");
         var service = root.get("model").asText();
         return remainingMillis(headers)
                 .map(millis -> new Request(
                         id,
                         service,
                         tenant,
-                        headerOrDefault(headers, HeaderNames.WORK, ""),
+                        headerOrDefault(headers, HeaderNames.WORK_KIND, ""),
                         regions(headers),
                         idempotencyKey,
                         prefixHash(root),
@@ -111,12 +111,12 @@
 
     /** The milliseconds until the deadline that the header states; -1 if it states none. */
     private static Either<Problem, Long> remainingMillis(HeaderMap headers) {
-        var value = headers.getFirst(HeaderNames.DEADLINE);
+        var value = headers.getFirst(HeaderNames.DEADLINE_MILLIS);
         if (value == null) return Either.right(-1L);
         if (!value.matches("-?\\d{1,9}"))
-            return problem(Kind.BAD_FIELD, HeaderNames.DEADLINE + " must be a whole number of milliseconds");
+            return problem(ProblemKind.BAD_FIELD, HeaderNames.DEADLINE_MILLIS + " must be a whole number of milliseconds");
         var millis = Long.parseLong(value);
-        return millis <= 0 ? problem(Kind.DEADLINE_PASSED, Kind.DEADLINE_PASSED.text()) : Either.right(millis);
+        return millis <= 0 ? problem(ProblemKind.DEADLINE_PASSED, ProblemKind.DEADLINE_PASSED.text()) : Either.right(millis);
     }
 
     private static List<String> regions(HeaderMap headers) {
@@ -131,7 +131,7 @@
         return value == null ? defaultValue : value.trim();
     }
 
-    private static <T> Either<Problem, T> problem(Kind kind, String detail) {
+    private static <T> Either<Problem, T> problem(ProblemKind kind, String detail) {
         return Either.left(Problem.of(kind, detail));
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -2,8 +2,8 @@
 
 import craneway.data.request.HttpExchange;
 import craneway.http.HeaderNames;
-import craneway.http.HttpCaller;
-import craneway.http.Problems;
+import craneway.http.AsyncHttpClient;
+import craneway.http.JsonResponses;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpServerConnection;
@@ -34,12 +34,12 @@
     private static final long DISCONNECT_CHECK_INTERVAL_MILLIS = 200;
 
     private final HttpServerExchange exchange;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final String routerName;
     private boolean pipelining;
     private final BlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
 
-    UndertowExchange(HttpServerExchange exchange, HttpCaller caller, String routerName) {
+    UndertowExchange(HttpServerExchange exchange, AsyncHttpClient caller, String routerName) {
         this.exchange = exchange;
         this.caller = caller;
         this.routerName = routerName;
@@ -82,36 +82,36 @@
         var callHeaders = new HashMap<HttpString, String>();
         headers.forEach((name, value) -> callHeaders.put(new HttpString(name), value));
         var call = caller.open(
-                address, Methods.POST, path, callHeaders, body, CONNECT_TIMEOUT_MILLIS, new HttpCaller.Sink() {
+                address, Methods.POST, path, callHeaders, body, CONNECT_TIMEOUT_MILLIS, new AsyncHttpClient.ResponseListener() {
                     @Override
-                    public void refused(String cause) {
+                    public void onConnectFailure(String cause) {
                         sink.refused();
                     }
 
                     @Override
-                    public void status(int code, HeaderMap responseHeaders) {
+                    public void onHeaders(int code, HeaderMap responseHeaders) {
                         sink.status(code, toLowerCaseMap(responseHeaders));
                     }
 
                     @Override
-                    public void chunk(byte[] bytes) {
+                    public void onChunk(byte[] bytes) {
                         sink.chunk(bytes);
                     }
 
                     @Override
-                    public void end() {
+                    public void onEnd() {
                         sink.end();
                     }
 
                     @Override
-                    public void broken(String cause) {
+                    public void onFailure(String cause) {
                         sink.broken();
                     }
                 });
         return new Call() {
             @Override
             public void took() {
-                call.took();
+                call.chunkConsumed();
             }
 
             @Override
@@ -156,13 +156,13 @@
 
     @Override
     public void verdict(Problem problem) {
-        Problems.send(exchange, problem);
+        JsonResponses.sendProblem(exchange, problem);
     }
 
     @Override
     public void cut(Problem problem, boolean started) {
         if (started)
-            write(("\n\nevent: error\ndata: " + Problems.json(problem) + "\n\n").getBytes(StandardCharsets.UTF_8));
+            write(("\n\nevent: error\ndata: " + JsonResponses.problemJson(problem) + "\n\n").getBytes(StandardCharsets.UTF_8));
         IoUtils.safeClose(exchange.getConnection());
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -8,8 +8,8 @@
 import craneway.data.router.Router;
 import craneway.data.runner.Announcement;
 import craneway.http.Addresses;
-import craneway.http.Problems;
-import craneway.model.problem.Kind;
+import craneway.http.JsonResponses;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.state.message.Messages.CommandResult;
 import io.undertow.server.HttpHandler;
@@ -45,11 +45,11 @@
     public void handleRequest(HttpServerExchange exchange) {
         var isAnnouncement = exchange.getRequestPath().equals("/v1/announce");
         if (!isAnnouncement && !exchange.getRequestPath().equals("/v1/leave")) {
-            Problems.send(exchange, Problem.of(Kind.NO_SUCH_PAGE));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.NO_SUCH_PAGE));
             return;
         }
         if (!exchange.getRequestMethod().equals(Methods.POST)) {
-            Problems.send(exchange, Problem.of(Kind.WRONG_METHOD));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.WRONG_METHOD));
             return;
         }
         exchange.getRequestReceiver()
@@ -61,12 +61,12 @@
             if (isAnnouncement) announce(exchange, JSON.readValue(body, Announcement.class));
             else leave(exchange, JSON.readValue(body, Leave.class));
         } catch (JsonParseException e) {
-            Problems.send(exchange, Problem.of(Kind.BAD_JSON, e.getOriginalMessage()));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.BAD_JSON, e.getOriginalMessage()));
         } catch (JsonMappingException e) {
-            Problems.send(
-                    exchange, Problem.of(isSyntaxError(e) ? Kind.BAD_JSON : Kind.BAD_FIELD, e.getOriginalMessage()));
+            JsonResponses.sendProblem(
+                    exchange, Problem.of(isSyntaxError(e) ? ProblemKind.BAD_JSON : ProblemKind.BAD_FIELD, e.getOriginalMessage()));
         } catch (IOException e) {
-            Problems.send(exchange, Problem.of(Kind.BAD_JSON, e.getMessage()));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.BAD_JSON, e.getMessage()));
         }
     }
 
@@ -80,14 +80,14 @@
                 || isBlank(announcement.name())
                 || isBlank(announcement.cell())
                 || announcement.address() == null
-                || Addresses.bad(announcement.address())
+                || Addresses.isInvalid(announcement.address())
                 || announcement.slots() < 1
                 || announcement.slots() > 100_000
                 || announcement.load() < 0) {
-            Problems.send(
+            JsonResponses.sendProblem(
                     exchange,
                     Problem.of(
-                            Kind.BAD_FIELD,
+                            ProblemKind.BAD_FIELD,
                             "an announcement needs service, name, cell, address as IP:PORT, slots from 1 and load from 0"));
             return;
         }
@@ -96,7 +96,7 @@
 
     private void leave(HttpServerExchange exchange, Leave leave) {
         if (isBlank(leave.service) || isBlank(leave.name))
-            Problems.send(exchange, Problem.of(Kind.BAD_FIELD, "a leave needs service, name and incarnation"));
+            JsonResponses.sendProblem(exchange, Problem.of(ProblemKind.BAD_FIELD, "a leave needs service, name and incarnation"));
         else router.leave(leave.service, leave.name, leave.incarnation, responder(exchange));
     }
 
@@ -108,8 +108,8 @@
     private static Consumer<CommandResult> responder(HttpServerExchange exchange) {
         exchange.dispatch();
         return result -> {
-            if (result.kind == 0) Problems.sendJson(exchange, "{\"acknowledged\":true}");
-            else Problems.send(exchange, new Problem(Kind.of(result.kind), result.detail, result.retryAfter));
+            if (result.kind == 0) JsonResponses.sendJson(exchange, "{\"acknowledged\":true}");
+            else JsonResponses.sendProblem(exchange, new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter));
         };
     }
 }
--- a/lib/http/src/main/java/craneway/http/Addresses.java
+++ b/lib/http/src/main/java/craneway/http/Addresses.java
@@ -8,7 +8,7 @@
 
     private Addresses() {}
 
-    public static boolean bad(String s) {
+    public static boolean isInvalid(String s) {
         var m = SHAPE.matcher(s);
         if (!m.matches()) return true;
         for (var i = 1; i <= 4; i++) if (Integer.parseInt(m.group(i)) > 255) return true;
--- a/lib/http/src/main/java/craneway/http/HttpCaller.java
+++ b/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
@@ -25,17 +25,17 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-public final class HttpCaller {
-    public interface Sink {
-        void refused(String cause);
+public final class AsyncHttpClient {
+    public interface ResponseListener {
+        void onConnectFailure(String cause);
 
-        void status(int code, HeaderMap headers);
+        void onHeaders(int code, HeaderMap headers);
 
-        void chunk(byte[] b);
+        void onChunk(byte[] b);
 
-        void end();
+        void onEnd();
 
-        void broken(String cause);
+        void onFailure(String cause);
     }
 
     private static final int WINDOW = 32;
@@ -43,7 +43,7 @@
     private final XnioWorker worker;
     private final ByteBufferPool pool = new DefaultByteBufferPool(false, 16 * 1024, 1000, 8);
 
-    public HttpCaller(XnioWorker worker) {
+    public AsyncHttpClient(XnioWorker worker) {
         this.worker = worker;
     }
 
@@ -54,13 +54,13 @@
             Map<HttpString, String> headers,
             byte[] body,
             long connectMillis,
-            Sink sink) {
+            ResponseListener sink) {
         var c = new Call(address, method, path, headers, body, sink, false);
         c.connect(connectMillis);
         return c;
     }
 
-    public Call keep(
+    public Call openPersistent(
             ClientConnection kept,
             String address,
             HttpString method,
@@ -68,7 +68,7 @@
             Map<HttpString, String> headers,
             byte[] body,
             long connectMillis,
-            Sink sink) {
+            ResponseListener sink) {
         var c = new Call(address, method, path, headers, body, sink, true);
         if (kept != null && kept.isOpen()) c.io(kept.getIoThread(), () -> c.connected(kept));
         else c.connect(connectMillis);
@@ -81,7 +81,7 @@
         private final String path;
         private final Map<HttpString, String> headers;
         private final ByteBuffer body;
-        private final Sink sink;
+        private final ResponseListener sink;
         private final AtomicBoolean over = new AtomicBoolean();
         private final boolean keep;
         private XnioIoThread io = worker.getIoThread();
@@ -96,7 +96,7 @@
                 String path,
                 Map<HttpString, String> headers,
                 byte[] body,
-                Sink sink,
+                ResponseListener sink,
                 boolean keep) {
             this.keep = keep;
             this.address = address;
@@ -188,12 +188,12 @@
         }
 
         private void write(StreamSinkChannel ch) {
-            Writes.all(ch, body, e -> fail(e.toString()));
+            BodyWriter.all(ch, body, e -> fail(e.toString()));
         }
 
         private void answered(ClientExchange x) {
             source = x.getResponseChannel();
-            sink.status(x.getResponse().getResponseCode(), x.getResponse().getResponseHeaders());
+            sink.onHeaders(x.getResponse().getResponseCode(), x.getResponse().getResponseHeaders());
             ChannelListener<StreamSourceChannel> l = this::read;
             source.getReadSetter().set(l);
             read(source);
@@ -214,7 +214,7 @@
                     b.flip();
                     var x = new byte[b.remaining()];
                     b.get(x);
-                    sink.chunk(x);
+                    sink.onChunk(x);
                     if (full(ch)) return;
                 }
             } catch (IOException e) {
@@ -229,7 +229,7 @@
             return true;
         }
 
-        public void took() {
+        public void chunkConsumed() {
             synchronized (this) {
                 if (untaken-- != WINDOW) return;
             }
@@ -245,14 +245,14 @@
         private void end() {
             if (!over.compareAndSet(false, true)) return;
             if (!keep) IoUtils.safeClose(connection);
-            sink.end();
+            sink.onEnd();
         }
 
         private void fail(String cause) {
             if (!over.compareAndSet(false, true)) return;
             IoUtils.safeClose(connection);
-            if (sent) sink.broken(cause);
-            else sink.refused(cause);
+            if (sent) sink.onFailure(cause);
+            else sink.onConnectFailure(cause);
         }
 
         public void cancel() {
--- a/lib/http/src/main/java/craneway/http/Writes.java
+++ b/lib/http/src/main/java/craneway/http/BodyWriter.java
@@ -7,8 +7,8 @@
 import org.xnio.ChannelListeners;
 import org.xnio.channels.StreamSinkChannel;
 
-final class Writes {
-    private Writes() {}
+final class BodyWriter {
+    private BodyWriter() {}
 
     static void all(StreamSinkChannel ch, ByteBuffer body, Consumer<IOException> problem) {
         try {
--- a/lib/http/src/main/java/craneway/http/HttpReply.java
+++ b/lib/http/src/main/java/craneway/http/BufferedHttpResponse.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-public record HttpReply(int status, HeaderMap headers, byte[] body) {
+public record BufferedHttpResponse(int status, HeaderMap headers, byte[] body) {
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    public static HttpReply of(
-            HttpCaller caller,
+    public static BufferedHttpResponse fetch(
+            AsyncHttpClient caller,
             String address,
             HttpString method,
             String path,
@@ -25,38 +25,38 @@
             byte[] body,
             long millis)
             throws IOException {
-        var f = new CompletableFuture<HttpReply>();
+        var f = new CompletableFuture<BufferedHttpResponse>();
         var whole = new ByteArrayOutputStream();
-        var call = new HttpCaller.Call[1];
-        var sink = new HttpCaller.Sink() {
+        var call = new AsyncHttpClient.Call[1];
+        var sink = new AsyncHttpClient.ResponseListener() {
             int code;
             HeaderMap map;
 
             @Override
-            public void refused(String cause) {
+            public void onConnectFailure(String cause) {
                 f.completeExceptionally(new IOException(cause));
             }
 
             @Override
-            public void status(int c, HeaderMap h) {
+            public void onHeaders(int c, HeaderMap h) {
                 code = c;
                 map = h;
             }
 
             @Override
-            public void chunk(byte[] b) {
+            public void onChunk(byte[] b) {
                 whole.writeBytes(b);
                 var c = call[0];
-                if (c != null) c.took();
+                if (c != null) c.chunkConsumed();
             }
 
             @Override
-            public void end() {
-                f.complete(new HttpReply(code, map, whole.toByteArray()));
+            public void onEnd() {
+                f.complete(new BufferedHttpResponse(code, map, whole.toByteArray()));
             }
 
             @Override
-            public void broken(String cause) {
+            public void onFailure(String cause) {
                 f.completeExceptionally(new IOException(cause));
             }
         };
--- a/lib/http/src/main/java/craneway/http/Callers.java
+++ b/lib/http/src/main/java/craneway/http/CallerPresence.java
@@ -2,7 +2,7 @@
 
 import craneway.control.operator.WakeGuard;
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpServerConnection;
 import io.undertow.util.AttachmentKey;
@@ -10,16 +10,16 @@
 import java.util.function.LongSupplier;
 
 /** Tells of an order that was read whether its caller can still be waiting for the answer. */
-public final class Callers {
+public final class CallerPresence {
     private static final AttachmentKey<WakeGuard.Connection> CONNECTION =
             AttachmentKey.create(WakeGuard.Connection.class);
 
     private final LongSupplier now;
-    private final Log log;
+    private final EventSink log;
     private final WakeGuard guard;
 
     /** Callers by this steady clock; refusals are told to the log. */
-    public Callers(LongSupplier now, Log log) {
+    public CallerPresence(LongSupplier now, EventSink log) {
         this.now = now;
         this.log = log;
         guard = new WakeGuard(now.getAsLong());
@@ -36,10 +36,10 @@
     }
 
     /** Whether the order that was begun to be read then has a caller; to be called by the connection's I/O thread. */
-    public boolean waits(HttpServerExchange x, long began, long at) {
+    public boolean mayBeWaiting(HttpServerExchange x, long began, long at) {
         var admitted = guard.admits(connection(x), began, at);
         if (admitted && !closed(x)) return true;
-        log.note(
+        log.logEvent(
                 Event.STALE_CALL,
                 x.getRequestMethod() + " " + x.getRequestPath()
                         + (admitted ? ": the connection is closed" : ": this process stood still"));
--- a/lib/http/src/main/java/craneway/http/Exchanges.java
+++ b/lib/http/src/main/java/craneway/http/Exchanges.java
@@ -1,6 +1,6 @@
 package craneway.http;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.SameThreadExecutor;
@@ -11,25 +11,25 @@
     private Exchanges() {}
 
     /** Takes the body and goes on in {@code where}, once the exchange can wait for a reply from any thread. */
-    public static void withBody(HttpServerExchange x, Executor where, Consumer<byte[]> then) {
+    public static void readBody(HttpServerExchange x, Executor where, Consumer<byte[]> then) {
         x.getRequestReceiver()
                 .receiveFullBytes(
                         (e, b) -> e.dispatch(where, () -> then.accept(b)),
-                        (e, p) -> Problems.send(e, Problem.of(Kind.TOO_LARGE)));
+                        (e, p) -> JsonResponses.sendProblem(e, Problem.of(ProblemKind.TOO_LARGE)));
     }
 
     /** Goes on when the exchange can wait for a reply from any thread. */
-    public static void later(HttpServerExchange x, Runnable then) {
+    public static void dispatch(HttpServerExchange x, Runnable then) {
         x.dispatch(SameThreadExecutor.INSTANCE, then);
     }
 
     /** Answers that there is nothing at this path. */
-    public static void noSuchPage(HttpServerExchange x) {
-        Problems.send(x, Problem.of(Kind.NO_SUCH_PAGE));
+    public static void sendNotFound(HttpServerExchange x) {
+        JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_SUCH_PAGE));
     }
 
     /** Answers that the path does not take this method. */
-    public static void wrongMethod(HttpServerExchange x) {
-        Problems.send(x, Problem.of(Kind.WRONG_METHOD));
+    public static void sendMethodNotAllowed(HttpServerExchange x) {
+        JsonResponses.sendProblem(x, Problem.of(ProblemKind.WRONG_METHOD));
     }
 }
--- a/lib/http/src/main/java/craneway/http/Problems.java
+++ b/lib/http/src/main/java/craneway/http/JsonResponses.java
@@ -7,33 +7,33 @@
 import io.undertow.util.Headers;
 import java.nio.charset.StandardCharsets;
 
-public final class Problems {
+public final class JsonResponses {
     public static final ObjectMapper JSON = new ObjectMapper();
 
-    private Problems() {}
+    private JsonResponses() {}
 
-    public static ObjectNode json(Problem p) {
+    public static ObjectNode problemJson(Problem p) {
         var n = JSON.createObjectNode();
         var e = n.putObject("error");
         e.put("code", p.kind().code())
                 .put("type", p.kind().name().toLowerCase())
                 .put("message", p.detail())
-                .put("bearing", p.kind().bearing().name().toLowerCase());
-        if (p.kind().transientState()) e.put("retry_after_seconds", p.retrySeconds());
+                .put("bearing", p.kind().workOutcome().name().toLowerCase());
+        if (p.kind().isTransient()) e.put("retry_after_seconds", p.retryAfterSeconds());
         return n;
     }
 
-    public static void send(HttpServerExchange x, Problem p) {
-        send(x, p, p.kind().status());
+    public static void sendProblem(HttpServerExchange x, Problem p) {
+        sendProblem(x, p, p.kind().status());
     }
 
-    public static void send(HttpServerExchange x, Problem p, int status) {
+    public static void sendProblem(HttpServerExchange x, Problem p, int status) {
         if (x.isResponseStarted()) return;
         x.setStatusCode(status);
         x.getResponseHeaders().put(HeaderNames.PROBLEM, p.kind().code());
-        x.getResponseHeaders().put(HeaderNames.RETRY_MICROS, p.retryAfter());
-        if (p.kind().transientState()) x.getResponseHeaders().put(Headers.RETRY_AFTER, p.retrySeconds());
-        sendJson(x, json(p).toString());
+        x.getResponseHeaders().put(HeaderNames.RETRY_MICROS, p.retryAfterMicros());
+        if (p.kind().isTransient()) x.getResponseHeaders().put(Headers.RETRY_AFTER, p.retryAfterSeconds());
+        sendJson(x, problemJson(p).toString());
     }
 
     public static void sendJson(HttpServerExchange x, String json) {
--- a/lib/http/src/test/java/craneway/http/CallersTest.java
+++ b/lib/http/src/test/java/craneway/http/CallerPresenceTest.java
@@ -24,10 +24,10 @@
 
 /** Orders whose callers closed their connections, or sent them while the process stood still, over real sockets. */
 @Timeout(30)
-class CallersTest {
+class CallerPresenceTest {
     private final AtomicLong now = new AtomicLong(5_000_000);
     private final List<Event> notes = new CopyOnWriteArrayList<>();
-    private final Callers callers = new Callers(now::get, (e, detail) -> notes.add(e));
+    private final CallerPresence callers = new CallerPresence(now::get, (e, detail) -> notes.add(e));
     private final LinkedBlockingQueue<String> seen = new LinkedBlockingQueue<>();
     private final CountDownLatch thawed = new CountDownLatch(1);
     private final CountDownLatch frozen = new CountDownLatch(1);
@@ -58,8 +58,8 @@
             return;
         }
         var began = callers.now();
-        Exchanges.later(x, () -> {
-            var waits = callers.waits(x, began, callers.now());
+        Exchanges.dispatch(x, () -> {
+            var waits = callers.mayBeWaiting(x, began, callers.now());
             seen.add(x.getRequestPath() + " " + waits);
             x.setStatusCode(waits ? 200 : 503).endExchange();
         });
--- a/lib/log/src/main/java/craneway/log/EventLog.java
+++ b/lib/log/src/main/java/craneway/log/EventLog.java
@@ -2,7 +2,7 @@
 
 import com.google.common.flogger.FluentLogger;
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.time.Instant;
@@ -12,7 +12,7 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-public final class EventLog implements Log {
+public final class EventLog implements EventSink {
     static {
         System.setProperty("java.util.logging.manager", ResetFreeLogManager.class.getName());
     }
@@ -23,10 +23,10 @@
 
     public EventLog(String node) {
         this.node = node;
-        arrange();
+        configureLogging();
     }
 
-    public static void arrange() {
+    public static void configureLogging() {
         var root = Logger.getLogger("");
         for (var h : root.getHandlers()) root.removeHandler(h);
         var h = new ConsoleHandler();
@@ -38,15 +38,15 @@
     }
 
     @Override
-    public void note(Event e, String detail) {
-        LOG.at(e == Event.INTERNAL || e == Event.DISK_LOST || e == Event.DISK_FAILED ? Level.WARNING : Level.INFO).log(
+    public void logEvent(Event e, String detail) {
+        LOG.at(e == Event.INTERNAL_ERROR || e == Event.DATA_DIRECTORY_DAMAGED || e == Event.DISK_WRITE_FAILED ? Level.WARNING : Level.INFO).log(
                 "CW%d %s %s: %s", e.code(), node, e.text(), detail);
     }
 
-    public void internal(Throwable t) {
+    public void logInternalError(Throwable t) {
         var w = new StringWriter();
         t.printStackTrace(new PrintWriter(w));
-        note(Event.INTERNAL, w.toString());
+        logEvent(Event.INTERNAL_ERROR, w.toString());
     }
 
     private static final class Line extends Formatter {
--- a/lib/model/src/main/java/craneway/model/event/Log.java
+++ b/lib/model/src/main/java/craneway/model/event/EventSink.java
@@ -1,7 +1,7 @@
 package craneway.model.event;
 
 /** Takes the events of one process; safe for several threads. */
-public interface Log {
+public interface EventSink {
     /** Records that an event happened, with what is particular to it. */
-    void note(Event e, String detail);
+    void logEvent(Event e, String detail);
 }
--- a/lib/model/src/main/java/craneway/model/manifest/Manifest.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Manifest.java
@@ -12,33 +12,33 @@
     public record Cell(String name, String zone, int weight) {}
 
     /** A kind of work of a service, and whether it may run only once. */
-    public record Work(String name, boolean runOnce) {}
+    public record WorkKind(String name, boolean runOnce) {}
 
     /**
      * How a service's runners behave: health path, connections, microseconds that one stays cold, requests a second
      * that a cold one bears, slots, cache.
      */
     public record Engine(
-            String healthPath, int connections, long cold, double coldPerSecond, int slots, long cacheTokens) {}
+            String healthPath, int maxConnections, long coldDuration, double coldRequestsPerSecond, int slots, long cacheCapacityTokens) {}
 
     /** Bounds on what a client may send: bytes of head and body, microseconds for the head and between bytes. */
-    public record Limits(int headerBytes, int bodyBytes, long header, long idle) {}
+    public record Limits(int maxHeaderBytes, int maxBodyBytes, long headerTimeout, long idleTimeout) {}
 
     /** A service with its cells, kinds of work, bounds and the pace of its moves. Times are microseconds. */
     public record Service(
             String name,
-            List<Work> work,
+            List<WorkKind> work,
             List<Cell> cells,
-            int buffer,
-            int bodyLimit,
-            long deadline,
+            int maxBufferedRequests,
+            int maxBodyBytes,
+            long defaultDeadline,
             long stepPause,
-            int stepUnits,
-            long warmUp,
+            int unitsPerStep,
+            long warmUpTime,
             Engine engine,
-            boolean bySlots) {
+            boolean weightedBySlots) {
         /** The kind of work of this name, or null. */
-        public Work work(String n) {
+        public WorkKind work(String n) {
             return work.stream().filter(w -> w.name().equals(n)).findFirst().orElse(null);
         }
 
@@ -49,7 +49,7 @@
     }
 
     /** A tenant, the regions its work may run in, and its requests a minute; 0 is without bound. */
-    public record Tenant(String name, List<String> regions, int quota) {}
+    public record Tenant(String name, List<String> homeRegions, int quotaPerMinute) {}
 
     private final String name;
     private final List<String> regions;
@@ -58,7 +58,7 @@
     private final Map<String, Tenant> tenants;
     private final Routes routes;
     private final Limits limits;
-    private final long lapsedGrace;
+    private final long lapsedLeaseGrace;
     private final long claimRetention;
 
     Manifest(
@@ -78,7 +78,7 @@
         this.tenants = tenants;
         this.routes = routes;
         this.limits = limits;
-        this.lapsedGrace = lapsedGrace;
+        this.lapsedLeaseGrace = lapsedGrace;
         this.claimRetention = claimRetention;
     }
 
@@ -128,8 +128,8 @@
     }
 
     /** How long a router whose lease has lapsed may go on with repeatable work, in microseconds. */
-    public long lapsedGrace() {
-        return lapsedGrace;
+    public long lapsedLeaseGrace() {
+        return lapsedLeaseGrace;
     }
 
     /** How long a claim of run-once work is kept, in microseconds. */
@@ -146,6 +146,6 @@
     /** The regions that a tenant's work may run in; all of them for a tenant that is not listed. */
     public List<String> homeRegions(String tenant) {
         var t = tenants.get(tenant);
-        return t == null ? regions : t.regions();
+        return t == null ? regions : t.homeRegions();
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/ManifestReader.java
@@ -6,7 +6,7 @@
 import com.networknt.schema.SchemaRegistry;
 import com.networknt.schema.SpecificationVersion;
 import craneway.model.json.JsonTree;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import io.vavr.control.Either;
 import java.io.IOException;
@@ -37,7 +37,7 @@
     }
 
     /** Reads a text that a store has checked already; skips the schema. */
-    public static Either<Problem, Manifest> readChecked(String text) {
+    public static Either<Problem, Manifest> readValidated(String text) {
         return parse(text).flatMap(ManifestReader::means);
     }
 
@@ -106,11 +106,11 @@
                 if (!zones.containsKey(cell.zone())) wrong.add("cell " + cell.name() + ": no zone " + cell.zone());
                 cells.add(cell);
             }
-            var work = new ArrayList<Manifest.Work>();
+            var work = new ArrayList<Manifest.WorkKind>();
             for (var w : s.get("work"))
-                work.add(new Manifest.Work(
+                work.add(new Manifest.WorkKind(
                         w.get("name").asText(), w.path("runOnce").asBoolean(false)));
-            if (work.stream().map(Manifest.Work::name).distinct().count() != work.size())
+            if (work.stream().map(Manifest.WorkKind::name).distinct().count() != work.size())
                 wrong.add("service " + name + ": a kind of work stands twice");
             var service = new Manifest.Service(
                     name,
@@ -152,6 +152,6 @@
     }
 
     private static <T> Either<Problem, T> bad(String detail) {
-        return Either.left(Problem.of(Kind.BAD_MANIFEST, detail));
+        return Either.left(Problem.of(ProblemKind.BAD_MANIFEST, detail));
     }
 }
--- a/lib/model/src/main/java/craneway/model/manifest/Route.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Route.java
@@ -6,17 +6,17 @@
 public record Route(
         String name,
         String host,
-        String prefix,
+        String pathPrefix,
         Kind kind,
         long deadline,
-        long target,
+        long firstChunkTarget,
         int urgency,
         List<Share> shares,
-        int tries,
+        int maxAttempts,
         boolean sticky,
-        boolean resume,
-        long pause,
-        List<String> regions) {
+        boolean resumable,
+        long gapTarget,
+        List<String> allowedRegions) {
     /** Whether a request may run again after a break, must not, or streams its answer, which may then resume. */
     public enum Kind {
         REPEATABLE,
@@ -28,12 +28,12 @@
     public record Share(String service, int weight) {}
 
     /** Whether a request may run more than once. */
-    public boolean repeatable() {
-        return kind == Kind.REPEATABLE || kind == Kind.STREAM && resume;
+    public boolean isRepeatable() {
+        return kind == Kind.REPEATABLE || kind == Kind.STREAM && resumable;
     }
 
     /** The service for a request whose key hashes to {@code h}. */
-    public String service(long h) {
+    public String selectService(long h) {
         var sum = 0;
         for (var s : shares) sum += s.weight();
         var at = (int) Long.remainderUnsigned(h, sum);
--- a/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
+++ b/lib/model/src/main/java/craneway/model/manifest/RouteReader.java
@@ -35,8 +35,8 @@
         var seen = new HashSet<String>();
         for (var r : n.path("routes")) {
             var x = route(r);
-            if (!seen.add(x.host().toLowerCase(Locale.ROOT) + x.prefix()))
-                wrong.add("route " + x.name() + ": " + x.host() + x.prefix() + " stands twice");
+            if (!seen.add(x.host().toLowerCase(Locale.ROOT) + x.pathPrefix()))
+                wrong.add("route " + x.name() + ": " + x.host() + x.pathPrefix() + " stands twice");
             var sum = 0L;
             for (var s : x.shares()) {
                 sum += s.weight();
@@ -44,7 +44,7 @@
             }
             if (sum <= 0 || sum > Integer.MAX_VALUE) wrong.add("route " + x.name() + ": its weights sum to " + sum);
             if (x.deadline() <= 0) wrong.add("route " + x.name() + ": its deadline is 0");
-            for (var g : x.regions()) if (!regions.contains(g)) wrong.add("route " + x.name() + ": no region " + g);
+            for (var g : x.allowedRegions()) if (!regions.contains(g)) wrong.add("route " + x.name() + ": no region " + g);
             all.add(x);
         }
         return new Routes(all);
--- a/lib/model/src/main/java/craneway/model/manifest/Routes.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Routes.java
@@ -10,14 +10,14 @@
 /** Finds the route of a host with the longest prefix of a path; prefixes begin and end with a slash. */
 public final class Routes {
     private final Map<String, Map<String, Route>> hosts = new HashMap<>();
-    private final Map<String, Collection<String>> bound = new ConcurrentHashMap<>();
+    private final Map<String, Collection<String>> regionSetsOf = new ConcurrentHashMap<>();
     private final int count;
 
     /** Routes of distinct hosts and prefixes. */
     public Routes(Collection<Route> all) {
         for (var r : all)
             hosts.computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new HashMap<>())
-                    .put(r.prefix(), r);
+                    .put(r.pathPrefix(), r);
         count = all.size();
     }
 
@@ -27,22 +27,22 @@
     }
 
     /** The region sets that routes to this service are bound to, each its names in order, once. */
-    public Collection<String> bound(String service) {
-        return bound.computeIfAbsent(service, this::boundOf);
+    public Collection<String> regionSetsOf(String service) {
+        return regionSetsOf.computeIfAbsent(service, this::boundOf);
     }
 
     private Collection<String> boundOf(String service) {
         var all = new TreeSet<String>();
         for (var h : hosts.values())
             for (var r : h.values())
-                if (!r.regions().isEmpty()
+                if (!r.allowedRegions().isEmpty()
                         && r.shares().stream().anyMatch(s -> s.service().equals(service)))
-                    all.add(String.join(" ", r.regions().stream().sorted().toList()));
+                    all.add(String.join(" ", r.allowedRegions().stream().sorted().toList()));
         return all;
     }
 
     /** For each host, its routes by prefix. */
-    public Collection<Map<String, Route>> all() {
+    public Collection<Map<String, Route>> routesOfEachHost() {
         return hosts.values();
     }
 
--- a/lib/model/src/main/java/craneway/model/node/NodeSettings.java
+++ b/lib/model/src/main/java/craneway/model/node/NodeSettings.java
@@ -9,30 +9,30 @@
         String name,
         String zone,
         String region,
-        Map<String, String> zones,
+        Map<String, String> regionByZone,
         String clientAddress,
-        String readiness,
-        String operator,
-        String directory,
+        String readinessAddress,
+        String operatorAddress,
+        String directoryAddress,
         String peerAddress,
-        List<String> seeds,
-        boolean firstStart,
-        Path data,
-        int losses,
-        long beat,
-        Bounds bounds) {
+        List<String> seedAddresses,
+        boolean mayBootstrap,
+        Path dataDirectory,
+        int toleratedMachineLosses,
+        long runnerHeartbeatInterval,
+        Tolerances tolerances) {
     /** Times are microseconds. */
-    public record Bounds(
-            long contact,
-            long drain,
-            long grace,
-            long apply,
-            long evacuate,
+    public record Tolerances(
+            long contactTimeout,
+            long drainTimeout,
+            long shutdownGrace,
+            long applyTimeout,
+            long evacuationTimeout,
             double retryRatio,
             long retryWindow,
             double retrySlack,
             double coldExcess,
             double coldSlack,
-            long transit,
-            long mostTtl) {}
+            long maxTransitTime,
+            long maxTtl) {}
 }
--- a/lib/model/src/main/java/craneway/model/problem/Kind.java
+++ b/lib/model/src/main/java/craneway/model/problem/ProblemKind.java
@@ -1,12 +1,12 @@
 package craneway.model.problem;
 
-import static craneway.model.problem.Bearing.BROKEN;
-import static craneway.model.problem.Bearing.DECLINED;
-import static craneway.model.problem.Bearing.RECORDED;
-import static craneway.model.problem.Bearing.UNKNOWN;
+import static craneway.model.problem.WorkOutcome.BROKEN;
+import static craneway.model.problem.WorkOutcome.DECLINED;
+import static craneway.model.problem.WorkOutcome.RECORDED;
+import static craneway.model.problem.WorkOutcome.UNKNOWN;
 
 /** The closed list of problems. Numbers and names are part of the interface; see docs/problems.md. */
-public enum Kind {
+public enum ProblemKind {
     BAD_JSON(101, 400, DECLINED, "the body is not well-formed JSON"),
     BAD_FIELD(102, 400, DECLINED, "a field is unknown or has the wrong type or value"),
     MISSING_TENANT(103, 400, DECLINED, "no tenant was named"),
@@ -58,13 +58,13 @@
 
     private final int code;
     private final int status;
-    private final Bearing bearing;
+    private final WorkOutcome workOutcome;
     private final String text;
 
-    Kind(int code, int status, Bearing bearing, String text) {
+    ProblemKind(int code, int status, WorkOutcome bearing, String text) {
         this.code = code;
         this.status = status;
-        this.bearing = bearing;
+        this.workOutcome = bearing;
         this.text = text;
     }
 
@@ -79,8 +79,8 @@
     }
 
     /** What it says of the work. */
-    public Bearing bearing() {
-        return bearing;
+    public WorkOutcome workOutcome() {
+        return workOutcome;
     }
 
     /** The text used where nothing more is known. */
@@ -89,18 +89,18 @@
     }
 
     /** Whether the same request may succeed later. */
-    public boolean transientState() {
+    public boolean isTransient() {
         return status == 503 || status == 429 || status == 507 || this == NOT_HOME;
     }
 
     /** The kind with this number, or null. */
-    public static Kind find(int code) {
+    public static ProblemKind find(int code) {
         for (var k : values()) if (k.code == code) return k;
         return null;
     }
 
     /** The kind with this number; an unknown number is an IllegalArgumentException. */
-    public static Kind of(int code) {
+    public static ProblemKind of(int code) {
         var k = find(code);
         if (k == null) throw new IllegalArgumentException("problem code " + code);
         return k;
--- a/lib/model/src/main/java/craneway/model/unit/Rendezvous.java
+++ b/lib/model/src/main/java/craneway/model/unit/RendezvousHash.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /** Rendezvous (highest random weight) hashing: a name that goes or comes moves only its own keys. */
-public final class Rendezvous {
-    private Rendezvous() {}
+public final class RendezvousHash {
+    private RendezvousHash() {}
 
     /** The name with the greatest weight for this topic, or null where there are none. */
     public static String pick(String topic, Collection<String> names) {
--- a/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
+++ b/lib/model/src/main/java/craneway/model/unit/TimingProfile.java
@@ -7,14 +7,14 @@
  * them, all parts with one leader, and messages of all parts at the same moment.
  */
 public record TimingProfile(
-        long heartbeat,
+        long heartbeatInterval,
         long electionTimeout,
         long electionJitter,
-        long hello,
-        long renew,
-        long subscribe,
-        long replace,
-        long settled,
+        long helloInterval,
+        long leaseRenewalInterval,
+        long subscriptionRenewalInterval,
+        long storeReplacementDelay,
+        long leaderSettleTime,
         boolean lowTraffic) {
     public static final TimingProfile STANDARD =
             new TimingProfile(100_000, 700_000, 700_000, 500_000, 500_000, 500_000, 4_000_000, 3_000_000, false);
@@ -22,12 +22,12 @@
             new TimingProfile(150_000, 700_000, 350_000, 1_000_000, 600_000, 900_000, 2_800_000, 800_000, true);
 
     /** The pace of leaders: how long one that no longer reaches a majority may go on. */
-    public long leaderLease() {
+    public long leaderLeaseDuration() {
         return electionTimeout * 8 / 10;
     }
 
     /** Whether something sent then is due again; a low-traffic profile lets all parts fall due together. */
-    public boolean due(long sent, long now) {
-        return lowTraffic ? now / heartbeat != sent / heartbeat : now >= sent + heartbeat;
+    public boolean isHeartbeatDue(long sent, long now) {
+        return lowTraffic ? now / heartbeatInterval != sent / heartbeatInterval : now >= sent + heartbeatInterval;
     }
 }
--- a/lib/process/src/main/java/craneway/process/Host.java
+++ b/lib/process/src/main/java/craneway/process/Host.java
@@ -1,7 +1,7 @@
 package craneway.process;
 
 import craneway.control.node.Port;
-import craneway.http.HttpCaller;
+import craneway.http.AsyncHttpClient;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
 import craneway.transport.HttpTransport;
@@ -37,7 +37,7 @@
 
     private final EventLog log;
     private final XnioWorker worker;
-    private final HttpCaller httpClient;
+    private final AsyncHttpClient httpClient;
     private final Transport transport;
     private final List<Undertow> servers = new ArrayList<>();
     private final List<ExecutorService> executors = new CopyOnWriteArrayList<>();
@@ -76,7 +76,7 @@
     }
 
     private Host(
-            BiFunction<HttpCaller, LongSupplier, Transport> transportFactory,
+            BiFunction<AsyncHttpClient, LongSupplier, Transport> transportFactory,
             EventLog log,
             int ioThreads,
             int workerThreads,
@@ -94,7 +94,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        httpClient = new HttpCaller(worker);
+        httpClient = new AsyncHttpClient(worker);
         transport = transportFactory.apply(httpClient, this::now);
         if (transport.ticks()) tick(transport::tick);
     }
@@ -111,8 +111,8 @@
     }
 
     @Override
-    public void note(Event event, String detail) {
-        log.note(event, detail);
+    public void logEvent(Event event, String detail) {
+        log.logEvent(event, detail);
     }
 
     /** Returns the log of this process. */
@@ -121,7 +121,7 @@
     }
 
     /** Returns the HTTP client of this process. */
-    public HttpCaller caller() {
+    public AsyncHttpClient caller() {
         return httpClient;
     }
 
@@ -194,7 +194,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            if (!closed) log.internal(e);
+            if (!closed) log.logInternalError(e);
         }
     }
 
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -48,13 +48,13 @@
         var self =
                 Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
-        router = new Router(host, self, node.seeds(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
+        router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         socketTransport.start(router.directory()::sameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::isReady, host::send);
         router.onReading(server::receiveNotice);
         router.onSilence(server::receiveNotice);
         host.tick(router::tick, TICK_INTERVAL_MILLIS);
-        log.note(
+        log.logEvent(
                 Event.STARTED,
                 "router zone " + node.zone() + " requester " + node.clientAddress() + " partner " + node.peerAddress());
     }
@@ -79,19 +79,19 @@
      */
     public void stopGently() throws InterruptedException {
         var startedAt = host.now();
-        host.note(Event.STOPPING, server.openRequestCount() + " requests open");
+        host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
         router.unready();
         pause(NOT_READY_PERIOD_MICROS);
         router.membership().leave(host.now());
         var servingUntil =
-                startedAt + Math.min(MAX_SERVING_PERIOD_MICROS, node.bounds().grace() * 6 / 10);
+                startedAt + Math.min(MAX_SERVING_PERIOD_MICROS, node.tolerances().shutdownGrace() * 6 / 10);
         while (host.now() < servingUntil) pause(20_000);
         server.stopListening();
-        var deadline = startedAt + node.bounds().grace() - GRACE_MARGIN_MICROS;
+        var deadline = startedAt + node.tolerances().shutdownGrace() - GRACE_MARGIN_MICROS;
         while (server.unansweredConnectionCount() > 0 && host.now() < deadline) pause(20_000);
         close();
-        host.note(Event.STOPPED, "router");
+        host.logEvent(Event.STOPPED, "router");
     }
 
     private static void pause(long micros) throws InterruptedException {
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -10,7 +10,7 @@
 import craneway.control.store.Rules;
 import craneway.control.store.Settings;
 import craneway.control.store.Store;
-import craneway.http.Callers;
+import craneway.http.CallerPresence;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
 import craneway.model.node.NodeSettings;
@@ -59,43 +59,43 @@
      */
     public PlatformStoreProcess(NodeSettings node, PlatformFormats dialect, EventLog log) {
         createDataDirectory(node);
-        shutdownGrace = node.bounds().grace();
-        disk = new DiskFolder(node.data(), DISK_RESERVE_BYTES);
+        shutdownGrace = node.tolerances().shutdownGrace();
+        disk = new DiskFolder(node.dataDirectory(), DISK_RESERVE_BYTES);
         var socketTransport =
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self =
                 Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
-                new LoopbackPort(node.peerAddress()), disk, self, node.seeds(), storeOptions(node), new SecureRandom());
+                new LoopbackPort(node.peerAddress()), disk, self, node.seedAddresses(), storeOptions(node), new SecureRandom());
         socketTransport.start(store.directory()::sameOrigin, store::receive);
-        var callers = new Callers(host::now, log);
+        var callers = new CallerPresence(host::now, log);
         host.tick(callers::tick);
         host.listen(
-                node.operator(),
+                node.operatorAddress(),
                 new PlatformOperatorHandler(
                         dialect,
                         new PlatformCommands(store.coreClient()),
-                        node.zones().keySet(),
+                        node.regionByZone().keySet(),
                         host.worker(),
                         callers),
                 MAX_CONFIGURATION_BODY_BYTES);
         host.listen(
-                node.directory(),
+                node.directoryAddress(),
                 new RouterAddressHandler(
                         dialect,
-                        new RouterAddresses(store, node.zones()),
-                        node.bounds().mostTtl()),
+                        new RouterAddresses(store, node.regionByZone()),
+                        node.tolerances().maxTtl()),
                 MAX_LOOKUP_BODY_BYTES);
         host.tick(store::tickNode);
         host.tick(this::tickParts);
-        log.note(
-                Event.STARTED, "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.data());
+        log.logEvent(
+                Event.STARTED, "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.dataDirectory());
     }
 
     private static void createDataDirectory(NodeSettings node) {
         try {
-            Files.createDirectories(node.data());
+            Files.createDirectories(node.dataDirectory());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -103,12 +103,12 @@
 
     private Rules storeOptions(NodeSettings node) {
         // More than two heartbeat intervals, so that one lost heartbeat does not make a runner dark.
-        var darkAfterMicros = node.beat() * 22 / 10 + 300_000;
+        var darkAfterMicros = node.runnerHeartbeatInterval() * 22 / 10 + 300_000;
         var settings =
-                new Settings(node.seeds().size(), true, node.firstStart(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
+                new Settings(node.seedAddresses().size(), true, node.mayBootstrap(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
         return new Rules(
                 settings,
-                Quorum.of(node.losses(), node.zones()),
+                Quorum.of(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
                 part -> host.singleThread("part " + part));
     }
@@ -137,8 +137,8 @@
         }
 
         @Override
-        public void note(Event event, String detail) {
-            host.note(event, detail);
+        public void logEvent(Event event, String detail) {
+            host.logEvent(event, detail);
         }
     }
 
@@ -165,13 +165,13 @@
      * longer needs this store, leaves the core, and closes.
      */
     public void stopGently() throws InterruptedException {
-        host.note(Event.STOPPING, "store");
+        host.logEvent(Event.STOPPING, "store");
         var deadline = host.now() + Math.max(0, shutdownGrace - GRACE_MARGIN_MICROS);
         while (store.leave() && host.now() < deadline) Thread.sleep(100);
         store.membership().leave(host.now());
         Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
-        host.note(Event.STOPPED, "store");
+        host.logEvent(Event.STOPPED, "store");
     }
 
     /** Closes the process at once, without a graceful shutdown, and releases the data directory. */
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -75,7 +75,7 @@
             router.tick();
             operator.tick(host.now());
         });
-        log.note(
+        log.logEvent(
                 Event.STARTED,
                 "router zone " + settings.zone + " requester " + settings.clientAddress + " partner "
                         + settings.peerAddress);
@@ -100,7 +100,7 @@
      * core, and closes. Takes at most about 63 s.
      */
     public void stopGently() throws InterruptedException {
-        host.note(Event.STOPPING, router.executor().open() + " transactions open");
+        host.logEvent(Event.STOPPING, router.executor().open() + " transactions open");
         router.unready();
         pause(NOT_READY_PERIOD_MICROS);
         router.executor().stop();
@@ -110,7 +110,7 @@
         host.stopListening();
         pause(LAST_RESPONSES_PERIOD_MICROS);
         close();
-        host.note(Event.STOPPED, "router");
+        host.logEvent(Event.STOPPED, "router");
     }
 
     private static void pause(long micros) throws InterruptedException {
--- a/lib/process/src/main/java/craneway/process/Startup.java
+++ b/lib/process/src/main/java/craneway/process/Startup.java
@@ -135,11 +135,11 @@
         for (var key : List.of("requester", "runner", "operator", "platform", "partner")) {
             if (!settings.has(key)) continue;
             var address = settings.get(key).asText();
-            if (Addresses.bad(address)) faults.add(key + " \"" + address + "\" is not IP:PORT");
+            if (Addresses.isInvalid(address)) faults.add(key + " \"" + address + "\" is not IP:PORT");
             else if (!usedAddresses.add(address)) faults.add(key + " " + address + " is used more than once");
         }
         for (var seed : settings.get("seeds"))
-            if (Addresses.bad(seed.asText())) faults.add("seed \"" + seed.asText() + "\" is not IP:PORT");
+            if (Addresses.isInvalid(seed.asText())) faults.add("seed \"" + seed.asText() + "\" is not IP:PORT");
         if (settings.has("data"))
             prepareDataDirectory(Path.of(settings.get("data").asText()), faults);
     }
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -59,7 +59,7 @@
             var part = p;
             host.tick(() -> store.tickPart(part));
         }
-        log.note(
+        log.logEvent(
                 Event.STARTED,
                 "store zone " + settings.zone + " partner " + settings.peerAddress + " data " + settings.data);
     }
@@ -89,7 +89,7 @@
      * or a timeout of 8 s has passed, leaves the core, and closes.
      */
     public void stopGently() throws InterruptedException {
-        host.note(Event.STOPPING, "store");
+        host.logEvent(Event.STOPPING, "store");
         stopping = true;
         Thread.sleep(NOT_READY_PERIOD_MICROS / 1000);
         var deadline = host.now() + LEAVE_TIMEOUT_MICROS;
@@ -98,7 +98,7 @@
         host.stopListening();
         Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
-        host.note(Event.STOPPED, "store");
+        host.logEvent(Event.STOPPED, "store");
     }
 
     /** Closes the process at once, without a graceful shutdown, and releases the data directory. */
--- a/lib/state/src/main/java/craneway/state/part/Election.java
+++ b/lib/state/src/main/java/craneway/state/part/Election.java
@@ -33,7 +33,7 @@
 
     /** The process has just started. */
     void started(long now) {
-        recentlyStartedUntil = now + replica.timing.leaderLease();
+        recentlyStartedUntil = now + replica.timing.leaderLeaseDuration();
         due = now + WAKE + (long) (random.nextDouble() * WAKE);
     }
 
@@ -134,7 +134,7 @@
 
     void preVoteAsked(PartMessage m, long now) {
         var r = replica.message(PartMessage.PRE_VOTE_REPLY, m.from, m.term);
-        var mine = now < recentlyStartedUntil + replica.timing.leaderLease() && hasPriority(m);
+        var mine = now < recentlyStartedUntil + replica.timing.leaderLeaseDuration() && hasPriority(m);
         if (mine && replica.role == Role.FOLLOWER) due = now;
         r.recentlyStarted = recentlyStarted(now);
         r.granted = m.term > replica.log.term() && upToDate(m) && !leaderAlive(now) && !mine;
--- a/lib/state/src/main/java/craneway/state/part/Follower.java
+++ b/lib/state/src/main/java/craneway/state/part/Follower.java
@@ -104,7 +104,7 @@
 
     private void refuse(PartMessage m, String why) {
         replica.out.note(
-                Event.SNAPSHOT_REFUSED, "part " + replica.part + " from " + Long.toHexString(m.from) + ": " + why);
+                Event.SNAPSHOT_REJECTED, "part " + replica.part + " from " + Long.toHexString(m.from) + ": " + why);
     }
 
     private void refusePiece(PartMessage m, long held, String why) {
--- a/lib/state/src/main/java/craneway/state/part/Group.java
+++ b/lib/state/src/main/java/craneway/state/part/Group.java
@@ -60,7 +60,7 @@
     private void rebuild(Members first, long now) {
         try {
             var from = replica.rebuild(first);
-            note(Event.PART_REBUILT, "from entry " + from);
+            note(Event.PART_RECOVERED, "from entry " + from);
         } catch (DiskException e) {
             fail(e, now);
         }
@@ -119,7 +119,7 @@
 
     /** Whether this store may answer as the leader: it is ready and within its lease. */
     public boolean hasLease(long now) {
-        return ready() && !handOver.open() && now < replication.majorityContact() + replica.timing.leaderLease();
+        return ready() && !handOver.open() && now < replication.majorityContact() + replica.timing.leaderLeaseDuration();
     }
 
     /** Up to where a store's log is known to match this leader's. */
@@ -294,7 +294,7 @@
 
     private void fail(DiskException e, long now) {
         replica.dropPending();
-        replica.out.note(Event.DISK_FAILED, "part " + replica.part + ": " + e.getMessage());
+        replica.out.note(Event.DISK_WRITE_FAILED, "part " + replica.part + ": " + e.getMessage());
         replica.leader = 0;
         become(Role.DISK_FAILED, now);
     }
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -85,7 +85,7 @@
     void beat(long now) {
         for (var id : others()) {
             var p = peers.computeIfAbsent(id, k -> newPeer(now));
-            if (p.sentAt == Long.MIN_VALUE || replica.timing.due(p.sentAt, now)) replicate(id, now);
+            if (p.sentAt == Long.MIN_VALUE || replica.timing.isHeartbeatDue(p.sentAt, now)) replicate(id, now);
         }
     }
 
--- a/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
@@ -18,14 +18,14 @@
     static CommandResult claim(Rows.Whole rows, Commands.Claim c) {
         var old = rows.claims.get(c.key);
         if (old != null && old.state != Rows.Claim.FREED) return claimed(old, c);
-        if (rows.claimsLost) return Records.failure(Kind.CLAIMS_LOST, Kind.CLAIMS_LOST.text());
+        if (rows.claimsLost) return Records.failure(ProblemKind.CLAIMS_LOST, ProblemKind.CLAIMS_LOST.text());
         if (old != null && sameTry(old, c.holder, c.incarnation, c.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "this try was given back");
+            return Records.failure(ProblemKind.OUTCOME_UNKNOWN, "this try was given back");
         var may = ServiceCommands.mayWrite(rows, c.service, c.unit, c.tableVersion, c.region);
         if (may != null) return may;
         var m = rows.members.get(c.holder);
         if (m == null || m.lapsed || m.node.incarnation != c.incarnation)
-            return Records.failure(Kind.STALE_MEMBER, c.holder + " holds no lease at incarnation " + c.incarnation);
+            return Records.failure(ProblemKind.STALE_MEMBER, c.holder + " holds no lease at incarnation " + c.incarnation);
         var r = claimOf(rows, c.holder, c.incarnation, c.attempt);
         r.unit = c.unit;
         rows.claims.put(c.key, r);
@@ -48,9 +48,9 @@
     private static CommandResult claimed(Rows.Claim r, Commands.Claim c) {
         if (r.state == Rows.Claim.OPEN && sameTry(r, c.holder, c.incarnation, c.attempt)) return Records.ok();
         return switch (r.state) {
-            case Rows.Claim.OPEN -> Records.failure(Kind.IN_PROGRESS, Kind.IN_PROGRESS.text());
-            case Rows.Claim.DONE -> Records.failure(Kind.ALREADY_DONE, Kind.ALREADY_DONE.text());
-            default -> Records.failure(Kind.OUTCOME_UNKNOWN, Kind.OUTCOME_UNKNOWN.text());
+            case Rows.Claim.OPEN -> Records.failure(ProblemKind.IN_PROGRESS, ProblemKind.IN_PROGRESS.text());
+            case Rows.Claim.DONE -> Records.failure(ProblemKind.ALREADY_DONE, ProblemKind.ALREADY_DONE.text());
+            default -> Records.failure(ProblemKind.OUTCOME_UNKNOWN, ProblemKind.OUTCOME_UNKNOWN.text());
         };
     }
 
@@ -61,7 +61,7 @@
             rows.claims.put(c.key, r);
         }
         if (r == null || !sameTry(r, c.holder, c.incarnation, c.attempt))
-            return Records.failure(Kind.OUTCOME_UNKNOWN, "no such claim");
+            return Records.failure(ProblemKind.OUTCOME_UNKNOWN, "no such claim");
         if (r.state == Rows.Claim.OPEN || r.state == Rows.Claim.UNKNOWN) r.state = c.state;
         return Records.ok();
     }
@@ -89,7 +89,7 @@
         var n = Math.min(c.count, c.limit - q.used);
         if (n <= 0) {
             var v = Records.failure(
-                    Kind.QUOTA_SPENT, "tenant " + c.tenant + " used its " + c.limit + " for this minute");
+                    ProblemKind.QUOTA_SPENT, "tenant " + c.tenant + " used its " + c.limit + " for this minute");
             v.retryAfter = left;
             return v;
         }
--- a/lib/state/src/main/java/craneway/state/record/Lives.java
+++ b/lib/state/src/main/java/craneway/state/record/Lives.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -24,7 +24,7 @@
         var life = rows.lives.computeIfAbsent(f.life, k -> new Rows.Life());
         life.index = rows.index;
         if (f.sequence < life.floor)
-            return Records.failure(Kind.LATE_COMMAND, "ask " + f.sequence + " is below " + life.floor);
+            return Records.failure(ProblemKind.LATE_COMMAND, "ask " + f.sequence + " is below " + life.floor);
         var v = handle.apply(Codec.readTagged(f.body));
         life.applied.put(f.sequence, applied(v));
         trim(life, f.lowest);
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.MarkKey;
 import craneway.state.message.Messages.CommandResult;
@@ -16,7 +16,7 @@
         if (c.base == base(m) && c.text.equals(m.text)) return taken(m);
         if (c.base != m.version)
             return Records.failure(
-                    Kind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.version);
+                    ProblemKind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.version);
         m.base = c.base;
         m.number = 0;
         m.version++;
@@ -35,9 +35,9 @@
         if (change.isThatOf(c.number, m)) return taken(m);
         if (c.base != m.known())
             return Records.failure(
-                    Kind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.known());
+                    ProblemKind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.known());
         if (c.number <= m.known())
-            return Records.failure(Kind.BAD_MANIFEST, "version " + c.number + " is not above " + m.known());
+            return Records.failure(ProblemKind.BAD_MANIFEST, "version " + c.number + " is not above " + m.known());
         m.base = c.base;
         m.version = Math.max(c.number, m.version + 1);
         m.number = m.version == c.number ? 0 : c.number;
--- a/lib/state/src/main/java/craneway/state/record/MemberCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/MemberCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
@@ -11,7 +11,7 @@
     static CommandResult memberPut(Rows.Whole rows, Commands.MemberPut c) {
         var old = rows.members.get(c.node.name);
         if (old != null && old.node.incarnation > c.node.incarnation)
-            return Records.failure(Kind.STALE_MEMBER, Long.toString(old.node.incarnation));
+            return Records.failure(ProblemKind.STALE_MEMBER, Long.toString(old.node.incarnation));
         if (old != null && old.node.incarnation < c.node.incarnation)
             abandon(rows, c.node.name, c.node.incarnation - 1);
         var m = new Rows.Member();
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Plan;
@@ -12,7 +12,7 @@
     static CommandResult planPut(Rows.Whole rows, Commands.PlanPut c) {
         var p = c.plan;
         if (p.manifestVersion != rows.manifest.version || p.marksVersion != rows.manifest.marksVersion)
-            return Records.failure(Kind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
+            return Records.failure(ProblemKind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
         p.id = ++rows.planCount;
         rows.plans.put(p.id, p);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
@@ -21,13 +21,13 @@
 
     static CommandResult planConfirm(Rows.Whole rows, Commands.PlanConfirm c) {
         var p = rows.plans.get(c.plan);
-        if (p == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + c.plan);
+        if (p == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + c.plan);
         if (p.state == Plan.CONFIRMED) return Records.versioned(p.confirmedTopic);
-        if (p.state == Plan.STOPPED) return Records.failure(Kind.STALE_PLAN, "plan " + c.plan + " was stopped");
+        if (p.state == Plan.STOPPED) return Records.failure(ProblemKind.STALE_PLAN, "plan " + c.plan + " was stopped");
         var m = rows.manifest;
         if (p.manifestVersion != m.version || p.marksVersion != m.marksVersion)
             return Records.failure(
-                    Kind.STALE_PLAN,
+                    ProblemKind.STALE_PLAN,
                     "plan " + c.plan + " was made for manifest " + p.manifestVersion + " and marks " + p.marksVersion
                             + "; in force are " + m.version + " and " + m.marksVersion);
         p.marks.forEach((k, v) -> {
@@ -43,9 +43,9 @@
 
     static CommandResult planStop(Rows.Whole rows, Commands.PlanStop c) {
         var p = rows.plans.get(c.plan);
-        if (p == null) return Records.failure(Kind.UNKNOWN_PLAN, "no plan " + c.plan);
+        if (p == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + c.plan);
         if (p.state == Plan.CONFIRMED)
-            return Records.failure(Kind.STALE_PLAN, "plan " + c.plan + " is in force; take it back with an intent");
+            return Records.failure(ProblemKind.STALE_PLAN, "plan " + c.plan + " is in force; take it back with an intent");
         p.state = Plan.STOPPED;
         p.cause = c.cause;
         return Records.ok();
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -65,7 +65,7 @@
     private CommandResult handle(Object command) {
         var handler = handlers.get(command.getClass());
         return handler == null
-                ? failure(Kind.BAD_MESSAGE, command.getClass().getSimpleName() + " is no command")
+                ? failure(ProblemKind.BAD_MESSAGE, command.getClass().getSimpleName() + " is no command")
                 : handler.apply(rows, command);
     }
 
@@ -83,11 +83,11 @@
         return new CommandResult();
     }
 
-    public static CommandResult failure(Kind kind, String detail) {
+    public static CommandResult failure(ProblemKind kind, String detail) {
         var v = new CommandResult();
         v.kind = kind.code();
         v.detail = detail;
-        v.retryAfter = kind.transientState() ? 1_000_000 : 0;
+        v.retryAfter = kind.isTransient() ? 1_000_000 : 0;
         return v;
     }
 
