--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.unit.Table;
+import craneway.model.unit.PlacementTable;
 import craneway.state.message.Node;
 import craneway.state.message.Plan;
 import java.util.ArrayList;
@@ -72,7 +72,7 @@
 
         public int displaced(int unit) {
             for (var i = 0; i < displacedUnits.length; i++) if (displacedUnits[i] == unit) return displacedCells[i];
-            return Table.NOWHERE;
+            return PlacementTable.NOWHERE;
         }
 
         public int weight(int cell) {
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -1,6 +1,6 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 
@@ -10,10 +10,10 @@
 
     static CommandResult runnerPut(Rows.Whole rows, Commands.RunnerPut c) {
         var s = rows.services.get(c.service);
-        if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service);
+        if (s == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service);
         var cell = s.cells.indexOf(c.cell);
         if (cell < 0 || !s.live(cell))
-            return Records.failure(Kind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell);
+            return Records.failure(ProblemKind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell);
         var old = s.runners.get(c.runner);
         if (old != null
                 && (old.incarnation > c.incarnation
@@ -21,7 +21,7 @@
                                 && old.state == Rows.Runner.LEAVING
                                 && c.state == Rows.Runner.UP))
             return Records.failure(
-                    Kind.STALE_RUNNER,
+                    ProblemKind.STALE_RUNNER,
                     "runner " + c.runner + " is known as " + old.stateName() + " at incarnation " + old.incarnation);
         var r = new Rows.Runner();
         r.name = c.runner;
@@ -41,10 +41,10 @@
 
     static CommandResult runnerMark(Rows.Whole rows, Commands.RunnerMark c) {
         var s = rows.services.get(c.service);
-        if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + c.service);
+        if (s == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service);
         var r = s.runners.get(c.runner);
         if (r == null || r.incarnation != c.incarnation)
-            return Records.failure(Kind.STALE_RUNNER, "no runner " + c.runner + " at incarnation " + c.incarnation);
+            return Records.failure(ProblemKind.STALE_RUNNER, "no runner " + c.runner + " at incarnation " + c.incarnation);
         end(rows, s, r, c.state);
         return Records.ok();
     }
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -1,7 +1,7 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
-import craneway.model.unit.Table;
+import craneway.model.problem.ProblemKind;
+import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -17,13 +17,13 @@
         s.name = c.service;
         s.manifestVersion = c.manifestVersion;
         s.bySlots = c.bySlots;
-        for (var r : c.regions) if (!s.regions.contains(r) && s.regions.size() < Units.MOST_REGIONS) s.regions.add(r);
+        for (var r : c.regions) if (!s.regions.contains(r) && s.regions.size() < Units.MAX_REGIONS) s.regions.add(r);
         s.sets = c.bound.stream().mapToInt(b -> set(s, b)).distinct().toArray();
         for (var i = 0; i < s.cells.size(); i++) if (!c.cells.contains(s.cells.get(i))) s.weights.set(i, 0);
         for (var i = 0; i < c.cells.size(); i++) putCell(s, c, i);
         var old = s.homes;
-        s.homes = Arrays.copyOf(old, Units.count(s.regions.size()));
-        Arrays.fill(s.homes, old.length, s.homes.length, Table.NOWHERE);
+        s.homes = Arrays.copyOf(old, Units.unitCount(s.regions.size()));
+        Arrays.fill(s.homes, old.length, s.homes.length, PlacementTable.NOWHERE);
         s.tableVersion++;
         s.newsVersion = rows.index;
         return Records.ok();
@@ -51,7 +51,7 @@
 
     static CommandResult tableStep(Rows.Whole rows, Commands.TableStep c) {
         var s = rows.services.get(c.service);
-        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
+        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         for (var i = 0; i < c.units.length; i++) s.homes[c.units[i]] = c.cells[i];
         s.tableVersion++;
         s.newsVersion = rows.index;
@@ -60,16 +60,16 @@
 
     static CommandResult mayWrite(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
         var s = rows.services.get(service);
-        if (s == null) return Records.failure(Kind.UNKNOWN_SERVICE, "no service " + service);
+        if (s == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + service);
         if (tableVersion != s.tableVersion) {
             var v = Records.failure(
-                    Kind.STALE_TABLE, "table version " + tableVersion + ", in force is " + s.tableVersion);
+                    ProblemKind.STALE_TABLE, "table version " + tableVersion + ", in force is " + s.tableVersion);
             v.version = s.tableVersion;
             return v;
         }
-        var home = unit < 0 || unit >= s.homes.length ? Table.NOWHERE : s.homes[unit];
-        if (home == Table.NOWHERE || !s.cellRegions.get(home).equals(region))
-            return Records.failure(Kind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
+        var home = unit < 0 || unit >= s.homes.length ? PlacementTable.NOWHERE : s.homes[unit];
+        if (home == PlacementTable.NOWHERE || !s.cellRegions.get(home).equals(region))
+            return Records.failure(ProblemKind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
         return null;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/Steps.java
+++ b/lib/state/src/main/java/craneway/state/record/Steps.java
@@ -1,7 +1,7 @@
 package craneway.state.record;
 
-import craneway.model.problem.Kind;
-import craneway.model.unit.Table;
+import craneway.model.problem.ProblemKind;
+import craneway.model.unit.PlacementTable;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 import java.util.Arrays;
@@ -13,9 +13,9 @@
 
     static CommandResult ask(Rows.Whole rows, Commands.StepAsk c) {
         var s = rows.services.get(c.service);
-        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
+        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         if (s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED))
-            return Records.failure(Kind.STALE_TABLE, "another step is being confirmed");
+            return Records.failure(ProblemKind.STALE_TABLE, "another step is being confirmed");
         var x = new Rows.Step();
         x.id = ++s.stepCount;
         x.units = c.units;
@@ -35,7 +35,7 @@
         var s = rows.services.get(c.service);
         var x = s == null ? null : s.step(c.id);
         if (x == null || !x.may(c.state))
-            return Records.failure(Kind.STALE_TABLE, "the step is " + (x == null ? "unknown" : x.stateName()));
+            return Records.failure(ProblemKind.STALE_TABLE, "the step is " + (x == null ? "unknown" : x.stateName()));
         x.state = c.state;
         if (!c.cause.isEmpty()) x.cause += "; " + c.cause;
         if (c.state == Rows.Step.RAISED) raise(rows, s, x);
@@ -65,12 +65,12 @@
     }
 
     private static void clear(Rows.Service s, int[] units) {
-        for (var u : units) put(s, u, Table.NOWHERE);
+        for (var u : units) put(s, u, PlacementTable.NOWHERE);
     }
 
     static CommandResult displace(Rows.Whole rows, Commands.Displace c) {
         var s = rows.services.get(c.service);
-        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(Kind.STALE_TABLE, "table moved on");
+        if (s == null || s.tableVersion != c.tableVersion) return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         for (var i = 0; i < c.units.length; i++) put(s, c.units[i], c.cells[i]);
         s.newsVersion = rows.index;
         return Records.ok();
@@ -80,7 +80,7 @@
         var n = s.displacedUnits.length;
         var at = 0;
         while (at < n && s.displacedUnits[at] != unit) at++;
-        if (cell == Table.NOWHERE) {
+        if (cell == PlacementTable.NOWHERE) {
             if (at == n) return;
             s.displacedUnits[at] = s.displacedUnits[n - 1];
             s.displacedCells[at] = s.displacedCells[n - 1];
--- a/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
+++ b/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Hash;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
@@ -60,17 +60,17 @@
     @Test
     void ofTwoUnderOneNumberOneIsTaken() {
         assertEquals(OK, put(0, 3, "a").kind);
-        assertEquals(Kind.RACE_LOST.code(), put(0, 3, "b").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
         assertEquals("a", newest().source);
-        assertEquals(Kind.BAD_MANIFEST.code(), put(3, 3, "b").kind);
+        assertEquals(ProblemKind.BAD_MANIFEST.code(), put(3, 3, "b").kind);
     }
 
     @Test
     void theSameTextOnAnotherBaseIsAnotherChange() {
         assertEquals(OK, put(0, 3, "a").kind);
         assertEquals(OK, put(3, 5, "b").kind);
-        assertEquals(Kind.RACE_LOST.code(), put(0, 5, "b").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(0, 5, "b").kind);
         assertEquals(OK, put(3, 5, "b").kind);
     }
 
@@ -78,11 +78,11 @@
     void oneThatWasRefusedIsNeverTakenLater() {
         put(0, 3, "a");
         put(3, 5, "b");
-        assertEquals(Kind.RACE_LOST.code(), put(3, 7, "c").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(3, 7, "c").kind);
         put(5, 6, "d");
-        assertEquals(Kind.RACE_LOST.code(), put(3, 7, "c").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(3, 7, "c").kind);
         rebuild();
-        assertEquals(Kind.RACE_LOST.code(), put(3, 7, "c").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(3, 7, "c").kind);
     }
 
     @Test
@@ -98,9 +98,9 @@
         assertEquals(OK, put(3, 9, "b").kind);
         reload();
         assertEquals(OK, put(3, 9, "b").kind);
-        assertEquals(Kind.BAD_MANIFEST.code(), put(9, 9, "c").kind);
+        assertEquals(ProblemKind.BAD_MANIFEST.code(), put(9, 9, "c").kind);
         assertEquals(OK, put(9, 10, "c").kind);
-        assertEquals(Kind.RACE_LOST.code(), put(3, 9, "x").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(3, 9, "x").kind);
     }
 
     @Test
@@ -110,7 +110,7 @@
         rebuild();
         assertEquals(OK, putUnnumbered(1, "b").kind);
         assertEquals(1_002, newest().version);
-        assertEquals(Kind.RACE_LOST.code(), putUnnumbered(1, "c").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), putUnnumbered(1, "c").kind);
         assertEquals(OK, putUnnumbered(1_002, "c").kind);
     }
 
@@ -124,7 +124,7 @@
         var oldest = all - Fingerprint.REMEMBERED + 1;
         assertEquals(OK, put(oldest - 1, oldest, "text " + oldest).kind);
         assertEquals(OK, put(all - 1, all, "text " + all).kind);
-        assertEquals(Kind.RACE_LOST.code(), put(oldest - 2, oldest - 1, "text " + (oldest - 1)).kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(oldest - 2, oldest - 1, "text " + (oldest - 1)).kind);
         assertEquals(all, newest().version);
         assertEquals("text " + all, newest().source);
     }
@@ -133,7 +133,7 @@
     void twoTextsOfOneHashAreToldApart() {
         put(0, 3, "a");
         newest().taken.put(3L, Hash.of(Hash.of("b"), 0));
-        assertEquals(Kind.RACE_LOST.code(), put(0, 3, "b").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
     }
 
@@ -146,7 +146,7 @@
         reload();
         assertEquals(OK, put(3, 5, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
-        assertEquals(Kind.RACE_LOST.code(), put(0, 3, "x").kind);
+        assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "x").kind);
         assertEquals(OK, put(5, 6, "c").kind);
         assertEquals(OK, put(5, 6, "c").kind);
     }
--- a/lib/state/src/test/java/craneway/state/record/LivesTest.java
+++ b/lib/state/src/test/java/craneway/state/record/LivesTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -56,7 +56,7 @@
         c.plan = 9;
         var first = apply(LIFE, 1, 1, c);
         var copy = apply(LIFE, 1, 1, c);
-        assertEquals(Kind.UNKNOWN_PLAN.code(), first.kind);
+        assertEquals(ProblemKind.UNKNOWN_PLAN.code(), first.kind);
         assertEquals(first.kind, copy.kind);
         assertEquals(first.detail, copy.detail);
         assertEquals(first.retryAfter, copy.retryAfter);
@@ -66,7 +66,7 @@
     void aSequenceBelowTheFloorHasNoEffect() {
         apply(LIFE, 10, 10, mark(false));
         var late = apply(LIFE, 9, 9, mark(true));
-        assertEquals(Kind.LATE_COMMAND.code(), late.kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), late.kind);
         assertFalse(emptied());
     }
 
@@ -78,7 +78,7 @@
         assertEquals(2, records.rows().lives.get(LIFE).applied.size());
         assertNull(records.verdict(LIFE, 4));
         assertNotNull(records.verdict(LIFE, 5));
-        assertEquals(Kind.LATE_COMMAND.code(), apply(LIFE, 4, 4, mark(false)).kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), apply(LIFE, 4, 4, mark(false)).kind);
         assertTrue(emptied());
     }
 
@@ -86,7 +86,7 @@
     void theVerdictsOfALifeAreBounded() {
         for (var i = 1; i <= 3 * Lives.VERDICTS; i++) apply(LIFE, i, 1, mark(true));
         assertEquals(Lives.VERDICTS, records.rows().lives.get(LIFE).applied.size());
-        assertEquals(Kind.LATE_COMMAND.code(), apply(LIFE, 1, 1, mark(false)).kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), apply(LIFE, 1, 1, mark(false)).kind);
         assertTrue(emptied());
     }
 
@@ -111,7 +111,7 @@
         records = other;
         assertEquals(0, apply(LIFE, 7, 7, mark(true)).kind);
         assertFalse(emptied());
-        assertEquals(Kind.LATE_COMMAND.code(), apply(LIFE, 6, 6, mark(true)).kind);
+        assertEquals(ProblemKind.LATE_COMMAND.code(), apply(LIFE, 6, 6, mark(true)).kind);
     }
 
     @Test
@@ -134,7 +134,7 @@
     void aCommandWithinACommandIsRefused() {
         var inner = new Commands.Fenced();
         inner.body = Codec.writeTagged(mark(true));
-        assertEquals(Kind.BAD_MESSAGE.code(), apply(LIFE, 1, 1, inner).kind);
+        assertEquals(ProblemKind.BAD_MESSAGE.code(), apply(LIFE, 1, 1, inner).kind);
         assertFalse(emptied());
     }
 
--- a/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
+++ b/lib/transport/src/main/java/craneway/transport/BadMessageLog.java
@@ -1,14 +1,14 @@
 package craneway.transport;
 
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import java.util.function.LongSupplier;
 
 /** Logs rejected messages, at most one line per second, and counts those in between. Thread-safe. */
 final class BadMessageLog {
     private static final long MIN_INTERVAL_MICROS = 1_000_000;
 
-    private final Log log;
+    private final EventSink log;
     private final LongSupplier clock;
     private long nextLineAt = Long.MIN_VALUE;
     private int suppressedCount;
@@ -18,7 +18,7 @@
      *
      * @param clock the steady clock, in microseconds
      */
-    BadMessageLog(Log log, LongSupplier clock) {
+    BadMessageLog(EventSink log, LongSupplier clock) {
         this.log = log;
         this.clock = clock;
     }
@@ -29,7 +29,7 @@
             suppressedCount++;
             return;
         }
-        log.note(Event.BAD_MESSAGE, suppressedCount == 0 ? cause : cause + " (and " + suppressedCount + " others)");
+        log.logEvent(Event.BAD_MESSAGE, suppressedCount == 0 ? cause : cause + " (and " + suppressedCount + " others)");
         suppressedCount = 0;
         nextLineAt = clock.getAsLong() + MIN_INTERVAL_MICROS;
     }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -1,7 +1,7 @@
 package craneway.transport;
 
 import craneway.http.HeaderNames;
-import craneway.http.HttpCaller;
+import craneway.http.AsyncHttpClient;
 import craneway.state.message.Codec;
 import io.undertow.client.ClientConnection;
 import io.undertow.util.HeaderMap;
@@ -29,7 +29,7 @@
     private static final long CONNECT_TIMEOUT_MILLIS = 500;
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
 
-    private final HttpCaller httpClient;
+    private final AsyncHttpClient httpClient;
     private final LongSupplier coreId;
     private final LongSupplier clock;
     private final Map<String, PeerQueue> queues = new ConcurrentHashMap<>();
@@ -40,7 +40,7 @@
      * @param coreId the id of the core that this process belongs to, 0 while it belongs to none
      * @param clock the steady clock, in microseconds
      */
-    public HttpTransport(HttpCaller httpClient, LongSupplier coreId, LongSupplier clock) {
+    public HttpTransport(AsyncHttpClient httpClient, LongSupplier coreId, LongSupplier clock) {
         this.httpClient = httpClient;
         this.coreId = coreId;
         this.clock = clock;
@@ -63,11 +63,11 @@
     }
 
     /** The messages that wait for one address, and the request to it that is in flight, if any. */
-    private final class PeerQueue implements HttpCaller.Sink {
+    private final class PeerQueue implements AsyncHttpClient.ResponseListener {
         private final String address;
         private final Deque<byte[]> queued = new ArrayDeque<>();
         private int queuedBytes;
-        private HttpCaller.Call inFlight;
+        private AsyncHttpClient.Call inFlight;
         private ClientConnection idleConnection;
         private long sentAt;
 
@@ -102,7 +102,7 @@
             queuedBytes -= batchBytes;
             sentAt = clock.getAsLong();
             var body = Codec.write(batch);
-            inFlight = httpClient.keep(
+            inFlight = httpClient.openPersistent(
                     idleConnection,
                     address,
                     Methods.POST,
@@ -112,8 +112,8 @@
                             HeaderNames.WIRE_VERSION,
                             HeaderNames.CORE,
                             Long.toHexString(coreId.getAsLong()),
-                            HeaderNames.CHECK,
-                            HeaderNames.check(body)),
+                            HeaderNames.CHECKSUM,
+                            HeaderNames.checksum(body)),
                     body,
                     CONNECT_TIMEOUT_MILLIS,
                     this);
@@ -126,23 +126,23 @@
         }
 
         @Override
-        public void refused(String cause) {
+        public void onConnectFailure(String cause) {
             finish(false);
         }
 
         @Override
-        public void status(int code, HeaderMap headers) {}
+        public void onHeaders(int code, HeaderMap headers) {}
 
         @Override
-        public void chunk(byte[] bytes) {}
+        public void onChunk(byte[] bytes) {}
 
         @Override
-        public void end() {
+        public void onEnd() {
             finish(true);
         }
 
         @Override
-        public void broken(String cause) {
+        public void onFailure(String cause) {
             finish(false);
         }
     }
--- a/lib/transport/src/main/java/craneway/transport/PeerHandler.java
+++ b/lib/transport/src/main/java/craneway/transport/PeerHandler.java
@@ -52,7 +52,7 @@
     }
 
     private void reject(HttpServerExchange exchange, String cause) {
-        log.note(Event.BAD_MESSAGE, cause);
+        log.logEvent(Event.BAD_MESSAGE, cause);
         exchange.setStatusCode(403).endExchange();
     }
 
@@ -85,16 +85,16 @@
 
     private void receiveBatch(HttpServerExchange exchange, byte[] body) {
         try {
-            if (!HeaderNames.check(body).equals(exchange.getRequestHeaders().getFirst(HeaderNames.CHECK)))
+            if (!HeaderNames.checksum(body).equals(exchange.getRequestHeaders().getFirst(HeaderNames.CHECKSUM)))
                 throw new BadMessageException("checksum mismatch");
             for (var message : Codec.read(MessageBatch.class, body).messages)
                 receiver.accept(Codec.readTagged(message));
             exchange.setStatusCode(204);
         } catch (BadMessageException e) {
-            log.note(Event.BAD_MESSAGE, e.getMessage() + " from " + exchange.getSourceAddress());
+            log.logEvent(Event.BAD_MESSAGE, e.getMessage() + " from " + exchange.getSourceAddress());
             exchange.setStatusCode(400);
         } catch (RuntimeException e) {
-            log.internal(e);
+            log.logInternalError(e);
             exchange.setStatusCode(500);
         }
         exchange.endExchange();
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -1,7 +1,7 @@
 package craneway.transport;
 
 import craneway.model.event.Event;
-import craneway.model.event.Log;
+import craneway.model.event.EventSink;
 import craneway.state.message.BadMessageException;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.Hello;
@@ -91,7 +91,7 @@
     private final String ownAddress;
     private final LongSupplier coreId;
     private final LongSupplier clock;
-    private final Log log;
+    private final EventSink log;
     private final BadMessageLog badMessages;
     private final Selector selector;
     private final DatagramChannel udp;
@@ -117,7 +117,7 @@
      * @param coreId the id of the core that this process belongs to, 0 while it belongs to none
      * @param clock the steady clock, in microseconds
      */
-    public SocketTransport(String address, LongSupplier coreId, LongSupplier clock, Log log) {
+    public SocketTransport(String address, LongSupplier coreId, LongSupplier clock, EventSink log) {
         this.ownAddress = address;
         this.coreId = coreId;
         this.clock = clock;
@@ -178,7 +178,7 @@
             udp.close();
             tcp.close();
         } catch (IOException e) {
-            log.note(Event.INTERNAL, "transport: " + e);
+            log.logEvent(Event.INTERNAL_ERROR, "transport: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -189,7 +189,7 @@
             try {
                 runOnce();
             } catch (IOException | RuntimeException e) {
-                if (!closed) log.note(Event.INTERNAL, "transport: " + e);
+                if (!closed) log.logEvent(Event.INTERNAL_ERROR, "transport: " + e);
             }
         }
         List.copyOf(connections).forEach(Connection::end);
@@ -269,7 +269,7 @@
         try {
             receiver.accept(message);
         } catch (RuntimeException e) {
-            log.note(Event.INTERNAL, message.getClass().getSimpleName() + ": " + e);
+            log.logEvent(Event.INTERNAL_ERROR, message.getClass().getSimpleName() + ": " + e);
         }
     }
 
--- a/prog/craneway/src/main/java/craneway/command/CommandRunner.java
+++ b/prog/craneway/src/main/java/craneway/command/CommandRunner.java
@@ -17,7 +17,7 @@
      * @return the command's exit code
      */
     public static int run(Object command, String... arguments) {
-        EventLog.arrange();
+        EventLog.configureLogging();
         return new CommandLine(command)
                 .setExecutionExceptionHandler((exception, line, result) -> report(exception))
                 .execute(arguments);
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -1,7 +1,7 @@
 package craneway.command;
 
-import craneway.http.HttpCaller;
-import craneway.http.HttpReply;
+import craneway.http.AsyncHttpClient;
+import craneway.http.BufferedHttpResponse;
 import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -17,7 +17,7 @@
     private static final long PATIENCE_MILLIS = 10_000;
 
     private final XnioWorker worker;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
 
     public OperatorClient() {
         try {
@@ -26,19 +26,19 @@
         } catch (IOException e) {
             throw new CommandFailure(1, e.getMessage());
         }
-        caller = new HttpCaller(worker);
+        caller = new AsyncHttpClient(worker);
     }
 
-    public HttpCaller caller() {
+    public AsyncHttpClient caller() {
         return caller;
     }
 
-    public HttpReply call(
+    public BufferedHttpResponse call(
             List<String> at, HttpString method, String path, Map<HttpString, String> headers, String body) {
         IOException last = null;
         for (var a : at) {
             try {
-                return checked(HttpReply.of(
+                return checked(BufferedHttpResponse.fetch(
                         caller, a, method, path, headers, body.getBytes(StandardCharsets.UTF_8), PATIENCE_MILLIS));
             } catch (IOException e) {
                 last = e;
@@ -48,7 +48,7 @@
         throw new CommandFailure(1, "no reply: " + (last == null ? "no address" : last.getMessage()));
     }
 
-    private static HttpReply checked(HttpReply r) {
+    private static BufferedHttpResponse checked(BufferedHttpResponse r) {
         if (r.status() < 400) return r;
         throw new CommandFailure(
                 r.status() == 503 ? 4 : 3,
--- a/prog/craneway/src/main/java/craneway/command/load/Choice.java
+++ b/prog/craneway/src/main/java/craneway/command/load/Choice.java
@@ -1,7 +1,7 @@
 package craneway.command.load;
 
 import craneway.command.OperatorClient;
-import craneway.http.HttpReply;
+import craneway.http.BufferedHttpResponse;
 import io.undertow.util.Methods;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
 
     private boolean ready(String address) {
         try {
-            return HttpReply.of(web.caller(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
+            return BufferedHttpResponse.fetch(web.caller(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
                             .status()
                     == 200;
         } catch (IOException e) {
--- a/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
@@ -1,7 +1,7 @@
 package craneway.command.load;
 
 import craneway.http.HeaderNames;
-import craneway.http.HttpCaller;
+import craneway.http.AsyncHttpClient;
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
@@ -22,7 +22,7 @@
 
     private record End(boolean clean, String cause) {}
 
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final Choice to;
     private final String service;
     private final Mix mix;
@@ -33,7 +33,7 @@
     private int count;
 
     LoadClient(
-            HttpCaller caller,
+            AsyncHttpClient caller,
             Choice to,
             String service,
             Mix mix,
@@ -76,9 +76,9 @@
     private ReplyRecord submit(String sub, Mix.Kind kind, String tenant, String key, int tokens) {
         var h = new HashMap<HttpString, String>();
         h.put(HeaderNames.TENANT, tenant);
-        h.put(HeaderNames.WORK, kind.name());
-        h.put(HeaderNames.DEADLINE, Integer.toString(options.deadline));
-        if (kind.once()) h.put(HeaderNames.KEY, key);
+        h.put(HeaderNames.WORK_KIND, kind.name());
+        h.put(HeaderNames.DEADLINE_MILLIS, Integer.toString(options.deadline));
+        if (kind.once()) h.put(HeaderNames.IDEMPOTENCY_KEY, key);
         var body = "{\"model\":\"" + service + "\",\"stream\":true,\"max_tokens\":" + tokens
                 + ",\"messages\":[{\"role\":\"system\",\"content\":\""
                 + ("The rules for a " + kind.name() + " are long. ").repeat(30)
@@ -106,7 +106,7 @@
             if (o instanceof byte[] b) {
                 if (first == 0) first = micros(start);
                 parser.hear(b);
-                call.took();
+                call.chunkConsumed();
             }
             if (o instanceof End e) return over(sub, kind, key, status, e, parser, first, micros(start));
         }
@@ -125,30 +125,30 @@
         }
     }
 
-    private static HttpCaller.Sink sink(BlockingQueue<Object> box) {
-        return new HttpCaller.Sink() {
+    private static AsyncHttpClient.ResponseListener sink(BlockingQueue<Object> box) {
+        return new AsyncHttpClient.ResponseListener() {
             @Override
-            public void refused(String cause) {
+            public void onConnectFailure(String cause) {
                 box.add(new Refused(cause));
             }
 
             @Override
-            public void status(int code, HeaderMap headers) {
+            public void onHeaders(int code, HeaderMap headers) {
                 box.add(new Status(code, headers));
             }
 
             @Override
-            public void chunk(byte[] b) {
+            public void onChunk(byte[] b) {
                 box.add(b);
             }
 
             @Override
-            public void end() {
+            public void onEnd() {
                 box.add(new End(true, ""));
             }
 
             @Override
-            public void broken(String cause) {
+            public void onFailure(String cause) {
                 box.add(new End(false, cause));
             }
         };
@@ -168,7 +168,7 @@
         var code = p == null ? 0 : Integer.parseInt(p);
         var bearing = code == 0
                 ? "strange"
-                : craneway.model.problem.Kind.of(code).bearing().name().toLowerCase();
+                : craneway.model.problem.ProblemKind.of(code).workOutcome().name().toLowerCase();
         return ReplyRecord.of(
                 sub, kind, key, bearing, code, parser, 0, micros, retry == null ? -1 : Long.parseLong(retry) * 1000);
     }
--- a/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
@@ -69,7 +69,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        for (var a : to) if (Addresses.bad(a)) throw new CommandFailure(2, "--to " + a + " is not IP:PORT");
+        for (var a : to) if (Addresses.isInvalid(a)) throw new CommandFailure(2, "--to " + a + " is not IP:PORT");
         if (streams < 1 || atOnce < 1 || tenants < 1 || tokens < 1 || asks < 1)
             throw new CommandFailure(2, "counts start at 1");
         if (!platform.isEmpty() && platform.size() != to.size())
--- a/prog/craneway/src/main/java/craneway/command/load/Report.java
+++ b/prog/craneway/src/main/java/craneway/command/load/Report.java
@@ -33,7 +33,7 @@
                 t.code() == 0 || t.code() == 200
                         ? t.verdict()
                         : t.verdict() + " "
-                                + craneway.model.problem.Kind.of(t.code())
+                                + craneway.model.problem.ProblemKind.of(t.code())
                                         .name()
                                         .toLowerCase(),
                 1,
--- a/prog/craneway/src/main/java/craneway/command/operator/At.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/At.java
@@ -14,7 +14,7 @@
     private List<String> addresses;
 
     List<String> all() {
-        for (var a : addresses) if (Addresses.bad(a)) throw new CommandFailure(2, "--at " + a + " is not IP:PORT");
+        for (var a : addresses) if (Addresses.isInvalid(a)) throw new CommandFailure(2, "--at " + a + " is not IP:PORT");
         return addresses;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
@@ -5,7 +5,7 @@
 import craneway.command.CommandFailure;
 import craneway.command.OperatorClient;
 import craneway.http.HeaderNames;
-import craneway.http.HttpReply;
+import craneway.http.BufferedHttpResponse;
 import craneway.model.manifest.ManifestReader;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -45,7 +45,7 @@
         valid(text);
         try (var w = new OperatorClient()) {
             return told(
-                    w.call(at.all(), Methods.PUT, "/v1/manifest", Map.of(HeaderNames.BASE, Long.toString(base)), text));
+                    w.call(at.all(), Methods.PUT, "/v1/manifest", Map.of(HeaderNames.BASE_VERSION, Long.toString(base)), text));
         }
     }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    private static int told(HttpReply r) {
+    private static int told(BufferedHttpResponse r) {
         System.out.println(r.text().strip());
         return "pending".equals(Plans.json(r.text()).path("state").asText()) ? PlanCommand.PENDING : 0;
     }
@@ -67,7 +67,7 @@
     @Command(name = "show", description = "Prints the manifest in force; its version goes to standard error.")
     int show(@Mixin At at) {
         var r = get(at);
-        System.err.println("version " + r.headers().getFirst(HeaderNames.VERSION));
+        System.err.println("version " + r.headers().getFirst(HeaderNames.MANIFEST_VERSION));
         System.out.print(r.text());
         return 0;
     }
@@ -100,7 +100,7 @@
         else into.put(at, n.toString());
     }
 
-    private static HttpReply get(At at) {
+    private static BufferedHttpResponse get(At at) {
         try (var w = new OperatorClient()) {
             return w.call(at.all(), Methods.GET, "/v1/manifest", Map.of(), "");
         }
--- a/test/features/src/test/java/craneway/features/NearSteps.java
+++ b/test/features/src/test/java/craneway/features/NearSteps.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CranewayMain;
-import craneway.http.HttpCaller;
-import craneway.http.HttpReply;
+import craneway.http.AsyncHttpClient;
+import craneway.http.BufferedHttpResponse;
 import craneway.log.EventLog;
 import craneway.process.BadStartupException;
 import craneway.process.RouterProcess;
@@ -55,8 +55,8 @@
     private RouterProcess router;
     private StandinRunner runner;
     private XnioWorker worker;
-    private HttpCaller caller;
-    private HttpReply reply;
+    private AsyncHttpClient caller;
+    private BufferedHttpResponse reply;
     private Socket socket;
     private int code;
     private String said;
@@ -86,7 +86,7 @@
     public void near() throws IOException {
         folder = Files.createTempDirectory("craneway");
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
-        caller = new HttpCaller(worker);
+        caller = new AsyncHttpClient(worker);
         for (var k : List.of(
                 "store",
                 "store-operator",
@@ -170,7 +170,7 @@
     public void again(String file, String how) throws IOException {
         folder = Files.createTempDirectory("craneway");
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
-        caller = new HttpCaller(worker);
+        caller = new AsyncHttpClient(worker);
         for (var k : List.of("store", "store-operator", "store-platform")) at.put(k, free());
         var seeds = at.get("store") + ",127.0.0.1:9,127.0.0.1:8";
         store = startStore(seeds);
@@ -251,7 +251,7 @@
 
     private int status(String who, String path) {
         try {
-            return HttpReply.of(caller, at.get(who), new HttpString("GET"), path, Map.of(), new byte[0], 5_000)
+            return BufferedHttpResponse.fetch(caller, at.get(who), new HttpString("GET"), path, Map.of(), new byte[0], 5_000)
                     .status();
         } catch (IOException e) {
             return 0;
@@ -303,7 +303,7 @@
     @Then("each of these is declined with its own kind and nothing runs")
     public void declined(DataTable t) throws IOException {
         for (var r : t.asMaps()) {
-            var x = HttpReply.of(
+            var x = BufferedHttpResponse.fetch(
                     caller,
                     at.get(r.get("to")),
                     new HttpString(r.get("method")),
@@ -321,7 +321,7 @@
 
     @Then("the manifest in force is still version {long}")
     public void still(long v) throws IOException {
-        var r = HttpReply.of(
+        var r = BufferedHttpResponse.fetch(
                 caller, at.get("operator"), new HttpString("GET"), "/v1/manifest", Map.of(), new byte[0], 5_000);
         if (!String.valueOf(v).equals(r.headers().getFirst("craneway-version")))
             throw new AssertionError(r.headers().toString());
@@ -344,7 +344,7 @@
                     default -> headers("craneway-wire=1 craneway-core=" + core);
                 };
         for (var who : List.of("router", "store")) {
-            var r = HttpReply.of(caller, at.get(who), new HttpString("POST"), "/partner", h, body, 5_000);
+            var r = BufferedHttpResponse.fetch(caller, at.get(who), new HttpString("POST"), "/partner", h, body, 5_000);
             if (r.status() != status) throw new AssertionError(who + " replied " + r.status());
         }
         if (status("platform", "/live") != 200
@@ -388,7 +388,7 @@
 
     @When("run-once work {string} is submitted")
     public void once(String key) throws IOException {
-        reply = HttpReply.of(
+        reply = BufferedHttpResponse.fetch(
                 caller,
                 at.get("requester"),
                 new HttpString("POST"),
@@ -437,7 +437,7 @@
     }
 
     private JsonNode status() throws IOException {
-        return JSON.readTree(HttpReply.of(
+        return JSON.readTree(BufferedHttpResponse.fetch(
                         caller, at.get("operator"), new HttpString("GET"), "/v1/status", Map.of(), new byte[0], 5_000)
                 .body());
     }
@@ -456,7 +456,7 @@
         at.put("whole", "0");
         at.put("spent", "0");
         for (var i = 0; i < n; i++) {
-            reply = HttpReply.of(
+            reply = BufferedHttpResponse.fetch(
                     caller,
                     at.get("requester"),
                     new HttpString("POST"),
@@ -482,7 +482,7 @@
     public void metrics() throws IOException {
         said = "";
         for (var who : List.of("operator", "store-operator"))
-            said += HttpReply.of(caller, at.get(who), new HttpString("GET"), "/metrics", Map.of(), new byte[0], 5_000)
+            said += BufferedHttpResponse.fetch(caller, at.get(who), new HttpString("GET"), "/metrics", Map.of(), new byte[0], 5_000)
                     .text();
     }
 
--- a/test/features/src/test/java/craneway/features/RecordSteps.java
+++ b/test/features/src/test/java/craneway/features/RecordSteps.java
@@ -1,6 +1,6 @@
 package craneway.features;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
@@ -85,7 +85,7 @@
     }
 
     private static void is(CommandResult v, String verdict) {
-        var got = v.kind == 0 ? "taken" : Kind.of(v.kind).name().toLowerCase();
+        var got = v.kind == 0 ? "taken" : ProblemKind.of(v.kind).name().toLowerCase();
         if (!got.equals(verdict)) throw new AssertionError("got " + got + " " + v.detail);
     }
 
--- a/test/features/src/test/java/craneway/features/SimSteps.java
+++ b/test/features/src/test/java/craneway/features/SimSteps.java
@@ -1,6 +1,6 @@
 package craneway.features;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.sim.Chaos;
 import craneway.sim.Checks;
 import craneway.sim.ClientMachine;
@@ -206,7 +206,7 @@
         check(!all.isEmpty(), key + " was never told anything");
         var t = all.get(0);
         check(
-                t.verdict.equals("declined") && Kind.of(t.code).name().equals(kind) && t.retryAfter > 0,
+                t.verdict.equals("declined") && ProblemKind.of(t.code).name().equals(kind) && t.retryAfter > 0,
                 key + " was told " + t.verdict + " " + t.code);
         check(t.at - t.askedAt <= ms * 1000L, key + " was told after " + (t.at - t.askedAt) / 1000 + " ms");
         check(all.get(all.size() - 1).verdict.equals("whole"), key + " ended as " + all.get(all.size() - 1).verdict);
--- a/test/pass/src/test/java/craneway/pass/Bed.java
+++ b/test/pass/src/test/java/craneway/pass/Bed.java
@@ -77,7 +77,7 @@
         Arrays.fill(service.homes, 0);
         Arrays.fill(service.homes, 200, 300, 1);
         publish();
-        var bounds = new NodeSettings.Bounds(
+        var bounds = new NodeSettings.Tolerances(
                 4_000_000, 3_000_000, 8_000_000, 3_000_000, 5_000_000, 0.2, 10_000_000, 60, 1.5, 5, 400_000, 5_000_000);
         seat = new NodeSettings(
                 "r1",
--- a/test/sim/src/main/java/craneway/sim/Checks.java
+++ b/test/sim/src/main/java/craneway/sim/Checks.java
@@ -1,6 +1,6 @@
 package craneway.sim;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -132,8 +132,8 @@
     }
 
     private boolean explained(Journal.Reply t) {
-        if (t.code == Kind.QUOTA_SPENT.code() || t.code == Kind.CLAIMS_LOST.code() && !j.claimsAccepted) return true;
-        if (t.code != Kind.NO_RUNNER.code()) return false;
+        if (t.code == ProblemKind.QUOTA_SPENT.code() || t.code == ProblemKind.CLAIMS_LOST.code() && !j.claimsAccepted) return true;
+        if (t.code != ProblemKind.NO_RUNNER.code()) return false;
         return new Rights(j, zoneRegion, this).allEmptied(t);
     }
 
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -1,7 +1,7 @@
 package craneway.sim;
 
 import craneway.data.request.HttpExchange;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -115,7 +115,7 @@
             if (code != 200) {
                 told.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM));
                 told.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS));
-                say(Kind.of(told.code).bearing().name().toLowerCase());
+                say(ProblemKind.of(told.code).workOutcome().name().toLowerCase());
                 return;
             }
             say(complete() ? "whole" : "false-end");
--- a/test/sim/src/main/java/craneway/sim/Day.java
+++ b/test/sim/src/main/java/craneway/sim/Day.java
@@ -98,7 +98,7 @@
         var cells = m.services().values().iterator().next().cells();
         for (var i = cells.size() - 1; i >= 0; i--) {
             var region = m.regionOfZone(cells.get(i).zone());
-            if (m.tenants().values().stream().noneMatch(t -> t.regions().equals(List.of(region))))
+            if (m.tenants().values().stream().noneMatch(t -> t.homeRegions().equals(List.of(region))))
                 return cells.get(i).name();
         }
         throw new IllegalArgumentException("no cell can be spared");
--- a/test/sim/src/main/java/craneway/sim/Journal.java
+++ b/test/sim/src/main/java/craneway/sim/Journal.java
@@ -1,6 +1,6 @@
 package craneway.sim;
 
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -95,7 +95,7 @@
     public Map<String, Integer> summary(long from) {
         var m = new TreeMap<String, Integer>();
         for (var t : replies)
-            if (t.askedAt >= from) m.merge(t.verdict + (t.code == 0 ? "" : " " + Kind.of(t.code)), 1, Integer::sum);
+            if (t.askedAt >= from) m.merge(t.verdict + (t.code == 0 ? "" : " " + ProblemKind.of(t.code)), 1, Integer::sum);
         return m;
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Measures.java
+++ b/test/sim/src/main/java/craneway/sim/Measures.java
@@ -26,7 +26,7 @@
     }
 
     private static String owner(Scenario s) {
-        var part = Parts.of(s.world.service);
+        var part = Parts.partOf(s.world.service);
         return s.world.all(StoreMachine.class).stream()
                 .filter(m -> m.store.replicas()[part].leads())
                 .map(m -> m.name)
--- a/test/sim/src/main/java/craneway/sim/NodePort.java
+++ b/test/sim/src/main/java/craneway/sim/NodePort.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void note(Event e, String detail) {
+    public void logEvent(Event e, String detail) {
         of.world.timeline.note(of.now(), of.name, "CW" + e.code() + " " + detail);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -140,7 +140,7 @@
             if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
             var h = new HashMap<String, String>();
             h.put(HttpExchange.PROBLEM, Integer.toString(p.kind().code()));
-            h.put(HttpExchange.RETRY_MICROS, Long.toString(p.retryAfter()));
+            h.put(HttpExchange.RETRY_MICROS, Long.toString(p.retryAfterMicros()));
             back.status(p.kind().status(), h);
             back.end();
         }
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -280,7 +280,7 @@
         var zr = new HashMap<String, String>();
         world.manifest.zones().values().forEach(z -> zr.put(z.name(), z.region()));
         var warmUp = new HashMap<String, Long>();
-        world.manifest.services().values().forEach(s -> warmUp.put(s.name(), s.warmUp()));
+        world.manifest.services().values().forEach(s -> warmUp.put(s.name(), s.warmUpTime()));
         return new Checks(world.journal, zr, warmUp);
     }
 
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -6,7 +6,7 @@
 import craneway.data.request.HttpExchange;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.model.unit.Hash;
 import craneway.state.message.Node;
@@ -209,7 +209,7 @@
                             ? "manifest " + r.get().version() + " taken"
                             : "declined: " + r.getLeft().kind() + " "
                                     + r.getLeft().detail());
-            if (!taken && r.getLeft().kind() == Kind.UNCERTAIN) return;
+            if (!taken && r.getLeft().kind() == ProblemKind.UNCERTAIN) return;
             journal.unsure.remove(text);
             var everywhere = new long[] {taken && r.get().able().isEmpty() ? sim.now() : Long.MAX_VALUE};
             journal.sent.add(new Journal.Sent(
--- a/test/sim/src/test/java/craneway/sim/BadCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/BadCommandTest.java
@@ -24,7 +24,7 @@
     private CommandRequest forged(long life, long term, long bound) {
         var a = new CommandRequest();
         a.id = 4711;
-        a.part = Parts.MANIFEST;
+        a.part = Parts.MANIFEST_PART;
         a.from = first.store.directory().self();
         a.life = life;
         a.lowest = a.id;
@@ -40,7 +40,7 @@
         c.run(0.5);
         assertEquals(before + 1, noted(e), this::notes);
         assertFalse(emptied(), this::notes);
-        assertEquals(leader, c.owner(Parts.MANIFEST));
+        assertEquals(leader, c.owner(Parts.MANIFEST_PART));
         acknowledged(second, true);
         acknowledged(second, false);
     }
@@ -48,7 +48,7 @@
     @Test
     void aCommandOfAnUnknownLifeIsRefusedWithAnEvent() {
         warm();
-        refused(forged(99, term(), leader.now() + 500_000), Event.UNKNOWN_LIFE);
+        refused(forged(99, term(), leader.now() + 500_000), Event.UNKNOWN_INSTANCE);
     }
 
     @Test
@@ -85,11 +85,11 @@
         first.crash();
         c.run(0.3);
         first.start();
-        var before = noted(Event.STALE_VERDICT);
+        var before = noted(Event.STALE_REPLY);
         var kept = c.held.size();
         assertTrue(kept > 0);
         c.release();
-        assertEquals(before + kept, noted(Event.STALE_VERDICT), this::notes);
+        assertEquals(before + kept, noted(Event.STALE_REPLY), this::notes);
         c.run(3);
         acknowledged(first, false);
     }
--- a/test/sim/src/test/java/craneway/sim/CapacityCost.java
+++ b/test/sim/src/test/java/craneway/sim/CapacityCost.java
@@ -180,12 +180,12 @@
     }
 
     private static void announce(Cluster c, int i, int slots) {
-        c.get("s" + (i % 3 + 1)).store.coreClient().ask(Parts.of(SERVICE), runner(i, slots), 3_000_000, v -> {});
+        c.get("s" + (i % 3 + 1)).store.coreClient().ask(Parts.partOf(SERVICE), runner(i, slots), 3_000_000, v -> {});
     }
 
     /** All at one moment, taken by the owner as one batch. */
     private static void fill(Cluster c, int n) {
-        var o = c.owner(Parts.of(SERVICE));
+        var o = c.owner(Parts.partOf(SERVICE));
         for (var i = 0; i < n; i += 500) {
             o.hang(true);
             for (var k = i; k < Math.min(n, i + 500); k++) announce(c, k, 128);
@@ -226,7 +226,7 @@
             var c = cluster(ROUTERS, text(6, 0, 1), 17);
             fill(c, n);
             beat(c, n, 3, () -> {});
-            var o = c.owner(Parts.of(SERVICE));
+            var o = c.owner(Parts.partOf(SERVICE));
             var others = c.members.values().stream()
                     .filter(m -> m.store != null && m != o)
                     .toList();
@@ -260,7 +260,7 @@
                     .filter(m -> slots(m, "runner-" + n) == 100 + no[0])
                     .count();
             var row = Codec.write(o.store
-                            .replicas()[Parts.of(SERVICE)]
+                            .replicas()[Parts.partOf(SERVICE)]
                             .records()
                             .rows()
                             .services
@@ -389,14 +389,14 @@
             row(
                     "manifest with tenants",
                     n,
-                    heap(() -> ManifestReader.readChecked(text).get()) / 1e3);
+                    heap(() -> ManifestReader.readValidated(text).get()) / 1e3);
         }
         for (var n : ROUTES) {
             var text = text(n, 0, 1);
             row(
                     "manifest with routes",
                     n,
-                    heap(() -> ManifestReader.readChecked(text).get()) / 1e3);
+                    heap(() -> ManifestReader.readValidated(text).get()) / 1e3);
         }
         for (var n : NODES)
             row(
@@ -475,7 +475,7 @@
         for (var i = 0; i < Parts.COUNT; i++) none.add(List.of());
         return new View(
                 new Rows.Manifest(),
-                ManifestReader.readChecked(text(6, 0, 1)).get(),
+                ManifestReader.readValidated(text(6, 0, 1)).get(),
                 Map.of(SERVICE, s),
                 new long[Parts.COUNT],
                 none,
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -221,7 +221,7 @@
         }
 
         @Override
-        public void note(Event e, String detail) {
+        public void logEvent(Event e, String detail) {
             notes.add(sim.now() / 1_000 + " " + name + " " + e + " " + detail);
         }
     }
--- a/test/sim/src/test/java/craneway/sim/ConfigurationOrderTest.java
+++ b/test/sim/src/test/java/craneway/sim/ConfigurationOrderTest.java
@@ -6,7 +6,7 @@
 
 import craneway.control.operator.PlatformCommands;
 import craneway.model.event.Event;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.state.message.Messages.CommandRequest;
 import craneway.state.message.Messages.CommandResult;
@@ -34,7 +34,7 @@
         final long base;
         final long number;
         final String source;
-        Kind refused;
+        ProblemKind refused;
         boolean acknowledged;
 
         Call(long base, long number, String source) {
@@ -60,7 +60,7 @@
             for (var i = 0; i < 10; i++) {
                 var c = new Call(base, number, source).at(m);
                 ConfigurationOrderTest.this.c.until(c::over, 3);
-                if (c.acknowledged || !c.refused.transientState()) return c;
+                if (c.acknowledged || !c.refused.isTransient()) return c;
                 ConfigurationOrderTest.this.c.run(0.3);
             }
             throw new AssertionError("no clear answer: " + notes());
@@ -77,9 +77,9 @@
     }
 
     private String newest() {
-        return c.owner(Parts.MANIFEST)
+        return c.owner(Parts.MANIFEST_PART)
                 .store
-                .replicas()[Parts.MANIFEST]
+                .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
                 .manifest
@@ -90,7 +90,7 @@
         for (var m : c.members.values()) {
             if (!m.up) continue;
             assertTrue(won.again(m).acknowledged, this::notes);
-            assertEquals(Kind.RACE_LOST, lost.again(m).refused, this::notes);
+            assertEquals(ProblemKind.RACE_LOST, lost.again(m).refused, this::notes);
         }
         assertEquals(won.source, newest());
     }
@@ -121,7 +121,7 @@
         var a = call(0, 1, "a").at(first);
         var b = call(0, 1, "b").at(second);
         finished(a, b);
-        assertTrue(a.refused.transientState() && b.refused.transientState());
+        assertTrue(a.refused.isTransient() && b.refused.isTransient());
         c.release();
         c.run(1);
         assertEquals("", newest());
@@ -137,8 +137,8 @@
         var b = call(0, 1, "b").at(second);
         finished(a, b);
         assertFalse(a.acknowledged);
-        assertTrue(a.refused.transientState());
-        assertEquals(Kind.RACE_LOST, b.refused);
+        assertTrue(a.refused.isTransient());
+        assertEquals(ProblemKind.RACE_LOST, b.refused);
         c.release();
         onlyThisOne(a, b);
     }
@@ -175,14 +175,14 @@
             finished(all.toArray(Call[]::new));
             var won = all.stream().filter(x -> x.acknowledged).toList();
             assertEquals(1, won.size(), this::notes);
-            for (var x : all) if (!x.acknowledged) assertEquals(Kind.RACE_LOST, x.refused);
+            for (var x : all) if (!x.acknowledged) assertEquals(ProblemKind.RACE_LOST, x.refused);
             for (var m : nodes) assertTrue(won.get(0).again(m).acknowledged);
             assertEquals(won.get(0).source, newest());
         }
     }
 
     private int lives(Cluster.Member m) {
-        return m.store.replicas()[Parts.MANIFEST].records().rows().lives.size();
+        return m.store.replicas()[Parts.MANIFEST_PART].records().rows().lives.size();
     }
 
     @Test
@@ -205,7 +205,7 @@
         assertEquals(
                 60,
                 first.store
-                        .replicas()[Parts.MANIFEST]
+                        .replicas()[Parts.MANIFEST_PART]
                         .records()
                         .rows()
                         .manifest
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -61,7 +61,7 @@
                 c.add("r1", Node.ROUTER, "z1");
                 c.run(5);
                 assertTrue(c.owned(), () -> name + ": " + String.join("\n", c.notes));
-                assertTrue(c.notes.stream().anyMatch(n -> n.contains(" " + name + " " + Event.DISK_FAILED)));
+                assertTrue(c.notes.stream().anyMatch(n -> n.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
                 m.disk.full(false);
                 c.run(3);
                 assertEquals(id, m.storeId());
@@ -83,7 +83,7 @@
         }
         c.run(5);
         assertTrue(c.owned(), () -> String.join("\n", c.notes));
-        assertTrue(c.notes.stream().noneMatch(n -> n.contains(Event.DISK_LOST.name())));
+        assertTrue(c.notes.stream().noneMatch(n -> n.contains(Event.DATA_DIRECTORY_DAMAGED.name())));
     }
 
     private long now = 1_000_000;
@@ -97,7 +97,7 @@
         public void send(String address, Object message) {}
 
         @Override
-        public void note(Event e, String detail) {}
+        public void logEvent(Event e, String detail) {}
     };
 
     private Store store(Folder folder) {
--- a/test/sim/src/test/java/craneway/sim/FrozenDeskTest.java
+++ b/test/sim/src/test/java/craneway/sim/FrozenDeskTest.java
@@ -82,7 +82,7 @@
         assertTrue(c.until(c::owned, 10) < 8, () -> String.join("\n", c.notes));
         c.run(5);
         var followers = c.members.values().stream()
-                .filter(m -> m != c.owner(Parts.MANIFEST))
+                .filter(m -> m != c.owner(Parts.MANIFEST_PART))
                 .toList();
         frozen = new Desk(followers.get(0));
         other = new Desk(followers.get(1));
@@ -97,9 +97,9 @@
     }
 
     private boolean emptied() {
-        return c.owner(Parts.MANIFEST)
+        return c.owner(Parts.MANIFEST_PART)
                 .store
-                .replicas()[Parts.MANIFEST]
+                .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
                 .manifest
--- a/test/sim/src/test/java/craneway/sim/GroupTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupTest.java
@@ -127,7 +127,7 @@
         propose(owner, 10);
         assertEquals(0, owner.counter.applied);
         drop = m -> false;
-        run(TimingProfile.LOW_TRAFFIC.heartbeat() + TICK);
+        run(TimingProfile.LOW_TRAFFIC.heartbeatInterval() + TICK);
         for (var o : ones) assertEquals(owner.group.lastIndex(), o.group.lastIndex());
         assertEquals(1, owner.counter.applied);
     }
--- a/test/sim/src/test/java/craneway/sim/HungDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/HungDiskTest.java
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void note(Event e, String detail) {}
+        public void logEvent(Event e, String detail) {}
     };
 
     private Folder folder() {
--- a/test/sim/src/test/java/craneway/sim/LateCopyTest.java
+++ b/test/sim/src/test/java/craneway/sim/LateCopyTest.java
@@ -63,7 +63,7 @@
     @Test
     void aCopyThatReachesALeaderOfALaterTermHasNoEffect() {
         warm();
-        var term = leader.store.replicas()[Parts.MANIFEST].group().term();
+        var term = leader.store.replicas()[Parts.MANIFEST_PART].group().term();
         c.hold = asksTo(first, leader.address);
         var lost = mark(first, true);
         c.until(lost::came, 3);
@@ -72,13 +72,13 @@
         c.until(() -> c.ownedBut(leader), 5);
         acknowledged(second, true);
         acknowledged(second, false);
-        for (var i = 0; i < 10 && c.owner(Parts.MANIFEST) != leader; i++) {
-            c.owner(Parts.MANIFEST).store.transferLeadership();
+        for (var i = 0; i < 10 && c.owner(Parts.MANIFEST_PART) != leader; i++) {
+            c.owner(Parts.MANIFEST_PART).store.transferLeadership();
             c.run(1);
             c.until(c::owned, 5);
         }
-        assertEquals(leader, c.owner(Parts.MANIFEST));
-        assertTrue(leader.store.replicas()[Parts.MANIFEST].group().term() > term);
+        assertEquals(leader, c.owner(Parts.MANIFEST_PART));
+        assertTrue(leader.store.replicas()[Parts.MANIFEST_PART].group().term() > term);
         c.release();
         c.run(2);
         assertFalse(emptied(), this::notes);
@@ -95,7 +95,7 @@
         c.hold = (f, t, m) -> false;
         leader.crash();
         c.until(() -> c.ownedBut(leader), 5);
-        var next = c.owner(Parts.MANIFEST);
+        var next = c.owner(Parts.MANIFEST_PART);
         assertTrue(next.now() < copies.get(0).bound, "the next leader's clock is behind the bound");
         acknowledged(second, true);
         acknowledged(second, false);
@@ -131,9 +131,9 @@
     }
 
     private long marksVersion() {
-        return c.owner(Parts.MANIFEST)
+        return c.owner(Parts.MANIFEST_PART)
                 .store
-                .replicas()[Parts.MANIFEST]
+                .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
                 .manifest
@@ -169,9 +169,9 @@
     }
 
     private int lives() {
-        return c.owner(Parts.MANIFEST)
+        return c.owner(Parts.MANIFEST_PART)
                 .store
-                .replicas()[Parts.MANIFEST]
+                .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
                 .lives
@@ -184,7 +184,7 @@
         acknowledged(first, true);
         acknowledged(second, false);
         assertEquals(0, lives());
-        c.hold = asksTo(second, c.owner(Parts.MANIFEST).address);
+        c.hold = asksTo(second, c.owner(Parts.MANIFEST_PART).address);
         var lost = mark(second, true);
         c.until(lost::came, 3);
         c.release();
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public void note(Event e, String detail) {}
+        public void logEvent(Event e, String detail) {}
 
         boolean votes() {
             for (var p = 0; p < Parts.COUNT; p++) {
@@ -133,7 +133,7 @@
         }
 
         private craneway.state.part.Group manifestPart(Member m) {
-            return m.store.replicas()[Parts.MANIFEST].group();
+            return m.store.replicas()[Parts.MANIFEST_PART].group();
         }
 
         long diskBytes() {
@@ -155,7 +155,7 @@
     }
 
     private Member leader() {
-        return leader(Parts.MANIFEST);
+        return leader(Parts.MANIFEST_PART);
     }
 
     private Member leader(int part) {
@@ -189,7 +189,7 @@
         c.text = text(routes, round);
         var done = new boolean[1];
         until(() -> leader() != null, 20);
-        leader().store.coreClient().ask(Parts.MANIFEST, c, 10 * SECOND, v -> {
+        leader().store.coreClient().ask(Parts.MANIFEST_PART, c, 10 * SECOND, v -> {
             done[0] = true;
             if (v.kind != 0) throw new IllegalStateException(v.detail);
             version = Long.parseLong(v.detail);
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -162,10 +162,10 @@
     }
 
     private static void refused(SlowPaths paths, SlowPaths.Peer p, PartMessage m) {
-        var before = p.count(Event.SNAPSHOT_REFUSED);
+        var before = p.count(Event.SNAPSHOT_REJECTED);
         p.group.receive(m, paths.sim.now());
         p.group.syncAndSend(paths.sim.now());
-        assertEquals(before + 1, p.count(Event.SNAPSHOT_REFUSED), p.notes::toString);
+        assertEquals(before + 1, p.count(Event.SNAPSHOT_REJECTED), p.notes::toString);
         assertEquals(0, p.group.applied());
         assertEquals(0, p.group.lastIndex());
     }
--- a/test/sim/src/test/java/craneway/sim/SteadyOperator.java
+++ b/test/sim/src/test/java/craneway/sim/SteadyOperator.java
@@ -1,7 +1,7 @@
 package craneway.sim;
 
 import craneway.control.operator.PlatformCommands;
-import craneway.model.problem.Kind;
+import craneway.model.problem.ProblemKind;
 import craneway.model.problem.Problem;
 import craneway.state.record.Rows;
 import io.vavr.control.Either;
@@ -109,7 +109,7 @@
         open = false;
         if (r.isLeft()) {
             var kind = r.getLeft().kind();
-            if (kind == Kind.RACE_LOST || kind == Kind.BAD_MANIFEST)
+            if (kind == ProblemKind.RACE_LOST || kind == ProblemKind.BAD_MANIFEST)
                 fault("order " + number + " refused: " + r.getLeft());
             return;
         }
--- a/test/sim/src/test/java/craneway/sim/ThreeStores.java
+++ b/test/sim/src/test/java/craneway/sim/ThreeStores.java
@@ -30,7 +30,7 @@
         c.stores("z1", "z2", "z3");
         assertTrue(c.until(c::owned, 10) < 8, this::notes);
         c.run(5);
-        leader = c.owner(Parts.MANIFEST);
+        leader = c.owner(Parts.MANIFEST_PART);
         var others = c.members.values().stream().filter(m -> m != leader).toList();
         first = others.get(0);
         second = others.get(1);
@@ -38,15 +38,15 @@
 
     /** Hands the leadership over until this store has it; the two others then take the operators' orders. */
     void leadBy(Cluster.Member wanted) {
-        for (var i = 0; i < 10 && c.owner(Parts.MANIFEST) != wanted; i++) {
-            c.keeper(c.owner(Parts.MANIFEST).name, Parts.MANIFEST)
+        for (var i = 0; i < 10 && c.owner(Parts.MANIFEST_PART) != wanted; i++) {
+            c.keeper(c.owner(Parts.MANIFEST_PART).name, Parts.MANIFEST_PART)
                     .group()
                     .transferLeadership(
-                            wanted.storeId(), c.owner(Parts.MANIFEST).now());
+                            wanted.storeId(), c.owner(Parts.MANIFEST_PART).now());
             c.run(1);
             c.until(c::owned, 5);
         }
-        assertEquals(wanted, c.owner(Parts.MANIFEST), this::notes);
+        assertEquals(wanted, c.owner(Parts.MANIFEST_PART), this::notes);
         leader = wanted;
         var others = c.members.values().stream().filter(m -> m != leader).toList();
         first = others.get(0);
@@ -86,10 +86,10 @@
     }
 
     boolean emptied() {
-        var o = c.owner(Parts.MANIFEST);
+        var o = c.owner(Parts.MANIFEST_PART);
         assertNotNull(o, this::notes);
         return o.store
-                .replicas()[Parts.MANIFEST]
+                .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
                 .manifest
@@ -104,7 +104,7 @@
     }
 
     long term() {
-        return leader.store.replicas()[Parts.MANIFEST].group().term();
+        return leader.store.replicas()[Parts.MANIFEST_PART].group().term();
     }
 
     long noted(Event e) {
--- a/test/sim/src/test/java/craneway/sim/TroubledMember.java
+++ b/test/sim/src/test/java/craneway/sim/TroubledMember.java
@@ -151,7 +151,7 @@
     void judge() {
         var rows = cluster.owner(0).store.replicas()[0].records().rows().manifest;
         for (var m : marks) if (!rows.marks.containsKey("zone:" + m)) fault("confirmed order is lost: " + m);
-        var part = Parts.of(SERVICE);
+        var part = Parts.partOf(SERVICE);
         var runners = cluster.owner(part)
                 .store
                 .replicas()[part]
--- a/test/sim/src/test/java/craneway/sim/WatchTest.java
+++ b/test/sim/src/test/java/craneway/sim/WatchTest.java
@@ -64,7 +64,7 @@
     }
 
     private void announce(int n) {
-        var o = c.owner(Parts.of(service));
+        var o = c.owner(Parts.partOf(service));
         o.hang(true);
         for (var i = 0; i < n; i++) {
             var r = new Commands.RunnerPut();
@@ -74,7 +74,7 @@
             r.cell = cell;
             r.slots = 4;
             r.incarnation = 1;
-            c.get("s1").store.coreClient().ask(Parts.of(service), r, 800_000, x -> {});
+            c.get("s1").store.coreClient().ask(Parts.partOf(service), r, 800_000, x -> {});
         }
         c.run(0.02);
         o.hang(false);
@@ -82,9 +82,9 @@
     }
 
     private Rows.Service row() {
-        return c.owner(Parts.of(service))
+        return c.owner(Parts.partOf(service))
                 .store
-                .replicas()[Parts.of(service)]
+                .replicas()[Parts.partOf(service)]
                 .records()
                 .rows()
                 .services
@@ -124,9 +124,9 @@
     void manyMembersAreLookedThroughLessOften() {
         c.routers(300);
         c.run(4);
-        var rows = c.owner(Parts.MANIFEST)
+        var rows = c.owner(Parts.MANIFEST_PART)
                 .store
-                .replicas()[Parts.MANIFEST]
+                .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows();
         var all = new Looked<>(rows.members);
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
@@ -23,7 +23,7 @@
                 if (q.configures() || q.marks() || keepers.length == 0) super.take(at, q, then);
                 else
                     then.accept(
-                            new Answer(200, keepers[Parts.MANIFEST].records().rows().manifest));
+                            new Answer(200, keepers[Parts.MANIFEST_PART].records().rows().manifest));
             }
         };
     }
--- a/test/sim/src/test/java/craneway/sim/history/Fleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/Fleet.java
@@ -91,11 +91,11 @@
 
     private boolean leads(StoreNode n) {
         var k = n.up() ? n.store().replicas() : null;
-        return k != null && k.length > 0 && k[Parts.MANIFEST].group().hasLease(sim.now());
+        return k != null && k.length > 0 && k[Parts.MANIFEST_PART].group().hasLease(sim.now());
     }
 
     private static long term(StoreNode n) {
-        return n.store().replicas()[Parts.MANIFEST].group().term();
+        return n.store().replicas()[Parts.MANIFEST_PART].group().term();
     }
 
     void run(long micros) {
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void note(Event e, String detail) {
+    public void logEvent(Event e, String detail) {
         fleet.note(name, e, detail);
     }
 }
--- a/test/standin/src/main/java/craneway/standin/Fleet.java
+++ b/test/standin/src/main/java/craneway/standin/Fleet.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CranewayMain;
 import craneway.drill.Checker;
-import craneway.http.HttpCaller;
-import craneway.http.HttpReply;
+import craneway.http.AsyncHttpClient;
+import craneway.http.BufferedHttpResponse;
 import craneway.router.RouterMain;
 import craneway.store.StoreMain;
 import io.undertow.util.HttpString;
@@ -34,7 +34,7 @@
     public final JsonNode map;
     private final Map<String, Process> running = new TreeMap<>();
     private final XnioWorker worker;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
 
     public Fleet(Path folder, Path manifest, String routers, String runners, String slots) throws IOException {
         this.folder = folder;
@@ -54,7 +54,7 @@
         if (code != 0) throw new IOException("the fleet could not be laid out, code " + code);
         map = JSON.readTree(folder.resolve("fleet.json").toFile());
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
-        caller = new HttpCaller(worker);
+        caller = new AsyncHttpClient(worker);
     }
 
     public List<String> names(String kind) {
@@ -162,13 +162,13 @@
         }
     }
 
-    public HttpReply get(String address, String path) throws IOException {
-        return HttpReply.of(caller, address, Methods.GET, path, Map.of(), new byte[0], 5_000);
+    public BufferedHttpResponse get(String address, String path) throws IOException {
+        return BufferedHttpResponse.fetch(caller, address, Methods.GET, path, Map.of(), new byte[0], 5_000);
     }
 
-    public HttpReply call(String address, HttpString method, String path, Map<HttpString, String> headers, String body)
+    public BufferedHttpResponse call(String address, HttpString method, String path, Map<HttpString, String> headers, String body)
             throws IOException {
-        return HttpReply.of(caller, address, method, path, headers, body.getBytes(), 15_000);
+        return BufferedHttpResponse.fetch(caller, address, method, path, headers, body.getBytes(), 15_000);
     }
 
     public boolean ready(String name) {
--- a/test/standin/src/main/java/craneway/standin/StandinMain.java
+++ b/test/standin/src/main/java/craneway/standin/StandinMain.java
@@ -11,7 +11,7 @@
         subcommands = {RunnerCommand.class, CheckCommand.class, TrialCommand.class})
 public final class StandinMain {
     public static void main(String[] args) {
-        EventLog.arrange();
+        EventLog.configureLogging();
         System.exit(new CommandLine(new StandinMain()).execute(args));
     }
 }
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -1,8 +1,8 @@
 package craneway.standin;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.http.HttpCaller;
-import craneway.http.HttpReply;
+import craneway.http.AsyncHttpClient;
+import craneway.http.BufferedHttpResponse;
 import io.undertow.Undertow;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
@@ -52,7 +52,7 @@
     private final AtomicInteger running = new AtomicInteger();
     private final Map<String, Boolean> cache;
     private final XnioWorker worker;
-    private final HttpCaller caller;
+    private final AsyncHttpClient caller;
     private final ScheduledExecutorService beats = Executors.newScheduledThreadPool(2);
     private Undertow server;
     private volatile boolean leaving;
@@ -75,7 +75,7 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, shape.slots + 8)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        caller = new HttpCaller(worker);
+        caller = new AsyncHttpClient(worker);
     }
 
     public void start() {
@@ -118,7 +118,7 @@
 
     private boolean tell(String router, String path, String body) {
         try {
-            return HttpReply.of(
+            return BufferedHttpResponse.fetch(
                                     caller,
                                     router,
                                     Methods.POST,
