--- a/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
+++ b/lib/api/src/main/java/craneway/api/directory/RouterAddresses.java
@@ -38,13 +38,13 @@
     }
 
     private List<Node> serving() {
-        return store.membership().view().members().get(Parts.MANIFEST_PART).stream()
+        return store.membership().view().membersByPart().get(Parts.MANIFEST_PART).stream()
                 .filter(n -> n.isRouter() && n.serving && !n.clientAddress.isEmpty() && !stopping(n))
                 .toList();
     }
 
     private boolean stopping(Node n) {
-        var heard = store.directory().named(n.name);
+        var heard = store.directory().nodeByName(n.name);
         return heard != null && heard.incarnation >= n.incarnation && !heard.serving;
     }
 }
--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import craneway.control.operator.Intent;
-import craneway.control.operator.Operator;
-import craneway.control.operator.Quiet;
-import craneway.control.store.Rebuild;
+import craneway.control.operator.OperatorCommands;
+import craneway.control.operator.DrainEstimate;
+import craneway.control.store.RebuildProposal;
 import craneway.control.store.Store;
 import craneway.http.HeaderNames;
 import craneway.http.JsonResponses;
@@ -30,13 +30,13 @@
             MANIFEST = Pattern.compile("/v1/manifest/(\\d{1,18})/watch");
 
     private final String node;
-    private final Operator operator;
+    private final OperatorCommands operator;
     private final Supplier<String> metrics;
     private final LongFunction<String> usage;
     private final Store store;
 
     public OperatorHandler(
-            String node, Operator operator, Supplier<String> metrics, LongFunction<String> usage, Store store) {
+            String node, OperatorCommands operator, Supplier<String> metrics, LongFunction<String> usage, Store store) {
         this.node = node;
         this.operator = operator;
         this.metrics = metrics;
@@ -90,12 +90,12 @@
         reply(x, token.isEmpty() ? store.rebuild() : store.rebuild(token), r -> rebuild(r, !token.isEmpty()));
     }
 
-    private static ObjectNode rebuild(Rebuild r, boolean done) {
+    private static ObjectNode rebuild(RebuildProposal r, boolean done) {
         var n = JsonResponses.JSON
                 .createObjectNode()
                 .put("state", done ? "rebuilt" : "proposed")
                 .put("generation", r.generation())
-                .put("token", r.token());
+                .put("token", r.confirmationToken());
         r.kept().forEach(n.putArray("kept")::add);
         r.mayBeLost().forEach(n.putArray("mayBeLost")::add);
         return n;
@@ -121,15 +121,15 @@
 
     private void status(HttpServerExchange x) {
         x.dispatch();
-        operator.status(parts -> JsonResponses.sendJson(x, StatusJson.of(node, parts).toPrettyString()));
+        operator.readStatus(parts -> JsonResponses.sendJson(x, StatusJson.of(node, parts).toPrettyString()));
     }
 
     private void quiet(HttpServerExchange x) {
         x.dispatch();
-        operator.quiet(r -> reply(x, r, OperatorHandler::cells));
+        operator.estimateDrains(r -> reply(x, r, OperatorHandler::cells));
     }
 
-    private static ObjectNode cells(List<Quiet> all) {
+    private static ObjectNode cells(List<DrainEstimate> all) {
         var n = JsonResponses.JSON.createObjectNode();
         var list = n.putArray("cells");
         for (var q : all) {
@@ -138,16 +138,16 @@
                     .put("cell", q.cell())
                     .put("load", q.load())
                     .put("slots", q.slots())
-                    .put("slotsLeft", q.slotsLeft())
-                    .put("minutesItWouldHaveFitted", q.minutes());
-            q.cause().forEach(c.putArray("because")::add);
+                    .put("slotsLeft", q.remainingSlots())
+                    .put("minutesItWouldHaveFitted", q.minutesThatFit());
+            q.concerns().forEach(c.putArray("because")::add);
         }
         return n;
     }
 
     private void manifest(HttpServerExchange x) {
         x.dispatch();
-        operator.manifest(r -> {
+        operator.readManifest(r -> {
             if (r.isLeft()) JsonResponses.sendProblem(x, r.getLeft());
             else if (r.get().text.isEmpty()) JsonResponses.sendProblem(x, Problem.of(ProblemKind.NO_MANIFEST));
             else {
@@ -167,7 +167,7 @@
                             "name the version this manifest was written against in the header " + HeaderNames.BASE_VERSION));
             return;
         }
-        operator.send(
+        operator.putManifest(
                 Long.parseLong(base),
                 new String(b, StandardCharsets.UTF_8),
                 r -> reply(x, r, OperatorHandler::carried));
@@ -178,26 +178,26 @@
         operator.watchManifest(version, r -> reply(x, r, OperatorHandler::carried));
     }
 
-    private static ObjectNode carried(Operator.Carried c) {
+    private static ObjectNode carried(OperatorCommands.RolloutResult c) {
         var n = JsonResponses.JSON.createObjectNode();
         n.put("version", c.version())
-                .put("state", c.able().isEmpty() ? "confirmed" : "pending")
-                .put("everywhere", c.missing().isEmpty());
-        c.missing().forEach(n.putArray("notReached")::add);
-        c.able().forEach(n.putArray("notAcknowledged")::add);
+                .put("state", c.routersStillActing().isEmpty() ? "confirmed" : "pending")
+                .put("everywhere", c.unconfirmedMembers().isEmpty());
+        c.unconfirmedMembers().forEach(n.putArray("notReached")::add);
+        c.routersStillActing().forEach(n.putArray("notAcknowledged")::add);
         return n;
     }
 
-    private static ObjectNode confirmed(Operator.Carried c) {
+    private static ObjectNode confirmed(OperatorCommands.RolloutResult c) {
         var n = JsonResponses.JSON.createObjectNode();
-        n.put("plan", c.version()).put("state", c.able().isEmpty() ? "confirmed" : "pending");
-        c.able().forEach(n.putArray("notAcknowledged")::add);
+        n.put("plan", c.version()).put("state", c.routersStillActing().isEmpty() ? "confirmed" : "pending");
+        c.routersStillActing().forEach(n.putArray("notAcknowledged")::add);
         return n;
     }
 
     private void intent(HttpServerExchange x, byte[] b) {
         try {
-            operator.plan(JSON.readValue(b, Intent.class), r -> reply(x, r, StatusJson::plan));
+            operator.createPlan(JSON.readValue(b, Intent.class), r -> reply(x, r, StatusJson::plan));
         } catch (JsonProcessingException e) {
             JsonResponses.sendProblem(x, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, e.getOriginalMessage()));
         } catch (IOException e) {
@@ -208,11 +208,11 @@
     private void plan(HttpServerExchange x, long id, String act) {
         x.dispatch();
         switch (x.getRequestMethod() + act) {
-            case "GET" -> operator.show(id, r -> reply(x, r, StatusJson::plan));
-            case "POST/confirm" -> operator.confirm(id, r -> reply(x, r, OperatorHandler::confirmed));
-            case "GET/watch" -> operator.watch(id, r -> reply(x, r, OperatorHandler::confirmed));
+            case "GET" -> operator.readPlan(id, r -> reply(x, r, StatusJson::plan));
+            case "POST/confirm" -> operator.confirmPlan(id, r -> reply(x, r, OperatorHandler::confirmed));
+            case "GET/watch" -> operator.watchPlan(id, r -> reply(x, r, OperatorHandler::confirmed));
             case "POST/stop" ->
-                operator.stop(
+                operator.stopPlan(
                         id,
                         r -> reply(x, r, v -> JsonResponses.JSON
                                 .createObjectNode()
--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -55,7 +55,7 @@
 
     private void configuration(HttpServerExchange x) {
         switch (x.getRequestMethod().toString()) {
-            case "GET" -> Exchanges.dispatch(x, () -> passing.manifest(r -> readBack(x, r.map(m -> m.source))));
+            case "GET" -> Exchanges.dispatch(x, () -> passing.readManifest(r -> readBack(x, r.map(m -> m.source))));
             case "PUT" -> Exchanges.readBody(x, work, b -> put(x, b));
             default -> Exchanges.sendMethodNotAllowed(x);
         }
@@ -77,7 +77,7 @@
             say(x, Problem.of(ProblemKind.BAD_OPERATOR_INPUT, "name the version this builds on in the header If-Match"));
         else if (c.isLeft()) say(x, c.getLeft());
         else
-            passing.put(
+            passing.putManifest(
                     base, c.get().version(), c.get().manifest(), c.get().source(), callers.now(), r -> done(x, r, ""));
     }
 
@@ -90,13 +90,13 @@
         var m = x.getRequestMethod().toString();
         if (!zones.contains(zone)) Exchanges.sendNotFound(x);
         else if (!m.equals("POST") && !m.equals("DELETE")) Exchanges.sendMethodNotAllowed(x);
-        else whileCallerWaits(x, t -> passing.mark(zone, m.equals("POST"), t, r -> done(x, r, "")));
+        else whileCallerWaits(x, t -> passing.markZone(zone, m.equals("POST"), t, r -> done(x, r, "")));
     }
 
     private void runner(HttpServerExchange x, String id) {
         switch (x.getRequestMethod().toString()) {
             case "PUT" -> Exchanges.readBody(x, SameThreadExecutor.INSTANCE, b -> beat(x, id, b));
-            case "DELETE" -> whileCallerWaits(x, t -> passing.left(id, t, r -> done(x, r, "")));
+            case "DELETE" -> whileCallerWaits(x, t -> passing.markRunnerLeaving(id, t, r -> done(x, r, "")));
             default -> Exchanges.sendMethodNotAllowed(x);
         }
     }
@@ -104,7 +104,7 @@
     private void beat(HttpServerExchange x, String id, byte[] b) {
         var read = dialect.readHeartbeat(id, b);
         if (read.isLeft()) say(x, read.getLeft());
-        else passing.beat(runner(read.get()), callers.now(), r -> done(x, r, dialect.heartbeatResponse()));
+        else passing.reportRunnerHeartbeat(runner(read.get()), callers.now(), r -> done(x, r, dialect.heartbeatResponse()));
     }
 
     /**
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -24,9 +24,9 @@
             g.put("part", p.part)
                     .put("owner", p.leader)
                     .put("term", p.term)
-                    .put("applied", p.applied)
-                    .put("claims", p.claims);
-            p.group.forEach(g.putArray("group")::add);
+                    .put("applied", p.appliedIndex)
+                    .put("claims", p.claimCount);
+            p.groupMembers.forEach(g.putArray("group")::add);
             for (var m : p.members) members.merge(m.node.name, member(m), StatusJson::worse);
             if (p.part == Parts.MANIFEST_PART) manifest(n, p);
         }
@@ -92,7 +92,7 @@
                     .put("address", r.address)
                     .put("state", r.stateName())
                     .put("slots", r.slots)
-                    .put("load", p.loads.getOrDefault(s.name + "/" + r.name, 0))
+                    .put("load", p.loadByRunner.getOrDefault(s.name + "/" + r.name, 0))
                     .put("cold", r.cold)
                     .put("incarnation", r.incarnation);
     }
@@ -100,7 +100,7 @@
     private static int sum(Rows.Service s, int cell, PartStatus p, boolean slots) {
         return s.runners.values().stream()
                 .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
-                .mapToInt(r -> slots ? r.slots : p.loads.getOrDefault(s.name + "/" + r.name, 0))
+                .mapToInt(r -> slots ? r.slots : p.loadByRunner.getOrDefault(s.name + "/" + r.name, 0))
                 .sum();
     }
 
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -41,7 +41,7 @@
     }
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final long life;
     private final TreeMap<Long, PendingRequest> open = new TreeMap<>();
     private final Map<Integer, Node> leaders = new HashMap<>();
@@ -49,7 +49,7 @@
     private long next;
 
     /** The life must be random, all 64 bits of it: no other process may have had the same. */
-    public CoreClient(Port port, Directory directory, long life) {
+    public CoreClient(Port port, NodeDirectory directory, long life) {
         this.port = port;
         this.directory = directory;
         this.life = life == 0 ? 1 : life;
@@ -68,12 +68,12 @@
     }
 
     /** Asks the leader of the part; the verdict comes once, within the patience, in microseconds. */
-    public void ask(int part, Object body, long timeout, Consumer<CommandResult> then) {
-        askUntil(part, body, port.now() + timeout, then);
+    public void request(int part, Object body, long timeout, Consumer<CommandResult> then) {
+        requestUntil(part, body, port.now() + timeout, then);
     }
 
     /** Asks for one who waits until then, by the steady clock of this process, and not from now on. */
-    public void askUntil(int part, Object body, long until, Consumer<CommandResult> then) {
+    public void requestUntil(int part, Object body, long until, Consumer<CommandResult> then) {
         var o = new PendingRequest();
         o.part = part;
         o.body = Codec.writeTagged(body);
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -21,7 +21,7 @@
     private static final int MOST_SILENCES = 24;
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
     private final PartLease[] leases;
@@ -31,7 +31,7 @@
 
     LeaseRenewer(
             Port port,
-            Directory directory,
+            NodeDirectory directory,
             CoreClient coreClient,
             TimingProfile timing,
             PartLease[] leases,
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -10,11 +10,11 @@
  * has taken its place.
  */
 final class LifeClaim {
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final long[] granted = new long[Parts.COUNT];
     private boolean superseded;
 
-    LifeClaim(Directory directory) {
+    LifeClaim(NodeDirectory directory) {
         this.directory = directory;
     }
 
@@ -36,7 +36,7 @@
             superseded = true;
             return false;
         }
-        directory.raise(v.incarnation);
+        directory.raiseIncarnation(v.incarnation);
         return true;
     }
 
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -18,33 +18,33 @@
 import java.util.function.IntFunction;
 
 public final class Membership {
-    public static final long LEASE = 2_000_000, SETTLED = 1_500_000;
+    public static final long LEASE_MICROS = 2_000_000, SETTLED_AFTER_MICROS = 1_500_000;
     private static final long SOON = 20_000;
 
     /** What the rest of a process sees of the core: the news it follows and the ends of its leases. */
-    public record View(
-            Rows.Manifest topic,
+    public record CoreView(
+            Rows.Manifest manifestRow,
             Manifest manifest,
             Map<String, Rows.Service> services,
-            long[] leases,
-            List<List<Node>> members,
-            long grace,
-            long[] heldSince) {
-        public boolean settled(int part, long now) {
-            return leased(part, now) && now >= heldSince[part] + SETTLED;
+            long[] leaseEnds,
+            List<List<Node>> membersByPart,
+            long graceMicros,
+            long[] heldSinceByPart) {
+        public boolean isSettled(int part, long now) {
+            return hasLease(part, now) && now >= heldSinceByPart[part] + SETTLED_AFTER_MICROS;
         }
 
-        public boolean leased(int part, long now) {
-            return now < leases[part];
+        public boolean hasLease(int part, long now) {
+            return now < leaseEnds[part];
         }
 
         public long leaseEnd(int part) {
-            return leases[part];
+            return leaseEnds[part];
         }
     }
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
     private final PartLease[] leases = new PartLease[Parts.COUNT];
@@ -52,14 +52,14 @@
     private final LeaseRenewer renewer;
     private final LifeClaim claim;
     private boolean leaving;
-    private boolean unready;
-    private volatile View view;
+    private boolean stopServing;
+    private volatile CoreView view;
 
-    public Membership(Port port, Directory directory, CoreClient coreClient) {
+    public Membership(Port port, NodeDirectory directory, CoreClient coreClient) {
         this(port, directory, coreClient, TimingProfile.STANDARD);
     }
 
-    public Membership(Port port, Directory directory, CoreClient coreClient, TimingProfile timing) {
+    public Membership(Port port, NodeDirectory directory, CoreClient coreClient, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
         this.directory = directory;
@@ -71,18 +71,18 @@
         publish();
     }
 
-    public View view() {
+    public CoreView view() {
         return view;
     }
 
-    public synchronized void follow() {
+    public synchronized void followCore() {
         for (var l : leases) l.forget();
         topics.forget();
         for (var p = 0; p < leases.length; p++) coreClient.leader(p, null);
         publish();
     }
 
-    public synchronized void signals(IntFunction<List<Signal>> from) {
+    public synchronized void setSignalSource(IntFunction<List<Signal>> from) {
         renewer.signals(from);
     }
 
@@ -90,33 +90,33 @@
         return coreClient.leader(part);
     }
 
-    public synchronized boolean superseded() {
+    public synchronized boolean isSuperseded() {
         return claim.superseded();
     }
 
-    public synchronized boolean current() {
+    public synchronized boolean isCurrent() {
         for (var l : leases) if (!l.held) return false;
         return topics.current();
     }
 
-    public synchronized void unready() {
-        unready = true;
+    public synchronized void stopServing() {
+        stopServing = true;
         updateServing();
         for (var l : leases) l.due = 0;
-        directory.greetSoon();
+        directory.greetAtNextTick();
     }
 
     private void updateServing() {
-        var is = !unready && (directory.self().serving || current());
+        var is = !stopServing && (directory.self().serving || isCurrent());
         var self = directory.self();
         if (!self.isRouter() || self.serving == is) return;
-        directory.updateServing(is);
+        directory.setServing(is);
         if (timing.lowTraffic()) for (var l : leases) l.due = 0;
     }
 
-    public boolean usable(long now) {
+    public boolean isUsable(long now) {
         var v = view;
-        return v.manifest() != null && now < v.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE, v.grace());
+        return v.manifest() != null && now < v.leaseEnd(Parts.MANIFEST_PART) + Math.max(LEASE_MICROS, v.graceMicros());
     }
 
     public synchronized void leave(long now) {
@@ -182,9 +182,9 @@
         if (v.members != null) {
             l.membersVersion = v.membersVersion;
             l.members = List.copyOf(v.members);
-            v.members.forEach(n -> directory.learn(n, now));
+            v.members.forEach(n -> directory.learnNode(n, now));
         }
-        l.offered = Math.max(l.offered, v.stamp + LEASE);
+        l.offered = Math.max(l.offered, v.stamp + LEASE_MICROS);
         l.offeredGrace = v.grace;
         if (timing.lowTraffic() && l.due > now)
             l.due = renewer.current(v.part) ? now + renewer.pause(now) : now + LeaseRenewer.SEARCH;
@@ -194,7 +194,7 @@
     private void notLeader(RenewReply v, PartLease l, long now) {
         l.unanswered = Math.min(l.unanswered, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED : 0);
         if (l.spread) {
-            directory.learn(v.leader, now);
+            directory.learnNode(v.leader, now);
             return;
         }
         var had = coreClient.leader(v.part);
@@ -247,6 +247,6 @@
             all.add(leases[i].members);
             grace = Math.min(grace, leases[i].grace);
         }
-        view = new View(topics.manifestTopic(), manifest, topics.services(), until, all, grace, since);
+        view = new CoreView(topics.manifestTopic(), manifest, topics.services(), until, all, grace, since);
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Directory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -14,15 +14,15 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-public final class Directory {
-    public static final long STALE = 3_000_000, FORGET = 60_000_000;
+public final class NodeDirectory {
+    public static final long RECENTLY_HEARD_MICROS = 3_000_000, FORGET_AFTER_MICROS = 60_000_000;
     private static final long SEARCH = 80_000;
 
-    public static final class Known {
+    public static final class KnownNode {
         public volatile Node node;
-        public volatile long heard = Long.MIN_VALUE / 2;
-        public volatile long learned;
-        public volatile long seen;
+        public volatile long lastHeardAt = Long.MIN_VALUE / 2;
+        public volatile long learnedAt;
+        public volatile long emptyStoresDigest;
         private volatile long list;
         /** The life before this one, until this one has been heard itself: hearsay may be old and condemns no disk. */
         private volatile Node earlier;
@@ -31,20 +31,20 @@
     private final Port port;
     private final List<String> seeds;
     private final TimingProfile timing;
-    private final Set<Long> gone = ConcurrentHashMap.newKeySet();
-    private final Map<String, Known> known = new ConcurrentHashMap<>();
+    private final Set<Long> isDiskLost = ConcurrentHashMap.newKeySet();
+    private final Map<String, KnownNode> knownNodes = new ConcurrentHashMap<>();
     private volatile Node self;
     private volatile Founding founding;
-    private volatile Founding newer;
-    private volatile long seen;
+    private volatile Founding newerFounding;
+    private volatile long setEmptyStoresDigest;
     private volatile long due;
     private int turn;
 
-    public Directory(Port port, Node self, List<String> seeds) {
+    public NodeDirectory(Port port, Node self, List<String> seeds) {
         this(port, self, seeds, TimingProfile.STANDARD);
     }
 
-    public Directory(Port port, Node self, List<String> seeds, TimingProfile timing) {
+    public NodeDirectory(Port port, Node self, List<String> seeds, TimingProfile timing) {
         this.timing = timing;
         this.port = port;
         this.self = self;
@@ -56,40 +56,40 @@
     }
 
     /** Raises this process's incarnation above the known one and tells the others at the next tick. */
-    public synchronized void raise(long known) {
+    public synchronized void raiseIncarnation(long known) {
         if (self.incarnation > known) return;
         self = self.with(self.above(known), self.serving);
-        greetSoon();
+        greetAtNextTick();
     }
 
     /** Says whether this process serves. */
-    public synchronized void updateServing(boolean is) {
+    public synchronized void setServing(boolean is) {
         self = self.with(self.incarnation, is);
     }
 
     /** Says how long this process acts on after its lease. */
-    public synchronized void grace(long micros) {
+    public synchronized void setGraceMicros(long micros) {
         self = self.with(micros);
     }
 
-    public void seen(long digest) {
-        seen = digest;
+    public void setEmptyStoresDigest(long digest) {
+        setEmptyStoresDigest = digest;
     }
 
     public Founding founding() {
         return founding;
     }
 
-    public Founding newer() {
-        return newer;
+    public Founding newerFounding() {
+        return newerFounding;
     }
 
-    public boolean sameOrigin(Hello h) {
+    public boolean hasSameOrigin(Hello h) {
         return founding != null && founding.sameOrigin(h.founding);
     }
 
-    public synchronized void follow(Founding f) {
-        newer = null;
+    public synchronized void followCore(Founding f) {
+        newerFounding = null;
         founding = f;
         self = self.with(self.incarnation, false);
         self.coreId = f.coreId;
@@ -105,64 +105,64 @@
         self.coreId = 0;
     }
 
-    public Collection<Known> known() {
-        return known.values();
+    public Collection<KnownNode> knownNodes() {
+        return knownNodes.values();
     }
 
-    public boolean heard(String name, long now) {
-        var k = known.get(name);
-        return k != null && now - k.heard < STALE;
+    public boolean wasHeardRecently(String name, long now) {
+        var k = knownNodes.get(name);
+        return k != null && now - k.lastHeardAt < RECENTLY_HEARD_MICROS;
     }
 
-    public Node named(String name) {
+    public Node nodeByName(String name) {
         if (name.equals(self.name)) return self;
-        var k = known.get(name);
+        var k = knownNodes.get(name);
         return k == null ? null : k.node;
     }
 
-    public Node store(long id) {
+    public Node storeById(long id) {
         if (self.storeId == id) return self;
-        Known best = null;
-        for (var k : known.values()) if (k.node.storeId == id && (best == null || k.heard > best.heard)) best = k;
+        KnownNode best = null;
+        for (var k : knownNodes.values()) if (k.node.storeId == id && (best == null || k.lastHeardAt > best.lastHeardAt)) best = k;
         return best == null ? null : best.node;
     }
 
     public List<Node> stores() {
         var all = new ArrayList<Node>();
         if (self.kind.equals(Node.STORE)) all.add(self);
-        for (var k : known.values()) if (k.node.kind.equals(Node.STORE)) all.add(k.node);
+        for (var k : knownNodes.values()) if (k.node.kind.equals(Node.STORE)) all.add(k.node);
         return all;
     }
 
     /** Whether the disk of this store is known to be lost: its node has come back with another. */
-    public boolean gone(long storeId) {
-        return gone.contains(storeId);
+    public boolean isDiskLost(long storeId) {
+        return isDiskLost.contains(storeId);
     }
 
-    public void replaced(Node old, Node by) {
+    public void recordReplacement(Node old, Node by) {
         var newer = old.name.equals(by.name) && by.incarnation > old.incarnation;
         if (!newer || old.storeId == 0 || by.storeId == 0 || old.storeId == by.storeId) return;
-        gone.add(old.storeId);
-        gone.remove(by.storeId);
+        isDiskLost.add(old.storeId);
+        isDiskLost.remove(by.storeId);
     }
 
-    public void learn(Node n, long now) {
+    public void learnNode(Node n, long now) {
         if (n == null) return;
         if (n.name.equals(self.name)) {
             raiseIncarnation(n);
             return;
         }
-        var k = known.computeIfAbsent(n.name, x -> new Known());
+        var k = knownNodes.computeIfAbsent(n.name, x -> new KnownNode());
         if (k.node == null || n.incarnation > k.node.incarnation) put(k, n);
-        if (k.learned == 0) k.learned = now;
+        if (k.learnedAt == 0) k.learnedAt = now;
     }
 
     /** Tells the others at the next tick. */
-    public void greetSoon() {
+    public void greetAtNextTick() {
         due = 0;
     }
 
-    private void put(Known k, Node n) {
+    private void put(KnownNode k, Node n) {
         if (k.node != null && k.node.storeId != n.storeId) k.earlier = k.node;
         k.node = n;
     }
@@ -170,13 +170,13 @@
     /** An earlier life at this very address has ended, since this process holds the address now. */
     private void raiseIncarnation(Node n) {
         var earlier = n.incarnation > self.incarnation || n.incarnation == self.incarnation && n.otherLife(self);
-        if (earlier && n.peerAddress.equals(self.peerAddress)) raise(n.incarnation);
+        if (earlier && n.peerAddress.equals(self.peerAddress)) raiseIncarnation(n.incarnation);
     }
 
     public void tick(long now) {
         if (now < due) return;
-        if (known.values().removeIf(k -> now - Math.max(k.heard, k.learned) > FORGET))
-            known.values().forEach(k -> k.list = 0);
+        if (knownNodes.values().removeIf(k -> now - Math.max(k.lastHeardAt, k.learnedAt) > FORGET_AFTER_MICROS))
+            knownNodes.values().forEach(k -> k.list = 0);
         if (timing.lowTraffic()) greetLowTraffic(now);
         else greet(now);
     }
@@ -184,17 +184,17 @@
     private void greet(long now) {
         due = now + timing.helloInterval();
         var to = new LinkedHashSet<>(seeds);
-        for (var k : known.values()) if (self.coreId == 0 || k.node.kind.equals(Node.STORE)) to.add(k.node.peerAddress);
+        for (var k : knownNodes.values()) if (self.coreId == 0 || k.node.kind.equals(Node.STORE)) to.add(k.node.peerAddress);
         to.remove(self.peerAddress);
         var h = hello(true, now);
         to.forEach(a -> port.send(a, h));
     }
 
     private void greetLowTraffic(long now) {
-        var stores = known.values().stream()
+        var stores = knownNodes.values().stream()
                 .filter(k -> k.node.kind.equals(Node.STORE))
                 .toList();
-        var lost = self.coreId == 0 || stores.stream().noneMatch(k -> now - k.heard < STALE);
+        var lost = self.coreId == 0 || stores.stream().noneMatch(k -> now - k.lastHeardAt < RECENTLY_HEARD_MICROS);
         due = now + (lost ? Math.min(SEARCH, timing.helloInterval()) : timing.helloInterval());
         var to = new LinkedHashSet<String>();
         if (lost) to.addAll(seeds);
@@ -206,18 +206,18 @@
         to.forEach(a -> port.send(a, lowTraffic(true, at(a))));
     }
 
-    private Known at(String address) {
-        return known.values().stream()
+    private KnownNode at(String address) {
+        return knownNodes.values().stream()
                 .filter(k -> k.node.peerAddress.equals(address))
                 .findFirst()
                 .orElse(null);
     }
 
-    private Hello lowTraffic(boolean asks, Known to) {
+    private Hello lowTraffic(boolean asks, KnownNode to) {
         var h = new Hello();
         h.from = self;
         h.wantsReply = asks;
-        h.seen = seen;
+        h.seen = setEmptyStoresDigest;
         h.lowTraffic = true;
         if (to == null || to.node.coreId != self.coreId) h.founding = founding;
         if (to != null) h.have = to.list;
@@ -225,7 +225,7 @@
     }
 
     private Hello answer(Hello h, long now) {
-        var k = known.get(h.from.name);
+        var k = knownNodes.get(h.from.name);
         if (!h.lowTraffic) {
             var full = hello(false, now);
             if (k != null && k.node.incarnation > h.from.incarnation) full.known.add(k.node);
@@ -233,8 +233,8 @@
         }
         var a = lowTraffic(false, k);
         if (h.from.coreId != self.coreId || k != null && k.node.incarnation > h.from.incarnation) a.founding = founding;
-        var stores = known.values().stream()
-                .filter(x -> now - x.heard < STALE && x.node.kind.equals(Node.STORE))
+        var stores = knownNodes.values().stream()
+                .filter(x -> now - x.lastHeardAt < RECENTLY_HEARD_MICROS && x.node.kind.equals(Node.STORE))
                 .map(x -> x.node)
                 .sorted(Comparator.comparing(n -> n.name))
                 .toList();
@@ -259,30 +259,30 @@
         var h = new Hello();
         h.from = self;
         h.wantsReply = asks;
-        h.seen = seen;
+        h.seen = setEmptyStoresDigest;
         h.founding = founding;
-        for (var k : known.values()) if (now - k.heard < STALE) h.known.add(k.node);
+        for (var k : knownNodes.values()) if (now - k.lastHeardAt < RECENTLY_HEARD_MICROS) h.known.add(k.node);
         return h;
     }
 
     public void receive(Hello h, long now) {
         if (h.from == null || h.from.name.equals(self.name)) return;
         if (h.from.coreId != 0 && self.coreId != 0 && h.from.coreId != self.coreId) {
-            if (sameOrigin(h) && h.founding.newerThan(founding)) newer = h.founding;
-            else if (sameOrigin(h) && h.wantsReply) port.send(h.from.peerAddress, hello(false, now));
+            if (hasSameOrigin(h) && h.founding.newerThan(founding)) newerFounding = h.founding;
+            else if (hasSameOrigin(h) && h.wantsReply) port.send(h.from.peerAddress, hello(false, now));
             return;
         }
-        learn(h.from, now);
-        var k = known.get(h.from.name);
+        learnNode(h.from, now);
+        var k = knownNodes.get(h.from.name);
         if (k.node.incarnation == h.from.incarnation) {
             put(k, h.from);
-            if (k.earlier != null) replaced(k.earlier, h.from);
+            if (k.earlier != null) recordReplacement(k.earlier, h.from);
             k.earlier = null;
-            k.heard = now;
-            k.seen = h.seen;
+            k.lastHeardAt = now;
+            k.emptyStoresDigest = h.seen;
             if (h.list != 0) k.list = h.list;
         }
-        h.known.forEach(n -> learn(n, now));
+        h.known.forEach(n -> learnNode(n, now));
         if (founding == null && h.founding != null) founding = h.founding;
         if (self.coreId == 0 && self.isRouter() && h.from.coreId != 0) join(h.from.coreId);
         if (h.wantsReply) port.send(h.from.peerAddress, answer(h, now));
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -38,7 +38,7 @@
     }
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
     private final IntFunction<List<Node>> members;
@@ -51,7 +51,7 @@
 
     TopicTable(
             Port port,
-            Directory directory,
+            NodeDirectory directory,
             CoreClient coreClient,
             TimingProfile timing,
             IntFunction<List<Node>> members) {
@@ -193,7 +193,7 @@
         manifestTopic = m;
         if (m.text.isEmpty()) return;
         manifest = ManifestReader.readValidated(m.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
-        directory.grace(manifest.lapsedLeaseGrace());
+        directory.setGraceMicros(manifest.lapsedLeaseGrace());
         port.logEvent(Event.MANIFEST_APPLIED, "version " + m.version + " marks " + m.marks);
         for (var s : manifest.services().keySet()) topics.computeIfAbsent(s, k -> new Topic());
         topics.keySet()
--- a/lib/control/src/main/java/craneway/control/operator/Quiet.java
+++ b/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
@@ -1,18 +1,18 @@
 package craneway.control.operator;
 
-import craneway.control.plan.Mover;
+import craneway.control.plan.UnitMover;
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.ManifestReader;
 import craneway.state.record.Rows;
 import java.util.ArrayList;
 import java.util.List;
 
-public record Quiet(String service, String cell, int load, int slots, int slotsLeft, int minutes, List<String> cause) {
+public record DrainEstimate(String service, String cell, int load, int slots, int remainingSlots, int minutesThatFit, List<String> concerns) {
     private static final double SHARE = 0.8;
 
-    static List<Quiet> of(Rows.Manifest topic, List<PartStatus> parts) {
+    static List<DrainEstimate> of(Rows.Manifest topic, List<PartStatus> parts) {
         var m = ManifestReader.read(topic.text);
-        var all = new ArrayList<Quiet>();
+        var all = new ArrayList<DrainEstimate>();
         if (m.isLeft()) return all;
         for (var p : parts)
             for (var s : p.services)
@@ -21,36 +21,36 @@
         return all;
     }
 
-    private static Quiet of(Rows.Service s, int cell, Rows.Manifest topic, List<PartStatus> parts, PartStatus p) {
+    private static DrainEstimate of(Rows.Service s, int cell, Rows.Manifest topic, List<PartStatus> parts, PartStatus p) {
         var name = s.cells.get(cell);
-        var plan = Intents.plan(new Intent(Intent.EMPTY_CELL, null, s.name, name, null, null), topic, parts);
+        var plan = IntentPlanner.createPlan(new Intent(Intent.EMPTY_CELL, null, s.name, name, null, null), topic, parts);
         int load = 0, slots = 0, left = 0;
         for (var r : s.runners.values()) {
             if (!r.up()) continue;
             if (r.cell.equals(name)) {
-                load += p.loads.getOrDefault(s.name + "/" + r.name, 0);
+                load += p.loadByRunner.getOrDefault(s.name + "/" + r.name, 0);
                 slots += r.slots;
             } else if (open(s, r, topic)) left += r.slots;
         }
-        return new Quiet(
+        return new DrainEstimate(
                 s.name,
                 name,
                 load,
                 slots,
                 left,
-                plan.isLeft() ? 0 : minutes(s.name, left, p),
+                plan.isLeft() ? 0 : minutesThatFit(s.name, left, p),
                 plan.isLeft() ? List.of(plan.getLeft().detail()) : plan.get().warnings);
     }
 
     private static boolean open(Rows.Service s, Rows.Runner r, Rows.Manifest topic) {
-        return !Mover.closed(s, topic.marks).get(s.cells.indexOf(r.cell));
+        return !UnitMover.closedCells(s, topic.marks).get(s.cells.indexOf(r.cell));
     }
 
-    private static int minutes(String service, int left, PartStatus p) {
+    private static int minutesThatFit(String service, int left, PartStatus p) {
         for (var k : p.peaks) {
             if (!k.service.equals(service)) continue;
             var n = 0;
-            while (n < k.minutes.length && k.minutes[n] <= left * SHARE) n++;
+            while (n < k.peakByMinute.length && k.peakByMinute[n] <= left * SHARE) n++;
             return n;
         }
         return 0;
--- a/lib/control/src/main/java/craneway/control/operator/Intents.java
+++ b/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
@@ -1,7 +1,7 @@
 package craneway.control.operator;
 
-import craneway.control.plan.Mover;
-import craneway.control.plan.Planner;
+import craneway.control.plan.UnitMover;
+import craneway.control.plan.HomePlanner;
 import craneway.control.store.PartStatus;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
@@ -21,10 +21,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-public final class Intents {
-    private Intents() {}
+public final class IntentPlanner {
+    private IntentPlanner() {}
 
-    public static Either<Problem, Plan> plan(Intent i, Rows.Manifest topic, List<PartStatus> parts) {
+    public static Either<Problem, Plan> createPlan(Intent i, Rows.Manifest topic, List<PartStatus> parts) {
         if (topic.text.isEmpty()) return no(ProblemKind.NO_MANIFEST, ProblemKind.NO_MANIFEST.text());
         var m = ManifestReader.read(topic.text).getOrElseThrow(p -> new IllegalStateException(p.detail()));
         return marks(i, m, topic).flatMap(marks -> planned(i, m, topic, marks, parts));
@@ -89,7 +89,7 @@
             for (var s : part.services) {
                 var ms = m.service(s.name);
                 if (ms == null) continue;
-                var wrong = service(p, s, ms, m, after, part.loads);
+                var wrong = service(p, s, ms, m, after, part.loadByRunner);
                 if (wrong != null) return bad(wrong);
             }
         if (p.steps.isEmpty()) p.steps.add("1. no unit moves; the mark alone is set");
@@ -103,14 +103,14 @@
             Manifest m,
             Map<String, String> marks,
             Map<String, Integer> loads) {
-        var closed = Mover.closed(s, marks);
+        var closed = UnitMover.closedCells(s, marks);
         var well = new BitSet();
         for (var c = 0; c < s.cells.size(); c++) if (s.live(c) && s.runnersUp(c) > 0) well.set(c);
         var open = (BitSet) well.clone();
         open.andNot(closed);
         var unmet = unmet(s, m, marks, open);
         if (unmet != null) return unmet;
-        var wanted = Planner.wanted(s, closed, well);
+        var wanted = HomePlanner.wantedHomes(s, closed, well);
         steps(p, s, ms, wanted);
         return carry(p, s, open, wanted, loads);
     }
--- a/lib/control/src/main/java/craneway/control/operator/Operator.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -21,10 +21,10 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-public final class Operator {
+public final class OperatorCommands {
     private static final long TIMEOUT = 5_000_000, SPREAD = 3_000_000, LOOK = 50_000;
 
-    public record Carried(long version, List<String> missing, List<String> able) {}
+    public record RolloutResult(long version, List<String> unconfirmedMembers, List<String> routersStillActing) {}
 
     private static final class Watch {
         long topic;
@@ -34,14 +34,14 @@
         long until;
         Predicate<RolloutStatus> enough;
         RolloutStatus last = new RolloutStatus();
-        Consumer<Carried> then;
+        Consumer<RolloutResult> then;
     }
 
     private final Port port;
     private final CoreClient coreClient;
     private final ConcurrentLinkedQueue<Watch> watches = new ConcurrentLinkedQueue<>();
 
-    public Operator(Port port, CoreClient coreClient) {
+    public OperatorCommands(Port port, CoreClient coreClient) {
         this.port = port;
         this.coreClient = coreClient;
     }
@@ -54,7 +54,7 @@
     }
 
     private void close(Watch w) {
-        if (watches.remove(w)) w.then.accept(new Carried(w.version, w.last.missing, w.last.able));
+        if (watches.remove(w)) w.then.accept(new RolloutResult(w.version, w.last.unconfirmedMembers, w.last.routersStillActing));
     }
 
     private void look(Watch w, long now) {
@@ -62,14 +62,14 @@
         var q = new Queries.RolloutGet();
         q.version = w.topic;
         q.zone = w.zone;
-        coreClient.ask(Parts.MANIFEST_PART, q, TIMEOUT, v -> {
+        coreClient.request(Parts.MANIFEST_PART, q, TIMEOUT, v -> {
             if (v.kind != 0) return;
             w.last = Codec.read(RolloutStatus.class, v.body);
             if (w.enough.test(w.last)) close(w);
         });
     }
 
-    private void watch(long topic, long version, String zone, Predicate<RolloutStatus> enough, Consumer<Carried> then) {
+    private void watchPlan(long topic, long version, String zone, Predicate<RolloutStatus> enough, Consumer<RolloutResult> then) {
         var w = new Watch();
         w.topic = topic;
         w.version = version;
@@ -84,8 +84,8 @@
         return new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter);
     }
 
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
-        coreClient.ask(
+    public void readManifest(Consumer<Either<Problem, Rows.Manifest>> then) {
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 TIMEOUT,
@@ -93,38 +93,38 @@
                         v.kind == 0 ? Either.right(Codec.read(Rows.Manifest.class, v.body)) : Either.left(problem(v))));
     }
 
-    public void send(long base, String text, Consumer<Either<Problem, Carried>> then) {
+    public void putManifest(long base, String text, Consumer<Either<Problem, RolloutResult>> then) {
         var c = new Commands.ManifestPut();
         c.base = base;
         c.text = text;
-        coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
+        coreClient.request(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
             if (v.kind != 0) then.accept(Either.left(problem(v)));
             else
-                watch(
+                watchPlan(
                         v.version,
                         Long.parseLong(v.detail),
                         "",
-                        s -> s.missing.isEmpty(),
+                        s -> s.unconfirmedMembers.isEmpty(),
                         r -> then.accept(Either.right(r)));
         });
     }
 
-    public void watchManifest(long version, Consumer<Either<Problem, Carried>> then) {
-        manifest(m -> {
+    public void watchManifest(long version, Consumer<Either<Problem, RolloutResult>> then) {
+        readManifest(m -> {
             if (m.isLeft()) then.accept(Either.left(m.getLeft()));
             else if (m.get().version < version)
                 then.accept(Either.left(Problem.of(
                         ProblemKind.BAD_OPERATOR_INPUT, "no manifest " + version + "; in force is " + m.get().version)));
-            else watch(m.get().topicVersion, version, "", s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+            else watchPlan(m.get().topicVersion, version, "", s -> s.routersStillActing.isEmpty(), r -> then.accept(Either.right(r)));
         });
     }
 
-    public void status(Consumer<List<PartStatus>> then) {
+    public void readStatus(Consumer<List<PartStatus>> then) {
         var all = new PartStatus[Parts.COUNT];
         var open = new int[] {Parts.COUNT};
         for (var p = 0; p < Parts.COUNT; p++) {
             var part = p;
-            coreClient.ask(p, new Queries.Status(), TIMEOUT, v -> {
+            coreClient.request(p, new Queries.Status(), TIMEOUT, v -> {
                 synchronized (all) {
                     if (v.kind == 0) all[part] = Codec.read(PartStatus.class, v.body);
                     if (--open[0] > 0) return;
@@ -140,74 +140,74 @@
         return r;
     }
 
-    public void plan(Intent i, Consumer<Either<Problem, Plan>> then) {
-        status(parts -> {
+    public void createPlan(Intent i, Consumer<Either<Problem, Plan>> then) {
+        readStatus(parts -> {
             if (parts.size() < Parts.COUNT) {
                 then.accept(Either.left(Problem.of(
                         ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
                 return;
             }
-            var p = Intents.plan(i, parts.get(Parts.MANIFEST_PART).manifest, parts);
+            var p = IntentPlanner.createPlan(i, parts.get(Parts.MANIFEST_PART).manifest, parts);
             if (p.isLeft()) then.accept(p);
             else put(p.get(), then);
         });
     }
 
-    public void quiet(Consumer<Either<Problem, List<Quiet>>> then) {
-        status(parts -> {
+    public void estimateDrains(Consumer<Either<Problem, List<DrainEstimate>>> then) {
+        readStatus(parts -> {
             if (parts.size() < Parts.COUNT)
                 then.accept(Either.left(Problem.of(
                         ProblemKind.NO_OWNER, "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
-            else then.accept(Either.right(Quiet.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
+            else then.accept(Either.right(DrainEstimate.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
         });
     }
 
     private void put(Plan p, Consumer<Either<Problem, Plan>> then) {
         var c = new Commands.PlanPut();
         c.plan = p;
-        coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
+        coreClient.request(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
             p.id = v.version;
             then.accept(v.kind == 0 ? Either.right(p) : Either.left(problem(v)));
         });
     }
 
-    public void show(long plan, Consumer<Either<Problem, Plan>> then) {
+    public void readPlan(long plan, Consumer<Either<Problem, Plan>> then) {
         var q = new Queries.PlanGet();
         q.plan = plan;
-        coreClient.ask(
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 q,
                 TIMEOUT,
                 v -> then.accept(v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(problem(v))));
     }
 
-    public void confirm(long plan, Consumer<Either<Problem, Carried>> then) {
-        show(plan, p -> {
+    public void confirmPlan(long plan, Consumer<Either<Problem, RolloutResult>> then) {
+        readPlan(plan, p -> {
             if (p.isLeft()) {
                 then.accept(Either.left(p.getLeft()));
                 return;
             }
             var c = new Commands.PlanConfirm();
             c.plan = plan;
-            coreClient.ask(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
+            coreClient.request(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
                 if (v.kind != 0) then.accept(Either.left(problem(v)));
-                else watch(v.version, plan, zone(p.get()), s -> s.able.isEmpty(), r -> then.accept(Either.right(r)));
+                else watchPlan(v.version, plan, zone(p.get()), s -> s.routersStillActing.isEmpty(), r -> then.accept(Either.right(r)));
             });
         });
     }
 
-    public void watch(long plan, Consumer<Either<Problem, Carried>> then) {
-        show(plan, p -> {
+    public void watchPlan(long plan, Consumer<Either<Problem, RolloutResult>> then) {
+        readPlan(plan, p -> {
             if (p.isLeft()) then.accept(Either.left(p.getLeft()));
             else if (p.get().state != Plan.CONFIRMED)
                 then.accept(Either.left(Problem.of(
                         ProblemKind.STALE_PLAN, "plan " + plan + " is " + p.get().stateName())));
             else
-                watch(
+                watchPlan(
                         p.get().confirmedTopic,
                         plan,
                         zone(p.get()),
-                        s -> s.able.isEmpty(),
+                        s -> s.routersStillActing.isEmpty(),
                         r -> then.accept(Either.right(r)));
         });
     }
@@ -224,7 +224,7 @@
         var open = new int[] {Parts.COUNT};
         var wrong = new CommandResult[1];
         for (var p = 0; p < Parts.COUNT; p++)
-            coreClient.ask(p, new Commands.ClaimsAccepted(), TIMEOUT, v -> {
+            coreClient.request(p, new Commands.ClaimsAccepted(), TIMEOUT, v -> {
                 synchronized (open) {
                     if (v.kind != 0) wrong[0] = v;
                     if (--open[0] > 0) return;
@@ -233,11 +233,11 @@
             });
     }
 
-    public void stop(long plan, Consumer<Either<Problem, Long>> then) {
+    public void stopPlan(long plan, Consumer<Either<Problem, Long>> then) {
         var c = new Commands.PlanStop();
         c.plan = plan;
         c.cause = "stopped by an operator";
-        coreClient.ask(
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 c,
                 TIMEOUT,
--- a/lib/control/src/main/java/craneway/control/operator/WakeGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
@@ -8,11 +8,11 @@
  * the queue of new connections is read; then the first order on each connection that was used before the gap is refused as
  * well. What is refused costs its caller a call to another node. No I/O.
  */
-public final class WakeGuard {
+public final class PauseGuard {
     /** Ticks farther apart than this are a gap; callers wait for longer. */
-    public static final long GAP = 400_000;
+    public static final long MAX_TICK_GAP_MICROS = 400_000;
     /** How long after a gap nothing is admitted. */
-    public static final long SETTLE = 500_000;
+    public static final long SETTLE_MICROS = 500_000;
 
     /** Where a connection stands towards this guard; one for each. */
     public static final class Connection {
@@ -24,14 +24,14 @@
     private long woke;
 
     /** A guard of a process that starts now, which no caller can have waited for. */
-    public WakeGuard(long now) {
+    public PauseGuard(long now) {
         ticked = now;
-        woke = now - SETTLE;
+        woke = now - SETTLE_MICROS;
     }
 
     /** Called every 20 ms or so, and by nothing that can wait. */
     public synchronized void tick(long now) {
-        if (now - ticked > GAP) woke = now;
+        if (now - ticked > MAX_TICK_GAP_MICROS) woke = now;
         ticked = Math.max(ticked, now);
     }
 
@@ -40,8 +40,8 @@
         tick(now);
         var used = c.used;
         c.used = now;
-        var held = now - began > GAP && woke >= began;
+        var held = now - began > MAX_TICK_GAP_MICROS && woke >= began;
         var before = used != Connection.NEVER && used < woke;
-        return now - woke >= SETTLE && !held && !before;
+        return now - woke >= SETTLE_MICROS && !held && !before;
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -29,8 +29,8 @@
     }
 
     /** Reads the newest configuration from its leader. */
-    public void manifest(Consumer<Either<Problem, Rows.Manifest>> then) {
-        coreClient.ask(
+    public void readManifest(Consumer<Either<Problem, Rows.Manifest>> then) {
+        coreClient.request(
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 TIMEOUT,
@@ -38,7 +38,7 @@
     }
 
     /** The text must have been checked; RACE_LOST and BAD_MANIFEST are final, any other problem leaves open whether it was taken. */
-    public void put(
+    public void putManifest(
             long base, long number, String text, String source, long since, Consumer<Either<Problem, Void>> then) {
         var c = new Commands.ManifestPut();
         c.base = base;
@@ -49,7 +49,7 @@
     }
 
     /** Empties a zone or takes it back. */
-    public void mark(String zone, boolean emptied, long since, Consumer<Either<Problem, Void>> then) {
+    public void markZone(String zone, boolean emptied, long since, Consumer<Either<Problem, Void>> then) {
         var c = new Commands.ZoneMark();
         c.zone = zone;
         c.emptied = emptied;
@@ -57,8 +57,8 @@
     }
 
     /** A call that came too late to count is as good as taken. */
-    public void beat(Commands.RunnerPut c, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(Parts.partOf(c.service), c, since + TIMEOUT, v -> {
+    public void reportRunnerHeartbeat(Commands.RunnerPut c, long since, Consumer<Either<Problem, Void>> then) {
+        coreClient.requestUntil(Parts.partOf(c.service), c, since + TIMEOUT, v -> {
             if (v.kind == ProblemKind.STALE_RUNNER.code()) then.accept(Either.right(null));
             else if (v.kind == 0) then.accept(reply(v));
             else
@@ -68,14 +68,14 @@
     }
 
     /** Marks a life as leaving, whichever service it belongs to; one that no part knows is as good as gone. */
-    public void left(String runner, long since, Consumer<Either<Problem, Void>> then) {
+    public void markRunnerLeaving(String runner, long since, Consumer<Either<Problem, Void>> then) {
         var open = new AtomicInteger(Parts.COUNT - 1);
         var wrong = new AtomicReference<Problem>();
         for (var p = 0; p < Parts.COUNT; p++) {
             if (p == Parts.MANIFEST_PART) continue;
             var c = new Commands.RunnerLeft();
             c.runner = runner;
-            coreClient.askUntil(p, c, since + TIMEOUT, v -> {
+            coreClient.requestUntil(p, c, since + TIMEOUT, v -> {
                 reply(v).peekLeft(wrong::set);
                 if (open.decrementAndGet() == 0)
                     then.accept(wrong.get() == null ? Either.right(null) : Either.left(wrong.get()));
@@ -84,7 +84,7 @@
     }
 
     private void ask(int part, Object command, long since, Consumer<Either<Problem, Void>> then) {
-        coreClient.askUntil(part, command, since + TIMEOUT, v -> then.accept(reply(v)));
+        coreClient.requestUntil(part, command, since + TIMEOUT, v -> then.accept(reply(v)));
     }
 
     private static Either<Problem, Void> reply(CommandResult v) {
--- a/lib/control/src/main/java/craneway/control/plan/Planner.java
+++ b/lib/control/src/main/java/craneway/control/plan/HomePlanner.java
@@ -6,18 +6,18 @@
 import craneway.state.record.Rows;
 import java.util.BitSet;
 
-public final class Planner {
-    private Planner() {}
+public final class HomePlanner {
+    private HomePlanner() {}
 
-    public static int[] wanted(Rows.Service s, BitSet closed, BitSet well) {
+    public static int[] wantedHomes(Rows.Service s, BitSet closed, BitSet well) {
         var n = s.homes.length;
         var w = new int[n];
         var weights = weights(s);
-        for (var u = 0; u < n; u++) w[u] = wanted(s, u, closed, well, weights);
+        for (var u = 0; u < n; u++) w[u] = wantedHomes(s, u, closed, well, weights);
         return w;
     }
 
-    private static int wanted(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
+    private static int wantedHomes(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
         var now = s.homes[unit];
         var away = s.displaced(unit);
         if (away != PlacementTable.NOWHERE && allowed(s, unit, away) && !closed.get(away) && well.get(away)) return away;
--- a/lib/control/src/main/java/craneway/control/plan/Pressure.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-public final class Pressure {
-    public static final double FULL = 0.8, CALM = 0.6, ROOM = 0.6;
-    public static final long FULL_FOR = 3_000_000, CALM_FOR = 15_000_000, SETTLE = 4_000_000;
+public final class PressureRelief {
+    public static final double FULL_UTILIZATION = 0.8, CALM_UTILIZATION = 0.6, MAX_TARGET_UTILIZATION = 0.6;
+    public static final long FULL_HOLD_MICROS = 3_000_000, CALM_HOLD_MICROS = 15_000_000, COMMAND_PAUSE_MICROS = 4_000_000;
     private static final double SMOOTH = 5_000_000;
     private static final int MOST = 8;
 
@@ -26,21 +26,21 @@
         uses.clear();
         fullSince.clear();
         calmSince.clear();
-        due.replaceAll((k, v) -> now + SETTLE);
+        due.replaceAll((k, v) -> now + COMMAND_PAUSE_MICROS);
     }
 
-    public Displace ask(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
+    public Displace nextDisplacement(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
         var use = use(s, loads);
         for (var c = 0; c < use.length; c++) {
             use[c] = smooth(s.name + "/" + c, use[c], now);
-            since(fullSince, s.name + "/" + c, open.get(c) && use[c] >= FULL, now);
-            since(calmSince, s.name + "/" + c, open.get(c) && use[c] <= CALM, now);
+            since(fullSince, s.name + "/" + c, open.get(c) && use[c] >= FULL_UTILIZATION, now);
+            since(calmSince, s.name + "/" + c, open.get(c) && use[c] <= CALM_UTILIZATION, now);
         }
         if (now < due.computeIfAbsent(s.name, k -> now) || s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED))
             return null;
         var d = away(s, use, open, now);
         if (d == null) d = back(s, now);
-        if (d != null) due.put(s.name, now + SETTLE);
+        if (d != null) due.put(s.name, now + COMMAND_PAUSE_MICROS);
         return d;
     }
 
@@ -78,7 +78,7 @@
 
     private Displace away(Rows.Service s, double[] use, BitSet open, long now) {
         for (var c = 0; c < use.length; c++) {
-            if (!lasted(fullSince, s, c, FULL_FOR, now)) continue;
+            if (!lasted(fullSince, s, c, FULL_HOLD_MICROS, now)) continue;
             var to = roomiest(s, use, open, c);
             if (to == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
@@ -92,7 +92,7 @@
     private static int roomiest(Rows.Service s, double[] use, BitSet open, int but) {
         var best = PlacementTable.NOWHERE;
         for (var c = 0; c < use.length; c++) {
-            if (c == but || !open.get(c) || use[c] > ROOM || s.heldUntil.containsKey(s.cells.get(c))) continue;
+            if (c == but || !open.get(c) || use[c] > MAX_TARGET_UTILIZATION || s.heldUntil.containsKey(s.cells.get(c))) continue;
             if (best == PlacementTable.NOWHERE || use[c] < use[best]) best = c;
         }
         return best;
@@ -105,8 +105,8 @@
     private Displace back(Rows.Service s, long now) {
         var units = new ArrayList<Integer>();
         for (var u : s.displacedUnits) {
-            var home = Planner.home(s, u);
-            if (units.size() < MOST && home != PlacementTable.NOWHERE && lasted(calmSince, s, home, CALM_FOR, now)) units.add(u);
+            var home = HomePlanner.home(s, u);
+            if (units.size() < MOST && home != PlacementTable.NOWHERE && lasted(calmSince, s, home, CALM_HOLD_MICROS, now)) units.add(u);
         }
         return units.isEmpty() ? null : command(s, units, PlacementTable.NOWHERE);
     }
--- a/lib/control/src/main/java/craneway/control/plan/Signals.java
+++ b/lib/control/src/main/java/craneway/control/plan/SignalHistory.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-public final class Signals {
+public final class SignalHistory {
     private static final int SLOTS = 8;
     private static final long SLOT = 500_000;
 
-    public record Rate(long runs, long problems, long firstMicros) {
-        public double share() {
+    public record CellTotals(long runs, long problems, long firstTokenMicrosSum) {
+        public double problemShare() {
             return runs + problems == 0 ? 0 : problems / (double) (runs + problems);
         }
 
-        public double first() {
-            return runs == 0 ? 0 : firstMicros / (double) runs;
+        public double meanFirstTokenMicros() {
+            return runs == 0 ? 0 : firstTokenMicrosSum / (double) runs;
         }
     }
 
@@ -39,7 +39,7 @@
         r.first[i] += firstMicros;
     }
 
-    public Rate since(String service, String cell, long from, long now) {
+    public CellTotals totalsSince(String service, String cell, long from, long now) {
         var r = rings.get(service + "/" + cell);
         long runs = 0, problems = 0, first = 0;
         for (var i = 0; r != null && i < SLOTS; i++) {
@@ -48,7 +48,7 @@
             problems += r.problems[i];
             first += r.first[i];
         }
-        return new Rate(runs, problems, first);
+        return new CellTotals(runs, problems, first);
     }
 
     public void clear() {
--- a/lib/control/src/main/java/craneway/control/plan/Watcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-public final class Watcher {
-    public static final long WATCH = 2_000_000, HELD = 30_000_000;
+public final class StepWatcher {
+    public static final long WATCH_MICROS = 2_000_000, HOLD_MICROS = 30_000_000;
     private static final long BEFORE = 3_000_000, SLOW = 1_000_000;
     private static final int ENOUGH = 5;
 
-    private record Watched(long since, Signals.Rate before) {}
+    private record Watched(long since, SignalHistory.CellTotals before) {}
 
     private final Map<String, Watched> watched = new HashMap<>();
 
@@ -20,23 +20,23 @@
         watched.clear();
     }
 
-    public StepMark judge(Rows.Service s, Signals g, BitSet open, long now) {
+    public StepMark nextVerdict(Rows.Service s, SignalHistory g, BitSet open, long now) {
         for (var x : s.steps) {
             if (x.state != Rows.Step.RAISED) continue;
             var w = watched(s, x, g, now);
             var units = canGoBack(x, open);
-            var worse = units.length > 0 ? worse(w.before, g.since(s.name, s.cells.get(x.to), w.since, now)) : null;
-            if (worse == null && now - w.since < WATCH) continue;
+            var worse = units.length > 0 ? worse(w.before, g.totalsSince(s.name, s.cells.get(x.to), w.since, now)) : null;
+            if (worse == null && now - w.since < WATCH_MICROS) continue;
             watched.remove(s.name + "/" + x.id);
             return mark(s, x, worse, units);
         }
         return null;
     }
 
-    private Watched watched(Rows.Service s, Rows.Step x, Signals g, long now) {
+    private Watched watched(Rows.Service s, Rows.Step x, SignalHistory g, long now) {
         var has = watched.get(s.name + "/" + x.id);
         if (has != null) return has;
-        var before = g.since(s.name, s.cells.get(x.to), now - BEFORE, now);
+        var before = g.totalsSince(s.name, s.cells.get(x.to), now - BEFORE, now);
         for (var o : s.steps) {
             var w = watched.get(s.name + "/" + o.id);
             if (w == null || o.to != x.to) continue;
@@ -55,15 +55,15 @@
                 .toArray();
     }
 
-    private static String worse(Signals.Rate before, Signals.Rate after) {
-        if (after.problems() >= ENOUGH && after.share() > 0.1 + 2 * before.share())
-            return String.format("problems rose from %.2f to %.2f of its work", before.share(), after.share());
+    private static String worse(SignalHistory.CellTotals before, SignalHistory.CellTotals after) {
+        if (after.problems() >= ENOUGH && after.problemShare() > 0.1 + 2 * before.problemShare())
+            return String.format("problems rose from %.2f to %.2f of its work", before.problemShare(), after.problemShare());
         if (after.runs() >= ENOUGH
                 && before.runs() >= ENOUGH
-                && after.first() > SLOW
-                && after.first() > 3 * before.first())
+                && after.meanFirstTokenMicros() > SLOW
+                && after.meanFirstTokenMicros() > 3 * before.meanFirstTokenMicros())
             return String.format(
-                    "time to first token rose from %.0f to %.0f ms", before.first() / 1000, after.first() / 1000);
+                    "time to first token rose from %.0f to %.0f ms", before.meanFirstTokenMicros() / 1000, after.meanFirstTokenMicros() / 1000);
         return null;
     }
 
@@ -73,7 +73,7 @@
         m.id = x.id;
         m.state = worse == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
         m.cause = worse == null ? "" : s.cells.get(x.to) + ": " + worse;
-        m.heldMicros = HELD;
+        m.heldMicros = HOLD_MICROS;
         m.units = units;
         return m;
     }
--- a/lib/control/src/main/java/craneway/control/plan/Mover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Map;
 
-public final class Mover {
-    public static final long HOLD = 3_000_000;
+public final class UnitMover {
+    public static final long HEALTHY_AFTER_MICROS = 3_000_000;
     private static final long CONFIRM = 5_000_000;
 
     private final Map<String, Long> wellSince = new HashMap<>();
@@ -33,14 +33,14 @@
         asked.clear();
     }
 
-    public interface StoreReady {
-        boolean test(int cell, long index);
+    public interface StoreSyncCheck {
+        boolean isSynced(int cell, long index);
     }
 
-    public Object step(Rows.Service s, Manifest.Service m, Map<String, String> marks, StoreReady ready, long now) {
+    public Object nextStep(Rows.Service s, Manifest.Service m, Map<String, String> marks, StoreSyncCheck ready, long now) {
         if (m == null) return null;
         var well = well(s, now);
-        var closed = closed(s, marks);
+        var closed = closedCells(s, marks);
         var wanted = wanted(s, closed, well);
         for (var x : s.steps) if (x.state == Rows.Step.ASKED) return settle(s, x, wanted, ready, now);
         var units = new ArrayList<Integer>();
@@ -61,10 +61,10 @@
         return wanted[take.get(0)] == PlacementTable.NOWHERE ? command(s, take, wanted) : ask(s, take, wanted, closed, well);
     }
 
-    private StepMark settle(Rows.Service s, Rows.Step x, int[] wanted, StoreReady ready, long now) {
+    private StepMark settle(Rows.Service s, Rows.Step x, int[] wanted, StoreSyncCheck ready, long now) {
         var since = asked.computeIfAbsent(s.name + "/" + x.id, k -> now);
         var still = Arrays.stream(x.units).allMatch(u -> wanted[u] == x.to);
-        var go = still && ready.test(x.to, x.index);
+        var go = still && ready.isSynced(x.to, x.index);
         if (!go && still && now - since < CONFIRM) return null;
         asked.remove(s.name + "/" + x.id);
         var m = new StepMark();
@@ -90,7 +90,7 @@
         return a;
     }
 
-    public static TableStep plain(StepAsk a) {
+    public static TableStep toTableStep(StepAsk a) {
         var t = new TableStep();
         t.service = a.service;
         t.tableVersion = a.tableVersion;
@@ -99,9 +99,9 @@
         return t;
     }
 
-    public BitSet open(Rows.Service s, Map<String, String> marks, long now) {
+    public BitSet openCells(Rows.Service s, Map<String, String> marks, long now) {
         var b = well(s, now);
-        b.andNot(closed(s, marks));
+        b.andNot(closedCells(s, marks));
         return b;
     }
 
@@ -112,7 +112,7 @@
                 || w.held != s.heldUntil.size()
                 || !w.closed.equals(closed)
                 || !w.well.equals(well)) {
-            w = new Wanted(s.newsVersion, s.heldUntil.size(), closed, well, Planner.wanted(s, closed, well));
+            w = new Wanted(s.newsVersion, s.heldUntil.size(), closed, well, HomePlanner.wantedHomes(s, closed, well));
             wanted.put(s.name, w);
         }
         return w.homes;
@@ -135,7 +135,7 @@
         return t;
     }
 
-    public static BitSet closed(Rows.Service s, Map<String, String> marks) {
+    public static BitSet closedCells(Rows.Service s, Map<String, String> marks) {
         var b = new BitSet();
         for (var c = 0; c < s.cells.size(); c++)
             if (Plan.EMPTIED.equals(marks.get("zone:" + s.zones.get(c)))
@@ -155,7 +155,7 @@
                 continue;
             }
             wellSince.putIfAbsent(k, now);
-            if (now - wellSince.get(k) >= HOLD || housing.get(c)) b.set(c);
+            if (now - wellSince.get(k) >= HEALTHY_AFTER_MICROS || housing.get(c)) b.set(c);
         }
         return b;
     }
--- a/lib/control/src/main/java/craneway/control/store/Settings.java
+++ b/lib/control/src/main/java/craneway/control/store/CoreSettings.java
@@ -9,10 +9,10 @@
  * @param dark after how long a silent runner counts as gone
  * @param forgotten after how long a runner that is leaving or gone is forgotten; 0: never
  */
-public record Settings(int founders, boolean seedsOnly, boolean firstStart, long dark, long forgotten) {
+public record CoreSettings(int founderCount, boolean seedsOnly, boolean firstStart, long darkAfterMicros, long forgetAfterMicros) {
     private static final long DARK = 3_000_000;
 
-    public static Settings of(int founders) {
-        return new Settings(founders, false, true, DARK, 0);
+    public static CoreSettings of(int founders) {
+        return new CoreSettings(founders, false, true, DARK, 0);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -9,7 +9,7 @@
 
 /** What the leader of a part knows of its members' leases: when it heard each last, and which versions each has. */
 final class LeaseTable {
-    private static final long LAPSE = Membership.LEASE + 300_000;
+    private static final long LAPSE = Membership.LEASE_MICROS + 300_000;
     private static final long FORGET = 60_000_000;
 
     private static final class Lease {
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -18,18 +18,18 @@
     private static final long HEARD_ALL = 1_000_000;
 
     /** What the leader knows of a store. Times are microseconds. */
-    public interface Knowledge {
+    public interface StoreStatus {
         /** Whether the disk of this store is known to be lost. */
-        boolean diskLost(long store);
+        boolean isDiskLost(long store);
 
         /** When the leader last heard the store. */
-        long heardFrom(long store);
+        long lastHeardAt(long store);
 
         /** Whether the store's catch-up rounds have become short. */
-        boolean caughtUp(long store);
+        boolean isCaughtUp(long store);
 
         /** Whether the store holds every entry that the leader holds. */
-        boolean level(long store);
+        boolean holdsAllEntries(long store);
     }
 
     private record JoinRequest(String zone, long until) {}
@@ -37,12 +37,12 @@
     private final long self;
     private final Quorum quorum;
     private final TimingProfile timing;
-    private final Knowledge knowledge;
+    private final StoreStatus knowledge;
     private final Map<Long, JoinRequest> joinRequests = new TreeMap<>();
-    private final Map<Long, Long> leaving = new TreeMap<>();
+    private final Map<Long, Long> isLeaving = new TreeMap<>();
 
     /** A decider for a leader with this store id. */
-    public MembershipChanges(long self, Quorum quorum, TimingProfile timing, Knowledge knowledge) {
+    public MembershipChanges(long self, Quorum quorum, TimingProfile timing, StoreStatus knowledge) {
         this.self = self;
         this.quorum = quorum;
         this.timing = timing;
@@ -50,50 +50,50 @@
     }
 
     /** A store that is no member asks to become one; it asks again before that time if it still does. */
-    public void wants(long store, String zone, long until) {
-        leaving.remove(store);
+    public void requestJoin(long store, String zone, long until) {
+        isLeaving.remove(store);
         joinRequests.put(store, new JoinRequest(zone, until));
     }
 
     /** A store is about to stop; it says so again before that time while it still waits. */
-    public void leaves(long store, long until) {
+    public void announceLeave(long store, long until) {
         joinRequests.remove(store);
-        leaving.put(store, until);
+        isLeaving.put(store, until);
     }
 
     /** Whether a store has said lately that it is about to stop. */
-    public boolean leaving(long store) {
-        return leaving.containsKey(store);
+    public boolean isLeaving(long store) {
+        return isLeaving.containsKey(store);
     }
 
     /** The members to propose next, if any change is due. */
-    public Optional<Members> next(Members m, long leadingSince, long now) {
+    public Optional<Members> nextChange(Members m, long leadingSince, long now) {
         forget(m, now);
         var lost = lostDisk(m);
         if (lost != 0) return Optional.of(m.without(lost));
         if (m.learner != 0) return settleLearner(m, leadingSince, now);
-        if (m.voters.length > quorum.voters()) return drop(m, now);
+        if (m.voters.length > quorum.voterCount()) return drop(m, now);
         return admit(m, now);
     }
 
     private void forget(Members m, long now) {
-        leaving.values().removeIf(until -> now > until);
+        isLeaving.values().removeIf(until -> now > until);
         joinRequests
                 .entrySet()
-                .removeIf(e -> now > e.getValue().until || m.isMember(e.getKey()) || knowledge.diskLost(e.getKey()));
+                .removeIf(e -> now > e.getValue().until || m.isMember(e.getKey()) || knowledge.isDiskLost(e.getKey()));
     }
 
     private long lostDisk(Members m) {
-        if (m.learner != 0 && knowledge.diskLost(m.learner)) return m.learner;
-        for (var v : m.voters) if (v != self && knowledge.diskLost(v)) return v;
+        if (m.learner != 0 && knowledge.isDiskLost(m.learner)) return m.learner;
+        for (var v : m.voters) if (v != self && knowledge.isDiskLost(v)) return v;
         return 0;
     }
 
     private Optional<Members> settleLearner(Members m, long leadingSince, long now) {
         var led = now - leadingSince;
-        if (leaving(m.learner) || silent(m.learner, now) && led > timing.storeReplacementDelay())
+        if (isLeaving(m.learner) || silent(m.learner, now) && led > timing.storeReplacementDelay())
             return Optional.of(m.without(m.learner));
-        if (knowledge.caughtUp(m.learner) && led > timing.leaderSettleTime()) return Optional.of(promoted(m, now));
+        if (knowledge.isCaughtUp(m.learner) && led > timing.leaderSettleTime()) return Optional.of(promoted(m, now));
         return Optional.empty();
     }
 
@@ -102,13 +102,13 @@
      * one store more, and the loss of the new voter in that moment would leave no majority.
      */
     private Members promoted(Members m, long now) {
-        if (m.voters.length < quorum.voters()) return m.promoted();
+        if (m.voters.length < quorum.voterCount()) return m.promoted();
         for (var v : m.voters) if (silent(v, now)) return m.without(v);
         return m.promoted();
     }
 
     private boolean silent(long store, long now) {
-        return store != self && now - knowledge.heardFrom(store) >= timing.storeReplacementDelay();
+        return store != self && now - knowledge.lastHeardAt(store) >= timing.storeReplacementDelay();
     }
 
     private Optional<Members> drop(Members m, long now) {
@@ -124,7 +124,7 @@
     private int rank(Members m, int i, long now) {
         var rank = quorum.crowdWithout(m.zones, i);
         if (silent(m.voters[i], now)) return rank - (1 << 28);
-        return leaving(m.voters[i]) ? rank - (1 << 27) : rank;
+        return isLeaving(m.voters[i]) ? rank - (1 << 27) : rank;
     }
 
     private Optional<Members> admit(Members m, long now) {
@@ -133,7 +133,7 @@
                 .orElse(null);
         if (best == null) return Optional.empty();
         var zone = best.getValue().zone;
-        if (m.voters.length == quorum.voters() && !improves(m, zone, now)) return Optional.empty();
+        if (m.voters.length == quorum.voterCount() && !improves(m, zone, now)) return Optional.empty();
         return Optional.of(m.withLearner(best.getKey(), zone));
     }
 
@@ -142,7 +142,7 @@
         for (var i = 0; i < m.voters.length; i++) {
             if (m.voters[i] == self) continue;
             var then = quorum.crowdSwapped(m.zones, i, zone);
-            var goes = silent(m.voters[i], now) || leaving(m.voters[i]);
+            var goes = silent(m.voters[i], now) || isLeaving(m.voters[i]);
             if (then < is || then <= is && goes) return true;
         }
         return false;
@@ -152,38 +152,38 @@
      * Whether a store that is about to stop may go now: it is no member any more; or nobody could take its place, and every other
      * voter holds all that it helped to acknowledge.
      */
-    public boolean mayGo(long store, Members m, long leadingSince, long now) {
+    public boolean mayLeave(long store, Members m, long leadingSince, long now) {
         if (!m.isMember(store)) return true;
         var changing = m.learner != 0
-                || m.voters.length > quorum.voters()
+                || m.voters.length > quorum.voterCount()
                 || admit(m, now).isPresent();
         if (changing || now - leadingSince < HEARD_ALL) return false;
-        return Arrays.stream(m.voters).allMatch(v -> v == store || v == self || leaving(v) || knowledge.level(v));
+        return Arrays.stream(m.voters).allMatch(v -> v == store || v == self || isLeaving(v) || knowledge.holdsAllEntries(v));
     }
 
     /** The voter that should lead in this leader's place, by the order of the parts; 0 for none. */
     public long preferredLeader(Members m, int part) {
-        var order = Arrays.stream(m.voters).filter(v -> !leaving(v)).sorted().toArray();
+        var order = Arrays.stream(m.voters).filter(v -> !isLeaving(v)).sorted().toArray();
         return order.length == 0 ? 0 : order[part % order.length];
     }
 
     /** Whether the group is whole and leadership may go to this voter now. */
-    public boolean mayLead(long store, Members m, long now) {
-        if (store == 0 || store == self || leaving(store) || !m.isVoter(store)) return false;
-        return m.voters.length == quorum.voters() && m.learner == 0 && near(store, now) && knowledge.caughtUp(store);
+    public boolean canTakeLeadership(long store, Members m, long now) {
+        if (store == 0 || store == self || isLeaving(store) || !m.isVoter(store)) return false;
+        return m.voters.length == quorum.voterCount() && m.learner == 0 && near(store, now) && knowledge.isCaughtUp(store);
     }
 
     /** The voter to hand over to when this store stops: one that is near, and rather none that stops too; 0 for none. */
-    public long heir(Members m, long now) {
+    public long selectSuccessor(Members m, long now) {
         var near =
                 Arrays.stream(m.voters).filter(v -> v != self && near(v, now)).toArray();
         return Arrays.stream(near)
-                .filter(v -> !leaving(v) && knowledge.caughtUp(v))
+                .filter(v -> !isLeaving(v) && knowledge.isCaughtUp(v))
                 .findFirst()
-                .orElse(Arrays.stream(near).filter(v -> !leaving(v)).findFirst().orElse(0));
+                .orElse(Arrays.stream(near).filter(v -> !isLeaving(v)).findFirst().orElse(0));
     }
 
     private boolean near(long store, long now) {
-        return now - knowledge.heardFrom(store) < timing.electionTimeout();
+        return now - knowledge.lastHeardAt(store) < timing.electionTimeout();
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -1,12 +1,12 @@
 package craneway.control.store;
 
-import craneway.control.node.Directory;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
-import craneway.control.plan.Mover;
-import craneway.control.plan.Pressure;
-import craneway.control.plan.Signals;
-import craneway.control.plan.Watcher;
+import craneway.control.plan.UnitMover;
+import craneway.control.plan.PressureRelief;
+import craneway.control.plan.SignalHistory;
+import craneway.control.plan.StepWatcher;
 import craneway.model.event.Event;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
@@ -55,19 +55,19 @@
     private record Waiting(long term, Consumer<CommandResult> then) {}
 
     private final int part;
-    private final Settings settings;
+    private final CoreSettings settings;
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final Membership membership;
     private final Quorum quorum;
     private final TimingProfile timing;
     private final Executor executor;
     private final Group group;
     private final Records records = new Records();
-    private final Mover mover = new Mover();
-    private final Watcher watcher = new Watcher();
-    private final Pressure pressure = new Pressure();
-    private final Signals signals = new Signals();
+    private final UnitMover mover = new UnitMover();
+    private final StepWatcher watcher = new StepWatcher();
+    private final PressureRelief pressure = new PressureRelief();
+    private final SignalHistory signals = new SignalHistory();
     private final LoadHistory history = new LoadHistory();
     private final CommandFence fence = new CommandFence();
     private final ReentrantLock lock = new ReentrantLock();
@@ -97,13 +97,13 @@
             Folder folder,
             Members first,
             Port port,
-            Directory directory,
+            NodeDirectory directory,
             Membership membership,
-            Rules rules,
+            StoreOptions rules,
             Random random) {
         quorum = rules.quorum();
         timing = rules.timing();
-        executor = rules.executors().apply(part);
+        executor = rules.executorByPart().apply(part);
         settings = rules.settings();
         this.part = part;
         this.port = port;
@@ -114,7 +114,7 @@
         changes = new MembershipChanges(self, quorum, timing, new Known());
     }
 
-    public void offer(Runnable event) {
+    public void enqueue(Runnable event) {
         if (buffer.offer(event) && scheduled.compareAndSet(false, true)) executor.execute(this::work);
     }
 
@@ -140,31 +140,31 @@
     }
 
     public void tick() {
-        offer(() -> tick(port.now()));
+        enqueue(() -> tick(port.now()));
     }
 
     public void receive(PartMessage m) {
-        offer(() -> group.receive(m, port.now()));
+        enqueue(() -> group.receive(m, port.now()));
     }
 
     public void receive(CommandRequest a) {
-        offer(() -> onCommandRequest(a, port.now()));
+        enqueue(() -> onCommandRequest(a, port.now()));
     }
 
     public void receive(Renew r, Consumer<RenewReply> then) {
-        offer(() -> renew(r, port.now(), then));
+        enqueue(() -> renew(r, port.now(), then));
     }
 
     public void receive(Subscribe s) {
-        offer(() -> subscribe(s, port.now()));
+        enqueue(() -> subscribe(s, port.now()));
     }
 
     public void receive(Join j) {
-        offer(() -> join(j, port.now()));
+        enqueue(() -> join(j, port.now()));
     }
 
     public void transferLeadership() {
-        offer(() -> transferLeadership(port.now()));
+        enqueue(() -> transferLeadership(port.now()));
     }
 
     /** Whether this store should ask to take part: it is no member, or its leader has been silent towards it. */
@@ -173,7 +173,7 @@
                 || !group.leaderHeard(now, 2 * timing.electionTimeout());
     }
 
-    public boolean leads() {
+    public boolean isLeader() {
         return group.ready();
     }
 
@@ -187,7 +187,7 @@
 
     @Override
     public void send(PartMessage m) {
-        var to = directory.store(m.to);
+        var to = directory.storeById(m.to);
         if (to != null) port.send(to.peerAddress, m);
     }
 
@@ -256,7 +256,7 @@
 
     private Node otherLeader() {
         var id = group.leader();
-        return id == 0 || id == directory.self().storeId ? null : directory.store(id);
+        return id == 0 || id == directory.self().storeId ? null : directory.storeById(id);
     }
 
     private void propose(Object command, Consumer<CommandResult> then) {
@@ -428,27 +428,27 @@
         s.part = part;
         s.leader = directory.self().name;
         s.term = group.term();
-        s.applied = group.applied();
+        s.appliedIndex = group.applied();
         var m = group.members();
-        for (var i = 0; i < m.voters.length; i++) s.group.add(storeName(m.voters[i]) + " (" + m.zones[i] + ")");
-        if (m.learner != 0) s.group.add(storeName(m.learner) + " (" + m.learnerZone + ", learner)");
+        for (var i = 0; i < m.voters.length; i++) s.groupMembers.add(storeName(m.voters[i]) + " (" + m.zones[i] + ")");
+        if (m.learner != 0) s.groupMembers.add(storeName(m.learner) + " (" + m.learnerZone + ", learner)");
         s.members.addAll(records.rows().members.values());
         s.services.addAll(records.rows().services.values());
         s.plans.addAll(records.rows().plans.values());
         s.manifest = records.rows().manifest;
-        s.loads.putAll(runnerLoads);
+        s.loadByRunner.putAll(runnerLoads);
         for (var n : records.rows().services.keySet()) {
-            var p = new PartStatus.Peaks();
+            var p = new PartStatus.LoadPeaks();
             p.service = n;
-            p.minutes = history.newestFirst(n);
+            p.peakByMinute = history.newestFirst(n);
             s.peaks.add(p);
         }
-        s.claims = records.rows().claims.size();
+        s.claimCount = records.rows().claims.size();
         return withBody(s);
     }
 
     private String storeName(long id) {
-        var n = directory.store(id);
+        var n = directory.storeById(id);
         return n == null ? "unreached" : n.name;
     }
 
@@ -457,9 +457,9 @@
         for (var m : records.rows().members.values()) {
             var have = leases.version(m.node.name, Parts.MANIFEST_TOPIC);
             if (have >= q.version && !m.lapsed && !leases.earlierMayAct(m.node, now)) continue;
-            s.missing.add(m.node.name);
+            s.unconfirmedMembers.add(m.node.name);
             var grace = q.zone.isEmpty() || m.node.zone.equals(q.zone) ? m.node.grace : 0;
-            if (m.node.isRouter() && leases.mayAct(m.node, grace, now)) s.able.add(m.node.name);
+            if (m.node.isRouter() && leases.mayAct(m.node, grace, now)) s.routersStillActing.add(m.node.name);
         }
         return withBody(s);
     }
@@ -473,7 +473,7 @@
         }
         if (!r.leaving) push(r, now);
         var m = records.rows().members.get(r.from.name);
-        if (m != null) directory.replaced(m.node, r.from);
+        if (m != null) directory.recordReplacement(m.node, r.from);
         var standing = outranking(r.from, m);
         if (standing != null) {
             var v = reply(r, ProblemKind.STALE_MEMBER.code());
@@ -503,7 +503,7 @@
 
     /** The life of this name that a renewal would have to outrank: the one on record, else one that this store has heard. */
     private Node outranking(Node from, Rows.Member m) {
-        var n = m != null ? m.node : from.life == 0 ? null : directory.named(from.name);
+        var n = m != null ? m.node : from.life == 0 ? null : directory.nodeByName(from.name);
         if (n == null) return null;
         var later = n.incarnation > from.incarnation;
         return later || m != null && n.incarnation == from.incarnation && n.otherLife(from) ? n : null;
@@ -637,7 +637,7 @@
             for (var r : s.runners.values()) {
                 var k = s.name + "/" + r.name;
                 var seen = runnersSeen.computeIfAbsent(k, x -> now);
-                if (!r.up() || now - seen <= settings.dark() || proposedOnce("dark/" + k)) continue;
+                if (!r.up() || now - seen <= settings.darkAfterMicros() || proposedOnce("dark/" + k)) continue;
                 var c = new Commands.RunnerMark();
                 c.service = s.name;
                 c.runner = r.name;
@@ -652,47 +652,47 @@
         if (j.answer) leave.answered(j.mayGo, now);
         else if (group.hasLease(now) && j.leaving) leaveAsked(j, now);
         else if (group.hasLease(now) && !group.members().isMember(j.from.storeId))
-            changes.wants(j.from.storeId, j.from.zone, now + JOIN_REQUEST_KEPT);
+            changes.requestJoin(j.from.storeId, j.from.zone, now + JOIN_REQUEST_KEPT);
     }
 
     private void leaveAsked(Join j, long now) {
-        changes.leaves(j.from.storeId, now + JOIN_REQUEST_KEPT);
+        changes.announceLeave(j.from.storeId, now + JOIN_REQUEST_KEPT);
         var a = new Join();
         a.part = part;
         a.from = directory.self();
         a.answer = true;
-        a.mayGo = changes.mayGo(j.from.storeId, group.members(), leaderSince, now);
+        a.mayGo = changes.mayLeave(j.from.storeId, group.members(), leaderSince, now);
         port.send(j.from.peerAddress, a);
     }
 
     /** Whether this store, which has been stopping since then, is still needed here. */
-    public boolean needed(long since, long now) {
+    public boolean isNeeded(long since, long now) {
         return leave.needed(since, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
     }
 
     private void adjustMembers(long now) {
-        changes.next(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
+        changes.nextChange(group.members(), leaderSince, now).ifPresent(next -> group.changeMembers(next, now));
     }
 
     /** What this leader knows of the other stores of its part. */
-    private final class Known implements MembershipChanges.Knowledge {
+    private final class Known implements MembershipChanges.StoreStatus {
         @Override
-        public boolean diskLost(long store) {
-            return directory.gone(store);
+        public boolean isDiskLost(long store) {
+            return directory.isDiskLost(store);
         }
 
         @Override
-        public long heardFrom(long store) {
+        public long lastHeardAt(long store) {
             return group.heardFrom(store);
         }
 
         @Override
-        public boolean caughtUp(long store) {
+        public boolean isCaughtUp(long store) {
             return group.caughtUp(store, port.now());
         }
 
         @Override
-        public boolean level(long store) {
+        public boolean holdsAllEntries(long store) {
             return group.matchOf(store) >= group.lastIndex();
         }
     }
@@ -706,13 +706,13 @@
         if (now - aged < AGE) return;
         var r = records.rows();
         var held = r.services.values().stream().anyMatch(s -> !s.heldUntil.isEmpty());
-        var ended = settings.forgotten() > 0
+        var ended = settings.forgetAfterMicros() > 0
                 && r.services.values().stream()
                         .anyMatch(s -> s.runners.values().stream().anyMatch(x -> !x.up()));
         if (held || ended || r.claimsLost || !r.claims.isEmpty() || !r.quotas.isEmpty()) {
             var c = new Commands.Age();
             c.micros = now - aged;
-            c.forgotten = settings.forgotten();
+            c.forgotten = settings.forgetAfterMicros();
             var m = membership.view().manifest();
             c.retention = m == null ? 86_400_000_000L : m.claimRetention();
             propose(c);
@@ -726,8 +726,8 @@
         for (var s : v.manifest().services().values()) {
             if (Parts.partOf(s.name()) != part) continue;
             var row = records.rows().services.get(s.name());
-            if (row != null && row.manifestVersion >= v.topic().version || proposedOnce("sync/" + s.name())) continue;
-            propose(serviceSync(s, v.manifest(), v.topic().version), x -> proposed.remove("sync/" + s.name()));
+            if (row != null && row.manifestVersion >= v.manifestRow().version || proposedOnce("sync/" + s.name())) continue;
+            propose(serviceSync(s, v.manifest(), v.manifestRow().version), x -> proposed.remove("sync/" + s.name()));
         }
     }
 
@@ -770,14 +770,14 @@
                 .sum();
     }
 
-    private Object next(Rows.Service s, Membership.View v, long now) {
-        var open = mover.open(s, v.topic().marks, now);
-        var judged = watcher.judge(s, signals, open, now);
+    private Object next(Rows.Service s, Membership.CoreView v, long now) {
+        var open = mover.openCells(s, v.manifestRow().marks, now);
+        var judged = watcher.nextVerdict(s, signals, open, now);
         if (judged != null) return judged;
         var step =
-                mover.step(s, v.manifest().service(s.name), v.topic().marks, (c, i) -> storeSynced(s, c, i, now), now);
-        if (lowestWire() < Node.STEPS) return step instanceof Commands.StepAsk a ? Mover.plain(a) : step;
-        return step != null ? step : pressure.ask(s, runnerLoads, open, now);
+                mover.nextStep(s, v.manifest().service(s.name), v.manifestRow().marks, (c, i) -> storeSynced(s, c, i, now), now);
+        if (lowestWire() < Node.STEPS) return step instanceof Commands.StepAsk a ? UnitMover.toTableStep(a) : step;
+        return step != null ? step : pressure.nextDisplacement(s, runnerLoads, open, now);
     }
 
     private int lowestWire() {
@@ -815,7 +815,7 @@
         if (now - leaderSince < (timing.lowTraffic() ? GATHER : timing.leaderSettleTime())) return;
         var m = group.members();
         var to = preferredLeader(m);
-        if (changes.mayLead(to, m, now) && directory.store(to) != null) group.transferLeadership(to, now);
+        if (changes.canTakeLeadership(to, m, now) && directory.storeById(to) != null) group.transferLeadership(to, now);
     }
 
     private long preferredLeader(Members m) {
@@ -826,7 +826,7 @@
 
     private void transferLeadership(long now) {
         if (!group.ready()) return;
-        var heir = changes.heir(group.members(), now);
+        var heir = changes.selectSuccessor(group.members(), now);
         if (heir != 0) group.transferLeadership(heir, now);
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/PartStatus.java
+++ b/lib/control/src/main/java/craneway/control/store/PartStatus.java
@@ -10,18 +10,18 @@
     public int part;
     public String leader;
     public long term;
-    public long applied;
-    public int claims;
+    public long appliedIndex;
+    public int claimCount;
     public Rows.Manifest manifest;
-    public List<String> group = new ArrayList<>();
+    public List<String> groupMembers = new ArrayList<>();
     public List<Rows.Member> members = new ArrayList<>();
     public List<Rows.Service> services = new ArrayList<>();
-    public TreeMap<String, Integer> loads = new TreeMap<>();
+    public TreeMap<String, Integer> loadByRunner = new TreeMap<>();
     public List<Plan> plans = new ArrayList<>();
-    public List<Peaks> peaks = new ArrayList<>();
+    public List<LoadPeaks> peaks = new ArrayList<>();
 
-    public static final class Peaks {
+    public static final class LoadPeaks {
         public String service;
-        public int[] minutes = {};
+        public int[] peakByMinute = {};
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/Quorum.java
+++ b/lib/control/src/main/java/craneway/control/store/Quorum.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /** How many stores vote on each part, and which region each zone lies in; a zone not named is its own region. */
-public record Quorum(int voters, Map<String, String> regions) {
+public record Quorum(int voterCount, Map<String, String> regionByZone) {
     private static final int REGION = 1_000;
 
-    public static final Quorum THREE = new Quorum(3, Map.of());
+    public static final Quorum THREE_VOTERS = new Quorum(3, Map.of());
 
     /** Voters enough that this many may lose their disks at once. */
-    public static Quorum of(int losses, Map<String, String> regions) {
+    public static Quorum toleratingLosses(int losses, Map<String, String> regions) {
         return new Quorum(2 * losses + 1, regions);
     }
 
@@ -22,7 +22,7 @@
         var r = new HashMap<String, Integer>();
         var z = new HashMap<String, Integer>();
         for (var x : zones) {
-            r.merge(regions.getOrDefault(x, x), 1, Integer::sum);
+            r.merge(regionByZone.getOrDefault(x, x), 1, Integer::sum);
             z.merge(x, 1, Integer::sum);
         }
         return REGION * squares(r) + squares(z);
--- a/lib/control/src/main/java/craneway/control/store/Rebuild.java
+++ b/lib/control/src/main/java/craneway/control/store/RebuildProposal.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-public record Rebuild(String token, int generation, List<String> kept, List<String> mayBeLost) {
-    static Rebuild of(Founding f, PartReplica[] replicas) {
+public record RebuildProposal(String confirmationToken, int generation, List<String> kept, List<String> mayBeLost) {
+    static RebuildProposal of(Founding f, PartReplica[] replicas) {
         var h = f.coreId;
         var kept = new ArrayList<String>();
         for (var k : replicas) {
@@ -20,7 +20,7 @@
                             ? ", manifest " + rows.manifest.version + " and its marks"
                             : ", tables of " + rows.services.keySet()));
         }
-        return new Rebuild(
+        return new RebuildProposal(
                 Long.toHexString(h),
                 f.generation + 1,
                 kept,
--- a/lib/control/src/main/java/craneway/control/store/RolloutStatus.java
+++ b/lib/control/src/main/java/craneway/control/store/RolloutStatus.java
@@ -4,6 +4,6 @@
 import java.util.List;
 
 public final class RolloutStatus {
-    public List<String> missing = new ArrayList<>();
-    public List<String> able = new ArrayList<>();
+    public List<String> unconfirmedMembers = new ArrayList<>();
+    public List<String> routersStillActing = new ArrayList<>();
 }
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -1,7 +1,7 @@
 package craneway.control.store;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.Directory;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.model.event.Event;
@@ -55,13 +55,13 @@
 
     private final Port port;
     private final Folder folder;
-    private final Rules rules;
+    private final StoreOptions rules;
     private final Executor saver;
-    private final Settings settings;
+    private final CoreSettings settings;
     private final List<String> seeds;
     private Set<String> founders;
     private final Random random;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
     private final Queue<RenewReplyBatch> replyBatches = new ConcurrentLinkedQueue<>();
@@ -74,20 +74,20 @@
     private volatile long savedLife;
 
     public Store(Port port, Folder folder, Node self, List<String> seeds, int expected, Random random) {
-        this(port, folder, self, seeds, Rules.of(expected), random);
+        this(port, folder, self, seeds, StoreOptions.of(expected), random);
     }
 
-    public Store(Port port, Folder folder, Node self, List<String> seeds, Rules rules, Random random) {
+    public Store(Port port, Folder folder, Node self, List<String> seeds, StoreOptions rules, Random random) {
         this.port = port;
         this.folder = folder;
         this.rules = rules;
-        saver = rules.executors().apply(Parts.MANIFEST_PART);
+        saver = rules.executorByPart().apply(Parts.MANIFEST_PART);
         settings = rules.settings();
         this.seeds = seeds;
         this.random = random;
         self.storeId = identity();
         if (self.life != 0) self.incarnation = self.above(lastLife());
-        directory = new Directory(port, self, withKnown(seeds), rules.timing());
+        directory = new NodeDirectory(port, self, withKnown(seeds), rules.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, rules.timing());
         reopen();
@@ -107,7 +107,7 @@
                 || (founders.isEmpty() ? seeds.contains(n.peerAddress) : founders.contains(n.peerAddress));
     }
 
-    public Directory directory() {
+    public NodeDirectory directory() {
         return directory;
     }
 
@@ -217,7 +217,7 @@
 
     public void tickNode() {
         var now = port.now();
-        if (directory.newer() != null) surrender(directory.newer());
+        if (directory.newerFounding() != null) surrender(directory.newerFounding());
         directory.tick(now);
         if (directory.self().coreId == 0) tryFound(now);
         membership.tick(now);
@@ -237,13 +237,13 @@
         closeAll();
         setAside("generation " + f.generation + " of the core lives");
         founders = Set.of();
-        directory.follow(f);
+        directory.followCore(f);
         directory.self().storeId = identity();
         directory.self().coreId = 0;
-        membership.follow();
+        membership.followCore();
     }
 
-    public Either<Problem, Rebuild> rebuild() {
+    public Either<Problem, RebuildProposal> rebuild() {
         var now = port.now();
         var f = directory.founding();
         if (replicas.length == 0 || f == null)
@@ -252,21 +252,21 @@
             var p = k.group().part();
             var heard = 0;
             for (var v : k.group().members().voters) {
-                var n = directory.store(v);
-                if (v == directory.self().storeId || n != null && directory.heard(n.name, now)) heard++;
+                var n = directory.storeById(v);
+                if (v == directory.self().storeId || n != null && directory.wasHeardRecently(n.name, now)) heard++;
             }
             if (k.group().leaderHeard(now, ALIVE)
                     || heard >= k.group().members().majority() && k.group().members().voters.length > 1)
                 return Either.left(
                         Problem.of(ProblemKind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
         }
-        return Either.right(Rebuild.of(f, replicas));
+        return Either.right(RebuildProposal.of(f, replicas));
     }
 
-    public Either<Problem, Rebuild> rebuild(String token) {
+    public Either<Problem, RebuildProposal> rebuild(String token) {
         var r = rebuild();
         if (r.isLeft()) return r;
-        if (!r.get().token().equals(token))
+        if (!r.get().confirmationToken().equals(token))
             return Either.left(Problem.of(ProblemKind.STALE_PLAN, "this store's state moved since; look again"));
         var self = directory.self();
         var f = new Founding();
@@ -278,8 +278,8 @@
         closeAll();
         folder.replace(CORE, Seal.close(Codec.write(f)));
         port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        directory.follow(f);
-        membership.follow();
+        directory.followCore(f);
+        membership.followCore();
         start(f);
         return r;
     }
@@ -319,8 +319,8 @@
     }
 
     private void tryFound(long now) {
-        var heard = directory.known().stream()
-                .filter(k -> now - k.heard < Directory.STALE)
+        var heard = directory.knownNodes().stream()
+                .filter(k -> now - k.lastHeardAt < NodeDirectory.RECENTLY_HEARD_MICROS)
                 .toList();
         var f = directory.founding();
         if (f != null) {
@@ -337,12 +337,12 @@
                 .forEach(empty::add);
         empty.sort(Comparator.comparingLong(n -> n.storeId));
         var digest = digest(empty);
-        directory.seen(digest);
+        directory.setEmptyStoresDigest(digest);
         var agreed = heard.stream()
                 .filter(k -> k.node.kind.equals(Node.STORE) && founds(k.node))
-                .allMatch(k -> k.seen == digest);
+                .allMatch(k -> k.emptyStoresDigest == digest);
         var may = !settings.seedsOnly() || !founders.isEmpty();
-        if (may && empty.size() == settings.founders() && agreed) adopt(founding(empty, digest));
+        if (may && empty.size() == settings.founderCount() && agreed) adopt(founding(empty, digest));
         else if (now >= sayDue) sayWaiting(empty, now);
     }
 
@@ -351,7 +351,7 @@
         port.logEvent(
                 Event.WAITING_TO_BOOTSTRAP,
                 "sees " + empty.size() + " empty stores "
-                        + empty.stream().map(n -> n.name).toList() + " and needs exactly " + settings.founders()
+                        + empty.stream().map(n -> n.name).toList() + " and needs exactly " + settings.founderCount()
                         + " that see one another");
     }
 
@@ -426,21 +426,21 @@
      * Whether it is still needed, because it leads, or because its successor does not count yet, or because another voter lacks
      * what this one holds. To be called again until it is not, or until the time to stop is over.
      */
-    public boolean leave() {
+    public boolean continuePlannedLeave() {
         var now = port.now();
         if (leavingSince == 0) {
             leavingSince = now;
             joinDue = now;
         }
         var needed = now - leavingSince < HAND_OVER && transferLeadership();
-        for (var k : replicas) needed |= k.needed(leavingSince, now);
+        for (var k : replicas) needed |= k.isNeeded(leavingSince, now);
         return needed;
     }
 
     public boolean transferLeadership() {
         var leads = false;
         for (var k : replicas) {
-            if (!k.leads()) continue;
+            if (!k.isLeader()) continue;
             leads = true;
             k.transferLeadership();
         }
--- a/lib/control/src/main/java/craneway/control/store/Rules.java
+++ b/lib/control/src/main/java/craneway/control/store/StoreOptions.java
@@ -8,15 +8,15 @@
  * What a store goes by: how many empty stores found a core, who votes, the pace, and where each part works. A part whose executor
  * has a thread of its own holds up nobody else while its disk hangs.
  */
-public record Rules(Settings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
-    public Rules(int expected, Quorum quorum, TimingProfile timing, IntFunction<Executor> executors) {
-        this(Settings.of(expected), quorum, timing, executors);
+public record StoreOptions(CoreSettings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executorByPart) {
+    public StoreOptions(int expected, Quorum quorum, TimingProfile timing, IntFunction<Executor> executorByPart) {
+        this(CoreSettings.of(expected), quorum, timing, executorByPart);
     }
 
-    public static Rules of(int expected) {
-        return new Rules(
+    public static StoreOptions of(int expected) {
+        return new StoreOptions(
                 expected,
-                expected > 3 ? new Quorum(expected, Quorum.THREE.regions()) : Quorum.THREE,
+                expected > 3 ? new Quorum(expected, Quorum.THREE_VOTERS.regionByZone()) : Quorum.THREE_VOTERS,
                 TimingProfile.STANDARD,
                 p -> Runnable::run);
     }
--- a/lib/control/src/test/java/craneway/control/node/AskerTest.java
+++ b/lib/control/src/test/java/craneway/control/node/AskerTest.java
@@ -50,13 +50,13 @@
     }
 
     private CoreClient coreClient(long life, Node self) {
-        var a = new CoreClient(port, new Directory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), life);
+        var a = new CoreClient(port, new NodeDirectory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), life);
         a.leader(0, new Node("s2", Node.STORE, "z2", "s2", 1));
         return a;
     }
 
     private void order() {
-        coreClient.ask(0, new Commands.ZoneMark(), TIMEOUT, got::add);
+        coreClient.request(0, new Commands.ZoneMark(), TIMEOUT, got::add);
     }
 
     private CommandRequest last() {
@@ -151,7 +151,7 @@
 
     @Test
     void aQueryIsNeitherBoundNorHeldBack() {
-        coreClient.ask(0, new Queries.ManifestGet(), TIMEOUT, got::add);
+        coreClient.request(0, new Queries.ManifestGet(), TIMEOUT, got::add);
         assertTrue(last().body.length > 0);
         assertEquals(0, last().term);
     }
--- a/lib/control/src/test/java/craneway/control/operator/WakeGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class WakeGuardTest {
+class PauseGuardTest {
     private static final long START = -7_000_000, TICK = 20_000;
 
-    private final WakeGuard guard = new WakeGuard(START);
-    private final WakeGuard.Connection connection = new WakeGuard.Connection();
+    private final PauseGuard guard = new PauseGuard(START);
+    private final PauseGuard.Connection connection = new PauseGuard.Connection();
     private long now = START;
 
     private void ticks(long micros) {
@@ -20,7 +20,7 @@
         now += micros;
     }
 
-    private boolean admits(WakeGuard.Connection c) {
+    private boolean admits(PauseGuard.Connection c) {
         return guard.admits(c, now, now);
     }
 
@@ -29,14 +29,14 @@
         assertTrue(admits(connection));
         ticks(3_000_000);
         assertTrue(admits(connection));
-        assertTrue(admits(new WakeGuard.Connection()));
+        assertTrue(admits(new PauseGuard.Connection()));
     }
 
     @Test
     void whatIsReadBeforeTheFirstTickAfterAFreezeIsRefused() {
         ticks(1_000_000);
         freeze(1_000_000);
-        assertFalse(admits(new WakeGuard.Connection()));
+        assertFalse(admits(new PauseGuard.Connection()));
         assertFalse(admits(connection));
     }
 
@@ -46,16 +46,16 @@
         freeze(1_000_000);
         guard.tick(now);
         assertFalse(admits(connection));
-        ticks(WakeGuard.SETTLE - 2 * TICK);
-        assertFalse(admits(new WakeGuard.Connection()));
+        ticks(PauseGuard.SETTLE_MICROS - 2 * TICK);
+        assertFalse(admits(new PauseGuard.Connection()));
     }
 
     @Test
     void newConnectionsAreAdmittedAgainAWhileAfterAFreeze() {
         ticks(1_000_000);
         freeze(20_000_000);
-        ticks(WakeGuard.SETTLE + 2 * TICK);
-        assertTrue(admits(new WakeGuard.Connection()));
+        ticks(PauseGuard.SETTLE_MICROS + 2 * TICK);
+        assertTrue(admits(new PauseGuard.Connection()));
     }
 
     @Test
@@ -73,8 +73,8 @@
         ticks(1_000_000);
         var began = now;
         freeze(2_000_000);
-        ticks(WakeGuard.SETTLE + 2 * TICK);
-        assertFalse(guard.admits(new WakeGuard.Connection(), began, now));
+        ticks(PauseGuard.SETTLE_MICROS + 2 * TICK);
+        assertFalse(guard.admits(new PauseGuard.Connection(), began, now));
     }
 
     @Test
@@ -87,7 +87,7 @@
     @Test
     void ticksThatAreALittleLateAreNoFreeze() {
         for (var i = 0; i < 50; i++) {
-            freeze(WakeGuard.GAP - TICK);
+            freeze(PauseGuard.MAX_TICK_GAP_MICROS - TICK);
             guard.tick(now);
             assertTrue(admits(connection));
         }
@@ -96,11 +96,11 @@
     @Test
     void everyFreezeThatOutlastsACallersTimeoutIsSeenWhereverItFalls() {
         for (var at = 0L; at <= 100_000; at += 1_000) {
-            var g = new WakeGuard(START);
+            var g = new PauseGuard(START);
             var t = START;
             while (t + TICK <= START + at) g.tick(t += TICK);
             var woke = START + at + 1_000_000;
-            assertFalse(g.admits(new WakeGuard.Connection(), woke, woke), "frozen after " + at);
+            assertFalse(g.admits(new PauseGuard.Connection(), woke, woke), "frozen after " + at);
         }
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
+++ b/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
@@ -19,51 +19,51 @@
     private static final long LONG_AGO = 50 * SECOND;
     private static final long SOON = NOW + SECOND;
 
-    private static final class Stores implements MembershipChanges.Knowledge {
+    private static final class Stores implements MembershipChanges.StoreStatus {
         final Set<Long> lost = new HashSet<>();
         final Set<Long> behind = new HashSet<>();
         final Map<Long, Long> heard = new HashMap<>();
 
         @Override
-        public boolean diskLost(long store) {
+        public boolean isDiskLost(long store) {
             return lost.contains(store);
         }
 
         @Override
-        public long heardFrom(long store) {
+        public long lastHeardAt(long store) {
             return heard.getOrDefault(store, NOW);
         }
 
         @Override
-        public boolean caughtUp(long store) {
+        public boolean isCaughtUp(long store) {
             return !behind.contains(store);
         }
 
         @Override
-        public boolean level(long store) {
+        public boolean holdsAllEntries(long store) {
             return !behind.contains(store);
         }
     }
 
     private final Stores stores = new Stores();
-    private final MembershipChanges changes = new MembershipChanges(1, Quorum.THREE, TimingProfile.LOW_TRAFFIC, stores);
+    private final MembershipChanges changes = new MembershipChanges(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, stores);
     private final Members three = Members.of(new long[] {1, 2, 3}, new String[] {"a", "b", "c"});
 
     private Members next(Members m) {
-        return changes.next(m, LONG_AGO, NOW).orElse(null);
+        return changes.nextChange(m, LONG_AGO, NOW).orElse(null);
     }
 
     @Test
     void aWholeGroupStaysAsItIs() {
         assertEquals(null, next(three));
-        changes.wants(4, "b", SOON);
+        changes.requestJoin(4, "b", SOON);
         assertEquals(null, next(three));
     }
 
     @Test
     void aLostDiskGoesBeforeAnythingElse() {
-        changes.wants(4, "b", SOON);
-        changes.leaves(3, SOON);
+        changes.requestJoin(4, "b", SOON);
+        changes.announceLeave(3, SOON);
         stores.lost.add(2L);
         assertArrayEquals(new long[] {1, 3}, next(three).voters);
     }
@@ -75,64 +75,64 @@
         assertEquals(null, next(m));
         stores.behind.clear();
         assertArrayEquals(new long[] {1, 2, 4}, next(m).voters);
-        assertEquals(null, changes.next(m, NOW, NOW).orElse(null));
+        assertEquals(null, changes.nextChange(m, NOW, NOW).orElse(null));
     }
 
     @Test
     void aSilentOrLeavingLearnerGivesUpItsPlace() {
         var m = three.without(3).withLearner(4, "c");
-        changes.leaves(4, SOON);
+        changes.announceLeave(4, SOON);
         assertEquals(0, next(m).learner);
-        changes.wants(4, "c", SOON);
+        changes.requestJoin(4, "c", SOON);
         stores.heard.put(4L, LONG_AGO);
         assertEquals(0, next(m).learner);
     }
 
     @Test
     void aStoreThatStopsIsReplacedBeforeItGoes() {
-        changes.wants(4, "b", SOON);
-        changes.leaves(2, SOON);
-        assertFalse(changes.mayGo(2, three, LONG_AGO, NOW));
+        changes.requestJoin(4, "b", SOON);
+        changes.announceLeave(2, SOON);
+        assertFalse(changes.mayLeave(2, three, LONG_AGO, NOW));
         var learning = next(three);
         assertEquals(4, learning.learner);
         assertTrue(learning.isVoter(2));
-        assertFalse(changes.mayGo(2, learning, LONG_AGO, NOW));
+        assertFalse(changes.mayLeave(2, learning, LONG_AGO, NOW));
         var four = next(learning);
         assertArrayEquals(new long[] {1, 2, 3, 4}, four.voters);
-        assertFalse(changes.mayGo(2, four, LONG_AGO, NOW));
+        assertFalse(changes.mayLeave(2, four, LONG_AGO, NOW));
         var without = next(four);
         assertArrayEquals(new long[] {1, 3, 4}, without.voters);
-        assertTrue(changes.mayGo(2, without, LONG_AGO, NOW));
+        assertTrue(changes.mayLeave(2, without, LONG_AGO, NOW));
         assertEquals(null, next(without));
     }
 
     @Test
     void withoutASuccessorAStoreGoesOnceTheOthersHoldAll() {
-        changes.leaves(2, SOON);
+        changes.announceLeave(2, SOON);
         stores.behind.add(3L);
-        assertFalse(changes.mayGo(2, three, LONG_AGO, NOW));
+        assertFalse(changes.mayLeave(2, three, LONG_AGO, NOW));
         stores.behind.clear();
-        assertTrue(changes.mayGo(2, three, LONG_AGO, NOW));
-        assertFalse(changes.mayGo(2, three, NOW, NOW));
+        assertTrue(changes.mayLeave(2, three, LONG_AGO, NOW));
+        assertFalse(changes.mayLeave(2, three, NOW, NOW));
     }
 
     @Test
     void whatWasSaidIsForgottenUnlessItIsSaidAgain() {
-        changes.leaves(2, NOW - 1);
-        changes.wants(4, "b", NOW - 1);
+        changes.announceLeave(2, NOW - 1);
+        changes.requestJoin(4, "b", NOW - 1);
         assertEquals(null, next(three));
-        assertFalse(changes.leaving(2));
+        assertFalse(changes.isLeaving(2));
     }
 
     @Test
     void noStoreThatStopsIsMadeLeader() {
         assertEquals(2, changes.preferredLeader(three, 1));
-        changes.leaves(2, SOON);
+        changes.announceLeave(2, SOON);
         assertEquals(3, changes.preferredLeader(three, 1));
-        assertFalse(changes.mayLead(2, three, NOW));
-        assertTrue(changes.mayLead(3, three, NOW));
-        assertEquals(3, changes.heir(three, NOW));
-        changes.leaves(3, SOON);
-        assertEquals(0, changes.heir(three, NOW));
+        assertFalse(changes.canTakeLeadership(2, three, NOW));
+        assertTrue(changes.canTakeLeadership(3, three, NOW));
+        assertEquals(3, changes.selectSuccessor(three, NOW));
+        changes.announceLeave(3, SOON);
+        assertEquals(0, changes.selectSuccessor(three, NOW));
     }
 }
--- a/lib/control/src/test/java/craneway/control/store/QuorumTest.java
+++ b/lib/control/src/test/java/craneway/control/store/QuorumTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 class QuorumTest {
-    private final Quorum five = Quorum.of(2, Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b", "c1", "c", "c2", "c"));
+    private final Quorum five = Quorum.toleratingLosses(2, Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b", "c1", "c", "c2", "c"));
 
     @Test
     void twoLossesWantFiveVoters() {
-        assertEquals(5, five.voters());
+        assertEquals(5, five.voterCount());
     }
 
     @Test
@@ -32,6 +32,6 @@
 
     @Test
     void withoutRegionsEachZoneIsItsOwn() {
-        assertTrue(Quorum.THREE.crowd(List.of("x", "y", "z")) < Quorum.THREE.crowd(List.of("x", "x", "z")));
+        assertTrue(Quorum.THREE_VOTERS.crowd(List.of("x", "y", "z")) < Quorum.THREE_VOTERS.crowd(List.of("x", "x", "z")));
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/Pool.java
@@ -22,10 +22,10 @@
     private Map<String, List<RunnerView>> services = Map.of();
     private Set<String> emptied = Set.of();
     private final Map<String, Reading> readings = new HashMap<>();
-    private Membership.View view;
+    private Membership.CoreView view;
     private List<String> routers = List.of();
 
-    public boolean follow(Membership.View v) {
+    public boolean follow(Membership.CoreView v) {
         if (v == view) return false;
         var old = view;
         view = v;
@@ -44,17 +44,17 @@
         }
         runners.keySet().retainAll(ids);
         services = all;
-        emptied = emptied(v.topic().marks);
+        emptied = emptied(v.manifestRow().marks);
         routers = routers(v);
         return true;
     }
 
     /** Whether two views differ in their leases only. */
-    private static boolean tellsTheSame(Membership.View a, Membership.View b) {
+    private static boolean tellsTheSame(Membership.CoreView a, Membership.CoreView b) {
         return a.manifest() == b.manifest()
-                && a.topic() == b.topic()
+                && a.manifestRow() == b.manifestRow()
                 && a.services() == b.services()
-                && a.members().get(Parts.MANIFEST_PART) == b.members().get(Parts.MANIFEST_PART);
+                && a.membersByPart().get(Parts.MANIFEST_PART) == b.membersByPart().get(Parts.MANIFEST_PART);
     }
 
     /** Some router gave this runner tokens to read. */
@@ -150,9 +150,9 @@
         return all;
     }
 
-    private static List<String> routers(Membership.View v) {
+    private static List<String> routers(Membership.CoreView v) {
         var all = new ArrayList<String>();
-        for (var n : v.members().get(Parts.MANIFEST_PART)) if (n.isRouter() && n.serving) all.add(n.name);
+        for (var n : v.membersByPart().get(Parts.MANIFEST_PART)) if (n.isRouter() && n.serving) all.add(n.name);
         return all;
     }
 
@@ -170,7 +170,7 @@
     public List<String> peers(String self, String one, String other) {
         var few = routers.size() <= FEW;
         var all = new ArrayList<String>();
-        for (var n : view.members().get(Parts.MANIFEST_PART)) {
+        for (var n : view.membersByPart().get(Parts.MANIFEST_PART)) {
             var g = view.manifest().regionOfZone(n.zone);
             if (n.isRouter() && n.serving && !n.name.equals(self) && (few || one.equals(g) || other.equals(g)))
                 all.add(n.peerAddress);
@@ -178,7 +178,7 @@
         return all;
     }
 
-    public Membership.View view() {
+    public Membership.CoreView view() {
         return view;
     }
 
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/Decider.java
@@ -1,7 +1,7 @@
 package craneway.data.request;
 
-import craneway.control.node.Membership.View;
-import craneway.control.plan.Mover;
+import craneway.control.node.Membership.CoreView;
+import craneway.control.plan.UnitMover;
 import craneway.data.runner.Chooser;
 import craneway.data.runner.Loads;
 import craneway.model.manifest.Manifest;
@@ -31,7 +31,7 @@
         this.chooser = new Chooser(self, loads);
     }
 
-    public Decision ask(View v, Request t, Set<String> avoided, Map<String, Long> closedSince, long now) {
+    public Decision ask(CoreView v, Request t, Set<String> avoided, Map<String, Long> closedSince, long now) {
         var m = v.manifest();
         if (m == null) return decline(ProblemKind.NO_MANIFEST);
         if (now >= t.deadline()) return decline(ProblemKind.DEADLINE_PASSED);
@@ -49,7 +49,7 @@
     }
 
     private Decision placed(
-            View v,
+            CoreView v,
             Request t,
             Manifest.Service service,
             Rows.Service row,
@@ -65,7 +65,7 @@
             return elsewhere(v, row, unit) ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER)) : decline(ProblemKind.NO_RUNNER);
         var region = row.cellRegions.get(home);
         var here = region.equals(v.manifest().regionOfZone(zone));
-        var leased = v.leased(Parts.partOf(t.service()), now) && v.leased(Parts.MANIFEST_PART, now);
+        var leased = v.hasLease(Parts.partOf(t.service()), now) && v.hasLease(Parts.MANIFEST_PART, now);
         if (!leased && (once || !here || !row.zones.get(home).equals(zone) || pastGrace(v, t, now)))
             return decline(ProblemKind.CUT_OFF);
         if (!here && t.forwarded())
@@ -80,12 +80,12 @@
         return new Decision.Decline(Problem.of(k));
     }
 
-    private static boolean pastGrace(View v, Request t, long now) {
+    private static boolean pastGrace(CoreView v, Request t, long now) {
         var end = Math.min(v.leaseEnd(Parts.partOf(t.service())), v.leaseEnd(Parts.MANIFEST_PART));
-        return now >= end + v.grace();
+        return now >= end + v.graceMicros();
     }
 
-    private static int regionSet(View v, Request t, Rows.Service row) {
+    private static int regionSet(CoreView v, Request t, Rows.Service row) {
         var home = homeRegions(v, t.tenant());
         var set = 0;
         for (var r : home) {
@@ -95,14 +95,14 @@
         return set;
     }
 
-    private static List<String> homeRegions(View v, String tenant) {
-        var kept = v.topic().marks.get("tenant:" + tenant);
+    private static List<String> homeRegions(CoreView v, String tenant) {
+        var kept = v.manifestRow().marks.get("tenant:" + tenant);
         return kept == null ? v.manifest().homeRegions(tenant) : List.of(kept.split(","));
     }
 
-    private Decision forward(View v, Request t, String region, int unit, boolean once, Set<String> avoided) {
+    private Decision forward(CoreView v, Request t, String region, int unit, boolean once, Set<String> avoided) {
         var there = new HashMap<String, Node>();
-        for (var n : v.members().get(Parts.partOf(t.service())))
+        for (var n : v.membersByPart().get(Parts.partOf(t.service())))
             if (n.isRouter()
                     && n.serving
                     && !avoided.contains(n.name)
@@ -111,8 +111,8 @@
         return new Decision.Forward(there.get(RendezvousHash.pick(t.service() + "/" + unit, there.keySet())), unit, once);
     }
 
-    private static boolean closed(Rows.Service row, int home, View v, Map<String, Long> closedSince, long now) {
-        if (!Mover.closed(row, v.topic().marks).get(home)) return false;
+    private static boolean closed(Rows.Service row, int home, CoreView v, Map<String, Long> closedSince, long now) {
+        if (!UnitMover.closedCells(row, v.manifestRow().marks).get(home)) return false;
         var since = Math.max(
                 closedSince.getOrDefault("zone:" + row.zones.get(home), Long.MIN_VALUE),
                 closedSince.getOrDefault("cell:" + row.name + "/" + row.cells.get(home), Long.MIN_VALUE));
@@ -120,7 +120,7 @@
     }
 
     private Decision serve(
-            View v,
+            CoreView v,
             Request t,
             Manifest.Service service,
             Rows.Service row,
@@ -146,34 +146,34 @@
                 able,
                 Hash.of(t.prefix(), Hash.of(t.service())),
                 service.warmUpTime(),
-                leased && v.settled(Parts.partOf(t.service()), now),
+                leased && v.isSettled(Parts.partOf(t.service()), now),
                 routersHere(v, t),
                 now);
         if (best == null) return new Decision.Buffer(Problem.of(ProblemKind.BUSY));
         return new Decision.Serve(best, unit, row.tableVersion, once);
     }
 
-    public boolean still(View v, Request t, Rows.Runner r, Map<String, Long> closedSince, long now) {
+    public boolean still(CoreView v, Request t, Rows.Runner r, Map<String, Long> closedSince, long now) {
         var row = v.services().get(t.service());
         var known = row == null ? null : row.runners.get(r.name);
         if (known == null || !known.up() || known.incarnation != r.incarnation || !loads.usable(known, now))
             return false;
         if (closed(row, row.cells.indexOf(known.cell), v, closedSince, now)) return false;
-        if (v.leased(Parts.partOf(t.service()), now) && v.leased(Parts.MANIFEST_PART, now)) return true;
+        if (v.hasLease(Parts.partOf(t.service()), now) && v.hasLease(Parts.MANIFEST_PART, now)) return true;
         var work = v.manifest().service(t.service()) == null
                 ? null
                 : v.manifest().service(t.service()).work(t.work());
         return work != null && !work.runOnce() && !pastGrace(v, t, now) && loads.heardLately(r.name, now);
     }
 
-    private static boolean comes(View v, Rows.Service row, int home, int unit, Set<String> avoided) {
+    private static boolean comes(CoreView v, Rows.Service row, int home, int unit, Set<String> avoided) {
         var here = row.cells.get(home);
         for (var r : row.runners.values()) if (r.up() && r.cell.equals(here) && !avoided.contains(r.name)) return true;
         return row.runnersUp(home) == 0 && elsewhere(v, row, unit);
     }
 
-    private static boolean elsewhere(View v, Rows.Service row, int unit) {
-        var closed = Mover.closed(row, v.topic().marks);
+    private static boolean elsewhere(CoreView v, Rows.Service row, int unit) {
+        var closed = UnitMover.closedCells(row, v.manifestRow().marks);
         for (var c = 0; c < row.cells.size(); c++) {
             var allowed = row.live(c)
                     && !closed.get(c)
@@ -183,9 +183,9 @@
         return false;
     }
 
-    private List<String> routersHere(View v, Request t) {
+    private List<String> routersHere(CoreView v, Request t) {
         var all = new ArrayList<String>();
-        for (var x : v.members().get(Parts.partOf(t.service()))) if (x.isRouter() && x.zone.equals(zone)) all.add(x.name);
+        for (var x : v.membersByPart().get(Parts.partOf(t.service()))) if (x.isRouter() && x.zone.equals(zone)) all.add(x.name);
         return all;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -1,7 +1,7 @@
 package craneway.data.request;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.Directory;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.data.runner.CellSignals;
@@ -34,7 +34,7 @@
             SILENT = 3_000_000;
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final Membership membership;
     private final CoreClient coreClient;
     private final Loads loads;
@@ -52,7 +52,7 @@
     private final AtomicLong claimNo = new AtomicLong();
     private volatile boolean stopping;
 
-    public RequestExecutor(Port port, Directory directory, Membership membership, CoreClient coreClient, Loads loads) {
+    public RequestExecutor(Port port, NodeDirectory directory, Membership membership, CoreClient coreClient, Loads loads) {
         this.port = port;
         this.directory = directory;
         this.membership = membership;
@@ -101,7 +101,7 @@
 
     private void earn(String service) {
         var routers = 0;
-        for (var n : membership.view().members().get(Parts.partOf(service))) if (n.isRouter()) routers++;
+        for (var n : membership.view().membersByPart().get(Parts.partOf(service))) if (n.isRouter()) routers++;
         tries.earn(Math.max(1, routers));
     }
 
@@ -193,7 +193,7 @@
         x.region = membership.view().manifest().regionOfZone(directory.self().zone);
         x.limit = membership.view().manifest().tenant(c.t.tenant()).quotaPerMinute();
         x.count = Math.max(1, x.limit / QUOTA_SHARE);
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(x.service),
                 x,
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
@@ -221,7 +221,7 @@
         x.holder = directory.self().name;
         x.incarnation = directory.self().incarnation;
         x.attempt = c.claimNo = claimNo.incrementAndGet();
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(x.service),
                 x,
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
@@ -230,7 +230,7 @@
 
     private void freeThenDecide(RequestState c) {
         if (!c.move(RequestPhase.CLAIMING)) return;
-        coreClient.ask(
+        coreClient.request(
                 Parts.partOf(c.t.service()),
                 finish(c, Rows.Claim.FREED),
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
@@ -290,7 +290,7 @@
     private void giveBack(RequestState c, int state) {
         if (!c.claimed) return;
         c.claimed = false;
-        coreClient.ask(Parts.partOf(c.t.service()), finish(c, state), FINISH_PATIENCE, v -> {});
+        coreClient.request(Parts.partOf(c.t.service()), finish(c, state), FINISH_PATIENCE, v -> {});
     }
 
     private void end(RequestState c, Problem given) {
@@ -401,7 +401,7 @@
     public void stamp(String service, Map<String, String> headers) {
         var v = membership.view();
         var s = v.services().get(service);
-        headers.put(HttpExchange.MANIFEST, Long.toString(v.topic().version));
+        headers.put(HttpExchange.MANIFEST, Long.toString(v.manifestRow().version));
         headers.put(HttpExchange.TABLE, Long.toString(s == null ? 0 : s.tableVersion));
     }
 
@@ -490,20 +490,20 @@
         c.tokens = tokens;
     }
 
-    private void watch(RequestState c, Membership.View v, long now) {
+    private void watch(RequestState c, Membership.CoreView v, long now) {
         if (now >= c.t.deadline()) late(c);
         else if (now - c.heardAt > SILENT && lost(c, v)) broken(c.t.id(), c.attempt);
     }
 
-    private boolean lost(RequestState c, Membership.View v) {
+    private boolean lost(RequestState c, Membership.CoreView v) {
         synchronized (c) {
             if (c.state != RequestPhase.RUNNING
                     && c.state != RequestPhase.STREAMING
                     && c.state != RequestPhase.FORWARDED) return false;
             if (c.runner == null)
                 return c.router != null
-                        && v.leased(Parts.partOf(c.t.service()), port.now())
-                        && v.members().get(Parts.partOf(c.t.service())).stream().noneMatch(n -> n.name.equals(c.router));
+                        && v.hasLease(Parts.partOf(c.t.service()), port.now())
+                        && v.membersByPart().get(Parts.partOf(c.t.service())).stream().noneMatch(n -> n.name.equals(c.router));
             var s = v.services().get(c.t.service());
             var r = s == null ? null : s.runners.get(c.runner.name);
             return r == null || r.incarnation != c.runner.incarnation || r.state == Rows.Runner.DARK;
@@ -512,8 +512,8 @@
 
     public void tick(long now) {
         var v = membership.view();
-        for (var k : v.topic().marks.keySet()) closedSince.putIfAbsent(k, now);
-        closedSince.keySet().removeIf(k -> !v.topic().marks.containsKey(k));
+        for (var k : v.manifestRow().marks.keySet()) closedSince.putIfAbsent(k, now);
+        closedSince.keySet().removeIf(k -> !v.manifestRow().marks.containsKey(k));
         for (var s : v.services().values())
             if (met.put(s.name, s) != s) s.runners.values().forEach(r -> loads.meet(r, now));
         for (var s : buffers.keySet()) wake(s);
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -1,7 +1,7 @@
 package craneway.data.router;
 
 import craneway.control.node.CoreClient;
-import craneway.control.node.Directory;
+import craneway.control.node.NodeDirectory;
 import craneway.control.node.Membership;
 import craneway.control.node.Port;
 import craneway.data.request.RequestExecutor;
@@ -29,7 +29,7 @@
     private static final long PATIENCE = 3_000_000;
 
     private final Port port;
-    private final Directory directory;
+    private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
     private final Loads loads = new Loads();
@@ -43,14 +43,14 @@
 
     public Router(Port port, Node self, List<String> seeds, TimingProfile timing, Random random) {
         this.port = port;
-        directory = new Directory(port, self, seeds, timing);
+        directory = new NodeDirectory(port, self, seeds, timing);
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, timing);
-        membership.signals(part -> executor().signals().take(part));
+        membership.setSignalSource(part -> executor().signals().take(part));
         executor = new RequestExecutor(port, directory, membership, coreClient, loads);
     }
 
-    public Directory directory() {
+    public NodeDirectory directory() {
         return directory;
     }
 
@@ -81,16 +81,16 @@
     }
 
     public boolean ready() {
-        return directory.self().serving && membership.usable(port.now());
+        return directory.self().serving && membership.isUsable(port.now());
     }
 
     public void unready() {
-        membership.unready();
+        membership.stopServing();
     }
 
     public void tick() {
         var now = port.now();
-        if (directory.newer() != null) follow();
+        if (directory.newerFounding() != null) follow();
         directory.tick(now);
         membership.tick(now);
         coreClient.tick(now);
@@ -98,10 +98,10 @@
     }
 
     private void follow() {
-        var f = directory.newer();
+        var f = directory.newerFounding();
         port.logEvent(Event.GENERATION_SUPERSEDED, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
-        directory.follow(f);
-        membership.follow();
+        directory.followCore(f);
+        membership.followCore();
     }
 
     public void receive(Object m) {
@@ -134,7 +134,7 @@
         c.incarnation = a.incarnation();
         c.cold = a.cold();
         c.load = a.load();
-        coreClient.ask(Parts.partOf(a.service()), c, PATIENCE, then);
+        coreClient.request(Parts.partOf(a.service()), c, PATIENCE, then);
     }
 
     public void leave(String service, String runner, long incarnation, Consumer<CommandResult> then) {
@@ -144,6 +144,6 @@
         c.runner = runner;
         c.incarnation = incarnation;
         c.state = Rows.Runner.LEAVING;
-        coreClient.ask(Parts.partOf(service), c, PATIENCE, then);
+        coreClient.request(Parts.partOf(service), c, PATIENCE, then);
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.control.node.Membership.View;
+import craneway.control.node.Membership.CoreView;
 import craneway.data.placement.ColdShare;
 import craneway.data.placement.Placer;
 import craneway.data.placement.Pool;
@@ -46,7 +46,7 @@
 
     private final XnioIoThread ioThread;
     private final LongSupplier clock;
-    private final Supplier<View> currentView;
+    private final Supplier<CoreView> currentView;
     private final ProtocolNames names;
     private final NodeSettings nodeSettings;
     private final BiConsumer<String, Object> peerSender;
@@ -68,7 +68,7 @@
     ProxyContext(
             XnioIoThread ioThread,
             LongSupplier clock,
-            Supplier<View> currentView,
+            Supplier<CoreView> currentView,
             NodeSettings nodeSettings,
             ProtocolNames names,
             EventSink log,
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.control.node.Membership.View;
+import craneway.control.node.Membership.CoreView;
 import craneway.model.event.EventSink;
 import craneway.model.node.NodeSettings;
 import craneway.state.message.Messages.Reading;
@@ -50,7 +50,7 @@
      */
     public ProxyServer(
             LongSupplier clock,
-            Supplier<View> currentView,
+            Supplier<CoreView> currentView,
             NodeSettings nodeSettings,
             ProtocolNames names,
             EventSink log,
--- a/lib/http/src/main/java/craneway/http/CallerPresence.java
+++ b/lib/http/src/main/java/craneway/http/CallerPresence.java
@@ -1,6 +1,6 @@
 package craneway.http;
 
-import craneway.control.operator.WakeGuard;
+import craneway.control.operator.PauseGuard;
 import craneway.model.event.Event;
 import craneway.model.event.EventSink;
 import io.undertow.server.HttpServerExchange;
@@ -11,18 +11,18 @@
 
 /** Tells of an order that was read whether its caller can still be waiting for the answer. */
 public final class CallerPresence {
-    private static final AttachmentKey<WakeGuard.Connection> CONNECTION =
-            AttachmentKey.create(WakeGuard.Connection.class);
+    private static final AttachmentKey<PauseGuard.Connection> CONNECTION =
+            AttachmentKey.create(PauseGuard.Connection.class);
 
     private final LongSupplier now;
     private final EventSink log;
-    private final WakeGuard guard;
+    private final PauseGuard guard;
 
     /** Callers by this steady clock; refusals are told to the log. */
     public CallerPresence(LongSupplier now, EventSink log) {
         this.now = now;
         this.log = log;
-        guard = new WakeGuard(now.getAsLong());
+        guard = new PauseGuard(now.getAsLong());
     }
 
     /** The steady clock, in microseconds. */
@@ -46,11 +46,11 @@
         return false;
     }
 
-    private static WakeGuard.Connection connection(HttpServerExchange x) {
+    private static PauseGuard.Connection connection(HttpServerExchange x) {
         var c = x.getConnection();
         var known = c.getAttachment(CONNECTION);
         if (known != null) return known;
-        var made = new WakeGuard.Connection();
+        var made = new PauseGuard.Connection();
         c.putAttachment(CONNECTION, made);
         return made;
     }
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -49,7 +49,7 @@
                 Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
-        socketTransport.start(router.directory()::sameOrigin, router::receive);
+        socketTransport.start(router.directory()::hasSameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::isReady, host::send);
         router.onReading(server::receiveNotice);
         router.onSilence(server::receiveNotice);
@@ -70,7 +70,7 @@
 
     /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
-        return router.membership().superseded();
+        return router.membership().isSuperseded();
     }
 
     /**
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -7,8 +7,8 @@
 import craneway.control.node.Port;
 import craneway.control.operator.PlatformCommands;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
-import craneway.control.store.Settings;
+import craneway.control.store.StoreOptions;
+import craneway.control.store.CoreSettings;
 import craneway.control.store.Store;
 import craneway.http.CallerPresence;
 import craneway.log.EventLog;
@@ -68,7 +68,7 @@
                 Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
                 new LoopbackPort(node.peerAddress()), disk, self, node.seedAddresses(), storeOptions(node), new SecureRandom());
-        socketTransport.start(store.directory()::sameOrigin, store::receive);
+        socketTransport.start(store.directory()::hasSameOrigin, store::receive);
         var callers = new CallerPresence(host::now, log);
         host.tick(callers::tick);
         host.listen(
@@ -101,14 +101,14 @@
         }
     }
 
-    private Rules storeOptions(NodeSettings node) {
+    private StoreOptions storeOptions(NodeSettings node) {
         // More than two heartbeat intervals, so that one lost heartbeat does not make a runner dark.
         var darkAfterMicros = node.runnerHeartbeatInterval() * 22 / 10 + 300_000;
         var settings =
-                new Settings(node.seedAddresses().size(), true, node.mayBootstrap(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
-        return new Rules(
+                new CoreSettings(node.seedAddresses().size(), true, node.mayBootstrap(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
+        return new StoreOptions(
                 settings,
-                Quorum.of(node.toleratedMachineLosses(), node.regionByZone()),
+                Quorum.toleratingLosses(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
                 part -> host.singleThread("part " + part));
     }
@@ -157,7 +157,7 @@
 
     /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
-        return store.membership().superseded();
+        return store.membership().isSuperseded();
     }
 
     /**
@@ -167,7 +167,7 @@
     public void stopGently() throws InterruptedException {
         host.logEvent(Event.STOPPING, "store");
         var deadline = host.now() + Math.max(0, shutdownGrace - GRACE_MARGIN_MICROS);
-        while (store.leave() && host.now() < deadline) Thread.sleep(100);
+        while (store.continuePlannedLeave() && host.now() < deadline) Thread.sleep(100);
         store.membership().leave(host.now());
         Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
--- a/lib/process/src/main/java/craneway/process/ProcessMetrics.java
+++ b/lib/process/src/main/java/craneway/process/ProcessMetrics.java
@@ -38,7 +38,7 @@
                 .addGauge(
                         "manifest_version",
                         MANIFEST_VERSION_HELP,
-                        router.membership().view().topic().version)
+                        router.membership().view().manifestRow().version)
                 .addGauges("table_version", "version of a service's table on this node", "service", tableVersions)
                 .render();
     }
@@ -48,7 +48,7 @@
         var ownedByPart = new TreeMap<String, Long>();
         var appliedByPart = new TreeMap<String, Long>();
         for (var replica : store.replicas()) {
-            ownedByPart.put(Integer.toString(replica.group().part()), replica.leads() ? 1L : 0L);
+            ownedByPart.put(Integer.toString(replica.group().part()), replica.isLeader() ? 1L : 0L);
             appliedByPart.put(
                     Integer.toString(replica.group().part()), replica.group().applied());
         }
@@ -56,7 +56,7 @@
                 .addGauge(
                         "manifest_version",
                         MANIFEST_VERSION_HELP,
-                        store.membership().view().topic().version)
+                        store.membership().view().manifestRow().version)
                 .addGauges("part_owned", "1 if this store owns the part", "part", ownedByPart)
                 .addGauges("part_applied", "last log entry applied", "part", appliedByPart)
                 .render();
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -3,7 +3,7 @@
 import craneway.api.operator.OperatorHandler;
 import craneway.api.operator.UsageJson;
 import craneway.api.platform.ReadinessHandler;
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.data.router.Router;
 import craneway.gateway.request.CompletionHandler;
 import craneway.gateway.runner.RunnerHandler;
@@ -37,7 +37,7 @@
 
     private final Host host;
     private final Router router;
-    private final Operator operator;
+    private final OperatorCommands operator;
 
     /** Starts the router and all its servers. */
     public RouterProcess(Startup settings, EventLog log) {
@@ -45,9 +45,9 @@
         var self = Node.started(
                 settings.name, Node.ROUTER, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
         router = new Router(host, self, settings.seeds, new SecureRandom());
-        operator = new Operator(host, router.coreClient());
+        operator = new OperatorCommands(host, router.coreClient());
         var forwardedRequests = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
-        var peerMessages = new PeerHandler(this::coreId, router.directory()::sameOrigin, router::receive, log);
+        var peerMessages = new PeerHandler(this::coreId, router.directory()::hasSameOrigin, router::receive, log);
         HttpHandler peerEndpoint =
                 exchange -> (exchange.getRequestPath().equals("/transaction") ? forwardedRequests : peerMessages)
                         .handleRequest(exchange);
@@ -92,7 +92,7 @@
 
     /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
-        return router.membership().superseded();
+        return router.membership().isSuperseded();
     }
 
     /**
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -2,7 +2,7 @@
 
 import craneway.api.operator.OperatorHandler;
 import craneway.api.platform.ReadinessHandler;
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.control.store.Store;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
@@ -41,10 +41,10 @@
         var self = Node.started(
                 settings.name, Node.STORE, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
         store = new Store(host, disk, self, settings.seeds, settings.stores, new SecureRandom());
-        var operator = new Operator(host, store.coreClient());
+        var operator = new OperatorCommands(host, store.coreClient());
         host.listen(
                 settings.peerAddress,
-                new PeerHandler(this::coreId, store.directory()::sameOrigin, store::receive, log),
+                new PeerHandler(this::coreId, store.directory()::hasSameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
                 settings.operator,
@@ -71,7 +71,7 @@
     private boolean isReady() {
         return !stopping
                 && store.replicas().length > 0
-                && store.membership().view().leased(0, host.now());
+                && store.membership().view().hasLease(0, host.now());
     }
 
     /** Returns the store that this process runs. */
@@ -81,7 +81,7 @@
 
     /** Whether a newer process with the same name has replaced this one. */
     public boolean superseded() {
-        return store.membership().superseded();
+        return store.membership().isSuperseded();
     }
 
     /**
@@ -93,7 +93,7 @@
         stopping = true;
         Thread.sleep(NOT_READY_PERIOD_MICROS / 1000);
         var deadline = host.now() + LEAVE_TIMEOUT_MICROS;
-        while (store.leave() && host.now() < deadline) Thread.sleep(100);
+        while (store.continuePlannedLeave() && host.now() < deadline) Thread.sleep(100);
         store.membership().leave(host.now());
         host.stopListening();
         Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
--- a/lib/process/src/test/java/craneway/process/StoreClusterTest.java
+++ b/lib/process/src/test/java/craneway/process/StoreClusterTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
+import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
 import craneway.log.EventLog;
 import craneway.model.unit.Parts;
@@ -45,7 +45,7 @@
         final SocketTransport transport;
         final Host host;
         final Store store;
-        final Operator operator;
+        final OperatorCommands operator;
 
         StoreNode(String name, String address, List<String> seeds) throws IOException {
             this.address = address;
@@ -54,11 +54,11 @@
             transport = new SocketTransport(address, this::coreId, () -> System.nanoTime() / 1000, log);
             host = new Host(log, 4, transport);
             var partExecutor = host.singleThread("parts");
-            var rules = new Rules(3, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> partExecutor);
+            var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> partExecutor);
             store = new Store(
                     host, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, rules, new Random());
-            operator = new Operator(host, store.coreClient());
-            transport.start(store.directory()::sameOrigin, store::receive);
+            operator = new OperatorCommands(host, store.coreClient());
+            transport.start(store.directory()::hasSameOrigin, store::receive);
             host.tick(() -> {
                 store.tick();
                 operator.tick(host.now());
@@ -71,7 +71,7 @@
 
         CommandResult status(int part) throws Exception {
             var result = new CompletableFuture<CommandResult>();
-            store.coreClient().ask(part, new Queries.Status(), 20_000_000, result::complete);
+            store.coreClient().request(part, new Queries.Status(), 20_000_000, result::complete);
             return result.get(30, TimeUnit.SECONDS);
         }
     }
@@ -106,7 +106,7 @@
         var version = new CompletableFuture<Long>();
         stores.get(1)
                 .operator
-                .send(
+                .putManifest(
                         0,
                         manifest,
                         result ->
--- a/test/features/src/test/java/craneway/features/NearSteps.java
+++ b/test/features/src/test/java/craneway/features/NearSteps.java
@@ -329,7 +329,7 @@
 
     @Then("messages between processes that are {string} get {int} and change nothing")
     public void messages(String what, int status) throws IOException {
-        var before = router.router().membership().view().topic().topicVersion;
+        var before = router.router().membership().view().manifestRow().topicVersion;
         var core = Long.toHexString(router.router().directory().self().coreId);
         var body =
                 switch (what) {
@@ -348,7 +348,7 @@
             if (r.status() != status) throw new AssertionError(who + " replied " + r.status());
         }
         if (status("platform", "/live") != 200
-                || router.router().membership().view().topic().topicVersion != before)
+                || router.router().membership().view().manifestRow().topicVersion != before)
             throw new AssertionError("state changed");
     }
 
@@ -452,7 +452,7 @@
                 1);
         await(
                 "the new manifest is in force",
-                () -> router.router().membership().view().topic().version == 2);
+                () -> router.router().membership().view().manifestRow().version == 2);
         at.put("whole", "0");
         at.put("spent", "0");
         for (var i = 0; i < n; i++) {
--- a/test/features/src/test/java/craneway/features/SimSteps.java
+++ b/test/features/src/test/java/craneway/features/SimSteps.java
@@ -166,9 +166,9 @@
     public void newest() {
         var v = s.world.manifestVersion();
         for (var m : s.world.all(RouterMachine.class))
-            check(m.router.membership().view().topic().version == v, m.name + " has not " + v);
+            check(m.router.membership().view().manifestRow().version == v, m.name + " has not " + v);
         for (var m : s.world.all(StoreMachine.class))
-            check(m.store.membership().view().topic().version == v, m.name + " has not " + v);
+            check(m.store.membership().view().manifestRow().version == v, m.name + " has not " + v);
     }
 
     @Then("key {word} ran exactly {int} time(s)")
--- a/test/pass/src/test/java/craneway/pass/Bed.java
+++ b/test/pass/src/test/java/craneway/pass/Bed.java
@@ -61,7 +61,7 @@
     final NodeSettings seat;
     private final Rows.Service service = new Rows.Service();
     private final Rows.Manifest topic = new Rows.Manifest();
-    private volatile Membership.View view;
+    private volatile Membership.CoreView view;
     private volatile long advanced;
     private volatile long stopped;
     private volatile PlannedFault fault;
@@ -176,7 +176,7 @@
     void startAnew(boolean manifest) {
         var members = new ArrayList<List<Node>>();
         for (var i = 0; i < 4; i++) members.add(List.of());
-        view = new Membership.View(
+        view = new Membership.CoreView(
                 topic,
                 manifest ? ManifestReader.read(MANIFEST).get() : null,
                 Map.of(),
@@ -198,7 +198,7 @@
         s.runners = service.runners;
         var members = new ArrayList<List<Node>>();
         for (var i = 0; i < 4; i++) members.add(List.of());
-        view = new Membership.View(
+        view = new Membership.CoreView(
                 topic,
                 ManifestReader.read(MANIFEST).get(),
                 new HashMap<>(Map.of("s", s)),
--- a/test/pass/src/test/java/craneway/pass/PlacerTest.java
+++ b/test/pass/src/test/java/craneway/pass/PlacerTest.java
@@ -66,7 +66,7 @@
         var members = new ArrayList<List<Node>>();
         for (var i = 0; i < 4; i++)
             members.add(IntStream.range(0, 20).mapToObj(n -> router("r" + n)).toList());
-        pool.follow(new Membership.View(
+        pool.follow(new Membership.CoreView(
                 topic,
                 ManifestReader.read(Bed.MANIFEST).get(),
                 new HashMap<>(Map.of("s", service)),
--- a/test/pass/src/test/java/craneway/pass/PoolNewsTest.java
+++ b/test/pass/src/test/java/craneway/pass/PoolNewsTest.java
@@ -39,10 +39,10 @@
         return service;
     }
 
-    private Membership.View view(
+    private Membership.CoreView view(
             Rows.Manifest topic, Map<String, Rows.Service> services, List<List<Node>> members, long leases) {
         var until = new long[] {leases, leases, leases, leases};
-        return new Membership.View(topic, manifest, services, until, members, 0, until);
+        return new Membership.CoreView(topic, manifest, services, until, members, 0, until);
     }
 
     private static List<List<Node>> members(Node... routers) {
--- a/test/sim/src/main/java/craneway/sim/Measures.java
+++ b/test/sim/src/main/java/craneway/sim/Measures.java
@@ -28,7 +28,7 @@
     private static String owner(Scenario s) {
         var part = Parts.partOf(s.world.service);
         return s.world.all(StoreMachine.class).stream()
-                .filter(m -> m.store.replicas()[part].leads())
+                .filter(m -> m.store.replicas()[part].isLeader())
                 .map(m -> m.name)
                 .findFirst()
                 .orElseThrow();
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -1,6 +1,6 @@
 package craneway.sim;
 
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.data.request.HttpExchange;
 import craneway.data.request.Request;
 import craneway.data.request.RequestRelay;
@@ -16,7 +16,7 @@
 
 public final class RouterMachine extends Machine implements NodePort.Receiver, Stream.Server {
     public Router router;
-    public Operator operator;
+    public OperatorCommands operator;
     private long ids;
     private boolean leaving;
 
@@ -30,12 +30,12 @@
         leaving = false;
         router =
                 new Router(port, world.node(this, Node.ROUTER), world.seeds(), new Random(world.sim.random.nextLong()));
-        operator = new Operator(port, router.coreClient());
+        operator = new OperatorCommands(port, router.coreClient());
     }
 
     @Override
     protected void tick() {
-        if (router.membership().superseded()) {
+        if (router.membership().isSuperseded()) {
             mine(this::crash);
             return;
         }
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -1,6 +1,6 @@
 package craneway.sim;
 
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.control.store.Store;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.CommandRequest;
@@ -18,7 +18,7 @@
     private boolean stalled;
     private long slow;
     public Store store;
-    public Operator operator;
+    public OperatorCommands operator;
 
     StoreMachine(World w, String name, String zone, String address) {
         super(w, name, zone, address);
@@ -36,7 +36,7 @@
                 world.seeds(),
                 world.stores(),
                 new Random(world.sim.random.nextLong()));
-        operator = new Operator(port, store.coreClient());
+        operator = new OperatorCommands(port, store.coreClient());
     }
 
     public void slow(long micros) {
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -2,7 +2,7 @@
 
 import craneway.control.node.Membership;
 import craneway.control.operator.Intent;
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.data.request.HttpExchange;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
@@ -136,12 +136,12 @@
         for (var s : List.copyOf(streams)) s.machineDied(m);
     }
 
-    void sees(Machine m, Membership.View v) {
+    void sees(Machine m, Membership.CoreView v) {
         if (v.manifest() == null) return;
         if (m.name.equals("router-1-1")) v.services().values().forEach(this::moved);
-        var key = m.life() + "/" + v.topic().version;
+        var key = m.life() + "/" + v.manifestRow().version;
         if (key.equals(lastSeen.put(m.name, key))) return;
-        journal.seen.add(new Journal.Seen(sim.now(), m.name, m.life(), v.topic().version, v.topic().text));
+        journal.seen.add(new Journal.Seen(sim.now(), m.name, m.life(), v.manifestRow().version, v.manifestRow().text));
     }
 
     private final Map<String, int[]> homes = new HashMap<>();
@@ -154,9 +154,9 @@
     }
 
     void rebuild(StoreMachine m, Consumer<String> then) {
-        var text = m.store.membership().view().topic().text;
-        var version = m.store.membership().view().topic().version;
-        var done = m.store.rebuild().flatMap(r -> m.store.rebuild(r.token()));
+        var text = m.store.membership().view().manifestRow().text;
+        var version = m.store.membership().view().manifestRow().version;
+        var done = m.store.rebuild().flatMap(r -> m.store.rebuild(r.confirmationToken()));
         if (done.isLeft()) {
             told(
                     then,
@@ -191,7 +191,7 @@
         journal.moves.clear();
     }
 
-    private Operator operator(String at) {
+    private OperatorCommands operator(String at) {
         var m = machine(at);
         return m instanceof StoreMachine s ? s.operator : ((RouterMachine) m).operator;
     }
@@ -199,7 +199,7 @@
     public void send(String text, long base, String at) {
         var sentAt = sim.now();
         journal.unsure.add(text);
-        operator(at).send(base, text, r -> {
+        operator(at).putManifest(base, text, r -> {
             var taken = r.isRight();
             if (taken) manifestVersion = Math.max(manifestVersion, r.get().version());
             timeline.note(
@@ -211,7 +211,7 @@
                                     + r.getLeft().detail());
             if (!taken && r.getLeft().kind() == ProblemKind.UNCERTAIN) return;
             journal.unsure.remove(text);
-            var everywhere = new long[] {taken && r.get().able().isEmpty() ? sim.now() : Long.MAX_VALUE};
+            var everywhere = new long[] {taken && r.get().routersStillActing().isEmpty() ? sim.now() : Long.MAX_VALUE};
             journal.sent.add(new Journal.Sent(
                     text, base, sentAt, sim.now(), taken, taken ? r.get().version() : 0, everywhere));
             if (taken && everywhere[0] == Long.MAX_VALUE)
@@ -220,7 +220,7 @@
     }
 
     private interface Watch {
-        void on(Operator o, Consumer<Either<Problem, Operator.Carried>> then);
+        void on(OperatorCommands o, Consumer<Either<Problem, OperatorCommands.RolloutResult>> then);
     }
 
     private void watchOn(String at, Watch w, Runnable everywhere) {
@@ -228,7 +228,7 @@
             if (!machine(at).up() || machine(at).frozen()) watchOn(at, w, everywhere);
             else
                 w.on(operator(at), r -> {
-                    if (r.isRight() && r.get().able().isEmpty()) everywhere.run();
+                    if (r.isRight() && r.get().routersStillActing().isEmpty()) everywhere.run();
                     else watchOn(at, w, everywhere);
                 });
         });
@@ -239,20 +239,20 @@
     }
 
     public void intent(Intent i, String at, Consumer<String> then) {
-        operator(at).plan(i, p -> {
+        operator(at).createPlan(i, p -> {
             if (p.isLeft())
                 told(then, "declined " + p.getLeft().kind() + ": " + p.getLeft().detail());
             else
-                operator(at).confirm(p.get().id, c -> {
+                operator(at).confirmPlan(p.get().id, c -> {
                     if (c.isLeft()) told(then, "declined " + c.getLeft().kind());
                     else {
                         told(
                                 then,
-                                c.get().able().isEmpty()
+                                c.get().routersStillActing().isEmpty()
                                         ? "confirmed"
-                                        : "pending " + c.get().able());
-                        if (!c.get().able().isEmpty())
-                            watchOn(at, (o, x) -> o.watch(p.get().id, x), () -> told(then, "confirmed"));
+                                        : "pending " + c.get().routersStillActing());
+                        if (!c.get().routersStillActing().isEmpty())
+                            watchOn(at, (o, x) -> o.watchPlan(p.get().id, x), () -> told(then, "confirmed"));
                     }
                 });
         });
@@ -320,7 +320,7 @@
             var tables = new HashMap<String, Long>();
             v.services().forEach((k, s) -> tables.put(k, s.tableVersion));
             journal.ends.add(
-                    new Journal.End(m.name, v.topic().version, v.topic().text, Map.copyOf(v.topic().marks), tables));
+                    new Journal.End(m.name, v.manifestRow().version, v.manifestRow().text, Map.copyOf(v.manifestRow().marks), tables));
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/CapacityCost.java
+++ b/test/sim/src/test/java/craneway/sim/CapacityCost.java
@@ -1,6 +1,6 @@
 package craneway.sim;
 
-import craneway.control.node.Membership.View;
+import craneway.control.node.Membership.CoreView;
 import craneway.control.store.Quorum;
 import craneway.data.placement.ColdShare;
 import craneway.data.placement.Placer;
@@ -87,7 +87,7 @@
     }
 
     private static Cluster cluster(int routers, String text, long seed) {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE);
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         c.sim.random.setSeed(seed);
         c.stores("z1", "z2", "z3").routers(routers);
         c.until(c::owned, 20);
@@ -98,7 +98,7 @@
 
     private static long put(Cluster c, long base, String text) {
         var v = new AtomicLong();
-        c.get("s1").operator.send(base, text, r -> v.set(r.isRight() ? r.get().version() : -1));
+        c.get("s1").operator.putManifest(base, text, r -> v.set(r.isRight() ? r.get().version() : -1));
         c.until(() -> v.get() != 0, 10);
         return v.get();
     }
@@ -180,7 +180,7 @@
     }
 
     private static void announce(Cluster c, int i, int slots) {
-        c.get("s" + (i % 3 + 1)).store.coreClient().ask(Parts.partOf(SERVICE), runner(i, slots), 3_000_000, v -> {});
+        c.get("s" + (i % 3 + 1)).store.coreClient().request(Parts.partOf(SERVICE), runner(i, slots), 3_000_000, v -> {});
     }
 
     /** All at one moment, taken by the owner as one batch. */
@@ -430,7 +430,7 @@
             var n = RUNNERS[Math.max(0, x)];
             var pool = new Pool();
             var placer = new Placer(pool, new ColdShare("r1"), "z1", "r1");
-            var views = new ArrayList<View>();
+            var views = new ArrayList<CoreView>();
             for (var i = 0; i < 40; i++) views.add(view(n));
             var from = System.nanoTime();
             views.forEach(pool::follow);
@@ -460,7 +460,7 @@
         return m;
     }
 
-    private static View view(int runners) {
+    private static CoreView view(int runners) {
         var s = new Rows.Service();
         s.name = SERVICE;
         for (var z = 0; z < 3; z++) {
@@ -473,7 +473,7 @@
         for (var i = 0; i < runners; i++) s.runners.put("runner-" + i, of(runner(i, 128)));
         var none = new ArrayList<List<Node>>();
         for (var i = 0; i < Parts.COUNT; i++) none.add(List.of());
-        return new View(
+        return new CoreView(
                 new Rows.Manifest(),
                 ManifestReader.readValidated(text(6, 0, 1)).get(),
                 Map.of(SERVICE, s),
--- a/test/sim/src/test/java/craneway/sim/CatchUpTest.java
+++ b/test/sim/src/test/java/craneway/sim/CatchUpTest.java
@@ -12,7 +12,7 @@
 class CatchUpTest {
     @Test
     void aLearnerThatHoldsNothingIsNotMadeAVoter() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE).stores("z1", "z2", "z3");
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).stores("z1", "z2", "z3");
         c.until(c::owned, 10);
         c.run(5);
         var leader = c.owner(0);
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -1,10 +1,10 @@
 package craneway.sim;
 
 import craneway.control.node.Port;
-import craneway.control.operator.Operator;
+import craneway.control.operator.OperatorCommands;
 import craneway.control.store.PartReplica;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
+import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
 import craneway.data.router.Router;
 import craneway.model.event.Event;
@@ -58,7 +58,7 @@
         int life;
         Store store;
         Router router;
-        Operator operator;
+        OperatorCommands operator;
         final Deque<Runnable> desk = new ArrayDeque<>();
         long sent;
         long sentBytes;
@@ -82,9 +82,9 @@
                     : new Node(name, kind, zone, address, 1_000_000_000L + sim.now() / 1_000 + wall);
             self.fenced = fenced;
             if (kind.equals(Node.STORE))
-                store = new Store(this, disk, self, seeds, new Rules(founders, quorum, pace, p -> this::work), random);
+                store = new Store(this, disk, self, seeds, new StoreOptions(founders, quorum, pace, p -> this::work), random);
             else router = new Router(this, self, seeds, pace, random);
-            operator = new Operator(this, store == null ? router.coreClient() : store.coreClient());
+            operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
             var mine = life;
             sim.after((long) (sim.random.nextDouble() * TICK), () -> tick(mine));
         }
@@ -334,8 +334,8 @@
     /** Whether a router holds this version of the manifest, its tables and a lease of every part. */
     boolean current(Member r, long version) {
         var v = r.router.membership().view();
-        if (!r.up || !r.router.membership().current() || v.topic().version != version) return false;
-        for (var p = 0; p < Parts.COUNT; p++) if (!v.leased(p, r.now())) return false;
+        if (!r.up || !r.router.membership().isCurrent() || v.manifestRow().version != version) return false;
+        for (var p = 0; p < Parts.COUNT; p++) if (!v.hasLease(p, r.now())) return false;
         return v.services().size() == v.manifest().services().size();
     }
 
--- a/test/sim/src/test/java/craneway/sim/ConfigurationOrderTest.java
+++ b/test/sim/src/test/java/craneway/sim/ConfigurationOrderTest.java
@@ -44,7 +44,7 @@
         }
 
         Call at(Cluster.Member m) {
-            new PlatformCommands(m.store.coreClient()).put(base, number, TEXT, source, m.now(), r -> {
+            new PlatformCommands(m.store.coreClient()).putManifest(base, number, TEXT, source, m.now(), r -> {
                 acknowledged = r.isRight();
                 refused = r.isRight() ? null : r.getLeft().kind();
             });
--- a/test/sim/src/test/java/craneway/sim/ControlCost.java
+++ b/test/sim/src/test/java/craneway/sim/ControlCost.java
@@ -39,9 +39,9 @@
     }
 
     private static void row(TimingProfile pace, int nodes, String text) {
-        var c = new Cluster(pace, Quorum.THREE).stores("z1", "z2", "z3").routers(nodes - 3);
+        var c = new Cluster(pace, Quorum.THREE_VOTERS).stores("z1", "z2", "z3").routers(nodes - 3);
         c.until(c::owned, 20);
-        c.get("s1").operator.send(0, text, r -> {});
+        c.get("s1").operator.putManifest(0, text, r -> {});
         c.run(20);
         c.meter.clear();
         c.run(SECONDS);
@@ -75,7 +75,7 @@
     }
 
     private static double mend(int kind, int seed) {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE);
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         c.sim.random.setSeed(seed);
         c.stores("z1", "z2", "z3");
         c.until(c::owned, 20);
@@ -102,7 +102,7 @@
         c.routers(9);
         c.until(c::owned, 5);
         var version = new long[1];
-        c.get("s1").operator.send(0, text, r -> version[0] = r.get().version());
+        c.get("s1").operator.putManifest(0, text, r -> version[0] = r.get().version());
         c.run(4);
         if (!all) {
             c.get("r5").crash();
--- a/test/sim/src/test/java/craneway/sim/CoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreTest.java
@@ -23,14 +23,14 @@
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
 
     private static Cluster three() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(1, REGIONS)).stores("z1", "z2", "z3");
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).stores("z1", "z2", "z3");
         assertTrue(c.until(c::owned, 10) < 8, () -> "founding: " + c.notes);
         c.run(5);
         return c;
     }
 
     private static Cluster six() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(2, REGIONS));
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(2, REGIONS));
         c.stores("z1", "z2", "z3");
         c.until(c::owned, 10);
         c.add("s4", Node.STORE, "z4");
@@ -141,7 +141,7 @@
         under(1.6, c.until(() -> c.ownedBut(o), 5), c);
         c.run(4);
         var other = c.members.values().stream().filter(m -> m != o).findFirst().get();
-        assertTrue(other.store.directory().heard(o.name, c.sim.now()));
+        assertTrue(other.store.directory().wasHeardRecently(o.name, c.sim.now()));
         o.hang(false);
         c.run(3);
         assertTrue(c.owned());
@@ -214,11 +214,11 @@
         var d = c.owner(0).store.directory();
         var old = m.store.directory().self().with(1, true);
         old.storeId = 77;
-        d.replaced(m.store.directory().self(), old);
-        assertFalse(d.gone(m.storeId()));
-        assertFalse(d.gone(77));
-        d.replaced(old, m.store.directory().self());
-        assertTrue(d.gone(77));
+        d.recordReplacement(m.store.directory().self(), old);
+        assertFalse(d.isDiskLost(m.storeId()));
+        assertFalse(d.isDiskLost(77));
+        d.recordReplacement(old, m.store.directory().self());
+        assertTrue(d.isDiskLost(77));
     }
 
     @Test
@@ -235,7 +235,7 @@
 
     @Test
     void sixFoundersSettleOnFiveVoters() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(2, REGIONS));
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(2, REGIONS));
         c.founders = 6;
         c.stores("z1", "z2", "z3", "z4", "z5", "z6");
         under(12, c.until(() -> c.owned() && fiveLive(c), 20), c);
@@ -278,7 +278,7 @@
             var version = new long[1];
             c.get("s1")
                     .operator
-                    .send(0, text, r -> version[0] = r.isRight() ? r.get().version() : -1);
+                    .putManifest(0, text, r -> version[0] = r.isRight() ? r.get().version() : -1);
             c.until(() -> version[0] != 0, 10);
             assertTrue(version[0] > 0, () -> String.join("\n", c.notes));
             var victim = c.get("s" + (i + 1));
@@ -306,7 +306,7 @@
                     text.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + round));
             c.get("s" + (1 + round % 6))
                     .operator
-                    .send(last, changed, r -> version[0] = r.isRight() ? r.get().version() : -1);
+                    .putManifest(last, changed, r -> version[0] = r.isRight() ? r.get().version() : -1);
             c.until(() -> version[0] != 0, 20);
             var is = round;
             assertTrue(version[0] > last, () -> "round " + is + ": " + version[0] + "\n" + String.join("\n", c.notes));
@@ -345,7 +345,7 @@
                 c.notes.stream().filter(n -> n.contains("LEADERSHIP_LOST")).count(),
                 () -> String.join("\n", c.notes));
         for (var m : c.members.values())
-            if (m.router != null) assertTrue(m.router.membership().view().leased(0, c.sim.now()), m.name);
+            if (m.router != null) assertTrue(m.router.membership().view().hasLease(0, c.sim.now()), m.name);
     }
 
     @Test
@@ -361,14 +361,14 @@
             m.start();
             c.run(4);
             var v = m.store == null ? m.router.membership() : m.store.membership();
-            assertFalse(v.superseded());
-            assertTrue(v.view().leased(0, c.sim.now()), () -> n + "\n" + String.join("\n", c.notes));
+            assertFalse(v.isSuperseded());
+            assertTrue(v.view().hasLease(0, c.sim.now()), () -> n + "\n" + String.join("\n", c.notes));
         }
     }
 
     @Test
     void aClockThatWentBackBeforeTheFoundingDoesNotHoldItUp() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE);
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         c.add("s1", Node.STORE, "z1");
         c.add("s2", Node.STORE, "z2");
         c.run(2);
--- a/test/sim/src/test/java/craneway/sim/CurrentTest.java
+++ b/test/sim/src/test/java/craneway/sim/CurrentTest.java
@@ -28,7 +28,7 @@
     void begin() throws IOException, URISyntaxException {
         text = Files.readString(Path.of(
                 CurrentTest.class.getResource("/craneway/sim/maticar.json").toURI()));
-        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE);
+        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         c.delay = 35_000;
         c.stores("z1", "z2", "z3").routers(ROUTERS);
         c.until(c::owned, 10);
@@ -40,7 +40,7 @@
         var from = version;
         c.get("s1")
                 .operator
-                .send(
+                .putManifest(
                         from,
                         text.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_600_000 + from)),
                         r -> version = r.isRight() ? r.get().version() : -1);
@@ -100,7 +100,7 @@
             for (var t = 0; t < 70; t++) {
                 c.run(0.02);
                 for (var r : routers())
-                    assertEquals(version, r.router.membership().view().topic().version);
+                    assertEquals(version, r.router.membership().view().manifestRow().version);
                 for (var r : routers())
                     assertNotNull(r.router.membership().view().manifest());
                 for (var r : routers())
@@ -113,7 +113,7 @@
                     .filter(m -> m.store != null && m != o)
                     .findFirst()
                     .get();
-            other.operator.send(
+            other.operator.putManifest(
                     from,
                     text.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_700_000 + i)),
                     r -> version = r.isRight() ? r.get().version() : -1);
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -7,7 +7,7 @@
 
 import craneway.control.node.Port;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
+import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
 import craneway.model.event.Event;
 import craneway.model.unit.Parts;
@@ -31,7 +31,7 @@
     private static final class Crash extends RuntimeException {}
 
     private static Cluster three() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(1, REGIONS)).stores("z1", "z2", "z3");
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).stores("z1", "z2", "z3");
         assertTrue(c.until(c::owned, 10) < 8, () -> "founding: " + c.notes);
         c.run(5);
         return c;
@@ -107,7 +107,7 @@
                 folder,
                 self,
                 List.of(),
-                new Rules(1, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> Runnable::run),
+                new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> Runnable::run),
                 new Random(now));
     }
 
--- a/test/sim/src/test/java/craneway/sim/FrozenDeskTest.java
+++ b/test/sim/src/test/java/craneway/sim/FrozenDeskTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import craneway.control.operator.PlatformCommands;
-import craneway.control.operator.WakeGuard;
+import craneway.control.operator.PauseGuard;
 import craneway.control.store.Quorum;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
@@ -27,7 +27,7 @@
     private final class Desk {
         final Cluster.Member at;
         final PlatformCommands passing;
-        final WakeGuard guard;
+        final PauseGuard guard;
         final Deque<Runnable> sockets = new ArrayDeque<>();
         boolean frozen;
         boolean guarded = true;
@@ -35,7 +35,7 @@
         Desk(Cluster.Member at) {
             this.at = at;
             passing = new PlatformCommands(at.store.coreClient());
-            guard = new WakeGuard(at.now());
+            guard = new PauseGuard(at.now());
             tick();
         }
 
@@ -45,10 +45,10 @@
         }
 
         Call order(boolean emptied) {
-            return order(new WakeGuard.Connection(), emptied);
+            return order(new PauseGuard.Connection(), emptied);
         }
 
-        Call order(WakeGuard.Connection connection, boolean emptied) {
+        Call order(PauseGuard.Connection connection, boolean emptied) {
             var call = new Call();
             Runnable read = () -> read(connection, emptied, call);
             if (frozen) sockets.add(read);
@@ -56,10 +56,10 @@
             return call;
         }
 
-        private void read(WakeGuard.Connection connection, boolean emptied, Call call) {
+        private void read(PauseGuard.Connection connection, boolean emptied, Call call) {
             var now = at.now();
             if (guarded && !guard.admits(connection, now, now)) call.status = 503;
-            else passing.mark("z1", emptied, now, r -> call.status = r.isRight() ? 200 : 503);
+            else passing.markZone("z1", emptied, now, r -> call.status = r.isRight() ? 200 : 503);
         }
 
         void thaw() {
@@ -78,7 +78,7 @@
 
     @BeforeEach
     void begin() {
-        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(1, REGIONS)).stores("z1", "z2", "z3");
+        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).stores("z1", "z2", "z3");
         assertTrue(c.until(c::owned, 10) < 8, () -> String.join("\n", c.notes));
         c.run(5);
         var followers = c.members.values().stream()
@@ -107,7 +107,7 @@
                 .containsKey("zone:z1");
     }
 
-    private Call staleOrder(WakeGuard.Connection connection, double seconds) {
+    private Call staleOrder(PauseGuard.Connection connection, double seconds) {
         frozen.frozen = true;
         c.run(0.1);
         var call = frozen.order(connection, true);
@@ -123,7 +123,7 @@
     @Test
     void anOrderReadAfterAFreezeDoesNotUndoATakeBack() {
         for (var seconds : new double[] {0, 0.5, 2, 18}) {
-            var call = staleOrder(new WakeGuard.Connection(), seconds);
+            var call = staleOrder(new PauseGuard.Connection(), seconds);
             assertEquals(503, call.status);
             assertFalse(emptied());
         }
@@ -131,7 +131,7 @@
 
     @Test
     void norDoesOneOnAConnectionThatWasOpenBefore() {
-        var kept = new WakeGuard.Connection();
+        var kept = new PauseGuard.Connection();
         var before = frozen.order(kept, false);
         c.until(() -> before.status != 0, 2);
         assertEquals(503, staleOrder(kept, 2).status);
@@ -141,7 +141,7 @@
     @Test
     void withoutTheGuardItWould() {
         frozen.guarded = false;
-        assertEquals(200, staleOrder(new WakeGuard.Connection(), 2).status);
+        assertEquals(200, staleOrder(new PauseGuard.Connection(), 2).status);
         assertTrue(emptied());
     }
 
@@ -150,7 +150,7 @@
         frozen.frozen = true;
         c.run(5);
         frozen.thaw();
-        c.run((WakeGuard.SETTLE + 2 * TICK) / 1e6);
+        c.run((PauseGuard.SETTLE_MICROS + 2 * TICK) / 1e6);
         acknowledged(frozen, true);
         assertTrue(emptied());
     }
@@ -162,7 +162,7 @@
         acknowledged(other, true);
         acknowledged(other, false);
         var call = new Call();
-        frozen.passing.mark("z1", true, since, r -> call.status = r.isRight() ? 200 : 503);
+        frozen.passing.markZone("z1", true, since, r -> call.status = r.isRight() ? 200 : 503);
         c.run(2);
         assertEquals(503, call.status);
         assertFalse(emptied());
--- a/test/sim/src/test/java/craneway/sim/HungDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/HungDiskTest.java
@@ -5,7 +5,7 @@
 
 import craneway.control.node.Port;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
+import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
 import craneway.model.event.Event;
 import craneway.model.unit.TimingProfile;
@@ -73,7 +73,7 @@
                 folder(),
                 self,
                 List.of(),
-                new Rules(1, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> part),
+                new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> part),
                 new Random(1));
         for (var i = 0; i < 100 && store.replicas().length == 0; i++) tick(store);
         hangs.set(true);
--- a/test/sim/src/test/java/craneway/sim/LeaderLearnedTest.java
+++ b/test/sim/src/test/java/craneway/sim/LeaderLearnedTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void aLeaderThatOnlySomeRenewalsOfAMessageNameIsToldAgain() {
-        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(1, Map.of("z1", "a", "z2", "b", "z3", "c")));
+        var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, Map.of("z1", "a", "z2", "b", "z3", "c")));
         cluster.stores("z1", "z2", "z3");
         cluster.until(cluster::owned, 10);
         cluster.run(8);
--- a/test/sim/src/test/java/craneway/sim/LivesTest.java
+++ b/test/sim/src/test/java/craneway/sim/LivesTest.java
@@ -29,7 +29,7 @@
     private static final Map<String, String> REGIONS = Map.of("z1", "a", "z2", "b", "z3", "c");
 
     private static Cluster three(TimingProfile pace) {
-        var c = new Cluster(pace, Quorum.of(1, REGIONS)).stores("z1", "z2", "z3");
+        var c = new Cluster(pace, Quorum.toleratingLosses(1, REGIONS)).stores("z1", "z2", "z3");
         assertTrue(c.until(c::owned, 10) < 8, () -> "founding: " + c.notes);
         c.routers(3);
         c.run(8);
@@ -42,7 +42,7 @@
 
     private static boolean leased(Cluster.Member m, Cluster c) {
         var v = membership(m).view();
-        for (var p = 0; p < Parts.COUNT; p++) if (!v.leased(p, c.sim.now())) return false;
+        for (var p = 0; p < Parts.COUNT; p++) if (!v.hasLease(p, c.sim.now())) return false;
         return true;
     }
 
@@ -76,7 +76,7 @@
         m.wall = wall;
         m.start();
         c.run(4);
-        assertFalse(membership(m).superseded(), () -> notes(c));
+        assertFalse(membership(m).isSuperseded(), () -> notes(c));
         assertTrue(leased(m, c), () -> notes(c));
     }
 
@@ -93,7 +93,7 @@
         m.wall = wall;
         m.start();
         c.run(6);
-        assertFalse(membership(m).superseded(), () -> notes(c));
+        assertFalse(membership(m).isSuperseded(), () -> notes(c));
         assertTrue(c.votesEverywhere(m, 3), () -> notes(c));
     }
 
@@ -142,7 +142,7 @@
         assertTrue(leased(m, c), () -> notes(c));
         c.owner(0).store.receive(renewals(late, c.sim.now()));
         c.run(3);
-        assertFalse(membership(m).superseded(), () -> notes(c));
+        assertFalse(membership(m).isSuperseded(), () -> notes(c));
         assertTrue(leased(m, c), () -> notes(c));
     }
 
@@ -161,7 +161,7 @@
         assertTrue(leased(m, c), () -> notes(c));
         c.owner(0).store.receive(renewals(late, c.sim.now()));
         c.run(3);
-        assertFalse(membership(m).superseded(), () -> notes(c));
+        assertFalse(membership(m).isSuperseded(), () -> notes(c));
         assertTrue(leased(m, c), () -> notes(c));
     }
 
@@ -180,8 +180,8 @@
         m.wall = wall;
         m.start();
         c.run(3);
-        assertTrue(o.store.directory().heard(m.name, c.sim.now()), () -> notes(c));
-        assertEquals(m.store.directory().self().incarnation, o.store.directory().named(m.name).incarnation);
+        assertTrue(o.store.directory().wasHeardRecently(m.name, c.sim.now()), () -> notes(c));
+        assertEquals(m.store.directory().self().incarnation, o.store.directory().nodeByName(m.name).incarnation);
     }
 
     /** A twin at another address: the one that started last stays, the earlier one is told so and ends. */
@@ -195,8 +195,8 @@
         c.members.put("twin", twin);
         twin.start();
         c.run(4);
-        assertTrue(old.router.membership().superseded(), () -> notes(c));
-        assertFalse(twin.router.membership().superseded(), () -> notes(c));
+        assertTrue(old.router.membership().isSuperseded(), () -> notes(c));
+        assertFalse(twin.router.membership().isSuperseded(), () -> notes(c));
         assertTrue(leased(twin, c), () -> notes(c));
         assertNotEquals(self.incarnation, twin.router.directory().self().incarnation);
     }
@@ -214,7 +214,7 @@
                 m.wall = older ? wall : 0;
                 m.start();
                 c.run(3);
-                assertFalse(membership(m).superseded(), () -> m.name + "\n" + notes(c));
+                assertFalse(membership(m).isSuperseded(), () -> m.name + "\n" + notes(c));
                 assertTrue(leased(m, c), () -> m.name + "\n" + notes(c));
             }
         }
@@ -237,7 +237,7 @@
         var text = Files.readString(Path.of(
                 LivesTest.class.getResource("/craneway/sim/maticar.json").toURI()));
         var confirmed = new ArrayList<Boolean>();
-        c.owner(0).operator.send(0, text, r -> confirmed.add(r.get().able().isEmpty() && leased(old, c)));
+        c.owner(0).operator.putManifest(0, text, r -> confirmed.add(r.get().routersStillActing().isEmpty() && leased(old, c)));
         c.until(() -> !confirmed.isEmpty(), 6);
         assertEquals(List.of(false), confirmed, () -> notes(c));
         assertFalse(leased(old, c));
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -17,7 +17,7 @@
     private static final double GRACE = 6.5;
 
     private static Cluster three() {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE).stores("z1", "z2", "z3");
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS).stores("z1", "z2", "z3");
         c.until(c::owned, 10);
         c.run(5);
         return c;
@@ -29,7 +29,7 @@
         var version = new long[1];
         c.owner(0)
                 .operator
-                .send(0, text, r -> version[0] = r.isRight() ? r.get().version() : -1);
+                .putManifest(0, text, r -> version[0] = r.isRight() ? r.get().version() : -1);
         c.until(() -> version[0] != 0, 10);
         assertTrue(version[0] > 0, () -> String.join("\n", c.notes));
         return version[0];
@@ -37,7 +37,7 @@
 
     /** What the process does at SIGTERM, and the seconds it took. */
     private static double stop(Cluster c, Cluster.Member m) {
-        var took = c.until(() -> !m.store.leave(), GRACE);
+        var took = c.until(() -> !m.store.continuePlannedLeave(), GRACE);
         m.store.membership().leave(c.sim.now());
         c.run(0.5);
         m.crash();
@@ -116,7 +116,7 @@
         var c = three();
         for (var i = 0; i < GRACE * 10; i++) {
             var up = c.members.values().stream().filter(m -> m.up).toList();
-            for (var m : up) if (!m.store.leave()) m.crash();
+            for (var m : up) if (!m.store.continuePlannedLeave()) m.crash();
             c.run(0.1);
         }
         assertTrue(c.members.values().stream().noneMatch(m -> m.up));
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -2,7 +2,7 @@
 
 import craneway.control.node.Port;
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
+import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
 import craneway.model.event.Event;
 import craneway.model.unit.Hash;
@@ -64,7 +64,7 @@
             up = true;
             life++;
             var self = new Node(name, Node.STORE, zone, name, 1_000_000_000L + sim.now());
-            var rules = new Rules(3, Quorum.THREE, TimingProfile.LOW_TRAFFIC, p -> this::afterSync);
+            var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> this::afterSync);
             var random = new Random(sim.random.nextLong());
             store = new Store(this, disk, self, List.of("s1", "s2", "s3"), rules, random);
             tick(life);
@@ -189,7 +189,7 @@
         c.text = text(routes, round);
         var done = new boolean[1];
         until(() -> leader() != null, 20);
-        leader().store.coreClient().ask(Parts.MANIFEST_PART, c, 10 * SECOND, v -> {
+        leader().store.coreClient().request(Parts.MANIFEST_PART, c, 10 * SECOND, v -> {
             done[0] = true;
             if (v.kind != 0) throw new IllegalStateException(v.detail);
             version = Long.parseLong(v.detail);
--- a/test/sim/src/test/java/craneway/sim/SteadyOperator.java
+++ b/test/sim/src/test/java/craneway/sim/SteadyOperator.java
@@ -97,10 +97,10 @@
         var number = count;
         open = true;
         callAt = now;
-        if (number % 3 == 2) passing.mark("m" + number, true, now, r -> answered(number, r));
+        if (number % 3 == 2) passing.markZone("m" + number, true, now, r -> answered(number, r));
         else {
             sent = version + 1;
-            passing.put(version, sent, text, "source " + number, now, r -> answered(number, r));
+            passing.putManifest(version, sent, text, "source " + number, now, r -> answered(number, r));
         }
     }
 
@@ -136,7 +136,7 @@
     void read(Cluster.Member to) {
         var least = version;
         var zones = Set.copyOf(marks);
-        new PlatformCommands(to.store.coreClient()).manifest(r -> {
+        new PlatformCommands(to.store.coreClient()).readManifest(r -> {
             if (r.isRight()) judge(to.name, least, zones, r.get());
         });
     }
