--- a/test/sim/src/test/java/craneway/sim/ThreeStores.java
+++ b/test/sim/src/test/java/craneway/sim/ThreeStores.java
@@ -25,7 +25,7 @@
 
     @BeforeEach
     void begin() {
-        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(1, REGIONS));
+        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS));
         c.originStep = 10 * Cluster.SECOND;
         c.stores("z1", "z2", "z3");
         assertTrue(c.until(c::owned, 10) < 8, this::notes);
@@ -72,7 +72,7 @@
 
     static Answer mark(Cluster.Member at, boolean emptied) {
         var a = new Answer();
-        new PlatformCommands(at.store.coreClient()).mark("z1", emptied, at.now(), r -> {
+        new PlatformCommands(at.store.coreClient()).markZone("z1", emptied, at.now(), r -> {
             assertEquals(null, a.given, "one order has one answer");
             a.given = r;
         });
--- a/test/sim/src/test/java/craneway/sim/TroubledMember.java
+++ b/test/sim/src/test/java/craneway/sim/TroubledMember.java
@@ -82,7 +82,7 @@
         var mark = "t" + number;
         switch ((int) (number % 5)) {
             case 0, 1 ->
-                passing.mark(mark, true, cluster.sim.now(), answer("order", ok -> {
+                passing.markZone(mark, true, cluster.sim.now(), answer("order", ok -> {
                     marks.add(mark);
                     confirmed++;
                     lastConfirmed = cluster.sim.now();
@@ -96,14 +96,14 @@
     private void read() {
         others.read(member);
         var asked = cluster.sim.now();
-        new PlatformCommands(member.store.coreClient()).manifest(r -> timely("read", asked));
+        new PlatformCommands(member.store.coreClient()).readManifest(r -> timely("read", asked));
     }
 
     /** The order that was acknowledged last, once more: it is acknowledged again or left without a clear answer. */
     private void resend(PlatformCommands passing) {
         var v = others.version();
         if (v > 0)
-            passing.put(v - 1, v, text, others.sourceOf(v), cluster.sim.now(), answer("order sent again", ok -> {}));
+            passing.putManifest(v - 1, v, text, others.sourceOf(v), cluster.sim.now(), answer("order sent again", ok -> {}));
     }
 
     private void beat(PlatformCommands passing, String runner, boolean last) {
@@ -116,7 +116,7 @@
         c.incarnation = 1;
         c.sequence = last ? 2 : 1;
         c.state = last ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        passing.beat(c, cluster.sim.now(), answer("beat", ok -> {
+        passing.reportRunnerHeartbeat(c, cluster.sim.now(), answer("beat", ok -> {
             beats++;
             if (last) leaving.add(runner);
         }));
--- a/test/sim/src/test/java/craneway/sim/TroubledMemberTest.java
+++ b/test/sim/src/test/java/craneway/sim/TroubledMemberTest.java
@@ -96,7 +96,7 @@
     @ParameterizedTest
     @MethodSource("pairs")
     void neverConfirmsNorReadsBackOldAndServesSoonAfterwards(Trouble trouble, Part part, double seconds) {
-        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(1, REGIONS)).stores("z1", "z2", "z3");
+        var c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(1, REGIONS)).stores("z1", "z2", "z3");
         c.until(c::owned, 10);
         c.add("s4", Node.STORE, "z4");
         c.run(6);
--- a/test/sim/src/test/java/craneway/sim/TwoEvents.java
+++ b/test/sim/src/test/java/craneway/sim/TwoEvents.java
@@ -60,7 +60,7 @@
     private TwoEvents(Run run) {
         this.run = run;
         sync = run.stores == 3 ? 4_000_000 : 6_000_000;
-        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.of(run.stores == 3 ? 1 : 2, REGIONS));
+        cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.toleratingLosses(run.stores == 3 ? 1 : 2, REGIONS));
         cluster.founders = run.stores;
         for (var i = 1; i <= run.stores; i++) core.add(cluster.add("s" + i, Node.STORE, "z" + i));
     }
@@ -107,17 +107,17 @@
             operator.read(m);
             cluster.run(0.5);
             if (operator.readBack() == had) operator.faults.add(m.name + " does not read back at the end");
-            if (m.store.membership().superseded()) operator.faults.add(m.name + " was superseded");
+            if (m.store.membership().isSuperseded()) operator.faults.add(m.name + " was superseded");
         }
         var whole = cluster.until(this::settled, WHOLE);
-        if (whole >= WHOLE) operator.faults.add("the group does not have its " + cluster.quorum.voters() + " voters");
+        if (whole >= WHOLE) operator.faults.add("the group does not have its " + cluster.quorum.voterCount() + " voters");
     }
 
     private boolean settled() {
         for (var p = 0; p < Parts.COUNT; p++) {
             if (cluster.owner(p) == null) return false;
             var voters = cluster.voters(p);
-            if (voters.size() != cluster.quorum.voters() || voters.contains("?")) return false;
+            if (voters.size() != cluster.quorum.voterCount() || voters.contains("?")) return false;
             for (var v : voters) if (!core.contains(cluster.get(v))) return false;
         }
         return true;
--- a/test/sim/src/test/java/craneway/sim/WatchTest.java
+++ b/test/sim/src/test/java/craneway/sim/WatchTest.java
@@ -45,10 +45,10 @@
     void begin() throws IOException, URISyntaxException {
         var text = Files.readString(Path.of(
                 WatchTest.class.getResource("/craneway/sim/maticar.json").toURI()));
-        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE);
+        c = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         c.stores("z1", "z2", "z3").routers(1);
         c.until(c::owned, 10);
-        c.get("s1").operator.send(0, text, r -> {});
+        c.get("s1").operator.putManifest(0, text, r -> {});
         c.run(6);
         var s = c.get("r1")
                 .router
@@ -74,7 +74,7 @@
             r.cell = cell;
             r.slots = 4;
             r.incarnation = 1;
-            c.get("s1").store.coreClient().ask(Parts.partOf(service), r, 800_000, x -> {});
+            c.get("s1").store.coreClient().request(Parts.partOf(service), r, 800_000, x -> {});
         }
         c.run(0.02);
         o.hang(false);
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
@@ -36,7 +36,7 @@
                 super.configure(at, q, a -> {
                     if (a.status() != 412) then.accept(a);
                     else
-                        at.passing().manifest(r -> {
+                        at.passing().readManifest(r -> {
                             var same = r.isRight() && r.get().version == q.number();
                             then.accept(same ? Answer.of(200) : a);
                         });
--- a/test/sim/src/test/java/craneway/sim/history/Fleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/Fleet.java
@@ -1,8 +1,8 @@
 package craneway.sim.history;
 
 import craneway.control.store.Quorum;
-import craneway.control.store.Rules;
-import craneway.control.store.Settings;
+import craneway.control.store.StoreOptions;
+import craneway.control.store.CoreSettings;
 import craneway.model.event.Event;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
@@ -63,9 +63,9 @@
         return by;
     }
 
-    Rules rules(boolean first, Executor disk) {
-        var settings = new Settings(SEEDS, true, first, DARK, FORGOTTEN);
-        return new Rules(settings, Quorum.of(losses, REGIONS), TimingProfile.LOW_TRAFFIC, p -> disk);
+    StoreOptions rules(boolean first, Executor disk) {
+        var settings = new CoreSettings(SEEDS, true, first, DARK, FORGOTTEN);
+        return new StoreOptions(settings, Quorum.toleratingLosses(losses, REGIONS), TimingProfile.LOW_TRAFFIC, p -> disk);
     }
 
     String region(String zone) {
--- a/test/sim/src/test/java/craneway/sim/history/Office.java
+++ b/test/sim/src/test/java/craneway/sim/history/Office.java
@@ -63,12 +63,12 @@
 
     void take(StoreNode at, Request q, Consumer<Answer> then) {
         if (q.configures()) configure(at, q, then);
-        else if (q.marks()) at.passing().mark(q.zone(), q.emptied(), at.now(), r -> then.accept(done(r)));
-        else at.passing().manifest(r -> then.accept(read(r)));
+        else if (q.marks()) at.passing().markZone(q.zone(), q.emptied(), at.now(), r -> then.accept(done(r)));
+        else at.passing().readManifest(r -> then.accept(read(r)));
     }
 
     void configure(StoreNode at, Request q, Consumer<Answer> then) {
-        at.passing().put(q.base(), q.number(), MANIFEST, source(q), at.now(), r -> then.accept(done(r)));
+        at.passing().putManifest(q.base(), q.number(), MANIFEST, source(q), at.now(), r -> then.accept(done(r)));
     }
 
     /** The configuration as sent: its value, a blank and what makes it long. */
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -2,7 +2,7 @@
 
 import craneway.control.node.Port;
 import craneway.control.operator.PlatformCommands;
-import craneway.control.operator.WakeGuard;
+import craneway.control.operator.PauseGuard;
 import craneway.control.store.Store;
 import craneway.model.event.Event;
 import craneway.sim.Disk;
@@ -27,7 +27,7 @@
     private Disk disk = new Disk();
     private Store store;
     private PlatformCommands passing;
-    private WakeGuard guard;
+    private PauseGuard guard;
     private boolean up;
     private boolean lit;
     private boolean frozen;
@@ -54,7 +54,7 @@
         });
         store = new Store(this, disk, self, fleet.seeds(first), rules, new Random(fleet.sim.random.nextLong()));
         passing = new PlatformCommands(store.coreClient());
-        guard = new WakeGuard(now());
+        guard = new PauseGuard(now());
         fleet.sim.after((long) (fleet.sim.random.nextDouble() * TICK), () -> beat(mine));
     }
 
@@ -163,7 +163,7 @@
 
     /** Whether the caller of an order that was read just now, on a new connection, can still be waiting. */
     boolean admits() {
-        return guard.admits(new WakeGuard.Connection(), now(), now());
+        return guard.admits(new PauseGuard.Connection(), now(), now());
     }
 
     Store store() {
