--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -51,8 +51,8 @@
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         socketTransport.start(router.directory()::hasSameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::isReady, host::send);
-        router.onReading(server::receiveNotice);
-        router.onSilence(server::receiveNotice);
+        router.setPrefillListener(server::receiveNotice);
+        router.setSilenceListener(server::receiveNotice);
         host.tick(router::tick, TICK_INTERVAL_MILLIS);
         log.logEvent(
                 Event.STARTED,
@@ -81,7 +81,7 @@
         var startedAt = host.now();
         host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
-        router.unready();
+        router.markUnready();
         pause(NOT_READY_PERIOD_MICROS);
         router.membership().leave(host.now());
         var servingUntil =
--- a/lib/process/src/main/java/craneway/process/ProcessMetrics.java
+++ b/lib/process/src/main/java/craneway/process/ProcessMetrics.java
@@ -12,13 +12,13 @@
 
     /** Returns the current metrics of a router. */
     static String render(Router router) {
-        var counts = router.executor().counts();
+        var counts = router.requestExecutor().counters();
         var verdictCounts = new TreeMap<String, Long>();
-        counts.verdicts().forEach((verdict, count) -> verdictCounts.put(verdict.toLowerCase(), count));
+        counts.problemCounts().forEach((verdict, count) -> verdictCounts.put(verdict.toLowerCase(), count));
         var tableVersions = new TreeMap<String, Long>();
         router.membership().view().services().values().forEach(s -> tableVersions.put(s.name, s.tableVersion));
         return new PrometheusText()
-                .addCounter("transactions_taken", "transactions taken, forwarded ones included", counts.taken.get())
+                .addCounter("transactions_taken", "transactions taken, forwarded ones included", counts.accepted.get())
                 .addCounter(
                         "transactions_forwarded_in", "of these, forwarded by another router", counts.forwardedIn.get())
                 .addCounter(
@@ -27,13 +27,13 @@
                         counts.forwardedOut.get())
                 .addCounter("transactions_buffered", "times a transaction waited in the buffer", counts.buffered.get())
                 .addCounter("runner_dispatches", "streams asked of runners", counts.dispatched.get())
-                .addCounter("extra_tries", "tries beyond the first", counts.extraTries.get())
-                .addCounter("streams_whole", "streams passed on to their end", counts.whole.get())
-                .addCounter("streams_cut", "streams visibly cut", counts.cut.get())
+                .addCounter("extra_tries", "tries beyond the first", counts.retries.get())
+                .addCounter("streams_whole", "streams passed on to their end", counts.completedStreams.get())
+                .addCounter("streams_cut", "streams visibly cut", counts.cutStreams.get())
                 .addGauge(
                         "transactions_open",
                         "transactions in this router now",
-                        router.executor().open())
+                        router.requestExecutor().openRequests())
                 .addCounters("verdicts", "verdicts told, by kind", "kind", verdictCounts)
                 .addGauge(
                         "manifest_version",
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -65,12 +65,12 @@
                         () -> ProcessMetrics.render(router),
                         after -> UsageJson.of(
                                 settings.name,
-                                router.executor().usage(),
+                                router.requestExecutor().usageLog(),
                                 after,
                                 System.currentTimeMillis() * 1000 - host.now()),
                         null),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(settings.platform, new ReadinessHandler(router::ready), MAX_ANNOUNCEMENT_BODY_BYTES);
+        host.listen(settings.platform, new ReadinessHandler(router::isReady), MAX_ANNOUNCEMENT_BODY_BYTES);
         host.tick(() -> {
             router.tick();
             operator.tick(host.now());
@@ -100,12 +100,12 @@
      * core, and closes. Takes at most about 63 s.
      */
     public void stopGently() throws InterruptedException {
-        host.logEvent(Event.STOPPING, router.executor().open() + " transactions open");
-        router.unready();
+        host.logEvent(Event.STOPPING, router.requestExecutor().openRequests() + " transactions open");
+        router.markUnready();
         pause(NOT_READY_PERIOD_MICROS);
-        router.executor().stop();
+        router.requestExecutor().stopAccepting();
         var deadline = host.now() + STREAM_DRAIN_TIMEOUT_MICROS;
-        while (router.executor().open() > 0 && host.now() < deadline) pause(20_000);
+        while (router.requestExecutor().openRequests() > 0 && host.now() < deadline) pause(20_000);
         router.membership().leave(host.now());
         host.stopListening();
         pause(LAST_RESPONSES_PERIOD_MICROS);
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -54,13 +54,13 @@
         world.journal.submissions++;
         world.journal.submittedAt.add(now());
         var h = new HashMap<String, String>();
-        h.put(HttpExchange.TENANT, w.tenant);
-        h.put(HttpExchange.WORK, w.work);
-        h.put(HttpExchange.DEADLINE, Integer.toString(w.deadlineMillis));
-        if (w.once) h.put(HttpExchange.KEY, key);
-        if (!w.regions.isEmpty()) h.put(HttpExchange.REGIONS, w.regions);
+        h.put(HttpExchange.TENANT_HEADER, w.tenant);
+        h.put(HttpExchange.WORK_HEADER, w.work);
+        h.put(HttpExchange.DEADLINE_MS_HEADER, Integer.toString(w.deadlineMillis));
+        if (w.once) h.put(HttpExchange.KEY_HEADER, key);
+        if (!w.regions.isEmpty()) h.put(HttpExchange.REGIONS_HEADER, w.regions);
         var body = w.service + " " + told.sub + " " + (w.once ? key : "-") + " " + w.tokens;
-        world.open(this, to.address, HttpExchange.TO_RUNNER, h, body.getBytes(), new ReplySink(told, w, key, askNo));
+        world.open(this, to.address, HttpExchange.RUNNER_PATH, h, body.getBytes(), new ReplySink(told, w, key, askNo));
     }
 
     private void over(Journal.Reply t, Work w, String key, int askNo) {
@@ -73,7 +73,7 @@
         if (again && askNo < ASKS) mineAfter(Math.max(200_000, t.retryAfter), () -> submit(w, key, askNo + 1));
     }
 
-    private final class ReplySink implements HttpExchange.Sink {
+    private final class ReplySink implements HttpExchange.ResponseListener {
         private final Journal.Reply told;
         private final Work work;
         private final String key;
@@ -95,26 +95,26 @@
         }
 
         @Override
-        public void refused() {
+        public void onRefused() {
             say("refused");
         }
 
         @Override
-        public void status(int c, Map<String, String> h) {
+        public void onStatus(int c, Map<String, String> h) {
             code = c;
             headers = h;
         }
 
         @Override
-        public void chunk(byte[] b) {
+        public void onChunk(byte[] b) {
             text.append(new String(b));
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             if (code != 200) {
-                told.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM));
-                told.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS));
+                told.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM_HEADER));
+                told.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS_HEADER));
                 say(ProblemKind.of(told.code).workOutcome().name().toLowerCase());
                 return;
             }
@@ -122,7 +122,7 @@
         }
 
         @Override
-        public void broken() {
+        public void onBroken() {
             if (code == 0) say("lost");
             else if (complete()) say("whole");
             else say(text.toString().contains("[DONE]") ? "false-end" : tokens() < 0 ? "disordered" : "cut");
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -42,7 +42,7 @@
         router.tick();
         operator.tick(now());
         world.sees(this, router.membership().view());
-        if (leaving && router.executor().open() == 0)
+        if (leaving && router.requestExecutor().openRequests() == 0)
             mine(() -> {
                 router.membership().leave(now());
                 mineAfter(100_000, this::crash);
@@ -50,15 +50,15 @@
     }
 
     public void stopGently() {
-        router.unready();
+        router.markUnready();
         mineAfter(2_200_000, () -> {
-            router.executor().stop();
+            router.requestExecutor().stopAccepting();
             leaving = true;
         });
     }
 
     public boolean ready() {
-        return up() && !frozen() && router.ready();
+        return up() && !frozen() && router.isReady();
     }
 
     @Override
@@ -74,30 +74,30 @@
     @Override
     public void serve(Stream s, String path, Map<String, String> h, byte[] body) {
         var text = new String(body);
-        if (path.equals(HttpExchange.TO_ROUTER))
+        if (path.equals(HttpExchange.ROUTER_PATH))
             world.journal.forwards.add(new Journal.Forward(now(), text.split(" ")[1]));
-        var regions = h.getOrDefault(HttpExchange.REGIONS, "");
+        var regions = h.getOrDefault(HttpExchange.REGIONS_HEADER, "");
         var t = new Request(
                 ++ids,
                 text.split(" ")[0],
-                h.get(HttpExchange.TENANT),
-                h.getOrDefault(HttpExchange.WORK, ""),
+                h.get(HttpExchange.TENANT_HEADER),
+                h.getOrDefault(HttpExchange.WORK_HEADER, ""),
                 regions.isEmpty() ? List.of() : List.of(regions.split(",")),
-                h.getOrDefault(HttpExchange.KEY, ""),
-                Hash.of(h.getOrDefault(HttpExchange.WORK, "")),
-                now() + Long.parseLong(h.get(HttpExchange.DEADLINE)) * 1000,
-                path.equals(HttpExchange.TO_ROUTER),
+                h.getOrDefault(HttpExchange.KEY_HEADER, ""),
+                Hash.of(h.getOrDefault(HttpExchange.WORK_HEADER, "")),
+                now() + Long.parseLong(h.get(HttpExchange.DEADLINE_MS_HEADER)) * 1000,
+                path.equals(HttpExchange.ROUTER_PATH),
                 body);
         var p = new RequestRelay(
                 t,
-                router.executor(),
-                router.loads(),
+                router.requestExecutor(),
+                router.runnerLoads(),
                 this::now,
                 name,
-                new Bound(s, path.equals(HttpExchange.TO_RUNNER) ? text.split(" ")[1] : ""));
-        var executor = router.executor();
-        s.onCancel(() -> executor.gone(t.id()));
-        p.begin();
+                new Bound(s, path.equals(HttpExchange.RUNNER_PATH) ? text.split(" ")[1] : ""));
+        var executor = router.requestExecutor();
+        s.onCancel(() -> executor.onClientDisconnected(t.id()));
+        p.start();
     }
 
     private final class Bound implements HttpExchange {
@@ -110,43 +110,43 @@
         }
 
         @Override
-        public void later(Runnable step) {
+        public void runLater(Runnable step) {
             mine(step);
         }
 
         @Override
-        public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
+        public OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
             return world.open(RouterMachine.this, address, path, headers, body, sink);
         }
 
         @Override
-        public void start() {
+        public void startResponse() {
             back.status(200, Map.of());
         }
 
         @Override
-        public boolean write(byte[] b) {
+        public boolean writeChunk(byte[] b) {
             back.chunk(b);
             return back.open();
         }
 
         @Override
-        public void whole() {
+        public void endResponse() {
             back.end();
         }
 
         @Override
-        public void verdict(Problem p) {
+        public void sendProblem(Problem p) {
             if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
             var h = new HashMap<String, String>();
-            h.put(HttpExchange.PROBLEM, Integer.toString(p.kind().code()));
-            h.put(HttpExchange.RETRY_MICROS, Long.toString(p.retryAfterMicros()));
+            h.put(HttpExchange.PROBLEM_HEADER, Integer.toString(p.kind().code()));
+            h.put(HttpExchange.RETRY_MICROS_HEADER, Long.toString(p.retryAfterMicros()));
             back.status(p.kind().status(), h);
             back.end();
         }
 
         @Override
-        public void cut(Problem p, boolean started) {
+        public void abortResponse(Problem p, boolean started) {
             if (started) back.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
             back.broken();
         }
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -59,7 +59,7 @@
         if (leaving || dark || now() < due) return;
         due = now() + ANNOUNCE;
         var a = new Announcement(service, name, address, cell, slots, incarnation, cold(), running.size());
-        for (var r : world.routersIn(zone)) world.net.send(this, r.address, () -> r.router.announce(a, v -> {}));
+        for (var r : world.routersIn(zone)) world.net.send(this, r.address, () -> r.router.announceRunner(a, v -> {}));
     }
 
     public void leave() {
@@ -76,7 +76,7 @@
         world.net.send(
                 this,
                 r.address,
-                () -> r.router.leave(service, name, mine, v -> {
+                () -> r.router.markRunnerLeaving(service, name, mine, v -> {
                     if (v.kind == 0)
                         world.net.send(r, address, () -> {
                             if (acked[0] || incarnation != mine) return;
@@ -92,7 +92,7 @@
 
     @Override
     public void serve(Stream s, String path, Map<String, String> h, byte[] body) {
-        var load = Map.of(HttpExchange.LOAD, Integer.toString(running.size()));
+        var load = Map.of(HttpExchange.LOAD_HEADER, Integer.toString(running.size()));
         if (running.size() >= slots) {
             s.status(503, load);
             s.end();
@@ -108,13 +108,13 @@
         r.service = service;
         r.sub = p[1];
         r.key = p[2].equals("-") ? "" : p[2];
-        r.tenant = h.get(HttpExchange.TENANT);
+        r.tenant = h.get(HttpExchange.TENANT_HEADER);
         r.tokens = Integer.parseInt(p[3]);
         r.cold = cold();
         r.bornAt = born;
-        r.regions = h.getOrDefault(HttpExchange.REGIONS, "");
-        r.manifest = Long.parseLong(h.get(HttpExchange.MANIFEST));
-        r.table = Long.parseLong(h.get(HttpExchange.TABLE));
+        r.regions = h.getOrDefault(HttpExchange.REGIONS_HEADER, "");
+        r.manifest = Long.parseLong(h.get(HttpExchange.MANIFEST_VERSION_HEADER));
+        r.table = Long.parseLong(h.get(HttpExchange.TABLE_VERSION_HEADER));
         r.slots = slots;
         running.add(r);
         r.running = running.size();
--- a/test/sim/src/main/java/craneway/sim/Stream.java
+++ b/test/sim/src/main/java/craneway/sim/Stream.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.Map;
 
-final class Stream implements HttpExchange.Call {
+final class Stream implements HttpExchange.OutgoingCall {
     private static final long AGAIN = 200_000, CONNECT = 1_000_000;
 
     interface Server {
@@ -15,7 +15,7 @@
     final Machine from;
     final Machine to;
     private final World world;
-    private final HttpExchange.Sink sink;
+    private final HttpExchange.ResponseListener sink;
 
     private record Frame(long at, Runnable what, boolean last) {}
 
@@ -26,7 +26,7 @@
     private String sub = "";
     private Runnable onCancel = () -> {};
 
-    Stream(World world, Machine from, Machine to, HttpExchange.Sink sink) {
+    Stream(World world, Machine from, Machine to, HttpExchange.ResponseListener sink) {
         this.world = world;
         this.from = from;
         this.to = to;
@@ -38,15 +38,15 @@
         sub = new String(body).split(" ")[1];
         if (!world.net.open(from, to) || !world.net.open(to, from)) {
             world.journal.blocked.merge(sub, CONNECT, Long::sum);
-            world.sim.after(CONNECT, () -> toCaller(sink::refused, true));
-        } else if (!to.up()) world.sim.after(l, () -> toCaller(sink::refused, true));
+            world.sim.after(CONNECT, () -> toCaller(sink::onRefused, true));
+        } else if (!to.up()) world.sim.after(l, () -> toCaller(sink::onRefused, true));
         else world.sim.after(2 * l, () -> arrive(path, headers, body));
     }
 
     private void arrive(String path, Map<String, String> headers, byte[] body) {
         if (over) return;
         if (!to.up()) {
-            toCaller(sink::broken, true);
+            toCaller(sink::onBroken, true);
             return;
         }
         accepted = true;
@@ -65,19 +65,19 @@
     }
 
     void status(int code, Map<String, String> headers) {
-        back(() -> sink.status(code, headers), false);
+        back(() -> sink.onStatus(code, headers), false);
     }
 
     void chunk(byte[] b) {
-        back(() -> sink.chunk(b), false);
+        back(() -> sink.onChunk(b), false);
     }
 
     void end() {
-        back(sink::end, true);
+        back(sink::onEnd, true);
     }
 
     void broken() {
-        back(sink::broken, true);
+        back(sink::onBroken, true);
     }
 
     private void back(Runnable what, boolean last) {
@@ -119,13 +119,13 @@
             world.streams.remove(this);
             if (world.net.open(to, from))
                 world.sim.after(world.net.latency(from, to), () -> {
-                    if (from.up()) from.run(sink::broken);
+                    if (from.up()) from.run(sink::onBroken);
                 });
         }
     }
 
     @Override
-    public void took() {}
+    public void acknowledgeChunk() {}
 
     @Override
     public void cancel() {
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -120,13 +120,13 @@
                 : near;
     }
 
-    HttpExchange.Call open(
+    HttpExchange.OutgoingCall open(
             Machine from,
             String address,
             String path,
             Map<String, String> headers,
             byte[] body,
-            HttpExchange.Sink sink) {
+            HttpExchange.ResponseListener sink) {
         var s = new Stream(this, from, net.at(address), sink);
         s.connect(path, headers, body);
         return s;
