--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -55,7 +55,7 @@
 
     private void configuration(HttpServerExchange x) {
         switch (x.getRequestMethod().toString()) {
-            case "GET" -> Exchanges.dispatch(x, () -> passing.readManifest(r -> readBack(x, r.map(m -> m.source))));
+            case "GET" -> Exchanges.dispatch(x, () -> passing.readManifest(r -> readBack(x, r.map(m -> m.sourceText))));
             case "PUT" -> Exchanges.readBody(x, work, b -> put(x, b));
             default -> Exchanges.sendMethodNotAllowed(x);
         }
@@ -132,8 +132,8 @@
         c.cold = r.cold();
         c.load = r.load();
         c.state = b.leaving() ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        c.coldFor = b.remainingColdTime();
-        c.goneIn = b.remainingLifetime();
+        c.coldMicros = b.remainingColdTime();
+        c.goneAfterMicros = b.remainingLifetime();
         c.sequence = b.sequence();
         return c;
     }
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -64,23 +64,23 @@
         var cells = n.putArray("cells");
         for (var c = 0; c < s.cells.size(); c++) {
             var units = 0;
-            for (var u = 100; u < s.homes.length; u++) if (s.homes[u] == c) units++;
+            for (var u = 100; u < s.homeCells.length; u++) if (s.homeCells[u] == c) units++;
             cells.addObject()
                     .put("name", s.cells.get(c))
                     .put("zone", s.zones.get(c))
                     .put("region", s.cellRegions.get(c))
                     .put("units", units)
-                    .put("runnersUp", s.runnersUp(c))
+                    .put("runnersUp", s.countRunnersUp(c))
                     .put("load", sum(s, c, p, false))
                     .put("slots", sum(s, c, p, true));
         }
         n.put("displacedUnits", s.displacedUnits.length);
-        s.heldUntil.keySet().forEach(n.putArray("heldBack")::add);
+        s.heldBackUntilAge.keySet().forEach(n.putArray("heldBack")::add);
         var steps = n.putArray("steps");
         s.steps.stream().skip(Math.max(0, s.steps.size() - 8)).forEach(x -> steps.addObject()
                 .put("step", x.id)
                 .put("units", x.units.length)
-                .put("to", s.cells.get(x.to))
+                .put("to", s.cells.get(x.toCell))
                 .put("state", x.stateName())
                 .put("cause", x.cause)
                 .put("tableVersion", x.tableVersion));
@@ -99,7 +99,7 @@
 
     private static int sum(Rows.Service s, int cell, PartStatus p, boolean slots) {
         return s.runners.values().stream()
-                .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
+                .filter(r -> r.isUp() && r.cell.equals(s.cells.get(cell)))
                 .mapToInt(r -> slots ? r.slots : p.loadByRunner.getOrDefault(s.name + "/" + r.name, 0))
                 .sum();
     }
@@ -114,7 +114,7 @@
         p.steps.forEach(n.putArray("steps")::add);
         p.loads.forEach(n.putArray("loads")::add);
         p.warnings.forEach(n.putArray("warnings")::add);
-        if (!p.cause.isEmpty()) n.put("cause", p.cause);
+        if (!p.stopCause.isEmpty()) n.put("cause", p.stopCause);
         return n;
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -76,8 +76,8 @@
     public void requestUntil(int part, Object body, long until, Consumer<CommandResult> then) {
         var o = new PendingRequest();
         o.part = part;
-        o.body = Codec.writeTagged(body);
-        o.command = Commands.is(body);
+        o.body = Codec.encodeTagged(body);
+        o.command = Commands.isCommand(body);
         o.until = until;
         o.then = then;
         synchronized (this) {
@@ -103,16 +103,16 @@
         a.id = o.id;
         a.part = o.part;
         a.from = directory.self();
-        a.life = life;
-        a.lowest = open.firstKey();
+        a.sessionId = life;
+        a.lowestPending = open.firstKey();
         a.body = o.body;
         o.clockOnly = false;
         if (!o.command) return a;
         var c = clocks.get(o.part);
         if (c != null && c.fresh(now)) {
-            a.term = c.term();
-            a.bound = c.at(o.until);
-        } else if (to.fenced && !o.plain) {
+            a.leaderTerm = c.term();
+            a.leaderDeadline = c.at(o.until);
+        } else if (to.supportsIdentifiedCommands && !o.plain) {
             o.clockOnly = true;
             a.body = CLOCK_ONLY;
         }
@@ -126,15 +126,15 @@
 
     /** Takes a verdict from another process, or from this one. */
     public void receive(CommandResult v) {
-        if (v.life != 0 && v.life != life) {
-            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(v.life) + " ask " + v.id);
+        if (v.sessionId != 0 && v.sessionId != life) {
+            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(v.sessionId) + " ask " + v.id);
             return;
         }
         PendingRequest o;
         synchronized (this) {
             o = open.get(v.id);
             if (o == null) return;
-            if (v.term != 0) clocks.merge(o.part, new LeaderClock(v.term, v.clock, port.now()), LeaderClock::better);
+            if (v.leaderTerm != 0) clocks.merge(o.part, new LeaderClock(v.leaderTerm, v.leaderClock, port.now()), LeaderClock::better);
             if (v.kind == ProblemKind.NOT_OWNER.code() || v.kind == ProblemKind.UNCERTAIN.code()) {
                 redirect(o, v.leader);
                 return;
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -2,9 +2,9 @@
 
 import craneway.model.unit.Hash;
 import craneway.model.unit.TimingProfile;
-import craneway.state.message.Messages.Renew;
+import craneway.state.message.Messages.Renewal;
 import craneway.state.message.Messages.Renewals;
-import craneway.state.message.Messages.Signal;
+import craneway.state.message.Messages.CellSignal;
 import craneway.state.message.Node;
 import java.util.List;
 import java.util.Map;
@@ -26,7 +26,7 @@
     private final TimingProfile timing;
     private final PartLease[] leases;
     private final TopicTable topics;
-    private IntFunction<List<Signal>> signals = p -> List.of();
+    private IntFunction<List<CellSignal>> signals = p -> List.of();
     private boolean leaving;
 
     LeaseRenewer(
@@ -44,7 +44,7 @@
         this.topics = topics;
     }
 
-    void signals(IntFunction<List<Signal>> from) {
+    void signals(IntFunction<List<CellSignal>> from) {
         signals = from;
     }
 
@@ -72,15 +72,15 @@
         l.spread = timing.lowTraffic() && leader == null;
         var to = l.spread ? stores : List.of(stores.get(Math.floorMod(l.turn++, stores.size())));
         for (var s : to) {
-            if (timing.lowTraffic() && s.renewals)
+            if (timing.lowTraffic() && s.supportsRenewalBatches)
                 join(r, leader, all.computeIfAbsent(s.peerAddress, a -> renewals(leader, now)));
             else alone(r, s, now);
         }
     }
 
     /** The answer leaves out a leader that the message names, so it names one only where that is the leader of all its parts. */
-    private static void join(Renew part, Node leader, Renewals to) {
-        if (to.leader != incarnation(leader)) to.leader = 0;
+    private static void join(Renewal part, Node leader, Renewals to) {
+        if (to.leaderIncarnation != incarnation(leader)) to.leaderIncarnation = 0;
         to.parts.add(part);
     }
 
@@ -88,10 +88,10 @@
         return leader == null ? 0 : leader.incarnation;
     }
 
-    private Renew renewal(int part, PartLease l) {
-        var r = new Renew();
+    private Renewal renewal(int part, PartLease l) {
+        var r = new Renewal();
         r.part = part;
-        r.members = l.membersVersion;
+        r.membersVersion = l.membersVersion;
         r.signals.addAll(signals.apply(part));
         topics.versions(part, (name, version) -> {
             r.topics.add(name);
@@ -103,21 +103,21 @@
     private Renewals renewals(Node leader, long now) {
         var r = new Renewals();
         r.from = directory.self();
-        r.stamp = now;
+        r.sentAt = now;
         r.leaving = leaving;
-        r.leader = incarnation(leader);
+        r.leaderIncarnation = incarnation(leader);
         return r;
     }
 
-    private void alone(Renew part, Node to, long now) {
-        var r = new Renew();
+    private void alone(Renewal part, Node to, long now) {
+        var r = new Renewal();
         r.part = part.part;
-        r.members = part.members;
+        r.membersVersion = part.membersVersion;
         r.topics = part.topics;
         r.versions = part.versions;
         r.signals = part.signals;
         r.from = directory.self();
-        r.stamp = now;
+        r.sentAt = now;
         r.leaving = leaving;
         port.send(to.peerAddress, r);
     }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -1,7 +1,7 @@
 package craneway.control.node;
 
 import craneway.model.unit.Parts;
-import craneway.state.message.Messages.RenewReply;
+import craneway.state.message.Messages.RenewalReply;
 import craneway.state.message.Node;
 
 /**
@@ -28,10 +28,10 @@
     }
 
     /** A part has refused; whether the incarnation was raised, so that all parts are to be asked again. */
-    boolean refused(RenewReply v) {
+    boolean refused(RenewalReply v) {
         var self = directory.self();
         if (v.incarnation < self.incarnation || own(v, self)) return false;
-        var here = v.known != null && v.known.peerAddress.equals(self.peerAddress);
+        var here = v.recordedMember != null && v.recordedMember.peerAddress.equals(self.peerAddress);
         if (!here && granted[v.part] == self.incarnation) {
             superseded = true;
             return false;
@@ -41,7 +41,7 @@
     }
 
     /** The refusal of a late message of an earlier life names the life that stands: this one. */
-    private static boolean own(RenewReply v, Node self) {
-        return v.incarnation == self.incarnation && (v.known == null || !v.known.otherLife(self));
+    private static boolean own(RenewalReply v, Node self) {
+        return v.incarnation == self.incarnation && (v.recordedMember == null || !v.recordedMember.isOtherSession(self));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -5,11 +5,11 @@
 import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
-import craneway.state.message.Messages.Signal;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
+import craneway.state.message.Messages.CellSignal;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.ArrayList;
@@ -82,7 +82,7 @@
         publish();
     }
 
-    public synchronized void setSignalSource(IntFunction<List<Signal>> from) {
+    public synchronized void setSignalSource(IntFunction<List<CellSignal>> from) {
         renewer.signals(from);
     }
 
@@ -148,13 +148,13 @@
         if (!claim.superseded() && directory.self().coreId != 0) renewer.send(now);
     }
 
-    public synchronized void receive(RenewReplies all, long now) {
+    public synchronized void receive(RenewalReplies all, long now) {
         for (var v : all.parts) {
-            v.stamp = all.stamp;
+            v.sentAt = all.sentAt;
             if (v.incarnation == 0) v.incarnation = all.incarnation;
             if (v.kind == 0) {
                 v.leader = all.leader;
-                v.grace = all.grace;
+                v.graceMicros = all.graceMicros;
             }
             receive(v, now);
         }
@@ -163,7 +163,7 @@
         renewDue(now);
     }
 
-    public synchronized void receive(RenewReply v, long now) {
+    public synchronized void receive(RenewalReply v, long now) {
         if (v.part < 0 || v.part >= leases.length) return;
         var l = leases[v.part];
         if (v.kind == ProblemKind.NOT_OWNER.code()) {
@@ -184,14 +184,14 @@
             l.members = List.copyOf(v.members);
             v.members.forEach(n -> directory.learnNode(n, now));
         }
-        l.offered = Math.max(l.offered, v.stamp + LEASE_MICROS);
-        l.offeredGrace = v.grace;
+        l.offered = Math.max(l.offered, v.sentAt + LEASE_MICROS);
+        l.offeredGrace = v.graceMicros;
         if (timing.lowTraffic() && l.due > now)
             l.due = renewer.current(v.part) ? now + renewer.pause(now) : now + LeaseRenewer.SEARCH;
         take(v.part, now);
     }
 
-    private void notLeader(RenewReply v, PartLease l, long now) {
+    private void notLeader(RenewalReply v, PartLease l, long now) {
         l.unanswered = Math.min(l.unanswered, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED : 0);
         if (l.spread) {
             directory.learnNode(v.leader, now);
@@ -216,11 +216,11 @@
         publish();
     }
 
-    public synchronized void receive(Subscribe s, long now) {
+    public synchronized void receive(Subscription s, long now) {
         topics.subscribe(s, now);
     }
 
-    public synchronized void receive(News n, long now) {
+    public synchronized void receive(TopicUpdate n, long now) {
         if (!topics.take(n)) return;
         if (n.topic.equals(Parts.MANIFEST_TOPIC)) renewUntold();
         publish();
--- a/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -58,7 +58,7 @@
     /** Raises this process's incarnation above the known one and tells the others at the next tick. */
     public synchronized void raiseIncarnation(long known) {
         if (self.incarnation > known) return;
-        self = self.with(self.above(known), self.serving);
+        self = self.with(self.incarnationAbove(known), self.serving);
         greetAtNextTick();
     }
 
@@ -85,7 +85,7 @@
     }
 
     public boolean hasSameOrigin(Hello h) {
-        return founding != null && founding.sameOrigin(h.founding);
+        return founding != null && founding.hasSameOrigin(h.founding);
     }
 
     public synchronized void followCore(Founding f) {
@@ -169,7 +169,7 @@
 
     /** An earlier life at this very address has ended, since this process holds the address now. */
     private void raiseIncarnation(Node n) {
-        var earlier = n.incarnation > self.incarnation || n.incarnation == self.incarnation && n.otherLife(self);
+        var earlier = n.incarnation > self.incarnation || n.incarnation == self.incarnation && n.isOtherSession(self);
         if (earlier && n.peerAddress.equals(self.peerAddress)) raiseIncarnation(n.incarnation);
     }
 
@@ -217,10 +217,10 @@
         var h = new Hello();
         h.from = self;
         h.wantsReply = asks;
-        h.seen = setEmptyStoresDigest;
+        h.foundersDigest = setEmptyStoresDigest;
         h.lowTraffic = true;
         if (to == null || to.node.coreId != self.coreId) h.founding = founding;
-        if (to != null) h.have = to.list;
+        if (to != null) h.knownListDigest = to.list;
         return h;
     }
 
@@ -228,7 +228,7 @@
         var k = knownNodes.get(h.from.name);
         if (!h.lowTraffic) {
             var full = hello(false, now);
-            if (k != null && k.node.incarnation > h.from.incarnation) full.known.add(k.node);
+            if (k != null && k.node.incarnation > h.from.incarnation) full.knownNodes.add(k.node);
             return full;
         }
         var a = lowTraffic(false, k);
@@ -238,9 +238,9 @@
                 .map(x -> x.node)
                 .sorted(Comparator.comparing(n -> n.name))
                 .toList();
-        a.list = digest(stores);
-        if (a.list != h.have) a.known.addAll(stores);
-        if (k != null && k.node.incarnation > h.from.incarnation) a.known.add(k.node);
+        a.storeListDigest = digest(stores);
+        if (a.storeListDigest != h.knownListDigest) a.knownNodes.addAll(stores);
+        if (k != null && k.node.incarnation > h.from.incarnation) a.knownNodes.add(k.node);
         return a;
     }
 
@@ -259,16 +259,16 @@
         var h = new Hello();
         h.from = self;
         h.wantsReply = asks;
-        h.seen = setEmptyStoresDigest;
+        h.foundersDigest = setEmptyStoresDigest;
         h.founding = founding;
-        for (var k : knownNodes.values()) if (now - k.lastHeardAt < RECENTLY_HEARD_MICROS) h.known.add(k.node);
+        for (var k : knownNodes.values()) if (now - k.lastHeardAt < RECENTLY_HEARD_MICROS) h.knownNodes.add(k.node);
         return h;
     }
 
     public void receive(Hello h, long now) {
         if (h.from == null || h.from.name.equals(self.name)) return;
         if (h.from.coreId != 0 && self.coreId != 0 && h.from.coreId != self.coreId) {
-            if (hasSameOrigin(h) && h.founding.newerThan(founding)) newerFounding = h.founding;
+            if (hasSameOrigin(h) && h.founding.isNewerThan(founding)) newerFounding = h.founding;
             else if (hasSameOrigin(h) && h.wantsReply) port.send(h.from.peerAddress, hello(false, now));
             return;
         }
@@ -279,10 +279,10 @@
             if (k.earlier != null) recordReplacement(k.earlier, h.from);
             k.earlier = null;
             k.lastHeardAt = now;
-            k.emptyStoresDigest = h.seen;
-            if (h.list != 0) k.list = h.list;
+            k.emptyStoresDigest = h.foundersDigest;
+            if (h.storeListDigest != 0) k.list = h.storeListDigest;
         }
-        h.known.forEach(n -> learnNode(n, now));
+        h.knownNodes.forEach(n -> learnNode(n, now));
         if (founding == null && h.founding != null) founding = h.founding;
         if (self.coreId == 0 && self.isRouter() && h.from.coreId != 0) join(h.from.coreId);
         if (h.wantsReply) port.send(h.from.peerAddress, answer(h, now));
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -7,8 +7,8 @@
 import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Codec;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
     private final IntFunction<List<Node>> members;
     private final Map<String, Topic> topics = new TreeMap<>();
     private final Map<String, Rows.Service> services = new TreeMap<>();
-    private final Map<String, News> early = new HashMap<>();
+    private final Map<String, TopicUpdate> early = new HashMap<>();
     private Map<String, Rows.Service> servicesNow;
     private Rows.Manifest manifestTopic = new Rows.Manifest();
     private Manifest manifest;
@@ -133,10 +133,10 @@
         if (late) t.pulled = now;
         if (home == null) return;
         t.due = now + timing.subscriptionRenewalInterval();
-        var s = new Subscribe();
+        var s = new Subscription();
         s.from = directory.self();
         s.topic = name;
-        s.have = t.version;
+        s.knownVersion = t.version;
         port.send(home.peerAddress, s);
     }
 
@@ -150,15 +150,15 @@
     }
 
     /** Takes in a subscriber and sends it what it lacks. */
-    void subscribe(Subscribe s, long now) {
+    void subscribe(Subscription s, long now) {
         var t = topics.get(s.topic);
         if (t == null || s.from == null) return;
         t.subscribers.put(s.from.peerAddress, now);
-        if (t.body != null && t.version > s.have) port.send(s.from.peerAddress, news(s.topic, t));
+        if (t.body != null && t.version > s.knownVersion) port.send(s.from.peerAddress, news(s.topic, t));
     }
 
-    private static News news(String name, Topic t) {
-        var n = new News();
+    private static TopicUpdate news(String name, Topic t) {
+        var n = new TopicUpdate();
         n.topic = name;
         n.version = t.version;
         n.body = t.body;
@@ -166,13 +166,13 @@
     }
 
     /** Takes news, if they are newer, and passes them on; whether they were. */
-    boolean take(News n) {
+    boolean take(TopicUpdate n) {
         var t = topics.get(n.topic);
         if (t == null && timing.lowTraffic() && manifest == null)
             early.merge(n.topic, n, (a, b) -> a.version < b.version ? b : a);
         if (t == null || n.version <= t.version) return false;
-        if (n.topic.equals(Parts.MANIFEST_TOPIC)) takeManifest(Codec.read(Rows.Manifest.class, n.body));
-        else takeService(Codec.read(Rows.Service.class, n.body));
+        if (n.topic.equals(Parts.MANIFEST_TOPIC)) takeManifest(Codec.decode(Rows.Manifest.class, n.body));
+        else takeService(Codec.decode(Rows.Service.class, n.body));
         t.version = n.version;
         t.newest = Math.max(t.newest, n.version);
         t.body = n.body;
@@ -182,7 +182,7 @@
     }
 
     /** News of services that came before the manifest that names them; empty until it is there. */
-    List<News> waiting() {
+    List<TopicUpdate> waiting() {
         if (manifest == null || early.isEmpty()) return List.of();
         var waiting = List.copyOf(early.values());
         early.clear();
--- a/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
+++ b/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
@@ -17,7 +17,7 @@
         for (var p : parts)
             for (var s : p.services)
                 for (var c = 0; c < s.cells.size(); c++)
-                    if (s.live(c) && s.runnersUp(c) > 0) all.add(of(s, c, topic, parts, p));
+                    if (s.hasWeight(c) && s.countRunnersUp(c) > 0) all.add(of(s, c, topic, parts, p));
         return all;
     }
 
@@ -26,7 +26,7 @@
         var plan = IntentPlanner.createPlan(new Intent(Intent.EMPTY_CELL, null, s.name, name, null, null), topic, parts);
         int load = 0, slots = 0, left = 0;
         for (var r : s.runners.values()) {
-            if (!r.up()) continue;
+            if (!r.isUp()) continue;
             if (r.cell.equals(name)) {
                 load += p.loadByRunner.getOrDefault(s.name + "/" + r.name, 0);
                 slots += r.slots;
--- a/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
+++ b/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
@@ -105,7 +105,7 @@
             Map<String, Integer> loads) {
         var closed = UnitMover.closedCells(s, marks);
         var well = new BitSet();
-        for (var c = 0; c < s.cells.size(); c++) if (s.live(c) && s.runnersUp(c) > 0) well.set(c);
+        for (var c = 0; c < s.cells.size(); c++) if (s.hasWeight(c) && s.countRunnersUp(c) > 0) well.set(c);
         var open = (BitSet) well.clone();
         open.andNot(closed);
         var unmet = unmet(s, m, marks, open);
@@ -150,8 +150,8 @@
     private static void steps(Plan p, Rows.Service s, Manifest.Service ms, int[] wanted) {
         var moves = new TreeMap<String, Integer>();
         for (var u = Units.SLICE_COUNT; u < wanted.length; u++)
-            if (wanted[u] != s.homes[u])
-                moves.merge(name(s, s.homes[u]) + " to " + name(s, wanted[u]), 1, Integer::sum);
+            if (wanted[u] != s.homeCells[u])
+                moves.merge(name(s, s.homeCells[u]) + " to " + name(s, wanted[u]), 1, Integer::sum);
         moves.forEach((k, n) -> p.steps.add((p.steps.size() + 1) + ". service " + s.name + ": " + n + " units from " + k
                 + " in steps of " + ms.unitsPerStep() + " (" + (n + ms.unitsPerStep() - 1) / ms.unitsPerStep()
                 + " steps, table from version " + s.tableVersion + ")"));
@@ -163,7 +163,7 @@
 
     private static String carry(Plan p, Rows.Service s, BitSet open, int[] wanted, Map<String, Integer> loads) {
         var load = s.runners.values().stream()
-                .filter(Rows.Runner::up)
+                .filter(Rows.Runner::isUp)
                 .mapToInt(r -> loads.getOrDefault(s.name + "/" + r.name, 0))
                 .sum();
         var slots = slots(s, open);
@@ -189,7 +189,7 @@
 
     private static int slots(Rows.Service s, BitSet cells) {
         return s.runners.values().stream()
-                .filter(r -> r.up() && cells.get(s.cells.indexOf(r.cell)))
+                .filter(r -> r.isUp() && cells.get(s.cells.indexOf(r.cell)))
                 .mapToInt(r -> r.slots)
                 .sum();
     }
--- a/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -64,7 +64,7 @@
         q.zone = w.zone;
         coreClient.request(Parts.MANIFEST_PART, q, TIMEOUT, v -> {
             if (v.kind != 0) return;
-            w.last = Codec.read(RolloutStatus.class, v.body);
+            w.last = Codec.decode(RolloutStatus.class, v.body);
             if (w.enough.test(w.last)) close(w);
         });
     }
@@ -81,7 +81,7 @@
     }
 
     private static Problem problem(CommandResult v) {
-        return new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter);
+        return new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfterMicros);
     }
 
     public void readManifest(Consumer<Either<Problem, Rows.Manifest>> then) {
@@ -90,12 +90,12 @@
                 new Queries.ManifestGet(),
                 TIMEOUT,
                 v -> then.accept(
-                        v.kind == 0 ? Either.right(Codec.read(Rows.Manifest.class, v.body)) : Either.left(problem(v))));
+                        v.kind == 0 ? Either.right(Codec.decode(Rows.Manifest.class, v.body)) : Either.left(problem(v))));
     }
 
     public void putManifest(long base, String text, Consumer<Either<Problem, RolloutResult>> then) {
         var c = new Commands.ManifestPut();
-        c.base = base;
+        c.baseVersion = base;
         c.text = text;
         coreClient.request(Parts.MANIFEST_PART, c, TIMEOUT, v -> {
             if (v.kind != 0) then.accept(Either.left(problem(v)));
@@ -126,7 +126,7 @@
             var part = p;
             coreClient.request(p, new Queries.Status(), TIMEOUT, v -> {
                 synchronized (all) {
-                    if (v.kind == 0) all[part] = Codec.read(PartStatus.class, v.body);
+                    if (v.kind == 0) all[part] = Codec.decode(PartStatus.class, v.body);
                     if (--open[0] > 0) return;
                 }
                 then.accept(reached(all));
@@ -178,7 +178,7 @@
                 Parts.MANIFEST_PART,
                 q,
                 TIMEOUT,
-                v -> then.accept(v.kind == 0 ? Either.right(Codec.read(Plan.class, v.body)) : Either.left(problem(v))));
+                v -> then.accept(v.kind == 0 ? Either.right(Codec.decode(Plan.class, v.body)) : Either.left(problem(v))));
     }
 
     public void confirmPlan(long plan, Consumer<Either<Problem, RolloutResult>> then) {
@@ -204,7 +204,7 @@
                         ProblemKind.STALE_PLAN, "plan " + plan + " is " + p.get().stateName())));
             else
                 watchPlan(
-                        p.get().confirmedTopic,
+                        p.get().confirmedTopicVersion,
                         plan,
                         zone(p.get()),
                         s -> s.routersStillActing.isEmpty(),
@@ -214,7 +214,7 @@
 
     private static String zone(Plan p) {
         for (var k : p.marks.keySet()) {
-            var key = MarkKey.read(k);
+            var key = MarkKey.parse(k);
             if (key != null && key.target() == MarkKey.Target.ZONE) return key.name();
         }
         return "";
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -34,17 +34,17 @@
                 Parts.MANIFEST_PART,
                 new Queries.ManifestGet(),
                 TIMEOUT,
-                v -> then.accept(reply(v).map(x -> Codec.read(Rows.Manifest.class, v.body))));
+                v -> then.accept(reply(v).map(x -> Codec.decode(Rows.Manifest.class, v.body))));
     }
 
     /** The text must have been checked; RACE_LOST and BAD_MANIFEST are final, any other problem leaves open whether it was taken. */
     public void putManifest(
             long base, long number, String text, String source, long since, Consumer<Either<Problem, Void>> then) {
         var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
+        c.baseVersion = base;
+        c.senderNumber = number;
         c.text = text;
-        c.source = source;
+        c.sourceText = source;
         ask(Parts.MANIFEST_PART, c, since, then);
     }
 
@@ -88,6 +88,6 @@
     }
 
     private static Either<Problem, Void> reply(CommandResult v) {
-        return v.kind == 0 ? Either.right(null) : Either.left(new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfter));
+        return v.kind == 0 ? Either.right(null) : Either.left(new Problem(ProblemKind.of(v.kind), v.detail, v.retryAfterMicros));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/HomePlanner.java
+++ b/lib/control/src/main/java/craneway/control/plan/HomePlanner.java
@@ -10,7 +10,7 @@
     private HomePlanner() {}
 
     public static int[] wantedHomes(Rows.Service s, BitSet closed, BitSet well) {
-        var n = s.homes.length;
+        var n = s.homeCells.length;
         var w = new int[n];
         var weights = weights(s);
         for (var u = 0; u < n; u++) w[u] = wantedHomes(s, u, closed, well, weights);
@@ -18,14 +18,14 @@
     }
 
     private static int wantedHomes(Rows.Service s, int unit, BitSet closed, BitSet well, int[] weights) {
-        var now = s.homes[unit];
-        var away = s.displaced(unit);
+        var now = s.homeCells[unit];
+        var away = s.displacedCellOf(unit);
         if (away != PlacementTable.NOWHERE && allowed(s, unit, away) && !closed.get(away) && well.get(away)) return away;
         var best = pick(s, unit, closed, well, weights);
         if (best != now
                 && best != PlacementTable.NOWHERE
                 && now != PlacementTable.NOWHERE
-                && s.heldUntil.containsKey(s.cells.get(best))
+                && s.heldBackUntilAge.containsKey(s.cells.get(best))
                 && allowed(s, unit, now)
                 && !closed.get(now)
                 && well.get(now)) return now;
@@ -36,7 +36,7 @@
 
     private static int[] weights(Rows.Service s) {
         var w = new int[s.cells.size()];
-        for (var c = 0; c < w.length; c++) w[c] = s.weight(c);
+        for (var c = 0; c < w.length; c++) w[c] = s.weightOf(c);
         return w;
     }
 
@@ -49,7 +49,7 @@
         var most = Double.NEGATIVE_INFINITY;
         for (var c = 0; c < s.cells.size(); c++) {
             if (!allowed(s, unit, c) || closed.get(c) || well != null && !well.get(c)) continue;
-            var score = score(unit, s.cells.get(c), weights[c] / squared(s.sharing(c, Units.regionSetOf(unit))));
+            var score = score(unit, s.cells.get(c), weights[c] / squared(s.countRegionSetsSharing(c, Units.regionSetOf(unit))));
             if (score > most) {
                 most = score;
                 best = c;
@@ -64,7 +64,7 @@
     }
 
     private static boolean allowed(Rows.Service s, int unit, int cell) {
-        return s.live(cell) && Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
+        return s.hasWeight(cell) && Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
     }
 
     private static double score(int unit, String cell, double weight) {
--- a/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -2,7 +2,7 @@
 
 import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
-import craneway.state.message.Commands.Displace;
+import craneway.state.message.Commands.UnitDisplacement;
 import craneway.state.record.Rows;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -29,7 +29,7 @@
         due.replaceAll((k, v) -> now + COMMAND_PAUSE_MICROS);
     }
 
-    public Displace nextDisplacement(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
+    public UnitDisplacement nextDisplacement(Rows.Service s, Map<String, Integer> loads, BitSet open, long now) {
         var use = use(s, loads);
         for (var c = 0; c < use.length; c++) {
             use[c] = smooth(s.name + "/" + c, use[c], now);
@@ -57,12 +57,12 @@
     }
 
     private static double[] use(Rows.Service s, Map<String, Integer> loads) {
-        var at = s.cellNumbers();
+        var at = s.cellNumbersByName();
         var load = new long[s.cells.size()];
         var slots = new long[load.length];
         for (var r : s.runners.values()) {
             var c = at.get(r.cell);
-            if (!r.up() || c == null) continue;
+            if (!r.isUp() || c == null) continue;
             load[c] += Math.min(r.slots, loads.getOrDefault(s.name + "/" + r.name, 0));
             slots[c] += r.slots;
         }
@@ -76,14 +76,14 @@
         return t != null && now - t >= hold;
     }
 
-    private Displace away(Rows.Service s, double[] use, BitSet open, long now) {
+    private UnitDisplacement away(Rows.Service s, double[] use, BitSet open, long now) {
         for (var c = 0; c < use.length; c++) {
             if (!lasted(fullSince, s, c, FULL_HOLD_MICROS, now)) continue;
             var to = roomiest(s, use, open, c);
             if (to == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
-            for (var u = s.homes.length - 1; u >= Units.SLICE_COUNT && units.size() < MOST; u--)
-                if (s.homes[u] == c && s.displaced(u) == PlacementTable.NOWHERE && allows(s, u, to)) units.add(u);
+            for (var u = s.homeCells.length - 1; u >= Units.SLICE_COUNT && units.size() < MOST; u--)
+                if (s.homeCells[u] == c && s.displacedCellOf(u) == PlacementTable.NOWHERE && allows(s, u, to)) units.add(u);
             if (!units.isEmpty()) return command(s, units, to);
         }
         return null;
@@ -92,7 +92,7 @@
     private static int roomiest(Rows.Service s, double[] use, BitSet open, int but) {
         var best = PlacementTable.NOWHERE;
         for (var c = 0; c < use.length; c++) {
-            if (c == but || !open.get(c) || use[c] > MAX_TARGET_UTILIZATION || s.heldUntil.containsKey(s.cells.get(c))) continue;
+            if (c == but || !open.get(c) || use[c] > MAX_TARGET_UTILIZATION || s.heldBackUntilAge.containsKey(s.cells.get(c))) continue;
             if (best == PlacementTable.NOWHERE || use[c] < use[best]) best = c;
         }
         return best;
@@ -102,7 +102,7 @@
         return Units.containsRegion(Units.regionSetOf(unit), s.regions.indexOf(s.cellRegions.get(cell)));
     }
 
-    private Displace back(Rows.Service s, long now) {
+    private UnitDisplacement back(Rows.Service s, long now) {
         var units = new ArrayList<Integer>();
         for (var u : s.displacedUnits) {
             var home = HomePlanner.home(s, u);
@@ -111,8 +111,8 @@
         return units.isEmpty() ? null : command(s, units, PlacementTable.NOWHERE);
     }
 
-    private static Displace command(Rows.Service s, List<Integer> units, int to) {
-        var d = new Displace();
+    private static UnitDisplacement command(Rows.Service s, List<Integer> units, int to) {
+        var d = new UnitDisplacement();
         d.service = s.name;
         d.tableVersion = s.tableVersion;
         d.units = units.stream().mapToInt(u -> u).toArray();
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -25,7 +25,7 @@
             if (x.state != Rows.Step.RAISED) continue;
             var w = watched(s, x, g, now);
             var units = canGoBack(x, open);
-            var worse = units.length > 0 ? worse(w.before, g.totalsSince(s.name, s.cells.get(x.to), w.since, now)) : null;
+            var worse = units.length > 0 ? worse(w.before, g.totalsSince(s.name, s.cells.get(x.toCell), w.since, now)) : null;
             if (worse == null && now - w.since < WATCH_MICROS) continue;
             watched.remove(s.name + "/" + x.id);
             return mark(s, x, worse, units);
@@ -36,10 +36,10 @@
     private Watched watched(Rows.Service s, Rows.Step x, SignalHistory g, long now) {
         var has = watched.get(s.name + "/" + x.id);
         if (has != null) return has;
-        var before = g.totalsSince(s.name, s.cells.get(x.to), now - BEFORE, now);
+        var before = g.totalsSince(s.name, s.cells.get(x.toCell), now - BEFORE, now);
         for (var o : s.steps) {
             var w = watched.get(s.name + "/" + o.id);
-            if (w == null || o.to != x.to) continue;
+            if (w == null || o.toCell != x.toCell) continue;
             before = w.before;
             break;
         }
@@ -50,7 +50,7 @@
 
     private static int[] canGoBack(Rows.Step x, BitSet open) {
         return IntStream.range(0, x.units.length)
-                .filter(i -> x.from[i] >= 0 && open.get(x.from[i]))
+                .filter(i -> x.fromCells[i] >= 0 && open.get(x.fromCells[i]))
                 .map(i -> x.units[i])
                 .toArray();
     }
@@ -72,8 +72,8 @@
         m.service = s.name;
         m.id = x.id;
         m.state = worse == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
-        m.cause = worse == null ? "" : s.cells.get(x.to) + ": " + worse;
-        m.heldMicros = HOLD_MICROS;
+        m.cause = worse == null ? "" : s.cells.get(x.toCell) + ": " + worse;
+        m.holdBackMicros = HOLD_MICROS;
         m.units = units;
         return m;
     }
--- a/lib/control/src/main/java/craneway/control/plan/UnitMover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -46,9 +46,9 @@
         var units = new ArrayList<Integer>();
         var fresh = true;
         for (var u = Units.SLICE_COUNT; u < wanted.length; u++) {
-            if (wanted[u] == s.homes[u]) continue;
+            if (wanted[u] == s.homeCells[u]) continue;
             units.add(u);
-            fresh &= s.homes[u] == PlacementTable.NOWHERE;
+            fresh &= s.homeCells[u] == PlacementTable.NOWHERE;
         }
         if (units.isEmpty()) return null;
         if (fresh) return command(s, units, wanted);
@@ -63,8 +63,8 @@
 
     private StepMark settle(Rows.Service s, Rows.Step x, int[] wanted, StoreSyncCheck ready, long now) {
         var since = asked.computeIfAbsent(s.name + "/" + x.id, k -> now);
-        var still = Arrays.stream(x.units).allMatch(u -> wanted[u] == x.to);
-        var go = still && ready.isSynced(x.to, x.index);
+        var still = Arrays.stream(x.units).allMatch(u -> wanted[u] == x.toCell);
+        var go = still && ready.isSynced(x.toCell, x.askedAtIndex);
         if (!go && still && now - since < CONFIRM) return null;
         asked.remove(s.name + "/" + x.id);
         var m = new StepMark();
@@ -80,9 +80,9 @@
         a.service = s.name;
         a.tableVersion = s.tableVersion;
         a.units = units.stream().mapToInt(u -> u).toArray();
-        a.to = wanted[units.get(0)];
-        var from = s.homes[units.get(0)];
-        a.cause = s.displaced(units.get(0)) == a.to
+        a.toCell = wanted[units.get(0)];
+        var from = s.homeCells[units.get(0)];
+        a.cause = s.displacedCellOf(units.get(0)) == a.toCell
                 ? "pressure"
                 : from != PlacementTable.NOWHERE && closed.get(from)
                         ? "emptied"
@@ -95,7 +95,7 @@
         t.service = a.service;
         t.tableVersion = a.tableVersion;
         t.units = a.units;
-        t.cells = Arrays.stream(a.units).map(u -> a.to).toArray();
+        t.cells = Arrays.stream(a.units).map(u -> a.toCell).toArray();
         return t;
     }
 
@@ -108,11 +108,11 @@
     private int[] wanted(Rows.Service s, BitSet closed, BitSet well) {
         var w = wanted.get(s.name);
         if (w == null
-                || w.newsVersion != s.newsVersion
-                || w.held != s.heldUntil.size()
+                || w.newsVersion != s.topicVersion
+                || w.held != s.heldBackUntilAge.size()
                 || !w.closed.equals(closed)
                 || !w.well.equals(well)) {
-            w = new Wanted(s.newsVersion, s.heldUntil.size(), closed, well, HomePlanner.wantedHomes(s, closed, well));
+            w = new Wanted(s.topicVersion, s.heldBackUntilAge.size(), closed, well, HomePlanner.wantedHomes(s, closed, well));
             wanted.put(s.name, w);
         }
         return w.homes;
@@ -121,7 +121,7 @@
     private static long pause(Rows.Service s, int cell, Manifest.Service m) {
         if (cell == PlacementTable.NOWHERE) return m.stepPause();
         var cold = s.runners.values().stream()
-                .filter(r -> r.up() && r.cell.equals(s.cells.get(cell)))
+                .filter(r -> r.isUp() && r.cell.equals(s.cells.get(cell)))
                 .anyMatch(r -> r.cold);
         return cold ? Math.max(m.stepPause(), m.warmUpTime() / 10) : m.stepPause();
     }
@@ -145,9 +145,9 @@
 
     private BitSet well(Rows.Service s, long now) {
         var b = new BitSet();
-        var up = s.runnersUp();
+        var up = s.countRunnersUp();
         var housing = new BitSet();
-        for (var h : s.homes) if (h >= 0) housing.set(h);
+        for (var h : s.homeCells) if (h >= 0) housing.set(h);
         for (var c = 0; c < up.length; c++) {
             var k = s.name + "/" + s.cells.get(c);
             if (up[c] == 0) {
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -46,8 +46,8 @@
 
     /** Rules on a command of a process that tells its life. */
     Ruling rule(CommandRequest a, long term, long now) {
-        if (a.term != term || now > a.bound || a.bound > now + LONGEST) return Ruling.LATE;
-        return clockKnownTo.get(a.life) == null ? Ruling.UNKNOWN_LIFE : Ruling.TAKEN;
+        if (a.leaderTerm != term || now > a.leaderDeadline || a.leaderDeadline > now + LONGEST) return Ruling.LATE;
+        return clockKnownTo.get(a.sessionId) == null ? Ruling.UNKNOWN_LIFE : Ruling.TAKEN;
     }
 
     /**
@@ -62,11 +62,11 @@
 
     /** Claims carry an identity of their own: holder, incarnation and try. */
     static Object identified(CommandRequest a, Object command, byte[] body) {
-        if (a.life == 0 || command instanceof Commands.Claim || command instanceof Commands.Finish) return command;
-        var f = new Commands.Fenced();
-        f.life = a.life;
+        if (a.sessionId == 0 || command instanceof Commands.ClaimTake || command instanceof Commands.ClaimFinish) return command;
+        var f = new Commands.IdentifiedCommand();
+        f.sessionId = a.sessionId;
         f.sequence = a.id;
-        f.lowest = a.lowest;
+        f.lowestPending = a.lowestPending;
         f.body = body;
         return f;
     }
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -1,7 +1,7 @@
 package craneway.control.store;
 
 import craneway.control.node.Membership;
-import craneway.state.message.Messages.Renew;
+import craneway.state.message.Messages.Renewal;
 import craneway.state.message.Node;
 import java.util.HashMap;
 import java.util.Map;
@@ -31,13 +31,13 @@
     }
 
     /** Takes a renewal that was granted. */
-    void renewed(Renew r, long now) {
+    void renewed(Renewal r, long now) {
         var l = leases.computeIfAbsent(r.from.name, k -> new Lease());
         if (l.partner != null && !l.partner.equals(r.from.peerAddress)) l.earlierUntil = l.seen + LAPSE + l.grace;
         if (l.incarnation != r.from.incarnation) l.versions.clear();
         l.partner = r.from.peerAddress;
         l.incarnation = r.from.incarnation;
-        l.grace = r.from.grace;
+        l.grace = r.from.graceMicros;
         l.seen = now;
         for (var i = 0; i < r.topics.size(); i++) l.versions.put(r.topics.get(i), r.versions.get(i));
     }
@@ -69,6 +69,6 @@
     }
 
     boolean forgotten(Node member, long now) {
-        return now - seen(member.name) > FORGET + member.grace;
+        return now - seen(member.name) > FORGET + member.graceMicros;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -71,7 +71,7 @@
         forget(m, now);
         var lost = lostDisk(m);
         if (lost != 0) return Optional.of(m.without(lost));
-        if (m.learner != 0) return settleLearner(m, leadingSince, now);
+        if (m.learnerId != 0) return settleLearner(m, leadingSince, now);
         if (m.voters.length > quorum.voterCount()) return drop(m, now);
         return admit(m, now);
     }
@@ -84,16 +84,16 @@
     }
 
     private long lostDisk(Members m) {
-        if (m.learner != 0 && knowledge.isDiskLost(m.learner)) return m.learner;
+        if (m.learnerId != 0 && knowledge.isDiskLost(m.learnerId)) return m.learnerId;
         for (var v : m.voters) if (v != self && knowledge.isDiskLost(v)) return v;
         return 0;
     }
 
     private Optional<Members> settleLearner(Members m, long leadingSince, long now) {
         var led = now - leadingSince;
-        if (isLeaving(m.learner) || silent(m.learner, now) && led > timing.storeReplacementDelay())
-            return Optional.of(m.without(m.learner));
-        if (knowledge.isCaughtUp(m.learner) && led > timing.leaderSettleTime()) return Optional.of(promoted(m, now));
+        if (isLeaving(m.learnerId) || silent(m.learnerId, now) && led > timing.storeReplacementDelay())
+            return Optional.of(m.without(m.learnerId));
+        if (knowledge.isCaughtUp(m.learnerId) && led > timing.leaderSettleTime()) return Optional.of(promoted(m, now));
         return Optional.empty();
     }
 
@@ -102,9 +102,9 @@
      * one store more, and the loss of the new voter in that moment would leave no majority.
      */
     private Members promoted(Members m, long now) {
-        if (m.voters.length < quorum.voterCount()) return m.promoted();
+        if (m.voters.length < quorum.voterCount()) return m.withLearnerPromoted();
         for (var v : m.voters) if (silent(v, now)) return m.without(v);
-        return m.promoted();
+        return m.withLearnerPromoted();
     }
 
     private boolean silent(long store, long now) {
@@ -154,7 +154,7 @@
      */
     public boolean mayLeave(long store, Members m, long leadingSince, long now) {
         if (!m.isMember(store)) return true;
-        var changing = m.learner != 0
+        var changing = m.learnerId != 0
                 || m.voters.length > quorum.voterCount()
                 || admit(m, now).isPresent();
         if (changing || now - leadingSince < HEARD_ALL) return false;
@@ -170,7 +170,7 @@
     /** Whether the group is whole and leadership may go to this voter now. */
     public boolean canTakeLeadership(long store, Members m, long now) {
         if (store == 0 || store == self || isLeaving(store) || !m.isVoter(store)) return false;
-        return m.voters.length == quorum.voterCount() && m.learner == 0 && near(store, now) && knowledge.isCaughtUp(store);
+        return m.voters.length == quorum.voterCount() && m.learnerId == 0 && near(store, now) && knowledge.isCaughtUp(store);
     }
 
     /** The voter to hand over to when this store stops: one that is near, and rather none that stops too; 0 for none. */
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -20,10 +20,10 @@
 import craneway.state.message.Messages.CommandRequest;
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Messages.Join;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Renew;
-import craneway.state.message.Messages.RenewReply;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.Renewal;
+import craneway.state.message.Messages.RenewalReply;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.message.Queries;
 import craneway.state.part.Group;
@@ -110,7 +110,7 @@
         this.directory = directory;
         this.membership = membership;
         this.group = new Group(
-                part, self, directory.founding().origin(), folder, first, records, random, this, timing, port.now());
+                part, self, directory.founding().originalCoreId(), folder, first, records, random, this, timing, port.now());
         changes = new MembershipChanges(self, quorum, timing, new Known());
     }
 
@@ -151,11 +151,11 @@
         enqueue(() -> onCommandRequest(a, port.now()));
     }
 
-    public void receive(Renew r, Consumer<RenewReply> then) {
+    public void receive(Renewal r, Consumer<RenewalReply> then) {
         enqueue(() -> renew(r, port.now(), then));
     }
 
-    public void receive(Subscribe s) {
+    public void receive(Subscription s) {
         enqueue(() -> subscribe(s, port.now()));
     }
 
@@ -170,11 +170,11 @@
     /** Whether this store should ask to take part: it is no member, or its leader has been silent towards it. */
     public boolean shouldJoin(long now) {
         return !group.members().isMember(directory.self().storeId)
-                || !group.leaderHeard(now, 2 * timing.electionTimeout());
+                || !group.hasLeaderContact(now, 2 * timing.electionTimeout());
     }
 
     public boolean isLeader() {
-        return group.ready();
+        return group.isReadyLeader();
     }
 
     public Group group() {
@@ -192,7 +192,7 @@
     }
 
     @Override
-    public void applied(long index, long term, Object result) {
+    public void onApplied(long index, long term, Object result) {
         var w = waiting.remove(index);
         if (w == null) return;
         w.then.accept(
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void leadershipChanged(boolean leads, long term) {
+    public void onLeadershipChanged(boolean leads, long term) {
         port.logEvent(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
         fence.reset();
         leases.clear(port.now());
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void note(Event e, String detail) {
+    public void logEvent(Event e, String detail) {
         port.logEvent(e, detail);
     }
 
@@ -255,12 +255,12 @@
     }
 
     private Node otherLeader() {
-        var id = group.leader();
+        var id = group.leaderId();
         return id == 0 || id == directory.self().storeId ? null : directory.storeById(id);
     }
 
     private void propose(Object command, Consumer<CommandResult> then) {
-        var i = group.propose(Codec.writeTagged(command), port.now());
+        var i = group.propose(Codec.encodeTagged(command), port.now());
         if (i < 0) {
             then.accept(Records.failure(ProblemKind.NOT_OWNER, ""));
         } else {
@@ -279,12 +279,12 @@
             reply(a, v);
             return;
         }
-        if (a.life != 0 && a.body != null && a.body.length == 0) {
+        if (a.sessionId != 0 && a.body != null && a.body.length == 0) {
             decline(a, ProblemKind.LATE_COMMAND);
             return;
         }
         try {
-            decide(a, Codec.readTagged(a.body), now);
+            decide(a, Codec.decodeTagged(a.body), now);
         } catch (BadMessageException e) {
             port.logEvent(Event.BAD_MESSAGE, e.getMessage());
             reply(a, Records.failure(ProblemKind.BAD_MESSAGE, e.getMessage()));
@@ -292,35 +292,35 @@
     }
 
     private void decide(CommandRequest a, Object body, long now) {
-        if (a.life == 0 || !Commands.is(body)) {
+        if (a.sessionId == 0 || !Commands.isCommand(body)) {
             dispatch(a, body, now);
             return;
         }
         var ruling = fence.rule(a, group.term(), now);
-        var first = records.verdict(a.life, a.id);
+        var first = records.recordedResult(a.sessionId, a.id);
         if (ruling == CommandFence.Ruling.TAKEN && first != null) {
             reply(a, first);
             return;
         }
         var order = body instanceof Commands.ZoneMark mark ? mark : null;
-        if (ruling == CommandFence.Ruling.TAKEN && order != null && fence.overtaken(order.zone, a.bound))
+        if (ruling == CommandFence.Ruling.TAKEN && order != null && fence.overtaken(order.zone, a.leaderDeadline))
             ruling = CommandFence.Ruling.LATE;
         if (ruling == CommandFence.Ruling.TAKEN) dispatch(a, body, now);
         else {
             var late = ruling == CommandFence.Ruling.LATE;
-            if (a.term != 0) port.logEvent(late ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describe(a, body));
+            if (a.leaderTerm != 0) port.logEvent(late ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describe(a, body));
             decline(a, late ? ProblemKind.LATE_COMMAND : ProblemKind.UNKNOWN_LIFE);
         }
     }
 
     private String describe(CommandRequest a, Object body) {
-        return body.getClass().getSimpleName() + " of " + a.from.name + " life " + Long.toHexString(a.life) + " ask "
-                + a.id + " term " + a.term + ", at part " + part + " term " + group.term();
+        return body.getClass().getSimpleName() + " of " + a.from.name + " life " + Long.toHexString(a.sessionId) + " ask "
+                + a.id + " term " + a.leaderTerm + ", at part " + part + " term " + group.term();
     }
 
     /** Refuses a command without effect; its sender learns the leader's clock and may ask anew within its patience. */
     private void decline(CommandRequest a, ProblemKind kind) {
-        fence.tell(a.life);
+        fence.tell(a.sessionId);
         reply(a, Records.failure(kind, kind.text()));
     }
 
@@ -329,14 +329,14 @@
         r.id = a.id;
         r.kind = v.kind;
         r.detail = v.detail;
-        r.retryAfter = v.retryAfter;
+        r.retryAfterMicros = v.retryAfterMicros;
         r.leader = v.leader;
         r.version = v.version;
         r.body = v.body;
-        r.life = a.life;
-        if (a.life != 0 && group.ready()) {
-            r.term = group.term();
-            r.clock = port.now();
+        r.sessionId = a.sessionId;
+        if (a.sessionId != 0 && group.isReadyLeader()) {
+            r.leaderTerm = group.term();
+            r.leaderClock = port.now();
         }
         port.send(a.from.peerAddress, r);
     }
@@ -359,7 +359,7 @@
     /** Whether each member, and so each replica, reads commands under an identity. */
     private boolean allFenced() {
         var all = records.rows().members.values();
-        return !all.isEmpty() && all.stream().allMatch(m -> m.node.fenced);
+        return !all.isEmpty() && all.stream().allMatch(m -> m.node.supportsIdentifiedCommands);
     }
 
     private boolean knows(String runner) {
@@ -370,7 +370,7 @@
 
     private static CommandResult withBody(Object o) {
         var v = Records.ok();
-        v.body = Codec.write(o);
+        v.body = Codec.encode(o);
         return v;
     }
 
@@ -380,7 +380,7 @@
     }
 
     private void putManifest(CommandRequest a, Commands.ManifestPut c) {
-        var m = c.number > 0 ? null : ManifestReader.read(c.text);
+        var m = c.senderNumber > 0 ? null : ManifestReader.read(c.text);
         if (m != null && m.isLeft())
             reply(a, Records.failure(m.getLeft().kind(), m.getLeft().detail()));
         else proposeFor(a, c, v -> reply(a, v));
@@ -397,7 +397,7 @@
         }
         var same = r != null
                 && r.state == c.state
-                && (r.up() || r.state == Rows.Runner.LEAVING)
+                && (r.isUp() || r.state == Rows.Runner.LEAVING)
                 && r.incarnation == c.incarnation
                 && r.cold == c.cold
                 && r.slots == c.slots
@@ -410,7 +410,7 @@
         }
         var cell = s == null ? -1 : s.cells.indexOf(c.cell);
         if (s == null) reply(a, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service));
-        else if (cell < 0 || !s.live(cell))
+        else if (cell < 0 || !s.hasWeight(cell))
             reply(a, Records.failure(ProblemKind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell));
         else if (same) reply(a, Records.ok());
         else
@@ -428,10 +428,10 @@
         s.part = part;
         s.leader = directory.self().name;
         s.term = group.term();
-        s.appliedIndex = group.applied();
+        s.appliedIndex = group.appliedIndex();
         var m = group.members();
         for (var i = 0; i < m.voters.length; i++) s.groupMembers.add(storeName(m.voters[i]) + " (" + m.zones[i] + ")");
-        if (m.learner != 0) s.groupMembers.add(storeName(m.learner) + " (" + m.learnerZone + ", learner)");
+        if (m.learnerId != 0) s.groupMembers.add(storeName(m.learnerId) + " (" + m.learnerZone + ", learner)");
         s.members.addAll(records.rows().members.values());
         s.services.addAll(records.rows().services.values());
         s.plans.addAll(records.rows().plans.values());
@@ -458,13 +458,13 @@
             var have = leases.version(m.node.name, Parts.MANIFEST_TOPIC);
             if (have >= q.version && !m.lapsed && !leases.earlierMayAct(m.node, now)) continue;
             s.unconfirmedMembers.add(m.node.name);
-            var grace = q.zone.isEmpty() || m.node.zone.equals(q.zone) ? m.node.grace : 0;
+            var grace = q.zone.isEmpty() || m.node.zone.equals(q.zone) ? m.node.graceMicros : 0;
             if (m.node.isRouter() && leases.mayAct(m.node, grace, now)) s.routersStillActing.add(m.node.name);
         }
         return withBody(s);
     }
 
-    private void renew(Renew r, long now, Consumer<RenewReply> then) {
+    private void renew(Renewal r, long now, Consumer<RenewalReply> then) {
         if (!group.hasLease(now)) {
             var v = reply(r, ProblemKind.NOT_OWNER.code());
             v.leader = otherLeader();
@@ -478,7 +478,7 @@
         if (standing != null) {
             var v = reply(r, ProblemKind.STALE_MEMBER.code());
             v.incarnation = standing.incarnation;
-            v.known = standing;
+            v.recordedMember = standing;
             then.accept(v);
         } else if (r.leaving) {
             leave(r, m);
@@ -487,9 +487,9 @@
                 || m.node.incarnation != r.from.incarnation
                 || !m.node.peerAddress.equals(r.from.peerAddress)
                 || m.node.serving != r.from.serving
-                || m.node.grace != r.from.grace
-                || m.node.wire != r.from.wire
-                || m.node.fenced != r.from.fenced
+                || m.node.graceMicros != r.from.graceMicros
+                || m.node.wireVersion != r.from.wireVersion
+                || m.node.supportsIdentifiedCommands != r.from.supportsIdentifiedCommands
                 || !m.node.clientAddress.equals(r.from.clientAddress)) {
             var c = new Commands.MemberPut();
             c.node = r.from;
@@ -503,50 +503,50 @@
 
     /** The life of this name that a renewal would have to outrank: the one on record, else one that this store has heard. */
     private Node outranking(Node from, Rows.Member m) {
-        var n = m != null ? m.node : from.life == 0 ? null : directory.nodeByName(from.name);
+        var n = m != null ? m.node : from.sessionId == 0 ? null : directory.nodeByName(from.name);
         if (n == null) return null;
         var later = n.incarnation > from.incarnation;
-        return later || m != null && n.incarnation == from.incarnation && n.otherLife(from) ? n : null;
+        return later || m != null && n.incarnation == from.incarnation && n.isOtherSession(from) ? n : null;
     }
 
-    private void leave(Renew r, Rows.Member m) {
+    private void leave(Renewal r, Rows.Member m) {
         if (m == null) return;
-        var c = new Commands.MemberGone();
+        var c = new Commands.MemberRemoved();
         c.name = r.from.name;
         c.incarnation = r.from.incarnation;
         propose(c);
     }
 
-    private RenewReply reply(Renew r, int kind) {
-        var v = new RenewReply();
+    private RenewalReply reply(Renewal r, int kind) {
+        var v = new RenewalReply();
         v.part = part;
         v.kind = kind;
         v.incarnation = r.from.incarnation;
-        v.stamp = r.stamp;
+        v.sentAt = r.sentAt;
         return v;
     }
 
     /** Sends the news of a topic to whoever has nothing of it yet, or has been behind for long. */
-    private void push(Renew r, long now) {
+    private void push(Renewal r, long now) {
         pushedAt.values().removeIf(at -> now - at > PUSHED);
         for (var t : topicNames()) {
             var i = r.topics.indexOf(t);
             var have = i < 0 ? 0 : r.versions.get(i);
-            if (i < 0 && r.members >= 0
+            if (i < 0 && r.membersVersion >= 0
                     || have >= version(t)
                     || have > 0 && now - publishedAt.getOrDefault(t, leaderSince) < IMPATIENT) continue;
             if (pushedAt.putIfAbsent(r.from.peerAddress + " " + t, now) == null) port.send(r.from.peerAddress, news(t));
         }
     }
 
-    private void renewed(Renew r, long now, Consumer<RenewReply> then) {
+    private void renewed(Renewal r, long now, Consumer<RenewalReply> then) {
         leases.renewed(r, now);
-        for (var g : r.signals) signals.add(g.service, g.cell, g.runs, g.problems, g.firstMicros, now);
+        for (var g : r.signals) signals.add(g.service, g.cell, g.startedAnswers, g.failures, g.firstTokenMicros, now);
         var v = reply(r, 0);
         v.leader = directory.self();
-        v.grace = r.from.grace;
+        v.graceMicros = r.from.graceMicros;
         v.membersVersion = records.rows().membersVersion;
-        if (v.membersVersion != r.members)
+        if (v.membersVersion != r.membersVersion)
             v.members = new ArrayList<>(records.rows().members.values().stream()
                     .filter(m -> !m.lapsed)
                     .map(m -> m.node)
@@ -569,24 +569,24 @@
     private long version(String topic) {
         if (topic.equals(Parts.MANIFEST_TOPIC)) return records.rows().manifest.topicVersion;
         var s = records.rows().services.get(topic);
-        return s == null ? 0 : s.newsVersion;
+        return s == null ? 0 : s.topicVersion;
     }
 
-    private News news(String topic) {
-        var n = new News();
+    private TopicUpdate news(String topic) {
+        var n = new TopicUpdate();
         n.topic = topic;
         n.version = version(topic);
-        n.body = Codec.write(
+        n.body = Codec.encode(
                 topic.equals(Parts.MANIFEST_TOPIC)
-                        ? records.rows().manifest.inForce()
+                        ? records.rows().manifest.copyForPublication()
                         : records.rows().services.get(topic));
         return n;
     }
 
-    private void subscribe(Subscribe s, long now) {
+    private void subscribe(Subscription s, long now) {
         if (!group.hasLease(now) || version(s.topic) == 0) return;
         subscribers.computeIfAbsent(s.topic, k -> new HashMap<>()).put(s.from.peerAddress, now);
-        if (version(s.topic) > s.have) port.send(s.from.peerAddress, news(s.topic));
+        if (version(s.topic) > s.knownVersion) port.send(s.from.peerAddress, news(s.topic));
     }
 
     private void publishNews(long now) {
@@ -621,7 +621,7 @@
     }
 
     private void forget(Rows.Member m) {
-        var c = new Commands.MemberGone();
+        var c = new Commands.MemberRemoved();
         c.name = m.node.name;
         c.incarnation = m.node.incarnation;
         if (proposedOnce("gone/" + c.name)) return;
@@ -637,7 +637,7 @@
             for (var r : s.runners.values()) {
                 var k = s.name + "/" + r.name;
                 var seen = runnersSeen.computeIfAbsent(k, x -> now);
-                if (!r.up() || now - seen <= settings.darkAfterMicros() || proposedOnce("dark/" + k)) continue;
+                if (!r.isUp() || now - seen <= settings.darkAfterMicros() || proposedOnce("dark/" + k)) continue;
                 var c = new Commands.RunnerMark();
                 c.service = s.name;
                 c.runner = r.name;
@@ -649,7 +649,7 @@
     }
 
     private void join(Join j, long now) {
-        if (j.answer) leave.answered(j.mayGo, now);
+        if (j.isReply) leave.answered(j.mayStop, now);
         else if (group.hasLease(now) && j.leaving) leaveAsked(j, now);
         else if (group.hasLease(now) && !group.members().isMember(j.from.storeId))
             changes.requestJoin(j.from.storeId, j.from.zone, now + JOIN_REQUEST_KEPT);
@@ -660,14 +660,14 @@
         var a = new Join();
         a.part = part;
         a.from = directory.self();
-        a.answer = true;
-        a.mayGo = changes.mayLeave(j.from.storeId, group.members(), leaderSince, now);
+        a.isReply = true;
+        a.mayStop = changes.mayLeave(j.from.storeId, group.members(), leaderSince, now);
         port.send(j.from.peerAddress, a);
     }
 
     /** Whether this store, which has been stopping since then, is still needed here. */
     public boolean isNeeded(long since, long now) {
-        return leave.needed(since, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
+        return leave.needed(since, group.isReadyLeader(), group.hasLeaderContact(now, 2 * timing.electionTimeout()), now);
     }
 
     private void adjustMembers(long now) {
@@ -683,17 +683,17 @@
 
         @Override
         public long lastHeardAt(long store) {
-            return group.heardFrom(store);
+            return group.lastHeardAt(store);
         }
 
         @Override
         public boolean isCaughtUp(long store) {
-            return group.caughtUp(store, port.now());
+            return group.isCaughtUp(store, port.now());
         }
 
         @Override
         public boolean holdsAllEntries(long store) {
-            return group.matchOf(store) >= group.lastIndex();
+            return group.matchIndexOf(store) >= group.lastIndex();
         }
     }
 
@@ -705,16 +705,16 @@
     private void age(long now) {
         if (now - aged < AGE) return;
         var r = records.rows();
-        var held = r.services.values().stream().anyMatch(s -> !s.heldUntil.isEmpty());
+        var held = r.services.values().stream().anyMatch(s -> !s.heldBackUntilAge.isEmpty());
         var ended = settings.forgetAfterMicros() > 0
                 && r.services.values().stream()
-                        .anyMatch(s -> s.runners.values().stream().anyMatch(x -> !x.up()));
+                        .anyMatch(s -> s.runners.values().stream().anyMatch(x -> !x.isUp()));
         if (held || ended || r.claimsLost || !r.claims.isEmpty() || !r.quotas.isEmpty()) {
-            var c = new Commands.Age();
-            c.micros = now - aged;
-            c.forgotten = settings.forgetAfterMicros();
+            var c = new Commands.AgeAdvance();
+            c.elapsedMicros = now - aged;
+            c.runnerRetentionMicros = settings.forgetAfterMicros();
             var m = membership.view().manifest();
-            c.retention = m == null ? 86_400_000_000L : m.claimRetention();
+            c.claimRetentionMicros = m == null ? 86_400_000_000L : m.claimRetention();
             propose(c);
         }
         aged = now;
@@ -735,8 +735,8 @@
         var c = new Commands.ServiceSync();
         c.service = s.name();
         c.manifestVersion = version;
-        c.bySlots = s.weightedBySlots();
-        c.bound.addAll(m.routes().regionSetsOf(s.name()));
+        c.weighedBySlots = s.weightedBySlots();
+        c.boundRegionSets.addAll(m.routes().regionSetsOf(s.name()));
         c.regions.addAll(m.regions());
         for (var x : s.cells()) {
             c.cells.add(x.name());
@@ -765,7 +765,7 @@
 
     private int load(Rows.Service s) {
         return s.runners.values().stream()
-                .filter(Rows.Runner::up)
+                .filter(Rows.Runner::isUp)
                 .mapToInt(r -> runnerLoads.getOrDefault(s.name + "/" + r.name, 0))
                 .sum();
     }
@@ -776,27 +776,27 @@
         if (judged != null) return judged;
         var step =
                 mover.nextStep(s, v.manifest().service(s.name), v.manifestRow().marks, (c, i) -> storeSynced(s, c, i, now), now);
-        if (lowestWire() < Node.STEPS) return step instanceof Commands.StepAsk a ? UnitMover.toTableStep(a) : step;
+        if (lowestWire() < Node.STEPS_WIRE_VERSION) return step instanceof Commands.StepAsk a ? UnitMover.toTableStep(a) : step;
         return step != null ? step : pressure.nextDisplacement(s, runnerLoads, open, now);
     }
 
     private int lowestWire() {
         return records.rows().members.values().stream()
-                .mapToInt(m -> m.node.wire)
+                .mapToInt(m -> m.node.wireVersion)
                 .min()
                 .orElse(0);
     }
 
     private void noteStep(String service, Object step) {
         var s = records.rows().services.get(service);
-        if (step instanceof Commands.Displace d)
+        if (step instanceof Commands.UnitDisplacement d)
             port.logEvent(
                     Event.CELL_LOAD_CHANGED,
                     service + " " + d.units.length + " units "
                             + (d.cells[0] < 0 ? "may go back" : "to " + s.cells.get(d.cells[0])));
         if (!(step instanceof Commands.StepMark m)) return;
-        var x = s.step(m.id);
-        var text = service + " step " + x.id + " " + x.units.length + " units to " + s.cells.get(x.to) + ": "
+        var x = s.findStep(m.id);
+        var text = service + " step " + x.id + " " + x.units.length + " units to " + s.cells.get(x.toCell) + ": "
                 + x.stateName() + ", " + x.cause + ", table version " + s.tableVersion;
         port.logEvent(
                 m.state == Rows.Step.TAKEN_BACK || m.state == Rows.Step.DROPPED ? Event.MOVE_STEP_CANCELLED : Event.MOVE_STEP,
@@ -807,8 +807,8 @@
         var id = voterIn(group.members(), s.zones.get(cell));
         return id == 0
                 || id == directory.self().storeId
-                || now - group.heardFrom(id) > SYNCED
-                || group.matchOf(id) >= index;
+                || now - group.lastHeardAt(id) > SYNCED
+                || group.matchIndexOf(id) >= index;
     }
 
     private void balanceLeaders(long now) {
@@ -825,7 +825,7 @@
     }
 
     private void transferLeadership(long now) {
-        if (!group.ready()) return;
+        if (!group.isReadyLeader()) return;
         var heir = changes.selectSuccessor(group.members(), now);
         if (heir != 0) group.transferLeadership(heir, now);
     }
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -1,8 +1,8 @@
 package craneway.control.store;
 
 import craneway.control.node.Port;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
 import craneway.state.message.Messages.Renewals;
 import craneway.state.message.Node;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
     private final Node self;
     private final Renewals asked;
     private final long since;
-    private final List<RenewReply> ready = new ArrayList<>();
+    private final List<RenewalReply> ready = new ArrayList<>();
     private int open;
     private boolean late;
 
@@ -28,9 +28,9 @@
         open = asked.parts.size();
     }
 
-    synchronized void add(RenewReply v) {
+    synchronized void add(RenewalReply v) {
         if (v.incarnation == asked.from.incarnation) v.incarnation = 0;
-        v.stamp = v.grace = 0;
+        v.sentAt = v.graceMicros = 0;
         if (v.kind == 0) v.leader = null;
         ready.add(v);
         open--;
@@ -47,11 +47,11 @@
     }
 
     private void send() {
-        var all = new RenewReplies();
-        all.stamp = asked.stamp;
+        var all = new RenewalReplies();
+        all.sentAt = asked.sentAt;
         all.incarnation = asked.from.incarnation;
-        all.grace = asked.from.grace;
-        if (asked.leader != self.incarnation) all.leader = self;
+        all.graceMicros = asked.from.graceMicros;
+        if (asked.leaderIncarnation != self.incarnation) all.leader = self;
         all.parts.addAll(ready);
         ready.clear();
         port.send(asked.from.peerAddress, all);
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -12,7 +12,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.DiskLostException;
 import craneway.state.disk.Folder;
-import craneway.state.disk.Seal;
+import craneway.state.disk.ChecksumEnvelope;
 import craneway.state.message.BadMessageException;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.CommandRequest;
@@ -20,12 +20,12 @@
 import craneway.state.message.Messages.Founding;
 import craneway.state.message.Messages.Hello;
 import craneway.state.message.Messages.Join;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Renew;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.Renewal;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
 import craneway.state.message.Messages.Renewals;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.part.Members;
 import craneway.state.part.PartMessage;
@@ -86,7 +86,7 @@
         this.seeds = seeds;
         this.random = random;
         self.storeId = identity();
-        if (self.life != 0) self.incarnation = self.above(lastLife());
+        if (self.sessionId != 0) self.incarnation = self.incarnationAbove(lastLife());
         directory = new NodeDirectory(port, self, withKnown(seeds), rules.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, rules.timing());
@@ -126,13 +126,13 @@
     private long identity() {
         var b = folder.read(IDENTITY);
         try {
-            if (b != null) return ByteBuffer.wrap(Seal.open(IDENTITY, b)).getLong();
-            if (!folder.names().stream().allMatch(n -> n.startsWith(LOST))) setAside("the identity is missing");
+            if (b != null) return ByteBuffer.wrap(ChecksumEnvelope.unwrap(IDENTITY, b)).getLong();
+            if (!folder.fileNames().stream().allMatch(n -> n.startsWith(LOST))) setAside("the identity is missing");
         } catch (DiskLostException e) {
             setAside(e.getMessage());
         }
         var id = random.nextLong() >>> 1 | 1;
-        folder.replace(IDENTITY, Seal.close(ByteBuffer.allocate(8).putLong(id).array()));
+        folder.replace(IDENTITY, ChecksumEnvelope.wrap(ByteBuffer.allocate(8).putLong(id).array()));
         return id;
     }
 
@@ -140,7 +140,7 @@
     private long lastLife() {
         var b = folder.read(LIFE);
         try {
-            return b == null ? 0 : ByteBuffer.wrap(Seal.open(LIFE, b)).getLong();
+            return b == null ? 0 : ByteBuffer.wrap(ChecksumEnvelope.unwrap(LIFE, b)).getLong();
         } catch (DiskLostException e) {
             port.logEvent(Event.DISK_WRITE_FAILED, LIFE + ": " + e.getMessage());
             return 0;
@@ -150,7 +150,7 @@
     private void saveLife(long incarnation) {
         try {
             folder.replace(
-                    LIFE, Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
+                    LIFE, ChecksumEnvelope.wrap(ByteBuffer.allocate(8).putLong(incarnation).array()));
             savedLife = incarnation;
         } catch (DiskException e) {
             port.logEvent(Event.DISK_WRITE_FAILED, LIFE + ": " + e.getMessage());
@@ -164,7 +164,7 @@
     private void setAside(String cause) {
         port.logEvent(Event.DATA_DIRECTORY_DAMAGED, cause);
         if (folder.read(IDENTITY) != null) setAsideFile(IDENTITY);
-        for (var n : folder.names()) if (!n.startsWith(LOST)) setAsideFile(n);
+        for (var n : folder.fileNames()) if (!n.startsWith(LOST)) setAsideFile(n);
     }
 
     /** An earlier file set aside under this name stays: it gets a number. */
@@ -185,7 +185,7 @@
         var b = folder.read(CORE);
         if (b == null) return;
         try {
-            start(Codec.read(Founding.class, Seal.open(CORE, b)));
+            start(Codec.decode(Founding.class, ChecksumEnvelope.unwrap(CORE, b)));
         } catch (DiskLostException | BadMessageException e) {
             setAside(e.getMessage());
             directory.self().storeId = identity();
@@ -197,8 +197,8 @@
     private void start(Founding f) {
         var self = directory.self().storeId;
         directory.founding(f, f.coreId);
-        var first = f.has(self) ? Members.of(f.stores, f.zones) : new Members();
-        first.generation = f.has(self) ? f.generation : 0;
+        var first = f.hasStore(self) ? Members.of(f.storeIds, f.zones) : new Members();
+        first.coreGeneration = f.hasStore(self) ? f.generation : 0;
         var all = new PartReplica[Parts.COUNT];
         for (var p = 0; p < all.length; p++)
             all[p] = new PartReplica(
@@ -255,7 +255,7 @@
                 var n = directory.storeById(v);
                 if (v == directory.self().storeId || n != null && directory.wasHeardRecently(n.name, now)) heard++;
             }
-            if (k.group().leaderHeard(now, ALIVE)
+            if (k.group().hasLeaderContact(now, ALIVE)
                     || heard >= k.group().members().majority() && k.group().members().voters.length > 1)
                 return Either.left(
                         Problem.of(ProblemKind.BAD_INTENT, "a majority of part " + p + " lives; nothing is to be rebuilt"));
@@ -270,13 +270,13 @@
             return Either.left(Problem.of(ProblemKind.STALE_PLAN, "this store's state moved since; look again"));
         var self = directory.self();
         var f = new Founding();
-        f.origin = directory.founding().origin();
+        f.originalCoreId = directory.founding().originalCoreId();
         f.generation = directory.founding().generation + 1;
-        f.coreId = Hash.of(Hash.of(f.origin, f.generation), self.storeId) | 1;
-        f.stores = new long[] {self.storeId};
+        f.coreId = Hash.of(Hash.of(f.originalCoreId, f.generation), self.storeId) | 1;
+        f.storeIds = new long[] {self.storeId};
         f.zones = new String[] {self.zone};
         closeAll();
-        folder.replace(CORE, Seal.close(Codec.write(f)));
+        folder.replace(CORE, ChecksumEnvelope.wrap(Codec.encode(f)));
         port.logEvent(Event.CORE_REBUILT, "core " + Long.toHexString(f.coreId) + " generation " + f.generation);
         directory.followCore(f);
         membership.followCore();
@@ -364,15 +364,15 @@
     private static Founding founding(List<Node> stores, long digest) {
         var f = new Founding();
         f.coreId = digest;
-        f.stores = stores.stream().mapToLong(n -> n.storeId).toArray();
+        f.storeIds = stores.stream().mapToLong(n -> n.storeId).toArray();
         f.zones = stores.stream().map(n -> n.zone).toArray(String[]::new);
         return f;
     }
 
     private void adopt(Founding f) {
-        folder.replace(CORE, Seal.close(Codec.write(f)));
+        folder.replace(CORE, ChecksumEnvelope.wrap(Codec.encode(f)));
         port.logEvent(
-                f.has(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
+                f.hasStore(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
                 "core " + Long.toHexString(f.coreId));
         start(f);
     }
@@ -380,15 +380,15 @@
     public void receive(Object m) {
         var now = port.now();
         if (m instanceof Hello h) directory.receive(h, now);
-        else if (m instanceof RenewReply v) membership.receive(v, now);
-        else if (m instanceof News n) membership.receive(n, now);
+        else if (m instanceof RenewalReply v) membership.receive(v, now);
+        else if (m instanceof TopicUpdate n) membership.receive(n, now);
         else if (m instanceof CommandResult v) coreClient.receive(v);
         else if (m instanceof PartMessage p) replica(p.part, k -> k.receive(p));
         else if (m instanceof CommandRequest a) onCommandRequest(a);
-        else if (m instanceof RenewReplies v) membership.receive(v, now);
+        else if (m instanceof RenewalReplies v) membership.receive(v, now);
         else if (m instanceof Renewals r) renewals(r, now);
-        else if (m instanceof Renew r) replica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
-        else if (m instanceof Subscribe s) replica(Parts.partOf(s.topic), k -> k.receive(s));
+        else if (m instanceof Renewal r) replica(r.part, k -> k.receive(r, v -> port.send(r.from.peerAddress, v)));
+        else if (m instanceof Subscription s) replica(Parts.partOf(s.topic), k -> k.receive(s));
         else if (m instanceof Join j) replica(j.part, k -> k.receive(j));
         else port.logEvent(Event.BAD_MESSAGE, "a store takes no " + m.getClass().getSimpleName());
     }
@@ -399,7 +399,7 @@
         replyBatches.add(b);
         for (var r : all.parts) {
             r.from = all.from;
-            r.stamp = all.stamp;
+            r.sentAt = all.sentAt;
             r.leaving = all.leaving;
             replica(r.part, k -> k.receive(r, b::add));
         }
@@ -412,7 +412,7 @@
         }
         var v = Records.failure(ProblemKind.NOT_OWNER, "");
         v.id = a.id;
-        v.life = a.life;
+        v.sessionId = a.sessionId;
         port.send(a.from.peerAddress, v);
     }
 
--- a/lib/control/src/test/java/craneway/control/node/AskerTest.java
+++ b/lib/control/src/test/java/craneway/control/node/AskerTest.java
@@ -66,10 +66,10 @@
     private CommandResult reply(CommandRequest a, int kind, long term, long clock) {
         var v = new CommandResult();
         v.id = a.id;
-        v.life = a.life;
+        v.sessionId = a.sessionId;
         v.kind = kind;
-        v.term = term;
-        v.clock = clock;
+        v.leaderTerm = term;
+        v.leaderClock = clock;
         return v;
     }
 
@@ -84,13 +84,13 @@
     void aCommandIsSentOnceTheLeadersClockIsKnown() {
         order();
         assertEquals(0, last().body.length);
-        assertEquals(0, last().term);
+        assertEquals(0, last().leaderTerm);
         now += 70_000;
         coreClient.receive(reply(last(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000));
         assertEquals(2, sent.size());
         assertTrue(last().body.length > 0);
-        assertEquals(3, last().term);
-        assertEquals(9_000_000 + TIMEOUT - 70_000, last().bound);
+        assertEquals(3, last().leaderTerm);
+        assertEquals(9_000_000 + TIMEOUT - 70_000, last().leaderDeadline);
         assertTrue(got.isEmpty());
     }
 
@@ -99,7 +99,7 @@
         learn(3, 9_000_000);
         now += 1_000_000;
         order();
-        var bound = last().bound;
+        var bound = last().leaderDeadline;
         assertEquals(9_000_000 + 1_000_000 + TIMEOUT, bound);
         now += 400_000;
         coreClient.tick(now);
@@ -110,8 +110,8 @@
         assertTrue(sent.size() >= 3);
         for (var a : sent) {
             assertEquals(sent.get(0).id, a.id);
-            assertEquals(LIFE, a.life);
-            assertEquals(bound, a.bound);
+            assertEquals(LIFE, a.sessionId);
+            assertEquals(bound, a.leaderDeadline);
         }
     }
 
@@ -125,7 +125,7 @@
             now += delay;
             coreClient.receive(reply(last(), 0, 3, read));
             order();
-            assertTrue(last().bound <= 9_000_000 + now + TIMEOUT - 50_000_000, "after " + asked);
+            assertTrue(last().leaderDeadline <= 9_000_000 + now + TIMEOUT - 50_000_000, "after " + asked);
             coreClient.receive(reply(last(), 0, 0, 0));
         }
     }
@@ -153,17 +153,17 @@
     void aQueryIsNeitherBoundNorHeldBack() {
         coreClient.request(0, new Queries.ManifestGet(), TIMEOUT, got::add);
         assertTrue(last().body.length > 0);
-        assertEquals(0, last().term);
+        assertEquals(0, last().leaderTerm);
     }
 
     @Test
     void aLeaderTooOldToTellItsClockIsSentTheCommandAtOnce() {
         var old = new Node("s2", Node.STORE, "z2", "s2", 1);
-        old.fenced = false;
+        old.supportsIdentifiedCommands = false;
         coreClient.leader(0, old);
         order();
         assertTrue(last().body.length > 0);
-        assertEquals(0, last().bound);
+        assertEquals(0, last().leaderDeadline);
         var v = new CommandResult();
         v.id = last().id;
         coreClient.receive(v);
@@ -186,11 +186,11 @@
         learn(3, 9_000_000);
         order();
         var v = reply(last(), 0, 3, 9_000_000);
-        v.life = LIFE + 1;
+        v.sessionId = LIFE + 1;
         coreClient.receive(v);
         assertTrue(got.isEmpty());
         assertEquals(List.of(Event.STALE_REPLY), notes);
-        v.life = LIFE;
+        v.sessionId = LIFE;
         coreClient.receive(v);
         assertEquals(1, got.size());
     }
@@ -213,10 +213,10 @@
         order();
         var second = last();
         assertEquals(first.id + 1, second.id);
-        assertEquals(first.id, second.lowest);
+        assertEquals(first.id, second.lowestPending);
         coreClient.receive(reply(first, 0, 3, 9_000_000));
         order();
-        assertEquals(second.id, last().lowest);
+        assertEquals(second.id, last().lowestPending);
     }
 
     @Test
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -27,10 +27,10 @@
     private static CommandRequest onCommandRequest(long life, long term, long bound) {
         var a = new CommandRequest();
         a.id = 12;
-        a.lowest = 11;
-        a.life = life;
-        a.term = term;
-        a.bound = bound;
+        a.lowestPending = 11;
+        a.sessionId = life;
+        a.leaderTerm = term;
+        a.leaderDeadline = bound;
         return a;
     }
 
@@ -89,13 +89,13 @@
     void aCommandIsLoggedUnderItsIdentityUnlessItHasOneOfItsOwn() {
         var body = new byte[] {1, 2, 3};
         var f = assertInstanceOf(
-                Commands.Fenced.class,
+                Commands.IdentifiedCommand.class,
                 CommandFence.identified(onCommandRequest(LIFE, TERM, NOW), new Commands.ZoneMark(), body));
-        assertEquals(LIFE, f.life);
+        assertEquals(LIFE, f.sessionId);
         assertEquals(12, f.sequence);
-        assertEquals(11, f.lowest);
+        assertEquals(11, f.lowestPending);
         assertSame(body, f.body);
-        var claim = new Commands.Claim();
+        var claim = new Commands.ClaimTake();
         assertSame(claim, CommandFence.identified(onCommandRequest(LIFE, TERM, NOW), claim, body));
         var old = new Commands.ZoneMark();
         assertSame(old, CommandFence.identified(onCommandRequest(0, 0, 0), old, body));
--- a/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
+++ b/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
@@ -82,10 +82,10 @@
     void aSilentOrLeavingLearnerGivesUpItsPlace() {
         var m = three.without(3).withLearner(4, "c");
         changes.announceLeave(4, SOON);
-        assertEquals(0, next(m).learner);
+        assertEquals(0, next(m).learnerId);
         changes.requestJoin(4, "c", SOON);
         stores.heard.put(4L, LONG_AGO);
-        assertEquals(0, next(m).learner);
+        assertEquals(0, next(m).learnerId);
     }
 
     @Test
@@ -94,7 +94,7 @@
         changes.announceLeave(2, SOON);
         assertFalse(changes.mayLeave(2, three, LONG_AGO, NOW));
         var learning = next(three);
-        assertEquals(4, learning.learner);
+        assertEquals(4, learning.learnerId);
         assertTrue(learning.isVoter(2));
         assertFalse(changes.mayLeave(2, learning, LONG_AGO, NOW));
         var four = next(learning);
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -109,7 +109,7 @@
         exchange.dispatch();
         return result -> {
             if (result.kind == 0) JsonResponses.sendJson(exchange, "{\"acknowledged\":true}");
-            else JsonResponses.sendProblem(exchange, new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter));
+            else JsonResponses.sendProblem(exchange, new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfterMicros));
         };
     }
 }
--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -3,7 +3,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.Folder;
 import craneway.state.disk.SegmentLog;
-import craneway.state.disk.UnknownFormat;
+import craneway.state.disk.UnknownFormatException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -81,7 +81,7 @@
     private void rejectNewerFormat(Path root) {
         try {
             SegmentLog.checkFormats(this);
-        } catch (UnknownFormat e) {
+        } catch (UnknownFormatException e) {
             release();
             throw new BadStartupException(List.of("data directory " + root + ": " + e.getMessage()));
         }
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return translateFailure(() -> directory.fileNames().stream()
                 .filter(name -> !name.endsWith(TEMPORARY_SUFFIX) && !name.equals(LOCK_FILE))
                 .sorted()
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -46,7 +46,7 @@
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self =
-                Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+                Node.ofNewProcess(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         socketTransport.start(router.directory()::hasSameOrigin, router::receive);
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -65,7 +65,7 @@
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self =
-                Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+                Node.ofNewProcess(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
                 new LoopbackPort(node.peerAddress()), disk, self, node.seedAddresses(), storeOptions(node), new SecureRandom());
         socketTransport.start(store.directory()::hasSameOrigin, store::receive);
@@ -132,8 +132,8 @@
                 host.send(address, message);
                 return;
             }
-            var encoded = Codec.writeTagged(message);
-            host.worker().execute(() -> store.receive(Codec.readTagged(encoded)));
+            var encoded = Codec.encodeTagged(message);
+            host.worker().execute(() -> store.receive(Codec.decodeTagged(encoded)));
         }
 
         @Override
--- a/lib/process/src/main/java/craneway/process/ProcessMetrics.java
+++ b/lib/process/src/main/java/craneway/process/ProcessMetrics.java
@@ -50,7 +50,7 @@
         for (var replica : store.replicas()) {
             ownedByPart.put(Integer.toString(replica.group().part()), replica.isLeader() ? 1L : 0L);
             appliedByPart.put(
-                    Integer.toString(replica.group().part()), replica.group().applied());
+                    Integer.toString(replica.group().part()), replica.group().appliedIndex());
         }
         return new PrometheusText()
                 .addGauge(
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -42,7 +42,7 @@
     /** Starts the router and all its servers. */
     public RouterProcess(Startup settings, EventLog log) {
         host = new Host(log, WORKER_THREADS, () -> coreId());
-        var self = Node.started(
+        var self = Node.ofNewProcess(
                 settings.name, Node.ROUTER, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
         router = new Router(host, self, settings.seeds, new SecureRandom());
         operator = new OperatorCommands(host, router.coreClient());
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -38,7 +38,7 @@
     public StoreProcess(Startup settings, EventLog log) {
         disk = new DiskFolder(settings.data);
         host = new Host(log, WORKER_THREADS, () -> coreId());
-        var self = Node.started(
+        var self = Node.ofNewProcess(
                 settings.name, Node.STORE, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
         store = new Store(host, disk, self, settings.seeds, settings.stores, new SecureRandom());
         var operator = new OperatorCommands(host, store.coreClient());
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -10,7 +10,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.Folder;
 import craneway.state.disk.SegmentLog;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -79,7 +79,7 @@
             var content = afterCrash.read("f");
             if (completed || content[0] == 2) assertArrayEquals(NEW, content);
             else assertArrayEquals(OLD, content);
-            assertEquals(List.of("f"), afterCrash.names());
+            assertEquals(List.of("f"), afterCrash.fileNames());
         });
     }
 
@@ -104,7 +104,7 @@
         crashAtEveryStep(directoryWithFile("f", OLD), folder -> folder.rename("f", "g"), (afterCrash, completed) -> {
             var renamed = afterCrash.read("g");
             assertArrayEquals(OLD, renamed == null ? afterCrash.read("f") : renamed);
-            if (completed) assertEquals(List.of("g"), afterCrash.names());
+            if (completed) assertEquals(List.of("g"), afterCrash.fileNames());
         });
     }
 
@@ -156,7 +156,7 @@
             var folder = openOn(directory);
             failAtStep(directory, step);
             var e = assertThrows(DiskException.class, () -> folder.replace("f", NEW));
-            assertTrue(e.full());
+            assertTrue(e.isDiskFull());
             assertArrayEquals(OLD, folder.read("f"));
             assertEquals(List.of("f"), directory.fileNames());
         }
@@ -168,7 +168,7 @@
         Files.write(root.resolve("core"), OLD);
         var folder = new DiskFolder(root);
         assertFalse(Files.exists(root.resolve("p0.image.9.tmp")));
-        assertEquals(List.of("core"), folder.names());
+        assertEquals(List.of("core"), folder.fileNames());
         folder.release();
     }
 
@@ -218,7 +218,7 @@
         assertNull(reopened.read("b"));
         reopened.delete("m");
         reopened.delete("m");
-        assertEquals(List.of("a", "c"), reopened.names());
+        assertEquals(List.of("a", "c"), reopened.fileNames());
         assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
         reopened.release();
     }
@@ -266,10 +266,10 @@
             var log = new SegmentLog(folder, "p0.", 1);
             for (var index = 1L; index <= 4; index++) {
                 log.saveTermAndVote(index, 2);
-                log.append(new Entry(index, index, Entry.COMMAND, new byte[(int) index * 5]));
+                log.append(new LogEntry(index, index, LogEntry.COMMAND, new byte[(int) index * 5]));
                 log.sync();
                 acknowledged.add(index);
-                if (index == 2) log.install(snapshot(1));
+                if (index == 2) log.installSnapshot(snapshot(1));
             }
             return true;
         } catch (FakeDirectory.Crash e) {
@@ -287,8 +287,8 @@
 
     private static void assertHoldsAcknowledged(FakeDirectory directory, List<Long> acknowledged) {
         var log = new SegmentLog(openOn(directory), "p0.", 1);
-        assertTrue(log.last() >= acknowledged.size(), log.last() + " of " + acknowledged);
-        assertTrue(log.term() >= acknowledged.size());
-        for (var index = log.first(); index <= log.last(); index++) assertEquals(index, log.at(index).term);
+        assertTrue(log.lastIndex() >= acknowledged.size(), log.lastIndex() + " of " + acknowledged);
+        assertTrue(log.currentTerm() >= acknowledged.size());
+        for (var index = log.firstIndex(); index <= log.lastIndex(); index++) assertEquals(index, log.entryAt(index).term);
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -48,7 +48,7 @@
 
     @Override
     public void send(String address, Object message) {
-        queues.computeIfAbsent(address, PeerQueue::new).send(Codec.writeTagged(message));
+        queues.computeIfAbsent(address, PeerQueue::new).send(Codec.encodeTagged(message));
     }
 
     @Override
@@ -101,7 +101,7 @@
             }
             queuedBytes -= batchBytes;
             sentAt = clock.getAsLong();
-            var body = Codec.write(batch);
+            var body = Codec.encode(batch);
             inFlight = httpClient.openPersistent(
                     idleConnection,
                     address,
--- a/lib/transport/src/main/java/craneway/transport/PeerHandler.java
+++ b/lib/transport/src/main/java/craneway/transport/PeerHandler.java
@@ -60,8 +60,8 @@
     private void receiveHellos(HttpServerExchange exchange, byte[] body, String foreignCore) {
         var received = false;
         try {
-            for (var message : Codec.read(MessageBatch.class, body).messages) {
-                if (!(Codec.readTagged(message) instanceof Hello hello)
+            for (var message : Codec.decode(MessageBatch.class, body).messages) {
+                if (!(Codec.decodeTagged(message) instanceof Hello hello)
                         || hello.from == null
                         || !sameOrigin.test(hello)) continue;
                 receiver.accept(hello);
@@ -87,8 +87,8 @@
         try {
             if (!HeaderNames.checksum(body).equals(exchange.getRequestHeaders().getFirst(HeaderNames.CHECKSUM)))
                 throw new BadMessageException("checksum mismatch");
-            for (var message : Codec.read(MessageBatch.class, body).messages)
-                receiver.accept(Codec.readTagged(message));
+            for (var message : Codec.decode(MessageBatch.class, body).messages)
+                receiver.accept(Codec.decodeTagged(message));
             exchange.setStatusCode(204);
         } catch (BadMessageException e) {
             log.logEvent(Event.BAD_MESSAGE, e.getMessage() + " from " + exchange.getSourceAddress());
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -158,7 +158,7 @@
 
     @Override
     public void send(String address, Object message) {
-        queues.computeIfAbsent(address, PeerQueue::new).add(Codec.writeTagged(message));
+        queues.computeIfAbsent(address, PeerQueue::new).add(Codec.encodeTagged(message));
         if (flushRequested.compareAndSet(false, true) && Thread.currentThread() != thread) selector.wakeup();
     }
 
@@ -257,7 +257,7 @@
     }
 
     private void decodeAndDeliver(byte[] encoded, boolean foreign, Frame frame, SocketAddress sender) {
-        var message = Codec.readTagged(encoded);
+        var message = Codec.decodeTagged(encoded);
         if (foreign && !(message instanceof Hello hello && hello.from != null && sameOrigin.test(hello))) {
             badMessages.report("core " + Long.toHexString(frame.coreId()) + " from " + sender);
             return;
@@ -331,7 +331,7 @@
             lastUsedAt = now;
             if (address.equals(ownAddress)) {
                 for (var message = take(queued); message != null; message = take(queued))
-                    deliver(Codec.readTagged(message));
+                    deliver(Codec.decodeTagged(message));
                 return;
             }
             for (var batch = takeDatagram(); !batch.isEmpty(); batch = takeDatagram()) sendBatch(batch);
--- a/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
+++ b/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
@@ -8,7 +8,7 @@
 import craneway.state.message.Messages.Founding;
 import craneway.state.message.Messages.Hello;
 import craneway.state.message.Messages.Join;
-import craneway.state.message.Messages.News;
+import craneway.state.message.Messages.TopicUpdate;
 import craneway.state.message.Node;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -44,7 +44,7 @@
                     () -> this.coreId,
                     () -> System.nanoTime() / 1000,
                     (event, detail) -> logLines.add(event == Event.BAD_MESSAGE ? detail : event + " " + detail));
-            transport.start(hello -> hello.founding != null && hello.founding.origin() == 7, received::add);
+            transport.start(hello -> hello.founding != null && hello.founding.originalCoreId() == 7, received::add);
             openTransports.add(transport);
         }
 
@@ -85,8 +85,8 @@
         return join;
     }
 
-    private static News news(long version, byte[] body) {
-        var news = new News();
+    private static TopicUpdate news(long version, byte[] body) {
+        var news = new TopicUpdate();
         news.topic = "t";
         news.version = version;
         news.body = body;
@@ -128,8 +128,8 @@
         var body = randomBytes(3_000_000);
         sender.transport.send(receiver.address, news(1, body));
         sender.transport.send(receiver.address, news(2, body));
-        assertEquals(body.length, receiver.nextMessage(News.class).body.length);
-        assertEquals(2, receiver.nextMessage(News.class).version);
+        assertEquals(body.length, receiver.nextMessage(TopicUpdate.class).body.length);
+        assertEquals(2, receiver.nextMessage(TopicUpdate.class).version);
         assertTrue(sender.transport.counts().connections() >= 1);
     }
 
@@ -138,7 +138,7 @@
         var sender = new Endpoint(5);
         var receiver = new Endpoint(5);
         sender.transport.send(receiver.address, news(1, new byte[10_000]));
-        assertEquals(10_000, receiver.nextMessage(News.class).body.length);
+        assertEquals(10_000, receiver.nextMessage(TopicUpdate.class).body.length);
         assertEquals(0, sender.transport.counts().connections());
         assertTrue(sender.transport.counts().sent() < 300);
     }
@@ -160,7 +160,7 @@
         var hello = new Hello();
         hello.from = new Node("a", Node.STORE, "z", sender.address, 1);
         hello.founding = new Founding();
-        hello.founding.origin = 7;
+        hello.founding.originalCoreId = 7;
         sender.transport.send(receiver.address, hello);
         assertEquals("a", receiver.nextMessage(Hello.class).from.name);
         sender.coreId = 0;
@@ -212,7 +212,7 @@
         sender.transport.send(receiver.address, join(1));
         var messages =
                 List.of(receiver.received.poll(10, TimeUnit.SECONDS), receiver.received.poll(10, TimeUnit.SECONDS));
-        assertTrue(messages.stream().anyMatch(message -> message instanceof News)
+        assertTrue(messages.stream().anyMatch(message -> message instanceof TopicUpdate)
                 && messages.stream().anyMatch(message -> message instanceof Join));
     }
 }
--- a/test/sim/src/main/java/craneway/sim/NodePort.java
+++ b/test/sim/src/main/java/craneway/sim/NodePort.java
@@ -28,7 +28,7 @@
     @Override
     public void send(String address, Object message) {
         if (of.life() != life) return;
-        var b = Codec.writeTagged(message);
+        var b = Codec.encodeTagged(message);
         var core = ((Receiver) of).core();
         of.world.net.send(of, address, () -> {
             if (of.world.net.at(address) instanceof Receiver r
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -68,7 +68,7 @@
 
     @Override
     public void receive(byte[] m) {
-        router.receive(Codec.readTagged(m));
+        router.receive(Codec.decodeTagged(m));
     }
 
     @Override
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -272,7 +272,7 @@
     }
 
     private void damage(StoreMachine s) {
-        for (var n : s.disk.names()) if (n.matches("p\\d\\.log\\.\\d+")) s.disk.damage(n, 40);
+        for (var n : s.disk.fileNames()) if (n.matches("p\\d\\.log\\.\\d+")) s.disk.damage(n, 40);
     }
 
     public Checks checks() {
--- a/test/sim/src/main/java/craneway/sim/Shape.java
+++ b/test/sim/src/main/java/craneway/sim/Shape.java
@@ -25,7 +25,7 @@
     }
 
     public Scenario scenario(long seed) {
-        return scenario(seed, Node.WIRE);
+        return scenario(seed, Node.WIRE_VERSION);
     }
 
     public Scenario scenario(long seed, int wire) {
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -4,8 +4,8 @@
 import craneway.control.store.Store;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.CommandRequest;
-import craneway.state.message.Messages.Renew;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.Renewal;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.part.PartMessage;
 import java.util.ArrayDeque;
@@ -63,9 +63,9 @@
 
     @Override
     public void receive(byte[] b) {
-        var m = Codec.readTagged(b);
+        var m = Codec.decodeTagged(b);
         var ofPart =
-                m instanceof PartMessage || m instanceof CommandRequest || m instanceof Renew || m instanceof Subscribe;
+                m instanceof PartMessage || m instanceof CommandRequest || m instanceof Renewal || m instanceof Subscription;
         if (ofPart && slow > 0 && !stalled) mineAfter(slow, () -> take(m));
         else if (ofPart) take(m);
         else store.receive(m);
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -36,7 +36,7 @@
     public final Manifest manifest;
     public final String manifestText;
     public boolean warmStart = true;
-    public int wire = Node.WIRE;
+    public int wire = Node.WIRE_VERSION;
     final Set<Stream> streams = new LinkedHashSet<>();
     private final Map<String, String> lastSeen = new HashMap<>();
     private final Map<String, Long> takenBackAt = new HashMap<>();
@@ -86,8 +86,8 @@
     Node node(Machine m, String kind) {
         var n = wallJumps.containsKey(m.name)
                 ? new Node(m.name, kind, m.zone, m.address, wall(m))
-                : Node.started(m.name, kind, m.zone, m.address, Hash.of(Hash.of(m.name), m.life()));
-        n.wire = wire;
+                : Node.ofNewProcess(m.name, kind, m.zone, m.address, Hash.of(Hash.of(m.name), m.life()));
+        n.wireVersion = wire;
         return n;
     }
 
@@ -147,10 +147,10 @@
     private final Map<String, int[]> homes = new HashMap<>();
 
     private void moved(Rows.Service s) {
-        var had = homes.put(s.name, s.homes);
-        if (had == null || had == s.homes) return;
+        var had = homes.put(s.name, s.homeCells);
+        if (had == null || had == s.homeCells) return;
         for (var u = 0; u < had.length; u++)
-            if (had[u] >= 0 && had[u] != s.homes[u]) journal.moves.merge(s.name + " " + u, 1, Integer::sum);
+            if (had[u] >= 0 && had[u] != s.homeCells[u]) journal.moves.merge(s.name + " " + u, 1, Integer::sum);
     }
 
     void rebuild(StoreMachine m, Consumer<String> then) {
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -132,7 +132,7 @@
     private void heard(long from, Answer a) {
         var m = a.manifest();
         known = Math.max(known, m.version);
-        var value = m.version == 0 ? Operation.NOTHING : Office.value(m.source);
+        var value = m.version == 0 ? Operation.NOTHING : Office.value(m.sourceText);
         history.add(Operation.readConfiguration(name, m.version, value, from, sim.now()));
         for (var z : List.of("z1", "z2"))
             history.add(Operation.readZone(name, z, m.marks.containsKey("zone:" + z), from, sim.now()));
--- a/test/sim/src/test/java/craneway/sim/history/StoreNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNet.java
@@ -55,7 +55,7 @@
         if (!from.up()) return;
         var to = fleet.node(address);
         if (to == null) return;
-        var b = Codec.writeTagged(message);
+        var b = Codec.encodeTagged(message);
         var core = message instanceof Hello ? 0 : from.core();
         var life = to.life();
         if (to == from) {
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -82,10 +82,10 @@
     /** A message from another store or itself. */
     void receive(byte[] b) {
         var mine = life;
-        if (slow == 0) run(() -> store.receive(Codec.readTagged(b)));
+        if (slow == 0) run(() -> store.receive(Codec.decodeTagged(b)));
         else
             fleet.sim.after((long) (slow * fleet.sim.random.nextDouble()), () -> {
-                if (life == mine) run(() -> store.receive(Codec.readTagged(b)));
+                if (life == mine) run(() -> store.receive(Codec.decodeTagged(b)));
             });
     }
 
--- a/test/sim/src/test/java/craneway/sim/model/Chain.java
+++ b/test/sim/src/test/java/craneway/sim/model/Chain.java
@@ -28,12 +28,12 @@
     }
 
     @Override
-    public byte[] snapshot() {
+    public byte[] encodeSnapshot() {
         return ByteBuffer.allocate(16).putLong(last).putLong(hash).array();
     }
 
     @Override
-    public void load(byte[] image) {
+    public void restoreSnapshot(byte[] image) {
         var b = image == null ? ByteBuffer.allocate(16) : ByteBuffer.wrap(image);
         last = b.getLong();
         hash = b.getLong();
--- a/test/sim/src/test/java/craneway/sim/model/History.java
+++ b/test/sim/src/test/java/craneway/sim/model/History.java
@@ -111,7 +111,7 @@
             var p = w.leader();
             if (p == null || !p.group().hasLease(w.now())) continue;
             if (i % 20 == 0) w.apply(Choice.of(Choice.Kind.MANAGE, 0));
-            if (p.group().applied() < p.group().lastIndex() || i < 100) continue;
+            if (p.group().appliedIndex() < p.group().lastIndex() || i < 100) continue;
             w.ledger().stride(1);
             w.ledger().check();
             w.ledger().checkEnd(p);
--- a/test/sim/src/test/java/craneway/sim/model/Ledger.java
+++ b/test/sim/src/test/java/craneway/sim/model/Ledger.java
@@ -1,7 +1,7 @@
 package craneway.sim.model;
 
 import craneway.state.disk.DiskLostException;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.PartMessage;
 import craneway.state.part.Role;
 import java.util.Arrays;
@@ -184,9 +184,9 @@
             var g = p.group();
             if (g.role() == Role.LEADER) leads(p.id(), g.term());
             require(
-                    p.frozen() || !g.hasLease(world.now()) || g.applied() >= committedIndex(),
+                    p.frozen() || !g.hasLease(world.now()) || g.appliedIndex() >= committedIndex(),
                     Invariant.FRESH_LEADER_IS_CURRENT,
-                    p.id() + " of term " + g.term() + " answers from " + g.applied() + ", committed is "
+                    p.id() + " of term " + g.term() + " answers from " + g.appliedIndex() + ", committed is "
                             + committedIndex());
         }
         if (quick || ++checks % stride != 0) return;
@@ -213,19 +213,19 @@
         var changes = 0;
         for (var e : view.entries()) {
             recorded(p, view, e);
-            if (e.type == Entry.MEMBERSHIP && e.index > committedIndex()) changes++;
+            if (e.type == LogEntry.MEMBERSHIP && e.index > committedIndex()) changes++;
         }
         require(changes <= 1, Invariant.ONE_CHANGE_AT_A_TIME, p.id() + " holds " + changes + " open changes");
     }
 
-    private void recorded(Peer p, LogView view, Entry e) {
+    private void recorded(Peer p, LogView view, LogEntry e) {
         var is = new Content(view.termAt(e.index - 1), e.type, Arrays.hashCode(e.body));
         var was = contents.putIfAbsent(new Key(e.index, e.term), is);
         require(
                 was == null || was.equals(is),
                 Invariant.LOGS_MATCH,
                 "entry " + e.index + " of term " + e.term + " differs at " + p.id());
-        if (was != null || e.type != Entry.MEMBERSHIP) return;
+        if (was != null || e.type != LogEntry.MEMBERSHIP) return;
         var own = firstOfTerm.get(e.term);
         require(
                 own != null && own < e.index,
@@ -236,9 +236,9 @@
     /** The leader of the end must hold and have applied all that was ever committed. */
     void checkEnd(Peer leader) {
         require(
-                leader.group().applied() >= committedIndex(),
+                leader.group().appliedIndex() >= committedIndex(),
                 Invariant.ACKNOWLEDGED_STAYS,
-                "leader " + leader.id() + " has " + leader.group().applied() + " of " + committedIndex());
+                "leader " + leader.id() + " has " + leader.group().appliedIndex() + " of " + committedIndex());
     }
 
     /** What of the past decides later verdicts, for telling states apart. */
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -2,18 +2,18 @@
 
 import craneway.sim.Disk;
 import craneway.state.disk.SegmentLog;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import java.util.ArrayList;
 import java.util.List;
 
 /** What a disk holds of one log, read by the production class from a copy. */
-record LogView(long term, long vote, long first, long imageTerm, List<Entry> entries) {
+record LogView(long term, long vote, long first, long imageTerm, List<LogEntry> entries) {
     static LogView of(Disk copy) {
         var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE));
-        var all = new ArrayList<Entry>();
-        for (var i = log.first(); i <= log.last(); i++) all.add(log.at(i));
+        var all = new ArrayList<LogEntry>();
+        for (var i = log.firstIndex(); i <= log.lastIndex(); i++) all.add(log.entryAt(i));
         var imageTerm = log.snapshot() == null ? 0 : log.snapshot().term;
-        return new LogView(log.term(), log.vote(), log.first(), imageTerm, all);
+        return new LogView(log.currentTerm(), log.votedFor(), log.firstIndex(), imageTerm, all);
     }
 
     boolean holds(long index, long term) {
--- a/test/sim/src/test/java/craneway/sim/model/Plants.java
+++ b/test/sim/src/test/java/craneway/sim/model/Plants.java
@@ -3,7 +3,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.SegmentLog;
 import craneway.state.message.Codec;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Members;
 import craneway.state.part.PartMessage;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
         return new Plant() {
             @Override
             public void starting(int slot, ProbedDisk disk) {
-                if (disk.folder().names().isEmpty()) return;
+                if (disk.folder().fileNames().isEmpty()) return;
                 var log = new SegmentLog(disk.folder(), "p" + World.PART + ".", Long.hashCode(World.CORE));
                 try {
                     then.accept(log);
@@ -36,7 +36,7 @@
         return new Plant() {
             @Override
             public PartMessage received(int slot, PartMessage m) {
-                var copy = Codec.read(PartMessage.class, Codec.write(m));
+                var copy = Codec.decode(PartMessage.class, Codec.encode(m));
                 then.accept(copy);
                 return copy;
             }
@@ -54,15 +54,15 @@
     }
 
     static Plant forgettingVotes() {
-        return onDisk(log -> log.saveTermAndVote(log.term(), 0));
+        return onDisk(log -> log.saveTermAndVote(log.currentTerm(), 0));
     }
 
     static Plant forgettingTerms() {
-        return onDisk(log -> log.saveTermAndVote(Math.max(0, log.term() - 1), 0));
+        return onDisk(log -> log.saveTermAndVote(Math.max(0, log.currentTerm() - 1), 0));
     }
 
     static Plant forgettingEntries() {
-        return onDisk(log -> log.cutFrom(Math.max(log.first(), log.last() - 3)));
+        return onDisk(log -> log.truncateFrom(Math.max(log.firstIndex(), log.lastIndex() - 3)));
     }
 
     static Plant sayingYes() {
@@ -94,7 +94,7 @@
             @Override
             public PartMessage received(int slot, PartMessage m) {
                 if (m.kind != PartMessage.APPEND || m.entries.isEmpty()) return m;
-                var copy = Codec.read(PartMessage.class, Codec.write(m));
+                var copy = Codec.decode(PartMessage.class, Codec.encode(m));
                 claimed.merge(slot, m.entries.get(m.entries.size() - 1).index, Math::max);
                 copy.entries.clear();
                 return copy;
@@ -118,7 +118,7 @@
 
     static Plant stampingAhead() {
         return onReceive(m -> {
-            if (m.kind == PartMessage.APPEND_REPLY) m.stamp += AHEAD;
+            if (m.kind == PartMessage.APPEND_REPLY) m.sentAt += AHEAD;
         });
     }
 
@@ -127,8 +127,8 @@
             @Override
             public PartMessage received(int slot, PartMessage m) {
                 if (slot != 2 || m.kind != PartMessage.APPEND) return m;
-                var copy = Codec.read(PartMessage.class, Codec.write(m));
-                for (var e : copy.entries) if (e.type == Entry.COMMAND) e.body[0] ^= 1;
+                var copy = Codec.decode(PartMessage.class, Codec.encode(m));
+                for (var e : copy.entries) if (e.type == LogEntry.COMMAND) e.body[0] ^= 1;
                 return copy;
             }
         };
@@ -138,9 +138,9 @@
     static Plant changingAtWill() {
         return onReceive(m -> {
             for (var e : m.entries) {
-                if (e.type != Entry.COMMAND) continue;
-                e.type = Entry.MEMBERSHIP;
-                e.body = Codec.write(Members.of(new long[] {1, 2, 3}, new String[] {"z1", "z2", "z3"}));
+                if (e.type != LogEntry.COMMAND) continue;
+                e.type = LogEntry.MEMBERSHIP;
+                e.body = Codec.encode(Members.of(new long[] {1, 2, 3}, new String[] {"z1", "z2", "z3"}));
             }
         });
     }
--- a/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
+++ b/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
@@ -20,7 +20,7 @@
 
     ProbedDisk(Disk disk) {
         this.disk = disk;
-        for (var n : disk.names()) whole(n, disk.read(n).length);
+        for (var n : disk.fileNames()) whole(n, disk.read(n).length);
         folder = (Folder)
                 Proxy.newProxyInstance(Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, this::invoke);
     }
@@ -45,14 +45,14 @@
     /** What the files hold now, also where it was not synced. */
     Disk copy() {
         var copy = new Disk();
-        for (var n : disk.names()) copy.replace(n, disk.read(n));
+        for (var n : disk.fileNames()) copy.replace(n, disk.read(n));
         return copy;
     }
 
     /** Only what was synced. */
     Disk syncedCopy() {
         var copy = new Disk();
-        for (var n : disk.names())
+        for (var n : disk.fileNames())
             if (synced.containsKey(n)) copy.replace(n, Arrays.copyOf(disk.read(n), synced.get(n)));
         return copy;
     }
--- a/test/sim/src/test/java/craneway/sim/model/Steward.java
+++ b/test/sim/src/test/java/craneway/sim/model/Steward.java
@@ -33,9 +33,9 @@
         return switch (c.kind()) {
             case LEARN -> {
                 var id = world.peer(c.b()).id();
-                yield m.learner != 0 || m.isMember(id) ? null : m.withLearner(id, "z" + c.b());
+                yield m.learnerId != 0 || m.isMember(id) ? null : m.withLearner(id, "z" + c.b());
             }
-            case PROMOTE -> near(p, m) ? m.promoted() : null;
+            case PROMOTE -> near(p, m) ? m.withLearnerPromoted() : null;
             default -> {
                 var id = memberAt(m, c.b());
                 yield id == 0 || id == p.id() || m.voters.length == 1 ? null : m.without(id);
@@ -44,7 +44,7 @@
     }
 
     private boolean near(Peer p, Members m) {
-        return m.learner != 0 && p.group().matchOf(m.learner) >= p.group().lastIndex() - NEAR;
+        return m.learnerId != 0 && p.group().matchIndexOf(m.learnerId) >= p.group().lastIndex() - NEAR;
     }
 
     private static long memberAt(Members m, int slot) {
@@ -64,10 +64,10 @@
     }
 
     private Members wanted(Peer p, Members m) {
-        if (m.learner != 0 && world.lost(m.learner)) return m.without(m.learner);
+        if (m.learnerId != 0 && world.lost(m.learnerId)) return m.without(m.learnerId);
         for (var v : m.voters) if (v != p.id() && world.lost(v)) return m.without(v);
-        if (near(p, m)) return m.promoted();
-        if (m.learner != 0) return world.holder(m.learner).runs() ? null : m.without(m.learner);
+        if (near(p, m)) return m.withLearnerPromoted();
+        if (m.learnerId != 0) return world.holder(m.learnerId).runs() ? null : m.without(m.learnerId);
         if (m.voters.length > world.shape().voters()) return m.without(quietest(p, m));
         if (m.voters.length == world.shape().voters()) return null;
         return world.peers().stream()
@@ -81,7 +81,7 @@
         var best = 0L;
         for (var v : m.voters) {
             if (v == p.id()) continue;
-            if (best == 0 || p.group().heardFrom(v) < p.group().heardFrom(best)) best = v;
+            if (best == 0 || p.group().lastHeardAt(v) < p.group().lastHeardAt(best)) best = v;
         }
         return best;
     }
