--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -72,7 +72,7 @@
         this.reserveBytes = reserveBytes;
         lock = translateFailure(() -> tryLock(root.resolve(LOCK_FILE)));
         if (lock == null)
-            throw new BadStartupException(List.of("data directory " + root + " is in use by another process"));
+            throw new InvalidSettingsException(List.of("data directory " + root + " is in use by another process"));
         directory = new NioDirectory(root);
         rejectNewerFormat(root);
         deleteTemporaryFiles();
@@ -83,7 +83,7 @@
             SegmentLog.checkFormats(this);
         } catch (UnknownFormatException e) {
             release();
-            throw new BadStartupException(List.of("data directory " + root + ": " + e.getMessage()));
+            throw new InvalidSettingsException(List.of("data directory " + root + ": " + e.getMessage()));
         }
     }
 
--- a/lib/process/src/main/java/craneway/process/Host.java
+++ b/lib/process/src/main/java/craneway/process/NodeRuntime.java
@@ -30,7 +30,7 @@
  * The runtime of one process: its clock, threads, periodic tasks, HTTP servers and client, and its transport to other
  * processes. Servers are started and stopped by one thread; all other methods are thread-safe.
  */
-public final class Host implements Port {
+public final class NodeRuntime implements Port {
     private static final int IO_THREADS = 4;
     private static final int TICK_THREADS = 5;
     private static final long TICK_INTERVAL_MILLIS = 20;
@@ -50,7 +50,7 @@
      * @param threads the number of worker threads
      * @param core the id of the core that this process belongs to, 0 while it belongs to none
      */
-    public Host(EventLog log, int threads, LongSupplier core) {
+    public NodeRuntime(EventLog log, int threads, LongSupplier core) {
         this((client, clock) -> new HttpTransport(client, core, clock), log, IO_THREADS, threads, TICK_THREADS);
     }
 
@@ -60,7 +60,7 @@
      *
      * @param threads the number of worker threads
      */
-    public Host(EventLog log, int threads, Transport transport) {
+    public NodeRuntime(EventLog log, int threads, Transport transport) {
         this(log, IO_THREADS, threads, TICK_THREADS, transport);
     }
 
@@ -71,11 +71,11 @@
      * @param threads the number of worker threads
      * @param ticking the number of threads that run periodic tasks
      */
-    public Host(EventLog log, int io, int threads, int ticking, Transport transport) {
+    public NodeRuntime(EventLog log, int io, int threads, int ticking, Transport transport) {
         this((client, clock) -> transport, log, io, threads, ticking);
     }
 
-    private Host(
+    private NodeRuntime(
             BiFunction<AsyncHttpClient, LongSupplier, Transport> transportFactory,
             EventLog log,
             int ioThreads,
@@ -96,7 +96,7 @@
         }
         httpClient = new AsyncHttpClient(worker);
         transport = transportFactory.apply(httpClient, this::now);
-        if (transport.ticks()) tick(transport::tick);
+        if (transport.needsTicks()) schedulePeriodically(transport::tick);
     }
 
     /** Returns the time of the steady clock in microseconds. */
@@ -121,7 +121,7 @@
     }
 
     /** Returns the HTTP client of this process. */
-    public AsyncHttpClient caller() {
+    public AsyncHttpClient httpClient() {
         return httpClient;
     }
 
@@ -151,15 +151,15 @@
     }
 
     /** Runs a task at once and then 20 ms after the end of each run, until the runtime is closed. */
-    public void tick(Runnable each) {
-        tick(each, TICK_INTERVAL_MILLIS);
+    public void schedulePeriodically(Runnable each) {
+        schedulePeriodically(each, TICK_INTERVAL_MILLIS);
     }
 
     /**
      * Runs a task at once and then again a pause after the end of each run, until the runtime is closed. An exception
      * that the task throws is logged and does not stop later runs.
      */
-    public void tick(Runnable each, long millis) {
+    public void schedulePeriodically(Runnable each, long millis) {
         tickScheduler.scheduleWithFixedDelay(
                 () -> {
                     runAndLogFailure(each);
@@ -173,7 +173,7 @@
      * Creates an executor that runs its tasks one at a time on a thread of its own, so that a task that waits for a
      * disk delays no other work. Tasks are dropped once the runtime is closed.
      */
-    public Executor singleThread(String name) {
+    public Executor newSerialExecutor(String name) {
         var executor = Executors.newSingleThreadExecutor(r -> newDaemonThread(r, name));
         executors.add(executor);
         return task -> {
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -31,7 +31,7 @@
     private static final long NOT_READY_PERIOD_MICROS = 200_000;
 
     private final NodeSettings node;
-    private final Host host;
+    private final NodeRuntime host;
     private final Router router;
     private final ProxyServer server;
 
@@ -44,16 +44,16 @@
         this.node = node;
         var socketTransport =
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
-        host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
-        var self =
-                Node.ofNewProcess(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+        host = new NodeRuntime(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
+        var self = Node.ofNewProcess(
+                node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         socketTransport.start(router.directory()::hasSameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::isReady, host::send);
         router.setPrefillListener(server::receiveNotice);
         router.setSilenceListener(server::receiveNotice);
-        host.tick(router::tick, TICK_INTERVAL_MILLIS);
+        host.schedulePeriodically(router::tick, TICK_INTERVAL_MILLIS);
         log.logEvent(
                 Event.STARTED,
                 "router zone " + node.zone() + " requester " + node.clientAddress() + " partner " + node.peerAddress());
@@ -69,7 +69,7 @@
     }
 
     /** Whether a newer process with the same name has replaced this one. */
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return router.membership().isSuperseded();
     }
 
@@ -77,15 +77,15 @@
      * Shuts down gracefully within the shutdown grace of the settings: leaves the core, keeps serving new requests
      * until clients have learned of the leave, then stops listening and waits for the open requests.
      */
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         var startedAt = host.now();
         host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
         router.markUnready();
         pause(NOT_READY_PERIOD_MICROS);
         router.membership().leave(host.now());
-        var servingUntil =
-                startedAt + Math.min(MAX_SERVING_PERIOD_MICROS, node.tolerances().shutdownGrace() * 6 / 10);
+        var servingUntil = startedAt
+                + Math.min(MAX_SERVING_PERIOD_MICROS, node.tolerances().shutdownGrace() * 6 / 10);
         while (host.now() < servingUntil) pause(20_000);
         server.stopListening();
         var deadline = startedAt + node.tolerances().shutdownGrace() - GRACE_MARGIN_MICROS;
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -6,10 +6,10 @@
 import craneway.api.platform.PlatformFormats;
 import craneway.control.node.Port;
 import craneway.control.operator.PlatformCommands;
-import craneway.control.store.Quorum;
-import craneway.control.store.StoreOptions;
 import craneway.control.store.CoreSettings;
+import craneway.control.store.Quorum;
 import craneway.control.store.Store;
+import craneway.control.store.StoreOptions;
 import craneway.http.CallerPresence;
 import craneway.log.EventLog;
 import craneway.model.event.Event;
@@ -48,7 +48,7 @@
     private static final long FORGET_RUNNER_AFTER_MICROS = 60_000_000;
 
     private final DiskFolder disk;
-    private final Host host;
+    private final NodeRuntime host;
     private final Store store;
     private final long shutdownGrace;
 
@@ -63,14 +63,19 @@
         disk = new DiskFolder(node.dataDirectory(), DISK_RESERVE_BYTES);
         var socketTransport =
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
-        host = new Host(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
-        var self =
-                Node.ofNewProcess(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+        host = new NodeRuntime(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
+        var self = Node.ofNewProcess(
+                node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
-                new LoopbackPort(node.peerAddress()), disk, self, node.seedAddresses(), storeOptions(node), new SecureRandom());
+                new LoopbackPort(node.peerAddress()),
+                disk,
+                self,
+                node.seedAddresses(),
+                storeOptions(node),
+                new SecureRandom());
         socketTransport.start(store.directory()::hasSameOrigin, store::receive);
         var callers = new CallerPresence(host::now, log);
-        host.tick(callers::tick);
+        host.schedulePeriodically(callers::tick);
         host.listen(
                 node.operatorAddress(),
                 new PlatformOperatorHandler(
@@ -87,10 +92,11 @@
                         new RouterAddresses(store, node.regionByZone()),
                         node.tolerances().maxTtl()),
                 MAX_LOOKUP_BODY_BYTES);
-        host.tick(store::tickNode);
-        host.tick(this::tickParts);
+        host.schedulePeriodically(store::tickNode);
+        host.schedulePeriodically(this::tickParts);
         log.logEvent(
-                Event.STARTED, "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.dataDirectory());
+                Event.STARTED,
+                "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.dataDirectory());
     }
 
     private static void createDataDirectory(NodeSettings node) {
@@ -104,13 +110,13 @@
     private StoreOptions storeOptions(NodeSettings node) {
         // More than two heartbeat intervals, so that one lost heartbeat does not make a runner dark.
         var darkAfterMicros = node.runnerHeartbeatInterval() * 22 / 10 + 300_000;
-        var settings =
-                new CoreSettings(node.seedAddresses().size(), true, node.mayBootstrap(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
+        var settings = new CoreSettings(
+                node.seedAddresses().size(), true, node.mayBootstrap(), darkAfterMicros, FORGET_RUNNER_AFTER_MICROS);
         return new StoreOptions(
                 settings,
                 Quorum.toleratingLosses(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
-                part -> host.singleThread("part " + part));
+                part -> host.newSerialExecutor("part " + part));
     }
 
     /** The runtime's port, except that messages of the store to itself bypass the transport. */
@@ -156,7 +162,7 @@
     }
 
     /** Whether a newer process with the same name has replaced this one. */
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return store.membership().isSuperseded();
     }
 
@@ -164,7 +170,7 @@
      * Shuts down gracefully within the shutdown grace of the settings: transfers leadership, waits until the core no
      * longer needs this store, leaves the core, and closes.
      */
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         host.logEvent(Event.STOPPING, "store");
         var deadline = host.now() + Math.max(0, shutdownGrace - GRACE_MARGIN_MICROS);
         while (store.continuePlannedLeave() && host.now() < deadline) Thread.sleep(100);
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -35,18 +35,18 @@
     /** How long a router that is shutting down waits for open response streams to end. */
     private static final long STREAM_DRAIN_TIMEOUT_MICROS = 60_000_000;
 
-    private final Host host;
+    private final NodeRuntime host;
     private final Router router;
     private final OperatorCommands operator;
 
     /** Starts the router and all its servers. */
-    public RouterProcess(Startup settings, EventLog log) {
-        host = new Host(log, WORKER_THREADS, () -> coreId());
+    public RouterProcess(StartupSettings settings, EventLog log) {
+        host = new NodeRuntime(log, WORKER_THREADS, () -> coreId());
         var self = Node.ofNewProcess(
                 settings.name, Node.ROUTER, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
-        router = new Router(host, self, settings.seeds, new SecureRandom());
+        router = new Router(host, self, settings.seedAddresses, new SecureRandom());
         operator = new OperatorCommands(host, router.coreClient());
-        var forwardedRequests = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
+        var forwardedRequests = new CompletionHandler(router, host.httpClient(), host::now, log, "/transaction", true);
         var peerMessages = new PeerHandler(this::coreId, router.directory()::hasSameOrigin, router::receive, log);
         HttpHandler peerEndpoint =
                 exchange -> (exchange.getRequestPath().equals("/transaction") ? forwardedRequests : peerMessages)
@@ -54,11 +54,11 @@
         host.listen(settings.peerAddress, peerEndpoint, 80L << 20);
         host.listen(
                 settings.clientAddress,
-                new CompletionHandler(router, host.caller(), host::now, log, "/v1/chat/completions", false),
+                new CompletionHandler(router, host.httpClient(), host::now, log, "/v1/chat/completions", false),
                 MAX_REQUEST_BODY_BYTES);
-        host.listen(settings.runner, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
+        host.listen(settings.runnerAddress, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
         host.listen(
-                settings.operator,
+                settings.operatorAddress,
                 new OperatorHandler(
                         settings.name,
                         operator,
@@ -70,8 +70,8 @@
                                 System.currentTimeMillis() * 1000 - host.now()),
                         null),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(settings.platform, new ReadinessHandler(router::isReady), MAX_ANNOUNCEMENT_BODY_BYTES);
-        host.tick(() -> {
+        host.listen(settings.readinessAddress, new ReadinessHandler(router::isReady), MAX_ANNOUNCEMENT_BODY_BYTES);
+        host.schedulePeriodically(() -> {
             router.tick();
             operator.tick(host.now());
         });
@@ -91,7 +91,7 @@
     }
 
     /** Whether a newer process with the same name has replaced this one. */
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return router.membership().isSuperseded();
     }
 
@@ -99,7 +99,7 @@
      * Shuts down gracefully: reports not ready, then refuses new requests and waits for open streams to end, leaves the
      * core, and closes. Takes at most about 63 s.
      */
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         host.logEvent(Event.STOPPING, router.requestExecutor().openRequests() + " transactions open");
         router.markUnready();
         pause(NOT_READY_PERIOD_MICROS);
--- a/lib/process/src/main/java/craneway/process/StopSignal.java
+++ b/lib/process/src/main/java/craneway/process/ShutdownSignal.java
@@ -8,24 +8,25 @@
  * Blocks the main thread until the process is to stop: because a signal (SIGTERM, SIGINT) arrived, or because a newer
  * process with the same name replaced this one.
  */
-public final class StopSignal {
+public final class ShutdownSignal {
     /** The exit code of a process that a newer incarnation replaced. */
     private static final int SUPERSEDED_EXIT_CODE = 3;
 
-    private StopSignal() {}
+    private ShutdownSignal() {}
 
     /** The graceful shutdown of a process. */
-    public interface Stop {
+    public interface ShutdownAction {
         /** Shuts the process down and returns once that is complete. */
         void run() throws InterruptedException;
     }
 
     /**
-     * Does the same as {@link #stopped}, then ends the process with the returned code. Without this, a process that a
+     * Does the same as {@link #awaitAndShutDown}, then ends the process with the returned code. Without this, a process that a
      * signal stopped would end with the JVM's exit code for that signal.
      */
-    public static int ended(Stop stop, BooleanSupplier superseded) throws InterruptedException {
-        var exitCode = stopped(stop, superseded);
+    public static int awaitShutDownAndHalt(ShutdownAction stop, BooleanSupplier superseded)
+            throws InterruptedException {
+        var exitCode = awaitAndShutDown(stop, superseded);
         Runtime.getRuntime().halt(exitCode);
         return exitCode;
     }
@@ -39,7 +40,7 @@
      * @param superseded whether a newer process with the same name has replaced this one; polled every 500 ms
      * @return the exit code of the process: 0 after a graceful shutdown, 3 if superseded
      */
-    public static int stopped(Stop stop, BooleanSupplier superseded) throws InterruptedException {
+    public static int awaitAndShutDown(ShutdownAction stop, BooleanSupplier superseded) throws InterruptedException {
         var stopRequested = new CountDownLatch(1);
         var stopCompleted = new CountDownLatch(1);
         Runtime.getRuntime()
--- a/lib/process/src/main/java/craneway/process/Startup.java
+++ b/lib/process/src/main/java/craneway/process/StartupSettings.java
@@ -21,12 +21,12 @@
  * The startup settings of a stand-alone router or store, read from a JSON file and overridden by command line options.
  * Addresses are IP:PORT. Immutable.
  */
-public final class Startup {
+public final class StartupSettings {
     /** The kind of process whose settings {@code router.schema.json} describes. */
-    public static final String ROUTER = "router";
+    public static final String ROUTER_KIND = "router";
 
     /** The kind of process whose settings {@code store.schema.json} describes. */
-    public static final String STORE = "store";
+    public static final String STORE_KIND = "store";
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -40,39 +40,39 @@
     public final String clientAddress;
 
     /** The address on which a router accepts announcements of runners; null for a store. */
-    public final String runner;
+    public final String runnerAddress;
 
     /** The address of the operator API. */
-    public final String operator;
+    public final String operatorAddress;
 
     /** The address of the liveness and readiness checks. */
-    public final String platform;
+    public final String readinessAddress;
 
     /** The address for messages of other craneway processes. */
     public final String peerAddress;
 
     /** The peer addresses of the three processes that are contacted first. */
-    public final List<String> seeds;
+    public final List<String> seedAddresses;
 
     /** The data directory of a store; null for a router. */
-    public final Path data;
+    public final Path dataDirectory;
 
     /** The number of empty stores that bootstrap a core together: 1, 3 or 5. */
-    public final int stores;
+    public final int founderCount;
 
-    private Startup(JsonNode settings) {
+    private StartupSettings(JsonNode settings) {
         name = settings.get("name").asText();
         zone = settings.get("zone").asText();
         clientAddress = settings.path("requester").asText(null);
-        runner = settings.path("runner").asText(null);
-        operator = settings.get("operator").asText();
-        platform = settings.get("platform").asText();
+        runnerAddress = settings.path("runner").asText(null);
+        operatorAddress = settings.get("operator").asText();
+        readinessAddress = settings.get("platform").asText();
         peerAddress = settings.get("partner").asText();
-        seeds = StreamSupport.stream(settings.get("seeds").spliterator(), false)
+        seedAddresses = StreamSupport.stream(settings.get("seeds").spliterator(), false)
                 .map(JsonNode::asText)
                 .toList();
-        data = settings.has("data") ? Path.of(settings.get("data").asText()) : null;
-        stores = settings.path("stores").asInt(3);
+        dataDirectory = settings.has("data") ? Path.of(settings.get("data").asText()) : null;
+        founderCount = settings.path("stores").asInt(3);
     }
 
     /**
@@ -80,10 +80,10 @@
      *
      * @param file the startup file, or null if all settings come from options
      * @param flags the command line options by settings key; a non-null value overrides the file
-     * @param kind {@link #ROUTER} or {@link #STORE}
+     * @param kind {@link #ROUTER_KIND} or {@link #STORE_KIND}
      * @throws BadStartupException if the settings are invalid
      */
-    public static Startup of(Path file, Map<String, String> flags, String kind) {
+    public static StartupSettings load(Path file, Map<String, String> flags, String kind) {
         var faults = new ArrayList<String>();
         var settings = file == null ? JSON.createObjectNode() : read(file, faults);
         flags.forEach((key, value) -> {
@@ -91,8 +91,8 @@
         });
         if (faults.isEmpty()) checkSchema(settings, kind, faults);
         if (faults.isEmpty()) checkValues(settings, faults);
-        if (!faults.isEmpty()) throw new BadStartupException(faults);
-        return new Startup(settings);
+        if (!faults.isEmpty()) throw new InvalidSettingsException(faults);
+        return new StartupSettings(settings);
     }
 
     private static ObjectNode read(Path file, List<String> faults) {
@@ -117,7 +117,7 @@
     }
 
     private static void checkSchema(JsonNode settings, String kind, List<String> faults) {
-        try (var in = Startup.class.getResourceAsStream("/craneway/" + kind + ".schema.json")) {
+        try (var in = StartupSettings.class.getResourceAsStream("/craneway/" + kind + ".schema.json")) {
             var schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                     .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (var error : schema.validate(settings))
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -30,38 +30,38 @@
     private static final long LAST_RESPONSES_PERIOD_MILLIS = 500;
 
     private final DiskFolder disk;
-    private final Host host;
+    private final NodeRuntime host;
     private final Store store;
     private volatile boolean stopping;
 
     /** Starts the store and all its servers. */
-    public StoreProcess(Startup settings, EventLog log) {
-        disk = new DiskFolder(settings.data);
-        host = new Host(log, WORKER_THREADS, () -> coreId());
+    public StoreProcess(StartupSettings settings, EventLog log) {
+        disk = new DiskFolder(settings.dataDirectory);
+        host = new NodeRuntime(log, WORKER_THREADS, () -> coreId());
         var self = Node.ofNewProcess(
                 settings.name, Node.STORE, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
-        store = new Store(host, disk, self, settings.seeds, settings.stores, new SecureRandom());
+        store = new Store(host, disk, self, settings.seedAddresses, settings.founderCount, new SecureRandom());
         var operator = new OperatorCommands(host, store.coreClient());
         host.listen(
                 settings.peerAddress,
                 new PeerHandler(this::coreId, store.directory()::hasSameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
-                settings.operator,
+                settings.operatorAddress,
                 new OperatorHandler(settings.name, operator, () -> ProcessMetrics.render(store), null, store),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(settings.platform, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
-        host.tick(() -> {
+        host.listen(settings.readinessAddress, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
+        host.schedulePeriodically(() -> {
             store.tickNode();
             operator.tick(host.now());
         });
         for (var p = 0; p < Parts.COUNT; p++) {
             var part = p;
-            host.tick(() -> store.tickPart(part));
+            host.schedulePeriodically(() -> store.tickPart(part));
         }
         log.logEvent(
                 Event.STARTED,
-                "store zone " + settings.zone + " partner " + settings.peerAddress + " data " + settings.data);
+                "store zone " + settings.zone + " partner " + settings.peerAddress + " data " + settings.dataDirectory);
     }
 
     private long coreId() {
@@ -80,7 +80,7 @@
     }
 
     /** Whether a newer process with the same name has replaced this one. */
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return store.membership().isSuperseded();
     }
 
@@ -88,7 +88,7 @@
      * Shuts down gracefully: reports not ready, transfers leadership, waits until the core no longer needs this store
      * or a timeout of 8 s has passed, leaves the core, and closes.
      */
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         host.logEvent(Event.STOPPING, "store");
         stopping = true;
         Thread.sleep(NOT_READY_PERIOD_MICROS / 1000);
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -184,7 +184,7 @@
         Files.write(root.resolve("p1.log.2.tmp"), OLD);
         var before = contents();
         for (var i = 0; i < 2; i++) {
-            var e = assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
+            var e = assertThrows(InvalidSettingsException.class, () -> new DiskFolder(root, 0));
             assertTrue(e.getMessage().contains("p1.log.1 has the data format 3"), e.getMessage());
         }
         assertEquals(before, contents());
@@ -219,7 +219,7 @@
         reopened.delete("m");
         reopened.delete("m");
         assertEquals(List.of("a", "c"), reopened.fileNames());
-        assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
+        assertThrows(InvalidSettingsException.class, () -> new DiskFolder(root, 0));
         reopened.release();
     }
 
@@ -289,6 +289,7 @@
         var log = new SegmentLog(openOn(directory), "p0.", 1);
         assertTrue(log.lastIndex() >= acknowledged.size(), log.lastIndex() + " of " + acknowledged);
         assertTrue(log.currentTerm() >= acknowledged.size());
-        for (var index = log.firstIndex(); index <= log.lastIndex(); index++) assertEquals(index, log.entryAt(index).term);
+        for (var index = log.firstIndex(); index <= log.lastIndex(); index++)
+            assertEquals(index, log.entryAt(index).term);
     }
 }
--- a/lib/process/src/test/java/craneway/process/StoreClusterTest.java
+++ b/lib/process/src/test/java/craneway/process/StoreClusterTest.java
@@ -5,8 +5,8 @@
 
 import craneway.control.operator.OperatorCommands;
 import craneway.control.store.Quorum;
-import craneway.control.store.StoreOptions;
 import craneway.control.store.Store;
+import craneway.control.store.StoreOptions;
 import craneway.log.EventLog;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
@@ -43,7 +43,7 @@
         final EventLog log;
         final DiskFolder disk;
         final SocketTransport transport;
-        final Host host;
+        final NodeRuntime host;
         final Store store;
         final OperatorCommands operator;
 
@@ -52,14 +52,14 @@
             log = new EventLog(name);
             disk = new DiskFolder(Files.createDirectories(root.resolve(name)));
             transport = new SocketTransport(address, this::coreId, () -> System.nanoTime() / 1000, log);
-            host = new Host(log, 4, transport);
-            var partExecutor = host.singleThread("parts");
+            host = new NodeRuntime(log, 4, transport);
+            var partExecutor = host.newSerialExecutor("parts");
             var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> partExecutor);
             store = new Store(
                     host, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, rules, new Random());
             operator = new OperatorCommands(host, store.coreClient());
             transport.start(store.directory()::hasSameOrigin, store::receive);
-            host.tick(() -> {
+            host.schedulePeriodically(() -> {
                 store.tick();
                 operator.tick(host.now());
             });
@@ -112,6 +112,6 @@
                         result ->
                                 version.complete(result.isRight() ? result.get().version() : -1L));
         assertTrue(version.get(30, TimeUnit.SECONDS) > 0);
-        for (var node : stores) assertTrue(node.transport.counts().datagrams() > 0);
+        for (var node : stores) assertTrue(node.transport.traffic().datagramsSent() > 0);
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -1,7 +1,7 @@
 package craneway.transport;
 
-import craneway.http.HeaderNames;
 import craneway.http.AsyncHttpClient;
+import craneway.http.HeaderNames;
 import craneway.state.message.Codec;
 import io.undertow.client.ClientConnection;
 import io.undertow.util.HeaderMap;
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public boolean ticks() {
+    public boolean needsTicks() {
         return true;
     }
 
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -86,7 +86,7 @@
      * @param sent bytes sent
      * @param received bytes received
      */
-    public record Counts(long datagrams, long connections, long sent, long received) {}
+    public record Traffic(long datagramsSent, long connectionsOpened, long bytesSent, long bytesReceived) {}
 
     private final String ownAddress;
     private final LongSupplier coreId;
@@ -163,8 +163,8 @@
     }
 
     /** Returns the traffic since the start. */
-    public Counts counts() {
-        return new Counts(datagramsSent, connectionsOpened, bytesSent, bytesReceived);
+    public Traffic traffic() {
+        return new Traffic(datagramsSent, connectionsOpened, bytesSent, bytesReceived);
     }
 
     /** Stops the thread, waiting at most 1 s for it, and closes all sockets. */
--- a/lib/transport/src/main/java/craneway/transport/Transport.java
+++ b/lib/transport/src/main/java/craneway/transport/Transport.java
@@ -6,7 +6,7 @@
     void send(String address, Object message);
 
     /** Whether {@link #tick} has to be called periodically. */
-    default boolean ticks() {
+    default boolean needsTicks() {
         return false;
     }
 
--- a/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
+++ b/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
@@ -116,9 +116,9 @@
         for (var i = 0; i < 4; i++) sender.transport.send(receiver.address, join(i));
         for (var i = 0; i < 4; i++) assertEquals(i, receiver.nextMessage(Join.class).part);
         assertTrue(
-                sender.transport.counts().datagrams() <= 2,
-                sender.transport.counts().toString());
-        assertEquals(0, sender.transport.counts().connections());
+                sender.transport.traffic().datagramsSent() <= 2,
+                sender.transport.traffic().toString());
+        assertEquals(0, sender.transport.traffic().connectionsOpened());
     }
 
     @Test
@@ -130,7 +130,7 @@
         sender.transport.send(receiver.address, news(2, body));
         assertEquals(body.length, receiver.nextMessage(TopicUpdate.class).body.length);
         assertEquals(2, receiver.nextMessage(TopicUpdate.class).version);
-        assertTrue(sender.transport.counts().connections() >= 1);
+        assertTrue(sender.transport.traffic().connectionsOpened() >= 1);
     }
 
     @Test
@@ -139,8 +139,8 @@
         var receiver = new Endpoint(5);
         sender.transport.send(receiver.address, news(1, new byte[10_000]));
         assertEquals(10_000, receiver.nextMessage(TopicUpdate.class).body.length);
-        assertEquals(0, sender.transport.counts().connections());
-        assertTrue(sender.transport.counts().sent() < 300);
+        assertEquals(0, sender.transport.traffic().connectionsOpened());
+        assertTrue(sender.transport.traffic().bytesSent() < 300);
     }
 
     @Test
@@ -148,7 +148,7 @@
         var endpoint = new Endpoint(5);
         endpoint.transport.send(endpoint.address, join(3));
         assertEquals(3, endpoint.nextMessage(Join.class).part);
-        assertEquals(0, endpoint.transport.counts().sent());
+        assertEquals(0, endpoint.transport.traffic().bytesSent());
     }
 
     @Test
--- a/prog/router/src/main/java/craneway/router/RouterMain.java
+++ b/prog/router/src/main/java/craneway/router/RouterMain.java
@@ -1,10 +1,10 @@
 package craneway.router;
 
 import craneway.log.EventLog;
-import craneway.process.BadStartupException;
+import craneway.process.InvalidSettingsException;
 import craneway.process.RouterProcess;
-import craneway.process.Startup;
-import craneway.process.StopSignal;
+import craneway.process.ShutdownSignal;
+import craneway.process.StartupSettings;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.concurrent.Callable;
@@ -71,10 +71,10 @@
         options.put("partner", partner);
         options.put("seeds", seeds);
         try {
-            var settings = Startup.of(startup, options, Startup.ROUTER);
+            var settings = StartupSettings.load(startup, options, StartupSettings.ROUTER_KIND);
             var process = new RouterProcess(settings, new EventLog(settings.name));
-            return StopSignal.stopped(process::stopGently, process::superseded);
-        } catch (BadStartupException e) {
+            return ShutdownSignal.awaitAndShutDown(process::shutDownGracefully, process::isSuperseded);
+        } catch (InvalidSettingsException e) {
             System.err.println(e.getMessage());
             return 2;
         }
--- a/prog/store/src/main/java/craneway/store/StoreMain.java
+++ b/prog/store/src/main/java/craneway/store/StoreMain.java
@@ -1,9 +1,9 @@
 package craneway.store;
 
 import craneway.log.EventLog;
-import craneway.process.BadStartupException;
-import craneway.process.Startup;
-import craneway.process.StopSignal;
+import craneway.process.InvalidSettingsException;
+import craneway.process.ShutdownSignal;
+import craneway.process.StartupSettings;
 import craneway.process.StoreProcess;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -70,10 +70,10 @@
         options.put("data", data);
         options.put("stores", stores);
         try {
-            var settings = Startup.of(startup, options, Startup.STORE);
+            var settings = StartupSettings.load(startup, options, StartupSettings.STORE_KIND);
             var process = new StoreProcess(settings, new EventLog(settings.name));
-            return StopSignal.stopped(process::stopGently, process::superseded);
-        } catch (BadStartupException e) {
+            return ShutdownSignal.awaitAndShutDown(process::shutDownGracefully, process::isSuperseded);
+        } catch (InvalidSettingsException e) {
             System.err.println(e.getMessage());
             return 2;
         }
