--- a/test/sim/src/main/java/craneway/sim/AttemptBudget.java
+++ b/test/sim/src/main/java/craneway/sim/AttemptBudget.java
@@ -4,68 +4,80 @@
 import java.util.HashMap;
 import java.util.Map;
 
+/**
+ * Checks the retry promises on a journal: a cold runner is loaded no faster than its warm-up ramp permits, and repeated
+ * runs and forwards of a submission stay within the fleet's budget.
+ */
 final class AttemptBudget {
-    private static final long WINDOW = 10_000_000;
+    /** Length of the sliding window in which the budget must hold as well as over the whole run. */
+    private static final long WINDOW_MICROS = 10_000_000;
 
-    private final Journal j;
-    private final Map<String, Long> warmUp;
-    private final Checks out;
+    private final Journal journal;
+    private final Map<String, Long> warmUpMicros;
+    private final Checks checks;
 
-    AttemptBudget(Journal j, Map<String, Long> warmUp, Checks out) {
-        this.j = j;
-        this.warmUp = warmUp;
-        this.out = out;
+    AttemptBudget(Journal journal, Map<String, Long> warmUpMicros, Checks checks) {
+        this.journal = journal;
+        this.warmUpMicros = warmUpMicros;
+        this.checks = checks;
     }
 
     void check() {
-        for (var r : j.runs) if (r.cold) cold(r);
-        tries();
+        for (var run : journal.runs) if (run.cold) checkColdRamp(run);
+        checkExtraAttempts();
     }
 
-    private void cold(Journal.Run r) {
-        var ramp = warmUp.getOrDefault(r.service, 5_000_000L);
-        var permitted = Math.max(1, r.slots * (r.at - r.bornAt) / ramp);
-        out.worst(Limit.COLD, r.running - permitted);
-        if (r.running > permitted)
-            out.wrong("promise 10: cold " + r.runner + " had " + r.running + " of " + r.slots + " slots in use "
-                    + (r.at - r.bornAt) / 1000 + " ms after its start; its ramp permits " + permitted);
+    /** The ramp permits as many concurrent runs as the share of the warm-up time that has passed, and at least one. */
+    private void checkColdRamp(Journal.Run run) {
+        var rampMicros = warmUpMicros.getOrDefault(run.service, 5_000_000L);
+        var permittedRuns = Math.max(1, run.slots * (run.at - run.bornAt) / rampMicros);
+        checks.recordWorst(Limit.COLD, run.running - permittedRuns);
+        if (run.running > permittedRuns)
+            checks.addViolation(
+                    "promise 10: cold " + run.runner + " had " + run.running + " of " + run.slots + " slots in use "
+                            + (run.at - run.bornAt) / 1000 + " ms after its start; its ramp permits " + permittedRuns);
     }
 
-    private void tries() {
-        var runs = new HashMap<Long, Integer>();
-        var seen = new HashMap<String, Integer>();
-        for (var r : j.runs) if (seen.merge(r.sub, 1, Integer::sum) > 1) runs.merge(r.at, 1, Integer::sum);
-        extra("runs", runs);
-        var forwards = new HashMap<Long, Integer>();
-        seen.clear();
-        for (var f : j.forwards) if (seen.merge(f.sub(), 1, Integer::sum) > 1) forwards.merge(f.at(), 1, Integer::sum);
-        extra("forwards", forwards);
+    /** A run or forward is extra if the same submission already had one. */
+    private void checkExtraAttempts() {
+        var repeatedRuns = new HashMap<Long, Integer>();
+        var countBySubmission = new HashMap<String, Integer>();
+        for (var run : journal.runs)
+            if (countBySubmission.merge(run.sub, 1, Integer::sum) > 1) repeatedRuns.merge(run.at, 1, Integer::sum);
+        checkWindows("runs", repeatedRuns);
+        var repeatedForwards = new HashMap<Long, Integer>();
+        countBySubmission.clear();
+        for (var forward : journal.forwards)
+            if (countBySubmission.merge(forward.sub(), 1, Integer::sum) > 1)
+                repeatedForwards.merge(forward.at(), 1, Integer::sum);
+        checkWindows("forwards", repeatedForwards);
     }
 
-    private void extra(String what, Map<Long, Integer> at) {
-        var all = sum(at.values());
-        budget(what, all, j.submissions, "the whole run");
-        for (var from : at.keySet()) {
-            var n = at.entrySet().stream()
-                    .filter(e -> e.getKey() >= from && e.getKey() < from + WINDOW)
+    private void checkWindows(String kind, Map<Long, Integer> countByTime) {
+        var total = sum(countByTime.values());
+        checkBudget(kind, total, journal.submissions, "the whole run");
+        for (var windowStart : countByTime.keySet()) {
+            var countInWindow = countByTime.entrySet().stream()
+                    .filter(entry -> entry.getKey() >= windowStart && entry.getKey() < windowStart + WINDOW_MICROS)
                     .mapToInt(Map.Entry::getValue)
                     .sum();
-            var real = j.submittedAt.stream()
-                    .filter(s -> s >= from && s < from + WINDOW)
+            var submissionsInWindow = journal.submittedAt.stream()
+                    .filter(submittedAt -> submittedAt >= windowStart && submittedAt < windowStart + WINDOW_MICROS)
                     .count();
-            budget(what, n, real, "the 10 s from " + from / 1e6 + " s");
+            checkBudget(kind, countInWindow, submissionsInWindow, "the 10 s from " + windowStart / 1e6 + " s");
         }
     }
 
-    private static int sum(Collection<Integer> all) {
-        return all.stream().mapToInt(x -> x).sum();
+    private static int sum(Collection<Integer> counts) {
+        return counts.stream().mapToInt(count -> count).sum();
     }
 
-    private void budget(String what, int extra, long real, String when) {
-        var past = extra - Limit.TRIES.value * real;
-        out.worst(Limit.ALLOWANCE, Math.max(0, past));
-        if (real > 0) out.worst(Limit.TRIES, extra / (double) real);
-        if (past > Limit.ALLOWANCE.value)
-            out.wrong("promise 11: " + extra + " extra " + what + " for " + real + " submissions in " + when);
+    private void checkBudget(String kind, int extraCount, long submissionCount, String period) {
+        var excess = extraCount - Limit.TRIES.value * submissionCount;
+        checks.recordWorst(Limit.ALLOWANCE, Math.max(0, excess));
+        if (submissionCount > 0) checks.recordWorst(Limit.TRIES, extraCount / (double) submissionCount);
+        if (excess > Limit.ALLOWANCE.value)
+            checks.addViolation("promise 11: " + extraCount + " extra " + kind + " for " + submissionCount
+                    + " submissions in " + period);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Chaos.java
+++ b/test/sim/src/main/java/craneway/sim/Chaos.java
@@ -4,170 +4,211 @@
 import java.util.List;
 import java.util.Random;
 
+/** Runs the simulator under a random schedule of faults that is drawn from a seed, and shortens a failing schedule. */
 public final class Chaos {
+    /**
+     * One scheduled action.
+     *
+     * @param at the second after the scenario's start
+     * @param node the machine, zone, {@code operator} or {@code net} that the action concerns
+     * @param what the action with its arguments, as {@link Scenario#act} takes it
+     */
     public record Fault(double at, String node, String what) {
+        /** The fault as one line of a schedule. */
         public String text() {
             return String.format("%.2f %s %s", at, node, what);
         }
     }
 
+    /** The outcome of a run: broken promises, the worst values measured and the timeline. */
     public record Result(
             long seed, List<Fault> faults, List<String> wrong, Checks checks, String timeline, int submissions) {}
 
-    private static final double END = 40, REPAIR = 18;
+    /** The second at which all faults that are still active are healed. */
+    private static final double HEAL_SECOND = 40;
+
+    /** Seconds that a lost disk has for being restored before another disk may be lost. */
+    private static final double DISK_REPAIR_SECONDS = 18;
 
     private Chaos() {}
 
+    /**
+     * Draws a schedule of two to seven faults with their repairs, and perhaps one late machine loss, sorted by time.
+     */
     public static List<Fault> faults(Shape shape, long seed) {
-        var r = new Random(seed * 7919 + shape.name().hashCode());
-        var all = new ArrayList<Fault>();
-        var n = 2 + r.nextInt(6);
-        for (var i = 0; i < n; i++) add(shape, all, r, 1 + r.nextDouble() * (END - 6));
-        all.sort((a, b) -> Double.compare(a.at, b.at));
-        var kept = repaired(all);
-        last(shape, kept, r);
-        return kept;
+        var random = new Random(seed * 7919 + shape.name().hashCode());
+        var faults = new ArrayList<Fault>();
+        var faultCount = 2 + random.nextInt(6);
+        for (var i = 0; i < faultCount; i++)
+            addFault(shape, faults, random, 1 + random.nextDouble() * (HEAL_SECOND - 6));
+        faults.sort((a, b) -> Double.compare(a.at, b.at));
+        var schedule = separateDiskLosses(faults);
+        addLateLoss(shape, schedule, random);
+        return schedule;
     }
 
-    private static List<Fault> repaired(List<Fault> all) {
-        var since = Double.NEGATIVE_INFINITY;
-        for (var i = 0; i < all.size(); i++) {
-            var f = all.get(i);
-            if (!f.what.equals("disk-loss")) continue;
-            if (f.at < since + REPAIR) all.set(i, new Fault(f.at, f.node, "power-loss"));
-            else since = f.at + 10;
+    /**
+     * Turns a disk loss that comes before the previous one is repaired into a loss of power: the core tolerates one
+     * lost disk at a time.
+     */
+    private static List<Fault> separateDiskLosses(List<Fault> faults) {
+        var restoredAt = Double.NEGATIVE_INFINITY;
+        for (var i = 0; i < faults.size(); i++) {
+            var fault = faults.get(i);
+            if (!fault.what.equals("disk-loss")) continue;
+            if (fault.at < restoredAt + DISK_REPAIR_SECONDS)
+                faults.set(i, new Fault(fault.at, fault.node, "power-loss"));
+            else restoredAt = fault.at + 10;
         }
-        return all;
+        return faults;
     }
 
-    private static void last(Shape shape, List<Fault> all, Random r) {
-        var z = r.nextInt(3);
-        switch (r.nextInt(4)) {
+    /** Perhaps adds one machine that stays down after the healing. A store only if no disk was lost recently. */
+    private static void addLateLoss(Shape shape, List<Fault> faults, Random random) {
+        var zoneIndex = random.nextInt(3);
+        switch (random.nextInt(4)) {
             case 0 -> {
-                var whole = all.stream().noneMatch(f -> f.what.equals("disk-loss") && f.at > END + 4 - REPAIR - 10);
-                if (whole) all.add(new Fault(END + 4, "store-" + (1 + z), "kill"));
+                var disksRestored = faults.stream()
+                        .noneMatch(fault -> fault.what.equals("disk-loss")
+                                && fault.at > HEAL_SECOND + 4 - DISK_REPAIR_SECONDS - 10);
+                if (disksRestored) faults.add(new Fault(HEAL_SECOND + 4, "store-" + (1 + zoneIndex), "kill"));
             }
-            case 1 -> all.add(new Fault(END + 4, "router-" + (1 + z) + "-1", "kill"));
-            case 2 -> all.add(new Fault(END + 4, shape.runner(0, 1), "kill"));
+            case 1 -> faults.add(new Fault(HEAL_SECOND + 4, "router-" + (1 + zoneIndex) + "-1", "kill"));
+            case 2 -> faults.add(new Fault(HEAL_SECOND + 4, shape.runner(0, 1), "kill"));
             default -> {}
         }
     }
 
-    private static void add(Shape shape, List<Fault> all, Random r, double at) {
-        var until = Math.min(END - 1, at + 0.5 + r.nextDouble() * 10);
-        var z = r.nextInt(3);
-        var zone = shape.zones().get(z);
-        var other = shape.zones().get((z + 1) % 3);
-        var store = "store-" + (z + 1);
-        var router = "router-" + (z + 1) + "-" + (1 + r.nextInt(shape.routers()[z]));
-        var runner = shape.runner(z, r.nextInt(2));
-        var node = List.of(store, router, runner).get(r.nextInt(3));
-        switch (r.nextInt(22)) {
-            case 0 -> pair(all, at, node, "kill", until, "start");
-            case 1 -> pair(all, at, node, "freeze", until, "wake");
-            case 2 -> pair(all, at, store, "power-loss", until, "start");
-            case 3, 20 -> pair(all, at, store, "disk-loss", until, "start");
-            case 4 -> pair(all, at, store, "disk-full", until, "disk-free");
-            case 5 -> pair(all, at, zone, "cut", until, "heal");
-            case 6 -> pair(all, at, zone, "kill", until, "start");
-            case 7 -> pair(all, at, runner, "leave", until, "kill", until + 0.1, "start");
-            case 8 -> pair(all, at, runner, "go-dark", until, "come-back");
-            case 9 -> pair(all, at, router, "stop-gently", Math.max(until, at + 8), "start");
-            case 10 -> pair(all, at, router, "cut-from-core", until, "heal-with-core");
-            case 11 -> pair(all, at, "operator", "empty " + zone, until, "take-back " + zone);
+    /**
+     * Draws one fault that starts at the given second together with its end. The draws must keep their order: seeds are
+     * replayed.
+     */
+    private static void addFault(Shape shape, List<Fault> faults, Random random, double at) {
+        var until = Math.min(HEAL_SECOND - 1, at + 0.5 + random.nextDouble() * 10);
+        var zoneIndex = random.nextInt(3);
+        var zone = shape.zones().get(zoneIndex);
+        var otherZone = shape.zones().get((zoneIndex + 1) % 3);
+        var store = "store-" + (zoneIndex + 1);
+        var router = "router-" + (zoneIndex + 1) + "-" + (1 + random.nextInt(shape.routers()[zoneIndex]));
+        var runner = shape.runner(zoneIndex, random.nextInt(2));
+        var node = List.of(store, router, runner).get(random.nextInt(3));
+        switch (random.nextInt(22)) {
+            case 0 -> addActions(faults, at, node, "kill", until, "start");
+            case 1 -> addActions(faults, at, node, "freeze", until, "wake");
+            case 2 -> addActions(faults, at, store, "power-loss", until, "start");
+            case 3, 20 -> addActions(faults, at, store, "disk-loss", until, "start");
+            case 4 -> addActions(faults, at, store, "disk-full", until, "disk-free");
+            case 5 -> addActions(faults, at, zone, "cut", until, "heal");
+            case 6 -> addActions(faults, at, zone, "kill", until, "start");
+            case 7 -> addActions(faults, at, runner, "leave", until, "kill", until + 0.1, "start");
+            case 8 -> addActions(faults, at, runner, "go-dark", until, "come-back");
+            case 9 -> addActions(faults, at, router, "stop-gently", Math.max(until, at + 8), "start");
+            case 10 -> addActions(faults, at, router, "cut-from-core", until, "heal-with-core");
+            case 11 -> addActions(faults, at, "operator", "empty " + zone, until, "take-back " + zone);
             case 12 -> {
-                all.add(new Fault(at, "operator", "send v" + r.nextInt(1000) + " store-1 1"));
-                all.add(new Fault(at, "operator", "send w" + r.nextInt(1000) + " store-2 1"));
+                faults.add(new Fault(at, "operator", "send v" + random.nextInt(1000) + " store-1 1"));
+                faults.add(new Fault(at, "operator", "send w" + random.nextInt(1000) + " store-2 1"));
             }
             case 13 ->
-                pair(
-                        all,
+                addActions(
+                        faults,
                         at,
                         store,
-                        "cut-from store-" + ((z + 1) % 3 + 1),
+                        "cut-from store-" + ((zoneIndex + 1) % 3 + 1),
                         until,
-                        "heal-with store-" + ((z + 1) % 3 + 1));
-            case 14 -> pair(all, at, zone, "cut-out", until, "heal");
-            case 15 -> pair(all, at, store, "disk-stall", until, "disk-go-on");
-            case 16 -> pair(all, at, "net", "drop 0.05", until, "drop 0");
-            case 17 -> pair(all, at, "net", "double 0.2", until, "double 0");
-            case 18 -> pair(all, at, "net", "delay 0.1", until, "delay 0");
+                        "heal-with store-" + ((zoneIndex + 1) % 3 + 1));
+            case 14 -> addActions(faults, at, zone, "cut-out", until, "heal");
+            case 15 -> addActions(faults, at, store, "disk-stall", until, "disk-go-on");
+            case 16 -> addActions(faults, at, "net", "drop 0.05", until, "drop 0");
+            case 17 -> addActions(faults, at, "net", "double 0.2", until, "double 0");
+            case 18 -> addActions(faults, at, "net", "delay 0.1", until, "delay 0");
             case 19 -> {
-                pair(all, at, "operator", "empty " + zone, until, "take-back " + zone);
-                pair(
-                        all,
+                addActions(faults, at, "operator", "empty " + zone, until, "take-back " + zone);
+                addActions(
+                        faults,
                         at + 0.01,
                         "operator",
-                        "empty " + other + " store-2",
+                        "empty " + otherZone + " store-2",
                         until + 0.01,
-                        "take-back " + other + " store-2");
+                        "take-back " + otherZone + " store-2");
             }
             default -> {
-                all.add(new Fault(at, node, "clock-jump " + (r.nextInt(7200) - 3600)));
-                pair(all, at, node, "kill", until, "start");
+                faults.add(new Fault(at, node, "clock-jump " + (random.nextInt(7200) - 3600)));
+                addActions(faults, at, node, "kill", until, "start");
             }
         }
     }
 
-    private static void pair(List<Fault> all, Object... x) {
-        var node = (String) x[1];
-        all.add(new Fault((Double) x[0], node, (String) x[2]));
-        for (var i = 3; i < x.length; i += 2) all.add(new Fault((Double) x[i], node, (String) x[i + 1]));
+    /**
+     * Adds the action {@code args[2]} at the second {@code args[0]} for the node {@code args[1]}, then further actions
+     * of the node, each given by its second and the action.
+     */
+    private static void addActions(List<Fault> faults, Object... args) {
+        var node = (String) args[1];
+        faults.add(new Fault((Double) args[0], node, (String) args[2]));
+        for (var i = 3; i < args.length; i += 2) faults.add(new Fault((Double) args[i], node, (String) args[i + 1]));
     }
 
+    /**
+     * Runs the schedule on a fleet of the given shape; heals everything at {@link #HEAL_SECOND} and then checks that
+     * submissions are served.
+     */
     public static Result run(Shape shape, long seed, List<Fault> faults) {
-        var s = shape.scenario(seed);
-        s.world.warmStart = false;
-        s.traffic(120_000);
-        for (var f : faults) {
-            if (f.at >= END) continue;
-            s.runTo(f.at);
-            s.act(f.node, f.what);
+        var scenario = shape.scenario(seed);
+        scenario.world.warmStart = false;
+        scenario.traffic(120_000);
+        for (var fault : faults) {
+            if (fault.at >= HEAL_SECOND) continue;
+            scenario.runTo(fault.at);
+            scenario.act(fault.node, fault.what);
         }
-        s.runTo(END);
-        heal(s);
-        for (var f : faults) {
-            if (f.at < END) continue;
-            s.runTo(f.at);
-            s.act(f.node, f.what);
+        scenario.runTo(HEAL_SECOND);
+        heal(scenario);
+        for (var fault : faults) {
+            if (fault.at < HEAL_SECOND) continue;
+            scenario.runTo(fault.at);
+            scenario.act(fault.node, fault.what);
         }
-        var from = END + 17;
-        s.runTo(from + 10);
-        s.quiet();
-        s.runTo(from + 50);
-        var c = s.checks();
-        var wrong = new ArrayList<>(c.all());
-        wrong.addAll(c.unserved(s.start + (long) (from * 1e6)));
-        return new Result(seed, faults, wrong, c, s.world.timeline.draw(), s.world.journal.submissions);
+        var recoveryCheckedFrom = HEAL_SECOND + 17;
+        scenario.runTo(recoveryCheckedFrom + 10);
+        scenario.quiet();
+        scenario.runTo(recoveryCheckedFrom + 50);
+        var checks = scenario.checks();
+        var wrong = new ArrayList<>(checks.all());
+        wrong.addAll(checks.unserved(scenario.start + (long) (recoveryCheckedFrom * 1e6)));
+        return new Result(
+                seed, faults, wrong, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
     }
 
-    private static void heal(Scenario s) {
-        s.world.net.heal();
-        for (var m : s.world.machines.values()) {
-            if (m instanceof StoreMachine d) {
-                d.disk.full(false);
-                d.stall(false);
+    /** Ends all faults, starts every machine that is down, and closes all recorded outages. */
+    private static void heal(Scenario scenario) {
+        scenario.world.net.heal();
+        for (var machine : scenario.world.machines.values()) {
+            if (machine instanceof StoreMachine storeMachine) {
+                storeMachine.disk.full(false);
+                storeMachine.stall(false);
             }
-            if (m instanceof RunnerMachine r) r.dark(false);
-            m.wake();
-            if (!m.up()) m.start();
+            if (machine instanceof RunnerMachine runnerMachine) runnerMachine.dark(false);
+            machine.wake();
+            if (!machine.up()) machine.start();
         }
-        s.calmAll();
-        s.world.timeline.note(s.world.sim.now(), "all", "* healed");
+        scenario.calmAll();
+        scenario.world.timeline.note(scenario.world.sim.now(), "all", "* healed");
     }
 
+    /** Removes faults one by one as long as the run still breaks a promise. */
     public static List<Fault> shortest(Shape shape, long seed, List<Fault> faults) {
-        var best = faults;
-        for (var smaller = true; smaller; ) {
-            smaller = false;
-            for (var i = 0; i < best.size() && !smaller; i++) {
-                var tried = new ArrayList<>(best);
-                tried.remove(i);
-                if (run(shape, seed, tried).wrong.isEmpty()) continue;
-                best = tried;
-                smaller = true;
+        var schedule = faults;
+        for (var shortened = true; shortened; ) {
+            shortened = false;
+            for (var i = 0; i < schedule.size() && !shortened; i++) {
+                var candidate = new ArrayList<>(schedule);
+                candidate.remove(i);
+                if (run(shape, seed, candidate).wrong.isEmpty()) continue;
+                schedule = candidate;
+                shortened = true;
             }
         }
-        return best;
+        return schedule;
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Checks.java
+++ b/test/sim/src/main/java/craneway/sim/Checks.java
@@ -8,137 +8,181 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * Checks what the journal of a simulated run recorded against the promises that the documentation makes to clients and
+ * operators.
+ */
 public final class Checks {
-    private final Journal j;
+    private final Journal journal;
     private final Map<String, String> zoneRegion;
-    private final Map<String, Long> warmUp;
-    private final List<String> wrong = new ArrayList<>();
+    private final Map<String, Long> warmUpMicros;
+    private final List<String> violations = new ArrayList<>();
+
+    /** The worst value measured for each limit. */
     public final Map<Limit, Double> worst = new EnumMap<>(Limit.class);
 
-    public Checks(Journal j, Map<String, String> zoneRegion, Map<String, Long> warmUp) {
-        this.j = j;
+    /**
+     * Creates the checks.
+     *
+     * @param zoneRegion the region of each zone
+     * @param warmUpMicros the warm-up time of each service in microseconds
+     */
+    public Checks(Journal journal, Map<String, String> zoneRegion, Map<String, Long> warmUpMicros) {
+        this.journal = journal;
         this.zoneRegion = zoneRegion;
-        this.warmUp = warmUp;
+        this.warmUpMicros = warmUpMicros;
     }
 
+    /** Runs every check that holds for any run, and returns one text for each broken promise. */
     public List<String> all() {
-        runOnce();
-        declined();
-        streams();
-        new Rights(j, zoneRegion, this).check();
-        new Manifests(j, this).check();
-        new AttemptBudget(j, warmUp, this).check();
-        verdicts();
-        return wrong;
+        checkRunOnce();
+        checkDeclinedNotRun();
+        checkStreams();
+        new Rights(journal, zoneRegion, this).check();
+        new Manifests(journal, this).check();
+        new AttemptBudget(journal, warmUpMicros, this).check();
+        checkDeclineDelay();
+        return violations;
     }
 
-    void worst(Limit l, double v) {
-        worst.merge(l, v, Math::max);
+    /** Records a measured value; the worst one is kept. */
+    void recordWorst(Limit limit, double value) {
+        worst.merge(limit, value, Math::max);
     }
 
-    void wrong(String text) {
-        wrong.add(text);
+    /** Records a broken promise. */
+    void addViolation(String text) {
+        violations.add(text);
     }
 
-    private void runOnce() {
-        var n = new HashMap<String, Integer>();
-        for (var r : j.runs) if (!r.key.isEmpty()) n.merge(r.key, 1, Integer::sum);
-        n.forEach((k, c) -> {
-            if (c > 1) wrong("promise 1: key " + k + " ran " + c + " times");
+    /** Promise 1: work with an idempotency key runs at most once. */
+    private void checkRunOnce() {
+        var runsByKey = new HashMap<String, Integer>();
+        for (var run : journal.runs) if (!run.key.isEmpty()) runsByKey.merge(run.key, 1, Integer::sum);
+        runsByKey.forEach((key, runCount) -> {
+            if (runCount > 1) addViolation("promise 1: key " + key + " ran " + runCount + " times");
         });
     }
 
-    private void declined() {
-        var ran = new HashSet<String>();
-        for (var r : j.runs) ran.add(r.sub);
-        for (var t : j.replies)
-            if ((t.verdict.equals("declined") || t.verdict.equals("refused")) && ran.contains(t.sub))
-                wrong("promise 2: " + t.sub + " was declined (" + t.code + ") and ran");
+    /** Promise 2: a submission that was declined or refused did not run. */
+    private void checkDeclinedNotRun() {
+        var submissionsRun = new HashSet<String>();
+        for (var run : journal.runs) submissionsRun.add(run.sub);
+        for (var reply : journal.replies)
+            if ((reply.verdict.equals("declined") || reply.verdict.equals("refused"))
+                    && submissionsRun.contains(reply.sub))
+                addViolation("promise 2: " + reply.sub + " was declined (" + reply.code + ") and ran");
     }
 
-    private void streams() {
-        var whole = new HashSet<String>();
-        for (var r : j.runs) if (r.whole) whole.add(r.sub);
-        for (var t : j.replies) {
-            if (t.verdict.equals("false-end") || t.verdict.equals("disordered"))
-                wrong("promise 3: " + t.sub + " came as " + t.verdict);
-            if (t.verdict.equals("whole") && !whole.contains(t.sub))
-                wrong("promise 3: " + t.sub + " looked whole and no run ended");
+    /** Promise 3: a stream that looks complete to the client is complete and in order. */
+    private void checkStreams() {
+        var completedSubmissions = new HashSet<String>();
+        for (var run : journal.runs) if (run.whole) completedSubmissions.add(run.sub);
+        for (var reply : journal.replies) {
+            if (reply.verdict.equals("false-end") || reply.verdict.equals("disordered"))
+                addViolation("promise 3: " + reply.sub + " came as " + reply.verdict);
+            if (reply.verdict.equals("whole") && !completedSubmissions.contains(reply.sub))
+                addViolation("promise 3: " + reply.sub + " looked complete but no run ended");
         }
     }
 
-    private void verdicts() {
-        for (var t : j.replies) {
-            if (!t.verdict.equals("declined")) continue;
-            var share = (said(t) - t.askedAt - asleep(t)) / (t.deadlineMillis * 1000.0);
-            worst(Limit.WAIT, share);
-            if (share > Limit.WAIT.value)
-                wrong("final verdict of " + t.sub + " (" + t.code + ") was held for " + share + " of its deadline");
+    /**
+     * A decline is sent before half of the deadline has passed, not counting the time in which the router was frozen or
+     * cut off.
+     */
+    private void checkDeclineDelay() {
+        for (var reply : journal.replies) {
+            if (!reply.verdict.equals("declined")) continue;
+            var shareOfDeadline =
+                    (answeredAt(reply) - reply.askedAt - unreachableMicros(reply)) / (reply.deadlineMillis * 1000.0);
+            recordWorst(Limit.WAIT, shareOfDeadline);
+            if (shareOfDeadline > Limit.WAIT.value)
+                addViolation("final verdict of " + reply.sub + " (" + reply.code + ") was held for " + shareOfDeadline
+                        + " of its deadline");
         }
     }
 
-    private long said(Journal.Reply t) {
-        return j.saidAt.getOrDefault(t.sub, t.at);
+    /** When the router decided on the reply, or when the client received it if that is not known. */
+    private long answeredAt(Journal.Reply reply) {
+        return journal.saidAt.getOrDefault(reply.sub, reply.at);
     }
 
-    private long asleep(Journal.Reply t) {
-        var n = j.blocked.getOrDefault(t.sub, 0L);
-        for (var d : j.frozen)
-            if (d.node().equals(t.router))
-                n += Math.max(0, Math.min(said(t), d.until()[0]) - Math.max(t.askedAt, d.from()));
-        return n;
+    private long unreachableMicros(Journal.Reply reply) {
+        var micros = journal.blocked.getOrDefault(reply.sub, 0L);
+        for (var freeze : journal.frozen)
+            if (freeze.node().equals(reply.router))
+                micros += Math.max(
+                        0, Math.min(answeredAt(reply), freeze.until()[0]) - Math.max(reply.askedAt, freeze.from()));
+        return micros;
     }
 
+    /** {@link #lost(long, long)} for the whole run. */
     public List<String> lost() {
         return lost(0, Long.MAX_VALUE);
     }
 
+    /**
+     * Finds submissions sent in the given time that ended otherwise than served or declined with a retry time, work
+     * that was never served, and submissions without a verdict (promise 12).
+     */
     public List<String> lost(long from, long until) {
-        var last = new HashMap<String, Journal.Reply>();
-        for (var t : j.replies) last.merge(t.asked, t, (a, b) -> b.askedAt >= a.askedAt ? b : a);
-        var bad = new ArrayList<String>();
-        for (var t : j.replies)
-            if (t.askedAt >= from
-                    && t.askedAt < until
-                    && !served(t)
-                    && !(t.verdict.equals("declined") && t.retryAfter > 0))
-                bad.add("promise 12: " + t.sub + " ended as " + t.verdict + " " + t.code);
-        for (var t : last.values())
-            if (t.askedAt >= from && t.askedAt < until && !served(t) && !explained(t))
-                bad.add("promise 12: " + t.asked + " was never served, last told " + t.verdict + " " + t.code);
-        if (j.submissions != j.replies.size())
-            bad.add("promise 12: " + (j.submissions - j.replies.size()) + " submissions were never told a verdict");
-        return bad;
+        var lastReplyByWork = new HashMap<String, Journal.Reply>();
+        for (var reply : journal.replies)
+            lastReplyByWork.merge(reply.asked, reply, (a, b) -> b.askedAt >= a.askedAt ? b : a);
+        var violations = new ArrayList<String>();
+        for (var reply : journal.replies)
+            if (reply.askedAt >= from
+                    && reply.askedAt < until
+                    && !served(reply)
+                    && !(reply.verdict.equals("declined") && reply.retryAfter > 0))
+                violations.add("promise 12: " + reply.sub + " ended as " + reply.verdict + " " + reply.code);
+        for (var reply : lastReplyByWork.values())
+            if (reply.askedAt >= from && reply.askedAt < until && !served(reply) && !isJustified(reply))
+                violations.add("promise 12: " + reply.asked + " was never served, last verdict " + reply.verdict + " "
+                        + reply.code);
+        if (journal.submissions != journal.replies.size())
+            violations.add(
+                    "promise 12: " + (journal.submissions - journal.replies.size()) + " submissions got no verdict");
+        return violations;
     }
 
+    /**
+     * Finds work first submitted at or after the given time that was not served in the end, without a reason such as a
+     * spent quota.
+     */
     public List<String> unserved(long from) {
-        var first = new HashMap<String, Long>();
-        var last = new HashMap<String, Journal.Reply>();
-        for (var t : j.replies) {
-            first.merge(t.asked, t.askedAt, Math::min);
-            last.merge(t.asked, t, (a, b) -> b.askedAt >= a.askedAt ? b : a);
+        var firstSubmittedAt = new HashMap<String, Long>();
+        var lastReplyByWork = new HashMap<String, Journal.Reply>();
+        for (var reply : journal.replies) {
+            firstSubmittedAt.merge(reply.asked, reply.askedAt, Math::min);
+            lastReplyByWork.merge(reply.asked, reply, (a, b) -> b.askedAt >= a.askedAt ? b : a);
         }
-        var bad = new ArrayList<String>();
-        var n = 0;
-        for (var t : last.values()) {
-            if (first.get(t.asked) < from) continue;
-            n++;
-            if (!served(t) && !explained(t))
-                bad.add("promise 12: " + t.asked + " of " + t.tenant + " in " + t.zone
-                        + " was not served after healing, last told " + t.verdict + " " + t.code);
+        var violations = new ArrayList<String>();
+        var workCount = 0;
+        for (var reply : lastReplyByWork.values()) {
+            if (firstSubmittedAt.get(reply.asked) < from) continue;
+            workCount++;
+            if (!served(reply) && !isJustified(reply))
+                violations.add("promise 12: " + reply.asked + " of " + reply.tenant + " in " + reply.zone
+                        + " was not served after healing, last verdict " + reply.verdict + " " + reply.code);
         }
-        if (n == 0) bad.add("promise 12: nothing was asked after healing");
-        return bad;
+        if (workCount == 0) violations.add("promise 12: nothing was submitted after healing");
+        return violations;
     }
 
-    private boolean explained(Journal.Reply t) {
-        if (t.code == ProblemKind.QUOTA_SPENT.code() || t.code == ProblemKind.CLAIMS_LOST.code() && !j.claimsAccepted)
-            return true;
-        if (t.code != ProblemKind.NO_RUNNER.code()) return false;
-        return new Rights(j, zoneRegion, this).allEmptied(t);
+    /**
+     * Whether the final decline is permitted: the quota is spent, claims were lost and not accepted, or all allowed
+     * zones are emptied.
+     */
+    private boolean isJustified(Journal.Reply reply) {
+        if (reply.code == ProblemKind.QUOTA_SPENT.code()
+                || reply.code == ProblemKind.CLAIMS_LOST.code() && !journal.claimsAccepted) return true;
+        if (reply.code != ProblemKind.NO_RUNNER.code()) return false;
+        return new Rights(journal, zoneRegion, this).allEmptied(reply);
     }
 
-    static boolean served(Journal.Reply t) {
-        return t.verdict.equals("whole") || t.verdict.equals("recorded");
+    /** Whether the client got the complete stream, or was told that the work had already run. */
+    static boolean served(Journal.Reply reply) {
+        return reply.verdict.equals("whole") || reply.verdict.equals("recorded");
     }
 }
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -6,17 +6,29 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * A simulated client: submits work to routers, reads the streamed reply and submits again after a retryable failure.
+ */
 public final class ClientMachine extends Machine {
-    private static final int ASKS = 6;
-
+    /** How often one piece of work is submitted at most. */
+    private static final int MAX_SUBMISSIONS = 6;
+
+    /**
+     * A piece of work.
+     *
+     * @param work the name of its class of work
+     * @param once whether it carries an idempotency key
+     * @param regions the allowed regions, separated by commas; empty for no restriction
+     * @param tokens the number of tokens to generate
+     */
     public record Work(
             String service, String tenant, String work, boolean once, String regions, int tokens, int deadlineMillis) {}
 
-    private int count;
-    private int keys;
+    private int submissionCount;
+    private int keyCount;
 
-    ClientMachine(World w, String name, String zone, String address) {
-        super(w, name, zone, address);
+    ClientMachine(World world, String name, String zone, String address) {
+        super(world, name, zone, address);
     }
 
     @Override
@@ -25,121 +37,139 @@
     @Override
     protected void tick() {}
 
-    public String submit(Work w) {
-        var key = name + "-k" + keys++;
-        submit(w, key, 1);
+    /** Submits new work and returns its key. */
+    public String submit(Work work) {
+        var key = name + "-k" + keyCount++;
+        submit(work, key, 1);
         return key;
     }
 
-    public void submit(Work w, String key, int askNo) {
-        var all = world.readyRouters(zone);
-        if (all.isEmpty()) {
+    /**
+     * Submits work to a random ready router, near ones first.
+     *
+     * @param key the idempotency key
+     * @param submissionNumber the number of this submission of the work, from 1
+     */
+    public void submit(Work work, String key, int submissionNumber) {
+        var routers = world.readyRouters(zone);
+        if (routers.isEmpty()) {
             mineAfter(500_000, () -> {
-                if (askNo < ASKS) submit(w, key, askNo + 1);
+                if (submissionNumber < MAX_SUBMISSIONS) submit(work, key, submissionNumber + 1);
             });
             return;
         }
-        var to = all.get(world.sim.random.nextInt(all.size()));
-        var told = new Journal.Reply();
-        told.askedAt = now();
-        told.sub = name + "-" + count++;
-        told.key = w.once ? key : "";
-        told.tenant = w.tenant;
-        told.zone = zone;
-        told.regions = w.regions;
-        told.tokens = w.tokens;
-        told.deadlineMillis = w.deadlineMillis;
-        told.asked = key;
-        told.router = to.name;
+        var router = routers.get(world.sim.random.nextInt(routers.size()));
+        var reply = new Journal.Reply();
+        reply.askedAt = now();
+        reply.sub = name + "-" + submissionCount++;
+        reply.key = work.once ? key : "";
+        reply.tenant = work.tenant;
+        reply.zone = zone;
+        reply.regions = work.regions;
+        reply.tokens = work.tokens;
+        reply.deadlineMillis = work.deadlineMillis;
+        reply.asked = key;
+        reply.router = router.name;
         world.journal.submissions++;
         world.journal.submittedAt.add(now());
-        var h = new HashMap<String, String>();
-        h.put(HttpExchange.TENANT, w.tenant);
-        h.put(HttpExchange.WORK, w.work);
-        h.put(HttpExchange.DEADLINE, Integer.toString(w.deadlineMillis));
-        if (w.once) h.put(HttpExchange.KEY, key);
-        if (!w.regions.isEmpty()) h.put(HttpExchange.REGIONS, w.regions);
-        var body = w.service + " " + told.sub + " " + (w.once ? key : "-") + " " + w.tokens;
-        world.open(this, to.address, HttpExchange.TO_RUNNER, h, body.getBytes(), new ReplySink(told, w, key, askNo));
+        var headers = new HashMap<String, String>();
+        headers.put(HttpExchange.TENANT, work.tenant);
+        headers.put(HttpExchange.WORK, work.work);
+        headers.put(HttpExchange.DEADLINE, Integer.toString(work.deadlineMillis));
+        if (work.once) headers.put(HttpExchange.KEY, key);
+        if (!work.regions.isEmpty()) headers.put(HttpExchange.REGIONS, work.regions);
+        var body = work.service + " " + reply.sub + " " + (work.once ? key : "-") + " " + work.tokens;
+        world.open(
+                this,
+                router.address,
+                HttpExchange.TO_RUNNER,
+                headers,
+                body.getBytes(),
+                new ReplySink(reply, work, key, submissionNumber));
     }
 
-    private void over(Journal.Reply t, Work w, String key, int askNo) {
-        t.at = now();
-        world.journal.replies.add(t);
-        var again = t.verdict.equals("declined") && t.retryAfter > 0
-                || t.verdict.equals("refused")
-                || t.verdict.equals("lost")
-                || t.verdict.equals("cut");
-        if (again && askNo < ASKS) mineAfter(Math.max(200_000, t.retryAfter), () -> submit(w, key, askNo + 1));
+    /** Records the reply and submits the work again if the reply permits it. */
+    private void finish(Journal.Reply reply, Work work, String key, int submissionNumber) {
+        reply.at = now();
+        world.journal.replies.add(reply);
+        var retryable = reply.verdict.equals("declined") && reply.retryAfter > 0
+                || reply.verdict.equals("refused")
+                || reply.verdict.equals("lost")
+                || reply.verdict.equals("cut");
+        if (retryable && submissionNumber < MAX_SUBMISSIONS)
+            mineAfter(Math.max(200_000, reply.retryAfter), () -> submit(work, key, submissionNumber + 1));
     }
 
+    /** Receives the response of one submission and judges whether it is complete. */
     private final class ReplySink implements HttpExchange.Sink {
-        private final Journal.Reply told;
+        private final Journal.Reply reply;
         private final Work work;
         private final String key;
-        private final int askNo;
-        private final StringBuilder text = new StringBuilder();
-        private int code;
+        private final int submissionNumber;
+        private final StringBuilder received = new StringBuilder();
+        private int statusCode;
         private Map<String, String> headers = Map.of();
 
-        ReplySink(Journal.Reply told, Work work, String key, int askNo) {
-            this.told = told;
+        ReplySink(Journal.Reply reply, Work work, String key, int submissionNumber) {
+            this.reply = reply;
             this.work = work;
             this.key = key;
-            this.askNo = askNo;
+            this.submissionNumber = submissionNumber;
         }
 
-        private void say(String verdict) {
-            told.verdict = verdict;
-            over(told, work, key, askNo);
+        private void complete(String verdict) {
+            reply.verdict = verdict;
+            finish(reply, work, key, submissionNumber);
         }
 
         @Override
         public void refused() {
-            say("refused");
+            complete("refused");
         }
 
         @Override
-        public void status(int c, Map<String, String> h) {
-            code = c;
-            headers = h;
+        public void status(int status, Map<String, String> responseHeaders) {
+            statusCode = status;
+            headers = responseHeaders;
         }
 
         @Override
-        public void chunk(byte[] b) {
-            text.append(new String(b));
+        public void chunk(byte[] bytes) {
+            received.append(new String(bytes));
         }
 
         @Override
         public void end() {
-            if (code != 200) {
-                told.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM));
-                told.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS));
-                say(ProblemKind.of(told.code).workOutcome().name().toLowerCase());
+            if (statusCode != 200) {
+                reply.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM));
+                reply.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS));
+                complete(ProblemKind.of(reply.code).workOutcome().name().toLowerCase());
                 return;
             }
-            say(complete() ? "whole" : "false-end");
+            complete(isComplete() ? "whole" : "false-end");
         }
 
         @Override
         public void broken() {
-            if (code == 0) say("lost");
-            else if (complete()) say("whole");
-            else say(text.toString().contains("[DONE]") ? "false-end" : tokens() < 0 ? "disordered" : "cut");
+            if (statusCode == 0) complete("lost");
+            else if (isComplete()) complete("whole");
+            else complete(received.toString().contains("[DONE]") ? "false-end" : tokens() < 0 ? "disordered" : "cut");
         }
 
-        private boolean complete() {
-            return tokens() == told.tokens && text.toString().endsWith("data: [DONE]\n\n");
+        /** Whether all tokens and the end marker were received. */
+        private boolean isComplete() {
+            return tokens() == reply.tokens && received.toString().endsWith("data: [DONE]\n\n");
         }
 
+        /** The number of tokens received, or -1 if they are out of order. */
         private int tokens() {
-            var n = 0;
-            for (var l : List.of(text.toString().split("\n"))) {
-                if (!l.startsWith("data: ") || l.contains("{") || l.contains("[")) continue;
-                if (!l.equals("data: " + n)) return -1;
-                n++;
+            var expectedToken = 0;
+            for (var line : List.of(received.toString().split("\n"))) {
+                if (!line.startsWith("data: ") || line.contains("{") || line.contains("[")) continue;
+                if (!line.equals("data: " + expectedToken)) return -1;
+                expectedToken++;
             }
-            return n;
+            return expectedToken;
         }
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Day.java
+++ b/test/sim/src/main/java/craneway/sim/Day.java
@@ -4,103 +4,123 @@
 import java.util.ArrayList;
 import java.util.List;
 
+/**
+ * Runs a simulated day: a crowd in the morning, shifting loads, a lost zone, a rolling release and a quiet night with
+ * maintenance.
+ */
 public final class Day {
+    /** The outcome of a day: broken promises, the worst values measured and the timeline. */
     public record Result(long seed, List<String> wrong, Checks checks, String timeline, int submissions) {}
 
-    private static final double RELEASE = 90;
+    /** The second at which the rolling release starts. */
+    private static final double RELEASE_START_SECOND = 90;
 
     private Day() {}
 
+    /** Runs the day for a seed and checks the promises over it. */
     public static Result run(Shape shape, long seed) {
-        var s = shape.scenario(seed);
-        s.world.warmStart = false;
-        morning(s);
-        region(s, s.world.manifest.zones().keySet().stream().toList().get((int) (seed % 3)));
-        var noon = release(s);
-        var evening = night(s, noon);
-        s.quiet();
-        s.runOn(50);
-        var c = s.checks();
-        var wrong = new ArrayList<>(c.all());
-        wrong.addAll(c.lost(s.start + (long) (RELEASE * 1e6), s.start + (long) (noon * 1e6)));
-        wrong.addAll(c.unserved(s.start + (long) (evening * 1e6)));
-        for (var a : s.answers) if (a.startsWith("declined")) wrong.add("an operator was told " + a);
-        return new Result(seed, wrong, c, s.world.timeline.draw(), s.world.journal.submissions);
+        var scenario = shape.scenario(seed);
+        scenario.world.warmStart = false;
+        runMorning(scenario);
+        loseZone(
+                scenario,
+                scenario.world.manifest.zones().keySet().stream().toList().get((int) (seed % 3)));
+        var releaseEnd = runRelease(scenario);
+        var nightEnd = runNight(scenario, releaseEnd);
+        scenario.quiet();
+        scenario.runOn(50);
+        var checks = scenario.checks();
+        var wrong = new ArrayList<>(checks.all());
+        wrong.addAll(checks.lost(
+                scenario.start + (long) (RELEASE_START_SECOND * 1e6), scenario.start + (long) (releaseEnd * 1e6)));
+        wrong.addAll(checks.unserved(scenario.start + (long) (nightEnd * 1e6)));
+        for (var answer : scenario.answers)
+            if (answer.startsWith("declined")) wrong.add("an operator's command was " + answer);
+        return new Result(seed, wrong, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
     }
 
-    private static void morning(Scenario s) {
-        s.traffic(150_000);
-        s.runTo(10);
-        s.traffic(50_000);
-        s.runTo(20);
-        s.swing(80);
-        s.runTo(30);
-        s.swing(4);
-        s.runTo(40);
-        s.swing(20);
-        s.traffic(100_000);
+    /** High load, then changing request rates and response lengths. */
+    private static void runMorning(Scenario scenario) {
+        scenario.traffic(150_000);
+        scenario.runTo(10);
+        scenario.traffic(50_000);
+        scenario.runTo(20);
+        scenario.swing(80);
+        scenario.runTo(30);
+        scenario.swing(4);
+        scenario.runTo(40);
+        scenario.swing(20);
+        scenario.traffic(100_000);
     }
 
-    private static void region(Scenario s, String zone) {
-        s.runTo(45);
-        s.act(zone, "power-loss");
-        s.runTo(60);
-        s.act(zone, "start");
+    /** The whole zone loses power and comes back with cold runners. */
+    private static void loseZone(Scenario scenario, String zone) {
+        scenario.runTo(45);
+        scenario.act(zone, "power-loss");
+        scenario.runTo(60);
+        scenario.act(zone, "start");
     }
 
-    private static double release(Scenario s) {
-        s.runTo(RELEASE);
-        s.traffic(250_000);
-        s.swing(150);
-        var t = RELEASE;
-        for (var m : s.world.all(StoreMachine.class)) {
-            s.act(m.name, "hand-over");
-            s.runTo(t + 3);
-            s.act(m.name, "kill");
-            s.runTo(t + 5);
-            s.act(m.name, "start");
-            s.runTo(t += 14);
+    /** Restarts each store and each router in turn; returns the second at which the release ends. */
+    private static double runRelease(Scenario scenario) {
+        scenario.runTo(RELEASE_START_SECOND);
+        scenario.traffic(250_000);
+        scenario.swing(150);
+        var second = RELEASE_START_SECOND;
+        for (var machine : scenario.world.all(StoreMachine.class)) {
+            scenario.act(machine.name, "hand-over");
+            scenario.runTo(second + 3);
+            scenario.act(machine.name, "kill");
+            scenario.runTo(second + 5);
+            scenario.act(machine.name, "start");
+            scenario.runTo(second += 14);
         }
-        for (var m : s.world.all(RouterMachine.class)) {
-            s.act(m.name, "stop-gently");
-            s.runTo(t + 12);
-            s.act(m.name, "start");
-            s.runTo(t += 15);
+        for (var machine : scenario.world.all(RouterMachine.class)) {
+            scenario.act(machine.name, "stop-gently");
+            scenario.runTo(second + 12);
+            scenario.act(machine.name, "start");
+            scenario.runTo(second += 15);
         }
-        return t;
+        return second;
     }
 
-    private static double night(Scenario s, double noon) {
-        var cell = spare(s.world.manifest);
-        var runners = s.world.all(RunnerMachine.class).stream()
-                .filter(r -> r.cell.equals(cell))
-                .map(r -> r.name)
+    /**
+     * Low load, while the runners of one cell are emptied, restarted and taken back; returns the second from which work
+     * must be served.
+     */
+    private static double runNight(Scenario scenario, double start) {
+        var cell = findSpareCell(scenario.world.manifest);
+        var runners = scenario.world.all(RunnerMachine.class).stream()
+                .filter(runner -> runner.cell.equals(cell))
+                .map(runner -> runner.name)
                 .toList();
-        s.swing(20);
-        s.traffic(500_000);
-        s.runTo(noon + 10);
-        s.act("operator", "empty-cell " + cell);
-        s.runTo(noon + 20);
-        runners.forEach(r -> s.act(r, "leave"));
-        s.runTo(noon + 23);
-        runners.forEach(r -> s.act(r, "kill"));
-        s.runTo(noon + 50);
-        runners.forEach(r -> s.act(r, "start"));
-        s.runTo(noon + 55);
-        s.act("operator", "take-back-cell " + cell);
-        s.runTo(noon + 60);
-        s.traffic(80_000);
-        s.runTo(noon + 80);
-        return noon + 70;
+        scenario.swing(20);
+        scenario.traffic(500_000);
+        scenario.runTo(start + 10);
+        scenario.act("operator", "empty-cell " + cell);
+        scenario.runTo(start + 20);
+        runners.forEach(runner -> scenario.act(runner, "leave"));
+        scenario.runTo(start + 23);
+        runners.forEach(runner -> scenario.act(runner, "kill"));
+        scenario.runTo(start + 50);
+        runners.forEach(runner -> scenario.act(runner, "start"));
+        scenario.runTo(start + 55);
+        scenario.act("operator", "take-back-cell " + cell);
+        scenario.runTo(start + 60);
+        scenario.traffic(80_000);
+        scenario.runTo(start + 80);
+        return start + 70;
     }
 
-    private static String spare(Manifest m) {
-        var cells = m.services().values().iterator().next().cells();
+    /** The last cell whose region is not the only home of some tenant. */
+    private static String findSpareCell(Manifest manifest) {
+        var cells = manifest.services().values().iterator().next().cells();
         for (var i = cells.size() - 1; i >= 0; i--) {
-            var region = m.regionOfZone(cells.get(i).zone());
-            if (m.tenants().values().stream().noneMatch(t -> t.homeRegions().equals(List.of(region))))
+            var region = manifest.regionOfZone(cells.get(i).zone());
+            if (manifest.tenants().values().stream()
+                    .noneMatch(tenant -> tenant.homeRegions().equals(List.of(region))))
                 return cells.get(i).name();
         }
-        throw new IllegalArgumentException("no cell can be spared");
+        throw new IllegalArgumentException("every cell is in the only home region of some tenant");
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Disk.java
+++ b/test/sim/src/main/java/craneway/sim/Disk.java
@@ -11,105 +11,125 @@
 import java.util.TreeMap;
 
 /**
- * A simulated disk. In a loss of power each write since its file's sync is kept, lost or torn by itself, and each removed
- * name may come back; some losses of power take all of them.
+ * A simulated disk. On a loss of power each write since the last sync of its file is kept, lost or torn independently
+ * of the others, and each deleted name may reappear; one loss of power in four discards all unsynced writes and
+ * deletions.
  */
 public final class Disk implements Folder {
-    private static final int LOSES_ALL = 4;
+    /** One loss of power in this many discards everything that was not synced. */
+    private static final int TOTAL_LOSS_ONE_IN = 4;
 
-    private static final class Pages {
+    /** One file: its content as the process sees it, and what a loss of power may do to it. */
+    private static final class SimulatedFile {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+
+        /** Start offsets of the appends since the last sync. */
         final List<Integer> writes = new ArrayList<>();
-        int synced;
-        byte[] before;
-        boolean named;
 
-        void set(byte[] all) {
+        /** Number of bytes that the last sync covers. */
+        int syncedLength;
+
+        /** The synced content that an unsynced overwrite replaced, or null. */
+        byte[] previousContent;
+
+        /** Whether the directory entry is synced, so that the file survives a loss of power. */
+        boolean nameSynced;
+
+        void set(byte[] content) {
             bytes.reset();
-            bytes.writeBytes(all);
+            bytes.writeBytes(content);
         }
 
         void sync() {
-            synced = bytes.size();
+            syncedLength = bytes.size();
             writes.clear();
-            named = true;
+            nameSynced = true;
         }
     }
 
-    private final Map<String, Pages> files = new TreeMap<>();
-    private final Map<String, Pages> removed = new TreeMap<>();
+    private final Map<String, SimulatedFile> files = new TreeMap<>();
+    private final Map<String, SimulatedFile> deleted = new TreeMap<>();
     private boolean full;
-    private boolean liesAboutSync;
+    private boolean ignoresSync;
 
-    /** Whether the disk refuses every write. */
-    public void full(boolean is) {
-        full = is;
+    /** Sets whether the disk rejects every write. */
+    public void full(boolean value) {
+        full = value;
     }
 
-    /** Whether a sync does nothing and says that it did. */
-    public void liesAboutSync(boolean lies) {
-        liesAboutSync = lies;
+    /** Sets whether a sync reports success without doing anything. */
+    public void liesAboutSync(boolean value) {
+        ignoresSync = value;
     }
 
-    /** Empties the disk. */
+    /** Discards all files. */
     public void loseAll() {
         files.clear();
-        removed.clear();
+        deleted.clear();
     }
 
-    /** Loses power: what no sync covered is kept, lost or torn, as is drawn. */
-    public void losePower(Random r) {
-        var all = r.nextInt(LOSES_ALL) == 0;
-        removed.forEach((name, p) -> {
-            if (all || r.nextBoolean()) files.putIfAbsent(name, p);
+    /** Simulates a loss of power: each unsynced write is kept, lost or torn, drawn from {@code random}. */
+    public void losePower(Random random) {
+        var losesAll = random.nextInt(TOTAL_LOSS_ONE_IN) == 0;
+        deleted.forEach((name, file) -> {
+            if (losesAll || random.nextBoolean()) files.putIfAbsent(name, file);
         });
-        removed.clear();
-        files.values().removeIf(p -> !p.named && p.before == null && (all || r.nextBoolean()));
-        for (var p : files.values()) {
-            if (p.before != null) loseJot(p, r, all);
-            else loseWrites(p, r, all);
-            p.sync();
+        deleted.clear();
+        files.values()
+                .removeIf(
+                        file -> !file.nameSynced && file.previousContent == null && (losesAll || random.nextBoolean()));
+        for (var file : files.values()) {
+            if (file.previousContent != null) loseOverwrite(file, random, losesAll);
+            else loseAppends(file, random, losesAll);
+            file.sync();
         }
     }
 
-    private static void loseJot(Pages p, Random r, boolean all) {
-        var fate = all ? 0 : r.nextInt(3);
-        if (fate == 0) p.set(p.before);
-        if (fate == 1) p.set(torn(p.bytes.toByteArray(), 0, p.bytes.size(), r));
-        p.before = null;
-    }
-
-    private static void loseWrites(Pages p, Random r, boolean all) {
-        var bytes = p.bytes.toByteArray();
-        var end = p.synced;
-        for (var i = 0; i < p.writes.size() && !all; i++) {
-            var from = p.writes.get(i);
-            var to = i + 1 < p.writes.size() ? p.writes.get(i + 1) : bytes.length;
-            var fate = r.nextInt(3);
-            if (fate == 0) Arrays.fill(bytes, from, to, (byte) 0);
-            else end = to;
-            if (fate == 1) bytes = torn(bytes, from, to, r);
+    /** The previous content returns, the new one is torn, or the new one is kept. */
+    private static void loseOverwrite(SimulatedFile file, Random random, boolean losesAll) {
+        var outcome = losesAll ? 0 : random.nextInt(3);
+        if (outcome == 0) file.set(file.previousContent);
+        if (outcome == 1) file.set(tear(file.bytes.toByteArray(), 0, file.bytes.size(), random));
+        file.previousContent = null;
+    }
+
+    /** Each append since the last sync reads as zeros, is torn or is kept. */
+    private static void loseAppends(SimulatedFile file, Random random, boolean losesAll) {
+        var bytes = file.bytes.toByteArray();
+        var keptLength = file.syncedLength;
+        for (var i = 0; i < file.writes.size() && !losesAll; i++) {
+            var start = file.writes.get(i);
+            var writeEnd = i + 1 < file.writes.size() ? file.writes.get(i + 1) : bytes.length;
+            var outcome = random.nextInt(3);
+            if (outcome == 0) Arrays.fill(bytes, start, writeEnd, (byte) 0);
+            else keptLength = writeEnd;
+            if (outcome == 1) bytes = tear(bytes, start, writeEnd, random);
         }
-        p.set(Arrays.copyOf(bytes, end));
+        file.set(Arrays.copyOf(bytes, keptLength));
     }
 
-    private static byte[] torn(byte[] all, int from, int to, Random r) {
-        if (to == from) return all;
-        var cut = from + r.nextInt(to - from);
-        if (r.nextBoolean()) Arrays.fill(all, cut, to, (byte) 0);
-        else all[cut] ^= 0x55;
-        return all;
+    /** Zeroes the range from a random position on, or flips bits of one byte in it. */
+    private static byte[] tear(byte[] bytes, int from, int to, Random random) {
+        if (to == from) return bytes;
+        var cut = from + random.nextInt(to - from);
+        if (random.nextBoolean()) Arrays.fill(bytes, cut, to, (byte) 0);
+        else bytes[cut] ^= 0x55;
+        return bytes;
     }
 
-    /** Changes one byte of a file. */
-    public void damage(String name, int at) {
-        var p = files.get(name);
-        var all = p.bytes.toByteArray();
-        all[Math.min(at, all.length - 1)] ^= 0x7f;
-        p.set(all);
+    /**
+     * Changes one byte of a file.
+     *
+     * @param offset the position; the last byte is changed if the file is shorter
+     */
+    public void damage(String name, int offset) {
+        var file = files.get(name);
+        var content = file.bytes.toByteArray();
+        content[Math.min(offset, content.length - 1)] ^= 0x7f;
+        file.set(content);
     }
 
-    private void refuseIfFull() {
+    private void rejectIfFull() {
         if (full) throw new DiskException(true, "the disk is full");
     }
 
@@ -120,43 +140,45 @@
 
     @Override
     public byte[] read(String name) {
-        var p = files.get(name);
-        return p == null ? null : p.bytes.toByteArray();
+        var file = files.get(name);
+        return file == null ? null : file.bytes.toByteArray();
     }
 
     @Override
-    public void append(String name, byte[] b, int len) {
-        refuseIfFull();
-        var p = files.computeIfAbsent(name, k -> new Pages());
-        p.writes.add(p.bytes.size());
-        p.bytes.write(b, 0, len);
+    public void append(String name, byte[] bytes, int length) {
+        rejectIfFull();
+        var file = files.computeIfAbsent(name, missing -> new SimulatedFile());
+        file.writes.add(file.bytes.size());
+        file.bytes.write(bytes, 0, length);
     }
 
     @Override
     public void sync(String name) {
-        var p = files.get(name);
-        if (p != null && !liesAboutSync) p.sync();
+        var file = files.get(name);
+        if (file != null && !ignoresSync) file.sync();
     }
 
     @Override
-    public void overwrite(String name, byte[] b) {
-        refuseIfFull();
-        var p = new Pages();
-        var had = files.get(name);
-        if (had != null) p.before = had.before != null ? had.before : had.bytes.toByteArray();
-        p.named = had != null && had.named;
-        p.set(b);
-        p.synced = b.length;
-        files.put(name, p);
+    public void overwrite(String name, byte[] bytes) {
+        rejectIfFull();
+        var file = new SimulatedFile();
+        var existing = files.get(name);
+        if (existing != null)
+            file.previousContent =
+                    existing.previousContent != null ? existing.previousContent : existing.bytes.toByteArray();
+        file.nameSynced = existing != null && existing.nameSynced;
+        file.set(bytes);
+        file.syncedLength = bytes.length;
+        files.put(name, file);
     }
 
     @Override
-    public void replace(String name, byte[] b) {
-        refuseIfFull();
-        var p = new Pages();
-        p.set(b);
-        p.sync();
-        files.put(name, p);
+    public void replace(String name, byte[] bytes) {
+        rejectIfFull();
+        var file = new SimulatedFile();
+        file.set(bytes);
+        file.sync();
+        files.put(name, file);
         syncNames();
     }
 
@@ -166,14 +188,15 @@
         syncNames();
     }
 
+    /** Makes all directory entries durable, including deletions. */
     private void syncNames() {
-        removed.clear();
-        files.values().forEach(p -> p.named = true);
+        deleted.clear();
+        files.values().forEach(file -> file.nameSynced = true);
     }
 
     @Override
     public void delete(String name) {
-        var p = files.remove(name);
-        if (p != null) removed.put(name, p);
+        var file = files.remove(name);
+        if (file != null) deleted.put(name, file);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Journal.java
+++ b/test/sim/src/main/java/craneway/sim/Journal.java
@@ -6,7 +6,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
+/**
+ * Records what happened in a simulated run as an outside observer sees it, for {@link Checks}. All times are
+ * microseconds of simulated time; {@link Long#MAX_VALUE} stands for "not yet".
+ */
 public final class Journal {
+    /**
+     * One execution of a submission on a runner. {@code manifest} and {@code table} are the versions by which a router
+     * chose the runner; {@code running} counts the runner's concurrent runs including this one.
+     */
     public static final class Run {
         public long at;
         public String runner;
@@ -29,6 +37,10 @@
         public int slots;
     }
 
+    /**
+     * What a client got for one submission. {@code asked} is the key of the work, which is the same for all submissions
+     * of it; {@code verdict} says how the submission ended.
+     */
     public static final class Reply {
         public long at;
         public long askedAt;
@@ -46,29 +58,42 @@
         public String router = "";
     }
 
+    /** A runner's announcement that it leaves, with the time when a router acknowledged it. */
     public record Leave(String runner, long incarnation, long acknowledged) {}
 
+    /**
+     * A zone or cell that an operator emptied, from the confirmation until it is taken back. One of the two names is
+     * empty.
+     */
     public record Emptied(String zone, String cell, long confirmed, long[] takenBack) {
-        boolean covers(Run r) {
-            return zone.isEmpty() ? r.cell.equals(cell) : r.zone.equals(zone);
+        /** Whether the run was on a runner of this zone or cell. */
+        boolean covers(Run run) {
+            return zone.isEmpty() ? run.cell.equals(cell) : run.zone.equals(zone);
         }
 
+        /** The key of the mark that the core stores for it. */
         String mark(String service) {
             return zone.isEmpty() ? "cell:" + service + "/" + cell : "zone:" + zone;
         }
     }
 
+    /** A manifest that an operator sent, the answer, and when it was in force on every router. */
     public record Sent(
             String text, long base, long at, long verdictAt, boolean taken, long version, long[] everywhereAt) {}
 
+    /** A confirmed order that keeps a tenant's work in the given regions. */
     public record Kept(String tenant, List<String> regions, long confirmed) {}
 
+    /** A submission that one router forwarded to another. */
     public record Forward(long at, String sub) {}
 
+    /** What a node holds at the end of a run. */
     public record End(String node, long version, String text, Map<String, String> marks, Map<String, Long> tables) {}
 
+    /** The first time that a process of a node had a manifest version in force. */
     public record Seen(long at, String node, int life, long version, String text) {}
 
+    /** A period in which a node was frozen or in trouble; the end is filled in later. */
     public record Down(String node, long from, long[] until) {}
 
     public final List<Run> runs = new ArrayList<>();
@@ -79,24 +104,40 @@
     public final List<Seen> seen = new ArrayList<>();
     public final List<Kept> kept = new ArrayList<>();
     public final List<Forward> forwards = new ArrayList<>();
+
+    /** Texts of manifests without a definite answer: they may or may not take effect. */
     public final List<String> unsure = new ArrayList<>();
+
+    /** By submission: the time in microseconds that its connections were held up by cut links. */
     public final Map<String, Long> blocked = new TreeMap<>();
+
+    /** By submission: when the router sent its verdict. */
     public final Map<String, Long> saidAt = new TreeMap<>();
+
     public final List<Down> frozen = new ArrayList<>();
+
+    /** Periods in which a node was down, cut off or otherwise hindered, so that time limits do not apply to it. */
     public final List<Down> troubles = new ArrayList<>();
+
+    /** By zone or cell: until when it may have been emptied, counting commands without a definite answer. */
     public final Map<String, Long> maybeEmptied = new TreeMap<>();
+
+    /** By service and unit: how often its home changed. */
     public final Map<String, Integer> moves = new TreeMap<>();
+
     public final List<End> ends = new ArrayList<>();
     public final List<Long> submittedAt = new ArrayList<>();
     public boolean claimsAccepted;
     public String service = "";
     public int submissions;
 
+    /** Counts the replies to submissions sent at or after the given time by verdict and problem. */
     public Map<String, Integer> summary(long from) {
-        var m = new TreeMap<String, Integer>();
-        for (var t : replies)
-            if (t.askedAt >= from)
-                m.merge(t.verdict + (t.code == 0 ? "" : " " + ProblemKind.of(t.code)), 1, Integer::sum);
-        return m;
+        var countByVerdict = new TreeMap<String, Integer>();
+        for (var reply : replies)
+            if (reply.askedAt >= from)
+                countByVerdict.merge(
+                        reply.verdict + (reply.code == 0 ? "" : " " + ProblemKind.of(reply.code)), 1, Integer::sum);
+        return countByVerdict;
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Limit.java
+++ b/test/sim/src/main/java/craneway/sim/Limit.java
@@ -1,5 +1,6 @@
 package craneway.sim;
 
+/** The limits that the documentation states, against which {@link Checks} compares what it measures. */
 public enum Limit {
     LEAVE("s, new work to a leaving runner after its leave was acknowledged", 3.3),
     EMPTY("s, new work in an emptied zone or cell after the confirm", 5.2),
@@ -11,7 +12,10 @@
     WAIT("share of the deadline before a decline", 0.5),
     RETURN("s, service after a region comes back", 12);
 
+    /** What the value measures, with its unit. */
     public final String words;
+
+    /** The limit in the unit that the description names. */
     public final double value;
 
     Limit(String words, double value) {
@@ -19,6 +23,7 @@
         this.value = value;
     }
 
+    /** A limit in seconds as microseconds. */
     public long micros() {
         return (long) (value * 1_000_000);
     }
--- a/test/sim/src/main/java/craneway/sim/Machine.java
+++ b/test/sim/src/main/java/craneway/sim/Machine.java
@@ -4,19 +4,22 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
+/** A simulated machine that runs one process at a time, which can be started, killed and frozen. */
 public abstract class Machine {
-    private static final long RESTART_PAUSE = 500_000;
+    /** How long the platform waits before it restarts a process that failed at its start. */
+    private static final long RESTART_DELAY_MICROS = 500_000;
 
     public final String name;
     public final String zone;
     public String address;
     protected final World world;
-    private final Deque<Runnable> held = new ArrayDeque<>();
-    private boolean up;
-    private boolean frozen;
-    private int life;
-    /** Rises with each start and each stop, so that a pending restart knows that it was overtaken. */
-    private int starts;
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
+    private boolean running;
+    private boolean suspended;
+    private int processNumber;
+
+    /** Incremented on each start and each stop, so that a pending restart can tell that it is obsolete. */
+    private int lifecycleChanges;
 
     protected Machine(World world, String name, String zone, String address) {
         this.world = world;
@@ -25,100 +28,115 @@
         this.address = address;
     }
 
+    /** Whether the process runs, possibly frozen. */
     public boolean up() {
-        return up;
+        return running;
     }
 
+    /** Whether the process is suspended: events are held until {@link #wake}. */
     public boolean frozen() {
-        return frozen;
+        return suspended;
     }
 
+    /** A number that changes with every start and every end of the process. */
     public int life() {
-        return life;
+        return processNumber;
     }
 
+    /** The simulated time in microseconds. */
     public long now() {
         return world.sim.now();
     }
 
-    /** Starts the process; one that ends at its start, since it cannot write to its disk, is started again by the platform. */
+    /** Starts the process. If it fails at its start because it cannot write to its disk, the platform restarts it. */
     public void start() {
-        if (up) return;
-        var mine = ++starts;
-        up = true;
-        frozen = false;
-        life++;
+        if (running) return;
+        var lifecycleChange = ++lifecycleChanges;
+        running = true;
+        suspended = false;
+        processNumber++;
         try {
             boot();
         } catch (DiskException e) {
-            up = false;
-            world.sim.after(RESTART_PAUSE, () -> startAgain(mine));
+            running = false;
+            world.sim.after(RESTART_DELAY_MICROS, () -> restart(lifecycleChange));
             return;
         }
-        beat(life);
+        scheduleTicks(processNumber);
     }
 
-    private void startAgain(int of) {
-        if (starts == of) start();
+    private void restart(int lifecycleChange) {
+        if (lifecycleChanges == lifecycleChange) start();
     }
 
-    private void beat(int of) {
-        if (!up || life != of) return;
+    private void scheduleTicks(int number) {
+        if (!running || processNumber != number) return;
         run(this::tick);
-        world.sim.after(World.TICK, () -> beat(of));
+        world.sim.after(World.TICK_INTERVAL_MICROS, () -> scheduleTicks(number));
     }
 
+    /** Ends the process at once; its held events are lost and its connections break. */
     public void crash() {
-        starts++;
-        if (!up) return;
-        up = false;
-        frozen = false;
-        thaw();
-        held.clear();
-        life++;
+        lifecycleChanges++;
+        if (!running) return;
+        running = false;
+        suspended = false;
+        recordFreezeEnd();
+        deferred.clear();
+        processNumber++;
         died();
     }
 
+    /** Suspends the process. */
     public void freeze() {
-        if (!up || frozen) return;
-        frozen = true;
+        if (!running || suspended) return;
+        suspended = true;
         world.journal.frozen.add(new Journal.Down(name, now(), new long[] {Long.MAX_VALUE}));
     }
 
-    private void thaw() {
-        for (var d : world.journal.frozen) if (d.node().equals(name)) d.until()[0] = Math.min(d.until()[0], now());
+    /** Records the end of the freeze in the journal. */
+    private void recordFreezeEnd() {
+        for (var freeze : world.journal.frozen)
+            if (freeze.node().equals(name)) freeze.until()[0] = Math.min(freeze.until()[0], now());
     }
 
+    /** Resumes a suspended process and runs the events that were held. */
     public void wake() {
-        if (!frozen) return;
-        frozen = false;
-        thaw();
-        while (!frozen && !held.isEmpty()) held.poll().run();
+        if (!suspended) return;
+        suspended = false;
+        recordFreezeEnd();
+        while (!suspended && !deferred.isEmpty()) deferred.poll().run();
     }
 
-    public void run(Runnable what) {
-        if (frozen) held.add(what);
-        else what.run();
+    /** Runs an event now, or after the process resumes. */
+    public void run(Runnable event) {
+        if (suspended) deferred.add(event);
+        else event.run();
     }
 
-    public void mine(Runnable what) {
-        var of = life;
+    /** Schedules an event of this process; it is dropped if the process ends before. */
+    public void mine(Runnable event) {
+        var number = processNumber;
         world.sim.after(0, () -> {
-            if (up && life == of) run(what);
+            if (running && processNumber == number) run(event);
         });
     }
 
-    public void mineAfter(long micros, Runnable what) {
-        var of = life;
+    /** Schedules an event of this process after the given delay; it is dropped if the process ends before. */
+    public void mineAfter(long micros, Runnable event) {
+        var number = processNumber;
         world.sim.after(micros, () -> {
-            if (up && life == of) run(what);
+            if (running && processNumber == number) run(event);
         });
     }
 
+    /** Initializes the process; called at each start. */
     protected abstract void boot();
 
+    /** The periodic work of the process. */
     protected abstract void tick();
 
+    /** Called when the process has ended. */
     protected void died() {
         world.broke(this);
     }
--- a/test/sim/src/main/java/craneway/sim/Manifests.java
+++ b/test/sim/src/main/java/craneway/sim/Manifests.java
@@ -4,132 +4,157 @@
 import java.util.HashSet;
 import java.util.Map;
 
+/**
+ * Checks the promises on manifests, marks and assignment tables: versions never go back, accepted ones reach every node
+ * in time, rejected ones never take effect, and confirmed state is kept.
+ */
 final class Manifests {
-    private final Journal j;
-    private final Checks out;
+    private final Journal journal;
+    private final Checks checks;
 
-    Manifests(Journal j, Checks out) {
-        this.j = j;
-        this.out = out;
+    Manifests(Journal journal, Checks checks) {
+        this.journal = journal;
+        this.checks = checks;
     }
 
     void check() {
-        noSlip();
-        for (var m : j.sent) {
-            if (m.taken()) spread(m);
-            else neverSeen(m);
+        checkVersionsNeverGoBack();
+        for (var manifest : journal.sent) {
+            if (manifest.taken()) checkRollout(manifest);
+            else checkNeverInForce(manifest);
         }
-        onlyTaken();
-        tables();
-        kept();
+        checkOnlyAcceptedInForce();
+        checkTables();
+        checkFinalStates();
     }
 
-    private void noSlip() {
-        var ever = new HashMap<String, Long>();
-        for (var s : j.seen) {
-            if (ever.getOrDefault(s.node(), 0L) > s.version())
-                out.wrong("promise 6: " + s.node() + " slipped from " + ever.get(s.node()) + " to " + s.version());
-            ever.merge(s.node(), s.version(), Math::max);
+    /** Promise 6: the manifest version in force on a node never decreases. */
+    private void checkVersionsNeverGoBack() {
+        var highestVersion = new HashMap<String, Long>();
+        for (var seen : journal.seen) {
+            if (highestVersion.getOrDefault(seen.node(), 0L) > seen.version())
+                checks.addViolation("promise 6: " + seen.node() + " went back from version "
+                        + highestVersion.get(seen.node()) + " to " + seen.version());
+            highestVersion.merge(seen.node(), seen.version(), Math::max);
         }
     }
 
-    private void spread(Journal.Sent m) {
-        var everywhere = m.everywhereAt()[0];
-        for (var r : j.runs) {
-            if (r.manifest >= m.version() || everywhere == Long.MAX_VALUE || r.at <= everywhere) continue;
-            out.worst(Limit.SPREAD, (r.at - everywhere) / 1e6);
-            if (r.at > everywhere + Limit.SPREAD.micros())
-                out.wrong("promise 6: " + r.sub + " ran on " + r.runner + " by manifest " + r.manifest + " "
-                        + (r.at - everywhere) / 1000 + " ms after manifest " + m.version()
-                        + " was in force everywhere");
+    /**
+     * Promise 6: an accepted manifest reaches every healthy node in time, and after it is in force everywhere no older
+     * one decides.
+     */
+    private void checkRollout(Journal.Sent manifest) {
+        var inForceEverywhereAt = manifest.everywhereAt()[0];
+        for (var run : journal.runs) {
+            if (run.manifest >= manifest.version()
+                    || inForceEverywhereAt == Long.MAX_VALUE
+                    || run.at <= inForceEverywhereAt) continue;
+            checks.recordWorst(Limit.SPREAD, (run.at - inForceEverywhereAt) / 1e6);
+            if (run.at > inForceEverywhereAt + Limit.SPREAD.micros())
+                checks.addViolation(
+                        "promise 6: " + run.sub + " ran on " + run.runner + " by manifest " + run.manifest + " "
+                                + (run.at - inForceEverywhereAt) / 1000 + " ms after manifest " + manifest.version()
+                                + " was in force everywhere");
         }
-        var has = new HashMap<String, Long>();
-        for (var s : j.seen) if (s.version() >= m.version()) has.merge(s.node(), s.at(), Math::min);
+        var firstSeenAt = new HashMap<String, Long>();
+        for (var seen : journal.seen)
+            if (seen.version() >= manifest.version()) firstSeenAt.merge(seen.node(), seen.at(), Math::min);
         var nodes = new HashSet<String>();
-        for (var s : j.seen) nodes.add(s.node());
-        for (var n : nodes) reached(m, n, has.getOrDefault(n, Long.MAX_VALUE));
+        for (var seen : journal.seen) nodes.add(seen.node());
+        for (var node : nodes) checkReached(manifest, node, firstSeenAt.getOrDefault(node, Long.MAX_VALUE));
     }
 
-    private void reached(Journal.Sent m, String node, long at) {
-        var by = m.verdictAt() + Limit.REACH.micros();
-        if (troubled(node, m.verdictAt(), by)) return;
-        if (at != Long.MAX_VALUE) out.worst(Limit.REACH, (at - m.verdictAt()) / 1e6);
-        if (at > by)
-            out.wrong("promise 6: manifest " + m.version() + " was not in force on " + node + " after "
+    private void checkReached(Journal.Sent manifest, String node, long reachedAt) {
+        var latest = manifest.verdictAt() + Limit.REACH.micros();
+        if (wasInTrouble(node, manifest.verdictAt(), latest)) return;
+        if (reachedAt != Long.MAX_VALUE) checks.recordWorst(Limit.REACH, (reachedAt - manifest.verdictAt()) / 1e6);
+        if (reachedAt > latest)
+            checks.addViolation("promise 6: manifest " + manifest.version() + " was not in force on " + node + " after "
                     + Limit.REACH.value + " s");
     }
 
-    private boolean troubled(String node, long from, long until) {
-        for (var t : j.troubles)
-            if (t.node().equals(node) && t.from() <= until && t.until()[0] >= from - Limit.REACH.micros()) return true;
+    private boolean wasInTrouble(String node, long from, long until) {
+        for (var outage : journal.troubles)
+            if (outage.node().equals(node)
+                    && outage.from() <= until
+                    && outage.until()[0] >= from - Limit.REACH.micros()) return true;
         return false;
     }
 
-    private void neverSeen(Journal.Sent m) {
-        for (var o : j.sent) if (o.taken() && o.text().equals(m.text())) return;
-        if (j.unsure.contains(m.text())) return;
-        for (var s : j.seen)
-            if (s.text().equals(m.text())) {
-                out.wrong("promise 7: a declined manifest is in force on " + s.node());
+    /** Promise 7: a declined manifest never takes effect, unless the same text was accepted or is undecided. */
+    private void checkNeverInForce(Journal.Sent declined) {
+        for (var other : journal.sent) if (other.taken() && other.text().equals(declined.text())) return;
+        if (journal.unsure.contains(declined.text())) return;
+        for (var seen : journal.seen)
+            if (seen.text().equals(declined.text())) {
+                checks.addViolation("promise 7: a declined manifest is in force on " + seen.node());
                 return;
             }
     }
 
-    private void onlyTaken() {
-        var known = new HashMap<Long, String>();
-        for (var m : j.sent) {
-            if (!m.taken()) continue;
-            var had = known.put(m.version(), m.text());
-            if (had != null && !had.equals(m.text()))
-                out.wrong("promise 8: two manifests were taken as version " + m.version());
+    /** Promises 7 and 8: each version stands for one accepted text, and nodes and runs use no other. */
+    private void checkOnlyAcceptedInForce() {
+        var textByVersion = new HashMap<Long, String>();
+        for (var manifest : journal.sent) {
+            if (!manifest.taken()) continue;
+            var previous = textByVersion.put(manifest.version(), manifest.text());
+            if (previous != null && !previous.equals(manifest.text()))
+                checks.addViolation("promise 8: two manifests were accepted as version " + manifest.version());
         }
-        for (var s : j.seen) {
-            var text = known.get(s.version());
-            if (text == null ? !j.unsure.contains(s.text()) : !text.equals(s.text()))
-                out.wrong("promise 7: " + s.node() + " holds as version " + s.version()
-                        + " a manifest that was never taken as that");
+        for (var seen : journal.seen) {
+            var text = textByVersion.get(seen.version());
+            if (text == null ? !journal.unsure.contains(seen.text()) : !text.equals(seen.text()))
+                checks.addViolation("promise 7: " + seen.node() + " holds as version " + seen.version()
+                        + " a manifest that was never accepted under that version");
         }
-        if (j.unsure.isEmpty())
-            for (var r : j.runs)
-                if (!known.containsKey(r.manifest))
-                    out.wrong("promise 7: " + r.sub + " was decided on manifest " + r.manifest
-                            + ", which nobody was told is taken");
+        if (journal.unsure.isEmpty())
+            for (var run : journal.runs)
+                if (!textByVersion.containsKey(run.manifest))
+                    checks.addViolation("promise 7: " + run.sub + " was decided on manifest " + run.manifest
+                            + ", which no operator was told is accepted");
     }
 
-    private void tables() {
-        var most = new HashMap<String, Long>();
-        for (var r : j.runs) most.merge(r.service, r.table, Math::max);
-        for (var e : j.ends)
-            most.forEach((s, v) -> {
-                if (!lately(e.node()) && e.tables().getOrDefault(s, 0L) < v)
-                    out.wrong("promise 8: " + e.node() + " ends with table version "
-                            + e.tables().get(s) + " of " + s + "; work was decided on " + v);
+    /** Promise 8: a healthy node does not end with an older assignment table than one by which work was placed. */
+    private void checkTables() {
+        var newestVersion = new HashMap<String, Long>();
+        for (var run : journal.runs) newestVersion.merge(run.service, run.table, Math::max);
+        for (var end : journal.ends)
+            newestVersion.forEach((service, version) -> {
+                if (!isStillInTrouble(end.node()) && end.tables().getOrDefault(service, 0L) < version)
+                    checks.addViolation("promise 8: " + end.node() + " ends with table version "
+                            + end.tables().get(service) + " of " + service + "; work was decided on " + version);
             });
     }
 
-    private boolean lately(String node) {
-        for (var t : j.troubles) if (t.node().equals(node) && t.until()[0] == Long.MAX_VALUE) return true;
+    private boolean isStillInTrouble(String node) {
+        for (var outage : journal.troubles)
+            if (outage.node().equals(node) && outage.until()[0] == Long.MAX_VALUE) return true;
         return false;
     }
 
-    private void kept() {
+    /** Promise 8: healthy nodes end with the newest accepted manifest and all confirmed marks. */
+    private void checkFinalStates() {
         Journal.Sent newest = null;
-        for (var m : j.sent) if (m.taken() && (newest == null || m.version() > newest.version())) newest = m;
+        for (var manifest : journal.sent)
+            if (manifest.taken() && (newest == null || manifest.version() > newest.version())) newest = manifest;
         var marks = new HashMap<String, String>();
-        for (var e : j.emptied) if (e.takenBack()[0] == Long.MAX_VALUE) marks.put(e.mark(j.service), "emptied");
-        for (var k : j.kept) marks.put("tenant:" + k.tenant(), String.join(",", k.regions()));
-        for (var e : j.ends) if (!lately(e.node())) keeps(e, newest, marks);
+        for (var area : journal.emptied)
+            if (area.takenBack()[0] == Long.MAX_VALUE) marks.put(area.mark(journal.service), "emptied");
+        for (var kept : journal.kept) marks.put("tenant:" + kept.tenant(), String.join(",", kept.regions()));
+        for (var end : journal.ends) if (!isStillInTrouble(end.node())) checkFinalState(end, newest, marks);
     }
 
-    private void keeps(Journal.End e, Journal.Sent newest, Map<String, String> marks) {
-        if (newest != null && e.version() < newest.version())
-            out.wrong("promise 8: " + e.node() + " ends with manifest " + e.version() + "; " + newest.version()
-                    + " was taken");
-        if (newest != null && e.version() == newest.version() && !e.text().equals(newest.text()))
-            out.wrong("promise 8: " + e.node() + " ends with another manifest " + newest.version());
-        marks.forEach((k, v) -> {
-            if (!v.equals(e.marks().get(k)))
-                out.wrong("promise 8: " + e.node() + " ends without the confirmed mark " + k + " = " + v);
+    private void checkFinalState(Journal.End end, Journal.Sent newest, Map<String, String> marks) {
+        if (newest != null && end.version() < newest.version())
+            checks.addViolation("promise 8: " + end.node() + " ends with manifest " + end.version() + "; "
+                    + newest.version() + " was accepted");
+        if (newest != null && end.version() == newest.version() && !end.text().equals(newest.text()))
+            checks.addViolation(
+                    "promise 8: " + end.node() + " ends with a different text of manifest " + newest.version());
+        marks.forEach((mark, value) -> {
+            if (!value.equals(end.marks().get(mark)))
+                checks.addViolation(
+                        "promise 8: " + end.node() + " ends without the confirmed mark " + mark + " = " + value);
         });
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Measures.java
+++ b/test/sim/src/main/java/craneway/sim/Measures.java
@@ -2,74 +2,84 @@
 
 import craneway.model.unit.Parts;
 
+/** Measurements for the documentation, each on the small fleet with one kind of fault. */
 public final class Measures {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private Measures() {}
 
+    /**
+     * What the loss of a part's owner caused: how many declines, and the time of the last one in seconds after the
+     * loss.
+     */
     public record Owner(int declined, double lastDecline) {}
 
+    /** Kills the store that leads the part of the first service and counts the declines after it. */
     public static Owner ownerKilled(long seed) {
-        var s = Shape.SMALL.scenario(seed);
-        s.traffic(40_000);
-        s.runTo(5);
-        s.act(owner(s), "kill");
-        s.runTo(15);
-        finish(s);
-        var from = s.start + 5 * SECOND;
-        var declines = s.world.journal.replies.stream()
-                .filter(t -> t.askedAt >= from && t.verdict.equals("declined"))
+        var scenario = Shape.SMALL.scenario(seed);
+        scenario.traffic(40_000);
+        scenario.runTo(5);
+        scenario.act(ownerOf(scenario), "kill");
+        scenario.runTo(15);
+        finish(scenario);
+        var killedAt = scenario.start + 5 * SECOND_MICROS;
+        var declines = scenario.world.journal.replies.stream()
+                .filter(reply -> reply.askedAt >= killedAt && reply.verdict.equals("declined"))
                 .toList();
         return new Owner(
                 declines.size(),
-                declines.stream().mapToLong(t -> t.at - from).max().orElse(0) / 1e6);
+                declines.stream().mapToLong(reply -> reply.at - killedAt).max().orElse(0) / 1e6);
     }
 
-    private static String owner(Scenario s) {
-        var part = Parts.partOf(s.world.service);
-        return s.world.all(StoreMachine.class).stream()
-                .filter(m -> m.store.replicas()[part].isLeader())
-                .map(m -> m.name)
+    /** The name of the store that leads the part which holds the service. */
+    private static String ownerOf(Scenario scenario) {
+        var part = Parts.partOf(scenario.world.service);
+        return scenario.world.all(StoreMachine.class).stream()
+                .filter(store -> store.store.replicas()[part].isLeader())
+                .map(store -> store.name)
                 .findFirst()
                 .orElseThrow();
     }
 
+    /** Seconds from the return of a zone after a loss of power until the first completed run in it. */
     public static double regionReturned(long seed) {
-        var s = Shape.SMALL.scenario(seed);
-        s.traffic(30_000);
-        s.runTo(2);
-        s.act("osijek-1", "power-loss");
-        s.runTo(12);
-        s.act("osijek-1", "start");
-        s.runTo(30);
-        finish(s);
-        var from = s.start + 12 * SECOND;
-        return s.world.journal.runs.stream()
-                        .filter(r -> r.zone.equals("osijek-1") && r.at >= from && r.whole)
-                        .mapToLong(r -> r.at - from)
+        var scenario = Shape.SMALL.scenario(seed);
+        scenario.traffic(30_000);
+        scenario.runTo(2);
+        scenario.act("osijek-1", "power-loss");
+        scenario.runTo(12);
+        scenario.act("osijek-1", "start");
+        scenario.runTo(30);
+        finish(scenario);
+        var returnedAt = scenario.start + 12 * SECOND_MICROS;
+        return scenario.world.journal.runs.stream()
+                        .filter(run -> run.zone.equals("osijek-1") && run.at >= returnedAt && run.whole)
+                        .mapToLong(run -> run.at - returnedAt)
                         .min()
                         .orElse(Long.MAX_VALUE)
                 / 1e6;
     }
 
+    /** By how many runs a cold runner exceeded its warm-up ramp at worst. */
     public static double coldShare(long seed) {
-        var s = Shape.SMALL.scenario(seed);
-        s.world.warmStart = false;
-        s.traffic(15_000);
-        s.runTo(2);
-        s.act("runner-zagreb-a-1", "kill");
-        s.runTo(8);
-        s.act("runner-zagreb-a-1", "start");
-        s.runTo(14);
-        return finish(s).worst.getOrDefault(Limit.COLD, 0.0);
+        var scenario = Shape.SMALL.scenario(seed);
+        scenario.world.warmStart = false;
+        scenario.traffic(15_000);
+        scenario.runTo(2);
+        scenario.act("runner-zagreb-a-1", "kill");
+        scenario.runTo(8);
+        scenario.act("runner-zagreb-a-1", "start");
+        scenario.runTo(14);
+        return finish(scenario).worst.getOrDefault(Limit.COLD, 0.0);
     }
 
-    private static Checks finish(Scenario s) {
-        s.quiet();
-        s.runOn(30);
-        var c = s.checks();
-        var wrong = c.all();
-        if (!wrong.isEmpty()) throw new IllegalStateException(wrong.toString());
-        return c;
+    /** Ends the traffic and checks all promises; throws if one is broken. */
+    private static Checks finish(Scenario scenario) {
+        scenario.quiet();
+        scenario.runOn(30);
+        var checks = scenario.checks();
+        var violations = checks.all();
+        if (!violations.isEmpty()) throw new IllegalStateException(violations.toString());
+        return checks;
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Net.java
+++ b/test/sim/src/main/java/craneway/sim/Net.java
@@ -5,79 +5,103 @@
 import java.util.Map;
 import java.util.Set;
 
+/**
+ * The simulated network: latencies, lost, duplicated and delayed messages, and cut links. A link is cut for one
+ * direction.
+ */
 public final class Net {
-    private static final long NEAR = 300, FAR = 4_000, LATE = 400_000;
+    /** Least one-way latency within a zone. */
+    private static final long SAME_ZONE_LATENCY_MICROS = 300;
+
+    /** Least one-way latency between zones. */
+    private static final long CROSS_ZONE_LATENCY_MICROS = 4_000;
+
+    private static final long MAX_EXTRA_DELAY_MICROS = 400_000;
 
     private final Sim sim;
     private final Map<String, Machine> byAddress = new HashMap<>();
-    private final Set<String> cuts = new HashSet<>();
-    private double dropped;
-    private double doubled;
-    private double delayed;
+    private final Set<String> cutLinks = new HashSet<>();
+    private double dropShare;
+    private double duplicateShare;
+    private double delayShare;
 
     public Net(Sim sim) {
         this.sim = sim;
     }
 
+    /** Sets the share of messages that are lost. */
     public void dropped(double share) {
-        dropped = share;
+        dropShare = share;
     }
 
+    /** Sets the share of messages that are delivered twice. */
     public void doubled(double share) {
-        doubled = share;
+        duplicateShare = share;
     }
 
+    /** Sets the share of messages that are delayed by up to {@link #MAX_EXTRA_DELAY_MICROS}. */
     public void delayed(double share) {
-        delayed = share;
+        delayShare = share;
     }
 
-    public void join(Machine m) {
-        byAddress.put(m.address, m);
+    /** Makes a machine reachable at its current address. */
+    public void join(Machine machine) {
+        byAddress.put(machine.address, machine);
     }
 
+    /** The machine at an address, or null. */
     public Machine at(String address) {
         return byAddress.get(address);
     }
 
+    /** Cuts the direction from one machine to the other. */
     public void cut(Machine from, Machine to) {
-        cuts.add(from.name + ">" + to.name);
+        cutLinks.add(from.name + ">" + to.name);
     }
 
+    /** Restores all links and ends all random message faults. */
     public void heal() {
-        cuts.clear();
-        dropped = 0;
-        doubled = 0;
-        delayed = 0;
+        cutLinks.clear();
+        dropShare = 0;
+        duplicateShare = 0;
+        delayShare = 0;
     }
 
+    /** Restores both directions between two machines. */
     public void heal(Machine a, Machine b) {
-        cuts.remove(a.name + ">" + b.name);
-        cuts.remove(b.name + ">" + a.name);
+        cutLinks.remove(a.name + ">" + b.name);
+        cutLinks.remove(b.name + ">" + a.name);
     }
 
+    /** Whether messages pass from one machine to the other. */
     public boolean open(Machine from, Machine to) {
-        return !cuts.contains(from.name + ">" + to.name);
+        return !cutLinks.contains(from.name + ">" + to.name);
     }
 
+    /** Draws whether a message is lost; draws nothing while no loss is set. */
     public boolean drops() {
-        return dropped > 0 && sim.random.nextDouble() < dropped;
+        return dropShare > 0 && sim.random.nextDouble() < dropShare;
     }
 
-    public long latency(Machine a, Machine b) {
-        var base = a.zone.equals(b.zone) ? NEAR : FAR;
-        return base + (long) (sim.random.nextDouble() * base);
+    /** Draws a one-way latency in microseconds. */
+    public long latency(Machine from, Machine to) {
+        var minLatency = from.zone.equals(to.zone) ? SAME_ZONE_LATENCY_MICROS : CROSS_ZONE_LATENCY_MICROS;
+        return minLatency + (long) (sim.random.nextDouble() * minLatency);
     }
 
+    /** Sends a message; {@code receive} runs on the receiving machine, possibly twice or never. */
     public void send(Machine from, String address, Runnable receive) {
         var to = byAddress.get(address);
         if (to == null || !open(from, to) || drops()) return;
         deliver(from, to, receive);
-        if (doubled > 0 && sim.random.nextDouble() < doubled) deliver(from, to, receive);
+        if (duplicateShare > 0 && sim.random.nextDouble() < duplicateShare) deliver(from, to, receive);
     }
 
     private void deliver(Machine from, Machine to, Runnable receive) {
-        var late = delayed > 0 && sim.random.nextDouble() < delayed ? (long) (sim.random.nextDouble() * LATE) : 0;
-        sim.after(latency(from, to) + late, () -> {
+        var extraDelay = delayShare > 0 && sim.random.nextDouble() < delayShare
+                ? (long) (sim.random.nextDouble() * MAX_EXTRA_DELAY_MICROS)
+                : 0;
+        sim.after(latency(from, to) + extraDelay, () -> {
             if (to.up()) to.run(receive);
         });
     }
--- a/test/sim/src/main/java/craneway/sim/NodePort.java
+++ b/test/sim/src/main/java/craneway/sim/NodePort.java
@@ -5,39 +5,48 @@
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.Hello;
 
+/**
+ * The port of one process of a simulated machine: clock, messages and log. Messages of a process that has ended are
+ * dropped.
+ */
 final class NodePort implements Port {
+    /** A machine that takes messages from other nodes. */
     interface Receiver {
+        /** Handles an encoded message. */
         void receive(byte[] message);
 
+        /** The id of the core that the node belongs to, or 0 if it does not know one yet. */
         long core();
     }
 
-    private final Machine of;
-    private final int life;
+    private final Machine machine;
+    private final int processNumber;
 
-    NodePort(Machine of) {
-        this.of = of;
-        this.life = of.life();
+    NodePort(Machine machine) {
+        this.machine = machine;
+        this.processNumber = machine.life();
     }
 
     @Override
     public long now() {
-        return of.now();
+        return machine.now();
     }
 
     @Override
     public void send(String address, Object message) {
-        if (of.life() != life) return;
-        var b = Codec.writeTagged(message);
-        var core = ((Receiver) of).core();
-        of.world.net.send(of, address, () -> {
-            if (of.world.net.at(address) instanceof Receiver r
-                    && (message instanceof Hello || core == 0 || r.core() == 0 || r.core() == core)) r.receive(b);
+        if (machine.life() != processNumber) return;
+        var encoded = Codec.writeTagged(message);
+        var coreId = ((Receiver) machine).core();
+        // As on real connections, only a greeting passes between nodes of different cores.
+        machine.world.net.send(machine, address, () -> {
+            if (machine.world.net.at(address) instanceof Receiver receiver
+                    && (message instanceof Hello || coreId == 0 || receiver.core() == 0 || receiver.core() == coreId))
+                receiver.receive(encoded);
         });
     }
 
     @Override
     public void logEvent(Event e, String detail) {
-        of.world.timeline.note(of.now(), of.name, "CW" + e.code() + " " + detail);
+        machine.world.timeline.note(machine.now(), machine.name, "CW" + e.code() + " " + detail);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Rights.java
+++ b/test/sim/src/main/java/craneway/sim/Rights.java
@@ -10,116 +10,144 @@
 import java.util.Map;
 import java.util.Set;
 
+/**
+ * Checks where work ran: not on leaving runners, not in emptied zones or cells, only in the tenant's regions, and
+ * within quotas.
+ */
 final class Rights {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long MINUTE = 60_000_000;
+    private static final long MINUTE_MICROS = 60_000_000;
 
-    private final Journal j;
+    private final Journal journal;
     private final Map<String, String> zoneRegion;
-    private final Checks out;
+    private final Checks checks;
 
-    Rights(Journal j, Map<String, String> zoneRegion, Checks out) {
-        this.j = j;
+    Rights(Journal journal, Map<String, String> zoneRegion, Checks checks) {
+        this.journal = journal;
         this.zoneRegion = zoneRegion;
-        this.out = out;
+        this.checks = checks;
     }
 
     void check() {
-        for (var l : j.leaves)
-            for (var r : j.runs) if (r.runner.equals(l.runner()) && r.incarnation == l.incarnation()) left(l, r);
-        for (var e : j.emptied) for (var r : j.runs) if (e.covers(r)) emptied(e, r);
-        homes();
-        quotas();
+        for (var leave : journal.leaves)
+            for (var run : journal.runs)
+                if (run.runner.equals(leave.runner()) && run.incarnation == leave.incarnation()) checkLeave(leave, run);
+        for (var emptied : journal.emptied)
+            for (var run : journal.runs) if (emptied.covers(run)) checkEmptied(emptied, run);
+        checkRegions();
+        checkQuotas();
     }
 
-    private void left(Journal.Leave l, Journal.Run r) {
-        if (r.at <= l.acknowledged()) return;
-        out.worst(Limit.LEAVE, (r.at - l.acknowledged()) / 1e6);
-        if (r.at > l.acknowledged() + Limit.LEAVE.micros())
-            out.wrong("promise 4: " + r.runner + " got " + r.sub + " " + (r.at - l.acknowledged()) / 1000
-                    + " ms after its leave");
+    /** Promise 4: a runner gets no new work after its leave was acknowledged and the limit has passed. */
+    private void checkLeave(Journal.Leave leave, Journal.Run run) {
+        if (run.at <= leave.acknowledged()) return;
+        checks.recordWorst(Limit.LEAVE, (run.at - leave.acknowledged()) / 1e6);
+        if (run.at > leave.acknowledged() + Limit.LEAVE.micros())
+            checks.addViolation("promise 4: " + run.runner + " got " + run.sub + " "
+                    + (run.at - leave.acknowledged()) / 1000 + " ms after its leave");
     }
 
-    private void emptied(Journal.Emptied e, Journal.Run r) {
-        if (r.at <= e.confirmed() || r.at >= e.takenBack()[0]) return;
-        out.worst(Limit.EMPTY, (r.at - e.confirmed()) / 1e6);
-        if (r.at > e.confirmed() + Limit.EMPTY.micros())
-            out.wrong("promise 5: " + r.runner + " in " + e.zone() + e.cell() + " got " + r.sub + " "
-                    + (r.at - e.confirmed()) / 1000 + " ms after the confirm");
+    /**
+     * Promise 5: no new work in an emptied zone or cell from the limit after the confirmation until it is taken back.
+     */
+    private void checkEmptied(Journal.Emptied area, Journal.Run run) {
+        if (run.at <= area.confirmed() || run.at >= area.takenBack()[0]) return;
+        checks.recordWorst(Limit.EMPTY, (run.at - area.confirmed()) / 1e6);
+        if (run.at > area.confirmed() + Limit.EMPTY.micros())
+            checks.addViolation("promise 5: " + run.runner + " in " + area.zone() + area.cell() + " got " + run.sub
+                    + " " + (run.at - area.confirmed()) / 1000 + " ms after the confirmation");
     }
 
-    private void homes() {
-        var narrowed = new HashMap<String, String>();
-        for (var t : j.replies) if (!t.regions.isEmpty()) narrowed.put(t.sub, t.regions);
-        var homes = new HashMap<Long, Map<String, Set<String>>>();
-        for (var m : j.sent) if (m.taken()) homes.put(m.version(), regions(m.text()));
-        for (var r : j.runs) {
-            var may = homes.getOrDefault(r.manifest, Map.of()).get(r.tenant);
-            var region = zoneRegion.get(r.zone);
-            if (may != null && !may.contains(region))
-                out.wrong("promise 9: " + r.sub + " of " + r.tenant + " ran in " + r.zone);
-            if (narrowed.containsKey(r.sub)
-                    && !List.of(narrowed.get(r.sub).split(",")).contains(region))
-                out.wrong("promise 9: " + r.sub + " narrowed to " + narrowed.get(r.sub) + " ran in " + r.zone);
-            for (var k : j.kept)
-                if (k.tenant().equals(r.tenant)
-                        && r.at > k.confirmed() + Limit.EMPTY.micros()
-                        && !k.regions().contains(region))
-                    out.wrong("promise 9: " + r.sub + " of " + r.tenant + ", kept in " + k.regions() + ", ran in "
-                            + r.zone);
+    /**
+     * Promise 9: work runs only in its tenant's home regions, in the regions that the request allows, and where the
+     * tenant is kept.
+     */
+    private void checkRegions() {
+        var allowedBySubmission = new HashMap<String, String>();
+        for (var reply : journal.replies)
+            if (!reply.regions.isEmpty()) allowedBySubmission.put(reply.sub, reply.regions);
+        var homesByVersion = new HashMap<Long, Map<String, Set<String>>>();
+        for (var manifest : journal.sent)
+            if (manifest.taken()) homesByVersion.put(manifest.version(), homeRegions(manifest.text()));
+        for (var run : journal.runs) {
+            var homeRegions =
+                    homesByVersion.getOrDefault(run.manifest, Map.of()).get(run.tenant);
+            var region = zoneRegion.get(run.zone);
+            if (homeRegions != null && !homeRegions.contains(region))
+                checks.addViolation("promise 9: " + run.sub + " of " + run.tenant + " ran in " + run.zone);
+            if (allowedBySubmission.containsKey(run.sub)
+                    && !List.of(allowedBySubmission.get(run.sub).split(",")).contains(region))
+                checks.addViolation("promise 9: " + run.sub + " restricted to " + allowedBySubmission.get(run.sub)
+                        + " ran in " + run.zone);
+            for (var kept : journal.kept)
+                if (kept.tenant().equals(run.tenant)
+                        && run.at > kept.confirmed() + Limit.EMPTY.micros()
+                        && !kept.regions().contains(region))
+                    checks.addViolation("promise 9: " + run.sub + " of " + run.tenant + ", kept in " + kept.regions()
+                            + ", ran in " + run.zone);
         }
     }
 
-    boolean allEmptied(Journal.Reply t) {
-        var newest = new HashMap<String, Set<String>>();
-        for (var m : j.sent) if (m.taken()) newest.putAll(regions(m.text()));
-        for (var z : zoneRegion.entrySet()) {
-            var may = newest.get(t.tenant) == null || newest.get(t.tenant).contains(z.getValue());
-            may &= t.regions.isEmpty() || List.of(t.regions.split(",")).contains(z.getValue());
-            if (may && j.maybeEmptied.getOrDefault(z.getKey(), 0L) <= t.askedAt) return false;
+    /** Whether every zone in which the submission may run may have been emptied when it was sent. */
+    boolean allEmptied(Journal.Reply reply) {
+        var regionsByTenant = new HashMap<String, Set<String>>();
+        for (var manifest : journal.sent) if (manifest.taken()) regionsByTenant.putAll(homeRegions(manifest.text()));
+        for (var zone : zoneRegion.entrySet()) {
+            var allowed = regionsByTenant.get(reply.tenant) == null
+                    || regionsByTenant.get(reply.tenant).contains(zone.getValue());
+            allowed &=
+                    reply.regions.isEmpty() || List.of(reply.regions.split(",")).contains(zone.getValue());
+            if (allowed && journal.maybeEmptied.getOrDefault(zone.getKey(), 0L) <= reply.askedAt) return false;
         }
         return true;
     }
 
-    static Map<String, Set<String>> regions(String manifest) {
-        var all = new HashMap<String, Set<String>>();
-        for (var t : tenants(manifest)) {
-            if (!t.has("regions")) continue;
-            var s = new HashSet<String>();
-            t.get("regions").forEach(r -> s.add(r.asText()));
-            all.put(t.get("name").asText(), s);
+    /** The home regions of each tenant that the manifest restricts. */
+    static Map<String, Set<String>> homeRegions(String manifest) {
+        var regionsByTenant = new HashMap<String, Set<String>>();
+        for (var tenant : tenants(manifest)) {
+            if (!tenant.has("regions")) continue;
+            var names = new HashSet<String>();
+            tenant.get("regions").forEach(region -> names.add(region.asText()));
+            regionsByTenant.put(tenant.get("name").asText(), names);
         }
-        return all;
+        return regionsByTenant;
     }
 
     private static List<JsonNode> tenants(String manifest) {
-        var all = new ArrayList<JsonNode>();
+        var tenants = new ArrayList<JsonNode>();
         try {
-            JSON.readTree(manifest).path("tenants").forEach(all::add);
+            JSON.readTree(manifest).path("tenants").forEach(tenants::add);
         } catch (JsonProcessingException e) {
             return List.of();
         }
-        return all;
+        return tenants;
     }
 
-    private void quotas() {
-        var most = new HashMap<String, Integer>();
-        for (var m : j.sent)
-            if (m.taken())
-                for (var t : tenants(m.text()))
-                    most.merge(t.get("name").asText(), t.path("quotaPerMinute").asInt(0), Math::max);
-        var ran = new HashMap<String, Set<String>>();
-        var from = j.runs.stream().mapToLong(r -> r.at).min().orElse(0);
-        var to = j.runs.stream().mapToLong(r -> r.at).max().orElse(0);
-        for (var r : j.runs)
-            ran.computeIfAbsent(r.service + " " + r.tenant, k -> new HashSet<>())
-                    .add(r.sub);
-        var minutes = (to - from) / MINUTE + 2;
-        ran.forEach((k, subs) -> {
-            var q = most.getOrDefault(k.substring(k.indexOf(' ') + 1), 0);
-            if (q > 0 && subs.size() > q * minutes)
-                out.wrong("promise 8: " + k + " ran " + subs.size() + " transactions in at most " + minutes
-                        + " minutes of " + q);
+    /** Promise 8: a tenant runs no more than its highest quota in each started minute of the run. */
+    private void checkQuotas() {
+        var highestQuota = new HashMap<String, Integer>();
+        for (var manifest : journal.sent)
+            if (manifest.taken())
+                for (var tenant : tenants(manifest.text()))
+                    highestQuota.merge(
+                            tenant.get("name").asText(),
+                            tenant.path("quotaPerMinute").asInt(0),
+                            Math::max);
+        var submissionsRun = new HashMap<String, Set<String>>();
+        var firstRunAt = journal.runs.stream().mapToLong(run -> run.at).min().orElse(0);
+        var lastRunAt = journal.runs.stream().mapToLong(run -> run.at).max().orElse(0);
+        for (var run : journal.runs)
+            submissionsRun
+                    .computeIfAbsent(run.service + " " + run.tenant, serviceAndTenant -> new HashSet<>())
+                    .add(run.sub);
+        var minutes = (lastRunAt - firstRunAt) / MINUTE_MICROS + 2;
+        submissionsRun.forEach((serviceAndTenant, submissions) -> {
+            var quotaPerMinute =
+                    highestQuota.getOrDefault(serviceAndTenant.substring(serviceAndTenant.indexOf(' ') + 1), 0);
+            if (quotaPerMinute > 0 && submissions.size() > quotaPerMinute * minutes)
+                checks.addViolation("promise 8: " + serviceAndTenant + " ran " + submissions.size()
+                        + " transactions in at most " + minutes + " minutes of " + quotaPerMinute);
         });
     }
 }
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -14,14 +14,15 @@
 import java.util.Map;
 import java.util.Random;
 
+/** A simulated machine that runs the production router. */
 public final class RouterMachine extends Machine implements NodePort.Receiver, Stream.Server {
     public Router router;
     public OperatorCommands operator;
-    private long ids;
+    private long lastRequestId;
     private boolean leaving;
 
-    RouterMachine(World w, String name, String zone, String address) {
-        super(w, name, zone, address);
+    RouterMachine(World world, String name, String zone, String address) {
+        super(world, name, zone, address);
     }
 
     @Override
@@ -49,6 +50,7 @@
             });
     }
 
+    /** Stops the router as a rolling release does: unready first, then drained, then a leave. */
     public void stopGently() {
         router.unready();
         mineAfter(2_200_000, () -> {
@@ -57,6 +59,7 @@
         });
     }
 
+    /** Whether the router accepts new requests. */
     public boolean ready() {
         return up() && !frozen() && router.ready();
     }
@@ -67,45 +70,46 @@
     }
 
     @Override
-    public void receive(byte[] m) {
-        router.receive(Codec.readTagged(m));
+    public void receive(byte[] message) {
+        router.receive(Codec.readTagged(message));
     }
 
     @Override
-    public void serve(Stream s, String path, Map<String, String> h, byte[] body) {
+    public void serve(Stream stream, String path, Map<String, String> headers, byte[] body) {
         var text = new String(body);
         if (path.equals(HttpExchange.TO_ROUTER))
             world.journal.forwards.add(new Journal.Forward(now(), text.split(" ")[1]));
-        var regions = h.getOrDefault(HttpExchange.REGIONS, "");
-        var t = new Request(
-                ++ids,
+        var regions = headers.getOrDefault(HttpExchange.REGIONS, "");
+        var request = new Request(
+                ++lastRequestId,
                 text.split(" ")[0],
-                h.get(HttpExchange.TENANT),
-                h.getOrDefault(HttpExchange.WORK, ""),
+                headers.get(HttpExchange.TENANT),
+                headers.getOrDefault(HttpExchange.WORK, ""),
                 regions.isEmpty() ? List.of() : List.of(regions.split(",")),
-                h.getOrDefault(HttpExchange.KEY, ""),
-                Hash.of(h.getOrDefault(HttpExchange.WORK, "")),
-                now() + Long.parseLong(h.get(HttpExchange.DEADLINE)) * 1000,
+                headers.getOrDefault(HttpExchange.KEY, ""),
+                Hash.of(headers.getOrDefault(HttpExchange.WORK, "")),
+                now() + Long.parseLong(headers.get(HttpExchange.DEADLINE)) * 1000,
                 path.equals(HttpExchange.TO_ROUTER),
                 body);
-        var p = new RequestRelay(
-                t,
+        var relay = new RequestRelay(
+                request,
                 router.executor(),
                 router.loads(),
                 this::now,
                 name,
-                new Bound(s, path.equals(HttpExchange.TO_RUNNER) ? text.split(" ")[1] : ""));
+                new ClientExchange(stream, path.equals(HttpExchange.TO_RUNNER) ? text.split(" ")[1] : ""));
         var executor = router.executor();
-        s.onCancel(() -> executor.gone(t.id()));
-        p.begin();
+        stream.onCancel(() -> executor.gone(request.id()));
+        relay.begin();
     }
 
-    private final class Bound implements HttpExchange {
-        private final Stream back;
+    /** Passes what the request relay produces to the caller's stream. */
+    private final class ClientExchange implements HttpExchange {
+        private final Stream stream;
         private final String sub;
 
-        Bound(Stream back, String sub) {
-            this.back = back;
+        ClientExchange(Stream stream, String sub) {
+            this.stream = stream;
             this.sub = sub;
         }
 
@@ -121,34 +125,34 @@
 
         @Override
         public void start() {
-            back.status(200, Map.of());
+            stream.status(200, Map.of());
         }
 
         @Override
-        public boolean write(byte[] b) {
-            back.chunk(b);
-            return back.open();
+        public boolean write(byte[] bytes) {
+            stream.chunk(bytes);
+            return stream.open();
         }
 
         @Override
         public void whole() {
-            back.end();
+            stream.end();
         }
 
         @Override
-        public void verdict(Problem p) {
+        public void verdict(Problem problem) {
             if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
-            var h = new HashMap<String, String>();
-            h.put(HttpExchange.PROBLEM, Integer.toString(p.kind().code()));
-            h.put(HttpExchange.RETRY_MICROS, Long.toString(p.retryAfterMicros()));
-            back.status(p.kind().status(), h);
-            back.end();
+            var headers = new HashMap<String, String>();
+            headers.put(HttpExchange.PROBLEM, Integer.toString(problem.kind().code()));
+            headers.put(HttpExchange.RETRY_MICROS, Long.toString(problem.retryAfterMicros()));
+            stream.status(problem.kind().status(), headers);
+            stream.end();
         }
 
         @Override
-        public void cut(Problem p, boolean started) {
-            if (started) back.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
-            back.broken();
+        public void cut(Problem problem, boolean started) {
+            if (started) stream.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
+            stream.broken();
         }
     }
 }
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -6,148 +6,161 @@
 import java.util.Map;
 import java.util.Set;
 
+/**
+ * A simulated runner: announces itself to the routers of its zone and streams a token at a fixed interval for each run.
+ */
 public final class RunnerMachine extends Machine implements Stream.Server {
-    private static final long ANNOUNCE = 500_000, PREFILL = 60_000, TOKEN = 20_000, WARM_UP = 3_000_000;
+    private static final long ANNOUNCE_INTERVAL_MICROS = 500_000;
+    private static final long PREFILL_MICROS = 60_000;
+    private static final long TOKEN_INTERVAL_MICROS = 20_000;
+    private static final long WARM_UP_MICROS = 3_000_000;
 
     final String service;
     final String cell;
     final int slots;
-    private final Set<Journal.Run> running = new HashSet<>();
+    private final Set<Journal.Run> activeRuns = new HashSet<>();
     private long incarnation;
-    private long born;
-    private long due;
+    private long startedAt;
+    private long nextAnnouncementAt;
     private boolean leaving;
-    private boolean dark;
-    private boolean ailing;
+    private boolean silent;
+    private boolean failing;
 
-    RunnerMachine(World w, String name, String zone, String address, String service, String cell, int slots) {
-        super(w, name, zone, address);
+    RunnerMachine(World world, String name, String zone, String address, String service, String cell, int slots) {
+        super(world, name, zone, address);
         this.service = service;
         this.cell = cell;
         this.slots = slots;
     }
 
+    /** The number of the current process; it rises with each start. */
     public long incarnation() {
         return incarnation;
     }
 
-    public void dark(boolean is) {
-        dark = is;
+    /** Sets whether the runner stops announcing itself while it goes on serving. */
+    public void dark(boolean value) {
+        silent = value;
     }
 
-    public void ail(boolean is) {
-        ailing = is;
+    /** Sets whether the runner accepts work and then breaks the connection after the prefill. */
+    public void ail(boolean value) {
+        failing = value;
     }
 
     @Override
     protected void boot() {
         incarnation = Math.max(incarnation + 1, now());
-        born = now();
-        due = now();
+        startedAt = now();
+        nextAnnouncementAt = now();
         leaving = false;
-        dark = false;
-        ailing = false;
-        running.clear();
+        silent = false;
+        failing = false;
+        activeRuns.clear();
     }
 
-    private boolean cold() {
-        return now() - born < WARM_UP && !world.warmStart;
+    private boolean isCold() {
+        return now() - startedAt < WARM_UP_MICROS && !world.warmStart;
     }
 
     @Override
     protected void tick() {
-        if (leaving || dark || now() < due) return;
-        due = now() + ANNOUNCE;
-        var a = new Announcement(service, name, address, cell, slots, incarnation, cold(), running.size());
-        for (var r : world.routersIn(zone)) world.net.send(this, r.address, () -> r.router.announce(a, v -> {}));
+        if (leaving || silent || now() < nextAnnouncementAt) return;
+        nextAnnouncementAt = now() + ANNOUNCE_INTERVAL_MICROS;
+        var announcement =
+                new Announcement(service, name, address, cell, slots, incarnation, isCold(), activeRuns.size());
+        for (var router : world.routersIn(zone))
+            world.net.send(this, router.address, () -> router.router.announce(announcement, reply -> {}));
     }
 
+    /** Stops announcing and tells the routers that the runner leaves. */
     public void leave() {
         leaving = true;
-        askToLeave(0);
+        sendLeave(0);
     }
 
-    private void askToLeave(int turn) {
-        var all = world.routersIn(zone);
-        if (all.isEmpty()) return;
-        var mine = incarnation;
-        var r = all.get(turn % all.size());
-        var acked = new boolean[1];
+    /** Sends the leave to one router after the other, a second apart, until one acknowledges it. */
+    private void sendLeave(int attempt) {
+        var routers = world.routersIn(zone);
+        if (routers.isEmpty()) return;
+        var leavingIncarnation = incarnation;
+        var router = routers.get(attempt % routers.size());
+        var acknowledged = new boolean[1];
         world.net.send(
                 this,
-                r.address,
-                () -> r.router.leave(service, name, mine, v -> {
-                    if (v.kind == 0)
-                        world.net.send(r, address, () -> {
-                            if (acked[0] || incarnation != mine) return;
-                            acked[0] = true;
+                router.address,
+                () -> router.router.leave(service, name, leavingIncarnation, reply -> {
+                    if (reply.kind == 0)
+                        world.net.send(router, address, () -> {
+                            if (acknowledged[0] || incarnation != leavingIncarnation) return;
+                            acknowledged[0] = true;
                             world.timeline.note(now(), name, "leave acknowledged");
-                            world.journal.leaves.add(new Journal.Leave(name, mine, now()));
+                            world.journal.leaves.add(new Journal.Leave(name, leavingIncarnation, now()));
                         });
                 }));
         mineAfter(1_000_000, () -> {
-            if (!acked[0] && incarnation == mine) askToLeave(turn + 1);
+            if (!acknowledged[0] && incarnation == leavingIncarnation) sendLeave(attempt + 1);
         });
     }
 
     @Override
-    public void serve(Stream s, String path, Map<String, String> h, byte[] body) {
-        var load = Map.of(HttpExchange.LOAD, Integer.toString(running.size()));
-        if (running.size() >= slots) {
-            s.status(503, load);
-            s.end();
+    public void serve(Stream stream, String path, Map<String, String> headers, byte[] body) {
+        var load = Map.of(HttpExchange.LOAD, Integer.toString(activeRuns.size()));
+        if (activeRuns.size() >= slots) {
+            stream.status(503, load);
+            stream.end();
             return;
         }
-        var p = new String(body).split(" ");
-        var r = new Journal.Run();
-        r.at = now();
-        r.runner = name;
-        r.incarnation = incarnation;
-        r.zone = zone;
-        r.cell = cell;
-        r.service = service;
-        r.sub = p[1];
-        r.key = p[2].equals("-") ? "" : p[2];
-        r.tenant = h.get(HttpExchange.TENANT);
-        r.tokens = Integer.parseInt(p[3]);
-        r.cold = cold();
-        r.bornAt = born;
-        r.regions = h.getOrDefault(HttpExchange.REGIONS, "");
-        r.manifest = Long.parseLong(h.get(HttpExchange.MANIFEST));
-        r.table = Long.parseLong(h.get(HttpExchange.TABLE));
-        r.slots = slots;
-        running.add(r);
-        r.running = running.size();
-        world.journal.runs.add(r);
-        var over = new boolean[1];
-        s.onCancel(() -> {
-            over[0] = true;
-            running.remove(r);
+        var fields = new String(body).split(" ");
+        var run = new Journal.Run();
+        run.at = now();
+        run.runner = name;
+        run.incarnation = incarnation;
+        run.zone = zone;
+        run.cell = cell;
+        run.service = service;
+        run.sub = fields[1];
+        run.key = fields[2].equals("-") ? "" : fields[2];
+        run.tenant = headers.get(HttpExchange.TENANT);
+        run.tokens = Integer.parseInt(fields[3]);
+        run.cold = isCold();
+        run.bornAt = startedAt;
+        run.regions = headers.getOrDefault(HttpExchange.REGIONS, "");
+        run.manifest = Long.parseLong(headers.get(HttpExchange.MANIFEST));
+        run.table = Long.parseLong(headers.get(HttpExchange.TABLE));
+        run.slots = slots;
+        activeRuns.add(run);
+        run.running = activeRuns.size();
+        world.journal.runs.add(run);
+        var finished = new boolean[1];
+        stream.onCancel(() -> {
+            finished[0] = true;
+            activeRuns.remove(run);
         });
-        mineAfter(PREFILL, () -> {
-            if (over[0]) return;
-            if (ailing) {
-                over[0] = true;
-                running.remove(r);
-                s.broken();
+        mineAfter(PREFILL_MICROS, () -> {
+            if (finished[0]) return;
+            if (failing) {
+                finished[0] = true;
+                activeRuns.remove(run);
+                stream.broken();
                 return;
             }
-            s.status(200, load);
-            token(s, r, 0, over);
+            stream.status(200, load);
+            streamToken(stream, run, 0, finished);
         });
     }
 
-    private void token(Stream s, Journal.Run r, int i, boolean[] over) {
-        if (over[0]) return;
-        if (i < r.tokens) {
-            s.chunk(("data: " + i + "\n\n").getBytes());
-            mineAfter(TOKEN, () -> token(s, r, i + 1, over));
+    private void streamToken(Stream stream, Journal.Run run, int token, boolean[] finished) {
+        if (finished[0]) return;
+        if (token < run.tokens) {
+            stream.chunk(("data: " + token + "\n\n").getBytes());
+            mineAfter(TOKEN_INTERVAL_MICROS, () -> streamToken(stream, run, token + 1, finished));
             return;
         }
-        s.chunk("data: [DONE]\n\n".getBytes());
-        s.end();
-        r.endedAt = now();
-        r.whole = true;
-        running.remove(r);
+        stream.chunk("data: [DONE]\n\n".getBytes());
+        stream.end();
+        run.endedAt = now();
+        run.whole = true;
+        activeRuns.remove(run);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -6,17 +6,36 @@
 import java.util.Map;
 import java.util.Random;
 
+/**
+ * Drives a simulated fleet: bootstraps it, generates traffic and performs the actions of operators and faults by name.
+ */
 public final class Scenario {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     public final World world;
+
+    /** What the operators' commands were answered, in order. */
     public final List<String> answers = new ArrayList<>();
+
+    /** When the bootstrapped fleet was ready, in microseconds of simulated time. */
     public final long start;
+
+    /**
+     * Draws the traffic; separate from the fleet's source, so that the traffic does not depend on the fleet's draws.
+     */
     private final Random random;
-    private long pause = 40_000;
-    private boolean traffic;
-    private int swing = 20;
 
+    private long meanPauseMicros = 40_000;
+    private boolean trafficOn;
+    private int tokenSpread = 20;
+
+    /**
+     * Builds and bootstraps the fleet.
+     *
+     * @param routers the number of routers in each zone
+     * @param slots the number of slots of each runner
+     * @param wire the wire version that the nodes speak
+     */
     public Scenario(long seed, String manifest, int[] routers, int slots, int wire) {
         world = new World(seed, manifest, routers, slots);
         world.wire = wire;
@@ -25,269 +44,308 @@
         start = world.sim.now();
     }
 
-    public void traffic(long pauseMicros) {
-        pause = pauseMicros;
-        if (traffic) return;
-        traffic = true;
-        for (var r : world.all(ClientMachine.class)) next(r);
+    /** Starts the traffic, or changes its rate: each client submits once per pause on average. */
+    public void traffic(long newMeanPauseMicros) {
+        meanPauseMicros = newMeanPauseMicros;
+        if (trafficOn) return;
+        trafficOn = true;
+        for (var client : world.all(ClientMachine.class)) submitNext(client);
     }
 
+    /** Sets the spread of response lengths: from 3 tokens to fewer than 3 more than this. */
     public void swing(int tokens) {
-        swing = tokens;
+        tokenSpread = tokens;
     }
 
+    /** Ends the traffic. */
     public void quiet() {
-        traffic = false;
+        trafficOn = false;
     }
 
-    private record Once(ClientMachine.Work work, String key) {}
+    /** Work with an idempotency key that was submitted before. */
+    private record RunOnceWork(ClientMachine.Work work, String key) {}
 
-    private final List<Once> asked = new ArrayList<>();
+    private final List<RunOnceWork> recentRunOnceWork = new ArrayList<>();
 
-    private void next(ClientMachine r) {
-        if (!traffic) return;
-        if (!asked.isEmpty() && random.nextInt(20) == 0) {
-            var o = asked.get(random.nextInt(asked.size()));
-            r.submit(o.work, o.key, 1);
+    /** Submits once and schedules the next submission; one in twenty repeats earlier work under its key. */
+    private void submitNext(ClientMachine client) {
+        if (!trafficOn) return;
+        if (!recentRunOnceWork.isEmpty() && random.nextInt(20) == 0) {
+            var earlier = recentRunOnceWork.get(random.nextInt(recentRunOnceWork.size()));
+            client.submit(earlier.work, earlier.key, 1);
         } else {
-            var w = work();
-            var key = r.submit(w);
-            if (w.once()) asked.add(new Once(w, key));
-            if (asked.size() > 30) asked.remove(0);
+            var work = work();
+            var key = client.submit(work);
+            if (work.once()) recentRunOnceWork.add(new RunOnceWork(work, key));
+            if (recentRunOnceWork.size() > 30) recentRunOnceWork.remove(0);
         }
-        world.sim.after((long) (pause * (0.5 + random.nextDouble())), () -> next(r));
+        world.sim.after((long) (meanPauseMicros * (0.5 + random.nextDouble())), () -> submitNext(client));
     }
 
+    /** Draws a piece of work with its tenant, service, class of work and regions. */
     public ClientMachine.Work work() {
-        var n = random.nextInt(10);
-        var named = List.copyOf(world.manifest.tenants().keySet());
-        var tenant =
-                n == 0 && !named.isEmpty() ? named.get(random.nextInt(named.size())) : "tenant-" + random.nextInt(300);
+        var tenantDraw = random.nextInt(10);
+        var namedTenants = List.copyOf(world.manifest.tenants().keySet());
+        var tenant = tenantDraw == 0 && !namedTenants.isEmpty()
+                ? namedTenants.get(random.nextInt(namedTenants.size()))
+                : "tenant-" + random.nextInt(300);
         var services = List.copyOf(world.manifest.services().values());
         var service = services.get(services.size() == 1 ? 0 : random.nextInt(services.size()));
-        var kinds = service.work();
+        var workClasses = service.work();
         var regions = random.nextInt(12) == 0
                 ? world.manifest
                         .homeRegions(tenant)
                         .get(random.nextInt(world.manifest.homeRegions(tenant).size()))
                 : "";
-        var k = random.nextInt(10);
-        var w = kinds.get(k < 5 ? 0 : k < 8 ? 1 % kinds.size() : 2 % kinds.size());
+        var classDraw = random.nextInt(10);
+        var workClass =
+                workClasses.get(classDraw < 5 ? 0 : classDraw < 8 ? 1 % workClasses.size() : 2 % workClasses.size());
         return new ClientMachine.Work(
-                service.name(), tenant, w.name(), w.runOnce(), regions, 3 + random.nextInt(Math.max(1, swing)), 20_000);
+                service.name(),
+                tenant,
+                workClass.name(),
+                workClass.runOnce(),
+                regions,
+                3 + random.nextInt(Math.max(1, tokenSpread)),
+                20_000);
     }
 
+    /** Runs the simulation up to the given second after {@link #start}. */
     public void runTo(double seconds) {
-        world.sim.runUntil(start + (long) (seconds * SECOND));
+        world.sim.runUntil(start + (long) (seconds * SECOND_MICROS));
     }
 
+    /** Runs the simulation for the given number of seconds. */
     public void runOn(double seconds) {
-        world.sim.runUntil(world.sim.now() + (long) (seconds * SECOND));
+        world.sim.runUntil(world.sim.now() + (long) (seconds * SECOND_MICROS));
     }
 
-    public void act(String node, String what) {
-        var w = world;
-        w.timeline.note(w.sim.now(), node, "* " + what);
-        var p = what.split(" ");
-        if (node.equals("operator")) operate(p);
-        else if (node.equals("net")) network(p);
+    /**
+     * Performs an action.
+     *
+     * @param node a machine, a zone, {@code all}, {@code operator} or {@code net}
+     * @param action the name and its arguments, separated by blanks
+     */
+    public void act(String node, String action) {
+        var fleet = world;
+        fleet.timeline.note(fleet.sim.now(), node, "* " + action);
+        var words = action.split(" ");
+        if (node.equals("operator")) performAsOperator(words);
+        else if (node.equals("net")) performOnNetwork(words);
         else if (node.equals("all"))
-            w.machines.values().stream()
-                    .filter(m -> !(m instanceof ClientMachine))
+            fleet.machines.values().stream()
+                    .filter(machine -> !(machine instanceof ClientMachine))
                     .toList()
-                    .forEach(m -> one(m, p));
-        else if (w.manifest.zones().containsKey(node)) zone(node, p);
-        else one(w.machine(node), p);
+                    .forEach(machine -> performOnMachine(machine, words));
+        else if (fleet.manifest.zones().containsKey(node)) performOnZone(node, words);
+        else performOnMachine(fleet.machine(node), words);
     }
 
-    private void operate(String[] p) {
-        var at = p.length > 2 ? p[2] : "store-1";
-        switch (p[0]) {
-            case "empty" -> world.emptyZone(p[1], at, answers::add);
-            case "take-back" -> world.takeBack(p[1], at, answers::add);
-            case "empty-cell" -> world.emptyCell(p[1], at, answers::add);
-            case "take-back-cell" -> world.takeBackCell(p[1], at, answers::add);
-            case "keep" -> world.keep(p[1], List.of(p[3].split(",")), at, answers::add);
-            case "accept-claims" -> world.acceptClaims(p[1], answers::add);
-            case "send" -> world.send(variant(p[1]), Long.parseLong(p[3]), at);
-            default -> throw new IllegalArgumentException("an operator does not " + p[0]);
+    private void performAsOperator(String[] words) {
+        var node = words.length > 2 ? words[2] : "store-1";
+        switch (words[0]) {
+            case "empty" -> world.emptyZone(words[1], node, answers::add);
+            case "take-back" -> world.takeBack(words[1], node, answers::add);
+            case "empty-cell" -> world.emptyCell(words[1], node, answers::add);
+            case "take-back-cell" -> world.takeBackCell(words[1], node, answers::add);
+            case "keep" -> world.keep(words[1], List.of(words[3].split(",")), node, answers::add);
+            case "accept-claims" -> world.acceptClaims(words[1], answers::add);
+            case "send" -> world.send(variant(words[1]), Long.parseLong(words[3]), node);
+            default -> throw new IllegalArgumentException("unknown operator action " + words[0]);
         }
     }
 
-    private void network(String[] p) {
-        var share = Double.parseDouble(p[1]);
-        switch (p[0]) {
+    private void performOnNetwork(String[] words) {
+        var share = Double.parseDouble(words[1]);
+        switch (words[0]) {
             case "drop" -> world.net.dropped(share);
             case "double" -> world.net.doubled(share);
             case "delay" -> world.net.delayed(share);
-            default -> throw new IllegalArgumentException("a network does not " + p[0]);
+            default -> throw new IllegalArgumentException("unknown network action " + words[0]);
         }
     }
 
-    public String variant(String mark) {
-        if (mark.equals("invalid"))
+    /**
+     * A different text of the fleet's manifest for each name; {@code invalid} yields one that must be declined, a name
+     * that starts with {@code big} one of several megabytes.
+     */
+    public String variant(String name) {
+        if (name.equals("invalid"))
             return world.manifestText
                     .replace("\"regions\": [", "\"regions\": [\"nowhere\", ")
                     .replace("\"weight\"", "\"wait\"");
-        if (mark.startsWith("big")) return big(mark);
+        if (name.startsWith("big")) return largeManifest(name);
         return world.manifestText.replaceFirst(
                 "\"claimRetentionMs\": \\d+",
-                "\"claimRetentionMs\": " + (3_600_000 + Math.abs(mark.hashCode() % 1_000_000)));
+                "\"claimRetentionMs\": " + (3_600_000 + Math.abs(name.hashCode() % 1_000_000)));
     }
 
-    private String big(String mark) {
-        var b = new StringBuilder();
+    private String largeManifest(String name) {
+        var tenants = new StringBuilder();
         for (var i = 0; i < 60_000; i++)
-            b.append(",{\"name\":\"").append(mark).append("-office-").append(i).append("-of-a-long-name\"}");
-        var at = world.manifestText.lastIndexOf(']');
-        return world.manifestText.substring(0, at) + b + world.manifestText.substring(at);
+            tenants.append(",{\"name\":\"")
+                    .append(name)
+                    .append("-office-")
+                    .append(i)
+                    .append("-of-a-long-name\"}");
+        var end = world.manifestText.lastIndexOf(']');
+        return world.manifestText.substring(0, end) + tenants + world.manifestText.substring(end);
     }
 
-    private void zone(String zone, String[] p) {
+    private void performOnZone(String zone, String[] words) {
         var inside = world.machines.values().stream()
-                .filter(m -> m.zone.equals(zone))
+                .filter(machine -> machine.zone.equals(zone))
                 .toList();
         var outside = world.machines.values().stream()
-                .filter(m -> !m.zone.equals(zone))
+                .filter(machine -> !machine.zone.equals(zone))
                 .toList();
-        switch (p[0]) {
+        switch (words[0]) {
             case "cut" -> {
-                for (var a : inside)
-                    for (var b : outside) {
-                        world.net.cut(a, b);
-                        world.net.cut(b, a);
+                for (var inner : inside)
+                    for (var outer : outside) {
+                        world.net.cut(inner, outer);
+                        world.net.cut(outer, inner);
                     }
-                inside.forEach(m -> trouble(m.name));
+                inside.forEach(machine -> beginOutage(machine.name));
             }
             case "cut-out" -> {
-                for (var a : inside) for (var b : outside) world.net.cut(a, b);
-                inside.forEach(m -> trouble(m.name));
+                for (var inner : inside) for (var outer : outside) world.net.cut(inner, outer);
+                inside.forEach(machine -> beginOutage(machine.name));
             }
             case "heal" -> {
-                for (var a : inside) for (var b : outside) world.net.heal(a, b);
-                inside.forEach(m -> calm(m.name));
+                for (var inner : inside) for (var outer : outside) world.net.heal(inner, outer);
+                inside.forEach(machine -> endOutage(machine.name));
             }
             default ->
-                inside.stream().filter(m -> !(m instanceof ClientMachine)).forEach(m -> one(m, p));
+                inside.stream()
+                        .filter(machine -> !(machine instanceof ClientMachine))
+                        .forEach(machine -> performOnMachine(machine, words));
         }
     }
 
-    private final Map<String, Journal.Down> troubles = new HashMap<>();
+    /** The open outage of each hindered node. */
+    private final Map<String, Journal.Down> openOutages = new HashMap<>();
 
-    private void trouble(String node) {
-        if (troubles.containsKey(node)) return;
-        var d = new Journal.Down(node, world.sim.now(), new long[] {Long.MAX_VALUE});
-        troubles.put(node, d);
-        world.journal.troubles.add(d);
+    /** Records that time limits do not apply to a node from now on. */
+    private void beginOutage(String node) {
+        if (openOutages.containsKey(node)) return;
+        var outage = new Journal.Down(node, world.sim.now(), new long[] {Long.MAX_VALUE});
+        openOutages.put(node, outage);
+        world.journal.troubles.add(outage);
     }
 
-    private void calm(String node) {
-        var d = troubles.remove(node);
-        if (d != null) d.until()[0] = world.sim.now();
+    private void endOutage(String node) {
+        var outage = openOutages.remove(node);
+        if (outage != null) outage.until()[0] = world.sim.now();
     }
 
+    /** Ends all open outages. */
     void calmAll() {
-        List.copyOf(troubles.keySet()).forEach(this::calm);
+        List.copyOf(openOutages.keySet()).forEach(this::endOutage);
     }
 
-    private void one(Machine m, String[] p) {
-        switch (p[0]) {
+    private void performOnMachine(Machine machine, String[] words) {
+        switch (words[0]) {
             case "kill" -> {
-                trouble(m.name);
-                m.crash();
+                beginOutage(machine.name);
+                machine.crash();
             }
             case "start" -> {
-                m.start();
-                calm(m.name);
+                machine.start();
+                endOutage(machine.name);
             }
             case "freeze" -> {
-                trouble(m.name);
-                m.freeze();
+                beginOutage(machine.name);
+                machine.freeze();
             }
             case "wake" -> {
-                m.wake();
-                calm(m.name);
+                machine.wake();
+                endOutage(machine.name);
             }
             case "power-loss" -> {
-                trouble(m.name);
-                m.crash();
-                if (m instanceof StoreMachine s) s.disk.losePower(world.sim.random);
+                beginOutage(machine.name);
+                machine.crash();
+                if (machine instanceof StoreMachine store) store.disk.losePower(world.sim.random);
             }
             case "disk-loss" -> {
-                trouble(m.name);
-                m.crash();
-                ((StoreMachine) m).disk.loseAll();
+                beginOutage(machine.name);
+                machine.crash();
+                ((StoreMachine) machine).disk.loseAll();
             }
-            case "disk-damage" -> damage((StoreMachine) m);
-            case "disk-full" -> ((StoreMachine) m).disk.full(true);
-            case "disk-free" -> ((StoreMachine) m).disk.full(false);
+            case "disk-damage" -> damageLogs((StoreMachine) machine);
+            case "disk-full" -> ((StoreMachine) machine).disk.full(true);
+            case "disk-free" -> ((StoreMachine) machine).disk.full(false);
             case "disk-stall" -> {
-                trouble(m.name);
-                ((StoreMachine) m).stall(true);
+                beginOutage(machine.name);
+                ((StoreMachine) machine).stall(true);
             }
             case "disk-go-on" -> {
-                ((StoreMachine) m).stall(false);
-                calm(m.name);
+                ((StoreMachine) machine).stall(false);
+                endOutage(machine.name);
             }
-            case "slow" -> ((StoreMachine) m).slow(Long.parseLong(p[1]));
-            case "clock-jump" -> world.wallJumps.put(m.name, Long.parseLong(p[1]) * SECOND);
+            case "slow" -> ((StoreMachine) machine).slow(Long.parseLong(words[1]));
+            case "clock-jump" -> world.wallJumps.put(machine.name, Long.parseLong(words[1]) * SECOND_MICROS);
             case "move-to" -> {
-                m.address = p[1];
-                world.net.join(m);
+                machine.address = words[1];
+                world.net.join(machine);
             }
             case "cut-from" -> {
-                var o = world.machine(p[1]);
-                world.net.cut(m, o);
-                world.net.cut(o, m);
-                trouble(m.name);
+                var other = world.machine(words[1]);
+                world.net.cut(machine, other);
+                world.net.cut(other, machine);
+                beginOutage(machine.name);
             }
             case "heal-with" -> {
-                world.net.heal(m, world.machine(p[1]));
-                calm(m.name);
+                world.net.heal(machine, world.machine(words[1]));
+                endOutage(machine.name);
             }
             case "cut-from-core" -> {
-                for (var s : world.all(StoreMachine.class)) {
-                    world.net.cut(m, s);
-                    world.net.cut(s, m);
+                for (var store : world.all(StoreMachine.class)) {
+                    world.net.cut(machine, store);
+                    world.net.cut(store, machine);
                 }
-                trouble(m.name);
+                beginOutage(machine.name);
             }
             case "heal-with-core" -> {
-                for (var s : world.all(StoreMachine.class)) world.net.heal(m, s);
-                calm(m.name);
+                for (var store : world.all(StoreMachine.class)) world.net.heal(machine, store);
+                endOutage(machine.name);
             }
             case "stop-gently" -> {
-                trouble(m.name);
-                ((RouterMachine) m).stopGently();
+                beginOutage(machine.name);
+                ((RouterMachine) machine).stopGently();
             }
-            case "rebuild" -> world.rebuild((StoreMachine) m, answers::add);
-            case "hand-over" -> ((StoreMachine) m).store.transferLeadership();
-            case "leave" -> ((RunnerMachine) m).leave();
-            case "go-dark" -> ((RunnerMachine) m).dark(true);
-            case "ail" -> ((RunnerMachine) m).ail(true);
-            case "recover" -> ((RunnerMachine) m).ail(false);
-            case "come-back" -> ((RunnerMachine) m).dark(false);
-            default -> throw new IllegalArgumentException("a machine does not " + p[0]);
+            case "rebuild" -> world.rebuild((StoreMachine) machine, answers::add);
+            case "hand-over" -> ((StoreMachine) machine).store.transferLeadership();
+            case "leave" -> ((RunnerMachine) machine).leave();
+            case "go-dark" -> ((RunnerMachine) machine).dark(true);
+            case "ail" -> ((RunnerMachine) machine).ail(true);
+            case "recover" -> ((RunnerMachine) machine).ail(false);
+            case "come-back" -> ((RunnerMachine) machine).dark(false);
+            default -> throw new IllegalArgumentException("unknown machine action " + words[0]);
         }
     }
 
-    private void damage(StoreMachine s) {
-        for (var n : s.disk.names()) if (n.matches("p\\d\\.log\\.\\d+")) s.disk.damage(n, 40);
+    /** Changes a byte of each log file on the machine's disk. */
+    private void damageLogs(StoreMachine machine) {
+        for (var fileName : machine.disk.names())
+            if (fileName.matches("p\\d\\.log\\.\\d+")) machine.disk.damage(fileName, 40);
     }
 
+    /** Records the final states and returns the checks over the journal. */
     public Checks checks() {
         world.ends();
-        var zr = new HashMap<String, String>();
-        world.manifest.zones().values().forEach(z -> zr.put(z.name(), z.region()));
-        var warmUp = new HashMap<String, Long>();
-        world.manifest.services().values().forEach(s -> warmUp.put(s.name(), s.warmUpTime()));
-        return new Checks(world.journal, zr, warmUp);
+        var zoneRegion = new HashMap<String, String>();
+        world.manifest.zones().values().forEach(zone -> zoneRegion.put(zone.name(), zone.region()));
+        var warmUpMicros = new HashMap<String, Long>();
+        world.manifest.services().values().forEach(service -> warmUpMicros.put(service.name(), service.warmUpTime()));
+        return new Checks(world.journal, zoneRegion, warmUpMicros);
     }
 
+    /** Counts complete replies to submissions sent at or after the given second. */
     public long wholeSince(double seconds) {
-        var from = start + (long) (seconds * SECOND);
+        var from = start + (long) (seconds * SECOND_MICROS);
         return world.journal.replies.stream()
-                .filter(t -> t.verdict.equals("whole") && t.askedAt >= from)
+                .filter(reply -> reply.verdict.equals("whole") && reply.askedAt >= from)
                 .count();
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Shape.java
+++ b/test/sim/src/main/java/craneway/sim/Shape.java
@@ -6,17 +6,33 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 
+/**
+ * The size of a simulated fleet.
+ *
+ * @param name its name in the replay command
+ * @param manifest the text of its manifest
+ * @param routers the number of routers in each zone
+ * @param slots the number of slots of each runner
+ * @param slowSync the time in microseconds that a store's disk adds to each message of the replicated log
+ */
 public record Shape(String name, String manifest, int[] routers, int slots, long slowSync) {
-    public static final Shape SMALL = new Shape("small", text("maticar"), new int[] {2, 2, 2}, 8, 0),
-            MATICAR = new Shape("maticar", text("maticar-shape"), new int[] {3, 2, 2}, 6, 0),
-            BRANNOCK = new Shape("brannock", text("brannock-shape"), new int[] {3, 3, 3}, 6, 12_000);
+    /** Two routers per zone and a simple manifest, for feature tests. */
+    public static final Shape SMALL = new Shape("small", readManifest("maticar"), new int[] {2, 2, 2}, 8, 0);
 
+    /** The shape of the deployment of the same name. */
+    public static final Shape MATICAR = new Shape("maticar", readManifest("maticar-shape"), new int[] {3, 2, 2}, 6, 0);
+
+    /** The shape of the deployment of the same name, whose disks take 12 ms for a sync. */
+    public static final Shape BRANNOCK =
+            new Shape("brannock", readManifest("brannock-shape"), new int[] {3, 3, 3}, 6, 12_000);
+
+    /** The shape with the given name, or null. */
     public static Shape named(String name) {
-        for (var s : List.of(SMALL, MATICAR, BRANNOCK)) if (s.name.equals(name)) return s;
+        for (var shape : List.of(SMALL, MATICAR, BRANNOCK)) if (shape.name.equals(name)) return shape;
         return null;
     }
 
-    private static String text(String name) {
+    private static String readManifest(String name) {
         try (var in = Shape.class.getResourceAsStream("/craneway/sim/" + name + ".json")) {
             return new String(in.readAllBytes());
         } catch (IOException e) {
@@ -24,28 +40,35 @@
         }
     }
 
+    /** Bootstraps a fleet of this shape whose nodes speak the current wire version. */
     public Scenario scenario(long seed) {
         return scenario(seed, Node.WIRE);
     }
 
+    /** Bootstraps a fleet of this shape whose nodes speak the given wire version. */
     public Scenario scenario(long seed, int wire) {
-        var s = new Scenario(seed, manifest, routers, slots, wire);
-        for (var m : s.world.all(StoreMachine.class)) m.slow(slowSync);
-        return s;
+        var scenario = new Scenario(seed, manifest, routers, slots, wire);
+        for (var store : scenario.world.all(StoreMachine.class)) store.slow(slowSync);
+        return scenario;
     }
 
+    /** The names of the zones. */
     List<String> zones() {
         return List.copyOf(ManifestReader.read(manifest).get().zones().keySet());
     }
 
-    String runner(int zone, int n) {
-        var s = ManifestReader.read(manifest)
+    /**
+     * The name of a runner in a zone's cell of the first service; {@code runnerIndex} is taken modulo the number of
+     * runners.
+     */
+    String runner(int zoneIndex, int runnerIndex) {
+        var service = ManifestReader.read(manifest)
                 .get()
                 .services()
                 .values()
                 .iterator()
                 .next();
-        var c = s.cells().get(zone);
-        return "runner-" + c.name() + "-" + (1 + n % c.weight());
+        var cell = service.cells().get(zoneIndex);
+        return "runner-" + cell.name() + "-" + (1 + runnerIndex % cell.weight());
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Sim.java
+++ b/test/sim/src/main/java/craneway/sim/Sim.java
@@ -3,36 +3,45 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
+/**
+ * The discrete-event simulation: a clock, a queue of events, and the only source of randomness. A seed reproduces a run
+ * exactly; events of the same time run in the order in which they were scheduled.
+ */
 public final class Sim {
-    private record Due(long at, long no, Runnable what) {}
+    /** A scheduled event; the number orders events of the same time. */
+    private record Event(long at, long number, Runnable action) {}
 
     public final Random random;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.no, b.no));
+    private final PriorityQueue<Event> queue =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private long now = 1_000_000;
-    private long count;
+    private long eventCount;
 
     public Sim(long seed) {
         random = new Random(seed);
     }
 
+    /** The simulated time in microseconds. */
     public long now() {
         return now;
     }
 
-    public void at(long when, Runnable what) {
-        due.add(new Due(Math.max(when, now), count++, what));
+    /** Schedules an action for a time, at the earliest now. */
+    public void at(long time, Runnable action) {
+        queue.add(new Event(Math.max(time, now), eventCount++, action));
     }
 
-    public void after(long micros, Runnable what) {
-        at(now + micros, what);
+    /** Schedules an action after a delay. */
+    public void after(long delayMicros, Runnable action) {
+        at(now + delayMicros, action);
     }
 
+    /** Runs all events up to and including the given time, which then is the current time. */
     public void runUntil(long end) {
-        while (!due.isEmpty() && due.peek().at <= end) {
-            var d = due.poll();
-            now = d.at;
-            d.what.run();
+        while (!queue.isEmpty() && queue.peek().at <= end) {
+            var event = queue.poll();
+            now = event.at;
+            event.action.run();
         }
         now = end;
     }
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -12,22 +12,23 @@
 import java.util.Deque;
 import java.util.Random;
 
+/** A simulated machine that runs the production store on a simulated disk. */
 public final class StoreMachine extends Machine implements NodePort.Receiver {
     public final Disk disk = new Disk();
-    private final Deque<Object> held = new ArrayDeque<>();
-    private boolean stalled;
-    private long slow;
+    private final Deque<Object> waitingForDisk = new ArrayDeque<>();
+    private boolean diskStalled;
+    private long diskDelayMicros;
     public Store store;
     public OperatorCommands operator;
 
-    StoreMachine(World w, String name, String zone, String address) {
-        super(w, name, zone, address);
+    StoreMachine(World world, String name, String zone, String address) {
+        super(world, name, zone, address);
     }
 
     @Override
     protected void boot() {
-        stalled = false;
-        held.clear();
+        diskStalled = false;
+        waitingForDisk.clear();
         var port = new NodePort(this);
         store = new Store(
                 port,
@@ -39,18 +40,22 @@
         operator = new OperatorCommands(port, store.coreClient());
     }
 
-    public void slow(long micros) {
-        slow = micros;
+    /** Sets the time that the disk adds to each message of the replicated parts, in microseconds. */
+    public void slow(long delayMicros) {
+        diskDelayMicros = delayMicros;
     }
 
-    public void stall(boolean is) {
-        stalled = is;
-        while (!stalled && !held.isEmpty()) store.receive(held.poll());
+    /**
+     * Sets whether the disk hangs. While it does, messages of the replicated parts wait, and the node itself goes on.
+     */
+    public void stall(boolean value) {
+        diskStalled = value;
+        while (!diskStalled && !waitingForDisk.isEmpty()) store.receive(waitingForDisk.poll());
     }
 
     @Override
     protected void tick() {
-        if (stalled) store.tickNode();
+        if (diskStalled) store.tickNode();
         else store.tick();
         operator.tick(now());
         world.sees(this, store.membership().view());
@@ -62,17 +67,20 @@
     }
 
     @Override
-    public void receive(byte[] b) {
-        var m = Codec.readTagged(b);
-        var ofPart =
-                m instanceof PartMessage || m instanceof CommandRequest || m instanceof Renew || m instanceof Subscribe;
-        if (ofPart && slow > 0 && !stalled) mineAfter(slow, () -> take(m));
-        else if (ofPart) take(m);
-        else store.receive(m);
+    public void receive(byte[] encoded) {
+        var message = Codec.readTagged(encoded);
+        var needsDisk = message instanceof PartMessage
+                || message instanceof CommandRequest
+                || message instanceof Renew
+                || message instanceof Subscribe;
+        if (needsDisk && diskDelayMicros > 0 && !diskStalled)
+            mineAfter(diskDelayMicros, () -> handlePartMessage(message));
+        else if (needsDisk) handlePartMessage(message);
+        else store.receive(message);
     }
 
-    private void take(Object m) {
-        if (stalled) held.add(m);
-        else store.receive(m);
+    private void handlePartMessage(Object message) {
+        if (diskStalled) waitingForDisk.add(message);
+        else store.receive(message);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Stream.java
+++ b/test/sim/src/main/java/craneway/sim/Stream.java
@@ -5,11 +5,18 @@
 import java.util.Deque;
 import java.util.Map;
 
+/**
+ * A simulated HTTP request with a streamed response. Frames arrive in order; over a cut link they wait until the link
+ * is restored.
+ */
 final class Stream implements HttpExchange.Call {
-    private static final long AGAIN = 200_000, CONNECT = 1_000_000;
+    private static final long CUT_RETRY_INTERVAL_MICROS = 200_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
+    /** A machine that serves requests. */
     interface Server {
-        void serve(Stream s, String path, Map<String, String> headers, byte[] body);
+        /** Handles a request and answers on the stream. */
+        void serve(Stream stream, String path, Map<String, String> headers, byte[] body);
     }
 
     final Machine from;
@@ -17,13 +24,14 @@
     private final World world;
     private final HttpExchange.Sink sink;
 
-    private record Frame(long at, Runnable what, boolean last) {}
+    /** A part of the response on its way to the caller. */
+    private record Frame(long at, Runnable delivery, boolean last) {}
 
     private final Deque<Frame> pending = new ArrayDeque<>();
-    private long lastAt;
+    private long lastFrameAt;
     private boolean accepted;
-    private boolean over;
-    private String sub = "";
+    private boolean closed;
+    private String submissionId = "";
     private Runnable onCancel = () -> {};
 
     Stream(World world, Machine from, Machine to, HttpExchange.Sink sink) {
@@ -33,89 +41,96 @@
         this.sink = sink;
     }
 
+    /** Opens the connection: refused after a timeout if a link is cut, at once if no process listens. */
     void connect(String path, Map<String, String> headers, byte[] body) {
-        var l = world.net.latency(from, to);
-        sub = new String(body).split(" ")[1];
+        var latency = world.net.latency(from, to);
+        submissionId = new String(body).split(" ")[1];
         if (!world.net.open(from, to) || !world.net.open(to, from)) {
-            world.journal.blocked.merge(sub, CONNECT, Long::sum);
-            world.sim.after(CONNECT, () -> toCaller(sink::refused, true));
-        } else if (!to.up()) world.sim.after(l, () -> toCaller(sink::refused, true));
-        else world.sim.after(2 * l, () -> arrive(path, headers, body));
+            world.journal.blocked.merge(submissionId, CONNECT_TIMEOUT_MICROS, Long::sum);
+            world.sim.after(CONNECT_TIMEOUT_MICROS, () -> runOnCaller(sink::refused, true));
+        } else if (!to.up()) world.sim.after(latency, () -> runOnCaller(sink::refused, true));
+        else world.sim.after(2 * latency, () -> accept(path, headers, body));
     }
 
-    private void arrive(String path, Map<String, String> headers, byte[] body) {
-        if (over) return;
+    private void accept(String path, Map<String, String> headers, byte[] body) {
+        if (closed) return;
         if (!to.up()) {
-            toCaller(sink::broken, true);
+            runOnCaller(sink::broken, true);
             return;
         }
         accepted = true;
         world.streams.add(this);
         to.run(() -> {
-            if (!over) ((Server) to).serve(this, path, headers, body);
+            if (!closed) ((Server) to).serve(this, path, headers, body);
         });
     }
 
-    void onCancel(Runnable r) {
-        onCancel = r;
+    /** Sets what the server does when the caller goes away. */
+    void onCancel(Runnable action) {
+        onCancel = action;
     }
 
+    /** Whether the server may still write. */
     boolean open() {
-        return !over;
+        return !closed;
     }
 
     void status(int code, Map<String, String> headers) {
-        back(() -> sink.status(code, headers), false);
+        reply(() -> sink.status(code, headers), false);
     }
 
-    void chunk(byte[] b) {
-        back(() -> sink.chunk(b), false);
+    void chunk(byte[] bytes) {
+        reply(() -> sink.chunk(bytes), false);
     }
 
     void end() {
-        back(sink::end, true);
+        reply(sink::end, true);
     }
 
     void broken() {
-        back(sink::broken, true);
+        reply(sink::broken, true);
     }
 
-    private void back(Runnable what, boolean last) {
-        if (over) return;
-        lastAt = Math.max(lastAt + 1, world.sim.now() + world.net.latency(from, to));
-        pending.add(new Frame(lastAt, what, last));
-        if (pending.size() == 1) world.sim.at(lastAt, this::pump);
+    private void reply(Runnable delivery, boolean last) {
+        if (closed) return;
+        lastFrameAt = Math.max(lastFrameAt + 1, world.sim.now() + world.net.latency(from, to));
+        pending.add(new Frame(lastFrameAt, delivery, last));
+        if (pending.size() == 1) world.sim.at(lastFrameAt, this::deliverPending);
     }
 
-    private void pump() {
-        if (over || pending.isEmpty()) return;
+    /** Delivers the next frame, or tries again later while a link is cut. */
+    private void deliverPending() {
+        if (closed || pending.isEmpty()) return;
         if (!world.net.open(to, from) || !world.net.open(from, to)) {
-            world.journal.blocked.merge(sub, AGAIN, Long::sum);
-            world.sim.after(AGAIN, this::pump);
+            world.journal.blocked.merge(submissionId, CUT_RETRY_INTERVAL_MICROS, Long::sum);
+            world.sim.after(CUT_RETRY_INTERVAL_MICROS, this::deliverPending);
             return;
         }
-        var f = pending.poll();
-        toCaller(f.what, f.last);
-        if (!pending.isEmpty()) world.sim.at(pending.peek().at, this::pump);
+        var frame = pending.poll();
+        runOnCaller(frame.delivery, frame.last);
+        if (!pending.isEmpty()) world.sim.at(pending.peek().at, this::deliverPending);
     }
 
-    private void toCaller(Runnable what, boolean last) {
-        if (over) return;
+    private void runOnCaller(Runnable action, boolean last) {
+        if (closed) return;
         if (last) {
-            over = true;
+            closed = true;
             world.streams.remove(this);
         }
-        if (from.up()) from.run(what);
+        if (from.up()) from.run(action);
     }
 
-    void machineDied(Machine m) {
-        if (over || !accepted) return;
-        if (m == from) {
-            over = true;
+    /**
+     * Breaks the connection when the process of either side ends; the other side notices it if the links are intact.
+     */
+    void machineDied(Machine machine) {
+        if (closed || !accepted) return;
+        if (machine == from) {
+            closed = true;
             world.streams.remove(this);
             if (to.up() && world.net.open(from, to)) to.run(onCancel);
-        } else if (m == to) {
-            over = true;
+        } else if (machine == to) {
+            closed = true;
             world.streams.remove(this);
             if (world.net.open(to, from))
                 world.sim.after(world.net.latency(from, to), () -> {
@@ -129,8 +144,8 @@
 
     @Override
     public void cancel() {
-        if (over) return;
-        over = true;
+        if (closed) return;
+        closed = true;
         world.streams.remove(this);
         world.sim.after(world.net.latency(from, to), () -> {
             if (to.up()) to.run(onCancel);
--- a/test/sim/src/main/java/craneway/sim/Timeline.java
+++ b/test/sim/src/main/java/craneway/sim/Timeline.java
@@ -4,41 +4,46 @@
 import java.util.List;
 import java.util.TreeSet;
 
+/** The events of a simulated run, drawn as a table with a column for each node. */
 public final class Timeline {
-    private record Line(long at, String node, String text) {}
+    private record Entry(long at, String node, String text) {}
 
-    private final List<Line> lines = new ArrayList<>();
+    private final List<Entry> entries = new ArrayList<>();
 
+    /** Adds an entry. */
     public void note(long at, String node, String text) {
-        lines.add(new Line(at, node, text));
+        entries.add(new Entry(at, node, text));
     }
 
+    /** Whether some entry of the node contains the text. */
     public boolean has(String node, String text) {
-        return lines.stream().anyMatch(l -> l.node.equals(node) && l.text.contains(text));
+        return entries.stream().anyMatch(entry -> entry.node.equals(node) && entry.text.contains(text));
     }
 
+    /** The table as text, one line for each entry. */
     public String draw() {
-        var nodes = new ArrayList<>(new TreeSet<>(lines.stream().map(Line::node).toList()));
-        var b = new StringBuilder(String.format("%10s", "seconds"));
-        for (var n : nodes) b.append(String.format(" | %-" + width(n) + "s", n));
-        b.append('\n');
-        for (var l : lines) row(b, l, nodes);
-        return b.toString();
+        var nodes =
+                new ArrayList<>(new TreeSet<>(entries.stream().map(Entry::node).toList()));
+        var text = new StringBuilder(String.format("%10s", "seconds"));
+        for (var node : nodes) text.append(String.format(" | %-" + columnWidth(node) + "s", node));
+        text.append('\n');
+        for (var entry : entries) appendRow(text, entry, nodes);
+        return text.toString();
     }
 
-    private static int width(String n) {
-        return Math.max(10, n.length());
+    private static int columnWidth(String node) {
+        return Math.max(10, node.length());
     }
 
-    private static void row(StringBuilder b, Line l, List<String> nodes) {
-        b.append(String.format("%10.3f", l.at / 1e6));
-        for (var n : nodes) {
-            if (n.equals(l.node)) {
-                b.append(" | ").append(l.text);
+    private static void appendRow(StringBuilder table, Entry entry, List<String> nodes) {
+        table.append(String.format("%10.3f", entry.at / 1e6));
+        for (var node : nodes) {
+            if (node.equals(entry.node)) {
+                table.append(" | ").append(entry.text);
                 break;
             }
-            b.append(String.format(" | %-" + width(n) + "s", "."));
+            table.append(String.format(" | %-" + columnWidth(node) + "s", "."));
         }
-        b.append('\n');
+        table.append('\n');
     }
 }
