--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -21,105 +21,149 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
+/**
+ * A simulated fleet with the machines that a manifest names, and the operators' commands to it. Everything runs on one
+ * thread.
+ */
 public final class World {
-    static final long TICK = 50_000;
+    /** Interval between the ticks of a process. */
+    static final long TICK_INTERVAL_MICROS = 50_000;
 
     public final Sim sim;
     public final Net net;
     public final Timeline timeline = new Timeline();
     public final Journal journal = new Journal();
     public final Map<String, Machine> machines = new TreeMap<>();
-    /** Machines of an older release, whose lives come from a clock that is this far off. */
+
+    /**
+     * Machines of an older release, whose incarnations come from a wall clock, with the microseconds by which that
+     * clock is off.
+     */
     public final Map<String, Long> wallJumps = new HashMap<>();
 
+    /** The name of the manifest's first service. */
     public final String service;
+
     public final Manifest manifest;
     public final String manifestText;
+
+    /** Whether runners are warm from their start on. */
     public boolean warmStart = true;
+
+    /** The wire version that nodes speak which start from now on. */
     public int wire = Node.WIRE;
+
     final Set<Stream> streams = new LinkedHashSet<>();
+
+    /** By node: the process and manifest version that were last recorded. */
     private final Map<String, String> lastSeen = new HashMap<>();
+
     private final Map<String, Long> takenBackAt = new HashMap<>();
-    private final Map<String, Journal.Emptied> open = new HashMap<>();
+
+    /** By zone or cell: the confirmed emptying that is not taken back yet. */
+    private final Map<String, Journal.Emptied> openEmptied = new HashMap<>();
+
     private List<String> seeds = List.of("store-1", "store-2", "store-3");
     private long manifestVersion;
 
+    /**
+     * Builds the machines without starting them.
+     *
+     * @param routers the number of routers in each zone
+     * @param slots the number of slots of each runner
+     */
     public World(long seed, String manifestText, int[] routers, int slots) {
         this.manifestText = manifestText;
         sim = new Sim(seed);
         net = new Net(sim);
         manifest = ManifestReader.read(manifestText).get();
-        var s = manifest.services().values().iterator().next();
-        service = journal.service = s.name();
-        var n = 0;
-        for (var z : manifest.zones().keySet()) {
-            add(new StoreMachine(this, "store-" + ++n, z, "store-" + n));
-            for (var i = 1; i <= routers[(n - 1) % routers.length]; i++)
-                add(new RouterMachine(this, "router-" + n + "-" + i, z, "router-" + n + "-" + i));
-            add(new ClientMachine(this, "requester-" + n, z, "requester-" + n));
+        var firstService = manifest.services().values().iterator().next();
+        service = journal.service = firstService.name();
+        var zoneNumber = 0;
+        for (var zone : manifest.zones().keySet()) {
+            add(new StoreMachine(this, "store-" + ++zoneNumber, zone, "store-" + zoneNumber));
+            for (var i = 1; i <= routers[(zoneNumber - 1) % routers.length]; i++)
+                add(new RouterMachine(this, "router-" + zoneNumber + "-" + i, zone, "router-" + zoneNumber + "-" + i));
+            add(new ClientMachine(this, "requester-" + zoneNumber, zone, "requester-" + zoneNumber));
         }
-        for (var x : manifest.services().values())
-            for (var c : x.cells())
-                for (var i = 1; i <= c.weight(); i++) {
-                    var name = "runner-" + c.name() + "-" + i;
-                    add(new RunnerMachine(this, name, c.zone(), name, x.name(), c.name(), slots));
+        for (var declared : manifest.services().values())
+            for (var cell : declared.cells())
+                for (var i = 1; i <= cell.weight(); i++) {
+                    var name = "runner-" + cell.name() + "-" + i;
+                    add(new RunnerMachine(this, name, cell.zone(), name, declared.name(), cell.name(), slots));
                 }
     }
 
-    private void add(Machine m) {
-        machines.put(m.name, m);
-        net.join(m);
+    private void add(Machine machine) {
+        machines.put(machine.name, machine);
+        net.join(machine);
     }
 
+    /** The addresses that a starting process is given. */
     List<String> seeds() {
         return seeds;
     }
 
-    public void seeds(List<String> all) {
-        seeds = all;
+    /** Sets the addresses that processes are given which start from now on. */
+    public void seeds(List<String> addresses) {
+        seeds = addresses;
     }
 
+    /** The number of stores that found the core. */
     int stores() {
         return 3;
     }
 
-    Node node(Machine m, String kind) {
-        var n = wallJumps.containsKey(m.name)
-                ? new Node(m.name, kind, m.zone, m.address, wall(m))
-                : Node.started(m.name, kind, m.zone, m.address, Hash.of(Hash.of(m.name), m.life()));
-        n.wire = wire;
-        return n;
+    /** The identity of a machine's new process. */
+    Node node(Machine machine, String kind) {
+        var node = wallJumps.containsKey(machine.name)
+                ? new Node(machine.name, kind, machine.zone, machine.address, wall(machine))
+                : Node.started(
+                        machine.name,
+                        kind,
+                        machine.zone,
+                        machine.address,
+                        Hash.of(Hash.of(machine.name), machine.life()));
+        node.wire = wire;
+        return node;
     }
 
-    long wall(Machine m) {
-        return 1_000_000_000_000L + sim.now() + wallJumps.getOrDefault(m.name, 0L);
+    /** The machine's wall clock in microseconds. */
+    long wall(Machine machine) {
+        return 1_000_000_000_000L + sim.now() + wallJumps.getOrDefault(machine.name, 0L);
     }
 
+    /** The machine of the given name; throws if there is none. */
     public Machine machine(String name) {
-        var m = machines.get(name);
-        if (m == null) throw new IllegalArgumentException("no machine " + name + " among " + machines.keySet());
-        return m;
+        var machine = machines.get(name);
+        if (machine == null)
+            throw new IllegalArgumentException("no machine " + name + "; there are " + machines.keySet());
+        return machine;
     }
 
+    /** All machines of a type, by name. */
     public <T extends Machine> List<T> all(Class<T> type) {
-        var l = new ArrayList<T>();
-        for (var m : machines.values()) if (type.isInstance(m)) l.add(type.cast(m));
-        return l;
+        var found = new ArrayList<T>();
+        for (var machine : machines.values()) if (type.isInstance(machine)) found.add(type.cast(machine));
+        return found;
     }
 
+    /** The routers of a zone whose process runs. */
     public List<RouterMachine> routersIn(String zone) {
         return all(RouterMachine.class).stream()
-                .filter(r -> r.zone.equals(zone) && r.up())
+                .filter(router -> router.zone.equals(zone) && router.up())
                 .toList();
     }
 
+    /** The ready routers of a zone, or of all zones if it has none. */
     List<RouterMachine> readyRouters(String zone) {
-        var near = routersIn(zone).stream().filter(RouterMachine::ready).toList();
-        return near.isEmpty()
+        var inZone = routersIn(zone).stream().filter(RouterMachine::ready).toList();
+        return inZone.isEmpty()
                 ? all(RouterMachine.class).stream().filter(RouterMachine::ready).toList()
-                : near;
+                : inZone;
     }
 
+    /** Opens a request from a machine to an address. */
     HttpExchange.Call open(
             Machine from,
             String address,
@@ -127,62 +171,73 @@
             Map<String, String> headers,
             byte[] body,
             HttpExchange.Sink sink) {
-        var s = new Stream(this, from, net.at(address), sink);
-        s.connect(path, headers, body);
-        return s;
+        var stream = new Stream(this, from, net.at(address), sink);
+        stream.connect(path, headers, body);
+        return stream;
     }
 
-    void broke(Machine m) {
-        for (var s : List.copyOf(streams)) s.machineDied(m);
+    /** Breaks the connections of a machine whose process has ended. */
+    void broke(Machine machine) {
+        for (var stream : List.copyOf(streams)) stream.machineDied(machine);
     }
 
-    void sees(Machine m, Membership.CoreView v) {
-        if (v.manifest() == null) return;
-        if (m.name.equals("router-1-1")) v.services().values().forEach(this::moved);
-        var key = m.life() + "/" + v.manifestRow().version;
-        if (key.equals(lastSeen.put(m.name, key))) return;
-        journal.seen.add(new Journal.Seen(sim.now(), m.name, m.life(), v.manifestRow().version, v.manifestRow().text));
+    /** Records which manifest a node has in force, and which units have moved. */
+    void sees(Machine machine, Membership.CoreView view) {
+        if (view.manifest() == null) return;
+        if (machine.name.equals("router-1-1")) view.services().values().forEach(this::recordMoves);
+        var processAndVersion = machine.life() + "/" + view.manifestRow().version;
+        if (processAndVersion.equals(lastSeen.put(machine.name, processAndVersion))) return;
+        journal.seen.add(new Journal.Seen(
+                sim.now(), machine.name, machine.life(), view.manifestRow().version, view.manifestRow().text));
     }
 
+    /** By service: the home region of each unit when it was last looked at. */
     private final Map<String, int[]> homes = new HashMap<>();
 
-    private void moved(Rows.Service s) {
-        var had = homes.put(s.name, s.homes);
-        if (had == null || had == s.homes) return;
-        for (var u = 0; u < had.length; u++)
-            if (had[u] >= 0 && had[u] != s.homes[u]) journal.moves.merge(s.name + " " + u, 1, Integer::sum);
-    }
-
-    void rebuild(StoreMachine m, Consumer<String> then) {
-        var text = m.store.membership().view().manifestRow().text;
-        var version = m.store.membership().view().manifestRow().version;
-        var done = m.store.rebuild().flatMap(r -> m.store.rebuild(r.confirmationToken()));
-        if (done.isLeft()) {
-            told(
+    /** Counts each unit whose home changed. */
+    private void recordMoves(Rows.Service row) {
+        var previous = homes.put(row.name, row.homes);
+        if (previous == null || previous == row.homes) return;
+        for (var unit = 0; unit < previous.length; unit++)
+            if (previous[unit] >= 0 && previous[unit] != row.homes[unit])
+                journal.moves.merge(row.name + " " + unit, 1, Integer::sum);
+    }
+
+    /** Rebuilds the core from one store, as an operator does after the loss of a majority. */
+    void rebuild(StoreMachine machine, Consumer<String> then) {
+        var text = machine.store.membership().view().manifestRow().text;
+        var version = machine.store.membership().view().manifestRow().version;
+        var result = machine.store.rebuild().flatMap(plan -> machine.store.rebuild(plan.confirmationToken()));
+        if (result.isLeft()) {
+            report(
                     then,
-                    "declined " + done.getLeft().kind() + ": " + done.getLeft().detail());
+                    "declined " + result.getLeft().kind() + ": "
+                            + result.getLeft().detail());
             return;
         }
         manifestVersion = version + 1_000;
         journal.sent.add(new Journal.Sent(
                 text, version, sim.now(), sim.now() + 30_000_000, true, manifestVersion, new long[] {Long.MAX_VALUE}));
-        told(then, "rebuilt as generation " + done.get().generation());
+        report(then, "rebuilt as generation " + result.get().generation());
     }
 
+    /** Accepts the loss of claims, as an operator does after a rebuild. */
     void acceptClaims(String at, Consumer<String> then) {
         journal.claimsAccepted = true;
         operator(at)
-                .acceptClaims(r -> told(
+                .acceptClaims(result -> report(
                         then,
-                        r.isRight()
+                        result.isRight()
                                 ? "claims accepted"
-                                : "declined " + r.getLeft().kind()));
+                                : "declined " + result.getLeft().kind()));
     }
 
+    /** Starts all machines. */
     public void startAll() {
         machines.values().forEach(Machine::start);
     }
 
+    /** Starts the fleet, waits for the core, sends the manifest and waits until it is in force. */
     public void found() {
         startAll();
         sim.runUntil(sim.now() + 6_000_000);
@@ -192,135 +247,172 @@
     }
 
     private OperatorCommands operator(String at) {
-        var m = machine(at);
-        return m instanceof StoreMachine s ? s.operator : ((RouterMachine) m).operator;
+        var machine = machine(at);
+        return machine instanceof StoreMachine store ? store.operator : ((RouterMachine) machine).operator;
     }
 
+    /** Sends a manifest on the given base version at a store or router and records the answer. */
     public void send(String text, long base, String at) {
         var sentAt = sim.now();
         journal.unsure.add(text);
-        operator(at).putManifest(base, text, r -> {
-            var taken = r.isRight();
-            if (taken) manifestVersion = Math.max(manifestVersion, r.get().version());
+        operator(at).putManifest(base, text, result -> {
+            var accepted = result.isRight();
+            if (accepted)
+                manifestVersion = Math.max(manifestVersion, result.get().version());
             timeline.note(
                     sim.now(),
                     "operator",
-                    taken
-                            ? "manifest " + r.get().version() + " taken"
-                            : "declined: " + r.getLeft().kind() + " "
-                                    + r.getLeft().detail());
-            if (!taken && r.getLeft().kind() == ProblemKind.UNCERTAIN) return;
+                    accepted
+                            ? "manifest " + result.get().version() + " accepted"
+                            : "declined: " + result.getLeft().kind() + " "
+                                    + result.getLeft().detail());
+            if (!accepted && result.getLeft().kind() == ProblemKind.UNCERTAIN) return;
             journal.unsure.remove(text);
-            var everywhere = new long[] {taken && r.get().routersStillActing().isEmpty() ? sim.now() : Long.MAX_VALUE};
+            var inForceEverywhereAt =
+                    new long[] {accepted && result.get().routersStillActing().isEmpty() ? sim.now() : Long.MAX_VALUE};
             journal.sent.add(new Journal.Sent(
-                    text, base, sentAt, sim.now(), taken, taken ? r.get().version() : 0, everywhere));
-            if (taken && everywhere[0] == Long.MAX_VALUE)
-                watchOn(at, (o, then) -> o.watchManifest(r.get().version(), then), () -> everywhere[0] = sim.now());
+                    text,
+                    base,
+                    sentAt,
+                    sim.now(),
+                    accepted,
+                    accepted ? result.get().version() : 0,
+                    inForceEverywhereAt));
+            if (accepted && inForceEverywhereAt[0] == Long.MAX_VALUE)
+                awaitRollout(
+                        at,
+                        (commands, then) -> commands.watchManifest(result.get().version(), then),
+                        () -> inForceEverywhereAt[0] = sim.now());
         });
     }
 
-    private interface Watch {
-        void on(OperatorCommands o, Consumer<Either<Problem, OperatorCommands.RolloutResult>> then);
+    /** One request that waits for the rollout of a manifest or plan. */
+    private interface RolloutWatch {
+        void start(OperatorCommands commands, Consumer<Either<Problem, OperatorCommands.RolloutResult>> then);
     }
 
-    private void watchOn(String at, Watch w, Runnable everywhere) {
+    /** Watches a rollout every 0.5 s until no router acts on older state; waits while the asked node is down. */
+    private void awaitRollout(String at, RolloutWatch watch, Runnable completed) {
         sim.after(500_000, () -> {
-            if (!machine(at).up() || machine(at).frozen()) watchOn(at, w, everywhere);
+            if (!machine(at).up() || machine(at).frozen()) awaitRollout(at, watch, completed);
             else
-                w.on(operator(at), r -> {
-                    if (r.isRight() && r.get().routersStillActing().isEmpty()) everywhere.run();
-                    else watchOn(at, w, everywhere);
+                watch.start(operator(at), result -> {
+                    if (result.isRight() && result.get().routersStillActing().isEmpty()) completed.run();
+                    else awaitRollout(at, watch, completed);
                 });
         });
     }
 
+    /** The newest version that an operator was told is accepted. */
     public long manifestVersion() {
         return manifestVersion;
     }
 
-    public void intent(Intent i, String at, Consumer<String> then) {
-        operator(at).createPlan(i, p -> {
-            if (p.isLeft())
-                told(then, "declined " + p.getLeft().kind() + ": " + p.getLeft().detail());
+    /** Creates a plan from an intent and confirms it; {@code then} gets each answer. */
+    public void intent(Intent intent, String at, Consumer<String> then) {
+        operator(at).createPlan(intent, plan -> {
+            if (plan.isLeft())
+                report(
+                        then,
+                        "declined " + plan.getLeft().kind() + ": "
+                                + plan.getLeft().detail());
             else
-                operator(at).confirmPlan(p.get().id, c -> {
-                    if (c.isLeft()) told(then, "declined " + c.getLeft().kind());
+                operator(at).confirmPlan(plan.get().id, confirmation -> {
+                    if (confirmation.isLeft())
+                        report(then, "declined " + confirmation.getLeft().kind());
                     else {
-                        told(
+                        report(
                                 then,
-                                c.get().routersStillActing().isEmpty()
+                                confirmation.get().routersStillActing().isEmpty()
                                         ? "confirmed"
-                                        : "pending " + c.get().routersStillActing());
-                        if (!c.get().routersStillActing().isEmpty())
-                            watchOn(at, (o, x) -> o.watchPlan(p.get().id, x), () -> told(then, "confirmed"));
+                                        : "pending " + confirmation.get().routersStillActing());
+                        if (!confirmation.get().routersStillActing().isEmpty())
+                            awaitRollout(
+                                    at,
+                                    (commands, result) -> commands.watchPlan(plan.get().id, result),
+                                    () -> report(then, "confirmed"));
                     }
                 });
         });
     }
 
+    /** Empties a cell of the first service. */
     public void emptyCell(String cell, String at, Consumer<String> then) {
         empty(new Intent(Intent.EMPTY_CELL, null, service, cell, null, null), "", cell, at, then);
     }
 
+    /** Keeps a tenant's work in the given regions. */
     public void keep(String tenant, List<String> regions, String at, Consumer<String> then) {
-        intent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), at, s -> {
-            if (s.equals("confirmed")) journal.kept.add(new Journal.Kept(tenant, regions, sim.now()));
-            then.accept(s);
+        intent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), at, answer -> {
+            if (answer.equals("confirmed")) journal.kept.add(new Journal.Kept(tenant, regions, sim.now()));
+            then.accept(answer);
         });
     }
 
-    private void told(Consumer<String> then, String s) {
-        timeline.note(sim.now(), "operator", s);
-        then.accept(s);
+    /** Notes an answer to the operator on the timeline and passes it on. */
+    private void report(Consumer<String> then, String answer) {
+        timeline.note(sim.now(), "operator", answer);
+        then.accept(answer);
     }
 
+    /** Empties a zone. */
     public void emptyZone(String zone, String at, Consumer<String> then) {
         empty(new Intent(Intent.EMPTY_ZONE, zone, null, null, null, null), zone, "", at, then);
     }
 
-    private void empty(Intent i, String zone, String cell, String at, Consumer<String> then) {
-        var asked = sim.now();
+    private void empty(Intent intent, String zone, String cell, String at, Consumer<String> then) {
+        var submittedAt = sim.now();
         journal.maybeEmptied.put(zone + cell, Long.MAX_VALUE);
-        intent(i, at, s -> {
-            if (s.equals("confirmed") && takenBackAt.getOrDefault(zone + cell, 0L) < asked) {
-                var e = new Journal.Emptied(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
-                journal.emptied.add(e);
-                open.put(zone + cell, e);
+        intent(intent, at, answer -> {
+            if (answer.equals("confirmed") && takenBackAt.getOrDefault(zone + cell, 0L) < submittedAt) {
+                var emptied = new Journal.Emptied(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
+                journal.emptied.add(emptied);
+                openEmptied.put(zone + cell, emptied);
             }
-            then.accept(s);
+            then.accept(answer);
         });
     }
 
+    /** Takes an emptied zone back. */
     public void takeBack(String zone, String at, Consumer<String> then) {
-        takeBack(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, at, then);
+        takeBackArea(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, at, then);
     }
 
+    /** Takes an emptied cell back. */
     public void takeBackCell(String cell, String at, Consumer<String> then) {
-        takeBack(new Intent(Intent.TAKE_BACK_CELL, null, service, cell, null, null), cell, at, then);
+        takeBackArea(new Intent(Intent.TAKE_BACK_CELL, null, service, cell, null, null), cell, at, then);
     }
 
-    private void takeBack(Intent i, String what, String at, Consumer<String> then) {
-        takenBackAt.put(what, sim.now());
-        var e = open.remove(what);
-        if (e != null) e.takenBack()[0] = sim.now();
-        intent(i, at, s -> {
-            if (s.equals("confirmed") || s.startsWith("pending")) journal.maybeEmptied.put(what, sim.now());
-            then.accept(s);
+    private void takeBackArea(Intent intent, String zoneOrCell, String at, Consumer<String> then) {
+        takenBackAt.put(zoneOrCell, sim.now());
+        var emptied = openEmptied.remove(zoneOrCell);
+        if (emptied != null) emptied.takenBack()[0] = sim.now();
+        intent(intent, at, answer -> {
+            if (answer.equals("confirmed") || answer.startsWith("pending"))
+                journal.maybeEmptied.put(zoneOrCell, sim.now());
+            then.accept(answer);
         });
     }
 
+    /** Records the final state of each running node in the journal. */
     void ends() {
         journal.ends.clear();
-        for (var m : machines.values()) {
-            if (!m.up() || m.frozen()) continue;
-            var v = m instanceof StoreMachine s
-                    ? s.store.membership().view()
-                    : m instanceof RouterMachine r ? r.router.membership().view() : null;
-            if (v == null) continue;
-            var tables = new HashMap<String, Long>();
-            v.services().forEach((k, s) -> tables.put(k, s.tableVersion));
+        for (var machine : machines.values()) {
+            if (!machine.up() || machine.frozen()) continue;
+            var view = machine instanceof StoreMachine store
+                    ? store.store.membership().view()
+                    : machine instanceof RouterMachine routerMachine
+                            ? routerMachine.router.membership().view()
+                            : null;
+            if (view == null) continue;
+            var tableVersions = new HashMap<String, Long>();
+            view.services().forEach((name, row) -> tableVersions.put(name, row.tableVersion));
             journal.ends.add(new Journal.End(
-                    m.name, v.manifestRow().version, v.manifestRow().text, Map.copyOf(v.manifestRow().marks), tables));
+                    machine.name,
+                    view.manifestRow().version,
+                    view.manifestRow().text,
+                    Map.copyOf(view.manifestRow().marks),
+                    tableVersions));
         }
     }
 }
