--- a/test/sim/src/main/java/craneway/sim/Checks.java
+++ b/test/sim/src/main/java/craneway/sim/Checks.java
@@ -129,21 +129,20 @@
         var lastReplyByWork = new HashMap<String, Journal.Reply>();
         for (var reply : journal.replies)
             lastReplyByWork.merge(reply.asked, reply, (a, b) -> b.askedAt >= a.askedAt ? b : a);
-        var violations = new ArrayList<String>();
+        var found = new ArrayList<String>();
         for (var reply : journal.replies)
             if (reply.askedAt >= from
                     && reply.askedAt < until
                     && !served(reply)
                     && !(reply.verdict.equals("declined") && reply.retryAfter > 0))
-                violations.add("promise 12: " + reply.sub + " ended as " + reply.verdict + " " + reply.code);
+                found.add("promise 12: " + reply.sub + " ended as " + reply.verdict + " " + reply.code);
         for (var reply : lastReplyByWork.values())
             if (reply.askedAt >= from && reply.askedAt < until && !served(reply) && !isJustified(reply))
-                violations.add("promise 12: " + reply.asked + " was never served, last verdict " + reply.verdict + " "
+                found.add("promise 12: " + reply.asked + " was never served, last verdict " + reply.verdict + " "
                         + reply.code);
         if (journal.submissions != journal.replies.size())
-            violations.add(
-                    "promise 12: " + (journal.submissions - journal.replies.size()) + " submissions got no verdict");
-        return violations;
+            found.add("promise 12: " + (journal.submissions - journal.replies.size()) + " submissions got no verdict");
+        return found;
     }
 
     /**
@@ -157,17 +156,17 @@
             firstSubmittedAt.merge(reply.asked, reply.askedAt, Math::min);
             lastReplyByWork.merge(reply.asked, reply, (a, b) -> b.askedAt >= a.askedAt ? b : a);
         }
-        var violations = new ArrayList<String>();
+        var found = new ArrayList<String>();
         var workCount = 0;
         for (var reply : lastReplyByWork.values()) {
             if (firstSubmittedAt.get(reply.asked) < from) continue;
             workCount++;
             if (!served(reply) && !isJustified(reply))
-                violations.add("promise 12: " + reply.asked + " of " + reply.tenant + " in " + reply.zone
+                found.add("promise 12: " + reply.asked + " of " + reply.tenant + " in " + reply.zone
                         + " was not served after healing, last verdict " + reply.verdict + " " + reply.code);
         }
-        if (workCount == 0) violations.add("promise 12: nothing was submitted after healing");
-        return violations;
+        if (workCount == 0) found.add("promise 12: nothing was submitted after healing");
+        return found;
     }
 
     /**
--- a/test/sim/src/main/java/craneway/sim/Shape.java
+++ b/test/sim/src/main/java/craneway/sim/Shape.java
@@ -16,7 +16,7 @@
  * @param slowSync the time in microseconds that a store's disk adds to each message of the replicated log
  */
 public record Shape(String name, String manifest, int[] routers, int slots, long slowSync) {
-    /** Two routers per zone and a simple manifest, for feature tests. */
+    /** A small fleet with two routers in each zone. */
     public static final Shape SMALL = new Shape("small", readManifest("maticar"), new int[] {2, 2, 2}, 8, 0);
 
     /** The shape of the deployment of the same name. */
--- a/test/sim/src/test/java/craneway/sim/history/ConfigurationModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/ConfigurationModel.java
@@ -9,25 +9,25 @@
 import java.util.stream.Collectors;
 
 /**
- * The configuration in force. An order counts only on the version that it names as its base, with a higher number. One that was
- * taken is acknowledged whenever it is sent again, also after later changes, and refused never; one is refused only where it could
- * not have counted.
+ * The configuration in force. A configuration takes effect only if its base is the version in force and its own number
+ * is higher. One that was accepted is acknowledged whenever it is sent again, even after later changes, and is never
+ * refused; one is refused only where it could not have taken effect.
  */
 final class ConfigurationModel implements SequentialModel<ConfigurationModel.State> {
     /**
-     * The newest configuration and those that were taken.
+     * The newest configuration and the accepted ones.
      *
      * @param known whether number and value are known
-     * @param taken those that certainly were
-     * @param perhaps those that may have been before the history is looked at
+     * @param taken the configurations that certainly were accepted
+     * @param perhaps the configurations that may have been accepted before the examined part of the history
      */
     record State(boolean known, long number, String value, Set<String> taken, Set<String> perhaps) {
-        boolean is(Operation o) {
-            return number == o.number() && value.equals(o.value());
+        boolean matches(Operation operation) {
+            return number == operation.number() && value.equals(operation.value());
         }
 
-        State at(Operation o, Set<String> nowTaken) {
-            return new State(true, o.number(), o.value(), nowTaken, perhaps);
+        State withConfiguration(Operation operation, Set<String> nowTaken) {
+            return new State(true, operation.number(), operation.value(), nowTaken, perhaps);
         }
     }
 
@@ -39,42 +39,45 @@
     @Override
     public State unknown(List<Operation> sent) {
         var perhaps = sent.stream()
-                .filter(o -> o.type() == Type.CONFIGURE)
+                .filter(operation -> operation.type() == Type.CONFIGURE)
                 .map(ConfigurationModel::key)
                 .collect(Collectors.toUnmodifiableSet());
         return new State(false, 0, "?", Set.of(), perhaps);
     }
 
     @Override
-    public List<State> apply(State s, Operation o) {
-        if (o.type() == Type.READ) return read(s, o);
-        return o.outcome() == Outcome.REFUSED ? refused(s, o) : taken(s, o);
+    public List<State> apply(State state, Operation operation) {
+        if (operation.type() == Type.READ) return afterRead(state, operation);
+        return operation.outcome() == Outcome.REFUSED
+                ? afterRefusal(state, operation)
+                : afterAcceptance(state, operation);
     }
 
-    private static List<State> read(State s, Operation o) {
-        if (!s.known) return List.of(s.at(o, s.taken));
-        return s.is(o) ? List.of(s) : List.of();
+    private static List<State> afterRead(State state, Operation operation) {
+        if (!state.known) return List.of(state.withConfiguration(operation, state.taken));
+        return state.matches(operation) ? List.of(state) : List.of();
     }
 
-    private static List<State> refused(State s, Operation o) {
-        if (s.taken.contains(key(o))) return List.of();
-        var proper = s.known && s.number == o.base() && s.number < o.number();
-        return proper ? List.of() : List.of(s);
+    private static List<State> afterRefusal(State state, Operation operation) {
+        if (state.taken.contains(key(operation))) return List.of();
+        var mustBeAccepted = state.known && state.number == operation.base() && state.number < operation.number();
+        return mustBeAccepted ? List.of() : List.of(state);
     }
 
-    private static List<State> taken(State s, Operation o) {
-        if (s.taken.contains(key(o))) return List.of(s);
-        var all = new ArrayList<State>();
-        if (s.perhaps.contains(key(o))) all.add(s);
-        if (o.number() <= o.base() || s.known && s.number != o.base()) return all;
-        var nowTaken = new HashSet<>(s.taken);
-        nowTaken.add(key(o));
-        all.add(s.at(o, Set.copyOf(nowTaken)));
-        return all;
+    private static List<State> afterAcceptance(State state, Operation operation) {
+        if (state.taken.contains(key(operation))) return List.of(state);
+        var successors = new ArrayList<State>();
+        if (state.perhaps.contains(key(operation))) successors.add(state);
+        if (operation.number() <= operation.base() || state.known && state.number != operation.base())
+            return successors;
+        var nowTaken = new HashSet<>(state.taken);
+        nowTaken.add(key(operation));
+        successors.add(state.withConfiguration(operation, Set.copyOf(nowTaken)));
+        return successors;
     }
 
-    private static String key(Operation o) {
-        return o.number() + "/" + o.value();
+    private static String key(Operation operation) {
+        return operation.number() + "/" + operation.value();
     }
 
     @Override
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
@@ -7,96 +7,99 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Stores that break the rules, each in one way, so that the checker is seen to find it. */
+/** Operator endpoints that each violate one rule, to verify that the checker detects it. */
 final class DoctoredOffice {
-    private static final long CACHED = 2_000_000;
-    private static final long COPY = 3_000_000;
+    private static final long CACHE_DURATION_MICROS = 2_000_000;
+    private static final long DUPLICATE_DELAY_MICROS = 3_000_000;
 
     private DoctoredOffice() {}
 
-    /** Reads back what it holds itself, without contact with anyone. */
+    /** Answers reads from the local replica without contacting a majority. */
     static Office readsWithoutContact() {
         return new Office() {
             @Override
-            void take(StoreNode at, Request q, Consumer<Answer> then) {
-                var keepers = at.store().replicas();
-                if (q.configures() || q.marks() || keepers.length == 0) super.take(at, q, then);
+            void take(StoreNode node, Request request, Consumer<Answer> callback) {
+                var replicas = node.store().replicas();
+                if (request.configures() || request.marks() || replicas.length == 0)
+                    super.take(node, request, callback);
                 else
-                    then.accept(new Answer(
-                            200, keepers[Parts.MANIFEST_PART].records().rows().manifest));
+                    callback.accept(new Answer(
+                            200, replicas[Parts.MANIFEST_PART].records().rows().manifest));
             }
         };
     }
 
-    /** Confirms a configuration as long as the number in force is its own. */
+    /** Acknowledges a configuration whenever the number in force equals its own, whatever the content. */
     static Office confirmsByNumber() {
         return new Office() {
             @Override
-            void configure(StoreNode at, Request q, Consumer<Answer> then) {
-                super.configure(at, q, a -> {
-                    if (a.status() != 412) then.accept(a);
+            void configure(StoreNode node, Request request, Consumer<Answer> callback) {
+                super.configure(node, request, answer -> {
+                    if (answer.status() != 412) callback.accept(answer);
                     else
-                        at.passing().readManifest(r -> {
-                            var same = r.isRight() && r.get().version == q.number();
-                            then.accept(same ? Answer.of(200) : a);
+                        node.passing().readManifest(result -> {
+                            var sameNumber = result.isRight() && result.get().version == request.number();
+                            callback.accept(sameNumber ? Answer.of(200) : answer);
                         });
                 });
             }
         };
     }
 
-    /** Doesn't know a configuration again that it has taken. */
+    /** Does not recognize a resent configuration that it has accepted. */
     static Office knowsNoneAgain() {
         return new Office() {
             private int count;
 
             @Override
-            String source(Request q) {
-                return super.source(q) + ++count;
+            String source(Request request) {
+                return super.source(request) + ++count;
             }
         };
     }
 
-    /** Confirms a configuration that no majority has answered for. */
+    /** Acknowledges a configuration that no majority has confirmed. */
     static Office confirmsAlone() {
         return new Office() {
             @Override
-            void configure(StoreNode at, Request q, Consumer<Answer> then) {
-                super.configure(at, q, a -> then.accept(a.status() == 503 ? Answer.of(200) : a));
+            void configure(StoreNode node, Request request, Consumer<Answer> callback) {
+                super.configure(
+                        node, request, answer -> callback.accept(answer.status() == 503 ? Answer.of(200) : answer));
             }
         };
     }
 
-    /** Reads back for a while what it read before. */
+    /** Answers reads for a while from the previous answer. */
     static Office readsFromMemory() {
         return new Office() {
-            private final Map<String, Rows.Manifest> last = new HashMap<>();
-            private final Map<String, Long> at = new HashMap<>();
+            private final Map<String, Rows.Manifest> cachedByNode = new HashMap<>();
+            private final Map<String, Long> cachedAt = new HashMap<>();
 
             @Override
-            void take(StoreNode node, Request q, Consumer<Answer> then) {
-                var kept = node.now() - at.getOrDefault(node.name, Long.MIN_VALUE / 2) < CACHED;
-                if (q.configures() || q.marks()) super.take(node, q, then);
-                else if (kept) then.accept(new Answer(200, last.get(node.name)));
+            void take(StoreNode node, Request request, Consumer<Answer> callback) {
+                var fresh = node.now() - cachedAt.getOrDefault(node.name, Long.MIN_VALUE / 2) < CACHE_DURATION_MICROS;
+                if (request.configures() || request.marks()) super.take(node, request, callback);
+                else if (fresh) callback.accept(new Answer(200, cachedByNode.get(node.name)));
                 else
-                    super.take(node, q, a -> {
-                        if (a.ok()) {
-                            last.put(node.name, a.manifest());
-                            at.put(node.name, node.now());
+                    super.take(node, request, answer -> {
+                        if (answer.ok()) {
+                            cachedByNode.put(node.name, answer.manifest());
+                            cachedAt.put(node.name, node.now());
                         }
-                        then.accept(a);
+                        callback.accept(answer);
                     });
             }
         };
     }
 
-    /** Passes a zone's order on a second time, seconds later. */
+    /** Applies a zone command a second time, seconds later. */
     static Office copiesZoneOrders(Sim[] sim) {
         return new Office() {
             @Override
-            void take(StoreNode at, Request q, Consumer<Answer> then) {
-                super.take(at, q, then);
-                if (q.marks()) sim[0].after(COPY, () -> at.run(() -> super.take(at, q, a -> {})));
+            void take(StoreNode node, Request request, Consumer<Answer> callback) {
+                super.take(node, request, callback);
+                if (request.marks())
+                    sim[0].after(DUPLICATE_DELAY_MICROS, () -> node.run(() -> super.take(node, request, answer -> {})));
             }
         };
     }
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredStoreTest.java
@@ -6,54 +6,54 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** Stores in the simulator that break one rule each: the driver brings it about and the checker finds it. */
+/** Simulated stores that each violate one rule: the random runs bring the fault about and the checker detects it. */
 class DoctoredStoreTest {
-    private static final int MOST_SEEDS = 4;
-    private static final int SECONDS = 60;
-
-    private static void caught(Supplier<Office> office, String subject) {
-        var seen = new StringBuilder();
-        for (var seed = 1; seed <= MOST_SEEDS; seed++) {
-            var wrong = new Trial(seed, Trial.stores(seed), SECONDS, office.get()).play();
-            if (wrong.contains("explains " + subject)) return;
-            seen.append(wrong);
+    private static final int MAX_SEEDS = 4;
+    private static final int RUN_SECONDS = 60;
+
+    private static void assertDetected(Supplier<Office> faultyOffice, String subject) {
+        var violations = new StringBuilder();
+        for (var seed = 1; seed <= MAX_SEEDS; seed++) {
+            var violation = new Trial(seed, Trial.stores(seed), RUN_SECONDS, faultyOffice.get()).play();
+            if (violation.contains("explains " + subject)) return;
+            violations.append(violation);
         }
-        assertTrue(false, "not found in " + MOST_SEEDS + " seeds; found: " + seen);
+        assertTrue(false, "not detected in " + MAX_SEEDS + " seeds; reported: " + violations);
     }
 
     @Test
-    void aReadWithoutContactWithAMajority() {
-        caught(DoctoredOffice::readsWithoutContact, Operation.CONFIGURATION);
+    void detectsAReadWithoutContactWithAMajority() {
+        assertDetected(DoctoredOffice::readsWithoutContact, Operation.CONFIGURATION);
     }
 
     @Test
-    void twoConfirmedUnderOneNumber() {
-        caught(DoctoredOffice::confirmsByNumber, Operation.CONFIGURATION);
+    void detectsTwoAcknowledgedConfigurationsWithOneNumber() {
+        assertDetected(DoctoredOffice::confirmsByNumber, Operation.CONFIGURATION);
     }
 
     @Test
-    void aResentOrderRefused() {
-        caught(DoctoredOffice::knowsNoneAgain, Operation.CONFIGURATION);
+    void detectsARefusedResentConfiguration() {
+        assertDetected(DoctoredOffice::knowsNoneAgain, Operation.CONFIGURATION);
     }
 
     @Test
-    void anAcknowledgedOrderLost() {
-        caught(DoctoredOffice::confirmsAlone, Operation.CONFIGURATION);
+    void detectsALostAcknowledgedConfiguration() {
+        assertDetected(DoctoredOffice::confirmsAlone, Operation.CONFIGURATION);
     }
 
     @Test
-    void anOlderConfigurationRead() {
-        caught(DoctoredOffice::readsFromMemory, Operation.CONFIGURATION);
+    void detectsAReadOfAnOlderConfiguration() {
+        assertDetected(DoctoredOffice::readsFromMemory, Operation.CONFIGURATION);
     }
 
     @Test
-    void aLateCopyOfAZoneOrder() {
-        for (var seed = 1; seed <= MOST_SEEDS; seed++) {
+    void detectsALateDuplicateOfAZoneCommand() {
+        for (var seed = 1; seed <= MAX_SEEDS; seed++) {
             var sim = new Sim[1];
-            var t = new Trial(seed, Trial.stores(seed), SECONDS, DoctoredOffice.copiesZoneOrders(sim));
-            sim[0] = t.fleet.sim;
-            if (t.play().contains("explains z")) return;
+            var run = new Trial(seed, Trial.stores(seed), RUN_SECONDS, DoctoredOffice.copiesZoneOrders(sim));
+            sim[0] = run.fleet.sim;
+            if (run.play().contains("explains z")) return;
         }
-        assertTrue(false, "not found in " + MOST_SEEDS + " seeds");
+        assertTrue(false, "not detected in " + MAX_SEEDS + " seeds");
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/Faults.java
+++ b/test/sim/src/test/java/craneway/sim/history/Faults.java
@@ -7,199 +7,217 @@
 import java.util.Random;
 
 /**
- * Faults drawn from a seed: kills, losses of power, lost disks, cuts of one or both ways, freezes, slow stores, hung disks, handed
- * over leaders, bad links. Any number of machines may be in trouble at once, but disks are lost only as {@code withstand} has it: as
- * many as that, while all others have been well for {@code sync_s}; the others may lose their power at the same moment.
+ * Random faults drawn from a seed: kills, losses of power, lost disks, links cut in one or both directions, freezes,
+ * slow stores, hung disks, leadership transfers, bad links. Any number of machines may be faulty at once, but disks are
+ * lost only as the setting {@code withstand} permits: at most that many, while all others have been healthy for {@code
+ * sync_s}; the others may lose power at the same moment.
  */
 final class Faults {
-    private static final long LEAST = 300_000;
-    private static final long MOST_GAP = 2_500_000;
-    private static final long MOST_SPAN = 7_000_000;
-    private static final long SYNC = 4_500_000;
-    private static final long AT_ONCE = 3_000;
-    private static final long STOPS = 2_000_000;
-    private static final long LEAVES = 500_000;
-    private static final double AFTER_ACKNOWLEDGED = 0.03;
+    private static final long MIN_GAP_MICROS = 300_000;
+    private static final long MAX_EXTRA_GAP_MICROS = 2_500_000;
+    private static final long MAX_FAULT_MICROS = 7_000_000;
+
+    /** How long a machine must have been healthy before it counts as holding everything; the setting {@code sync_s}. */
+    private static final long RESYNC_MICROS = 4_500_000;
+
+    private static final long MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MICROS = 3_000;
+    private static final long MAX_STOP_DELAY_MICROS = 2_000_000;
+    private static final long LEAVE_DURATION_MICROS = 500_000;
+    private static final double FAULT_AFTER_ACKNOWLEDGEMENT_PROBABILITY = 0.03;
 
     private final Fleet fleet;
     private final Random random;
-    private final Map<String, Long> trouble = new HashMap<>();
-    private final long stop;
-    int count;
+    private final Map<String, Long> repairedAt = new HashMap<>();
+    private final long endTime;
+
+    /** The number of faults so far. */
+    int faultCount;
 
-    Faults(Fleet fleet, long stop) {
+    Faults(Fleet fleet, long endTime) {
         this.fleet = fleet;
-        this.stop = stop;
+        this.endTime = endTime;
         random = new Random(fleet.sim.random.nextLong());
     }
 
+    /** Injects faults at random intervals until the end time. */
     void begin() {
-        fleet.sim.after(LEAST + span(MOST_GAP), () -> {
-            if (fleet.sim.now() >= stop) return;
-            count++;
-            draw();
+        fleet.sim.after(MIN_GAP_MICROS + drawDuration(MAX_EXTRA_GAP_MICROS), () -> {
+            if (fleet.sim.now() >= endTime) return;
+            faultCount++;
+            injectFault();
             begin();
         });
     }
 
-    private long span(long most) {
-        return (long) (random.nextDouble() * most);
+    private long drawDuration(long max) {
+        return (long) (random.nextDouble() * max);
     }
 
-    private void draw() {
-        var dice = random.nextInt(100);
-        if (dice < 16) end(some(2), StoreNode::kill);
-        else if (dice < 28) end(some(fleet.nodes().size()), StoreNode::losePower);
-        else if (dice < 36) loseDisks();
-        else if (dice < 40) replace();
-        else if (dice < 56) cut();
-        else if (dice < 70) freeze(pick());
-        else if (dice < 78) slow(pick());
-        else if (dice < 84) hang(pick());
-        else if (dice < 92) handOver();
-        else badLinks();
+    private void injectFault() {
+        var draw = random.nextInt(100);
+        if (draw < 16) endAndRestart(pickSome(2), StoreNode::kill);
+        else if (draw < 28) endAndRestart(pickSome(fleet.nodes().size()), StoreNode::losePower);
+        else if (draw < 36) loseDisks();
+        else if (draw < 40) replaceMachine();
+        else if (draw < 56) cutLinks();
+        else if (draw < 70) freeze(pickNode());
+        else if (draw < 78) slow(pickNode());
+        else if (draw < 84) hang(pickNode());
+        else if (draw < 92) transferLeadership();
+        else degradeLinks();
     }
 
-    /** Some faults strike the moment after an acknowledgement. */
+    /** Injects some faults within milliseconds after an acknowledgement, when lost data would be noticed. */
     void acknowledged() {
-        if (fleet.sim.now() >= stop || random.nextDouble() >= AFTER_ACKNOWLEDGED) return;
-        fleet.sim.after(span(AT_ONCE), () -> {
-            count++;
-            var dice = random.nextInt(4);
-            if (dice == 0) end(fleet.nodes(), StoreNode::losePower);
-            else if (dice == 1) end(some(2), StoreNode::kill);
+        if (fleet.sim.now() >= endTime || random.nextDouble() >= FAULT_AFTER_ACKNOWLEDGEMENT_PROBABILITY) return;
+        fleet.sim.after(drawDuration(MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MICROS), () -> {
+            faultCount++;
+            var draw = random.nextInt(4);
+            if (draw == 0) endAndRestart(fleet.nodes(), StoreNode::losePower);
+            else if (draw == 1) endAndRestart(pickSome(2), StoreNode::kill);
             else loseDisks();
         });
     }
 
-    private StoreNode pick() {
+    /** The leader with a probability of one half, otherwise a random store. */
+    private StoreNode pickNode() {
         var leader = fleet.leader();
-        var all = fleet.nodes();
-        return leader != null && random.nextDouble() < 0.5 ? leader : all.get(random.nextInt(all.size()));
+        var nodes = fleet.nodes();
+        return leader != null && random.nextDouble() < 0.5 ? leader : nodes.get(random.nextInt(nodes.size()));
     }
 
-    private List<StoreNode> some(int most) {
-        var all = new ArrayList<StoreNode>();
-        var n = 1 + random.nextInt(most);
-        for (var i = 0; i < n; i++) if (!all.contains(fleet.nodes().get(i))) all.add(pick());
-        return all.stream().distinct().toList();
+    private List<StoreNode> pickSome(int max) {
+        var picked = new ArrayList<StoreNode>();
+        var draws = 1 + random.nextInt(max);
+        for (var i = 0; i < draws; i++) if (!picked.contains(fleet.nodes().get(i))) picked.add(pickNode());
+        return picked.stream().distinct().toList();
     }
 
-    private interface End {
-        void of(StoreNode n);
+    /** A way in which a store's process ends. */
+    private interface Ending {
+        void apply(StoreNode node);
     }
 
-    private void end(List<StoreNode> all, End how) {
-        for (var n : all) {
-            if (!n.up()) continue;
-            fleet.note(n.name, "ENDS");
-            how.of(n);
-            repair(n, span(random.nextBoolean() ? LEAST : MOST_SPAN), () -> n.start(false));
+    /** Ends the processes and starts each again after a random time. */
+    private void endAndRestart(List<StoreNode> nodes, Ending ending) {
+        for (var node : nodes) {
+            if (!node.up()) continue;
+            fleet.note(node.name, "PROCESS ENDS");
+            ending.apply(node);
+            scheduleRepair(
+                    node,
+                    drawDuration(random.nextBoolean() ? MIN_GAP_MICROS : MAX_FAULT_MICROS),
+                    () -> node.start(false));
         }
     }
 
-    /** Counts the machine as lost until it has been well again for a while. */
-    private void repair(StoreNode n, long after, Runnable how) {
-        var over = fleet.sim.now() + after;
-        trouble.merge(n.name, over, Math::max);
-        fleet.sim.at(over, how);
+    /**
+     * Schedules the end of a fault. The machine counts as faulty until it has been healthy again for {@link
+     * #RESYNC_MICROS}.
+     */
+    private void scheduleRepair(StoreNode node, long delay, Runnable repair) {
+        var time = fleet.sim.now() + delay;
+        repairedAt.merge(node.name, time, Math::max);
+        fleet.sim.at(time, repair);
     }
 
-    private boolean counts(StoreNode n) {
-        return n.well() && fleet.sim.now() - trouble.getOrDefault(n.name, 0L) >= SYNC;
+    private boolean isSynchronized(StoreNode node) {
+        return node.well() && fleet.sim.now() - repairedAt.getOrDefault(node.name, 0L) >= RESYNC_MICROS;
     }
 
     private void loseDisks() {
-        if (!fleet.net.whole() || !fleet.nodes().stream().allMatch(this::counts)) return;
+        if (!fleet.net.whole() || !fleet.nodes().stream().allMatch(this::isSynchronized)) return;
         var lost = new ArrayList<StoreNode>();
-        for (var i = 0; i <= random.nextInt(fleet.losses()); i++) lost.add(pick());
-        var dark = random.nextBoolean();
-        for (var n : fleet.nodes()) {
-            if (lost.contains(n)) end(List.of(n), StoreNode::loseDisk);
-            else if (dark) end(List.of(n), StoreNode::losePower);
+        for (var i = 0; i <= random.nextInt(fleet.losses()); i++) lost.add(pickNode());
+        var othersLosePower = random.nextBoolean();
+        for (var node : fleet.nodes()) {
+            if (lost.contains(node)) endAndRestart(List.of(node), StoreNode::loseDisk);
+            else if (othersLosePower) endAndRestart(List.of(node), StoreNode::losePower);
         }
     }
 
-    /** A machine is told to stop and another comes in its place, with an empty disk and another address. */
-    private void replace() {
-        if (!fleet.net.whole() || !fleet.nodes().stream().allMatch(this::counts)) return;
-        var n = pick();
-        var by = fleet.replace(n);
-        fleet.note(n.name, "REPLACED by " + by.name);
-        n.store().transferLeadership();
-        var stops = span(STOPS);
-        fleet.sim.after(stops, n::leave);
-        fleet.sim.after(stops + LEAVES, n::loseDisk);
-        repair(by, random.nextBoolean() ? 0 : span(MOST_SPAN), () -> by.start(false));
-    }
-
-    private void cut() {
-        var n = pick();
-        var way = random.nextInt(4);
-        fleet.note(n.name, "CUT " + way);
-        for (var o : fleet.nodes()) {
-            if (o == n || way == 3 && random.nextBoolean()) continue;
-            if (way != 1) fleet.net.cut(n.name, o.name);
-            if (way != 2) fleet.net.cut(o.name, n.name);
+    /** Stops a machine as planned and starts another in its place, with an empty disk and another address. */
+    private void replaceMachine() {
+        if (!fleet.net.whole() || !fleet.nodes().stream().allMatch(this::isSynchronized)) return;
+        var node = pickNode();
+        var replacement = fleet.replace(node);
+        fleet.note(node.name, "REPLACED by " + replacement.name);
+        node.store().transferLeadership();
+        var stopDelay = drawDuration(MAX_STOP_DELAY_MICROS);
+        fleet.sim.after(stopDelay, node::leave);
+        fleet.sim.after(stopDelay + LEAVE_DURATION_MICROS, node::loseDisk);
+        scheduleRepair(
+                replacement, random.nextBoolean() ? 0 : drawDuration(MAX_FAULT_MICROS), () -> replacement.start(false));
+    }
+
+    /** Cuts a store off: from all others in both directions, in one direction only, or from some of them. */
+    private void cutLinks() {
+        var node = pickNode();
+        var direction = random.nextInt(4);
+        fleet.note(node.name, "CUT " + direction);
+        for (var other : fleet.nodes()) {
+            if (other == node || direction == 3 && random.nextBoolean()) continue;
+            if (direction != 1) fleet.net.cut(node.name, other.name);
+            if (direction != 2) fleet.net.cut(other.name, node.name);
         }
-        repair(n, span(MOST_SPAN), () -> {
+        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> {
             fleet.net.heal();
-            fleet.nodes().forEach(o -> trouble.merge(o.name, fleet.sim.now(), Math::max));
+            fleet.nodes().forEach(other -> repairedAt.merge(other.name, fleet.sim.now(), Math::max));
         });
     }
 
-    private void freeze(StoreNode n) {
-        if (!n.well()) return;
-        fleet.note(n.name, "FROZEN");
-        n.freeze();
-        repair(n, span(MOST_SPAN), n::thaw);
+    private void freeze(StoreNode node) {
+        if (!node.well()) return;
+        fleet.note(node.name, "FROZEN");
+        node.freeze();
+        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), node::thaw);
     }
 
-    private void slow(StoreNode n) {
-        n.slow(20_000 + span(600_000));
-        repair(n, span(MOST_SPAN), () -> n.slow(0));
+    private void slow(StoreNode node) {
+        node.slow(20_000 + drawDuration(600_000));
+        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> node.slow(0));
     }
 
-    private void hang(StoreNode n) {
-        if (!n.well()) return;
-        n.hang(true);
-        repair(n, span(MOST_SPAN), () -> n.hang(false));
+    private void hang(StoreNode node) {
+        if (!node.well()) return;
+        node.hang(true);
+        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> node.hang(false));
     }
 
-    /** As a planned stop does it; counts as trouble, as that would. */
-    private void handOver() {
-        var n = fleet.leader();
-        if (n == null || !n.well()) return;
-        fleet.note(n.name, "HANDS OVER");
-        n.store().transferLeadership();
-        trouble.merge(n.name, fleet.sim.now(), Math::max);
+    /** Transfers leadership as a planned stop does. It counts as a fault, since a planned stop would. */
+    private void transferLeadership() {
+        var node = fleet.leader();
+        if (node == null || !node.well()) return;
+        fleet.note(node.name, "TRANSFERS LEADERSHIP");
+        node.store().transferLeadership();
+        repairedAt.merge(node.name, fleet.sim.now(), Math::max);
     }
 
-    private void badLinks() {
+    private void degradeLinks() {
         var net = fleet.net;
         fleet.note("links", "BAD");
-        net.lost = random.nextDouble() * 0.2;
-        net.doubled = random.nextDouble() * 0.2;
-        net.late = random.nextDouble() * 0.2;
-        fleet.nodes().forEach(n -> repair(n, MOST_GAP, this::usualLinks));
+        net.lostShare = random.nextDouble() * 0.2;
+        net.duplicateShare = random.nextDouble() * 0.2;
+        net.lateShare = random.nextDouble() * 0.2;
+        fleet.nodes().forEach(node -> scheduleRepair(node, MAX_EXTRA_GAP_MICROS, this::usualLinks));
     }
 
-    /** The links' usual faults. */
+    /** Sets the links' usual rates of faults. */
     void usualLinks() {
-        fleet.net.lost = 0.002;
-        fleet.net.doubled = 0.02;
-        fleet.net.late = 0.01;
+        fleet.net.lostShare = 0.002;
+        fleet.net.duplicateShare = 0.02;
+        fleet.net.lateShare = 0.01;
     }
 
-    /** Ends every trouble. */
+    /** Ends every fault and starts every store. */
     void over() {
         fleet.net.heal();
-        fleet.net.lost = fleet.net.doubled = fleet.net.late = 0;
-        for (var n : fleet.nodes()) {
-            n.slow(0);
-            n.hang(false);
-            n.thaw();
-            n.start(false);
+        fleet.net.lostShare = fleet.net.duplicateShare = fleet.net.lateShare = 0;
+        for (var node : fleet.nodes()) {
+            node.slow(0);
+            node.hang(false);
+            node.thaw();
+            node.start(false);
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/Fleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/Fleet.java
@@ -15,68 +15,75 @@
 import java.util.TreeMap;
 import java.util.concurrent.Executor;
 
-/** Three stores, or six of which five vote, one in each zone, put together as the platform's process does. */
+/** Three stores, or six of which five vote, one in each zone, assembled as the platform's process does. */
 final class Fleet {
     private static final Map<String, String> REGIONS =
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
-    private static final long DARK = 3_000_000;
-    private static final long FORGOTTEN = 60_000_000;
-    private static final int SEEDS = 3;
-    private static final int MOST_NOTES = 40_000;
+    private static final long DARK_AFTER_MICROS = 3_000_000;
+    private static final long FORGOTTEN_AFTER_MICROS = 60_000_000;
+    private static final int CORE_STORES = 3;
+    private static final int MAX_NOTES = 40_000;
 
     final Sim sim;
     final StoreNet net;
     final List<String> notes = new ArrayList<>();
     private final Map<String, StoreNode> nodes = new TreeMap<>();
-    private final Map<String, StoreNode> leaving = new TreeMap<>();
-    private final Map<Event, Integer> events = new EnumMap<>(Event.class);
-    private final int losses;
-    private int named;
+    private final Map<String, StoreNode> replaced = new TreeMap<>();
+    private final Map<Event, Integer> countByEvent = new EnumMap<>(Event.class);
+    private final int toleratedLosses;
+    private int createdStores;
 
     Fleet(long seed, int stores) {
         sim = new Sim(seed);
         net = new StoreNet(this);
-        losses = stores > SEEDS ? 2 : 1;
-        named = stores;
+        toleratedLosses = stores > CORE_STORES ? 2 : 1;
+        createdStores = stores;
         for (var i = 1; i <= stores; i++) nodes.put("s" + i, new StoreNode(this, "s" + i, "z" + i));
-        nodes.values().forEach(n -> n.start(true));
+        nodes.values().forEach(node -> node.start(true));
     }
 
     /** How many machines may be lost at once. */
     int losses() {
-        return losses;
+        return toleratedLosses;
     }
 
-    /** What a process is told of others: at the first start the same three, later three that serve then. */
+    /**
+     * The addresses that a starting process is given: at the first start the same three stores, later three that serve
+     * then.
+     */
     List<String> seeds(boolean first) {
         return first
                 ? List.of("s1", "s2", "s3")
-                : nodes.keySet().stream().limit(SEEDS).toList();
+                : nodes.keySet().stream().limit(CORE_STORES).toList();
     }
 
-    /** Another machine in the same zone, not started yet. The old one stands in no list any more, and runs until it is ended. */
+    /**
+     * Creates another machine in the same zone without starting it. The old one is no longer listed, and runs until it
+     * is ended.
+     */
     StoreNode replace(StoreNode old) {
-        var by = new StoreNode(this, "s" + ++named, old.zone);
+        var replacement = new StoreNode(this, "s" + ++createdStores, old.zone);
         nodes.remove(old.name);
-        leaving.put(old.name, old);
-        nodes.put(by.name, by);
-        return by;
+        replaced.put(old.name, old);
+        nodes.put(replacement.name, replacement);
+        return replacement;
     }
 
+    /** The options of a store, whose disk work runs on the given executor. */
     StoreOptions rules(boolean first, Executor disk) {
-        var settings = new CoreSettings(SEEDS, true, first, DARK, FORGOTTEN);
+        var settings = new CoreSettings(CORE_STORES, true, first, DARK_AFTER_MICROS, FORGOTTEN_AFTER_MICROS);
         return new StoreOptions(
-                settings, Quorum.toleratingLosses(losses, REGIONS), TimingProfile.LOW_TRAFFIC, p -> disk);
+                settings, Quorum.toleratingLosses(toleratedLosses, REGIONS), TimingProfile.LOW_TRAFFIC, part -> disk);
     }
 
     String region(String zone) {
         return REGIONS.get(zone);
     }
 
-    /** By its name, which is its address too; null if none was ever there. */
+    /** The machine with a name, which is its address too; null if there never was one. */
     StoreNode node(String name) {
-        var n = nodes.get(name);
-        return n == null ? leaving.get(name) : n;
+        var node = nodes.get(name);
+        return node == null ? replaced.get(name) : node;
     }
 
     List<StoreNode> nodes() {
@@ -85,35 +92,41 @@
 
     /** The leader of the part that holds configuration and zones, or null. */
     StoreNode leader() {
-        StoreNode best = null;
-        for (var n : nodes.values()) if (leads(n) && (best == null || term(n) > term(best))) best = n;
-        return best;
+        StoreNode leader = null;
+        for (var node : nodes.values())
+            if (isLeader(node) && (leader == null || term(node) > term(leader))) leader = node;
+        return leader;
     }
 
-    private boolean leads(StoreNode n) {
-        var k = n.up() ? n.store().replicas() : null;
-        return k != null && k.length > 0 && k[Parts.MANIFEST_PART].group().hasLease(sim.now());
+    private boolean isLeader(StoreNode node) {
+        var replicas = node.up() ? node.store().replicas() : null;
+        return replicas != null
+                && replicas.length > 0
+                && replicas[Parts.MANIFEST_PART].group().hasLease(sim.now());
     }
 
-    private static long term(StoreNode n) {
-        return n.store().replicas()[Parts.MANIFEST_PART].group().term();
+    private static long term(StoreNode node) {
+        return node.store().replicas()[Parts.MANIFEST_PART].group().term();
     }
 
+    /** Runs the simulation for the given time. */
     void run(long micros) {
         sim.runUntil(sim.now() + micros);
     }
 
-    void note(String who, Event e, String detail) {
-        events.merge(e, 1, Integer::sum);
-        note(who, e + " " + detail);
+    void note(String source, Event event, String detail) {
+        countByEvent.merge(event, 1, Integer::sum);
+        note(source, event + " " + detail);
     }
 
-    /** How often it came. */
-    int count(Event e) {
-        return events.getOrDefault(e, 0);
+    /** How often the event was logged. */
+    int count(Event event) {
+        return countByEvent.getOrDefault(event, 0);
     }
 
-    void note(String who, String what) {
-        if (notes.size() < MOST_NOTES) notes.add(String.format(Locale.ROOT, "%.6f %s %s", sim.now() / 1e6, who, what));
+    /** Adds a note to the log of the run, up to a maximum number. */
+    void note(String source, String text) {
+        if (notes.size() < MAX_NOTES)
+            notes.add(String.format(Locale.ROOT, "%.6f %s %s", sim.now() / 1e6, source, text));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/HistoryChecker.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryChecker.java
@@ -8,125 +8,144 @@
 import java.util.TreeMap;
 
 /**
- * Checks a whole history. The configuration and each zone are checked by themselves: linearizability is local (a history is
- * linearizable if and only if its part on each object is), and no operation here looks at two objects: an order names the base of
- * the configuration only, a zone's order nothing, and a read of both counts as one read of each. That the two come from one
- * moment is not promised by the interface and not checked.
+ * Checks a whole history. The configuration and each zone are checked separately: linearizability is local (a history
+ * is linearizable if and only if its restriction to each object is), and no operation here reads two objects: a
+ * configuration names only the configuration's base, a zone command names nothing, and a read of both counts as one
+ * read of each. The interface does not promise that the two come from one moment, and this is not checked.
  */
 final class HistoryChecker {
     private HistoryChecker() {}
 
-    /** The shortest failing part found as a timeline; empty if the history is linearizable. */
+    /**
+     * Returns the shortest failing part that was found as a timeline, or an empty text if the history is linearizable.
+     */
     static String check(List<Operation> history) {
-        var parts = new TreeMap<String, List<Operation>>();
-        history.forEach(
-                o -> parts.computeIfAbsent(o.subject(), k -> new ArrayList<>()).add(o));
+        var partBySubject = new TreeMap<String, List<Operation>>();
+        history.forEach(operation -> partBySubject
+                .computeIfAbsent(operation.subject(), subject -> new ArrayList<>())
+                .add(operation));
         var text = new StringBuilder();
-        parts.forEach((subject, part) -> text.append(
+        partBySubject.forEach((subject, part) -> text.append(
                 subject.equals(Operation.CONFIGURATION)
-                        ? check(new ConfigurationModel(), part, subject)
-                        : check(new ZoneModel(), part, subject)));
+                        ? checkObject(new ConfigurationModel(), part, subject)
+                        : checkObject(new ZoneModel(), part, subject)));
         return text.toString();
     }
 
-    private static <S> String check(SequentialModel<S> model, List<Operation> part, String subject) {
-        if (Linearizer.holds(model, model.initial(), part)) return "";
-        var shortest = withoutReads(model, lateStart(model, earlyEnd(model, part)));
-        return "no order of these calls explains " + subject + ":\n" + Chart.of(withoutSpent(shortest.operations()));
+    private static <S> String checkObject(SequentialModel<S> model, List<Operation> operations, String subject) {
+        if (Linearizer.holds(model, model.initial(), operations)) return "";
+        var shortest = withoutReads(model, lateStart(model, earlyEnd(model, operations)));
+        return "no order of these calls explains " + subject + ":\n" + Chart.of(withoutObsolete(shortest.operations()));
     }
 
+    /** Part of a history and the state before it. */
     private record Part<S>(S from, List<Operation> operations) {}
 
-    /** Cuts the history as early as it still fails: what is open there may count or not. */
-    private static <S> Part<S> earlyEnd(SequentialModel<S> model, List<Operation> all) {
-        var ends = all.stream()
+    /**
+     * Cuts the history at the earliest end at which it still fails; operations that are open there may take effect or
+     * not.
+     */
+    private static <S> Part<S> earlyEnd(SequentialModel<S> model, List<Operation> operations) {
+        var endTimes = operations.stream()
                 .filter(Operation::required)
                 .map(Operation::end)
                 .sorted()
                 .toList();
         var low = 0;
-        var high = ends.size() - 1;
+        var high = endTimes.size() - 1;
         while (low < high) {
             var middle = (low + high) / 2;
-            if (Linearizer.holds(model, model.initial(), until(all, ends.get(middle)))) low = middle + 1;
+            if (Linearizer.holds(model, model.initial(), until(operations, endTimes.get(middle)))) low = middle + 1;
             else high = middle;
         }
-        return new Part<>(model.initial(), until(all, ends.get(low)));
+        return new Part<>(model.initial(), until(operations, endTimes.get(low)));
     }
 
-    private static List<Operation> until(List<Operation> all, long end) {
-        return all.stream()
-                .filter(o -> o.call() <= end && (o.end() <= end || o.type() != Type.READ))
-                .map(o -> o.end() <= end ? o : o.unclear(end))
+    private static List<Operation> until(List<Operation> operations, long end) {
+        return operations.stream()
+                .filter(operation ->
+                        operation.call() <= end && (operation.end() <= end || operation.type() != Type.READ))
+                .map(operation -> operation.end() <= end ? operation : operation.unclear(end))
                 .toList();
     }
 
-    /** Leaves out what ended before the latest moment from which on it still fails, whatever the state was there. */
-    private static <S> Part<S> lateStart(SequentialModel<S> model, Part<S> p) {
-        var starts = p.operations.stream()
+    /**
+     * Drops what ended before the latest moment from which the rest still fails, whatever the state was at that moment.
+     */
+    private static <S> Part<S> lateStart(SequentialModel<S> model, Part<S> part) {
+        var starts = part.operations.stream()
                 .filter(Operation::required)
                 .map(Operation::end)
                 .sorted(Comparator.reverseOrder())
                 .toList();
-        for (var t : starts) {
-            var rest = from(p.operations, t);
-            var sent = p.operations.stream().filter(o -> o.call() <= t).toList();
+        for (var start : starts) {
+            var rest = from(part.operations, start);
+            var sent = part.operations.stream()
+                    .filter(operation -> operation.call() <= start)
+                    .toList();
             if (!Linearizer.holds(model, model.unknown(sent), rest)) return new Part<>(model.unknown(sent), rest);
         }
-        return p;
+        return part;
     }
 
-    private static List<Operation> from(List<Operation> all, long start) {
-        return all.stream()
-                .filter(o -> !o.required() || o.end() > start && (o.call() > start || o.type() != Type.READ))
-                .map(o -> o.call() > start ? o : o.unclear(o.end()))
+    private static List<Operation> from(List<Operation> operations, long start) {
+        return operations.stream()
+                .filter(operation -> !operation.required()
+                        || operation.end() > start && (operation.call() > start || operation.type() != Type.READ))
+                .map(operation -> operation.call() > start ? operation : operation.unclear(operation.end()))
                 .toList();
     }
 
-    /** Leaves out reads that it fails without, and unclear orders that nothing could have followed. */
-    private static <S> Part<S> withoutReads(SequentialModel<S> model, Part<S> p) {
-        var is = p;
-        for (var o : p.operations) {
-            var less = new ArrayList<>(is.operations);
-            less.remove(o);
-            var needless = o.required()
-                    ? o.type() == Type.READ && !Linearizer.holds(model, is.from, less)
-                    : unfollowed(o, less);
-            if (needless) is = new Part<>(is.from, less);
+    /** Drops reads that the failure does not need, and unclear configurations that nothing could have followed. */
+    private static <S> Part<S> withoutReads(SequentialModel<S> model, Part<S> part) {
+        var result = part;
+        for (var operation : part.operations) {
+            var fewer = new ArrayList<>(result.operations);
+            fewer.remove(operation);
+            var needless = operation.required()
+                    ? operation.type() == Type.READ && !Linearizer.holds(model, result.from, fewer)
+                    : isIrrelevant(operation, fewer);
+            if (needless) result = new Part<>(result.from, fewer);
         }
-        return is;
+        return result;
     }
 
-    /** An unclear configuration on which none builds, that none reads and that explains no refusal changes no verdict. */
-    private static boolean unfollowed(Operation o, List<Operation> others) {
-        return o.type() == Type.CONFIGURE
+    /** An unclear configuration is irrelevant if none builds on it, none reads it and it explains no refusal. */
+    private static boolean isIrrelevant(Operation operation, List<Operation> others) {
+        return operation.type() == Type.CONFIGURE
                 && others.stream()
-                        .noneMatch(x -> x.outcome() == Outcome.REFUSED
-                                || x.base() == o.number()
-                                || x.value().equals(o.value()));
+                        .noneMatch(other -> other.outcome() == Outcome.REFUSED
+                                || other.base() == operation.number()
+                                || other.value().equals(operation.value()));
     }
 
     /**
-     * Leaves out unclear zone orders that were given up before the first acknowledged one was sent, where every read follows that
-     * one: they may not count after it. The last that ordered what was read stays, as the likely cause.
+     * Drops unclear zone commands that were given up before the first acknowledged one was sent, if every read comes
+     * after that one: they may not take effect after it. The last one that commanded what was read stays, as the likely
+     * cause.
      */
-    private static List<Operation> withoutSpent(List<Operation> part) {
-        var first = part.stream()
-                .filter(o -> o.type() == Type.MARK && o.required())
+    private static List<Operation> withoutObsolete(List<Operation> operations) {
+        var firstAcknowledged = operations.stream()
+                .filter(operation -> operation.type() == Type.MARK && operation.required())
                 .min(Comparator.comparingLong(Operation::call));
-        var reads = part.stream().filter(o -> o.type() == Type.READ).toList();
-        if (first.isEmpty()
-                || reads.stream().anyMatch(r -> r.call() < first.get().end())) return part;
-        var spent = part.stream()
-                .filter(o -> o.type() == Type.MARK && !o.required())
-                .filter(o -> o.end() <= first.get().call())
+        var reads = operations.stream()
+                .filter(operation -> operation.type() == Type.READ)
+                .toList();
+        if (firstAcknowledged.isEmpty()
+                || reads.stream()
+                        .anyMatch(read -> read.call() < firstAcknowledged.get().end())) return operations;
+        var obsolete = operations.stream()
+                .filter(operation -> operation.type() == Type.MARK && !operation.required())
+                .filter(operation -> operation.end() <= firstAcknowledged.get().call())
                 .sorted(Comparator.comparingLong(Operation::end).reversed())
                 .toList();
-        var likely = spent.stream()
-                .filter(o -> reads.stream().anyMatch(r -> r.value().equals(o.value())))
+        var likelyCause = obsolete.stream()
+                .filter(operation ->
+                        reads.stream().anyMatch(read -> read.value().equals(operation.value())))
                 .findFirst();
-        return part.stream()
-                .filter(o -> !spent.contains(o) || likely.isPresent() && likely.get() == o)
+        return operations.stream()
+                .filter(operation ->
+                        !obsolete.contains(operation) || likelyCause.isPresent() && likelyCause.get() == operation)
                 .toList();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
@@ -10,108 +10,121 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Histories of stores of the production classes under faults. A longer run: {@code -Dcraneway.history.from=FIRST
- * -Dcraneway.history.seeds=COUNT}, or {@link HistorySweep}.
+ * Histories of production stores under faults must be linearizable. For a longer run set {@code
+ * -Dcraneway.history.from=FIRST -Dcraneway.history.seeds=COUNT}, or use {@link HistorySweep}.
  */
 class HistoryTest {
-    private static final int SECONDS = 60;
-    private static final int SEEDS = 20;
-    private static final long SECOND = 1_000_000;
+    private static final int RUN_SECONDS = 60;
+    private static final int DEFAULT_SEEDS = 20;
+    private static final long SECOND_MICROS = 1_000_000;
 
     @Test
     void historiesUnderFaultsAreLinearizable() {
         var from = Long.getLong("craneway.history.from", 1);
-        var count = Integer.getInteger("craneway.history.seeds", SEEDS);
-        var wrong = new StringBuilder();
-        var acknowledged = 0L;
-        var unclear = 0L;
+        var count = Integer.getInteger("craneway.history.seeds", DEFAULT_SEEDS);
+        var violations = new StringBuilder();
+        var acknowledgedCount = 0L;
+        var unclearCount = 0L;
         for (var seed = from; seed < from + count; seed++) {
-            var t = Trial.of(seed, SECONDS);
-            wrong.append(t.play());
-            acknowledged += t.count(Outcome.ACKNOWLEDGED);
-            unclear += t.count(Outcome.UNCLEAR);
+            var run = Trial.of(seed, RUN_SECONDS);
+            violations.append(run.play());
+            acknowledgedCount += run.count(Outcome.ACKNOWLEDGED);
+            unclearCount += run.count(Outcome.UNCLEAR);
         }
-        assertEquals("", wrong.toString());
-        assertTrue(acknowledged > 200L * count && unclear > 10L * count, acknowledged + " and " + unclear);
+        assertEquals("", violations.toString());
+        assertTrue(
+                acknowledgedCount > 200L * count && unclearCount > 10L * count,
+                acknowledgedCount + " and " + unclearCount);
     }
 
-    /** An order that a store passed on into a cut comes after its operator gave up, and after a later one was acknowledged. */
+    /**
+     * A store forwards a command over a cut link. It must have no effect when it arrives after its operator gave up and
+     * after a later command was acknowledged.
+     */
     @Test
-    void aZoneOrderThatComesLateThroughACutDoesNotUndoALaterOne() {
-        assertEquals("", late(true));
-        assertEquals("", late(false));
+    void aZoneCommandDelayedByACutLinkDoesNotUndoALaterOne() {
+        assertEquals("", checkDelayedCommand(true));
+        assertEquals("", checkDelayedCommand(false));
     }
 
-    private static String late(boolean emptied) {
-        var f = new Fleet(1, 3);
-        f.net.heldByCut = 1;
-        f.run(10 * SECOND);
-        var leader = f.leader();
-        var apart = f.nodes().stream().filter(n -> n != leader).findFirst().orElseThrow();
+    private static String checkDelayedCommand(boolean emptied) {
+        var fleet = new Fleet(1, 3);
+        fleet.net.heldByCut = 1;
+        fleet.run(10 * SECOND_MICROS);
+        var leader = fleet.leader();
+        var isolated = fleet.nodes().stream()
+                .filter(node -> node != leader)
+                .findFirst()
+                .orElseThrow();
         var history = new ArrayList<Operation>();
-        order(f, leader, !emptied, true, history);
-        f.nodes().forEach(n -> f.net.cut(apart.name, n.name));
-        order(f, apart, emptied, true, history);
-        f.run(SECOND / 2);
-        order(f, leader, !emptied, true, history);
-        f.net.heal();
-        f.run(3 * SECOND);
-        read(f, leader, history);
+        markZone(fleet, leader, !emptied, true, history);
+        fleet.nodes().forEach(node -> fleet.net.cut(isolated.name, node.name));
+        markZone(fleet, isolated, emptied, true, history);
+        fleet.run(SECOND_MICROS / 2);
+        markZone(fleet, leader, !emptied, true, history);
+        fleet.net.heal();
+        fleet.run(3 * SECOND_MICROS);
+        read(fleet, leader, history);
         assertEquals(List.of(Outcome.ACKNOWLEDGED, Outcome.UNCLEAR, Outcome.ACKNOWLEDGED), outcomes(history));
         return HistoryChecker.check(history);
     }
 
-    /** A frozen store reads an order after its operator gave up, and after a later one was acknowledged. */
+    /** A frozen store reads a command after its operator gave up and after a later command was acknowledged. */
     @Test
-    void aZoneOrderReadAfterItsCallerHasGoneHasNoEffect() {
-        assertEquals("", thawed(true));
+    void aZoneCommandReadAfterItsCallerGaveUpHasNoEffect() {
+        assertEquals("", checkFrozenStore(true));
     }
 
     @Test
-    void aZoneOrderReadAfterItsCallerHasGoneIsFoundWithoutTheGuard() {
-        assertTrue(thawed(false).contains("explains z1"));
+    void withoutThePauseGuardALateZoneCommandIsDetected() {
+        assertTrue(checkFrozenStore(false).contains("explains z1"));
     }
 
-    private static String thawed(boolean guarded) {
-        var f = new Fleet(1, 3);
-        f.run(10 * SECOND);
-        var leader = f.leader();
-        var frozen = f.nodes().stream().filter(n -> n != leader).findFirst().orElseThrow();
+    private static String checkFrozenStore(boolean guarded) {
+        var fleet = new Fleet(1, 3);
+        fleet.run(10 * SECOND_MICROS);
+        var leader = fleet.leader();
+        var frozen = fleet.nodes().stream()
+                .filter(node -> node != leader)
+                .findFirst()
+                .orElseThrow();
         var history = new ArrayList<Operation>();
         frozen.freeze();
-        order(f, frozen, true, guarded, history);
-        f.run(SECOND);
-        order(f, leader, false, guarded, history);
+        markZone(fleet, frozen, true, guarded, history);
+        fleet.run(SECOND_MICROS);
+        markZone(fleet, leader, false, guarded, history);
         frozen.thaw();
-        f.run(3 * SECOND);
-        read(f, leader, history);
+        fleet.run(3 * SECOND_MICROS);
+        read(fleet, leader, history);
         assertEquals(List.of(Outcome.UNCLEAR, Outcome.ACKNOWLEDGED), outcomes(history));
         return HistoryChecker.check(history);
     }
 
-    private static void read(Fleet f, StoreNode at, List<Operation> history) {
-        var net = new OperatorNet(f, new Office());
-        new OperatorClient("reader", f.sim, net, () -> List.of(at.name), history, 0, () -> {}).read(3 * SECOND);
-        f.run(5 * SECOND);
+    private static void read(Fleet fleet, StoreNode node, List<Operation> history) {
+        var net = new OperatorNet(fleet, new Office());
+        new OperatorClient("reader", fleet.sim, net, () -> List.of(node.name), history, 0, () -> {})
+                .read(3 * SECOND_MICROS);
+        fleet.run(5 * SECOND_MICROS);
     }
 
-    private static void order(Fleet f, StoreNode at, boolean emptied, boolean guarded, List<Operation> history) {
-        var net = new OperatorNet(f, new Office());
+    private static void markZone(
+            Fleet fleet, StoreNode node, boolean emptied, boolean guarded, List<Operation> history) {
+        var net = new OperatorNet(fleet, new Office());
         net.guarded = guarded;
         net.latestRead = Long.MAX_VALUE;
-        var sent = f.sim.now();
+        var sentAt = fleet.sim.now();
         var outcome = new ArrayList<Outcome>();
-        net.call(at, Request.mark("z1", emptied), a -> {
-            if (a.ok()) outcome.add(Outcome.ACKNOWLEDGED);
+        net.call(node, Request.mark("z1", emptied), answer -> {
+            if (answer.ok()) outcome.add(Outcome.ACKNOWLEDGED);
         });
-        f.run(SECOND);
+        fleet.run(SECOND_MICROS);
         if (outcome.isEmpty()) outcome.add(Outcome.UNCLEAR);
-        history.add(Operation.mark("operator", "z1", emptied, sent, f.sim.now(), outcome.get(0)));
+        history.add(Operation.mark("operator", "z1", emptied, sentAt, fleet.sim.now(), outcome.get(0)));
     }
 
     private static List<Outcome> outcomes(List<Operation> history) {
         return history.stream()
-                .filter(o -> o.type() == Operation.Type.MARK)
+                .filter(operation -> operation.type() == Operation.Type.MARK)
                 .map(Operation::outcome)
                 .toList();
     }
--- a/test/sim/src/test/java/craneway/sim/history/Linearizer.java
+++ b/test/sim/src/test/java/craneway/sim/history/Linearizer.java
@@ -10,131 +10,144 @@
 import java.util.Set;
 
 /**
- * The search of Wing and Gong with the memory of Lowe: places the operations of one object one after the other, each between its
- * call and its end, and never tries the same set of placed operations in the same state twice. Three rules keep the tree small and
- * lose no order:
+ * Searches for a linearization with the algorithm of Wing and Gong and Lowe's memoization: it places the operations on
+ * one object one after the other, each between its call and its end, and never tries the same set of placed operations
+ * in the same state twice. Three rules keep the search tree small without losing an order:
  *
  * <ul>
- *   <li>A required operation that leaves the state as it is and bars none is placed as soon as it can be: any order that places it
- *       later also stands with it placed here.
- *   <li>An unclear one is placed only where it allows an operation that could come next and could not without it; elsewhere it can
- *       wait, or be left out.
- *   <li>Of unclear ones that order the same, the one that is barred first goes first; the other can stand in its later place.
+ *   <li>A required operation that leaves the state unchanged and excludes none is placed as soon as possible: any order
+ *       that places it later remains valid with it placed here.
+ *   <li>An unclear one is placed only where it makes a candidate possible that was impossible before; elsewhere it can
+ *       wait or be left out.
+ *   <li>Of equal unclear ones, the one that is excluded first goes first; the other can take its later place.
  * </ul>
  *
- * Unclear operations may be placed at any time after their call; a model that {@link SequentialModel#bars} ends that once an order
- * counts that was sent after they were given up.
+ * Unclear operations may be placed at any time after their call. In a model that {@link SequentialModel#bars} late
+ * effects this ends once a command takes effect that was sent after they were given up.
  */
 final class Linearizer<S> {
-    private record Place<S>(BitSet placed, S state) {}
+    /** A node of the search tree: the operations that are placed or excluded, and the state after them. */
+    private record Node<S>(BitSet placed, S state) {}
 
     private final SequentialModel<S> model;
-    private final List<Operation> all;
-    private final Set<Place<S>> tried = new HashSet<>();
-    private int required;
+    private final List<Operation> operations;
+    private final Set<Node<S>> visited = new HashSet<>();
+    private int requiredLeft;
 
     private Linearizer(SequentialModel<S> model, List<Operation> history) {
         this.model = model;
-        all = history.stream().sorted(Comparator.comparingLong(Operation::call)).toList();
-        required = (int) all.stream().filter(Operation::required).count();
+        operations = history.stream()
+                .sorted(Comparator.comparingLong(Operation::call))
+                .toList();
+        requiredLeft = (int) operations.stream().filter(Operation::required).count();
     }
 
-    /** Whether some order of the operations, all on one object, is one that the model gives from this state on. */
+    /** Whether some order of the operations, all on one object, is possible in the model from the given state on. */
     static <S> boolean holds(SequentialModel<S> model, S from, List<Operation> history) {
-        var l = new Linearizer<>(model, history);
-        return l.search(new BitSet(), from, Long.MIN_VALUE);
+        var search = new Linearizer<>(model, history);
+        return search.search(new BitSet(), from, Long.MIN_VALUE);
     }
 
-    /** {@code lastCall}: when the latest of the acknowledged orders placed so far was sent. */
+    /**
+     * Searches for an order of the operations that are left.
+     *
+     * @param lastCall when the latest of the acknowledged commands placed so far was sent
+     */
     private boolean search(BitSet placed, S state, long lastCall) {
-        if (required == 0) return true;
-        if (!tried.add(new Place<>(over(placed, lastCall), state))) return false;
-        var limit = firstEnd(placed);
-        var quiet = quiet(placed, state, limit);
-        if (quiet >= 0) return place(quiet, placed, state, lastCall);
-        for (var i : open(placed, limit)) {
-            var o = all.get(i);
-            if (!o.required() && (barred(o, lastCall) || !goesFirst(o, open(placed, limit), lastCall))) continue;
-            for (var next : model.apply(state, o)) {
-                if (!o.required() && !allows(i, state, next, open(placed, limit))) continue;
+        if (requiredLeft == 0) return true;
+        if (!visited.add(new Node<>(placedOrExcluded(placed, lastCall), state))) return false;
+        var earliestEnd = earliestRequiredEnd(placed);
+        var neutral = findNeutral(placed, state, earliestEnd);
+        if (neutral >= 0) return place(neutral, placed, state, lastCall);
+        for (var i : candidates(placed, earliestEnd)) {
+            var operation = operations.get(i);
+            if (!operation.required()
+                    && (isExcluded(operation, lastCall)
+                            || !goesFirst(operation, candidates(placed, earliestEnd), lastCall))) continue;
+            for (var next : model.apply(state, operation)) {
+                if (!operation.required() && !enablesAnother(i, state, next, candidates(placed, earliestEnd))) continue;
                 if (place(i, placed, next, lastCall)) return true;
             }
         }
         return false;
     }
 
-    /** What is placed or can't be placed any more. */
-    private BitSet over(BitSet placed, long lastCall) {
-        var over = (BitSet) placed.clone();
-        for (var i = 0; i < all.size(); i++) if (barred(all.get(i), lastCall)) over.set(i);
-        return over;
+    /** The operations that are placed or cannot be placed any more. */
+    private BitSet placedOrExcluded(BitSet placed, long lastCall) {
+        var excluded = (BitSet) placed.clone();
+        for (var i = 0; i < operations.size(); i++) if (isExcluded(operations.get(i), lastCall)) excluded.set(i);
+        return excluded;
     }
 
-    private boolean barred(Operation o, long lastCall) {
-        return !o.required() && model.bars() && lastCall >= o.end();
+    private boolean isExcluded(Operation operation, long lastCall) {
+        return !operation.required() && model.bars() && lastCall >= operation.end();
     }
 
-    private List<Integer> open(BitSet placed, long limit) {
-        var open = new ArrayList<Integer>();
+    /** The operations that may come next: those called before the earliest end of a required one that is left. */
+    private List<Integer> candidates(BitSet placed, long earliestEnd) {
+        var candidates = new ArrayList<Integer>();
         var i = placed.nextClearBit(0);
-        while (i < all.size() && all.get(i).call() <= limit) {
-            open.add(i);
+        while (i < operations.size() && operations.get(i).call() <= earliestEnd) {
+            candidates.add(i);
             i = placed.nextClearBit(i + 1);
         }
-        return open;
+        return candidates;
     }
 
-    private boolean goesFirst(Operation o, List<Integer> open, long lastCall) {
-        for (var i : open) {
-            var x = all.get(i);
-            if (x == o) return true;
-            var same = x.type() == o.type()
-                    && x.base() == o.base()
-                    && x.number() == o.number()
-                    && x.value().equals(o.value());
-            if (same && !x.required() && !barred(x, lastCall) && x.end() <= o.end()) return false;
+    /** Of equal unclear operations only the one that is excluded first needs to be tried here. */
+    private boolean goesFirst(Operation operation, List<Integer> candidates, long lastCall) {
+        for (var i : candidates) {
+            var other = operations.get(i);
+            if (other == operation) return true;
+            var same = other.type() == operation.type()
+                    && other.base() == operation.base()
+                    && other.number() == operation.number()
+                    && other.value().equals(operation.value());
+            if (same && !other.required() && !isExcluded(other, lastCall) && other.end() <= operation.end())
+                return false;
         }
         return true;
     }
 
-    /** Whether something that could come next can be had after it, and not before it. */
-    private boolean allows(int unclear, S before, S after, List<Integer> open) {
+    /** Whether some candidate is possible after the operation but not before it. */
+    private boolean enablesAnother(int unclearIndex, S before, S after, List<Integer> candidates) {
         if (before.equals(after)) return false;
-        for (var i : open) {
-            var o = all.get(i);
-            if (i == unclear || !model.apply(before, o).isEmpty()) continue;
-            if (!model.apply(after, o).isEmpty()) return true;
+        for (var i : candidates) {
+            var operation = operations.get(i);
+            if (i == unclearIndex || !model.apply(before, operation).isEmpty()) continue;
+            if (!model.apply(after, operation).isEmpty()) return true;
         }
         return false;
     }
 
-    private boolean place(int i, BitSet placed, S next, long lastCall) {
-        var o = all.get(i);
-        var order = o.type() != Type.READ && o.outcome() == Outcome.ACKNOWLEDGED;
-        placed.set(i);
-        if (o.required()) required--;
-        var found = search(placed, next, order ? Math.max(lastCall, o.call()) : lastCall);
-        if (o.required()) required++;
-        placed.clear(i);
+    /** Places an operation and searches on from there. */
+    private boolean place(int index, BitSet placed, S next, long lastCall) {
+        var operation = operations.get(index);
+        var acknowledgedCommand = operation.type() != Type.READ && operation.outcome() == Outcome.ACKNOWLEDGED;
+        placed.set(index);
+        if (operation.required()) requiredLeft--;
+        var found = search(placed, next, acknowledgedCommand ? Math.max(lastCall, operation.call()) : lastCall);
+        if (operation.required()) requiredLeft++;
+        placed.clear(index);
         return found;
     }
 
-    private long firstEnd(BitSet placed) {
-        var first = Long.MAX_VALUE;
-        for (var i = placed.nextClearBit(0); i < all.size(); i = placed.nextClearBit(i + 1)) {
-            var o = all.get(i);
-            if (o.call() > first) break;
-            if (o.required()) first = Math.min(first, o.end());
+    private long earliestRequiredEnd(BitSet placed) {
+        var earliest = Long.MAX_VALUE;
+        for (var i = placed.nextClearBit(0); i < operations.size(); i = placed.nextClearBit(i + 1)) {
+            var operation = operations.get(i);
+            if (operation.call() > earliest) break;
+            if (operation.required()) earliest = Math.min(earliest, operation.end());
         }
-        return first;
+        return earliest;
     }
 
-    /** A required operation that can be placed here, changes nothing and bars none; -1 without one. */
-    private int quiet(BitSet placed, S state, long limit) {
-        for (var i : open(placed, limit)) {
-            var o = all.get(i);
-            if (!o.required() || model.bars() && o.type() != Type.READ) continue;
-            if (model.apply(state, o).equals(List.of(state))) return i;
+    /** The index of a required operation that can be placed here, changes nothing and excludes none, or -1. */
+    private int findNeutral(BitSet placed, S state, long earliestEnd) {
+        for (var i : candidates(placed, earliestEnd)) {
+            var operation = operations.get(i);
+            if (!operation.required() || model.bars() && operation.type() != Type.READ) continue;
+            if (model.apply(state, operation).equals(List.of(state))) return i;
         }
         return -1;
     }
--- a/test/sim/src/test/java/craneway/sim/history/LinearizerTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/LinearizerTest.java
@@ -10,108 +10,111 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The search against one that tries every order, on short random histories; and its speed on long ones. */
+/** Compares the search with one that tries every order on short random histories, and runs it on long ones. */
 class LinearizerTest {
     private static final int CASES = 20_000;
-    private static final int MOST = 6;
-    private static final int LONG = 400;
+    private static final int MAX_OPERATIONS = 6;
+    private static final int LONG_HISTORY_LENGTH = 400;
 
     @Test
     void agreesWithTryingEveryOrderOfConfigurations() {
-        var r = new Random(1);
-        var held = 0;
+        var random = new Random(1);
+        var linearizable = 0;
         for (var i = 0; i < CASES; i++) {
-            var all = random(r, LinearizerTest::configuration);
-            var holds = Linearizer.holds(new ConfigurationModel(), new ConfigurationModel().initial(), all);
-            assertEquals(everyOrder(new ConfigurationModel(), all), holds, () -> Chart.of(all));
-            if (holds) held++;
+            var history = randomHistory(random, LinearizerTest::configuration);
+            var holds = Linearizer.holds(new ConfigurationModel(), new ConfigurationModel().initial(), history);
+            assertEquals(someOrderHolds(new ConfigurationModel(), history), holds, () -> Chart.of(history));
+            if (holds) linearizable++;
         }
-        assertTrue(held > CASES / 20 && held < CASES * 19 / 20, "held " + held);
+        assertTrue(linearizable > CASES / 20 && linearizable < CASES * 19 / 20, "linearizable: " + linearizable);
     }
 
     @Test
     void agreesWithTryingEveryOrderOfAZone() {
-        var r = new Random(2);
-        var held = 0;
+        var random = new Random(2);
+        var linearizable = 0;
         for (var i = 0; i < CASES; i++) {
-            var all = random(r, LinearizerTest::zone);
-            var holds = Linearizer.holds(new ZoneModel(), Operation.OPEN, all);
-            assertEquals(everyOrder(new ZoneModel(), all), holds, () -> Chart.of(all));
-            if (holds) held++;
+            var history = randomHistory(random, LinearizerTest::zone);
+            var holds = Linearizer.holds(new ZoneModel(), Operation.OPEN, history);
+            assertEquals(someOrderHolds(new ZoneModel(), history), holds, () -> Chart.of(history));
+            if (holds) linearizable++;
         }
-        assertTrue(held > CASES / 20 && held < CASES * 19 / 20, "held " + held);
+        assertTrue(linearizable > CASES / 20 && linearizable < CASES * 19 / 20, "linearizable: " + linearizable);
     }
 
     @Test
-    void aLongHistoryOfOneStoreStands() {
+    void acceptsALongHistoryOfOneStore() {
         for (var seed = 0; seed < 20; seed++) {
-            var r = new Random(seed);
-            var all = new ArrayList<Operation>();
+            var random = new Random(seed);
+            var history = new ArrayList<Operation>();
             var emptied = false;
-            for (var i = 0; i < LONG; i++) {
+            for (var i = 0; i < LONG_HISTORY_LENGTH; i++) {
                 var point = i * 10L;
-                var from = point - r.nextInt(80);
-                var until = point + r.nextInt(80);
-                var order = r.nextBoolean();
-                if (order) emptied = r.nextBoolean();
-                var clear = r.nextInt(5) > 0;
-                if (!order) all.add(Operation.readZone("c", "z1", emptied, from, until));
+                var from = point - random.nextInt(80);
+                var until = point + random.nextInt(80);
+                var isCommand = random.nextBoolean();
+                if (isCommand) emptied = random.nextBoolean();
+                var isAcknowledged = random.nextInt(5) > 0;
+                if (!isCommand) history.add(Operation.readZone("c", "z1", emptied, from, until));
                 else
-                    all.add(Operation.mark(
-                            "c", "z1", emptied, from, until, clear ? Outcome.ACKNOWLEDGED : Outcome.UNCLEAR));
+                    history.add(Operation.mark(
+                            "c", "z1", emptied, from, until, isAcknowledged ? Outcome.ACKNOWLEDGED : Outcome.UNCLEAR));
             }
-            assertTrue(Linearizer.holds(new ZoneModel(), Operation.OPEN, all));
+            assertTrue(Linearizer.holds(new ZoneModel(), Operation.OPEN, history));
         }
     }
 
-    private interface Draw {
-        Operation of(Random r, long call, long end);
+    private interface OperationSource {
+        Operation draw(Random random, long call, long end);
     }
 
-    private static List<Operation> random(Random r, Draw draw) {
-        var all = new ArrayList<Operation>();
-        var n = 2 + r.nextInt(MOST - 1);
-        for (var i = 0; i < n; i++) {
-            var call = (long) r.nextInt(30);
-            all.add(draw.of(r, call, call + 1 + r.nextInt(15)));
+    private static List<Operation> randomHistory(Random random, OperationSource source) {
+        var history = new ArrayList<Operation>();
+        var length = 2 + random.nextInt(MAX_OPERATIONS - 1);
+        for (var i = 0; i < length; i++) {
+            var call = (long) random.nextInt(30);
+            history.add(source.draw(random, call, call + 1 + random.nextInt(15)));
         }
-        return all;
+        return history;
     }
 
-    private static Outcome outcome(Random r) {
-        return r.nextInt(3) == 0 ? Outcome.UNCLEAR : Outcome.ACKNOWLEDGED;
+    private static Outcome outcome(Random random) {
+        return random.nextInt(3) == 0 ? Outcome.UNCLEAR : Outcome.ACKNOWLEDGED;
     }
 
-    private static Operation zone(Random r, long call, long end) {
-        var emptied = r.nextBoolean();
-        return r.nextBoolean()
+    private static Operation zone(Random random, long call, long end) {
+        var emptied = random.nextBoolean();
+        return random.nextBoolean()
                 ? Operation.readZone("c", "z1", emptied, call, end)
-                : Operation.mark("c", "z1", emptied, call, end, outcome(r));
+                : Operation.mark("c", "z1", emptied, call, end, outcome(random));
     }
 
-    private static Operation configuration(Random r, long call, long end) {
-        var number = r.nextInt(4);
-        var value = number == 0 ? Operation.NOTHING : r.nextInt(4) > 0 ? "a" : "b";
-        if (number == 0 || r.nextInt(3) == 0) return Operation.readConfiguration("c", number, value, call, end);
-        var how = r.nextInt(4) == 0 ? Outcome.REFUSED : outcome(r);
-        return Operation.configure("c", Math.max(0, number - 1 - r.nextInt(2)), number, value, call, end, how);
+    private static Operation configuration(Random random, long call, long end) {
+        var number = random.nextInt(4);
+        var value = number == 0 ? Operation.NOTHING : random.nextInt(4) > 0 ? "a" : "b";
+        if (number == 0 || random.nextInt(3) == 0) return Operation.readConfiguration("c", number, value, call, end);
+        var outcome = random.nextInt(4) == 0 ? Outcome.REFUSED : outcome(random);
+        return Operation.configure("c", Math.max(0, number - 1 - random.nextInt(2)), number, value, call, end, outcome);
     }
 
-    private static <S> boolean everyOrder(SequentialModel<S> model, List<Operation> all) {
-        return everyOrder(model, model.initial(), all, Long.MIN_VALUE);
+    private static <S> boolean someOrderHolds(SequentialModel<S> model, List<Operation> operations) {
+        return someOrderHolds(model, model.initial(), operations, Long.MIN_VALUE);
     }
 
-    /** Plain: any operation whose call is not after the end of a required one that is left may be next. */
-    private static <S> boolean everyOrder(SequentialModel<S> model, S state, List<Operation> left, long lastCall) {
-        if (left.stream().noneMatch(Operation::required)) return true;
-        for (var o : left) {
-            var late = left.stream().anyMatch(x -> x.required() && x.end() < o.call());
-            if (late || !o.required() && model.bars() && lastCall >= o.end()) continue;
-            var rest = new ArrayList<>(left);
-            rest.remove(o);
-            var order = o.type() != Type.READ && o.outcome() == Outcome.ACKNOWLEDGED;
-            for (var next : model.apply(state, o))
-                if (everyOrder(model, next, rest, order ? Math.max(lastCall, o.call()) : lastCall)) return true;
+    /** Tries every order: any operation whose call is not after the end of a remaining required one may be next. */
+    private static <S> boolean someOrderHolds(
+            SequentialModel<S> model, S state, List<Operation> remaining, long lastCall) {
+        if (remaining.stream().noneMatch(Operation::required)) return true;
+        for (var operation : remaining) {
+            var tooLate = remaining.stream().anyMatch(other -> other.required() && other.end() < operation.call());
+            if (tooLate || !operation.required() && model.bars() && lastCall >= operation.end()) continue;
+            var rest = new ArrayList<>(remaining);
+            rest.remove(operation);
+            var acknowledgedCommand = operation.type() != Type.READ && operation.outcome() == Outcome.ACKNOWLEDGED;
+            for (var next : model.apply(state, operation))
+                if (someOrderHolds(
+                        model, next, rest, acknowledgedCommand ? Math.max(lastCall, operation.call()) : lastCall))
+                    return true;
         }
         return false;
     }
--- a/test/sim/src/test/java/craneway/sim/history/Office.java
+++ b/test/sim/src/test/java/craneway/sim/history/Office.java
@@ -6,15 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * What a store does with a call of the operator's interface once it has read it: the way of {@code craneway.api.operator.PlatformOperatorHandler}
- * without HTTP, on the production class {@code Passing}. Its statuses are those of that class.
+ * Handles a call to a store's operator interface once it has been read, as {@code
+ * craneway.api.operator.PlatformOperatorHandler} does without HTTP, with the production class {@link PlatformCommands}.
+ * Its status codes are those of that handler.
  */
 class Office {
     private static final String MANIFEST =
             "{\"name\":\"platform\",\"regions\":[\"a\",\"b\",\"c\"],\"zones\":[{\"name\":\"z1\",\"region\":\"a\"}],"
                     + "\"services\":[],\"routes\":[]}";
 
-    /** A call: a configuration, a zone's mark, or a read if neither is named. */
+    /** A call: a configuration, a zone command, or a read if neither is given. */
     record Request(long base, long number, String value, String zone, boolean emptied) {
         static Request configure(long base, long number, String value) {
             return new Request(base, number, value, null, false);
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Its answer; the manifest is there for a read that was answered. */
+    /** The response; the manifest is present for a read that succeeded. Status 0 stands for a broken connection. */
     record Answer(int status, Rows.Manifest manifest) {
         static final Answer BROKEN = new Answer(0, null);
 
@@ -56,24 +57,34 @@
         this(0);
     }
 
-    /** With configurations that are so many bytes longer than their value. */
-    Office(int padding) {
-        this.padding = "x".repeat(padding);
+    /** Makes configurations longer than their value by the given number of bytes. */
+    Office(int paddingBytes) {
+        this.padding = "x".repeat(paddingBytes);
     }
 
-    void take(StoreNode at, Request q, Consumer<Answer> then) {
-        if (q.configures()) configure(at, q, then);
-        else if (q.marks()) at.passing().markZone(q.zone(), q.emptied(), at.now(), r -> then.accept(done(r)));
-        else at.passing().readManifest(r -> then.accept(read(r)));
+    /** Handles a request on a store. */
+    void take(StoreNode node, Request request, Consumer<Answer> callback) {
+        if (request.configures()) configure(node, request, callback);
+        else if (request.marks())
+            node.passing()
+                    .markZone(request.zone(), request.emptied(), node.now(), result -> callback.accept(done(result)));
+        else node.passing().readManifest(result -> callback.accept(read(result)));
     }
 
-    void configure(StoreNode at, Request q, Consumer<Answer> then) {
-        at.passing().putManifest(q.base(), q.number(), MANIFEST, source(q), at.now(), r -> then.accept(done(r)));
+    void configure(StoreNode node, Request request, Consumer<Answer> callback) {
+        node.passing()
+                .putManifest(
+                        request.base(),
+                        request.number(),
+                        MANIFEST,
+                        source(request),
+                        node.now(),
+                        result -> callback.accept(done(result)));
     }
 
-    /** The configuration as sent: its value, a blank and what makes it long. */
-    String source(Request q) {
-        return q.value() + " " + padding;
+    /** The text of the configuration as sent: its value, a blank and the padding. */
+    String source(Request request) {
+        return request.value() + " " + padding;
     }
 
     /** The value of a configuration that was read back. */
@@ -81,20 +92,20 @@
         return source.substring(0, source.indexOf(' '));
     }
 
-    /** An empty store of configurations answers 404, which tells as much as a configuration. */
-    private static Answer read(Either<Problem, Rows.Manifest> r) {
-        return r.isLeft() ? Answer.of(status(r.getLeft())) : new Answer(200, r.get());
+    /** A store without a configuration answers 404, which carries as much information as a configuration. */
+    private static Answer read(Either<Problem, Rows.Manifest> result) {
+        return result.isLeft() ? Answer.of(status(result.getLeft())) : new Answer(200, result.get());
     }
 
-    static Answer done(Either<Problem, Void> r) {
-        return Answer.of(r.isRight() ? 200 : status(r.getLeft()));
+    static Answer done(Either<Problem, Void> result) {
+        return Answer.of(result.isRight() ? 200 : status(result.getLeft()));
     }
 
-    private static int status(Problem p) {
-        return switch (p.kind()) {
+    private static int status(Problem problem) {
+        return switch (problem.kind()) {
             case RACE_LOST -> 412;
             case BAD_MANIFEST, BAD_OPERATOR_INPUT, BAD_JSON, BAD_FIELD -> 400;
-            default -> p.kind().status() < 500 ? p.kind().status() : 503;
+            default -> problem.kind().status() < 500 ? problem.kind().status() : 503;
         };
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/Operation.java
+++ b/test/sim/src/test/java/craneway/sim/history/Operation.java
@@ -1,16 +1,16 @@
 package craneway.sim.history;
 
 /**
- * One operation of a history as its client saw it; times are microseconds.
+ * One operation of a history as its client saw it; times are in microseconds.
  *
- * @param client the column of the timeline
- * @param type what was asked
- * @param subject the object it concerns: {@link #CONFIGURATION} or a zone
- * @param base the version that an order builds on
- * @param number the version's number that was ordered or read
- * @param value what was ordered or read; two orders with one number differ here
+ * @param client the client, which has its own column in the timeline
+ * @param type what was requested
+ * @param subject the object concerned: {@link #CONFIGURATION} or the name of a zone
+ * @param base the version on which a configuration builds
+ * @param number the version number that was sent or read
+ * @param value what was sent or read; it tells two configurations with the same number apart
  * @param call when the client first sent it
- * @param end when the clear answer came, or when the client gave it up
+ * @param end when the definite response came, or when the client gave up
  * @param outcome what the client knows
  */
 record Operation(
@@ -28,14 +28,14 @@
     static final String OPEN = "open";
     static final String NOTHING = "nothing";
 
-    /** What a client asks. */
+    /** What a client requests. */
     enum Type {
         CONFIGURE,
         MARK,
         READ
     }
 
-    /** What the client knows of it. */
+    /** What the client knows about the result. */
     enum Outcome {
         ACKNOWLEDGED,
         REFUSED,
@@ -59,12 +59,12 @@
         return new Operation(client, Type.READ, zone, 0, 0, emptied ? EMPTIED : OPEN, call, end, Outcome.ACKNOWLEDGED);
     }
 
-    /** An unclear order may count or not; everything else has its place in every order of the history. */
+    /** Whether the operation has a place in every order of the history. An unclear one may have taken effect or not. */
     boolean required() {
         return outcome != Outcome.UNCLEAR;
     }
 
-    /** The same operation as one that may count or not, given up then. */
+    /** The same operation as an unclear one that was given up at the given time. */
     Operation unclear(long until) {
         return new Operation(client, type, subject, base, number, value, call, until, Outcome.UNCLEAR);
     }
@@ -78,7 +78,7 @@
         };
     }
 
-    /** What came back, for a timeline. */
+    /** The result as shown in a timeline. */
     String answer() {
         if (outcome == Outcome.UNCLEAR) return "? " + this;
         if (outcome == Outcome.REFUSED) return "REFUSED " + this;
--- a/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
@@ -8,85 +8,96 @@
 import java.util.function.Supplier;
 
 /**
- * One call of an operator as the platform's page has it: to a node of its list; after a failure, a 5xx, a 408 or 429, or a second of
- * silence, the same again to another node, after a pause that grows; over at a 2xx, at 400, 409, 412, 413 or 422, at the third of
- * any other 4xx, and when its time is over. No store answers 307, so none is followed.
+ * One call of an operator as the platform's documentation prescribes: to a node of its list; after a failure, a 5xx, a
+ * 408 or 429, or a second without a response, the same request to another node after an increasing pause. The call ends
+ * with a 2xx, with 400, 409, 412, 413 or 422, with the third of any other 4xx, and when its time has passed. No store
+ * answers 307, so redirects are not followed.
  */
 final class OperatorCall {
-    static final long SILENCE = 1_000_000;
-    private static final long FIRST_PAUSE = 50_000;
-    private static final long LONGEST_PAUSE = 1_600_000;
-    private static final Set<Integer> FINAL = Set.of(400, 409, 412, 413, 422);
-    private static final Set<Integer> ELSEWHERE = Set.of(408, 429);
-    private static final int MOST_OTHERS = 3;
+    static final long ATTEMPT_TIMEOUT_MICROS = 1_000_000;
+    private static final long INITIAL_BACKOFF_MICROS = 50_000;
+    private static final long MAX_BACKOFF_MICROS = 1_600_000;
+    private static final Set<Integer> FINAL_STATUSES = Set.of(400, 409, 412, 413, 422);
+    private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 429);
+    private static final int MAX_OTHER_CLIENT_ERRORS = 3;
 
-    /** Hears how each try and the whole call went; no answer is a null. */
+    /** Receives the result of each attempt and of the whole call; null stands for no response. */
     interface Listener {
-        /** One try, which ended now. */
-        void tried(long from, Answer answer);
+        /** Called when an attempt ends. */
+        void tried(long startedAt, Answer answer);
 
-        /** The whole call; a null if no clear answer came in its time. */
-        void over(long from, Answer answer);
+        /** Called when the whole call ends; the answer is null if no definite one came in time. */
+        void over(long startedAt, Answer answer);
     }
 
     private final Sim sim;
     private final OperatorNet net;
-    private final Supplier<List<String>> list;
+    private final Supplier<List<String>> nodeNames;
     private final Request request;
     private final Listener listener;
-    private final long from;
-    private final long until;
-    private long pause = FIRST_PAUSE;
-    private int others;
-    private int tries;
-    private String last = "";
+    private final long startedAt;
+    private final long deadline;
+    private long backoff = INITIAL_BACKOFF_MICROS;
+    private int otherClientErrors;
+
+    /** Incremented when an attempt begins and when it ends, so that later events of it are ignored. */
+    private int attemptEvents;
+
+    private String lastNode = "";
 
     OperatorCall(
-            Sim sim, OperatorNet net, Supplier<List<String>> list, Request request, long patience, Listener listener) {
+            Sim sim,
+            OperatorNet net,
+            Supplier<List<String>> nodeNames,
+            Request request,
+            long timeout,
+            Listener listener) {
         this.sim = sim;
         this.net = net;
-        this.list = list;
+        this.nodeNames = nodeNames;
         this.request = request;
         this.listener = listener;
-        from = sim.now();
-        until = from + patience;
+        startedAt = sim.now();
+        deadline = startedAt + timeout;
     }
 
+    /** Starts the next attempt. */
     void begin() {
-        var number = ++tries;
-        var sent = sim.now();
-        last = choose();
-        net.call(net.node(last), request, a -> {
-            if (number == tries) ended(sent, a);
+        var attempt = ++attemptEvents;
+        var sentAt = sim.now();
+        lastNode = chooseNode();
+        net.call(net.node(lastNode), request, answer -> {
+            if (attempt == attemptEvents) endAttempt(sentAt, answer);
         });
-        sim.after(SILENCE, () -> {
-            if (number == tries) ended(sent, null);
+        sim.after(ATTEMPT_TIMEOUT_MICROS, () -> {
+            if (attempt == attemptEvents) endAttempt(sentAt, null);
         });
     }
 
-    private String choose() {
-        var all = list.get();
-        var others = all.stream().filter(n -> !n.equals(last)).toList();
-        var from = others.isEmpty() ? all : others;
-        return from.get(sim.random.nextInt(from.size()));
+    private String chooseNode() {
+        var names = nodeNames.get();
+        var others = names.stream().filter(name -> !name.equals(lastNode)).toList();
+        var candidates = others.isEmpty() ? names : others;
+        return candidates.get(sim.random.nextInt(candidates.size()));
     }
 
-    private void ended(long sent, Answer a) {
-        tries++;
-        listener.tried(sent, a);
-        if (a != null && (a.ok() || refused(a))) {
-            listener.over(from, a);
+    private void endAttempt(long sentAt, Answer answer) {
+        attemptEvents++;
+        listener.tried(sentAt, answer);
+        if (answer != null && (answer.ok() || isRefusal(answer))) {
+            listener.over(startedAt, answer);
             return;
         }
-        var next = sim.now() + pause;
-        pause = Math.min(LONGEST_PAUSE, pause * 2);
-        if (next > until) listener.over(from, null);
-        else sim.at(next, this::begin);
+        var nextAttemptAt = sim.now() + backoff;
+        backoff = Math.min(MAX_BACKOFF_MICROS, backoff * 2);
+        if (nextAttemptAt > deadline) listener.over(startedAt, null);
+        else sim.at(nextAttemptAt, this::begin);
     }
 
-    private boolean refused(Answer a) {
-        if (FINAL.contains(a.status())) return true;
-        if (a.status() < 400 || a.status() >= 500 || ELSEWHERE.contains(a.status())) return false;
-        return ++others >= MOST_OTHERS;
+    private boolean isRefusal(Answer answer) {
+        if (FINAL_STATUSES.contains(answer.status())) return true;
+        if (answer.status() < 400 || answer.status() >= 500 || RETRYABLE_STATUSES.contains(answer.status()))
+            return false;
+        return ++otherClientErrors >= MAX_OTHER_CLIENT_ERRORS;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -10,135 +10,157 @@
 import java.util.function.Supplier;
 
 /**
- * An operator with several orders under way: sends configurations on the version it knows as the newest, sends taken ones again,
- * empties zones and takes them back, and reads back. Writes down what it saw.
+ * A simulated operator: sends configurations based on the newest version it knows, resends accepted ones, empties zones
+ * and takes them back, and reads back. Records what it observes.
  */
 final class OperatorClient {
-    private static final long CONFIGURATION_PATIENCE = 10_000_000;
-    private static final long RECEIPT = 6_000_000;
-    private static final long READ_PATIENCE = 3_000_000;
-    private static final long THINK = 900_000;
-    private static final int STEPS = 3;
+    private static final long CONFIGURATION_TIMEOUT_MICROS = 10_000_000;
+    private static final long ZONE_COMMAND_TIMEOUT_MICROS = 6_000_000;
+    private static final long READ_TIMEOUT_MICROS = 3_000_000;
+    private static final long MAX_THINK_MICROS = 900_000;
+    private static final int MAX_NUMBER_STEP = 3;
 
     private final String name;
     private final Sim sim;
     private final Random random;
     private final OperatorNet net;
-    private final Supplier<List<String>> list;
+    private final Supplier<List<String>> nodeNames;
     private final List<Operation> history;
-    private final List<Request> taken = new ArrayList<>();
-    private final long stop;
-    private final Runnable acknowledged;
-    private long known;
-    private int count;
-
-    /** Hears of each acknowledged order of its own through {@code acknowledged}. */
+    private final List<Request> acceptedConfigurations = new ArrayList<>();
+    private final long endTime;
+    private final Runnable onAcknowledged;
+    private long newestKnownNumber;
+    private int configurationCount;
+
+    /**
+     * Creates an operator.
+     *
+     * @param nodeNames the nodes to call
+     * @param history receives the operations
+     * @param endTime when to send no further commands
+     * @param onAcknowledged runs after each acknowledged command of this operator
+     */
     OperatorClient(
             String name,
             Sim sim,
             OperatorNet net,
-            Supplier<List<String>> list,
+            Supplier<List<String>> nodeNames,
             List<Operation> history,
-            long stop,
-            Runnable acknowledged) {
-        this.acknowledged = acknowledged;
+            long endTime,
+            Runnable onAcknowledged) {
+        this.onAcknowledged = onAcknowledged;
         this.name = name;
         this.sim = sim;
         this.net = net;
-        this.list = list;
+        this.nodeNames = nodeNames;
         this.history = history;
-        this.stop = stop;
+        this.endTime = endTime;
         random = new Random(sim.random.nextLong());
     }
 
-    /** One order after the other until the end. */
+    /** Sends one command after the other, with pauses, until the end time. */
     void work() {
-        sim.after((long) (random.nextDouble() * THINK), () -> {
-            if (sim.now() < stop) next();
+        sim.after((long) (random.nextDouble() * MAX_THINK_MICROS), () -> {
+            if (sim.now() < endTime) sendNext();
         });
     }
 
-    private void next() {
-        var dice = random.nextDouble();
-        if (known == 0 || dice < 0.35) configure();
-        else if (dice < 0.45 && !taken.isEmpty()) again(taken.get(random.nextInt(taken.size())));
-        else if (dice < 0.75) mark("z" + (1 + random.nextInt(2)), random.nextBoolean());
-        else read(READ_PATIENCE);
+    private void sendNext() {
+        var draw = random.nextDouble();
+        if (newestKnownNumber == 0 || draw < 0.35) configure();
+        else if (draw < 0.45 && !acceptedConfigurations.isEmpty())
+            sendConfiguration(acceptedConfigurations.get(random.nextInt(acceptedConfigurations.size())));
+        else if (draw < 0.75) markZone("z" + (1 + random.nextInt(2)), random.nextBoolean());
+        else read(READ_TIMEOUT_MICROS);
     }
 
     private void configure() {
-        var value = name + "-" + ++count;
-        again(Request.configure(known, known + 1 + random.nextInt(STEPS), value));
+        var value = name + "-" + ++configurationCount;
+        sendConfiguration(
+                Request.configure(newestKnownNumber, newestKnownNumber + 1 + random.nextInt(MAX_NUMBER_STEP), value));
     }
 
-    private void again(Request q) {
-        call(q, CONFIGURATION_PATIENCE, new OperatorCall.Listener() {
+    private void sendConfiguration(Request request) {
+        call(request, CONFIGURATION_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void tried(long from, Answer a) {}
+            public void tried(long startedAt, Answer answer) {}
 
             @Override
-            public void over(long from, Answer a) {
-                history.add(Operation.configure(name, q.base(), q.number(), q.value(), from, sim.now(), outcome(a)));
-                if (a != null && a.ok()) took(q);
-                else read(READ_PATIENCE);
-                if (a != null && a.ok()) work();
+            public void over(long startedAt, Answer answer) {
+                history.add(Operation.configure(
+                        name,
+                        request.base(),
+                        request.number(),
+                        request.value(),
+                        startedAt,
+                        sim.now(),
+                        outcome(answer)));
+                if (answer != null && answer.ok()) recordAccepted(request);
+                else read(READ_TIMEOUT_MICROS);
+                if (answer != null && answer.ok()) work();
             }
         });
     }
 
-    private void took(Request q) {
-        if (!taken.contains(q)) taken.add(q);
-        known = Math.max(known, q.number());
-        acknowledged.run();
+    private void recordAccepted(Request request) {
+        if (!acceptedConfigurations.contains(request)) acceptedConfigurations.add(request);
+        newestKnownNumber = Math.max(newestKnownNumber, request.number());
+        onAcknowledged.run();
     }
 
-    private static Outcome outcome(Answer a) {
-        if (a == null) return Outcome.UNCLEAR;
-        return a.ok() ? Outcome.ACKNOWLEDGED : Outcome.REFUSED;
+    private static Outcome outcome(Answer answer) {
+        if (answer == null) return Outcome.UNCLEAR;
+        return answer.ok() ? Outcome.ACKNOWLEDGED : Outcome.REFUSED;
     }
 
-    /** A zone's order is written down try by try: nothing tells one try from the next, so each may count. */
-    private void mark(String zone, boolean emptied) {
-        call(Request.mark(zone, emptied), RECEIPT, new OperatorCall.Listener() {
+    /**
+     * Marks a zone. Each attempt is recorded as an operation of its own: a store cannot tell them apart, so each may
+     * take effect.
+     */
+    private void markZone(String zone, boolean emptied) {
+        call(Request.mark(zone, emptied), ZONE_COMMAND_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void tried(long from, Answer a) {
-                var outcome = a != null && a.status() >= 500 || a == Answer.BROKEN ? Outcome.UNCLEAR : outcome(a);
-                history.add(Operation.mark(name, zone, emptied, from, sim.now(), outcome));
-                if (outcome == Outcome.ACKNOWLEDGED) acknowledged.run();
+            public void tried(long startedAt, Answer answer) {
+                var outcome = answer != null && answer.status() >= 500 || answer == Answer.BROKEN
+                        ? Outcome.UNCLEAR
+                        : outcome(answer);
+                history.add(Operation.mark(name, zone, emptied, startedAt, sim.now(), outcome));
+                if (outcome == Outcome.ACKNOWLEDGED) onAcknowledged.run();
             }
 
             @Override
-            public void over(long from, Answer a) {
+            public void over(long startedAt, Answer answer) {
                 work();
             }
         });
     }
 
-    /** Reads back, and goes on. */
-    void read(long patience) {
-        call(Request.read(), patience, new OperatorCall.Listener() {
+    /** Reads back, and then goes on. */
+    void read(long timeout) {
+        call(Request.read(), timeout, new OperatorCall.Listener() {
             @Override
-            public void tried(long from, Answer a) {
-                if (a != null && a.ok()) heard(from, a);
+            public void tried(long startedAt, Answer answer) {
+                if (answer != null && answer.ok()) recordRead(startedAt, answer);
             }
 
             @Override
-            public void over(long from, Answer a) {
+            public void over(long startedAt, Answer answer) {
                 work();
             }
         });
     }
 
-    private void heard(long from, Answer a) {
-        var m = a.manifest();
-        known = Math.max(known, m.version);
-        var value = m.version == 0 ? Operation.NOTHING : Office.value(m.source);
-        history.add(Operation.readConfiguration(name, m.version, value, from, sim.now()));
-        for (var z : List.of("z1", "z2"))
-            history.add(Operation.readZone(name, z, m.marks.containsKey("zone:" + z), from, sim.now()));
+    private void recordRead(long startedAt, Answer answer) {
+        var manifest = answer.manifest();
+        newestKnownNumber = Math.max(newestKnownNumber, manifest.version);
+        var value = manifest.version == 0 ? Operation.NOTHING : Office.value(manifest.source);
+        history.add(Operation.readConfiguration(name, manifest.version, value, startedAt, sim.now()));
+        for (var zone : List.of("z1", "z2"))
+            history.add(
+                    Operation.readZone(name, zone, manifest.marks.containsKey("zone:" + zone), startedAt, sim.now()));
     }
 
-    private void call(Request q, long patience, OperatorCall.Listener l) {
-        new OperatorCall(sim, net, list, q, patience, l).begin();
+    private void call(Request request, long timeout, OperatorCall.Listener listener) {
+        new OperatorCall(sim, net, nodeNames, request, timeout, listener).begin();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/OperatorNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorNet.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' connections to stores. A call or its answer may be lost; a call may be held up and be read seconds later, when its
- * caller has gone, as happens too at a store that was frozen. A store whose process ends resets its connections; one without power
- * is silent.
+ * The operators' connections to stores. A call or its response may be lost; a call may be delayed and be read seconds
+ * later, when its caller has given up, which also happens at a store that was frozen. A store whose process ends resets
+ * its connections; one without power is silent.
  */
 final class OperatorNet {
-    private static final long READ = 190_000;
-    private static final long WAY = 1_000;
-    private static final long SPREAD = 500;
-    private static final long LATE_MOST = 5_000_000;
+    private static final long MAX_READ_DELAY_MICROS = 190_000;
+    private static final long MIN_LATENCY_MICROS = 1_000;
+    private static final long LATENCY_SPREAD_MICROS = 500;
+    private static final long MAX_LATE_DELAY_MICROS = 5_000_000;
 
     private final Fleet fleet;
     private final Sim sim;
@@ -22,9 +22,11 @@
     double lostCalls;
     double lostAnswers;
     double lateCalls;
-    /** A call that comes later than this is not read at all; see {@link Trial#readingLate}. */
-    long latestRead = READ;
-    /** Whether stores refuse zone orders whose caller has gone, as the platform's process does. */
+
+    /** A call that is read later than this after it was sent is dropped; see {@link Trial#readingLate}. */
+    long latestRead = MAX_READ_DELAY_MICROS;
+
+    /** Whether stores refuse zone commands whose caller has given up, as the platform's process does. */
     boolean guarded = true;
 
     OperatorNet(Fleet fleet, Office office) {
@@ -33,36 +35,39 @@
         sim = fleet.sim;
     }
 
-    /** Answers once, or never. */
-    void call(StoreNode to, Request q, Consumer<Answer> then) {
-        var life = to.life();
-        var sent = sim.now();
+    /** Sends a call; {@code callback} runs once or never. */
+    void call(StoreNode node, Request request, Consumer<Answer> callback) {
+        var session = node.life();
+        var sentAt = sim.now();
         if (sim.random.nextDouble() < lostCalls) return;
-        var late = sim.random.nextDouble() < lateCalls ? (long) (sim.random.nextDouble() * LATE_MOST) : 0;
-        sim.after(way() + late, () -> {
-            if (to.up() && to.life() == life) read(to, q, sent, then);
-            else if (to.lit()) then.accept(Answer.BROKEN);
+        var extraDelay =
+                sim.random.nextDouble() < lateCalls ? (long) (sim.random.nextDouble() * MAX_LATE_DELAY_MICROS) : 0;
+        sim.after(drawLatency() + extraDelay, () -> {
+            if (node.up() && node.life() == session) read(node, request, sentAt, callback);
+            else if (node.lit()) callback.accept(Answer.BROKEN);
         });
     }
 
-    private void read(StoreNode at, Request q, long sent, Consumer<Answer> then) {
-        Runnable reset = () -> sim.after(way(), () -> then.accept(Answer.BROKEN));
-        at.atReset(reset);
-        at.run(() -> {
-            if (sim.now() - sent > latestRead) return;
-            var stale = guarded && q.marks() && (sim.now() - sent >= OperatorCall.SILENCE || !at.admits());
-            if (stale) answer(at, Answer.of(503), reset, then);
-            else office.take(at, q, a -> answer(at, a, reset, then));
+    private void read(StoreNode node, Request request, long sentAt, Consumer<Answer> callback) {
+        Runnable reset = () -> sim.after(drawLatency(), () -> callback.accept(Answer.BROKEN));
+        node.atReset(reset);
+        node.run(() -> {
+            if (sim.now() - sentAt > latestRead) return;
+            var callerGaveUp = guarded
+                    && request.marks()
+                    && (sim.now() - sentAt >= OperatorCall.ATTEMPT_TIMEOUT_MICROS || !node.admits());
+            if (callerGaveUp) respond(node, Answer.of(503), reset, callback);
+            else office.take(node, request, answer -> respond(node, answer, reset, callback));
         });
     }
 
-    private void answer(StoreNode at, Answer a, Runnable reset, Consumer<Answer> then) {
-        at.answered(reset);
-        if (sim.random.nextDouble() >= lostAnswers) sim.after(way(), () -> then.accept(a));
+    private void respond(StoreNode node, Answer answer, Runnable reset, Consumer<Answer> callback) {
+        node.answered(reset);
+        if (sim.random.nextDouble() >= lostAnswers) sim.after(drawLatency(), () -> callback.accept(answer));
     }
 
-    private long way() {
-        return WAY + (long) (sim.random.nextDouble() * SPREAD);
+    private long drawLatency() {
+        return MIN_LATENCY_MICROS + (long) (sim.random.nextDouble() * LATENCY_SPREAD_MICROS);
     }
 
     StoreNode node(String name) {
--- a/test/sim/src/test/java/craneway/sim/history/SequentialModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/SequentialModel.java
@@ -3,23 +3,25 @@
 import java.util.List;
 
 /**
- * What one store without faults does with the operations on one object, one after the other.
+ * Describes how a single store without faults processes the operations on one object one after the other.
  *
- * @param <S> its state, immutable, with equals and hashCode
+ * @param <S> the state: immutable, with equals and hashCode
  */
 interface SequentialModel<S> {
     /** The state before the first operation. */
     S initial();
 
-    /** A state of which nothing is known but which orders had been sent: where a history is looked at from its middle. */
+    /** A state of which only the commands sent so far are known, for examining a history from its middle on. */
     S unknown(List<Operation> sent);
 
-    /** The states that may follow if the operation counts now; none where its outcome can't be had in this state. */
+    /**
+     * The states that may follow if the operation takes effect now; empty if its outcome is impossible in this state.
+     */
     List<S> apply(S state, Operation operation);
 
     /**
-     * Whether an unclear operation that was given up before an acknowledged order was sent may not count after it. Where every
-     * order names its base, the base says so already.
+     * Whether an unclear operation can no longer take effect after an acknowledged command that was sent when it had
+     * been given up. Where every command names its base, the base already ensures this.
      */
     boolean bars();
 }
--- a/test/sim/src/test/java/craneway/sim/history/SlowCallTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/SlowCallTest.java
@@ -10,48 +10,51 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A call that was on its way for a while: its store reads it while the caller still waits, and has patience with the core for 0.8 s
- * from then on, though the caller gives up one second after it sent the call.
+ * A delayed call: its store reads it while the caller still waits and then allows the core 0.8 s, although the caller
+ * gives up one second after it sent the call.
  */
 class SlowCallTest {
-    private static final long SECOND = 1_000_000;
-    private static final long ON_ITS_WAY = 400_000;
-    private static final long STEP = 5_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long CALL_DELAY_MICROS = 400_000;
+    private static final long POLL_INTERVAL_MICROS = 5_000;
 
     private final Fleet fleet = new Fleet(1, 3);
     private final OperatorNet net = new OperatorNet(fleet, new Office());
     private final List<Operation> history = new ArrayList<>();
 
     @Test
-    void aZoneOrderThatReachesItsStoreLateDoesNotUndoALaterOne() {
+    void aZoneCommandThatReachesItsStoreLateDoesNotUndoALaterOne() {
         net.latestRead = Long.MAX_VALUE;
         fleet.net.heldByCut = 1;
-        fleet.run(10 * SECOND);
+        fleet.run(10 * SECOND_MICROS);
         var leader = fleet.leader();
-        var apart = fleet.nodes().stream().filter(n -> n != leader).findFirst().orElseThrow();
-        order(apart, false);
-        var sent = fleet.sim.now();
-        fleet.sim.after(ON_ITS_WAY, () -> {
-            fleet.nodes().forEach(n -> fleet.net.cut(apart.name, n.name));
-            net.call(apart, Request.mark("z1", true), a -> {});
+        var isolated = fleet.nodes().stream()
+                .filter(node -> node != leader)
+                .findFirst()
+                .orElseThrow();
+        markZone(isolated, false);
+        var sentAt = fleet.sim.now();
+        fleet.sim.after(CALL_DELAY_MICROS, () -> {
+            fleet.nodes().forEach(node -> fleet.net.cut(isolated.name, node.name));
+            net.call(isolated, Request.mark("z1", true), answer -> {});
         });
-        fleet.run(SECOND);
-        history.add(Operation.mark("operator", "z1", true, sent, fleet.sim.now(), Outcome.UNCLEAR));
-        order(leader, false);
+        fleet.run(SECOND_MICROS);
+        history.add(Operation.mark("operator", "z1", true, sentAt, fleet.sim.now(), Outcome.UNCLEAR));
+        markZone(leader, false);
         fleet.net.heal();
-        fleet.run(4 * SECOND);
-        var list = List.of(leader.name);
-        new OperatorClient("reader", fleet.sim, net, () -> list, history, 0, () -> {}).read(SECOND);
-        fleet.run(SECOND);
+        fleet.run(4 * SECOND_MICROS);
+        var nodeNames = List.of(leader.name);
+        new OperatorClient("reader", fleet.sim, net, () -> nodeNames, history, 0, () -> {}).read(SECOND_MICROS);
+        fleet.run(SECOND_MICROS);
         assertEquals("", HistoryChecker.check(history));
     }
 
-    private void order(StoreNode at, boolean emptied) {
-        var sent = fleet.sim.now();
+    private void markZone(StoreNode node, boolean emptied) {
+        var sentAt = fleet.sim.now();
         var acknowledged = new ArrayList<Boolean>();
-        net.call(at, Request.mark("z1", emptied), a -> acknowledged.add(a.ok()));
-        while (acknowledged.isEmpty() && fleet.sim.now() < sent + SECOND) fleet.run(STEP);
+        net.call(node, Request.mark("z1", emptied), answer -> acknowledged.add(answer.ok()));
+        while (acknowledged.isEmpty() && fleet.sim.now() < sentAt + SECOND_MICROS) fleet.run(POLL_INTERVAL_MICROS);
         assertTrue(acknowledged.equals(List.of(true)));
-        history.add(Operation.mark("operator", "z1", emptied, sent, fleet.sim.now(), Outcome.ACKNOWLEDGED));
+        history.add(Operation.mark("operator", "z1", emptied, sentAt, fleet.sim.now(), Outcome.ACKNOWLEDGED));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/StoreNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNet.java
@@ -7,26 +7,28 @@
 import java.util.Set;
 
 /**
- * The links between stores, as TCP gives them with reconnects: a message may be lost, come twice, or be held up for seconds and come
- * after later ones; one sent into a cut may come once the cut is over. None reaches a later life of its receiver.
+ * The links between stores, with the behavior of TCP with reconnects: a message may be lost, duplicated, or delayed for
+ * seconds and overtaken by later ones; one sent over a cut link may arrive after the link is restored. None reaches a
+ * later process of its receiver.
  */
 final class StoreNet {
-    private static final long SELF = 50;
-    private static final long NEAR = 300;
-    private static final long FAR = 35_000;
-    private static final long SPREAD = 2_000;
-    private static final long LATE_LEAST = 100_000;
-    private static final long LATE_MOST = 6_000_000;
-    private static final long CUT_TRY = 300_000;
-    private static final long CUT_MOST = 10_000_000;
+    private static final long LOOPBACK_DELAY_MICROS = 50;
+    private static final long SAME_REGION_DELAY_MICROS = 300;
+    private static final long CROSS_REGION_DELAY_MICROS = 35_000;
+    private static final long DELAY_SPREAD_MICROS = 2_000;
+    private static final long MIN_LATE_DELAY_MICROS = 100_000;
+    private static final long MAX_LATE_DELAY_SPREAD_MICROS = 6_000_000;
+    private static final long RECONNECT_INTERVAL_MICROS = 300_000;
+    private static final long MAX_HOLD_MICROS = 10_000_000;
 
     private final Fleet fleet;
     private final Sim sim;
-    private final Set<String> cuts = new HashSet<>();
-    double lost;
-    double doubled;
-    double late;
-    /** How much of what is sent into a cut comes when it is over. */
+    private final Set<String> cutLinks = new HashSet<>();
+    double lostShare;
+    double duplicateShare;
+    double lateShare;
+
+    /** The share of messages sent over a cut link that arrive when it is restored. */
     double heldByCut = 0.3;
 
     StoreNet(Fleet fleet) {
@@ -36,64 +38,75 @@
 
     /** Cuts one direction. */
     void cut(String from, String to) {
-        cuts.add(from + ">" + to);
+        cutLinks.add(from + ">" + to);
     }
 
+    /** Restores all links. */
     void heal() {
-        cuts.clear();
+        cutLinks.clear();
     }
 
+    /** Whether no link is cut. */
     boolean whole() {
-        return cuts.isEmpty();
+        return cutLinks.isEmpty();
     }
 
+    /** Whether messages pass in this direction. */
     boolean open(String from, String to) {
-        return !cuts.contains(from + ">" + to);
+        return !cutLinks.contains(from + ">" + to);
     }
 
     void send(StoreNode from, String address, Object message) {
         if (!from.up()) return;
         var to = fleet.node(address);
         if (to == null) return;
-        var b = Codec.writeTagged(message);
-        var core = message instanceof Hello ? 0 : from.core();
-        var life = to.life();
+        var encoded = Codec.writeTagged(message);
+        var coreId = message instanceof Hello ? 0 : from.core();
+        var session = to.life();
         if (to == from) {
-            sim.after(SELF, () -> arrive(to, life, core, b));
+            sim.after(LOOPBACK_DELAY_MICROS, () -> arrive(to, session, coreId, encoded));
             return;
         }
-        if (sim.random.nextDouble() < lost) return;
-        var span = delay(from, to);
-        if (sim.random.nextDouble() < late) span += lateness();
-        travel(from, to, span, sim.now() + CUT_MOST, () -> arrive(to, life, core, b));
-        if (sim.random.nextDouble() < doubled)
-            travel(from, to, span + lateness(), sim.now() + CUT_MOST, () -> arrive(to, life, core, b));
+        if (sim.random.nextDouble() < lostShare) return;
+        var delay = drawDelay(from, to);
+        if (sim.random.nextDouble() < lateShare) delay += drawLateDelay();
+        transmit(from, to, delay, sim.now() + MAX_HOLD_MICROS, () -> arrive(to, session, coreId, encoded));
+        if (sim.random.nextDouble() < duplicateShare)
+            transmit(
+                    from,
+                    to,
+                    delay + drawLateDelay(),
+                    sim.now() + MAX_HOLD_MICROS,
+                    () -> arrive(to, session, coreId, encoded));
     }
 
-    private long delay(StoreNode a, StoreNode b) {
-        var near = fleet.region(a.zone).equals(fleet.region(b.zone));
-        return (near ? NEAR : FAR) + (long) (sim.random.nextDouble() * SPREAD);
+    private long drawDelay(StoreNode from, StoreNode to) {
+        var sameRegion = fleet.region(from.zone).equals(fleet.region(to.zone));
+        return (sameRegion ? SAME_REGION_DELAY_MICROS : CROSS_REGION_DELAY_MICROS)
+                + (long) (sim.random.nextDouble() * DELAY_SPREAD_MICROS);
     }
 
-    private long lateness() {
-        return LATE_LEAST + (long) (sim.random.nextDouble() * LATE_MOST);
+    private long drawLateDelay() {
+        return MIN_LATE_DELAY_MICROS + (long) (sim.random.nextDouble() * MAX_LATE_DELAY_SPREAD_MICROS);
     }
 
-    private void travel(StoreNode from, StoreNode to, long span, long until, Runnable then) {
-        if (open(from.name, to.name)) sim.after(span, then);
-        else if (sim.now() < until && sim.random.nextDouble() < heldByCut) again(from, to, span, until, then);
+    private void transmit(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
+        if (open(from.name, to.name)) sim.after(delay, arrival);
+        else if (sim.now() < heldUntil && sim.random.nextDouble() < heldByCut)
+            transmitWhenRestored(from, to, delay, heldUntil, arrival);
     }
 
-    private void again(StoreNode from, StoreNode to, long span, long until, Runnable then) {
-        sim.after(CUT_TRY, () -> {
-            if (open(from.name, to.name)) sim.after(span, then);
-            else if (sim.now() < until) again(from, to, span, until, then);
+    /** Tries again until the link is restored or the time to hold a message has passed. */
+    private void transmitWhenRestored(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
+        sim.after(RECONNECT_INTERVAL_MICROS, () -> {
+            if (open(from.name, to.name)) sim.after(delay, arrival);
+            else if (sim.now() < heldUntil) transmitWhenRestored(from, to, delay, heldUntil, arrival);
         });
     }
 
-    private static void arrive(StoreNode to, int life, long core, byte[] b) {
-        if (!to.up() || to.life() != life) return;
-        if (core != 0 && to.core() != 0 && to.core() != core) return;
-        to.receive(b);
+    private static void arrive(StoreNode to, int session, long coreId, byte[] encoded) {
+        if (!to.up() || to.life() != session) return;
+        if (coreId != 0 && to.core() != 0 && to.core() != coreId) return;
+        to.receive(encoded);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -14,26 +14,26 @@
 import java.util.List;
 import java.util.Random;
 
-/** A store of the production classes on a simulated machine that can be killed, frozen, slowed and lose its power or its disk. */
+/** A production store on a simulated machine that can be killed, frozen, slowed down and lose its power or its disk. */
 final class StoreNode implements Port {
-    private static final long TICK = 20_000;
+    private static final long TICK_INTERVAL_MICROS = 20_000;
 
     final String name;
     final String zone;
     private final Fleet fleet;
-    private final Deque<Runnable> held = new ArrayDeque<>();
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
     private final Deque<Runnable> waitingForDisk = new ArrayDeque<>();
-    private final List<Runnable> resets = new ArrayList<>();
+    private final List<Runnable> openConnections = new ArrayList<>();
     private Disk disk = new Disk();
     private Store store;
-    private PlatformCommands passing;
-    private PauseGuard guard;
-    private boolean up;
-    private boolean lit;
-    private boolean frozen;
-    private boolean hung;
-    private long slow;
-    private int life;
+    private PlatformCommands commands;
+    private PauseGuard pauseGuard;
+    private boolean running;
+    private boolean powered;
+    private boolean suspended;
+    private boolean diskHung;
+    private long maxReceiveDelayMicros;
+    private int session;
 
     StoreNode(Fleet fleet, String name, String zone) {
         this.fleet = fleet;
@@ -41,129 +41,144 @@
         this.zone = zone;
     }
 
+    /**
+     * Starts the process unless it runs.
+     *
+     * @param first whether it starts with the fleet
+     */
     void start(boolean first) {
-        if (up) return;
-        up = lit = true;
-        frozen = hung = false;
-        slow = 0;
-        life++;
+        if (running) return;
+        running = powered = true;
+        suspended = diskHung = false;
+        maxReceiveDelayMicros = 0;
+        session++;
         var self = new Node(name, Node.STORE, zone, name, 1_000_000_000L + now() / 1_000);
-        var mine = life;
-        var rules = fleet.rules(first, r -> {
-            if (life == mine) disk(r);
+        var startedSession = session;
+        var options = fleet.rules(first, work -> {
+            if (session == startedSession) runOnDisk(work);
         });
-        store = new Store(this, disk, self, fleet.seeds(first), rules, new Random(fleet.sim.random.nextLong()));
-        passing = new PlatformCommands(store.coreClient());
-        guard = new PauseGuard(now());
-        fleet.sim.after((long) (fleet.sim.random.nextDouble() * TICK), () -> beat(mine));
+        store = new Store(this, disk, self, fleet.seeds(first), options, new Random(fleet.sim.random.nextLong()));
+        commands = new PlatformCommands(store.coreClient());
+        pauseGuard = new PauseGuard(now());
+        fleet.sim.after(
+                (long) (fleet.sim.random.nextDouble() * TICK_INTERVAL_MICROS), () -> scheduleTicks(startedSession));
     }
 
-    private void disk(Runnable r) {
-        if (hung) waitingForDisk.add(r);
-        else r.run();
+    private void runOnDisk(Runnable work) {
+        if (diskHung) waitingForDisk.add(work);
+        else work.run();
     }
 
-    private void beat(int mine) {
-        if (!up || life != mine) return;
+    private void scheduleTicks(int startedSession) {
+        if (!running || session != startedSession) return;
         run(() -> {
-            guard.tick(now());
+            pauseGuard.tick(now());
             store.tick();
         });
-        fleet.sim.after(TICK, () -> beat(mine));
+        fleet.sim.after(TICK_INTERVAL_MICROS, () -> scheduleTicks(startedSession));
     }
 
-    /** Now, or once the machine is thawed; never, if it ends before. */
-    void run(Runnable what) {
-        if (!up) return;
-        if (frozen) held.add(what);
-        else what.run();
+    /** Runs an event now, or once the machine is thawed; drops it if the process ends before. */
+    void run(Runnable event) {
+        if (!running) return;
+        if (suspended) deferred.add(event);
+        else event.run();
     }
 
-    /** A message from another store or itself. */
-    void receive(byte[] b) {
-        var mine = life;
-        if (slow == 0) run(() -> store.receive(Codec.readTagged(b)));
+    /** Receives a message from another store or from itself. */
+    void receive(byte[] encoded) {
+        var receivingSession = session;
+        if (maxReceiveDelayMicros == 0) run(() -> store.receive(Codec.readTagged(encoded)));
         else
-            fleet.sim.after((long) (slow * fleet.sim.random.nextDouble()), () -> {
-                if (life == mine) run(() -> store.receive(Codec.readTagged(b)));
+            fleet.sim.after((long) (maxReceiveDelayMicros * fleet.sim.random.nextDouble()), () -> {
+                if (session == receivingSession) run(() -> store.receive(Codec.readTagged(encoded)));
             });
     }
 
+    /** Ends the process; a machine with power resets its connections. */
     void kill() {
-        if (!up) return;
-        up = false;
-        life++;
-        held.clear();
+        if (!running) return;
+        running = false;
+        session++;
+        deferred.clear();
         waitingForDisk.clear();
-        var all = List.copyOf(resets);
-        resets.clear();
-        if (lit) all.forEach(Runnable::run);
+        var connections = List.copyOf(openConnections);
+        openConnections.clear();
+        if (powered) connections.forEach(Runnable::run);
     }
 
+    /** Ends the process; the disk may lose what was not synced. */
     void losePower() {
-        lit = false;
+        powered = false;
         kill();
         disk.losePower(fleet.sim.random);
     }
 
+    /** Ends the process and replaces the disk by an empty one. */
     void loseDisk() {
-        lit = false;
+        powered = false;
         kill();
         disk = new Disk();
     }
 
-    /** Tells the others that it goes. */
+    /** Announces to the other stores that this one leaves. */
     void leave() {
         run(() -> store.membership().leave(now()));
     }
 
     void freeze() {
-        if (up) frozen = true;
+        if (running) suspended = true;
     }
 
     void thaw() {
-        frozen = false;
-        while (!frozen && !held.isEmpty()) held.poll().run();
+        suspended = false;
+        while (!suspended && !deferred.isEmpty()) deferred.poll().run();
     }
 
-    void hang(boolean is) {
-        hung = is;
-        while (!hung && !waitingForDisk.isEmpty()) waitingForDisk.poll().run();
+    /** Sets whether the disk hangs; work for it waits meanwhile. */
+    void hang(boolean value) {
+        diskHung = value;
+        while (!diskHung && !waitingForDisk.isEmpty()) waitingForDisk.poll().run();
     }
 
-    void slow(long micros) {
-        slow = micros;
+    /** Delays each received message by a random time up to this, 0 for none. */
+    void slow(long maxDelayMicros) {
+        maxReceiveDelayMicros = maxDelayMicros;
     }
 
-    /** Runs it if the process ends while the machine goes on: its open connections are reset. */
-    void atReset(Runnable r) {
-        resets.add(r);
+    /** Registers an open connection: the action runs if the process ends while the machine has power. */
+    void atReset(Runnable onReset) {
+        openConnections.add(onReset);
     }
 
-    void answered(Runnable r) {
-        resets.remove(r);
+    /** Removes an open connection that got its response. */
+    void answered(Runnable onReset) {
+        openConnections.remove(onReset);
     }
 
+    /** Whether the process runs, possibly frozen. */
     boolean up() {
-        return up;
+        return running;
     }
 
-    /** Whether the machine has power, so that it resets connections to a process that isn't there. */
+    /** Whether the machine has power, so that it resets connections to a process that has ended. */
     boolean lit() {
-        return lit;
+        return powered;
     }
 
+    /** Whether the process runs without any fault. */
     boolean well() {
-        return up && !frozen && !hung && slow == 0;
+        return running && !suspended && !diskHung && maxReceiveDelayMicros == 0;
     }
 
+    /** A number that changes with every start and end of the process. */
     int life() {
-        return life;
+        return session;
     }
 
-    /** Whether the caller of an order that was read just now, on a new connection, can still be waiting. */
+    /** Whether the caller of a command that was just read on a new connection can still be waiting. */
     boolean admits() {
-        return guard.admits(new PauseGuard.Connection(), now(), now());
+        return pauseGuard.admits(new PauseGuard.Connection(), now(), now());
     }
 
     Store store() {
@@ -171,7 +186,7 @@
     }
 
     PlatformCommands passing() {
-        return passing;
+        return commands;
     }
 
     long core() {
--- a/test/sim/src/test/java/craneway/sim/history/Trial.java
+++ b/test/sim/src/test/java/craneway/sim/history/Trial.java
@@ -7,40 +7,43 @@
 import java.util.List;
 
 /**
- * One simulated run from a seed: operators work at all stores while faults come and go; then all is mended, and the newest state is
- * read back at every store.
+ * One simulated run from a seed: operators send commands to all stores while faults come and go; then everything is
+ * repaired, and the newest state is read back at every store.
  */
 final class Trial {
-    private static final long SECOND = 1_000_000;
-    private static final long FOUNDING = 8 * SECOND;
-    private static final long CALM = 8 * SECOND;
-    private static final long READ_BACK = 12 * SECOND;
-    private static final long LIST = 500_000;
-    private static final int LIST_LAG = 6;
-    private static final int MOST_UNDER_WAY = 8;
-    private static final int LONG = 60_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long BOOTSTRAP_MICROS = 8 * SECOND_MICROS;
+    private static final long RECOVERY_MICROS = 8 * SECOND_MICROS;
+    private static final long READ_BACK_MICROS = 12 * SECOND_MICROS;
+    private static final long LIST_INTERVAL_MICROS = 500_000;
+    private static final int LIST_LAG_INTERVALS = 6;
+    private static final int MAX_CONCURRENT_CALLS = 8;
+    private static final int LONG_CONFIGURATION_PADDING_BYTES = 60_000;
 
     final long seed;
     final Fleet fleet;
     final OperatorNet net;
     final List<Operation> history = new ArrayList<>();
-    private final Deque<List<String>> lists = new ArrayDeque<>();
+    private final Deque<List<String>> recentLists = new ArrayDeque<>();
     private final Faults faults;
-    private final long stop;
+    private final long endTime;
 
     Trial(long seed, int stores, int seconds) {
-        this(seed, stores, seconds, new Office(seed % 5 == 0 ? LONG : 0));
+        this(seed, stores, seconds, new Office(seed % 5 == 0 ? LONG_CONFIGURATION_PADDING_BYTES : 0));
     }
 
     Trial(long seed, int stores, int seconds, Office office) {
         this.seed = seed;
         fleet = new Fleet(seed, stores);
         net = new OperatorNet(fleet, office);
-        stop = fleet.sim.now() + FOUNDING + seconds * SECOND;
-        faults = new Faults(fleet, stop);
+        endTime = fleet.sim.now() + BOOTSTRAP_MICROS + seconds * SECOND_MICROS;
+        faults = new Faults(fleet, endTime);
     }
 
-    /** As a seed has it: every third with six stores, every fifth with configurations so long that snapshots are taken. */
+    /**
+     * A run as its seed determines: every third with six stores, every fifth with configurations so long that snapshots
+     * are taken.
+     */
     static Trial of(long seed, int seconds) {
         return new Trial(seed, stores(seed), seconds);
     }
@@ -51,72 +54,86 @@
     }
 
     /**
-     * The same with stores that also read calls that were long on their way or waited for a frozen store: up to a second of it
-     * goes unseen by store and caller, beside the store's patience with the core.
+     * The same run with stores that also read calls which were delayed for long or waited for a frozen store. Neither
+     * the store nor the caller accounts for up to a second of that delay, in addition to the store's timeout for the
+     * core.
      */
     Trial readingLate() {
         net.latestRead = Long.MAX_VALUE;
         return this;
     }
 
-    /** Plays it and tells what is wrong with its history; empty if nothing is. */
+    /** Runs the simulation and returns what is wrong with its history; empty if nothing is. */
     String play() {
-        keepList();
-        fleet.run(FOUNDING);
+        updateList();
+        fleet.run(BOOTSTRAP_MICROS);
         var operators = 2 + (int) Math.floorMod(seed, 3);
         for (var i = 1; i <= operators; i++) {
-            var o = new OperatorClient(
-                    "operator-" + i, fleet.sim, net, this::list, history, stop, faults::acknowledged);
-            for (var n = 0; n < MOST_UNDER_WAY / operators; n++) o.work();
+            var operator = new OperatorClient(
+                    "operator-" + i, fleet.sim, net, this::list, history, endTime, faults::acknowledged);
+            for (var callIndex = 0; callIndex < MAX_CONCURRENT_CALLS / operators; callIndex++) operator.work();
         }
         net.lostCalls = 0.01;
         net.lostAnswers = 0.05;
         net.lateCalls = 0.01;
         faults.usualLinks();
         faults.begin();
-        fleet.sim.runUntil(stop);
-        calm();
-        var wrong = readBack() + HistoryChecker.check(history);
-        return wrong.isEmpty() ? "" : "seed " + seed + ": " + wrong;
+        fleet.sim.runUntil(endTime);
+        recover();
+        var violations = readBack() + HistoryChecker.check(history);
+        return violations.isEmpty() ? "" : "seed " + seed + ": " + violations;
     }
 
-    private void calm() {
+    private void recover() {
         net.lostCalls = net.lostAnswers = net.lateCalls = 0;
         faults.over();
-        fleet.run(CALM);
+        fleet.run(RECOVERY_MICROS);
         faults.over();
-        fleet.run(CALM);
+        fleet.run(RECOVERY_MICROS);
     }
 
     private String readBack() {
-        var wrong = new StringBuilder();
-        for (var n : fleet.nodes()) {
-            var before = history.size();
-            var reader = new OperatorClient("read back", fleet.sim, net, () -> List.of(n.name), history, 0, () -> {});
-            reader.read(READ_BACK);
-            fleet.run(READ_BACK);
-            if (history.size() == before)
-                wrong.append("no read back at ").append(n.name).append('\n');
+        var violations = new StringBuilder();
+        for (var node : fleet.nodes()) {
+            var operationsBefore = history.size();
+            var reader =
+                    new OperatorClient("read back", fleet.sim, net, () -> List.of(node.name), history, 0, () -> {});
+            reader.read(READ_BACK_MICROS);
+            fleet.run(READ_BACK_MICROS);
+            if (history.size() == operationsBefore)
+                violations
+                        .append("no state was read back at ")
+                        .append(node.name)
+                        .append('\n');
         }
-        return wrong.toString();
+        return violations.toString();
     }
 
-    private void keepList() {
-        lists.add(fleet.nodes().stream().filter(StoreNode::lit).map(n -> n.name).toList());
-        if (lists.size() > LIST_LAG) lists.poll();
-        fleet.sim.after(LIST, this::keepList);
+    /** Keeps the list of nodes of the last intervals, so that operators work with an outdated one. */
+    private void updateList() {
+        recentLists.add(fleet.nodes().stream()
+                .filter(StoreNode::lit)
+                .map(node -> node.name)
+                .toList());
+        if (recentLists.size() > LIST_LAG_INTERVALS) recentLists.poll();
+        fleet.sim.after(LIST_INTERVAL_MICROS, this::updateList);
     }
 
+    /** The list that operators know: it lags behind by {@link #LIST_LAG_INTERVALS} intervals. */
     private List<String> list() {
-        var lagging = lists.peek();
-        return lagging.isEmpty() ? fleet.nodes().stream().map(n -> n.name).toList() : lagging;
+        var outdated = recentLists.peek();
+        return outdated.isEmpty()
+                ? fleet.nodes().stream().map(node -> node.name).toList()
+                : outdated;
     }
 
     int faults() {
-        return faults.count;
+        return faults.faultCount;
     }
 
     long count(Outcome outcome) {
-        return history.stream().filter(o -> o.outcome() == outcome).count();
+        return history.stream()
+                .filter(operation -> operation.outcome() == outcome)
+                .count();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/ZoneModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/ZoneModel.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Whether a zone is emptied. Its orders name no base, so each call counts once at most, and a call that was given up may not count
- * any more once an order sent later was acknowledged. No proper order on a zone is ever refused.
+ * Whether a zone is emptied. Zone commands name no base, so each call takes effect at most once, and a call that was
+ * given up may no longer take effect once a command sent later was acknowledged. A valid command on a zone is never
+ * refused.
  */
 final class ZoneModel implements SequentialModel<String> {
     private static final String UNKNOWN = "?";
@@ -17,15 +18,16 @@
     }
 
     @Override
-    public String unknown(List<Operation> sent) {
+    public String unknown(List<Operation> commands) {
         return UNKNOWN;
     }
 
     @Override
-    public List<String> apply(String s, Operation o) {
-        if (o.outcome() == Outcome.REFUSED) return List.of();
-        if (o.type() == Type.READ && !s.equals(UNKNOWN) && !s.equals(o.value())) return List.of();
-        return List.of(o.value());
+    public List<String> apply(String state, Operation operation) {
+        if (operation.outcome() == Outcome.REFUSED) return List.of();
+        if (operation.type() == Type.READ && !state.equals(UNKNOWN) && !state.equals(operation.value()))
+            return List.of();
+        return List.of(operation.value());
     }
 
     @Override
--- a/test/sim/src/test/java/craneway/sim/model/Chain.java
+++ b/test/sim/src/test/java/craneway/sim/model/Chain.java
@@ -4,18 +4,22 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** A state machine whose state is a hash over all commands in their order. */
+/**
+ * A state machine whose state is a hash over all applied commands in order, so that two members that applied the same
+ * commands hold the same state.
+ */
 final class Chain implements StateMachine {
     private final Ledger ledger;
-    private final int slot;
-    private long last;
+    private final int memberSlot;
+    private long lastIndex;
     private long hash;
 
-    Chain(Ledger ledger, int slot) {
+    Chain(Ledger ledger, int memberSlot) {
         this.ledger = ledger;
-        this.slot = slot;
+        this.memberSlot = memberSlot;
     }
 
+    /** The hash over all commands applied so far. */
     long hash() {
         return hash;
     }
@@ -23,20 +27,20 @@
     @Override
     public Object apply(long index, byte[] command) {
         hash = (hash * 1_000_003 + index) * 1_000_003 + Arrays.hashCode(command);
-        last = index;
+        lastIndex = index;
         return hash;
     }
 
     @Override
     public byte[] snapshot() {
-        return ByteBuffer.allocate(16).putLong(last).putLong(hash).array();
+        return ByteBuffer.allocate(16).putLong(lastIndex).putLong(hash).array();
     }
 
     @Override
     public void load(byte[] image) {
-        var b = image == null ? ByteBuffer.allocate(16) : ByteBuffer.wrap(image);
-        last = b.getLong();
-        hash = b.getLong();
-        if (last > 0) ledger.loaded(slot, last, hash);
+        var buffer = image == null ? ByteBuffer.allocate(16) : ByteBuffer.wrap(image);
+        lastIndex = buffer.getLong();
+        hash = buffer.getLong();
+        if (lastIndex > 0) ledger.checkLoaded(memberSlot, lastIndex, hash);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Choice.java
+++ b/test/sim/src/test/java/craneway/sim/model/Choice.java
@@ -3,9 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One step of a history: what happens, to which slots, or to which message. */
+/**
+ * One step of a history: an event and the member slots, the message, the time or the size that it concerns.
+ *
+ * @param kind what happens
+ * @param a a member slot, 0 for the current leader, or a time in milliseconds
+ * @param b a second slot, a size in bytes or a flag
+ * @param label the label of the message that the event concerns, or empty
+ */
 record Choice(Kind kind, int a, int b, String label) {
-    /** What may happen; those from ROUND on are for long random histories. */
+    /**
+     * What may happen. The constants from {@code ROUND} on are for long random histories; the {@link TroubleExplorer}
+     * also uses {@code CUT}, {@code FREEZE} and {@code THAW}.
+     */
     enum Kind {
         ADVANCE,
         TICK,
@@ -48,20 +58,20 @@
         return label.isEmpty() ? kind + " " + a + (b == 0 ? "" : " " + b) : kind + " " + label;
     }
 
-    /** The history in words, with what lies between two events as one figure. */
-    static String readable(List<Choice> all) {
+    /** The history as text; consecutive rounds appear as one duration. */
+    static String readable(List<Choice> choices) {
         var text = new ArrayList<String>();
-        var run = 0;
-        for (var c : all) {
-            if (c.kind == Kind.ROUND) {
-                run += c.a;
+        var elapsedMillis = 0;
+        for (var choice : choices) {
+            if (choice.kind == Kind.ROUND) {
+                elapsedMillis += choice.a;
                 continue;
             }
-            if (run > 0) text.add("run " + run + " ms");
-            run = 0;
-            text.add(c.toString());
+            if (elapsedMillis > 0) text.add("run " + elapsedMillis + " ms");
+            elapsedMillis = 0;
+            text.add(choice.toString());
         }
-        if (run > 0) text.add("run " + run + " ms");
+        if (elapsedMillis > 0) text.add("run " + elapsedMillis + " ms");
         return String.join(", ", text);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/ExhaustiveTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/ExhaustiveTest.java
@@ -6,38 +6,38 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** All short histories of three members, up to {@code -Dmodel.states} states from each start. */
+/** Explores all short histories of three members, up to {@code -Dmodel.states} states from each start. */
 class ExhaustiveTest {
-    private static final int STATES = Integer.getInteger("model.states", 2_500);
-    private static final int TROUBLES = Integer.getInteger("model.troubles", 3);
+    private static final int MAX_STATES = Integer.getInteger("model.states", 2_500);
+    private static final int MAX_FAULTS = Integer.getInteger("model.troubles", 3);
 
     @TestFactory
     Stream<DynamicTest> everyShortHistoryKeepsTheInvariants() {
         return Starts.all()
-                .filter(s -> s.steps().length > 0)
-                .map(s -> DynamicTest.dynamicTest(s.name(), () -> explore(s)));
+                .filter(start -> start.steps().length > 0)
+                .map(start -> DynamicTest.dynamicTest(start.name(), () -> explore(start)));
     }
 
     @TestFactory
-    Stream<DynamicTest> everyHistoryWithFewTroublesKeepsTheInvariants() {
-        return Starts.all().map(s -> DynamicTest.dynamicTest(s.name(), () -> trouble(s)));
+    Stream<DynamicTest> everyHistoryWithFewFaultsKeepsTheInvariants() {
+        return Starts.all().map(start -> DynamicTest.dynamicTest(start.name(), () -> exploreFaults(start)));
     }
 
-    private static void trouble(Explorer.Start start) {
-        var from = System.nanoTime();
-        var r = new TroubleExplorer(start, TROUBLES, STATES * 8).run();
+    private static void exploreFaults(Explorer.Start start) {
+        var startedAt = System.nanoTime();
+        var result = new TroubleExplorer(start, MAX_FAULTS, MAX_STATES * 8).run();
         System.out.printf(
-                "model: start %s, %d states, all with %d troubles, %.1f s%n",
-                start.name(), r.states(), r.depth(), (System.nanoTime() - from) / 1e9);
-        assertNull(r.violation(), () -> r.violation().getMessage() + " after " + r.trace());
+                "model: start %s, %d states, all with up to %d faults, %.1f s%n",
+                start.name(), result.states(), result.depth(), (System.nanoTime() - startedAt) / 1e9);
+        assertNull(result.violation(), () -> result.violation().getMessage() + " after " + result.trace());
     }
 
     private static void explore(Explorer.Start start) {
-        var from = System.nanoTime();
-        var r = new Explorer(start, STATES).run();
+        var startedAt = System.nanoTime();
+        var result = new Explorer(start, MAX_STATES).run();
         System.out.printf(
                 "model: start %s, %d states, depth %d, all of them: %s, %.1f s%n",
-                start.name(), r.states(), r.depth(), r.whole(), (System.nanoTime() - from) / 1e9);
-        assertNull(r.violation(), () -> r.violation().getMessage() + " after " + r.trace());
+                start.name(), result.states(), result.depth(), result.whole(), (System.nanoTime() - startedAt) / 1e9);
+        assertNull(result.violation(), () -> result.violation().getMessage() + " after " + result.trace());
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Explorer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Explorer.java
@@ -10,9 +10,17 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Goes through all short histories from a start, nearest first, and leaves out states that it has met. */
+/** Explores all short histories from a start breadth-first and skips states that it has visited before. */
 final class Explorer {
-    /** From which world after which choices; how often each kind of trouble may come; how far time goes at once, and in all (ms). */
+    /**
+     * Where an exploration starts and how far it goes.
+     *
+     * @param world creates the world
+     * @param choices the history that leads to the start
+     * @param most how often each kind of event may occur; 0 for kinds that are not named
+     * @param steps by how many milliseconds time may advance at once
+     * @param horizon how many milliseconds after the start the {@link TroubleExplorer} follows a history
+     */
     record Start(
             String name,
             Supplier<World> world,
@@ -21,99 +29,119 @@
             int[] steps,
             int horizon) {}
 
-    /** How many states were met, at which depth it ended, whether nothing was left, and the shortest trace to a breach. */
+    /**
+     * What an exploration found.
+     *
+     * @param states the number of distinct states
+     * @param depth the length of the longest histories explored in full
+     * @param whole whether no state was left to explore
+     * @param trace the shortest history that violates an invariant, or empty
+     * @param violation the violation, or null
+     */
     record Result(int states, int depth, boolean whole, List<Choice> trace, Violation violation) {}
 
+    /** A state by the choice that led to it from its parent. */
     private record Node(Node parent, Choice choice, int depth) {
         List<Choice> path() {
-            var all = new LinkedList<Choice>();
-            for (var n = this; n.choice != null; n = n.parent) all.addFirst(n.choice);
-            return all;
+            var path = new LinkedList<Choice>();
+            for (var node = this; node.choice != null; node = node.parent) path.addFirst(node.choice);
+            return path;
         }
     }
 
     private final Start start;
-    private final int mostStates;
-    private final Set<Long> met = new HashSet<>();
+    private final int maxStates;
+    private final Set<Long> visitedStates = new HashSet<>();
     private int depth;
 
-    Explorer(Start start, int mostStates) {
+    Explorer(Start start, int maxStates) {
         this.start = start;
-        this.mostStates = mostStates;
+        this.maxStates = maxStates;
     }
 
+    /** Explores until a violation is found, no state is left or the maximum number of states is reached. */
     Result run() {
         var level = List.of(new Node(null, null, 0));
         while (!level.isEmpty()) {
-            var next = new ArrayList<Node>();
-            for (var n : level) {
-                var path = n.path();
-                for (var c : choices(path)) {
-                    if (met.size() >= mostStates) return new Result(met.size(), depth, false, List.of(), null);
-                    var child = new Node(n, c, n.depth() + 1);
+            var nextLevel = new ArrayList<Node>();
+            for (var node : level) {
+                var path = node.path();
+                for (var choice : possibleChoices(path)) {
+                    if (visitedStates.size() >= maxStates)
+                        return new Result(visitedStates.size(), depth, false, List.of(), null);
+                    var child = new Node(node, choice, node.depth() + 1);
                     try {
-                        if (met.add(stateAfter(path, c))) next.add(child);
-                    } catch (Violation v) {
-                        return new Result(met.size(), child.depth(), false, child.path(), v);
+                        if (visitedStates.add(stateAfter(path, choice))) nextLevel.add(child);
+                    } catch (Violation violation) {
+                        return new Result(visitedStates.size(), child.depth(), false, child.path(), violation);
                     }
                 }
             }
             depth++;
-            level = next;
+            level = nextLevel;
         }
-        return new Result(met.size(), depth, true, List.of(), null);
+        return new Result(visitedStates.size(), depth, true, List.of(), null);
     }
 
-    private World at(List<Choice> path) {
-        var w = start.world().get();
-        w.ledger().quick(true);
-        start.choices().forEach(w::apply);
-        path.forEach(w::apply);
-        w.ledger().quick(false);
-        return w;
+    /** A world after the given history; its steps were checked before and are not checked again. */
+    private World replay(List<Choice> path) {
+        var world = start.world().get();
+        world.ledger().quick(true);
+        start.choices().forEach(world::apply);
+        path.forEach(world::apply);
+        world.ledger().quick(false);
+        return world;
     }
 
-    private long stateAfter(List<Choice> path, Choice c) {
-        var w = at(path);
-        w.apply(c);
-        return StateHash.of(w) * 31 + used(path, c).hashCode();
+    /** The state after one more step. The number of events used up is part of it, since it limits what may follow. */
+    private long stateAfter(List<Choice> path, Choice choice) {
+        var world = replay(path);
+        world.apply(choice);
+        return StateHash.of(world) * 31 + countLimited(path, choice).hashCode();
     }
 
-    private Map<Choice.Kind, Integer> used(List<Choice> path, Choice last) {
-        var all = new EnumMap<Choice.Kind, Integer>(Choice.Kind.class);
-        for (var c : path) if (start.most().containsKey(c.kind())) all.merge(c.kind(), 1, Integer::sum);
-        if (last != null && start.most().containsKey(last.kind())) all.merge(last.kind(), 1, Integer::sum);
-        return all;
+    /** How often each kind of event with a limit occurs in a history and one more choice, which may be null. */
+    private Map<Choice.Kind, Integer> countLimited(List<Choice> path, Choice last) {
+        var countByKind = new EnumMap<Choice.Kind, Integer>(Choice.Kind.class);
+        for (var choice : path)
+            if (start.most().containsKey(choice.kind())) countByKind.merge(choice.kind(), 1, Integer::sum);
+        if (last != null && start.most().containsKey(last.kind())) countByKind.merge(last.kind(), 1, Integer::sum);
+        return countByKind;
     }
 
-    private List<Choice> choices(List<Choice> path) {
-        var w = at(path);
-        var used = used(path, null);
-        var all = new ArrayList<Choice>();
-        var distinct = new HashSet<Long>();
-        for (var l : w.mail()) {
-            if (!distinct.add(StateHash.letter(l))) continue;
-            all.add(Choice.of(Choice.Kind.DELIVER, l.label()));
-            if (may(Choice.Kind.REPEAT, used)) all.add(Choice.of(Choice.Kind.REPEAT, l.label()));
+    /** All choices after a history. Of messages with the same ends and content only one is offered. */
+    private List<Choice> possibleChoices(List<Choice> path) {
+        var world = replay(path);
+        var usedByKind = countLimited(path, null);
+        var choices = new ArrayList<Choice>();
+        var distinctMessages = new HashSet<Long>();
+        for (var message : world.mail()) {
+            if (!distinctMessages.add(StateHash.letter(message))) continue;
+            choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
+            if (isAllowed(Choice.Kind.REPEAT, usedByKind)) choices.add(Choice.of(Choice.Kind.REPEAT, message.label()));
         }
-        for (var p : w.peers()) {
-            all.add(Choice.of(Choice.Kind.TICK, p.slot()));
-            for (var k : List.of(Choice.Kind.RESTART, Choice.Kind.POWER, Choice.Kind.LOSE))
-                if (may(k, used)) all.add(Choice.of(k, p.slot()));
-            if (p.group().role() == Role.LEADER) byLeader(w, p, used, all);
+        for (var peer : world.peers()) {
+            choices.add(Choice.of(Choice.Kind.TICK, peer.slot()));
+            for (var kind : List.of(Choice.Kind.RESTART, Choice.Kind.POWER, Choice.Kind.LOSE))
+                if (isAllowed(kind, usedByKind)) choices.add(Choice.of(kind, peer.slot()));
+            if (peer.group().role() == Role.LEADER) addLeaderChoices(world, peer, usedByKind, choices);
         }
-        if (may(Choice.Kind.ADVANCE, used)) for (var s : start.steps()) all.add(Choice.of(Choice.Kind.ADVANCE, s));
-        return all;
+        if (isAllowed(Choice.Kind.ADVANCE, usedByKind))
+            for (var step : start.steps()) choices.add(Choice.of(Choice.Kind.ADVANCE, step));
+        return choices;
     }
 
-    private void byLeader(World w, Peer p, Map<Choice.Kind, Integer> used, List<Choice> all) {
-        if (may(Choice.Kind.PROPOSE, used)) all.add(Choice.of(Choice.Kind.PROPOSE, p.slot()));
-        if (may(Choice.Kind.PROMOTE, used)) all.add(Choice.of(Choice.Kind.PROMOTE, p.slot()));
-        for (var k : List.of(Choice.Kind.LEARN, Choice.Kind.REMOVE, Choice.Kind.HAND_OVER))
-            for (var other : w.peers()) if (other != p && may(k, used)) all.add(Choice.of(k, p.slot(), other.slot()));
+    private void addLeaderChoices(
+            World world, Peer leader, Map<Choice.Kind, Integer> usedByKind, List<Choice> choices) {
+        if (isAllowed(Choice.Kind.PROPOSE, usedByKind)) choices.add(Choice.of(Choice.Kind.PROPOSE, leader.slot()));
+        if (isAllowed(Choice.Kind.PROMOTE, usedByKind)) choices.add(Choice.of(Choice.Kind.PROMOTE, leader.slot()));
+        for (var kind : List.of(Choice.Kind.LEARN, Choice.Kind.REMOVE, Choice.Kind.HAND_OVER))
+            for (var other : world.peers())
+                if (other != leader && isAllowed(kind, usedByKind))
+                    choices.add(Choice.of(kind, leader.slot(), other.slot()));
     }
 
-    private boolean may(Choice.Kind k, Map<Choice.Kind, Integer> used) {
-        return used.getOrDefault(k, 0) < start.most().getOrDefault(k, 0);
+    private boolean isAllowed(Choice.Kind kind, Map<Choice.Kind, Integer> usedByKind) {
+        return usedByKind.getOrDefault(kind, 0) < start.most().getOrDefault(kind, 0);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/History.java
+++ b/test/sim/src/test/java/craneway/sim/model/History.java
@@ -7,9 +7,18 @@
 import java.util.Random;
 import java.util.Set;
 
-/** A long random history: drawn from a seed alone, played on a world, and brought to rest at its end. */
+/** A long random history that depends on a seed alone. It is played on a world and ends with all faults repaired. */
 final class History {
-    /** How large: voters, stores, choices, how noisy, and how often an entry is so large that snapshots are taken. */
+    /**
+     * The dimensions of a history.
+     *
+     * @param voters the number of voters at the start
+     * @param slots the number of stores
+     * @param length the number of choices
+     * @param noise how many messages in a thousand are lost, how many duplicated and how many late
+     * @param large whether half of the entries are so large that snapshots are taken
+     * @param pace the timing of the group
+     */
     record Size(int voters, int slots, int length, int noise, boolean large, TimingProfile pace) {
         static final Size FIVE = new Size(5, 6, 4_000, 5, false, TimingProfile.STANDARD);
         static final Size THREE = new Size(3, 4, 3_000, 8, false, TimingProfile.LOW_TRAFFIC);
@@ -17,11 +26,20 @@
         static final Size SNAPSHOTS = new Size(3, 4, 400, 5, true, TimingProfile.STANDARD);
     }
 
-    private static final int LARGE = 900_000;
-    private static final int TROUBLES = 120;
-    private static final int REST = 20;
-    private static final int RESTS = 1_000;
-    private static final int[] ROUNDS = {5, 10, 20, 50, 110};
+    /** Size of an entry that soon makes a log due for a snapshot. */
+    private static final int LARGE_ENTRY_BYTES = 900_000;
+
+    /** Number of equally likely outcomes when a fault may be drawn; most of them are a plain round. */
+    private static final int FAULT_DRAWS = 120;
+
+    /** Duration of each round after the last choice. */
+    private static final int REST_ROUND_MILLIS = 20;
+
+    /** Rounds after the last choice within which a leader must serve. */
+    private static final int MAX_REST_ROUNDS = 1_000;
+
+    /** Durations of rounds to draw from. */
+    private static final int[] ROUND_MILLIS = {5, 10, 20, 50, 110};
 
     private final Size size;
     private final long seed;
@@ -35,35 +53,40 @@
         this.checked = checked;
     }
 
+    /** A history without injected faults that checks every invariant. */
     static History of(Size size, long seed) {
         return new History(size, seed, Plant.NONE, EnumSet.allOf(Invariant.class));
     }
 
+    /** Draws the choices; the first 600 ms pass without a fault, so that a leader is elected. */
     List<Choice> draw() {
-        var r = new Random(seed);
-        var all = new ArrayList<Choice>();
-        for (var i = 0; i < 30; i++) all.add(Choice.of(Choice.Kind.ROUND, 20));
-        while (all.size() < size.length()) all.add(next(r));
-        return all;
+        var random = new Random(seed);
+        var choices = new ArrayList<Choice>();
+        for (var i = 0; i < 30; i++) choices.add(Choice.of(Choice.Kind.ROUND, 20));
+        while (choices.size() < size.length()) choices.add(drawChoice(random));
+        return choices;
     }
 
-    private Choice next(Random r) {
-        var slot = 1 + r.nextInt(size.slots());
-        var other = 1 + r.nextInt(size.slots());
-        var leader = r.nextInt(4) == 0 ? slot : 0;
-        var x = r.nextInt(100);
-        if (x < 70) return quiet(r, x, leader);
-        return trouble(r, slot, other, leader);
+    private Choice drawChoice(Random random) {
+        var slot = 1 + random.nextInt(size.slots());
+        var other = 1 + random.nextInt(size.slots());
+        var leader = random.nextInt(4) == 0 ? slot : 0;
+        var draw = random.nextInt(100);
+        if (draw < 70) return drawFaultFreeChoice(random, draw, leader);
+        return drawFault(random, slot, other, leader);
     }
 
-    private Choice quiet(Random r, int x, int leader) {
-        if (x < 56) return Choice.of(Choice.Kind.ROUND, ROUNDS[r.nextInt(ROUNDS.length)]);
-        return Choice.of(Choice.Kind.PROPOSE, leader, size.large() && r.nextInt(2) == 0 ? LARGE : r.nextInt(40));
+    private Choice drawFaultFreeChoice(Random random, int draw, int leader) {
+        if (draw < 56) return Choice.of(Choice.Kind.ROUND, ROUND_MILLIS[random.nextInt(ROUND_MILLIS.length)]);
+        return Choice.of(
+                Choice.Kind.PROPOSE,
+                leader,
+                size.large() && random.nextInt(2) == 0 ? LARGE_ENTRY_BYTES : random.nextInt(40));
     }
 
-    /** Mostly what is there anyway, and now and then, by a draw of its own, one kind of trouble. */
-    private static Choice trouble(Random r, int slot, int other, int leader) {
-        return switch (r.nextInt(TROUBLES)) {
+    /** Draws a fault or its repair, or, in most cases, a plain round. */
+    private static Choice drawFault(Random random, int slot, int other, int leader) {
+        return switch (random.nextInt(FAULT_DRAWS)) {
             case 0, 1, 2, 3 -> Choice.of(Choice.Kind.CUT, slot, other);
             case 4, 5, 6 -> Choice.of(Choice.Kind.HEAL, 0);
             case 7, 8, 9 -> Choice.of(Choice.Kind.FREEZE, slot);
@@ -78,56 +101,69 @@
             case 39 -> Choice.of(Choice.Kind.LEARN, leader, other);
             case 40 -> Choice.of(Choice.Kind.PROMOTE, leader);
             case 41 -> Choice.of(Choice.Kind.REMOVE, leader, other);
-            case 42, 43, 44, 45, 46 -> Choice.of(Choice.Kind.FULL, slot, r.nextInt(8) / 7);
+            case 42, 43, 44, 45, 46 -> Choice.of(Choice.Kind.FULL, slot, random.nextInt(8) / 7);
             default -> Choice.of(Choice.Kind.ROUND, 20);
         };
     }
 
-    /** Plays the choices, ends all trouble, and waits until a leader serves again with all that was acknowledged. */
+    /**
+     * Plays the choices, ends all faults, and waits until a leader serves that holds everything that was acknowledged.
+     */
     World play(List<Choice> choices) {
-        var w = world();
-        for (var c : choices) w.apply(c);
-        rest(w);
-        return w;
+        var world = createWorld();
+        for (var choice : choices) world.apply(choice);
+        recover(world);
+        return world;
     }
 
-    private World world() {
+    private World createWorld() {
         var shape = new World.Shape(
-                size.voters(), size.slots(), size.pace(), seed, size.noise(), n -> new Random(seed * 31 + n));
-        var w = new World(shape, plant, checked);
-        w.ledger().stride(8);
-        return w;
+                size.voters(),
+                size.slots(),
+                size.pace(),
+                seed,
+                size.noise(),
+                startNumber -> new Random(seed * 31 + startNumber));
+        var world = new World(shape, plant, checked);
+        world.ledger().stride(8);
+        return world;
     }
 
-    private void rest(World w) {
-        w.apply(Choice.of(Choice.Kind.HEAL, 0));
-        for (var p : w.peers()) {
-            w.apply(Choice.of(Choice.Kind.THAW, p.slot()));
-            w.apply(Choice.of(Choice.Kind.UP, p.slot()));
-            w.apply(Choice.of(Choice.Kind.FULL, p.slot(), 0));
+    /**
+     * Ends all faults. Then a leader must hold its lease and apply all entries in time; at least 100 rounds pass to let
+     * late messages arrive.
+     */
+    private void recover(World world) {
+        world.apply(Choice.of(Choice.Kind.HEAL, 0));
+        for (var peer : world.peers()) {
+            world.apply(Choice.of(Choice.Kind.THAW, peer.slot()));
+            world.apply(Choice.of(Choice.Kind.UP, peer.slot()));
+            world.apply(Choice.of(Choice.Kind.FULL, peer.slot(), 0));
         }
-        for (var i = 0; i < RESTS; i++) {
-            w.apply(Choice.of(Choice.Kind.ROUND, REST));
-            var p = w.leader();
-            if (p == null || !p.group().hasLease(w.now())) continue;
-            if (i % 20 == 0) w.apply(Choice.of(Choice.Kind.MANAGE, 0));
-            if (p.group().applied() < p.group().lastIndex() || i < 100) continue;
-            w.ledger().stride(1);
-            w.ledger().check();
-            w.ledger().checkEnd(p);
+        for (var i = 0; i < MAX_REST_ROUNDS; i++) {
+            world.apply(Choice.of(Choice.Kind.ROUND, REST_ROUND_MILLIS));
+            var peer = world.leader();
+            if (peer == null || !peer.group().hasLease(world.now())) continue;
+            if (i % 20 == 0) world.apply(Choice.of(Choice.Kind.MANAGE, 0));
+            if (peer.group().applied() < peer.group().lastIndex() || i < 100) continue;
+            world.ledger().stride(1);
+            world.ledger().check();
+            world.ledger().checkEnd(peer);
             return;
         }
         if (checked.contains(Invariant.SERVES_AGAIN))
-            throw new Violation(Invariant.SERVES_AGAIN, "no leader serves " + REST * RESTS + " ms after all trouble");
+            throw new Violation(
+                    Invariant.SERVES_AGAIN,
+                    "no leader serves " + REST_ROUND_MILLIS * MAX_REST_ROUNDS + " ms after the last fault");
     }
 
-    /** The breach that these choices lead to, or null. */
+    /** The violation that these choices lead to, or null. */
     Violation breach(List<Choice> choices) {
         try {
             play(choices);
             return null;
-        } catch (Violation v) {
-            return v;
+        } catch (Violation violation) {
+            return violation;
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Ledger.java
+++ b/test/sim/src/test/java/craneway/sim/model/Ledger.java
@@ -11,229 +11,257 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What an all-knowing observer has seen of a history, and the invariants over it. */
+/** Records what an observer of all members has seen in a history and checks the {@link Invariant}s over it. */
 final class Ledger {
+    /** A member's id or an entry's index together with a term. */
     private record Key(long id, long term) {}
 
-    private record Content(long before, int type, int body) {}
+    /** The content of an entry with the term of its predecessor. */
+    private record Content(long previousTerm, int type, int bodyHash) {}
 
+    /** A committed entry: its term, the term in which it was first seen committed, and what applying it returned. */
     private record Committed(long term, long leaderTerm, Object result) {}
 
-    private record State(ProbedDisk disk, int writes) {
-        static State of(Peer p) {
-            return new State(p.disk(), p.disk().writes());
+    /** The version of a disk's content: the disk object and the number of writes to it. */
+    private record DiskState(ProbedDisk disk, int writes) {
+        static DiskState of(Peer peer) {
+            return new DiskState(peer.disk(), peer.disk().writes());
         }
     }
 
+    /** The logs of one member as read from its disk, kept until the disk changes. */
     private static final class Views {
-        State of;
-        LogView all;
+        DiskState state;
+        LogView written;
         LogView synced;
     }
 
     private final World world;
-    private final Set<Invariant> checked;
-    private final Map<Long, Long> leaders = new TreeMap<>();
-    private final Map<Key, Long> votes = new HashMap<>();
-    private final Map<Long, Long> termSaid = new HashMap<>();
-    private final Map<Key, Content> contents = new HashMap<>();
-    private final TreeMap<Long, Committed> committed = new TreeMap<>();
-    private final Map<Long, Long> firstOfTerm = new HashMap<>();
-    private final Map<Key, Long> complete = new HashMap<>();
-    private final Map<Key, Integer> proposals = new HashMap<>();
-    private final Map<Integer, Views> views = new HashMap<>();
-    private final Map<Integer, State> lastRead = new HashMap<>();
-    private boolean quick;
-    private int stride = 1;
-    private int checks;
-    private long acknowledged;
-
-    Ledger(World world, Set<Invariant> checked) {
+    private final Set<Invariant> enabled;
+    private final Map<Long, Long> leaderByTerm = new TreeMap<>();
+    private final Map<Key, Long> candidateByVote = new HashMap<>();
+    private final Map<Long, Long> highestTermSent = new HashMap<>();
+    private final Map<Key, Content> contentByEntry = new HashMap<>();
+    private final TreeMap<Long, Committed> committedEntries = new TreeMap<>();
+    private final Map<Long, Long> firstCommittedInTerm = new HashMap<>();
+    private final Map<Key, Long> checkedUpTo = new HashMap<>();
+    private final Map<Key, Integer> proposerByEntry = new HashMap<>();
+    private final Map<Integer, Views> viewsBySlot = new HashMap<>();
+    private final Map<Integer, DiskState> lastReadState = new HashMap<>();
+    private boolean replaying;
+    private int logCheckInterval = 1;
+    private int checkCount;
+    private long acknowledgedCount;
+
+    Ledger(World world, Set<Invariant> enabled) {
         this.world = world;
-        this.checked = checked;
+        this.enabled = enabled;
     }
 
-    /** While quick, only what later checks need is recorded: for replaying steps that were checked before. */
-    void quick(boolean is) {
-        quick = is;
+    /** Turns off checks that later ones do not depend on, for replaying steps that were checked before. */
+    void quick(boolean value) {
+        replaying = value;
     }
 
-    /** Reads the logs only after every so many checks, where they are long. */
-    void stride(int every) {
-        stride = every;
+    /** Reads the logs only in every {@code interval}th check, for histories in which logs grow long. */
+    void stride(int interval) {
+        logCheckInterval = interval;
     }
 
+    /** The highest index that some member has applied. */
     long committedIndex() {
-        return committed.isEmpty() ? 0 : committed.lastKey();
+        return committedEntries.isEmpty() ? 0 : committedEntries.lastKey();
     }
 
+    /** The number of entries that were committed by the leader that proposed them. */
     long acknowledged() {
-        return acknowledged;
+        return acknowledgedCount;
     }
 
-    private void require(boolean holds, Invariant i, String detail) {
-        if (!holds && checked.contains(i)) throw new Violation(i, detail);
+    private void require(boolean holds, Invariant invariant, String detail) {
+        if (!holds && enabled.contains(invariant)) throw new Violation(invariant, detail);
     }
 
-    void sent(Peer p, PartMessage m) {
-        termSaid.merge(p.id(), p.group().term(), Math::max);
-        if (m.kind == PartMessage.VOTE) vote(p.id(), m.term, p.id());
-        if (m.kind == PartMessage.VOTE_REPLY && m.granted) vote(p.id(), m.term, m.to);
-        if (m.kind == PartMessage.APPEND || m.kind == PartMessage.SNAPSHOT) leads(p.id(), m.term);
+    /** Records a message of a member: its term, its vote, or that it acts as a leader. */
+    void recordSent(Peer sender, PartMessage message) {
+        highestTermSent.merge(sender.id(), sender.group().term(), Math::max);
+        if (message.kind == PartMessage.VOTE) recordVote(sender.id(), message.term, sender.id());
+        if (message.kind == PartMessage.VOTE_REPLY && message.granted)
+            recordVote(sender.id(), message.term, message.to);
+        if (message.kind == PartMessage.APPEND || message.kind == PartMessage.SNAPSHOT)
+            recordLeader(sender.id(), message.term);
     }
 
-    private void vote(long voter, long term, long candidate) {
-        var before = votes.putIfAbsent(new Key(voter, term), candidate);
+    private void recordVote(long voter, long term, long candidate) {
+        var earlier = candidateByVote.putIfAbsent(new Key(voter, term), candidate);
         require(
-                before == null || before == candidate,
+                earlier == null || earlier == candidate,
                 Invariant.ONE_VOTE_A_TERM,
-                voter + " voted in term " + term + " for " + before + " and " + candidate);
+                voter + " voted in term " + term + " for " + earlier + " and " + candidate);
     }
 
-    private void leads(long id, long term) {
-        var before = leaders.putIfAbsent(term, id);
+    private void recordLeader(long id, long term) {
+        var earlier = leaderByTerm.putIfAbsent(term, id);
         require(
-                before == null || before == id,
+                earlier == null || earlier == id,
                 Invariant.ONE_LEADER_A_TERM,
-                "term " + term + " is led by " + before + " and " + id);
+                "term " + term + " is led by " + earlier + " and " + id);
     }
 
-    void starting(Peer p) {
-        var said = termSaid.get(p.id());
-        if (said == null) return;
-        var view = read(p);
-        require(view.term() >= said, Invariant.TERM_NEVER_GOES_BACK, p.id() + " said " + said + ", has " + view.term());
-        var vote = votes.get(new Key(p.id(), view.term()));
+    /** Checks that a member's disk holds the term and the vote that it has sent. */
+    void checkBeforeStart(Peer peer) {
+        var sentTerm = highestTermSent.get(peer.id());
+        if (sentTerm == null) return;
+        var view = writtenLog(peer);
+        require(
+                view.term() >= sentTerm,
+                Invariant.TERM_NEVER_GOES_BACK,
+                peer.id() + " sent term " + sentTerm + " but has stored " + view.term());
+        var vote = candidateByVote.get(new Key(peer.id(), view.term()));
         require(
                 vote == null || vote == view.vote(),
                 Invariant.TERM_NEVER_GOES_BACK,
-                p.id() + " voted in term " + view.term() + " for " + vote + ", has " + view.vote());
+                peer.id() + " voted in term " + view.term() + " for " + vote + " but has stored " + view.vote());
     }
 
-    private LogView read(Peer p) {
-        return views(p).all;
+    private LogView writtenLog(Peer peer) {
+        return views(peer).written;
     }
 
-    private Views views(Peer p) {
-        var v = views.computeIfAbsent(p.slot(), k -> new Views());
-        if (v.all != null && State.of(p).equals(v.of)) return v;
+    private Views views(Peer peer) {
+        var views = viewsBySlot.computeIfAbsent(peer.slot(), slot -> new Views());
+        if (views.written != null && DiskState.of(peer).equals(views.state)) return views;
         try {
-            v.of = State.of(p);
-            v.all = LogView.of(p.disk().copy());
-            v.synced = LogView.of(p.disk().syncedCopy());
+            views.state = DiskState.of(peer);
+            views.written = LogView.of(peer.disk().copy());
+            views.synced = LogView.of(peer.disk().syncedCopy());
         } catch (DiskLostException e) {
-            throw new Violation(Invariant.HEALTHY_DISK_IS_KEPT, p.id() + ": " + e.getMessage());
+            throw new Violation(Invariant.HEALTHY_DISK_IS_KEPT, peer.id() + ": " + e.getMessage());
         }
-        return v;
+        return views;
     }
 
-    void proposed(Peer p, long index) {
-        proposals.put(new Key(p.group().term(), index), p.slot());
+    /** Records which member proposed an entry. */
+    void recordProposed(Peer leader, long index) {
+        proposerByEntry.put(new Key(leader.group().term(), index), leader.slot());
     }
 
-    void applied(Peer p, long index, long term, Object result) {
-        var before = committed.get(index);
-        if (before != null) {
+    /** Records that a member applied an entry, and compares it with what other members applied. */
+    void recordApplied(Peer peer, long index, long term, Object result) {
+        var earlier = committedEntries.get(index);
+        if (earlier != null) {
             require(
-                    before.term == term && Objects.equals(before.result, result),
+                    earlier.term == term && Objects.equals(earlier.result, result),
                     Invariant.SAME_APPLIED_EVERYWHERE,
-                    "entry " + index + " was term " + before.term + ", at " + p.id() + " it is term " + term);
+                    "entry " + index + " was term " + earlier.term + ", at " + peer.id() + " it is term " + term);
             return;
         }
-        var leaderTerm = p.group().term();
-        committed.put(index, new Committed(term, leaderTerm, result));
-        firstOfTerm.merge(term, index, Math::min);
-        if (Objects.equals(proposals.get(new Key(term, index)), p.slot())) acknowledged++;
-        if (!quick && checked.contains(Invariant.COMMITTED_ON_MAJORITY)) onMajority(p, index, term);
-    }
-
-    private void onMajority(Peer p, long index, long term) {
-        var m = p.group().members();
-        var have = 0;
-        for (var v : m.voters) {
-            var holder = world.holder(v);
-            if (holder == null || views(holder).synced.holds(index, term)) have++;
+        var leaderTerm = peer.group().term();
+        committedEntries.put(index, new Committed(term, leaderTerm, result));
+        firstCommittedInTerm.merge(term, index, Math::min);
+        if (Objects.equals(proposerByEntry.get(new Key(term, index)), peer.slot())) acknowledgedCount++;
+        if (!replaying && enabled.contains(Invariant.COMMITTED_ON_MAJORITY)) checkOnMajority(peer, index, term);
+    }
+
+    /** A voter whose disk was lost counts as one that had the entry. */
+    private void checkOnMajority(Peer peer, long index, long term) {
+        var members = peer.group().members();
+        var syncedCount = 0;
+        for (var voter : members.voters) {
+            var holder = world.holder(voter);
+            if (holder == null || views(holder).synced.holds(index, term)) syncedCount++;
         }
         require(
-                have >= m.majority(),
+                syncedCount >= members.majority(),
                 Invariant.COMMITTED_ON_MAJORITY,
-                "entry " + index + " of term " + term + " is synced at " + have + " of " + Arrays.toString(m.voters));
+                "entry " + index + " of term " + term + " is synced at " + syncedCount + " of "
+                        + Arrays.toString(members.voters));
     }
 
-    void loaded(int slot, long index, long hash) {
-        var c = committed.get(index);
+    /** Checks that a snapshot which a member loaded holds the state after the given entry. */
+    void checkLoaded(int slot, long index, long hash) {
+        var entry = committedEntries.get(index);
         require(
-                c != null && Objects.equals(c.result, hash),
+                entry != null && Objects.equals(entry.result, hash),
                 Invariant.SAME_APPLIED_EVERYWHERE,
-                "slot " + slot + " loaded another state of entry " + index);
+                "slot " + slot + " loaded a different state for entry " + index);
     }
 
-    /** A change of the group was taken: it must be the only one under way, after an entry of the leader's own term. */
-    void changed(Peer p) {
-        var own = firstOfTerm.get(p.group().term());
+    /**
+     * Checks a membership change that a leader just accepted: an entry of the leader's own term must be committed
+     * before it.
+     */
+    void checkMembershipChange(Peer leader) {
+        var firstOwn = firstCommittedInTerm.get(leader.group().term());
         require(
-                own != null && own < p.group().lastIndex(),
+                firstOwn != null && firstOwn < leader.group().lastIndex(),
                 Invariant.ONE_CHANGE_AT_A_TIME,
-                p.id() + " changes the group before an entry of its term "
-                        + p.group().term() + " is committed");
+                leader.id() + " changes the group before an entry of its term "
+                        + leader.group().term() + " is committed");
     }
 
+    /** Checks all invariants on the current state of all members. */
     void check() {
-        for (var p : world.peers()) {
-            if (!p.up()) continue;
-            var g = p.group();
-            if (g.role() == Role.LEADER) leads(p.id(), g.term());
+        for (var peer : world.peers()) {
+            if (!peer.up()) continue;
+            var group = peer.group();
+            if (group.role() == Role.LEADER) recordLeader(peer.id(), group.term());
             require(
-                    p.frozen() || !g.hasLease(world.now()) || g.applied() >= committedIndex(),
+                    peer.frozen() || !group.hasLease(world.now()) || group.applied() >= committedIndex(),
                     Invariant.FRESH_LEADER_IS_CURRENT,
-                    p.id() + " of term " + g.term() + " answers from " + g.applied() + ", committed is "
+                    peer.id() + " of term " + group.term() + " answers from " + group.applied() + ", committed is "
                             + committedIndex());
         }
-        if (quick || ++checks % stride != 0) return;
+        if (replaying || ++checkCount % logCheckInterval != 0) return;
         world.peers().forEach(this::checkLog);
-        world.peers().forEach(this::checkComplete);
+        world.peers().forEach(this::checkLeaderComplete);
     }
 
-    private void checkComplete(Peer p) {
-        if (!p.up() || p.group().role() != Role.LEADER || !checked.contains(Invariant.LEADER_COMPLETE)) return;
-        var key = new Key(p.id(), p.group().term());
-        var from = complete.getOrDefault(key, 0L);
-        for (var e : committed.tailMap(from, false).entrySet())
+    private void checkLeaderComplete(Peer peer) {
+        if (!peer.up() || peer.group().role() != Role.LEADER || !enabled.contains(Invariant.LEADER_COMPLETE)) return;
+        var key = new Key(peer.id(), peer.group().term());
+        var checkedIndex = checkedUpTo.getOrDefault(key, 0L);
+        for (var entry : committedEntries.tailMap(checkedIndex, false).entrySet())
             require(
-                    e.getValue().leaderTerm > key.term || read(p).holds(e.getKey(), e.getValue().term),
+                    entry.getValue().leaderTerm > key.term
+                            || writtenLog(peer).holds(entry.getKey(), entry.getValue().term),
                     Invariant.LEADER_COMPLETE,
-                    "leader " + key.id + " of term " + key.term + " lacks entry " + e.getKey());
-        complete.put(key, committedIndex());
-    }
-
-    private void checkLog(Peer p) {
-        var state = State.of(p);
-        if (state.equals(lastRead.put(p.slot(), state))) return;
-        var view = read(p);
-        var changes = 0;
-        for (var e : view.entries()) {
-            recorded(p, view, e);
-            if (e.type == Entry.MEMBERSHIP && e.index > committedIndex()) changes++;
+                    "leader " + key.id + " of term " + key.term + " lacks entry " + entry.getKey());
+        checkedUpTo.put(key, committedIndex());
+    }
+
+    private void checkLog(Peer peer) {
+        var state = DiskState.of(peer);
+        if (state.equals(lastReadState.put(peer.slot(), state))) return;
+        var view = writtenLog(peer);
+        var openChanges = 0;
+        for (var entry : view.entries()) {
+            checkEntry(peer, view, entry);
+            if (entry.type == Entry.MEMBERSHIP && entry.index > committedIndex()) openChanges++;
         }
-        require(changes <= 1, Invariant.ONE_CHANGE_AT_A_TIME, p.id() + " holds " + changes + " open changes");
+        require(
+                openChanges <= 1,
+                Invariant.ONE_CHANGE_AT_A_TIME,
+                peer.id() + " holds " + openChanges + " uncommitted membership changes");
     }
 
-    private void recorded(Peer p, LogView view, Entry e) {
-        var is = new Content(view.termAt(e.index - 1), e.type, Arrays.hashCode(e.body));
-        var was = contents.putIfAbsent(new Key(e.index, e.term), is);
+    /** Compares an entry with the same one in other logs, and checks the position of a membership change. */
+    private void checkEntry(Peer peer, LogView view, Entry entry) {
+        var content = new Content(view.termAt(entry.index - 1), entry.type, Arrays.hashCode(entry.body));
+        var earlier = contentByEntry.putIfAbsent(new Key(entry.index, entry.term), content);
         require(
-                was == null || was.equals(is),
+                earlier == null || earlier.equals(content),
                 Invariant.LOGS_MATCH,
-                "entry " + e.index + " of term " + e.term + " differs at " + p.id());
-        if (was != null || e.type != Entry.MEMBERSHIP) return;
-        var own = firstOfTerm.get(e.term);
+                "entry " + entry.index + " of term " + entry.term + " differs at " + peer.id());
+        if (earlier != null || entry.type != Entry.MEMBERSHIP) return;
+        var firstOwn = firstCommittedInTerm.get(entry.term);
         require(
-                own != null && own < e.index,
+                firstOwn != null && firstOwn < entry.index,
                 Invariant.ONE_CHANGE_AT_A_TIME,
-                "change " + e.index + " of term " + e.term + " precedes a committed entry of its term");
+                "change " + entry.index + " of term " + entry.term + " precedes a committed entry of its term");
     }
 
-    /** The leader of the end must hold and have applied all that was ever committed. */
+    /** Checks that the leader at the end has applied everything that was ever committed. */
     void checkEnd(Peer leader) {
         require(
                 leader.group().applied() >= committedIndex(),
@@ -241,8 +269,8 @@
                 "leader " + leader.id() + " has " + leader.group().applied() + " of " + committedIndex());
     }
 
-    /** What of the past decides later verdicts, for telling states apart. */
+    /** A hash over the recorded facts that decide later checks, to tell states apart. */
     int digest() {
-        return Objects.hash(leaders, votes, committed);
+        return Objects.hash(leaderByTerm, candidateByVote, committedEntries);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -6,22 +6,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a disk holds of one log, read by the production class from a copy. */
+/**
+ * What a disk holds of one log, read by the production class from a copy.
+ *
+ * @param vote the candidate that the stored term's vote went to, 0 for none
+ * @param first the index of the first entry
+ * @param imageTerm the term of the last entry that the snapshot covers, 0 without a snapshot
+ */
 record LogView(long term, long vote, long first, long imageTerm, List<Entry> entries) {
+    /** Reads the log from a copy of a disk; recovery may write to it. */
     static LogView of(Disk copy) {
         var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE));
-        var all = new ArrayList<Entry>();
-        for (var i = log.first(); i <= log.last(); i++) all.add(log.at(i));
+        var entries = new ArrayList<Entry>();
+        for (var i = log.first(); i <= log.last(); i++) entries.add(log.at(i));
         var imageTerm = log.snapshot() == null ? 0 : log.snapshot().term;
-        return new LogView(log.term(), log.vote(), log.first(), imageTerm, all);
+        return new LogView(log.term(), log.vote(), log.first(), imageTerm, entries);
     }
 
+    /** Whether the log, including its snapshot, holds the entry. Whatever the snapshot covers counts as held. */
     boolean holds(long index, long term) {
         if (index < first - 1) return true;
         if (index == first - 1) return imageTerm == term;
         return index < first + entries.size() && entries.get((int) (index - first)).term == term;
     }
 
+    /** The term of the entry at an index, or -1 if the log does not hold it. */
     long termAt(long index) {
         if (index == first - 1) return imageTerm;
         return index < first || index >= first + entries.size() ? -1 : entries.get((int) (index - first)).term;
