--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -9,23 +9,26 @@
 import craneway.state.part.PartMessage;
 import java.util.Random;
 
-/** A store at one address: its disk, its identity, which goes with the disk, and its member of the group while it runs. */
+/**
+ * A store at a fixed slot: its disk, its member id, which changes when the disk is lost, and its member of the group
+ * while it runs.
+ */
 final class Peer implements GroupListener {
     private final World world;
     private final int slot;
-    private Members first;
+    private Members initialMembers;
     private long id;
     private ProbedDisk disk = new ProbedDisk(new Disk());
     private Chain chain;
     private Group group;
     private boolean frozen;
-    private Members members = new Members();
-    private int lives;
+    private Members lastMembers = new Members();
+    private int startCount;
 
-    Peer(World world, int slot, Members first) {
+    Peer(World world, int slot, Members initialMembers) {
         this.world = world;
         this.slot = slot;
-        this.first = first;
+        this.initialMembers = initialMembers;
         id = slot;
     }
 
@@ -41,9 +44,9 @@
         return group;
     }
 
-    /** The group that its log names, also while it does not run. */
+    /** The membership that its log names, also while it is stopped. */
     Members members() {
-        return up() ? group.members() : members;
+        return up() ? group.members() : lastMembers;
     }
 
     Chain chain() {
@@ -54,10 +57,12 @@
         return disk;
     }
 
+    /** Whether the process runs, possibly frozen. */
     boolean up() {
         return group != null;
     }
 
+    /** Whether the process runs and is not frozen. */
     boolean runs() {
         return up() && !frozen;
     }
@@ -66,62 +71,78 @@
         return frozen;
     }
 
-    void freeze(boolean is) {
-        frozen = is;
+    /** Suspends or resumes the process. */
+    void freeze(boolean value) {
+        frozen = value;
     }
 
+    /** Starts a member on the disk. A healthy disk must never be reported as lost. */
     void start(Random random) {
-        lives++;
+        startCount++;
         frozen = false;
         chain = new Chain(world.ledger(), slot);
         world.plant().starting(slot, disk);
         try {
             group = new Group(
-                    World.PART, id, World.CORE, disk.folder(), first, chain, random, this, world.pace(), world.now());
+                    World.PART,
+                    id,
+                    World.CORE,
+                    disk.folder(),
+                    initialMembers,
+                    chain,
+                    random,
+                    this,
+                    world.pace(),
+                    world.now());
         } catch (DiskLostException e) {
             throw new Violation(Invariant.HEALTHY_DISK_IS_KEPT, "slot " + slot + ": " + e.getMessage());
         }
     }
 
+    /** How often the member was started. */
     int lives() {
-        return lives;
+        return startCount;
     }
 
+    /** Ends the process; the disk keeps everything that was written. */
     void stop() {
-        if (group != null) members = group.members();
+        if (group != null) lastMembers = group.members();
         group = null;
         frozen = false;
     }
 
+    /** Ends the process; the disk keeps only what was synced. */
     void losePower() {
         stop();
         disk = new ProbedDisk(disk.syncedCopy());
     }
 
+    /** Ends the process and replaces the disk by an empty one with a new member id. */
     void loseDisk(long newId) {
         stop();
         disk = new ProbedDisk(new Disk());
         id = newId;
-        members = new Members();
-        first = new Members();
+        lastMembers = new Members();
+        initialMembers = new Members();
     }
 
     void tick() {
         group.tick(world.now());
     }
 
+    /** Syncs the log and sends the messages that waited for it. */
     void settle() {
         group.syncAndSend(world.now());
     }
 
     @Override
-    public void send(PartMessage m) {
-        world.post(this, m);
+    public void send(PartMessage message) {
+        world.post(this, message);
     }
 
     @Override
     public void applied(long index, long term, Object result) {
-        world.ledger().applied(this, index, term, result);
+        world.ledger().recordApplied(this, index, term, result);
     }
 
     @Override
--- a/test/sim/src/test/java/craneway/sim/model/Plant.java
+++ b/test/sim/src/test/java/craneway/sim/model/Plant.java
@@ -2,20 +2,20 @@
 
 import craneway.state.part.PartMessage;
 
-/** What makes a member faulty on purpose; the plain one changes nothing. */
+/** A fault that is injected into members on purpose. The default methods change nothing. */
 interface Plant {
     Plant NONE = new Plant() {};
 
-    /** A message as it leaves a slot, or null for none. */
-    default PartMessage sent(int slot, PartMessage m) {
-        return m;
+    /** Returns the message to send in place of the given one, or null for none. */
+    default PartMessage sent(int slot, PartMessage message) {
+        return message;
     }
 
-    /** A message as it comes to a slot. */
-    default PartMessage received(int slot, PartMessage m) {
-        return m;
+    /** Returns the message to receive in place of the given one. */
+    default PartMessage received(int slot, PartMessage message) {
+        return message;
     }
 
-    /** The disk of a slot before its member starts on it. */
+    /** Changes the disk of a slot before its member starts on it. */
     default void starting(int slot, ProbedDisk disk) {}
 }
--- a/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
+++ b/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
@@ -9,18 +9,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A simulated disk that knows what of each file was synced, and how often it was written. */
+/**
+ * A simulated disk that tracks how much of each file was synced and how often it was written. It intercepts the calls
+ * of {@link Folder} by method name.
+ */
 final class ProbedDisk {
     private final Disk disk;
     private final Folder folder;
-    private final Map<String, Integer> length = new HashMap<>();
-    private final Map<String, Integer> synced = new HashMap<>();
-    private boolean lies;
-    private int writes;
+    private final Map<String, Integer> writtenLengths = new HashMap<>();
+    private final Map<String, Integer> syncedLengths = new HashMap<>();
+    private boolean ignoresSync;
+    private int writeCount;
 
     ProbedDisk(Disk disk) {
         this.disk = disk;
-        for (var n : disk.names()) whole(n, disk.read(n).length);
+        for (var name : disk.names()) setSynced(name, disk.read(name).length);
         folder = (Folder)
                 Proxy.newProxyInstance(Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, this::invoke);
     }
@@ -29,37 +32,41 @@
         return folder;
     }
 
+    /** The number of calls that changed or synced a file. */
     int writes() {
-        return writes;
+        return writeCount;
     }
 
-    void full(boolean is) {
-        disk.full(is);
+    /** Sets whether the disk rejects every write. */
+    void full(boolean value) {
+        disk.full(value);
     }
 
-    /** From now on a sync says that it was done and does nothing. */
+    /** Makes syncs from now on report success without doing anything. */
     void lieAboutSync() {
-        lies = true;
+        ignoresSync = true;
     }
 
-    /** What the files hold now, also where it was not synced. */
+    /** A disk with everything that was written. */
     Disk copy() {
         var copy = new Disk();
-        for (var n : disk.names()) copy.replace(n, disk.read(n));
+        for (var name : disk.names()) copy.replace(name, disk.read(name));
         return copy;
     }
 
-    /** Only what was synced. */
+    /** A disk with only what was synced. */
     Disk syncedCopy() {
         var copy = new Disk();
-        for (var n : disk.names())
-            if (synced.containsKey(n)) copy.replace(n, Arrays.copyOf(disk.read(n), synced.get(n)));
+        for (var name : disk.names())
+            if (syncedLengths.containsKey(name))
+                copy.replace(name, Arrays.copyOf(disk.read(name), syncedLengths.get(name)));
         return copy;
     }
 
-    private void whole(String name, int bytes) {
-        length.put(name, bytes);
-        synced.put(name, bytes);
+    /** Records a file whose whole content is synced. */
+    private void setSynced(String name, int bytes) {
+        writtenLengths.put(name, bytes);
+        syncedLengths.put(name, bytes);
     }
 
     private Object invoke(Object proxy, Method method, Object[] args) throws Throwable {
@@ -74,24 +81,24 @@
 
     private void observe(String method, Object[] args) {
         switch (method) {
-            case "append" -> length.merge((String) args[0], (Integer) args[2], Integer::sum);
+            case "append" -> writtenLengths.merge((String) args[0], (Integer) args[2], Integer::sum);
             case "overwrite" -> {
-                whole((String) args[0], ((byte[]) args[1]).length);
-                if (lies) synced.remove((String) args[0]);
+                setSynced((String) args[0], ((byte[]) args[1]).length);
+                if (ignoresSync) syncedLengths.remove((String) args[0]);
             }
-            case "replace" -> whole((String) args[0], ((byte[]) args[1]).length);
+            case "replace" -> setSynced((String) args[0], ((byte[]) args[1]).length);
             case "delete" -> {
-                length.remove((String) args[0]);
-                synced.remove((String) args[0]);
+                writtenLengths.remove((String) args[0]);
+                syncedLengths.remove((String) args[0]);
             }
             case "sync" -> {
-                if (!lies && length.containsKey((String) args[0]))
-                    synced.put((String) args[0], length.get((String) args[0]));
+                if (!ignoresSync && writtenLengths.containsKey((String) args[0]))
+                    syncedLengths.put((String) args[0], writtenLengths.get((String) args[0]));
             }
             default -> {
                 return;
             }
         }
-        writes++;
+        writeCount++;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/RandomHistoriesTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/RandomHistoriesTest.java
@@ -4,49 +4,52 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Long random histories, {@code -Dmodel.seeds} of each size from {@code -Dmodel.first} on, shrunk where one fails. */
+/**
+ * Plays long random histories, {@code -Dmodel.seeds} of each size from seed {@code -Dmodel.first} on, and shrinks a
+ * failing one.
+ */
 class RandomHistoriesTest {
-    private static final int SEEDS = Integer.getInteger("model.seeds", 40);
-    private static final int FIRST = Integer.getInteger("model.first", 1);
+    private static final int SEED_COUNT = Integer.getInteger("model.seeds", 40);
+    private static final int FIRST_SEED = Integer.getInteger("model.first", 1);
 
     @Test
     void fiveVotersOfSixStores() {
-        play(History.Size.FIVE, SEEDS);
+        play(History.Size.FIVE, SEED_COUNT);
     }
 
     @Test
     void threeVotersOfFourStores() {
-        play(History.Size.THREE, SEEDS);
+        play(History.Size.THREE, SEED_COUNT);
     }
 
     @Test
     void threeVotersWithSnapshots() {
-        play(History.Size.SNAPSHOTS, SEEDS / 6);
+        play(History.Size.SNAPSHOTS, SEED_COUNT / 6);
     }
 
-    private static void play(History.Size size, int seeds) {
-        var from = System.nanoTime();
-        var entries = 0L;
-        var acknowledged = 0L;
-        for (var seed = FIRST; seed < FIRST + seeds; seed++) {
-            var h = History.of(size, seed);
-            var choices = h.draw();
+    private static void play(History.Size size, int seedCount) {
+        var startedAt = System.nanoTime();
+        var entryCount = 0L;
+        var acknowledgedCount = 0L;
+        for (var seed = FIRST_SEED; seed < FIRST_SEED + seedCount; seed++) {
+            var history = History.of(size, seed);
+            var choices = history.draw();
             try {
-                var w = h.play(choices);
-                entries += w.ledger().committedIndex();
-                acknowledged += w.ledger().acknowledged();
-            } catch (Violation v) {
-                System.out.println("model: seed " + seed + " breaks " + v.getMessage());
-                var shortest = Shrinker.shrink(choices, c -> {
-                    var b = h.breach(c);
-                    return b != null && b.invariant() == v.invariant();
+                var world = history.play(choices);
+                entryCount += world.ledger().committedIndex();
+                acknowledgedCount += world.ledger().acknowledged();
+            } catch (Violation violation) {
+                System.out.println("model: seed " + seed + " breaks " + violation.getMessage());
+                var shortest = Shrinker.shrink(choices, candidate -> {
+                    var found = history.breach(candidate);
+                    return found != null && found.invariant() == violation.invariant();
                 });
-                fail("seed " + seed + " of " + size + ": " + h.breach(shortest).getMessage() + " after "
-                        + Choice.readable(shortest));
+                fail("seed " + seed + " of " + size + ": "
+                        + history.breach(shortest).getMessage() + " after " + Choice.readable(shortest));
             }
         }
         System.out.printf(
                 "model: %s, %d seeds, %d entries, %d of them acknowledged, %.1f s%n",
-                size, seeds, entries, acknowledged, (System.nanoTime() - from) / 1e9);
+                size, seedCount, entryCount, acknowledgedCount, (System.nanoTime() - startedAt) / 1e9);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Shrinker.java
+++ b/test/sim/src/test/java/craneway/sim/model/Shrinker.java
@@ -4,51 +4,57 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Leaves out choices, many at once and then one by one, as long as what is left still fails. */
+/** Shortens a failing history: removes choices, many at once and then one by one, as long as the rest still fails. */
 final class Shrinker {
-    private static final int MOST_TRIES = 4_000;
-    private static final int LONGEST = 110;
+    private static final int MAX_ATTEMPTS = 4_000;
+    private static final int MAX_MERGED_ROUND_MILLIS = 110;
 
     private Shrinker() {}
 
+    /**
+     * Returns a short failing history. After the maximum number of attempts it stops and returns the best one found.
+     */
     static List<Choice> shrink(List<Choice> failing, Predicate<List<Choice>> stillFails) {
-        var tries = new int[1];
-        Predicate<List<Choice>> fails = c -> tries[0]++ < MOST_TRIES && stillFails.test(c);
+        var attempts = new int[1];
+        Predicate<List<Choice>> fails = candidate -> attempts[0]++ < MAX_ATTEMPTS && stillFails.test(candidate);
         var best = failing;
-        for (var size = Math.max(1, failing.size() / 2); size >= 1; size /= 2) {
-            var before = Integer.MAX_VALUE;
-            while (best.size() < before) {
-                before = best.size();
-                best = pass(best, size, fails);
+        for (var blockSize = Math.max(1, failing.size() / 2); blockSize >= 1; blockSize /= 2) {
+            var previousSize = Integer.MAX_VALUE;
+            while (best.size() < previousSize) {
+                previousSize = best.size();
+                best = removeBlocks(best, blockSize, fails);
             }
         }
-        return merged(best, fails);
+        return mergeRounds(best, fails);
     }
 
-    /** Two rounds that follow one another become one where it still fails. */
-    private static List<Choice> merged(List<Choice> from, Predicate<List<Choice>> fails) {
-        var best = from;
-        for (var i = 0; i + 1 < best.size(); ) {
-            var a = best.get(i);
-            var b = best.get(i + 1);
-            var both = a.kind() == Choice.Kind.ROUND && b.kind() == Choice.Kind.ROUND && a.a() + b.a() <= LONGEST;
-            var fewer = new ArrayList<>(best);
-            if (both) fewer.subList(i, i + 2).clear();
-            if (both) fewer.add(i, Choice.of(Choice.Kind.ROUND, a.a() + b.a()));
-            if (both && fails.test(fewer)) best = fewer;
+    /** Merges consecutive rounds where the history still fails. */
+    private static List<Choice> mergeRounds(List<Choice> failing, Predicate<List<Choice>> fails) {
+        var choices = failing;
+        for (var i = 0; i + 1 < choices.size(); ) {
+            var first = choices.get(i);
+            var second = choices.get(i + 1);
+            var mergeable = first.kind() == Choice.Kind.ROUND
+                    && second.kind() == Choice.Kind.ROUND
+                    && first.a() + second.a() <= MAX_MERGED_ROUND_MILLIS;
+            var candidate = new ArrayList<>(choices);
+            if (mergeable) candidate.subList(i, i + 2).clear();
+            if (mergeable) candidate.add(i, Choice.of(Choice.Kind.ROUND, first.a() + second.a()));
+            if (mergeable && fails.test(candidate)) choices = candidate;
             else i++;
         }
-        return best;
+        return choices;
     }
 
-    private static List<Choice> pass(List<Choice> from, int size, Predicate<List<Choice>> fails) {
-        var best = from;
-        for (var i = 0; i < best.size(); ) {
-            var fewer = new ArrayList<>(best.subList(0, i));
-            fewer.addAll(best.subList(Math.min(best.size(), i + size), best.size()));
-            if (fails.test(fewer)) best = fewer;
-            else i += size;
+    /** Removes each block of the given size without which the history still fails. */
+    private static List<Choice> removeBlocks(List<Choice> failing, int blockSize, Predicate<List<Choice>> fails) {
+        var choices = failing;
+        for (var i = 0; i < choices.size(); ) {
+            var candidate = new ArrayList<>(choices.subList(0, i));
+            candidate.addAll(choices.subList(Math.min(choices.size(), i + blockSize), choices.size()));
+            if (fails.test(candidate)) choices = candidate;
+            else i += blockSize;
         }
-        return best;
+        return choices;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Starts.java
+++ b/test/sim/src/test/java/craneway/sim/model/Starts.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** Where the exhaustive exploration starts from. */
+/** The states from which the exhaustive explorations start. */
 final class Starts {
-    /** Draws the same each time, so that two states are the same whatever was drawn before. */
+    /** Returns the same value each time, so that the state does not depend on how often was drawn before. */
     private static final class Fixed extends Random {
         private final double value;
 
@@ -28,16 +28,18 @@
 
     private Starts() {}
 
+    /** A world without random message faults, whose members draw the same election timeout each time. */
     static World world(int voters, int slots, Plant plant, Set<Invariant> checked) {
         var shape = new World.Shape(voters, slots, TimingProfile.STANDARD, 1, 0, seed -> new Fixed(seed / 1_000 * 0.1));
         return new World(shape, plant, checked);
     }
 
+    /** Three voters without injected faults, all invariants checked. */
     static World three() {
         return world(3, 3, Plant.NONE, EnumSet.allOf(Invariant.class));
     }
 
-    /** Three members that were just started. */
+    /** Three members that have just started. */
     static Explorer.Start fresh() {
         return new Explorer.Start(
                 "fresh",
@@ -48,7 +50,7 @@
                 1_500);
     }
 
-    /** A leader with one entry that all have; then restarts and time. */
+    /** A leader with one entry that all members hold; restarts and time may follow. */
     static Explorer.Start led() {
         return new Explorer.Start(
                 "led",
@@ -59,12 +61,13 @@
                 1_500);
     }
 
-    /** A leader whose followers have both been started anew, while its own time is nearly over. */
+    /** A leader whose followers have both been restarted while its own lease has nearly expired. */
     static Explorer.Start young() {
         var choices = elected(Starts.three());
         choices.add(Choice.of(Choice.Kind.ADVANCE, 600));
         choices.add(Choice.of(Choice.Kind.TICK, 1));
-        for (var to : new int[] {2, 3}) choices.add(Choice.of(Choice.Kind.DELIVER, "1>" + to + " APPEND#4"));
+        for (var follower : new int[] {2, 3})
+            choices.add(Choice.of(Choice.Kind.DELIVER, "1>" + follower + " APPEND#4"));
         choices.add(Choice.of(Choice.Kind.RESTART, 2));
         choices.add(Choice.of(Choice.Kind.RESTART, 3));
         return new Explorer.Start(
@@ -76,14 +79,14 @@
                 1_500);
     }
 
-    /** The same, and the leader does not run for a while: it has not seen what its followers answered. */
+    /** Like {@link #young}, with the leader frozen: it has not received its followers' replies yet. */
     static Explorer.Start frozen() {
         var young = young();
         young.choices().add(Choice.of(Choice.Kind.FREEZE, 1));
         return new Explorer.Start("frozen", Starts::three, young.choices(), most("CUT 1"), new int[] {}, 400);
     }
 
-    /** Three voters and a fourth store that may take part; disks may be lost. */
+    /** Three voters and a fourth store that may join; a disk may be lost. */
     static Explorer.Start changing() {
         return new Explorer.Start(
                 "changing",
@@ -94,7 +97,7 @@
                 1_500);
     }
 
-    /** The leader has been asked to hand over to slot 2, and time for its message to come late. */
+    /** The leader has been asked to transfer leadership to slot 2, and there is time for its message to arrive late. */
     static Explorer.Start handing() {
         var choices = elected(Starts.three());
         choices.add(Choice.of(Choice.Kind.HAND_OVER, 1, 2));
@@ -102,13 +105,13 @@
                 "handing", Starts::three, choices, most("PROPOSE 1, RESTART 1, FREEZE 1, CUT 1"), new int[] {700}, 900);
     }
 
-    /** A fourth store learns and is about to vote, while disks may be lost. */
+    /** A fourth store has caught up as a learner and is about to become a voter; a disk may be lost. */
     static Explorer.Start promoting() {
-        var w = world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class));
-        var choices = elected(w);
-        step(w, choices, Choice.of(Choice.Kind.LEARN, 1, 4));
-        deliverAll(w, choices);
-        step(w, choices, Choice.of(Choice.Kind.PROMOTE, 1));
+        var world = world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class));
+        var choices = elected(world);
+        step(world, choices, Choice.of(Choice.Kind.LEARN, 1, 4));
+        deliverAll(world, choices);
+        step(world, choices, Choice.of(Choice.Kind.PROMOTE, 1));
         return new Explorer.Start(
                 "promoting",
                 () -> world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class)),
@@ -118,41 +121,46 @@
                 900);
     }
 
+    /** All starts. */
     static Stream<Explorer.Start> all() {
         return Stream.of(fresh(), led(), young(), frozen(), handing(), changing(), promoting());
     }
 
+    /** Parses the limits of event kinds from a list such as {@code "PROPOSE 1, RESTART 2"}. */
     static Map<Choice.Kind, Integer> most(String text) {
-        var all = new EnumMap<Choice.Kind, Integer>(Choice.Kind.class);
-        for (var part : text.split(", ")) {
-            var words = part.split(" ");
-            all.put(Choice.Kind.valueOf(words[0]), Integer.parseInt(words[1]));
+        var limits = new EnumMap<Choice.Kind, Integer>(Choice.Kind.class);
+        for (var item : text.split(", ")) {
+            var words = item.split(" ");
+            limits.put(Choice.Kind.valueOf(words[0]), Integer.parseInt(words[1]));
         }
-        return all;
+        return limits;
     }
 
-    /** What a quiet network does until slot 1 leads and one entry is everywhere. */
-    static List<Choice> elected(World w) {
-        var all = new ArrayList<Choice>();
-        step(w, all, Choice.of(Choice.Kind.ADVANCE, 160));
-        step(w, all, Choice.of(Choice.Kind.TICK, 1));
-        deliverAll(w, all);
-        step(w, all, Choice.of(Choice.Kind.PROPOSE, 1));
-        deliverAll(w, all);
-        step(w, all, Choice.of(Choice.Kind.ADVANCE, 600));
-        step(w, all, Choice.of(Choice.Kind.TICK, 1));
-        deliverAll(w, all);
-        if (w.leader() != w.peer(1)) throw new IllegalStateException("slot 1 does not lead");
-        return all;
+    /** Plays a history without faults until slot 1 leads and all members hold one entry, and returns its choices. */
+    static List<Choice> elected(World world) {
+        var choices = new ArrayList<Choice>();
+        step(world, choices, Choice.of(Choice.Kind.ADVANCE, 160));
+        step(world, choices, Choice.of(Choice.Kind.TICK, 1));
+        deliverAll(world, choices);
+        step(world, choices, Choice.of(Choice.Kind.PROPOSE, 1));
+        deliverAll(world, choices);
+        step(world, choices, Choice.of(Choice.Kind.ADVANCE, 600));
+        step(world, choices, Choice.of(Choice.Kind.TICK, 1));
+        deliverAll(world, choices);
+        if (world.leader() != world.peer(1)) throw new IllegalStateException("slot 1 does not lead");
+        return choices;
     }
 
-    private static void deliverAll(World w, List<Choice> all) {
-        while (!w.mail().isEmpty())
-            step(w, all, Choice.of(Choice.Kind.DELIVER, w.mail().get(0).label()));
+    private static void deliverAll(World world, List<Choice> choices) {
+        while (!world.mail().isEmpty())
+            step(
+                    world,
+                    choices,
+                    Choice.of(Choice.Kind.DELIVER, world.mail().get(0).label()));
     }
 
-    private static void step(World w, List<Choice> all, Choice c) {
-        w.apply(c);
-        all.add(c);
+    private static void step(World world, List<Choice> choices, Choice choice) {
+        world.apply(choice);
+        choices.add(choice);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/StateHash.java
+++ b/test/sim/src/test/java/craneway/sim/model/StateHash.java
@@ -16,85 +16,101 @@
 import java.util.Random;
 import java.util.Set;
 
-/** A hash over everything that decides how a world goes on, whatever classes the group is made of. */
+/**
+ * A hash over everything that determines how a world continues. The group's objects are hashed by reflection over all
+ * their fields in the order of declaration.
+ */
 final class StateHash {
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
-    private static final List<Class<?>> OUTSIDE =
+
+    /** Collaborators whose state is hashed elsewhere or is fixed. */
+    private static final List<Class<?>> IGNORED_TYPES =
             List.of(Random.class, GroupListener.class, Folder.class, StateMachine.class);
 
-    /** What each segment of a log draws anew, so that its records are told from older ones; nothing else follows from it. */
-    private static final String DRAWN = "nonce";
+    /**
+     * The random number that each log segment draws to tell its records from older ones; the behavior does not depend
+     * on it.
+     */
+    private static final String IGNORED_FIELD = "nonce";
 
-    private final Map<Object, Integer> seen = new IdentityHashMap<>();
+    private final Map<Object, Integer> numberByObject = new IdentityHashMap<>();
 
-    static long of(World w) {
-        var h = Hash.of(w.now(), w.ledger().digest());
-        for (var p : w.peers()) {
-            h = Hash.of(h, new StateHash().value(p.group()));
-            h = Hash.of(h, p.chain().hash() * 31 + p.id() * 2 + (p.frozen() ? 1 : 0));
+    /** The hash of a world; the order of messages in flight does not matter. */
+    static long of(World world) {
+        var hash = Hash.of(world.now(), world.ledger().digest());
+        for (var peer : world.peers()) {
+            hash = Hash.of(hash, new StateHash().hashOf(peer.group()));
+            hash = Hash.of(hash, peer.chain().hash() * 31 + peer.id() * 2 + (peer.frozen() ? 1 : 0));
         }
-        var letters = 0L;
-        for (var l : w.mail()) letters += Hash.of(letter(l), w.late().contains(l.label()) ? 1 : 0);
+        var messagesHash = 0L;
+        for (var message : world.mail())
+            messagesHash += Hash.of(letter(message), world.late().contains(message.label()) ? 1 : 0);
         return Hash.of(
-                Hash.of(h, letters), w.ticked().hashCode() * 31L + w.cuts().hashCode());
+                Hash.of(hash, messagesHash),
+                world.ticked().hashCode() * 31L + world.cuts().hashCode());
     }
 
-    /** Of the letter's ends and content, not of its label: one as good as another is told by nothing. */
-    static long letter(Letter l) {
-        return Hash.of(l.from() * 100 + l.to(), new StateHash().value(l.message()));
+    /**
+     * Hashes a message's ends and content but not its label: messages that differ only in the label are
+     * interchangeable.
+     */
+    static long letter(Letter message) {
+        return Hash.of(message.from() * 100 + message.to(), new StateHash().hashOf(message.message()));
     }
 
-    private long value(Object o) {
-        if (o == null) return 7;
-        if (o instanceof Number n) return n.longValue();
-        if (o instanceof Boolean || o instanceof String) return o.hashCode();
-        if (o instanceof Enum<?> e) return e.ordinal() + 11;
-        if (o.getClass().isArray()) return array(o);
-        if (o instanceof Map<?, ?> m) return map(m);
-        if (o instanceof Set<?> s)
-            return s.stream().mapToLong(x -> Hash.mix(value(x))).sum();
-        if (o instanceof Collection<?> c) {
-            var h = 1L;
-            for (var x : c) h = Hash.of(h, value(x));
-            return h;
+    private long hashOf(Object value) {
+        if (value == null) return 7;
+        if (value instanceof Number number) return number.longValue();
+        if (value instanceof Boolean || value instanceof String) return value.hashCode();
+        if (value instanceof Enum<?> constant) return constant.ordinal() + 11;
+        if (value.getClass().isArray()) return hashOfArray(value);
+        if (value instanceof Map<?, ?> map) return hashOfMap(map);
+        if (value instanceof Set<?> set)
+            return set.stream().mapToLong(element -> Hash.mix(hashOf(element))).sum();
+        if (value instanceof Collection<?> collection) {
+            var hash = 1L;
+            for (var element : collection) hash = Hash.of(hash, hashOf(element));
+            return hash;
         }
-        var known = OUTSIDE.stream().anyMatch(c -> c.isInstance(o));
-        return known || !o.getClass().getName().startsWith("craneway.state") ? 3 : fields(o);
+        var ignored = IGNORED_TYPES.stream().anyMatch(type -> type.isInstance(value));
+        return ignored || !value.getClass().getName().startsWith("craneway.state") ? 3 : hashOfFields(value);
     }
 
-    private long array(Object a) {
-        var h = 5L;
-        for (var i = 0; i < Array.getLength(a); i++) h = Hash.of(h, value(Array.get(a, i)));
-        return h;
+    private long hashOfArray(Object array) {
+        var hash = 5L;
+        for (var i = 0; i < Array.getLength(array); i++) hash = Hash.of(hash, hashOf(Array.get(array, i)));
+        return hash;
     }
 
-    private long map(Map<?, ?> m) {
-        var h = 13L;
-        for (var e : m.entrySet()) h += Hash.of(value(e.getKey()), value(e.getValue()));
-        return h;
+    private long hashOfMap(Map<?, ?> map) {
+        var hash = 13L;
+        for (var entry : map.entrySet()) hash += Hash.of(hashOf(entry.getKey()), hashOf(entry.getValue()));
+        return hash;
     }
 
-    private long fields(Object o) {
-        var at = seen.putIfAbsent(o, seen.size());
-        if (at != null) return at;
-        var h = 17L;
+    /** An object that was visited before is represented by its number, so that cycles end. */
+    private long hashOfFields(Object object) {
+        var earlierNumber = numberByObject.putIfAbsent(object, numberByObject.size());
+        if (earlierNumber != null) return earlierNumber;
+        var hash = 17L;
         try {
-            for (var f : FIELDS.computeIfAbsent(o.getClass(), StateHash::fieldsOf)) h = Hash.of(h, value(f.get(o)));
+            for (var field : FIELDS.computeIfAbsent(object.getClass(), StateHash::fieldsOf))
+                hash = Hash.of(hash, hashOf(field.get(object)));
         } catch (IllegalAccessException e) {
             throw new IllegalStateException(e);
         }
-        return h;
+        return hash;
     }
 
     private static List<Field> fieldsOf(Class<?> type) {
-        var all = new ArrayList<Field>();
-        for (var f : type.getDeclaredFields()) {
-            if (Modifier.isStatic(f.getModifiers())
-                    || f.isSynthetic()
-                    || f.getName().equals(DRAWN)) continue;
-            f.setAccessible(true);
-            all.add(f);
+        var fields = new ArrayList<Field>();
+        for (var field : type.getDeclaredFields()) {
+            if (Modifier.isStatic(field.getModifiers())
+                    || field.isSynthetic()
+                    || field.getName().equals(IGNORED_FIELD)) continue;
+            field.setAccessible(true);
+            fields.add(field);
         }
-        return all;
+        return fields;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Steward.java
+++ b/test/sim/src/test/java/craneway/sim/model/Steward.java
@@ -5,9 +5,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Changes of the group and hand-overs as the store's keeper asks for them, and which disks may still be lost. */
+/**
+ * Requests membership changes and leadership transfers as the store's membership manager does, and decides which disks
+ * may be lost.
+ */
 final class Steward {
-    private static final int NEAR = 64;
+    /** How many entries a learner may lack when it is promoted. */
+    private static final int MAX_LEARNER_LAG_ENTRIES = 64;
 
     private final World world;
 
@@ -15,93 +19,106 @@
         this.world = world;
     }
 
-    void change(Peer p, Choice c) {
-        if (!p.runs()) return;
+    /** Performs one membership change or leadership transfer at a leader if it makes sense there. */
+    void change(Peer leader, Choice choice) {
+        if (!leader.runs()) return;
         var now = world.now();
-        if (c.kind() == Choice.Kind.HAND_OVER) {
-            p.group().transferLeadership(world.peer(c.b()).id(), now);
+        if (choice.kind() == Choice.Kind.HAND_OVER) {
+            leader.group().transferLeadership(world.peer(choice.b()).id(), now);
         } else {
-            var next = next(p, c);
-            if (next != null && keeps(next, 0) && p.group().changeMembers(next, now))
-                world.ledger().changed(p);
+            var newMembers = requestedMembers(leader, choice);
+            if (newMembers != null
+                    && keepsMajority(newMembers, 0)
+                    && leader.group().changeMembers(newMembers, now))
+                world.ledger().checkMembershipChange(leader);
         }
-        p.settle();
+        leader.settle();
     }
 
-    private Members next(Peer p, Choice c) {
-        var m = p.group().members();
-        return switch (c.kind()) {
+    /** The membership after the requested change, or null if the change does not apply. */
+    private Members requestedMembers(Peer leader, Choice choice) {
+        var members = leader.group().members();
+        return switch (choice.kind()) {
             case LEARN -> {
-                var id = world.peer(c.b()).id();
-                yield m.learner != 0 || m.isMember(id) ? null : m.withLearner(id, "z" + c.b());
+                var id = world.peer(choice.b()).id();
+                yield members.learner != 0 || members.isMember(id) ? null : members.withLearner(id, "z" + choice.b());
             }
-            case PROMOTE -> near(p, m) ? m.promoted() : null;
+            case PROMOTE -> isLearnerCaughtUp(leader, members) ? members.promoted() : null;
             default -> {
-                var id = memberAt(m, c.b());
-                yield id == 0 || id == p.id() || m.voters.length == 1 ? null : m.without(id);
+                var id = memberAt(members, choice.b());
+                yield id == 0 || id == leader.id() || members.voters.length == 1 ? null : members.without(id);
             }
         };
     }
 
-    private boolean near(Peer p, Members m) {
-        return m.learner != 0 && p.group().matchOf(m.learner) >= p.group().lastIndex() - NEAR;
+    private boolean isLearnerCaughtUp(Peer leader, Members members) {
+        return members.learner != 0
+                && leader.group().matchOf(members.learner) >= leader.group().lastIndex() - MAX_LEARNER_LAG_ENTRIES;
     }
 
-    private static long memberAt(Members m, int slot) {
-        for (var v : m.voters) if (v % 100 == slot) return v;
+    /**
+     * The id of the voter that was started in a slot, 0 if there is none. The last two digits of an id are its slot.
+     */
+    private static long memberAt(Members members, int slot) {
+        for (var voter : members.voters) if (voter % 100 == slot) return voter;
         return 0;
     }
 
-    /** What a keeper that serves does next: lost disks go, a learner is promoted, a voter too many goes, one is added. */
+    /**
+     * Performs the next change that the membership manager of a serving leader would make: remove members with lost
+     * disks, promote a learner, remove a surplus voter, or add a learner.
+     */
     void manage() {
-        var p = world.leader();
-        if (p == null || !p.group().hasLease(world.now())) return;
-        var m = p.group().members();
-        var next = wanted(p, m);
-        if (next != null && keeps(next, 0) && p.group().changeMembers(next, world.now()))
-            world.ledger().changed(p);
-        p.settle();
+        var leader = world.leader();
+        if (leader == null || !leader.group().hasLease(world.now())) return;
+        var members = leader.group().members();
+        var newMembers = desiredMembers(leader, members);
+        if (newMembers != null && keepsMajority(newMembers, 0) && leader.group().changeMembers(newMembers, world.now()))
+            world.ledger().checkMembershipChange(leader);
+        leader.settle();
     }
 
-    private Members wanted(Peer p, Members m) {
-        if (m.learner != 0 && world.lost(m.learner)) return m.without(m.learner);
-        for (var v : m.voters) if (v != p.id() && world.lost(v)) return m.without(v);
-        if (near(p, m)) return m.promoted();
-        if (m.learner != 0) return world.holder(m.learner).runs() ? null : m.without(m.learner);
-        if (m.voters.length > world.shape().voters()) return m.without(quietest(p, m));
-        if (m.voters.length == world.shape().voters()) return null;
+    private Members desiredMembers(Peer leader, Members members) {
+        if (members.learner != 0 && world.lost(members.learner)) return members.without(members.learner);
+        for (var voter : members.voters) if (voter != leader.id() && world.lost(voter)) return members.without(voter);
+        if (isLearnerCaughtUp(leader, members)) return members.promoted();
+        if (members.learner != 0) return world.holder(members.learner).runs() ? null : members.without(members.learner);
+        if (members.voters.length > world.shape().voters()) return members.without(leastRecentlyHeard(leader, members));
+        if (members.voters.length == world.shape().voters()) return null;
         return world.peers().stream()
-                .filter(x -> x.runs() && !m.isMember(x.id()))
+                .filter(peer -> peer.runs() && !members.isMember(peer.id()))
                 .findFirst()
-                .map(x -> m.withLearner(x.id(), "z" + x.slot()))
+                .map(peer -> members.withLearner(peer.id(), "z" + peer.slot()))
                 .orElse(null);
     }
 
-    private static long quietest(Peer p, Members m) {
-        var best = 0L;
-        for (var v : m.voters) {
-            if (v == p.id()) continue;
-            if (best == 0 || p.group().heardFrom(v) < p.group().heardFrom(best)) best = v;
+    /** The voter from which the leader has not heard for the longest time. */
+    private static long leastRecentlyHeard(Peer leader, Members members) {
+        var leastRecent = 0L;
+        for (var voter : members.voters) {
+            if (voter == leader.id()) continue;
+            if (leastRecent == 0
+                    || leader.group().heardFrom(voter) < leader.group().heardFrom(leastRecent)) leastRecent = voter;
         }
-        return best;
+        return leastRecent;
     }
 
-    /** Whether each group that some log names would keep a majority of whole disks. */
-    boolean mayLose(Peer p) {
-        return groups().stream().allMatch(m -> keeps(m, p.id()));
+    /** Whether every membership that some log names keeps a majority of intact disks without this one. */
+    boolean mayLose(Peer peer) {
+        return knownMemberships().stream().allMatch(members -> keepsMajority(members, peer.id()));
     }
 
-    private List<Members> groups() {
-        var all = new ArrayList<Members>();
-        for (var p : world.peers()) all.add(p.members());
-        return all;
+    private List<Members> knownMemberships() {
+        var memberships = new ArrayList<Members>();
+        for (var peer : world.peers()) memberships.add(peer.members());
+        return memberships;
     }
 
-    private boolean keeps(Members m, long losing) {
-        if (losing != 0 && !m.isVoter(losing)) return true;
-        var whole = Arrays.stream(m.voters)
-                .filter(v -> v != losing && !world.lost(v))
+    private boolean keepsMajority(Members members, long lostId) {
+        if (lostId != 0 && !members.isVoter(lostId)) return true;
+        var intactVoters = Arrays.stream(members.voters)
+                .filter(voter -> voter != lostId && !world.lost(voter))
                 .count();
-        return whole >= m.majority();
+        return intactVoters >= members.majority();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/TracesTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/TracesTest.java
@@ -11,72 +11,76 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Short histories, each of which broke an invariant once. */
+/** Short histories that each violated an invariant before the fault was fixed. */
 class TracesTest {
-    private static void deliver(World w, String... labels) {
-        for (var l : labels) w.apply(Choice.of(Choice.Kind.DELIVER, l));
+    private static void deliver(World world, String... labels) {
+        for (var label : labels) world.apply(Choice.of(Choice.Kind.DELIVER, label));
     }
 
     /**
-     * The leader's time is over, yet it has not looked at its clock; it says so to both voters, who have just been started. Then
-     * late acknowledgements come, and it held its lease again, beside the leader that it had let through.
+     * A leader whose lease expired without its noticing tells both voters, which have just restarted, that it does not
+     * object to an election. When late acknowledgements arrive it must not regard its lease as valid again beside the
+     * new leader.
      */
     @Test
     void aLeaderThatLetAnotherThroughIsNotFreshAgainByLateAcknowledgements() {
         var start = Starts.young();
-        var w = start.world().get();
-        start.choices().forEach(w::apply);
-        for (var c : List.of(Choice.of(Choice.Kind.ADVANCE, 110), Choice.of(Choice.Kind.TICK, 2))) w.apply(c);
+        var world = start.world().get();
+        start.choices().forEach(world::apply);
+        for (var choice : List.of(Choice.of(Choice.Kind.ADVANCE, 110), Choice.of(Choice.Kind.TICK, 2)))
+            world.apply(choice);
         deliver(
-                w,
+                world,
                 "2>1 PRE_VOTE#1",
                 "2>3 PRE_VOTE#1",
                 "2>1 APPEND_REPLY#4",
                 "1>2 PRE_VOTE_REPLY#1",
                 "3>2 PRE_VOTE_REPLY#1");
-        assertSame(Role.CANDIDATE, w.peer(2).group().role());
-        deliver(w, "2>3 VOTE#1", "3>2 VOTE_REPLY#1", "2>3 APPEND#1", "3>2 APPEND_REPLY#1");
-        assertSame(Role.LEADER, w.peer(2).group().role());
-        assertNotSame(Role.LEADER, w.peer(1).group().role());
+        assertSame(Role.CANDIDATE, world.peer(2).group().role());
+        deliver(world, "2>3 VOTE#1", "3>2 VOTE_REPLY#1", "2>3 APPEND#1", "3>2 APPEND_REPLY#1");
+        assertSame(Role.LEADER, world.peer(2).group().role());
+        assertNotSame(Role.LEADER, world.peer(1).group().role());
     }
 
-    /** A group of one store votes for itself at the tick; on a full disk the problem went out to whoever had called. */
+    /**
+     * A group of one store votes for itself at the tick. On a full disk the exception reached the caller of the tick.
+     */
     @Test
     void aGroupOfOneOnAFullDiskKeepsItsProblemToItself() {
-        var w = Starts.world(1, 1, Plant.NONE, EnumSet.allOf(Invariant.class));
-        w.apply(Choice.of(Choice.Kind.FULL, 1, 1));
-        w.apply(Choice.of(Choice.Kind.ADVANCE, 2_000));
-        w.apply(Choice.of(Choice.Kind.TICK, 1));
-        assertSame(Role.DISK_FAILED, w.peer(1).group().role());
-        w.apply(Choice.of(Choice.Kind.FULL, 1, 0));
+        var world = Starts.world(1, 1, Plant.NONE, EnumSet.allOf(Invariant.class));
+        world.apply(Choice.of(Choice.Kind.FULL, 1, 1));
+        world.apply(Choice.of(Choice.Kind.ADVANCE, 2_000));
+        world.apply(Choice.of(Choice.Kind.TICK, 1));
+        assertSame(Role.DISK_FAILED, world.peer(1).group().role());
+        world.apply(Choice.of(Choice.Kind.FULL, 1, 0));
         for (var i = 0; i < 4; i++) {
-            w.apply(Choice.of(Choice.Kind.ADVANCE, 1_500));
-            w.apply(Choice.of(Choice.Kind.TICK, 1));
+            world.apply(Choice.of(Choice.Kind.ADVANCE, 1_500));
+            world.apply(Choice.of(Choice.Kind.TICK, 1));
         }
-        assertSame(Role.LEADER, w.peer(1).group().role());
+        assertSame(Role.LEADER, world.peer(1).group().role());
     }
 
     /**
-     * A leader proposed a group without itself; the others took it in, were started anew, and all of that group said yes to one of
-     * them, while the old leader, which nobody had to ask any more, still held its lease.
+     * A leader proposed a membership without itself. The other members accepted it, restarted and elected one of them
+     * by themselves, while the old leader, whose vote was not needed any more, still held its lease.
      */
     @Test
     void aLeaderDoesNotTakeItselfOutOfTheGroup() {
-        var w = Starts.three();
-        Starts.elected(Starts.three()).forEach(w::apply);
-        w.apply(Choice.of(Choice.Kind.ADVANCE, 100));
-        var leader = w.peer(1);
-        var taken = leader.group().changeMembers(leader.group().members().without(1), w.now());
+        var world = Starts.three();
+        Starts.elected(Starts.three()).forEach(world::apply);
+        world.apply(Choice.of(Choice.Kind.ADVANCE, 100));
+        var leader = world.peer(1);
+        var accepted = leader.group().changeMembers(leader.group().members().without(1), world.now());
         leader.settle();
-        w.apply(Choice.of(Choice.Kind.TICK, 1));
-        deliver(w, "1>2 APPEND#4", "1>3 APPEND#4");
-        for (var slot : new int[] {2, 3}) w.apply(Choice.of(Choice.Kind.RESTART, slot));
-        w.apply(Choice.of(Choice.Kind.ADVANCE, 100));
-        w.apply(Choice.of(Choice.Kind.TICK, 2));
-        deliver(w, "2>3 PRE_VOTE#1", "3>2 PRE_VOTE_REPLY#1", "2>3 VOTE#1", "3>2 VOTE_REPLY#1");
-        deliver(w, "2>3 APPEND#1", "3>2 APPEND_REPLY#1");
-        assertFalse(taken);
-        assertTrue(leader.group().hasLease(w.now()));
+        world.apply(Choice.of(Choice.Kind.TICK, 1));
+        deliver(world, "1>2 APPEND#4", "1>3 APPEND#4");
+        for (var slot : new int[] {2, 3}) world.apply(Choice.of(Choice.Kind.RESTART, slot));
+        world.apply(Choice.of(Choice.Kind.ADVANCE, 100));
+        world.apply(Choice.of(Choice.Kind.TICK, 2));
+        deliver(world, "2>3 PRE_VOTE#1", "3>2 PRE_VOTE_REPLY#1", "2>3 VOTE#1", "3>2 VOTE_REPLY#1");
+        deliver(world, "2>3 APPEND#1", "3>2 APPEND_REPLY#1");
+        assertFalse(accepted);
+        assertTrue(leader.group().hasLease(world.now()));
     }
 
     @Test
@@ -84,10 +88,10 @@
         var start = Starts.promoting();
         var one = start.world().get();
         var other = start.world().get();
-        for (var c : start.choices()) {
-            one.apply(c);
-            other.apply(c);
-            assertEquals(StateHash.of(one), StateHash.of(other), c::toString);
+        for (var choice : start.choices()) {
+            one.apply(choice);
+            other.apply(choice);
+            assertEquals(StateHash.of(one), StateHash.of(other), choice::toString);
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/TroubleExplorer.java
+++ b/test/sim/src/test/java/craneway/sim/model/TroubleExplorer.java
@@ -8,136 +8,160 @@
 import java.util.Set;
 
 /**
- * Goes through all histories with at most so many troubles: everything else is what a quiet network and unhurried members do, in
- * the order in which it came. Reaches far deeper than {@link Explorer}; finds a breach by the fewest troubles first.
+ * Explores all histories with a limited number of faults: between them the network delivers every message in order and
+ * every member ticks in time. Reaches far deeper than {@link Explorer} and finds a violation with the fewest faults
+ * first.
  */
 final class TroubleExplorer {
-    private static final int STEP = 100;
+    private static final int ADVANCE_MILLIS = 100;
 
+    /** A state by the choice that led to it from its parent. */
     private record Node(Node parent, Choice choice) {
         List<Choice> path() {
-            var all = new LinkedList<Choice>();
-            for (var n = this; n.choice != null; n = n.parent) all.addFirst(n.choice);
-            return all;
+            var path = new LinkedList<Choice>();
+            for (var node = this; node.choice != null; node = node.parent) path.addFirst(node.choice);
+            return path;
         }
     }
 
     private final Explorer.Start start;
-    private final int mostTroubles;
-    private final int mostStates;
-    private final long horizon;
-    private final Set<Long> met = new HashSet<>();
-    private List<Node> next = new ArrayList<>();
-    private boolean leftOut;
+    private final int maxFaults;
+    private final int maxStates;
+    private final long horizonMicros;
+    private final Set<Long> visitedStates = new HashSet<>();
+    private List<Node> nextLevel = new ArrayList<>();
+    private boolean incomplete;
 
-    TroubleExplorer(Explorer.Start start, int mostTroubles, int mostStates) {
+    TroubleExplorer(Explorer.Start start, int maxFaults, int maxStates) {
         this.start = start;
-        this.mostTroubles = mostTroubles;
-        horizon = start.horizon() * 1_000L;
-        this.mostStates = mostStates;
+        this.maxFaults = maxFaults;
+        horizonMicros = start.horizon() * 1_000L;
+        this.maxStates = maxStates;
     }
 
-    /** The depth of the result is the number of troubles whose histories were all played. */
+    /**
+     * Explores all histories with no fault, then with one more each time. The depth of the result is the largest number
+     * of faults whose histories were all played.
+     */
     Explorer.Result run() {
         var level = List.of(new Node(null, null));
-        var whole = -1;
-        for (var troubles = 0; troubles <= mostTroubles; troubles++) {
-            var complete = !leftOut;
-            next = new ArrayList<>();
-            for (var n : level) {
-                if (met.size() >= mostStates) return new Explorer.Result(met.size(), whole, false, List.of(), null);
-                var found = follow(n, troubles < mostTroubles);
-                if (found != null) return found;
+        var exploredFaults = -1;
+        for (var faultCount = 0; faultCount <= maxFaults; faultCount++) {
+            var levelComplete = !incomplete;
+            nextLevel = new ArrayList<>();
+            for (var node : level) {
+                if (visitedStates.size() >= maxStates)
+                    return new Explorer.Result(visitedStates.size(), exploredFaults, false, List.of(), null);
+                var failure = follow(node, faultCount < maxFaults);
+                if (failure != null) return failure;
             }
-            if (complete) whole = troubles;
-            level = next;
+            if (levelComplete) exploredFaults = faultCount;
+            level = nextLevel;
         }
-        return new Explorer.Result(met.size(), whole, !leftOut, List.of(), null);
+        return new Explorer.Result(visitedStates.size(), exploredFaults, !incomplete, List.of(), null);
     }
 
-    private Explorer.Result follow(Node from, boolean mayTrouble) {
+    /**
+     * Plays the history to a node and then goes on without faults until the horizon or a visited state; keeps each
+     * fault that may occur on the way for the next level.
+     */
+    private Explorer.Result follow(Node from, boolean mayAddFault) {
         var node = from;
         try {
-            var w = start.world().get();
-            w.ledger().quick(true);
-            start.choices().forEach(w::apply);
-            var end = w.now() + horizon;
+            var world = start.world().get();
+            world.ledger().quick(true);
+            start.choices().forEach(world::apply);
+            var end = world.now() + horizonMicros;
             var path = from.path();
             for (var i = 0; i < path.size(); i++) {
-                w.ledger().quick(i < path.size() - 1);
-                w.apply(path.get(i));
+                world.ledger().quick(i < path.size() - 1);
+                world.apply(path.get(i));
             }
-            w.ledger().quick(false);
-            while (w.now() < end && met.add(StateHash.of(w))) {
-                if (mayTrouble) for (var c : troubles(w, path)) keep(new Node(node, c));
-                node = new Node(node, quiet(w));
-                w.apply(node.choice());
+            world.ledger().quick(false);
+            while (world.now() < end && visitedStates.add(StateHash.of(world))) {
+                if (mayAddFault) for (var fault : possibleFaults(world, path)) keepForNextLevel(new Node(node, fault));
+                node = new Node(node, nextWithoutFault(world));
+                world.apply(node.choice());
             }
             return null;
-        } catch (Violation v) {
-            return new Explorer.Result(met.size(), 0, false, node.path(), v);
+        } catch (Violation violation) {
+            return new Explorer.Result(visitedStates.size(), 0, false, node.path(), violation);
         }
     }
 
-    /** Not more than could be followed up: what is left out makes the next number of troubles incomplete. */
-    private void keep(Node n) {
-        if (next.size() < mostStates) next.add(n);
-        else leftOut = true;
+    /**
+     * Keeps a node for the next level, up to the maximum number of states; a node that is dropped makes the next level
+     * incomplete.
+     */
+    private void keepForNextLevel(Node node) {
+        if (nextLevel.size() < maxStates) nextLevel.add(node);
+        else incomplete = true;
     }
 
-    private static boolean waits(World w, Letter l) {
-        return !w.late().contains(l.label()) && w.peer(l.to()).runs();
+    /** Whether the network delivers the message without being asked to: it is not postponed, and its receiver runs. */
+    private static boolean isDeliverable(World world, Letter message) {
+        return !world.late().contains(message.label())
+                && world.peer(message.to()).runs();
     }
 
-    private static Choice quiet(World w) {
-        for (var l : w.mail()) if (waits(w, l)) return Choice.of(Choice.Kind.DELIVER, l.label());
-        for (var p : w.peers())
-            if (p.runs() && !w.ticked().contains(p.slot())) return Choice.of(Choice.Kind.TICK, p.slot());
-        return Choice.of(Choice.Kind.ADVANCE, STEP);
+    /** What happens next without a fault: a delivery, a tick, or the passing of time. */
+    private static Choice nextWithoutFault(World world) {
+        for (var message : world.mail())
+            if (isDeliverable(world, message)) return Choice.of(Choice.Kind.DELIVER, message.label());
+        for (var peer : world.peers())
+            if (peer.runs() && !world.ticked().contains(peer.slot())) return Choice.of(Choice.Kind.TICK, peer.slot());
+        return Choice.of(Choice.Kind.ADVANCE, ADVANCE_MILLIS);
     }
 
-    private List<Choice> troubles(World w, List<Choice> path) {
-        var all = new ArrayList<Choice>();
-        ofMail(w, path, all);
-        if (may(Choice.Kind.ADVANCE, path)) for (var s : start.steps()) all.add(Choice.of(Choice.Kind.ADVANCE, s));
-        for (var p : w.peers()) {
-            for (var k : List.of(Choice.Kind.RESTART, Choice.Kind.POWER, Choice.Kind.LOSE))
-                if (may(k, path)) all.add(Choice.of(k, p.slot()));
-            for (var other : w.peers())
-                if (other != p && may(Choice.Kind.CUT, path))
-                    all.add(Choice.of(Choice.Kind.CUT, p.slot(), other.slot()));
-            if (p.frozen()) all.add(Choice.of(Choice.Kind.THAW, p.slot()));
-            else if (may(Choice.Kind.FREEZE, path)) all.add(Choice.of(Choice.Kind.FREEZE, p.slot()));
-            if (p.runs() && p.group().role() == Role.LEADER) byLeader(w, p, path, all);
+    private List<Choice> possibleFaults(World world, List<Choice> path) {
+        var choices = new ArrayList<Choice>();
+        addMessageFaults(world, path, choices);
+        if (isAllowed(Choice.Kind.ADVANCE, path))
+            for (var step : start.steps()) choices.add(Choice.of(Choice.Kind.ADVANCE, step));
+        for (var peer : world.peers()) {
+            for (var kind : List.of(Choice.Kind.RESTART, Choice.Kind.POWER, Choice.Kind.LOSE))
+                if (isAllowed(kind, path)) choices.add(Choice.of(kind, peer.slot()));
+            for (var other : world.peers())
+                if (other != peer && isAllowed(Choice.Kind.CUT, path))
+                    choices.add(Choice.of(Choice.Kind.CUT, peer.slot(), other.slot()));
+            if (peer.frozen()) choices.add(Choice.of(Choice.Kind.THAW, peer.slot()));
+            else if (isAllowed(Choice.Kind.FREEZE, path)) choices.add(Choice.of(Choice.Kind.FREEZE, peer.slot()));
+            if (peer.runs() && peer.group().role() == Role.LEADER) addLeaderChoices(world, peer, path, choices);
         }
-        return all;
+        return choices;
     }
 
-    private void ofMail(World w, List<Choice> path, List<Choice> all) {
+    /**
+     * Reorders, postpones or repeats messages: the first deliverable one may be postponed or repeated, any other
+     * overtake it.
+     */
+    private void addMessageFaults(World world, List<Choice> path, List<Choice> choices) {
         var first = true;
-        for (var l : w.mail()) {
-            if (!waits(w, l)) {
-                if (w.peer(l.to()).runs()) all.add(Choice.of(Choice.Kind.DELIVER, l.label()));
+        for (var message : world.mail()) {
+            if (!isDeliverable(world, message)) {
+                if (world.peer(message.to()).runs()) choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
                 continue;
             }
-            if (!first) all.add(Choice.of(Choice.Kind.DELIVER, l.label()));
-            if (first) all.add(Choice.of(Choice.Kind.POSTPONE, l.label()));
-            if (first && may(Choice.Kind.REPEAT, path)) all.add(Choice.of(Choice.Kind.REPEAT, l.label()));
+            if (!first) choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
+            if (first) choices.add(Choice.of(Choice.Kind.POSTPONE, message.label()));
+            if (first && isAllowed(Choice.Kind.REPEAT, path))
+                choices.add(Choice.of(Choice.Kind.REPEAT, message.label()));
             first = false;
         }
     }
 
-    private void byLeader(World w, Peer p, List<Choice> path, List<Choice> all) {
-        if (may(Choice.Kind.PROPOSE, path)) all.add(Choice.of(Choice.Kind.PROPOSE, p.slot()));
-        if (may(Choice.Kind.PROMOTE, path)) all.add(Choice.of(Choice.Kind.PROMOTE, p.slot()));
-        for (var k : List.of(Choice.Kind.LEARN, Choice.Kind.REMOVE, Choice.Kind.HAND_OVER))
-            for (var other : w.peers()) if (other != p && may(k, path)) all.add(Choice.of(k, p.slot(), other.slot()));
+    private void addLeaderChoices(World world, Peer leader, List<Choice> path, List<Choice> choices) {
+        if (isAllowed(Choice.Kind.PROPOSE, path)) choices.add(Choice.of(Choice.Kind.PROPOSE, leader.slot()));
+        if (isAllowed(Choice.Kind.PROMOTE, path)) choices.add(Choice.of(Choice.Kind.PROMOTE, leader.slot()));
+        for (var kind : List.of(Choice.Kind.LEARN, Choice.Kind.REMOVE, Choice.Kind.HAND_OVER))
+            for (var other : world.peers())
+                if (other != leader && isAllowed(kind, path)) choices.add(Choice.of(kind, leader.slot(), other.slot()));
     }
 
-    private boolean may(Choice.Kind k, List<Choice> path) {
-        var most = start.most().getOrDefault(k, 0);
-        return most > 0
-                && (k == Choice.Kind.ADVANCE
-                        || path.stream().filter(c -> c.kind() == k).count() < most);
+    private boolean isAllowed(Choice.Kind kind, List<Choice> path) {
+        var limit = start.most().getOrDefault(kind, 0);
+        return limit > 0
+                && (kind == Choice.Kind.ADVANCE
+                        || path.stream().filter(choice -> choice.kind() == kind).count() < limit);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Violation.java
+++ b/test/sim/src/test/java/craneway/sim/model/Violation.java
@@ -1,6 +1,6 @@
 package craneway.sim.model;
 
-/** A step of the model after which an invariant does not hold. */
+/** Thrown when an invariant does not hold after a step. */
 final class Violation extends RuntimeException {
     private final Invariant invariant;
 
--- a/test/sim/src/test/java/craneway/sim/model/World.java
+++ b/test/sim/src/test/java/craneway/sim/model/World.java
@@ -13,28 +13,36 @@
 import java.util.Set;
 import java.util.function.IntFunction;
 
-/** Members of one agreement group on simulated disks, clock and network; every change of it is a {@link Choice}. */
+/** Members of one consensus group on simulated disks, clock and network; every change to it is a {@link Choice}. */
 final class World {
     static final int PART = 0;
     static final long CORE = 9;
 
-    /** What a world is made of; the noise is how many in a thousand messages are lost, doubled or late. */
+    /**
+     * The properties of a world.
+     *
+     * @param voters the number of voters at the start
+     * @param slots the number of stores
+     * @param pace the timing of the group
+     * @param noise how many messages in a thousand are lost, how many duplicated and how many late
+     * @param randoms creates a member's source of randomness from its slot and the number of its starts
+     */
     record Shape(int voters, int slots, TimingProfile pace, long seed, int noise, IntFunction<Random> randoms) {}
 
     private final Shape shape;
     private final Plant plant;
     private final Ledger ledger;
     private final List<Peer> peers = new ArrayList<>();
-    private final Map<Long, Integer> slots = new HashMap<>();
-    private final Map<String, Integer> labels = new HashMap<>();
-    private final List<Letter> mail = new ArrayList<>();
-    private final Set<String> late = new HashSet<>();
-    private final Set<Integer> ticked = new HashSet<>();
-    private final Set<Integer> cuts = new HashSet<>();
+    private final Map<Long, Integer> slotById = new HashMap<>();
+    private final Map<String, Integer> countByLink = new HashMap<>();
+    private final List<Letter> messagesInFlight = new ArrayList<>();
+    private final Set<String> postponedLabels = new HashSet<>();
+    private final Set<Integer> tickedSlots = new HashSet<>();
+    private final Set<Integer> cutLinks = new HashSet<>();
     private final Network network;
     private final Steward steward;
-    private long now = 1_000_000;
-    private long proposals;
+    private long nowMicros = 1_000_000;
+    private long proposalCount;
 
     World(Shape shape, Plant plant, Set<Invariant> checked) {
         this.shape = shape;
@@ -51,7 +59,7 @@
         for (var slot = 1; slot <= shape.slots(); slot++) {
             var peer = new Peer(this, slot, slot <= ids.length ? Members.of(ids, zones) : new Members());
             peers.add(peer);
-            slots.put(peer.id(), slot);
+            slotById.put(peer.id(), slot);
             start(peer);
         }
     }
@@ -77,7 +85,7 @@
     }
 
     long now() {
-        return now;
+        return nowMicros;
     }
 
     List<Peer> peers() {
@@ -89,41 +97,45 @@
     }
 
     List<Letter> mail() {
-        return mail;
+        return messagesInFlight;
     }
 
-    /** Labels of the letters that come only when someone chooses so. */
+    /** Labels of the messages that are delivered only by an explicit choice. */
     Set<String> late() {
-        return late;
+        return postponedLabels;
     }
 
-    /** Hundred times the sender's slot, and the receiver's: what is sent there is lost. */
+    /** The cut links, each as 100 times the sender's slot plus the receiver's slot; what is sent over them is lost. */
     Set<Integer> cuts() {
-        return cuts;
+        return cutLinks;
     }
 
-    /** The slots that have looked at their clock at this very moment. */
+    /** The slots that have ticked at the current time. */
     Set<Integer> ticked() {
-        return ticked;
+        return tickedSlots;
     }
 
+    /** Whether the disk that belonged to this member id was lost. */
     boolean lost(long id) {
-        return peer(slots.get(id)).id() != id;
+        return peer(slotById.get(id)).id() != id;
     }
 
+    /** The peer with this member id, or null if its disk was lost. */
     Peer holder(long id) {
-        return lost(id) ? null : peer(slots.get(id));
+        return lost(id) ? null : peer(slotById.get(id));
     }
 
-    void post(Peer from, PartMessage message) {
-        var m = plant.sent(from.slot(), message);
-        var to = slots.get(message.to);
-        if (m == null || to == null) return;
-        ledger.sent(from, m);
-        var link = from.slot() + ">" + to + " " + name(m.kind);
-        var label = link + "#" + labels.merge(link, 1, Integer::sum);
-        if (cuts.contains(from.slot() * 100 + to)) return;
-        for (var at : network.arrivals(label, now)) mail.add(new Letter(label, from.slot(), to, m, at));
+    /** Sends a message through the network, after the injected fault had its turn. */
+    void post(Peer sender, PartMessage message) {
+        var sent = plant.sent(sender.slot(), message);
+        var receiverSlot = slotById.get(message.to);
+        if (sent == null || receiverSlot == null) return;
+        ledger.recordSent(sender, sent);
+        var link = sender.slot() + ">" + receiverSlot + " " + name(sent.kind);
+        var label = link + "#" + countByLink.merge(link, 1, Integer::sum);
+        if (cutLinks.contains(sender.slot() * 100 + receiverSlot)) return;
+        for (var arrivesAt : network.arrivals(label, nowMicros))
+            messagesInFlight.add(new Letter(label, sender.slot(), receiverSlot, sent, arrivesAt));
     }
 
     private static String name(int kind) {
@@ -140,138 +152,144 @@
         };
     }
 
-    /** Does one choice, as far as it still makes sense, and checks every invariant. */
-    void apply(Choice c) {
+    /** Performs a choice as far as it applies to the current state, and checks every invariant. */
+    void apply(Choice choice) {
         try {
-            step(c);
+            step(choice);
             ledger.check();
-        } catch (Violation v) {
-            throw v;
+        } catch (Violation violation) {
+            throw violation;
         } catch (RuntimeException e) {
             throw new Violation(Invariant.PROBLEMS_ARE_CONTAINED, e + " at " + e.getStackTrace()[0]);
         }
     }
 
-    private void step(Choice c) {
-        switch (c.kind()) {
+    private void step(Choice choice) {
+        switch (choice.kind()) {
             case ADVANCE -> {
-                now += c.a() * 1_000L;
-                ticked.clear();
+                nowMicros += choice.a() * 1_000L;
+                tickedSlots.clear();
             }
-            case POSTPONE -> late.add(c.label());
-            case DELIVER, REPEAT -> deliver(c);
-            case ROUND -> round(c.a() * 1_000L);
-            case CUT -> cuts.add(c.a() * 100 + c.b());
-            case HEAL -> cuts.clear();
+            case POSTPONE -> postponedLabels.add(choice.label());
+            case DELIVER, REPEAT -> deliver(choice);
+            case ROUND -> round(choice.a() * 1_000L);
+            case CUT -> cutLinks.add(choice.a() * 100 + choice.b());
+            case HEAL -> cutLinks.clear();
             case MANAGE -> steward.manage();
             default -> {
-                var p = c.a() == 0 ? leader() : peer(c.a());
-                if (p != null) applyTo(p, c);
+                var peer = choice.a() == 0 ? leader() : peer(choice.a());
+                if (peer != null) applyTo(peer, choice);
             }
         }
     }
 
-    private void applyTo(Peer p, Choice c) {
-        switch (c.kind()) {
-            case TICK -> tick(p);
-            case PROPOSE -> propose(p, c.b());
-            case RESTART -> restart(p);
-            case POWER -> losePower(p);
-            case LOSE -> loseDisk(p);
-            case LEARN, PROMOTE, REMOVE, HAND_OVER -> steward.change(p, c);
-            case FREEZE -> p.freeze(p.up());
-            case THAW -> p.freeze(false);
-            case DOWN -> p.stop();
-            case UP -> start(p);
-            case FULL -> p.disk().full(c.b() == 1);
-            default -> throw new IllegalArgumentException(c.toString());
+    private void applyTo(Peer peer, Choice choice) {
+        switch (choice.kind()) {
+            case TICK -> tick(peer);
+            case PROPOSE -> propose(peer, choice.b());
+            case RESTART -> restart(peer);
+            case POWER -> losePower(peer);
+            case LOSE -> loseDisk(peer);
+            case LEARN, PROMOTE, REMOVE, HAND_OVER -> steward.change(peer, choice);
+            case FREEZE -> peer.freeze(peer.up());
+            case THAW -> peer.freeze(false);
+            case DOWN -> peer.stop();
+            case UP -> start(peer);
+            case FULL -> peer.disk().full(choice.b() == 1);
+            default -> throw new IllegalArgumentException(choice.toString());
         }
     }
 
-    private void tick(Peer p) {
-        if (!p.runs()) return;
-        ticked.add(p.slot());
-        p.tick();
-        p.settle();
+    private void tick(Peer peer) {
+        if (!peer.runs()) return;
+        tickedSlots.add(peer.slot());
+        peer.tick();
+        peer.settle();
     }
 
-    private void propose(Peer p, int bytes) {
-        if (!p.runs()) return;
-        var body = new byte[8 + bytes];
-        body[0] = (byte) ++proposals;
-        body[1] = (byte) (proposals >> 8);
-        body[2] = (byte) p.slot();
-        var index = p.group().propose(body, now);
-        if (index > 0) ledger.proposed(p, index);
-        p.settle();
+    private void propose(Peer peer, int extraBytes) {
+        if (!peer.runs()) return;
+        var body = new byte[8 + extraBytes];
+        body[0] = (byte) ++proposalCount;
+        body[1] = (byte) (proposalCount >> 8);
+        body[2] = (byte) peer.slot();
+        var index = peer.group().propose(body, nowMicros);
+        if (index > 0) ledger.recordProposed(peer, index);
+        peer.settle();
     }
 
-    private void restart(Peer p) {
-        p.stop();
-        start(p);
+    private void restart(Peer peer) {
+        peer.stop();
+        start(peer);
     }
 
-    private void losePower(Peer p) {
-        p.losePower();
-        start(p);
+    private void losePower(Peer peer) {
+        peer.losePower();
+        start(peer);
     }
 
-    private void loseDisk(Peer p) {
-        if (!steward.mayLose(p)) return;
-        p.loseDisk(p.id() + 100);
-        slots.put(p.id(), p.slot());
-        start(p);
+    private void loseDisk(Peer peer) {
+        if (!steward.mayLose(peer)) return;
+        peer.loseDisk(peer.id() + 100);
+        slotById.put(peer.id(), peer.slot());
+        start(peer);
     }
 
-    private void start(Peer p) {
-        if (p.up()) return;
-        ledger.starting(p);
-        p.start(shape.randoms().apply(p.slot() * 1_000 + p.lives()));
+    private void start(Peer peer) {
+        if (peer.up()) return;
+        ledger.checkBeforeStart(peer);
+        peer.start(shape.randoms().apply(peer.slot() * 1_000 + peer.lives()));
     }
 
-    private void deliver(Choice c) {
-        for (var l : mail) {
-            if (!l.label().equals(c.label())) continue;
-            if (!peer(l.to()).runs()) return;
-            if (c.kind() == Choice.Kind.DELIVER) mail.remove(l);
-            else late.add(l.label());
-            hand(l);
+    private void deliver(Choice choice) {
+        for (var message : messagesInFlight) {
+            if (!message.label().equals(choice.label())) continue;
+            if (!peer(message.to()).runs()) return;
+            if (choice.kind() == Choice.Kind.DELIVER) messagesInFlight.remove(message);
+            else postponedLabels.add(message.label());
+            receive(message);
             return;
         }
     }
 
-    private void hand(Letter l) {
-        var p = peer(l.to());
-        p.group().receive(plant.received(l.to(), l.message()), now);
-        p.settle();
+    private void receive(Letter message) {
+        var receiver = peer(message.to());
+        receiver.group().receive(plant.received(message.to(), message.message()), nowMicros);
+        receiver.settle();
     }
 
-    /** Time goes on; whoever runs looks at its clock, then takes what has come, in the order of its coming. */
+    /**
+     * Advances time. Each running member ticks and receives the messages that are due, in the order of arrival; the
+     * network decides which of the two comes first.
+     */
     private void round(long micros) {
-        now += micros;
-        for (var p : peers) if (network.ticksFirst(p.slot(), now)) tick(p);
-        for (var l = nextDue(); l != null; l = nextDue()) {
-            mail.remove(l);
-            if (peer(l.to()).up()) hand(l);
+        nowMicros += micros;
+        for (var peer : peers) if (network.ticksFirst(peer.slot(), nowMicros)) tick(peer);
+        for (var message = nextDue(); message != null; message = nextDue()) {
+            messagesInFlight.remove(message);
+            if (peer(message.to()).up()) receive(message);
             ledger.check();
         }
-        for (var p : peers) if (!network.ticksFirst(p.slot(), now)) tick(p);
+        for (var peer : peers) if (!network.ticksFirst(peer.slot(), nowMicros)) tick(peer);
     }
 
+    /** The due message with the earliest arrival, or null; messages to frozen members wait. */
     private Letter nextDue() {
-        Letter best = null;
-        for (var l : mail)
-            if (l.at() <= now && !peer(l.to()).frozen() && (best == null || l.at() < best.at())) best = l;
-        return best;
+        Letter earliest = null;
+        for (var message : messagesInFlight)
+            if (message.at() <= nowMicros
+                    && !peer(message.to()).frozen()
+                    && (earliest == null || message.at() < earliest.at())) earliest = message;
+        return earliest;
     }
 
-    /** The leader of the highest term among those that run. */
+    /** The running leader of the highest term, or null. */
     Peer leader() {
-        Peer best = null;
-        for (var p : peers) {
-            if (!p.runs() || p.group().role() != Role.LEADER) continue;
-            if (best == null || p.group().term() > best.group().term()) best = p;
+        Peer newest = null;
+        for (var peer : peers) {
+            if (!peer.runs() || peer.group().role() != Role.LEADER) continue;
+            if (newest == null || peer.group().term() > newest.group().term()) newest = peer;
         }
-        return best;
+        return newest;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/package-info.java
+++ b/test/sim/src/test/java/craneway/sim/model/package-info.java
@@ -1,2 +1,2 @@
-/** Model checking of the agreement group on the production classes: every short history, and long random ones. */
+/** Model checking of the consensus group on the production classes: every short history, and long random ones. */
 package craneway.sim.model;
