--- a/test/sim/src/test/java/craneway/sim/history/ConfigurationModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/ConfigurationModel.java
@@ -26,8 +26,8 @@
             return number == operation.number() && value.equals(operation.value());
         }
 
-        State withConfiguration(Operation operation, Set<String> nowTaken) {
-            return new State(true, operation.number(), operation.value(), nowTaken, perhaps);
+        State withConfiguration(Operation operation, Set<String> newAccepted) {
+            return new State(true, operation.number(), operation.value(), newAccepted, perhaps);
         }
     }
 
@@ -38,11 +38,11 @@
 
     @Override
     public State unknown(List<Operation> sent) {
-        var perhaps = sent.stream()
+        var possiblyAccepted = sent.stream()
                 .filter(operation -> operation.type() == Type.CONFIGURE)
                 .map(ConfigurationModel::key)
                 .collect(Collectors.toUnmodifiableSet());
-        return new State(false, 0, "?", Set.of(), perhaps);
+        return new State(false, 0, "?", Set.of(), possiblyAccepted);
     }
 
     @Override
@@ -70,9 +70,9 @@
         if (state.perhaps.contains(key(operation))) successors.add(state);
         if (operation.number() <= operation.base() || state.known && state.number != operation.base())
             return successors;
-        var nowTaken = new HashSet<>(state.taken);
-        nowTaken.add(key(operation));
-        successors.add(state.withConfiguration(operation, Set.copyOf(nowTaken)));
+        var newAccepted = new HashSet<>(state.taken);
+        newAccepted.add(key(operation));
+        successors.add(state.withConfiguration(operation, Set.copyOf(newAccepted)));
         return successors;
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/Faults.java
+++ b/test/sim/src/test/java/craneway/sim/history/Faults.java
@@ -67,7 +67,7 @@
         else degradeLinks();
     }
 
-    /** Injects some faults within milliseconds after an acknowledgement, when lost data would be noticed. */
+    /** Injects some faults within milliseconds after an acknowledgement. */
     void acknowledged() {
         if (fleet.sim.now() >= endTime || random.nextDouble() >= FAULT_AFTER_ACKNOWLEDGEMENT_PROBABILITY) return;
         fleet.sim.after(drawDuration(MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MICROS), () -> {
@@ -121,6 +121,7 @@
         fleet.sim.at(time, repair);
     }
 
+    /** Whether the machine has been healthy for {@link #RESYNC_MICROS}. */
     private boolean isSynchronized(StoreNode node) {
         return node.well() && fleet.sim.now() - repairedAt.getOrDefault(node.name, 0L) >= RESYNC_MICROS;
     }
--- a/test/sim/src/test/java/craneway/sim/history/Linearizer.java
+++ b/test/sim/src/test/java/craneway/sim/history/Linearizer.java
@@ -22,8 +22,8 @@
  *   <li>Of equal unclear ones, the one that is excluded first goes first; the other can take its later place.
  * </ul>
  *
- * Unclear operations may be placed at any time after their call. In a model that {@link SequentialModel#bars} late
- * effects this ends once a command takes effect that was sent after they were given up.
+ * Unclear operations may be placed at any time after their call. In a model with
+ * {@link SequentialModel#bars} this ends once a command takes effect that was sent after they were given up.
  */
 final class Linearizer<S> {
     /** A node of the search tree: the operations that are placed or excluded, and the state after them. */
--- a/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
@@ -24,7 +24,7 @@
     /** Receives the result of each attempt and of the whole call; null stands for no response. */
     interface Listener {
         /** Called when an attempt ends. */
-        void tried(long startedAt, Answer answer);
+        void tried(long sentAt, Answer answer);
 
         /** Called when the whole call ends; the answer is null if no definite one came in time. */
         void over(long startedAt, Answer answer);
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -83,18 +83,12 @@
     private void sendConfiguration(Request request) {
         call(request, CONFIGURATION_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void tried(long startedAt, Answer answer) {}
+            public void tried(long sentAt, Answer answer) {}
 
             @Override
-            public void over(long startedAt, Answer answer) {
+            public void over(long sentAt, Answer answer) {
                 history.add(Operation.configure(
-                        name,
-                        request.base(),
-                        request.number(),
-                        request.value(),
-                        startedAt,
-                        sim.now(),
-                        outcome(answer)));
+                        name, request.base(), request.number(), request.value(), sentAt, sim.now(), outcome(answer)));
                 if (answer != null && answer.ok()) recordAccepted(request);
                 else read(READ_TIMEOUT_MICROS);
                 if (answer != null && answer.ok()) work();
@@ -120,11 +114,11 @@
     private void markZone(String zone, boolean emptied) {
         call(Request.mark(zone, emptied), ZONE_COMMAND_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void tried(long startedAt, Answer answer) {
+            public void tried(long sentAt, Answer answer) {
                 var outcome = answer != null && answer.status() >= 500 || answer == Answer.BROKEN
                         ? Outcome.UNCLEAR
                         : outcome(answer);
-                history.add(Operation.mark(name, zone, emptied, startedAt, sim.now(), outcome));
+                history.add(Operation.mark(name, zone, emptied, sentAt, sim.now(), outcome));
                 if (outcome == Outcome.ACKNOWLEDGED) onAcknowledged.run();
             }
 
@@ -139,8 +133,8 @@
     void read(long timeout) {
         call(Request.read(), timeout, new OperatorCall.Listener() {
             @Override
-            public void tried(long startedAt, Answer answer) {
-                if (answer != null && answer.ok()) recordRead(startedAt, answer);
+            public void tried(long sentAt, Answer answer) {
+                if (answer != null && answer.ok()) recordRead(sentAt, answer);
             }
 
             @Override
@@ -150,14 +144,13 @@
         });
     }
 
-    private void recordRead(long startedAt, Answer answer) {
+    private void recordRead(long sentAt, Answer answer) {
         var manifest = answer.manifest();
         newestKnownNumber = Math.max(newestKnownNumber, manifest.version);
         var value = manifest.version == 0 ? Operation.NOTHING : Office.value(manifest.source);
-        history.add(Operation.readConfiguration(name, manifest.version, value, startedAt, sim.now()));
+        history.add(Operation.readConfiguration(name, manifest.version, value, sentAt, sim.now()));
         for (var zone : List.of("z1", "z2"))
-            history.add(
-                    Operation.readZone(name, zone, manifest.marks.containsKey("zone:" + zone), startedAt, sim.now()));
+            history.add(Operation.readZone(name, zone, manifest.marks.containsKey("zone:" + zone), sentAt, sim.now()));
     }
 
     private void call(Request request, long timeout, OperatorCall.Listener listener) {
--- a/test/sim/src/test/java/craneway/sim/history/StoreNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNet.java
@@ -17,7 +17,7 @@
     private static final long CROSS_REGION_DELAY_MICROS = 35_000;
     private static final long DELAY_SPREAD_MICROS = 2_000;
     private static final long MIN_LATE_DELAY_MICROS = 100_000;
-    private static final long MAX_LATE_DELAY_SPREAD_MICROS = 6_000_000;
+    private static final long LATE_DELAY_SPREAD_MICROS = 6_000_000;
     private static final long RECONNECT_INTERVAL_MICROS = 300_000;
     private static final long MAX_HOLD_MICROS = 10_000_000;
 
@@ -87,7 +87,7 @@
     }
 
     private long drawLateDelay() {
-        return MIN_LATE_DELAY_MICROS + (long) (sim.random.nextDouble() * MAX_LATE_DELAY_SPREAD_MICROS);
+        return MIN_LATE_DELAY_MICROS + (long) (sim.random.nextDouble() * LATE_DELAY_SPREAD_MICROS);
     }
 
     private void transmit(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
--- a/test/sim/src/test/java/craneway/sim/model/History.java
+++ b/test/sim/src/test/java/craneway/sim/model/History.java
@@ -43,13 +43,13 @@
 
     private final Size size;
     private final long seed;
-    private final Plant plant;
+    private final Plant injectedFault;
     private final Set<Invariant> checked;
 
-    History(Size size, long seed, Plant plant, Set<Invariant> checked) {
+    History(Size size, long seed, Plant injectedFault, Set<Invariant> checked) {
         this.size = size;
         this.seed = seed;
-        this.plant = plant;
+        this.injectedFault = injectedFault;
         this.checked = checked;
     }
 
@@ -117,14 +117,14 @@
     }
 
     private World createWorld() {
-        var shape = new World.Shape(
+        var setup = new World.Shape(
                 size.voters(),
                 size.slots(),
                 size.pace(),
                 seed,
                 size.noise(),
                 startNumber -> new Random(seed * 31 + startNumber));
-        var world = new World(shape, plant, checked);
+        var world = new World(setup, injectedFault, checked);
         world.ledger().stride(8);
         return world;
     }
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -19,8 +19,8 @@
         var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE));
         var entries = new ArrayList<Entry>();
         for (var i = log.first(); i <= log.last(); i++) entries.add(log.at(i));
-        var imageTerm = log.snapshot() == null ? 0 : log.snapshot().term;
-        return new LogView(log.term(), log.vote(), log.first(), imageTerm, entries);
+        var snapshotTerm = log.snapshot() == null ? 0 : log.snapshot().term;
+        return new LogView(log.term(), log.vote(), log.first(), snapshotTerm, entries);
     }
 
     /** Whether the log, including its snapshot, holds the entry. Whatever the snapshot covers counts as held. */
--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -21,7 +21,7 @@
     private ProbedDisk disk = new ProbedDisk(new Disk());
     private Chain chain;
     private Group group;
-    private boolean frozen;
+    private boolean suspended;
     private Members lastMembers = new Members();
     private int startCount;
 
@@ -64,22 +64,22 @@
 
     /** Whether the process runs and is not frozen. */
     boolean runs() {
-        return up() && !frozen;
+        return up() && !suspended;
     }
 
     boolean frozen() {
-        return frozen;
+        return suspended;
     }
 
     /** Suspends or resumes the process. */
     void freeze(boolean value) {
-        frozen = value;
+        suspended = value;
     }
 
     /** Starts a member on the disk. A healthy disk must never be reported as lost. */
     void start(Random random) {
         startCount++;
-        frozen = false;
+        suspended = false;
         chain = new Chain(world.ledger(), slot);
         world.plant().starting(slot, disk);
         try {
@@ -108,7 +108,7 @@
     void stop() {
         if (group != null) lastMembers = group.members();
         group = null;
-        frozen = false;
+        suspended = false;
     }
 
     /** Ends the process; the disk keeps only what was synced. */
--- a/test/sim/src/test/java/craneway/sim/model/Starts.java
+++ b/test/sim/src/test/java/craneway/sim/model/Starts.java
@@ -29,9 +29,9 @@
     private Starts() {}
 
     /** A world without random message faults, whose members draw the same election timeout each time. */
-    static World world(int voters, int slots, Plant plant, Set<Invariant> checked) {
-        var shape = new World.Shape(voters, slots, TimingProfile.STANDARD, 1, 0, seed -> new Fixed(seed / 1_000 * 0.1));
-        return new World(shape, plant, checked);
+    static World world(int voters, int slots, Plant injectedFault, Set<Invariant> checked) {
+        var setup = new World.Shape(voters, slots, TimingProfile.STANDARD, 1, 0, seed -> new Fixed(seed / 1_000 * 0.1));
+        return new World(setup, injectedFault, checked);
     }
 
     /** Three voters without injected faults, all invariants checked. */
--- a/test/sim/src/test/java/craneway/sim/model/World.java
+++ b/test/sim/src/test/java/craneway/sim/model/World.java
@@ -29,8 +29,8 @@
      */
     record Shape(int voters, int slots, TimingProfile pace, long seed, int noise, IntFunction<Random> randoms) {}
 
-    private final Shape shape;
-    private final Plant plant;
+    private final Shape setup;
+    private final Plant injectedFault;
     private final Ledger ledger;
     private final List<Peer> peers = new ArrayList<>();
     private final Map<Long, Integer> slotById = new HashMap<>();
@@ -44,19 +44,19 @@
     private long nowMicros = 1_000_000;
     private long proposalCount;
 
-    World(Shape shape, Plant plant, Set<Invariant> checked) {
-        this.shape = shape;
-        this.plant = plant;
+    World(Shape setup, Plant injectedFault, Set<Invariant> checked) {
+        this.setup = setup;
+        this.injectedFault = injectedFault;
         ledger = new Ledger(this, checked);
-        network = new Network(shape.seed(), shape.noise());
+        network = new Network(setup.seed(), setup.noise());
         steward = new Steward(this);
-        var ids = new long[shape.voters()];
-        var zones = new String[shape.voters()];
+        var ids = new long[setup.voters()];
+        var zones = new String[setup.voters()];
         for (var i = 0; i < ids.length; i++) {
             ids[i] = i + 1;
             zones[i] = "z" + (i + 1);
         }
-        for (var slot = 1; slot <= shape.slots(); slot++) {
+        for (var slot = 1; slot <= setup.slots(); slot++) {
             var peer = new Peer(this, slot, slot <= ids.length ? Members.of(ids, zones) : new Members());
             peers.add(peer);
             slotById.put(peer.id(), slot);
@@ -65,15 +65,15 @@
     }
 
     Shape shape() {
-        return shape;
+        return setup;
     }
 
     TimingProfile pace() {
-        return shape.pace();
+        return setup.pace();
     }
 
     Plant plant() {
-        return plant;
+        return injectedFault;
     }
 
     Ledger ledger() {
@@ -127,7 +127,7 @@
 
     /** Sends a message through the network, after the injected fault had its turn. */
     void post(Peer sender, PartMessage message) {
-        var sent = plant.sent(sender.slot(), message);
+        var sent = injectedFault.sent(sender.slot(), message);
         var receiverSlot = slotById.get(message.to);
         if (sent == null || receiverSlot == null) return;
         ledger.recordSent(sender, sent);
@@ -238,7 +238,7 @@
     private void start(Peer peer) {
         if (peer.up()) return;
         ledger.checkBeforeStart(peer);
-        peer.start(shape.randoms().apply(peer.slot() * 1_000 + peer.lives()));
+        peer.start(setup.randoms().apply(peer.slot() * 1_000 + peer.lives()));
     }
 
     private void deliver(Choice choice) {
@@ -254,7 +254,7 @@
 
     private void receive(Letter message) {
         var receiver = peer(message.to());
-        receiver.group().receive(plant.received(message.to(), message.message()), nowMicros);
+        receiver.group().receive(injectedFault.received(message.to(), message.message()), nowMicros);
         receiver.settle();
     }
 
