--- a/test/sim/src/main/java/craneway/sim/AttemptBudget.java
+++ b/test/sim/src/main/java/craneway/sim/AttemptBudgetChecker.java
@@ -8,7 +8,7 @@
  * Checks the retry promises on a journal: a cold runner is loaded no faster than its warm-up ramp permits, and repeated
  * runs and forwards of a submission stay within the fleet's budget.
  */
-final class AttemptBudget {
+final class AttemptBudgetChecker {
     /** Length of the sliding window in which the budget must hold as well as over the whole run. */
     private static final long WINDOW_MICROS = 10_000_000;
 
@@ -16,7 +16,7 @@
     private final Map<String, Long> warmUpMicros;
     private final Checks checks;
 
-    AttemptBudget(Journal journal, Map<String, Long> warmUpMicros, Checks checks) {
+    AttemptBudgetChecker(Journal journal, Map<String, Long> warmUpMicros, Checks checks) {
         this.journal = journal;
         this.warmUpMicros = warmUpMicros;
         this.checks = checks;
--- a/test/sim/src/main/java/craneway/sim/Checks.java
+++ b/test/sim/src/main/java/craneway/sim/Checks.java
@@ -38,9 +38,9 @@
         checkRunOnce();
         checkDeclinedNotRun();
         checkStreams();
-        new Rights(journal, zoneRegion, this).check();
-        new Manifests(journal, this).check();
-        new AttemptBudget(journal, warmUpMicros, this).check();
+        new PlacementChecker(journal, zoneRegion, this).check();
+        new ManifestChecker(journal, this).check();
+        new AttemptBudgetChecker(journal, warmUpMicros, this).check();
         checkDeclineDelay();
         return violations;
     }
@@ -177,7 +177,7 @@
         if (reply.code == ProblemKind.QUOTA_SPENT.code()
                 || reply.code == ProblemKind.CLAIMS_LOST.code() && !journal.claimsAccepted) return true;
         if (reply.code != ProblemKind.NO_RUNNER.code()) return false;
-        return new Rights(journal, zoneRegion, this).allEmptied(reply);
+        return new PlacementChecker(journal, zoneRegion, this).allEmptied(reply);
     }
 
     /** Whether the client got the complete stream, or was told that the work had already run. */
--- a/test/sim/src/main/java/craneway/sim/NodePort.java
+++ b/test/sim/src/main/java/craneway/sim/MachinePort.java
@@ -9,20 +9,20 @@
  * The port of one process of a simulated machine: clock, messages and log. Messages of a process that has ended are
  * dropped.
  */
-final class NodePort implements Port {
+final class MachinePort implements Port {
     /** A machine that takes messages from other nodes. */
     interface Receiver {
         /** Handles an encoded message. */
         void receive(byte[] message);
 
         /** The id of the core that the node belongs to, or 0 if it does not know one yet. */
-        long core();
+        long coreId();
     }
 
     private final Machine machine;
     private final int processNumber;
 
-    NodePort(Machine machine) {
+    MachinePort(Machine machine) {
         this.machine = machine;
         this.processNumber = machine.life();
     }
@@ -36,12 +36,14 @@
     public void send(String address, Object message) {
         if (machine.life() != processNumber) return;
         var encoded = Codec.writeTagged(message);
-        var coreId = ((Receiver) machine).core();
+        var coreId = ((Receiver) machine).coreId();
         // As on real connections, only a greeting passes between nodes of different cores.
         machine.world.net.send(machine, address, () -> {
             if (machine.world.net.at(address) instanceof Receiver receiver
-                    && (message instanceof Hello || coreId == 0 || receiver.core() == 0 || receiver.core() == coreId))
-                receiver.receive(encoded);
+                    && (message instanceof Hello
+                            || coreId == 0
+                            || receiver.coreId() == 0
+                            || receiver.coreId() == coreId)) receiver.receive(encoded);
         });
     }
 
--- a/test/sim/src/main/java/craneway/sim/Manifests.java
+++ b/test/sim/src/main/java/craneway/sim/ManifestChecker.java
@@ -8,11 +8,11 @@
  * Checks the promises on manifests, marks and assignment tables: versions never go back, accepted ones reach every node
  * in time, rejected ones never take effect, and confirmed state is kept.
  */
-final class Manifests {
+final class ManifestChecker {
     private final Journal journal;
     private final Checks checks;
 
-    Manifests(Journal journal, Checks checks) {
+    ManifestChecker(Journal journal, Checks checks) {
         this.journal = journal;
         this.checks = checks;
     }
--- a/test/sim/src/main/java/craneway/sim/Rights.java
+++ b/test/sim/src/main/java/craneway/sim/PlacementChecker.java
@@ -14,7 +14,7 @@
  * Checks where work ran: not on leaving runners, not in emptied zones or cells, only in the tenant's regions, and
  * within quotas.
  */
-final class Rights {
+final class PlacementChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MINUTE_MICROS = 60_000_000;
 
@@ -22,7 +22,7 @@
     private final Map<String, String> zoneRegion;
     private final Checks checks;
 
-    Rights(Journal journal, Map<String, String> zoneRegion, Checks checks) {
+    PlacementChecker(Journal journal, Map<String, String> zoneRegion, Checks checks) {
         this.journal = journal;
         this.zoneRegion = zoneRegion;
         this.checks = checks;
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 
 /** A simulated machine that runs the production router. */
-public final class RouterMachine extends Machine implements NodePort.Receiver, Stream.Server {
+public final class RouterMachine extends Machine implements MachinePort.Receiver, SimulatedStream.Server {
     public Router router;
     public OperatorCommands operator;
     private long lastRequestId;
@@ -27,7 +27,7 @@
 
     @Override
     protected void boot() {
-        var port = new NodePort(this);
+        var port = new MachinePort(this);
         leaving = false;
         router =
                 new Router(port, world.node(this, Node.ROUTER), world.seeds(), new Random(world.sim.random.nextLong()));
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public long core() {
+    public long coreId() {
         return router == null ? 0 : router.directory().self().coreId;
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void serve(Stream stream, String path, Map<String, String> headers, byte[] body) {
+    public void serve(SimulatedStream stream, String path, Map<String, String> headers, byte[] body) {
         var text = new String(body);
         if (path.equals(HttpExchange.TO_ROUTER))
             world.journal.forwards.add(new Journal.Forward(now(), text.split(" ")[1]));
@@ -105,10 +105,10 @@
 
     /** Passes what the request relay produces to the caller's stream. */
     private final class ClientExchange implements HttpExchange {
-        private final Stream stream;
+        private final SimulatedStream stream;
         private final String sub;
 
-        ClientExchange(Stream stream, String sub) {
+        ClientExchange(SimulatedStream stream, String sub) {
             this.stream = stream;
             this.sub = sub;
         }
@@ -131,7 +131,7 @@
         @Override
         public boolean write(byte[] bytes) {
             stream.chunk(bytes);
-            return stream.open();
+            return stream.isOpen();
         }
 
         @Override
@@ -152,7 +152,7 @@
         @Override
         public void cut(Problem problem, boolean started) {
             if (started) stream.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
-            stream.broken();
+            stream.breakOff();
         }
     }
 }
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -9,7 +9,7 @@
 /**
  * A simulated runner: announces itself to the routers of its zone and streams a token at a fixed interval for each run.
  */
-public final class RunnerMachine extends Machine implements Stream.Server {
+public final class RunnerMachine extends Machine implements SimulatedStream.Server {
     private static final long ANNOUNCE_INTERVAL_MICROS = 500_000;
     private static final long PREFILL_MICROS = 60_000;
     private static final long TOKEN_INTERVAL_MICROS = 20_000;
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void serve(Stream stream, String path, Map<String, String> headers, byte[] body) {
+    public void serve(SimulatedStream stream, String path, Map<String, String> headers, byte[] body) {
         var load = Map.of(HttpExchange.LOAD, Integer.toString(activeRuns.size()));
         if (activeRuns.size() >= slots) {
             stream.status(503, load);
@@ -142,7 +142,7 @@
             if (failing) {
                 finished[0] = true;
                 activeRuns.remove(run);
-                stream.broken();
+                stream.breakOff();
                 return;
             }
             stream.status(200, load);
@@ -150,7 +150,7 @@
         });
     }
 
-    private void streamToken(Stream stream, Journal.Run run, int token, boolean[] finished) {
+    private void streamToken(SimulatedStream stream, Journal.Run run, int token, boolean[] finished) {
         if (finished[0]) return;
         if (token < run.tokens) {
             stream.chunk(("data: " + token + "\n\n").getBytes());
--- a/test/sim/src/main/java/craneway/sim/Stream.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedStream.java
@@ -9,14 +9,14 @@
  * A simulated HTTP request with a streamed response. Frames arrive in order; over a cut link they wait until the link
  * is restored.
  */
-final class Stream implements HttpExchange.Call {
+final class SimulatedStream implements HttpExchange.Call {
     private static final long CUT_RETRY_INTERVAL_MICROS = 200_000;
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
     /** A machine that serves requests. */
     interface Server {
         /** Handles a request and answers on the stream. */
-        void serve(Stream stream, String path, Map<String, String> headers, byte[] body);
+        void serve(SimulatedStream stream, String path, Map<String, String> headers, byte[] body);
     }
 
     final Machine from;
@@ -34,7 +34,7 @@
     private String submissionId = "";
     private Runnable onCancel = () -> {};
 
-    Stream(World world, Machine from, Machine to, HttpExchange.Sink sink) {
+    SimulatedStream(World world, Machine from, Machine to, HttpExchange.Sink sink) {
         this.world = world;
         this.from = from;
         this.to = to;
@@ -71,7 +71,7 @@
     }
 
     /** Whether the server may still write. */
-    boolean open() {
+    boolean isOpen() {
         return !closed;
     }
 
@@ -87,7 +87,7 @@
         reply(sink::end, true);
     }
 
-    void broken() {
+    void breakOff() {
         reply(sink::broken, true);
     }
 
@@ -123,7 +123,7 @@
     /**
      * Breaks the connection when the process of either side ends; the other side notices it if the links are intact.
      */
-    void machineDied(Machine machine) {
+    void onProcessEnd(Machine machine) {
         if (closed || !accepted) return;
         if (machine == from) {
             closed = true;
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 
 /** A simulated machine that runs the production store on a simulated disk. */
-public final class StoreMachine extends Machine implements NodePort.Receiver {
+public final class StoreMachine extends Machine implements MachinePort.Receiver {
     public final Disk disk = new Disk();
     private final Deque<Object> waitingForDisk = new ArrayDeque<>();
     private boolean diskStalled;
@@ -29,7 +29,7 @@
     protected void boot() {
         diskStalled = false;
         waitingForDisk.clear();
-        var port = new NodePort(this);
+        var port = new MachinePort(this);
         store = new Store(
                 port,
                 disk,
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public long core() {
+    public long coreId() {
         return store == null ? 0 : store.directory().self().coreId;
     }
 
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -53,7 +53,7 @@
     /** The wire version that nodes speak which start from now on. */
     public int wire = Node.WIRE;
 
-    final Set<Stream> streams = new LinkedHashSet<>();
+    final Set<SimulatedStream> streams = new LinkedHashSet<>();
 
     /** By node: the process and manifest version that were last recorded. */
     private final Map<String, String> lastSeen = new HashMap<>();
@@ -171,14 +171,14 @@
             Map<String, String> headers,
             byte[] body,
             HttpExchange.Sink sink) {
-        var stream = new Stream(this, from, net.at(address), sink);
+        var stream = new SimulatedStream(this, from, net.at(address), sink);
         stream.connect(path, headers, body);
         return stream;
     }
 
     /** Breaks the connections of a machine whose process has ended. */
     void broke(Machine machine) {
-        for (var stream : List.copyOf(streams)) stream.machineDied(machine);
+        for (var stream : List.copyOf(streams)) stream.onProcessEnd(machine);
     }
 
     /** Records which manifest a node has in force, and which units have moved. */
--- a/test/sim/src/test/java/craneway/sim/history/ConfigurationModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/ConfigurationModel.java
@@ -17,27 +17,27 @@
     /**
      * The newest configuration and the accepted ones.
      *
-     * @param known whether number and value are known
-     * @param taken the configurations that certainly were accepted
-     * @param perhaps the configurations that may have been accepted before the examined part of the history
+     * @param known whether version and value are known
+     * @param accepted the configurations that certainly were accepted
+     * @param possiblyAccepted the configurations that may have been accepted before the examined part of the history
      */
-    record State(boolean known, long number, String value, Set<String> taken, Set<String> perhaps) {
+    record State(boolean known, long version, String value, Set<String> accepted, Set<String> possiblyAccepted) {
         boolean matches(Operation operation) {
-            return number == operation.number() && value.equals(operation.value());
+            return version == operation.version() && value.equals(operation.value());
         }
 
         State withConfiguration(Operation operation, Set<String> newAccepted) {
-            return new State(true, operation.number(), operation.value(), newAccepted, perhaps);
+            return new State(true, operation.version(), operation.value(), newAccepted, possiblyAccepted);
         }
     }
 
     @Override
     public State initial() {
-        return new State(true, 0, Operation.NOTHING, Set.of(), Set.of());
+        return new State(true, 0, Operation.NO_CONFIGURATION, Set.of(), Set.of());
     }
 
     @Override
-    public State unknown(List<Operation> sent) {
+    public State unknownAfter(List<Operation> sent) {
         var possiblyAccepted = sent.stream()
                 .filter(operation -> operation.type() == Type.CONFIGURE)
                 .map(ConfigurationModel::key)
@@ -54,34 +54,35 @@
     }
 
     private static List<State> afterRead(State state, Operation operation) {
-        if (!state.known) return List.of(state.withConfiguration(operation, state.taken));
+        if (!state.known) return List.of(state.withConfiguration(operation, state.accepted));
         return state.matches(operation) ? List.of(state) : List.of();
     }
 
     private static List<State> afterRefusal(State state, Operation operation) {
-        if (state.taken.contains(key(operation))) return List.of();
-        var mustBeAccepted = state.known && state.number == operation.base() && state.number < operation.number();
+        if (state.accepted.contains(key(operation))) return List.of();
+        var mustBeAccepted =
+                state.known && state.version == operation.baseVersion() && state.version < operation.version();
         return mustBeAccepted ? List.of() : List.of(state);
     }
 
     private static List<State> afterAcceptance(State state, Operation operation) {
-        if (state.taken.contains(key(operation))) return List.of(state);
+        if (state.accepted.contains(key(operation))) return List.of(state);
         var successors = new ArrayList<State>();
-        if (state.perhaps.contains(key(operation))) successors.add(state);
-        if (operation.number() <= operation.base() || state.known && state.number != operation.base())
+        if (state.possiblyAccepted.contains(key(operation))) successors.add(state);
+        if (operation.version() <= operation.baseVersion() || state.known && state.version != operation.baseVersion())
             return successors;
-        var newAccepted = new HashSet<>(state.taken);
+        var newAccepted = new HashSet<>(state.accepted);
         newAccepted.add(key(operation));
         successors.add(state.withConfiguration(operation, Set.copyOf(newAccepted)));
         return successors;
     }
 
     private static String key(Operation operation) {
-        return operation.number() + "/" + operation.value();
+        return operation.version() + "/" + operation.value();
     }
 
     @Override
-    public boolean bars() {
+    public boolean excludesLateEffects() {
         return false;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/SlowCallTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.sim.history.Office.Request;
 import craneway.sim.history.Operation.Outcome;
+import craneway.sim.history.OperatorEndpoint.Request;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,19 +13,19 @@
  * A delayed call: its store reads it while the caller still waits and then allows the core 0.8 s, although the caller
  * gives up one second after it sent the call.
  */
-class SlowCallTest {
+class DelayedCallTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long CALL_DELAY_MICROS = 400_000;
     private static final long POLL_INTERVAL_MICROS = 5_000;
 
-    private final Fleet fleet = new Fleet(1, 3);
-    private final OperatorNet net = new OperatorNet(fleet, new Office());
+    private final StoreFleet fleet = new StoreFleet(1, 3);
+    private final OperatorNetwork net = new OperatorNetwork(fleet, new OperatorEndpoint());
     private final List<Operation> history = new ArrayList<>();
 
     @Test
     void aZoneCommandThatReachesItsStoreLateDoesNotUndoALaterOne() {
-        net.latestRead = Long.MAX_VALUE;
-        fleet.net.heldByCut = 1;
+        net.maxReadDelayMicros = Long.MAX_VALUE;
+        fleet.net.heldShare = 1;
         fleet.run(10 * SECOND_MICROS);
         var leader = fleet.leader();
         var isolated = fleet.nodes().stream()
@@ -39,7 +39,7 @@
             net.call(isolated, Request.mark("z1", true), answer -> {});
         });
         fleet.run(SECOND_MICROS);
-        history.add(Operation.mark("operator", "z1", true, sentAt, fleet.sim.now(), Outcome.UNCLEAR));
+        history.add(Operation.markZone("operator", "z1", true, sentAt, fleet.sim.now(), Outcome.UNCLEAR));
         markZone(leader, false);
         fleet.net.heal();
         fleet.run(4 * SECOND_MICROS);
@@ -52,9 +52,9 @@
     private void markZone(StoreNode node, boolean emptied) {
         var sentAt = fleet.sim.now();
         var acknowledged = new ArrayList<Boolean>();
-        net.call(node, Request.mark("z1", emptied), answer -> acknowledged.add(answer.ok()));
+        net.call(node, Request.mark("z1", emptied), answer -> acknowledged.add(answer.isOk()));
         while (acknowledged.isEmpty() && fleet.sim.now() < sentAt + SECOND_MICROS) fleet.run(POLL_INTERVAL_MICROS);
         assertTrue(acknowledged.equals(List.of(true)));
-        history.add(Operation.mark("operator", "z1", emptied, sentAt, fleet.sim.now(), Outcome.ACKNOWLEDGED));
+        history.add(Operation.markZone("operator", "z1", emptied, sentAt, fleet.sim.now(), Outcome.ACKNOWLEDGED));
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/Faults.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultInjector.java
@@ -12,7 +12,7 @@
  * lost only as the setting {@code withstand} permits: at most that many, while all others have been healthy for {@code
  * sync_s}; the others may lose power at the same moment.
  */
-final class Faults {
+final class FaultInjector {
     private static final long MIN_GAP_MICROS = 300_000;
     private static final long MAX_EXTRA_GAP_MICROS = 2_500_000;
     private static final long MAX_FAULT_MICROS = 7_000_000;
@@ -25,7 +25,7 @@
     private static final long LEAVE_DURATION_MICROS = 500_000;
     private static final double FAULT_AFTER_ACKNOWLEDGEMENT_PROBABILITY = 0.03;
 
-    private final Fleet fleet;
+    private final StoreFleet fleet;
     private final Random random;
     private final Map<String, Long> repairedAt = new HashMap<>();
     private final long endTime;
@@ -33,19 +33,19 @@
     /** The number of faults so far. */
     int faultCount;
 
-    Faults(Fleet fleet, long endTime) {
+    FaultInjector(StoreFleet fleet, long endTime) {
         this.fleet = fleet;
         this.endTime = endTime;
         random = new Random(fleet.sim.random.nextLong());
     }
 
     /** Injects faults at random intervals until the end time. */
-    void begin() {
+    void start() {
         fleet.sim.after(MIN_GAP_MICROS + drawDuration(MAX_EXTRA_GAP_MICROS), () -> {
             if (fleet.sim.now() >= endTime) return;
             faultCount++;
             injectFault();
-            begin();
+            start();
         });
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Injects some faults within milliseconds after an acknowledgement. */
-    void acknowledged() {
+    void afterAcknowledgement() {
         if (fleet.sim.now() >= endTime || random.nextDouble() >= FAULT_AFTER_ACKNOWLEDGEMENT_PROBABILITY) return;
         fleet.sim.after(drawDuration(MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MICROS), () -> {
             faultCount++;
@@ -101,7 +101,7 @@
     /** Ends the processes and starts each again after a random time. */
     private void endAndRestart(List<StoreNode> nodes, Ending ending) {
         for (var node : nodes) {
-            if (!node.up()) continue;
+            if (!node.isRunning()) continue;
             fleet.note(node.name, "PROCESS ENDS");
             ending.apply(node);
             scheduleRepair(
@@ -123,13 +123,13 @@
 
     /** Whether the machine has been healthy for {@link #RESYNC_MICROS}. */
     private boolean isSynchronized(StoreNode node) {
-        return node.well() && fleet.sim.now() - repairedAt.getOrDefault(node.name, 0L) >= RESYNC_MICROS;
+        return node.isHealthy() && fleet.sim.now() - repairedAt.getOrDefault(node.name, 0L) >= RESYNC_MICROS;
     }
 
     private void loseDisks() {
-        if (!fleet.net.whole() || !fleet.nodes().stream().allMatch(this::isSynchronized)) return;
+        if (!fleet.net.isIntact() || !fleet.nodes().stream().allMatch(this::isSynchronized)) return;
         var lost = new ArrayList<StoreNode>();
-        for (var i = 0; i <= random.nextInt(fleet.losses()); i++) lost.add(pickNode());
+        for (var i = 0; i <= random.nextInt(fleet.maxLosses()); i++) lost.add(pickNode());
         var othersLosePower = random.nextBoolean();
         for (var node : fleet.nodes()) {
             if (lost.contains(node)) endAndRestart(List.of(node), StoreNode::loseDisk);
@@ -139,7 +139,7 @@
 
     /** Stops a machine as planned and starts another in its place, with an empty disk and another address. */
     private void replaceMachine() {
-        if (!fleet.net.whole() || !fleet.nodes().stream().allMatch(this::isSynchronized)) return;
+        if (!fleet.net.isIntact() || !fleet.nodes().stream().allMatch(this::isSynchronized)) return;
         var node = pickNode();
         var replacement = fleet.replace(node);
         fleet.note(node.name, "REPLACED by " + replacement.name);
@@ -168,27 +168,27 @@
     }
 
     private void freeze(StoreNode node) {
-        if (!node.well()) return;
+        if (!node.isHealthy()) return;
         fleet.note(node.name, "FROZEN");
         node.freeze();
         scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), node::thaw);
     }
 
     private void slow(StoreNode node) {
-        node.slow(20_000 + drawDuration(600_000));
-        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> node.slow(0));
+        node.setMaxReceiveDelay(20_000 + drawDuration(600_000));
+        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> node.setMaxReceiveDelay(0));
     }
 
     private void hang(StoreNode node) {
-        if (!node.well()) return;
-        node.hang(true);
-        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> node.hang(false));
+        if (!node.isHealthy()) return;
+        node.setDiskHung(true);
+        scheduleRepair(node, drawDuration(MAX_FAULT_MICROS), () -> node.setDiskHung(false));
     }
 
     /** Transfers leadership as a planned stop does. It counts as a fault, since a planned stop would. */
     private void transferLeadership() {
         var node = fleet.leader();
-        if (node == null || !node.well()) return;
+        if (node == null || !node.isHealthy()) return;
         fleet.note(node.name, "TRANSFERS LEADERSHIP");
         node.store().transferLeadership();
         repairedAt.merge(node.name, fleet.sim.now(), Math::max);
@@ -200,23 +200,23 @@
         net.lostShare = random.nextDouble() * 0.2;
         net.duplicateShare = random.nextDouble() * 0.2;
         net.lateShare = random.nextDouble() * 0.2;
-        fleet.nodes().forEach(node -> scheduleRepair(node, MAX_EXTRA_GAP_MICROS, this::usualLinks));
+        fleet.nodes().forEach(node -> scheduleRepair(node, MAX_EXTRA_GAP_MICROS, this::setUsualLinkFaults));
     }
 
     /** Sets the links' usual rates of faults. */
-    void usualLinks() {
+    void setUsualLinkFaults() {
         fleet.net.lostShare = 0.002;
         fleet.net.duplicateShare = 0.02;
         fleet.net.lateShare = 0.01;
     }
 
     /** Ends every fault and starts every store. */
-    void over() {
+    void endAll() {
         fleet.net.heal();
         fleet.net.lostShare = fleet.net.duplicateShare = fleet.net.lateShare = 0;
         for (var node : fleet.nodes()) {
-            node.slow(0);
-            node.hang(false);
+            node.setMaxReceiveDelay(0);
+            node.setDiskHung(false);
             node.thaw();
             node.start(false);
         }
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultyEndpoints.java
@@ -8,20 +8,20 @@
 import java.util.function.Consumer;
 
 /** Operator endpoints that each violate one rule, to verify that the checker detects it. */
-final class DoctoredOffice {
+final class FaultyEndpoints {
     private static final long CACHE_DURATION_MICROS = 2_000_000;
     private static final long DUPLICATE_DELAY_MICROS = 3_000_000;
 
-    private DoctoredOffice() {}
+    private FaultyEndpoints() {}
 
     /** Answers reads from the local replica without contacting a majority. */
-    static Office readsWithoutContact() {
-        return new Office() {
+    static OperatorEndpoint readsWithoutMajority() {
+        return new OperatorEndpoint() {
             @Override
-            void take(StoreNode node, Request request, Consumer<Answer> callback) {
+            void handle(StoreNode node, Request request, Consumer<Answer> callback) {
                 var replicas = node.store().replicas();
-                if (request.configures() || request.marks() || replicas.length == 0)
-                    super.take(node, request, callback);
+                if (request.isConfiguration() || request.isZoneCommand() || replicas.length == 0)
+                    super.handle(node, request, callback);
                 else
                     callback.accept(new Answer(
                             200, replicas[Parts.MANIFEST_PART].records().rows().manifest));
@@ -30,15 +30,15 @@
     }
 
     /** Acknowledges a configuration whenever the number in force equals its own, whatever the content. */
-    static Office confirmsByNumber() {
-        return new Office() {
+    static OperatorEndpoint confirmsByNumber() {
+        return new OperatorEndpoint() {
             @Override
             void configure(StoreNode node, Request request, Consumer<Answer> callback) {
                 super.configure(node, request, answer -> {
                     if (answer.status() != 412) callback.accept(answer);
                     else
-                        node.passing().readManifest(result -> {
-                            var sameNumber = result.isRight() && result.get().version == request.number();
+                        node.commands().readManifest(result -> {
+                            var sameNumber = result.isRight() && result.get().version == request.version();
                             callback.accept(sameNumber ? Answer.of(200) : answer);
                         });
                 });
@@ -47,8 +47,8 @@
     }
 
     /** Does not recognize a resent configuration that it has accepted. */
-    static Office knowsNoneAgain() {
-        return new Office() {
+    static OperatorEndpoint forgetsAcceptedConfigurations() {
+        return new OperatorEndpoint() {
             private int count;
 
             @Override
@@ -59,8 +59,8 @@
     }
 
     /** Acknowledges a configuration that no majority has confirmed. */
-    static Office confirmsAlone() {
-        return new Office() {
+    static OperatorEndpoint confirmsWithoutMajority() {
+        return new OperatorEndpoint() {
             @Override
             void configure(StoreNode node, Request request, Consumer<Answer> callback) {
                 super.configure(
@@ -70,19 +70,19 @@
     }
 
     /** Answers reads for a while from the previous answer. */
-    static Office readsFromMemory() {
-        return new Office() {
+    static OperatorEndpoint readsFromCache() {
+        return new OperatorEndpoint() {
             private final Map<String, Rows.Manifest> cachedByNode = new HashMap<>();
             private final Map<String, Long> cachedAt = new HashMap<>();
 
             @Override
-            void take(StoreNode node, Request request, Consumer<Answer> callback) {
+            void handle(StoreNode node, Request request, Consumer<Answer> callback) {
                 var fresh = node.now() - cachedAt.getOrDefault(node.name, Long.MIN_VALUE / 2) < CACHE_DURATION_MICROS;
-                if (request.configures() || request.marks()) super.take(node, request, callback);
+                if (request.isConfiguration() || request.isZoneCommand()) super.handle(node, request, callback);
                 else if (fresh) callback.accept(new Answer(200, cachedByNode.get(node.name)));
                 else
-                    super.take(node, request, answer -> {
-                        if (answer.ok()) {
+                    super.handle(node, request, answer -> {
+                        if (answer.isOk()) {
                             cachedByNode.put(node.name, answer.manifest());
                             cachedAt.put(node.name, node.now());
                         }
@@ -93,13 +93,14 @@
     }
 
     /** Applies a zone command a second time, seconds later. */
-    static Office copiesZoneOrders(Sim[] sim) {
-        return new Office() {
+    static OperatorEndpoint duplicatesZoneCommands(Sim[] sim) {
+        return new OperatorEndpoint() {
             @Override
-            void take(StoreNode node, Request request, Consumer<Answer> callback) {
-                super.take(node, request, callback);
-                if (request.marks())
-                    sim[0].after(DUPLICATE_DELAY_MICROS, () -> node.run(() -> super.take(node, request, answer -> {})));
+            void handle(StoreNode node, Request request, Consumer<Answer> callback) {
+                super.handle(node, request, callback);
+                if (request.isZoneCommand())
+                    sim[0].after(
+                            DUPLICATE_DELAY_MICROS, () -> node.run(() -> super.handle(node, request, answer -> {})));
             }
         };
     }
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultyStoreTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Simulated stores that each violate one rule: the random runs bring the fault about and the checker detects it. */
-class DoctoredStoreTest {
+class FaultyStoreTest {
     private static final int MAX_SEEDS = 4;
     private static final int RUN_SECONDS = 60;
 
-    private static void assertDetected(Supplier<Office> faultyOffice, String subject) {
+    private static void assertDetected(Supplier<OperatorEndpoint> faultyOffice, String subject) {
         var violations = new StringBuilder();
         for (var seed = 1; seed <= MAX_SEEDS; seed++) {
-            var violation = new Trial(seed, Trial.stores(seed), RUN_SECONDS, faultyOffice.get()).play();
+            var violation = new HistoryRun(seed, HistoryRun.storeCount(seed), RUN_SECONDS, faultyOffice.get()).play();
             if (violation.contains("explains " + subject)) return;
             violations.append(violation);
         }
@@ -23,34 +23,35 @@
 
     @Test
     void detectsAReadWithoutContactWithAMajority() {
-        assertDetected(DoctoredOffice::readsWithoutContact, Operation.CONFIGURATION);
+        assertDetected(FaultyEndpoints::readsWithoutMajority, Operation.CONFIGURATION);
     }
 
     @Test
     void detectsTwoAcknowledgedConfigurationsWithOneNumber() {
-        assertDetected(DoctoredOffice::confirmsByNumber, Operation.CONFIGURATION);
+        assertDetected(FaultyEndpoints::confirmsByNumber, Operation.CONFIGURATION);
     }
 
     @Test
     void detectsARefusedResentConfiguration() {
-        assertDetected(DoctoredOffice::knowsNoneAgain, Operation.CONFIGURATION);
+        assertDetected(FaultyEndpoints::forgetsAcceptedConfigurations, Operation.CONFIGURATION);
     }
 
     @Test
     void detectsALostAcknowledgedConfiguration() {
-        assertDetected(DoctoredOffice::confirmsAlone, Operation.CONFIGURATION);
+        assertDetected(FaultyEndpoints::confirmsWithoutMajority, Operation.CONFIGURATION);
     }
 
     @Test
     void detectsAReadOfAnOlderConfiguration() {
-        assertDetected(DoctoredOffice::readsFromMemory, Operation.CONFIGURATION);
+        assertDetected(FaultyEndpoints::readsFromCache, Operation.CONFIGURATION);
     }
 
     @Test
     void detectsALateDuplicateOfAZoneCommand() {
         for (var seed = 1; seed <= MAX_SEEDS; seed++) {
             var sim = new Sim[1];
-            var run = new Trial(seed, Trial.stores(seed), RUN_SECONDS, DoctoredOffice.copiesZoneOrders(sim));
+            var run = new HistoryRun(
+                    seed, HistoryRun.storeCount(seed), RUN_SECONDS, FaultyEndpoints.duplicatesZoneCommands(sim));
             sim[0] = run.fleet.sim;
             if (run.play().contains("explains z")) return;
         }
--- a/test/sim/src/test/java/craneway/sim/history/HistoryChecker.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryChecker.java
@@ -33,9 +33,10 @@
     }
 
     private static <S> String checkObject(SequentialModel<S> model, List<Operation> operations, String subject) {
-        if (Linearizer.holds(model, model.initial(), operations)) return "";
+        if (LinearizabilityChecker.isLinearizable(model, model.initial(), operations)) return "";
         var shortest = withoutReads(model, lateStart(model, earlyEnd(model, operations)));
-        return "no order of these calls explains " + subject + ":\n" + Chart.of(withoutObsolete(shortest.operations()));
+        return "no order of these calls explains " + subject + ":\n"
+                + HistoryTimeline.of(withoutObsolete(shortest.operations()));
     }
 
     /** Part of a history and the state before it. */
@@ -47,15 +48,16 @@
      */
     private static <S> Part<S> earlyEnd(SequentialModel<S> model, List<Operation> operations) {
         var endTimes = operations.stream()
-                .filter(Operation::required)
-                .map(Operation::end)
+                .filter(Operation::isDefinite)
+                .map(Operation::endedAt)
                 .sorted()
                 .toList();
         var low = 0;
         var high = endTimes.size() - 1;
         while (low < high) {
             var middle = (low + high) / 2;
-            if (Linearizer.holds(model, model.initial(), until(operations, endTimes.get(middle)))) low = middle + 1;
+            if (LinearizabilityChecker.isLinearizable(model, model.initial(), until(operations, endTimes.get(middle))))
+                low = middle + 1;
             else high = middle;
         }
         return new Part<>(model.initial(), until(operations, endTimes.get(low)));
@@ -64,8 +66,8 @@
     private static List<Operation> until(List<Operation> operations, long end) {
         return operations.stream()
                 .filter(operation ->
-                        operation.call() <= end && (operation.end() <= end || operation.type() != Type.READ))
-                .map(operation -> operation.end() <= end ? operation : operation.unclear(end))
+                        operation.calledAt() <= end && (operation.endedAt() <= end || operation.type() != Type.READ))
+                .map(operation -> operation.endedAt() <= end ? operation : operation.asUnclear(end))
                 .toList();
     }
 
@@ -74,25 +76,27 @@
      */
     private static <S> Part<S> lateStart(SequentialModel<S> model, Part<S> part) {
         var starts = part.operations.stream()
-                .filter(Operation::required)
-                .map(Operation::end)
+                .filter(Operation::isDefinite)
+                .map(Operation::endedAt)
                 .sorted(Comparator.reverseOrder())
                 .toList();
         for (var start : starts) {
             var rest = from(part.operations, start);
             var sent = part.operations.stream()
-                    .filter(operation -> operation.call() <= start)
+                    .filter(operation -> operation.calledAt() <= start)
                     .toList();
-            if (!Linearizer.holds(model, model.unknown(sent), rest)) return new Part<>(model.unknown(sent), rest);
+            if (!LinearizabilityChecker.isLinearizable(model, model.unknownAfter(sent), rest))
+                return new Part<>(model.unknownAfter(sent), rest);
         }
         return part;
     }
 
     private static List<Operation> from(List<Operation> operations, long start) {
         return operations.stream()
-                .filter(operation -> !operation.required()
-                        || operation.end() > start && (operation.call() > start || operation.type() != Type.READ))
-                .map(operation -> operation.call() > start ? operation : operation.unclear(operation.end()))
+                .filter(operation -> !operation.isDefinite()
+                        || operation.endedAt() > start
+                                && (operation.calledAt() > start || operation.type() != Type.READ))
+                .map(operation -> operation.calledAt() > start ? operation : operation.asUnclear(operation.endedAt()))
                 .toList();
     }
 
@@ -102,8 +106,8 @@
         for (var operation : part.operations) {
             var fewer = new ArrayList<>(result.operations);
             fewer.remove(operation);
-            var needless = operation.required()
-                    ? operation.type() == Type.READ && !Linearizer.holds(model, result.from, fewer)
+            var needless = operation.isDefinite()
+                    ? operation.type() == Type.READ && !LinearizabilityChecker.isLinearizable(model, result.from, fewer)
                     : isIrrelevant(operation, fewer);
             if (needless) result = new Part<>(result.from, fewer);
         }
@@ -115,7 +119,7 @@
         return operation.type() == Type.CONFIGURE
                 && others.stream()
                         .noneMatch(other -> other.outcome() == Outcome.REFUSED
-                                || other.base() == operation.number()
+                                || other.baseVersion() == operation.version()
                                 || other.value().equals(operation.value()));
     }
 
@@ -126,18 +130,20 @@
      */
     private static List<Operation> withoutObsolete(List<Operation> operations) {
         var firstAcknowledged = operations.stream()
-                .filter(operation -> operation.type() == Type.MARK && operation.required())
-                .min(Comparator.comparingLong(Operation::call));
+                .filter(operation -> operation.type() == Type.MARK_ZONE && operation.isDefinite())
+                .min(Comparator.comparingLong(Operation::calledAt));
         var reads = operations.stream()
                 .filter(operation -> operation.type() == Type.READ)
                 .toList();
         if (firstAcknowledged.isEmpty()
                 || reads.stream()
-                        .anyMatch(read -> read.call() < firstAcknowledged.get().end())) return operations;
+                        .anyMatch(read ->
+                                read.calledAt() < firstAcknowledged.get().endedAt())) return operations;
         var obsolete = operations.stream()
-                .filter(operation -> operation.type() == Type.MARK && !operation.required())
-                .filter(operation -> operation.end() <= firstAcknowledged.get().call())
-                .sorted(Comparator.comparingLong(Operation::end).reversed())
+                .filter(operation -> operation.type() == Type.MARK_ZONE && !operation.isDefinite())
+                .filter(operation ->
+                        operation.endedAt() <= firstAcknowledged.get().calledAt())
+                .sorted(Comparator.comparingLong(Operation::endedAt).reversed())
                 .toList();
         var likelyCause = obsolete.stream()
                 .filter(operation ->
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredHistoryTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryCheckerTest.java
@@ -4,7 +4,7 @@
 import static craneway.sim.history.Operation.Outcome.REFUSED;
 import static craneway.sim.history.Operation.Outcome.UNCLEAR;
 import static craneway.sim.history.Operation.configure;
-import static craneway.sim.history.Operation.mark;
+import static craneway.sim.history.Operation.markZone;
 import static craneway.sim.history.Operation.readConfiguration;
 import static craneway.sim.history.Operation.readZone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,7 +16,7 @@
 /**
  * Short handwritten histories: those that a single correct store could have produced pass, and each fault is detected.
  */
-class DoctoredHistoryTest {
+class HistoryCheckerTest {
     /** The checker accepts the history. */
     private static void assertAccepted(Operation... operations) {
         assertEquals("", HistoryChecker.check(List.of(operations)));
@@ -158,16 +158,16 @@
     @Test
     void aLateRetryThatUndoesALaterTakeBackFails() {
         assertRejected(
-                mark("x", "z1", true, 0, 10, UNCLEAR),
-                mark("x", "z1", false, 20, 25, ACKNOWLEDGED),
+                markZone("x", "z1", true, 0, 10, UNCLEAR),
+                markZone("x", "z1", false, 20, 25, ACKNOWLEDGED),
                 readZone("y", "z1", true, 30, 31));
     }
 
     @Test
     void aLateDuplicateOfAnAcknowledgedCommandFails() {
         assertRejected(
-                mark("x", "z1", true, 0, 10, ACKNOWLEDGED),
-                mark("x", "z1", false, 20, 25, ACKNOWLEDGED),
+                markZone("x", "z1", true, 0, 10, ACKNOWLEDGED),
+                markZone("x", "z1", false, 20, 25, ACKNOWLEDGED),
                 readZone("y", "z1", false, 30, 31),
                 readZone("y", "z1", true, 40, 41));
     }
@@ -175,23 +175,23 @@
     @Test
     void anUnclearZoneCommandMayTakeEffectUntilALaterOneIsAcknowledged() {
         assertAccepted(
-                mark("x", "z1", true, 0, 10, UNCLEAR),
+                markZone("x", "z1", true, 0, 10, UNCLEAR),
                 readZone("y", "z1", false, 11, 12),
                 readZone("y", "z1", true, 14, 15),
-                mark("x", "z1", false, 20, 25, ACKNOWLEDGED),
+                markZone("x", "z1", false, 20, 25, ACKNOWLEDGED),
                 readZone("y", "z1", false, 30, 31));
     }
 
     @Test
     void refusingAZoneCommandFails() {
-        assertRejected(mark("x", "z1", true, 0, 10, REFUSED));
+        assertRejected(markZone("x", "z1", true, 0, 10, REFUSED));
     }
 
     @Test
     void zonesAndConfigurationAreIndependent() {
         assertAccepted(
                 firstConfiguration("x"),
-                mark("x", "z1", true, 0, 10, ACKNOWLEDGED),
+                markZone("x", "z1", true, 0, 10, ACKNOWLEDGED),
                 readZone("y", "z2", false, 30, 31),
                 readConfiguration("y", 1, "a", 30, 31),
                 readZone("y", "z1", true, 30, 31));
--- a/test/sim/src/test/java/craneway/sim/history/Trial.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryRun.java
@@ -10,7 +10,7 @@
  * One simulated run from a seed: operators send commands to all stores while faults come and go; then everything is
  * repaired, and the newest state is read back at every store.
  */
-final class Trial {
+final class HistoryRun {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long BOOTSTRAP_MICROS = 8 * SECOND_MICROS;
     private static final long RECOVERY_MICROS = 8 * SECOND_MICROS;
@@ -21,35 +21,35 @@
     private static final int LONG_CONFIGURATION_PADDING_BYTES = 60_000;
 
     final long seed;
-    final Fleet fleet;
-    final OperatorNet net;
+    final StoreFleet fleet;
+    final OperatorNetwork net;
     final List<Operation> history = new ArrayList<>();
     private final Deque<List<String>> recentLists = new ArrayDeque<>();
-    private final Faults faults;
+    private final FaultInjector faultInjector;
     private final long endTime;
 
-    Trial(long seed, int stores, int seconds) {
-        this(seed, stores, seconds, new Office(seed % 5 == 0 ? LONG_CONFIGURATION_PADDING_BYTES : 0));
+    HistoryRun(long seed, int stores, int seconds) {
+        this(seed, stores, seconds, new OperatorEndpoint(seed % 5 == 0 ? LONG_CONFIGURATION_PADDING_BYTES : 0));
     }
 
-    Trial(long seed, int stores, int seconds, Office office) {
+    HistoryRun(long seed, int stores, int seconds, OperatorEndpoint endpoint) {
         this.seed = seed;
-        fleet = new Fleet(seed, stores);
-        net = new OperatorNet(fleet, office);
+        fleet = new StoreFleet(seed, stores);
+        net = new OperatorNetwork(fleet, endpoint);
         endTime = fleet.sim.now() + BOOTSTRAP_MICROS + seconds * SECOND_MICROS;
-        faults = new Faults(fleet, endTime);
+        faultInjector = new FaultInjector(fleet, endTime);
     }
 
     /**
      * A run as its seed determines: every third with six stores, every fifth with configurations so long that snapshots
      * are taken.
      */
-    static Trial of(long seed, int seconds) {
-        return new Trial(seed, stores(seed), seconds);
+    static HistoryRun of(long seed, int seconds) {
+        return new HistoryRun(seed, storeCount(seed), seconds);
     }
 
     /** Every third seed has six stores, the others three. */
-    static int stores(long seed) {
+    static int storeCount(long seed) {
         return seed % 3 == 0 ? 6 : 3;
     }
 
@@ -58,8 +58,8 @@
      * the store nor the caller accounts for up to a second of that delay, in addition to the store's timeout for the
      * core.
      */
-    Trial readingLate() {
-        net.latestRead = Long.MAX_VALUE;
+    HistoryRun withLateReads() {
+        net.maxReadDelayMicros = Long.MAX_VALUE;
         return this;
     }
 
@@ -70,14 +70,20 @@
         var operators = 2 + (int) Math.floorMod(seed, 3);
         for (var i = 1; i <= operators; i++) {
             var operator = new OperatorClient(
-                    "operator-" + i, fleet.sim, net, this::list, history, endTime, faults::acknowledged);
-            for (var callIndex = 0; callIndex < MAX_CONCURRENT_CALLS / operators; callIndex++) operator.work();
+                    "operator-" + i,
+                    fleet.sim,
+                    net,
+                    this::laggingNodeNames,
+                    history,
+                    endTime,
+                    faultInjector::afterAcknowledgement);
+            for (var callIndex = 0; callIndex < MAX_CONCURRENT_CALLS / operators; callIndex++) operator.scheduleNext();
         }
-        net.lostCalls = 0.01;
-        net.lostAnswers = 0.05;
-        net.lateCalls = 0.01;
-        faults.usualLinks();
-        faults.begin();
+        net.lostCallShare = 0.01;
+        net.lostAnswerShare = 0.05;
+        net.lateCallShare = 0.01;
+        faultInjector.setUsualLinkFaults();
+        faultInjector.start();
         fleet.sim.runUntil(endTime);
         recover();
         var violations = readBack() + HistoryChecker.check(history);
@@ -85,10 +91,10 @@
     }
 
     private void recover() {
-        net.lostCalls = net.lostAnswers = net.lateCalls = 0;
-        faults.over();
+        net.lostCallShare = net.lostAnswerShare = net.lateCallShare = 0;
+        faultInjector.endAll();
         fleet.run(RECOVERY_MICROS);
-        faults.over();
+        faultInjector.endAll();
         fleet.run(RECOVERY_MICROS);
     }
 
@@ -112,7 +118,7 @@
     /** Keeps the list of nodes of the last intervals, so that operators work with an outdated one. */
     private void updateList() {
         recentLists.add(fleet.nodes().stream()
-                .filter(StoreNode::lit)
+                .filter(StoreNode::hasPower)
                 .map(node -> node.name)
                 .toList());
         if (recentLists.size() > LIST_LAG_INTERVALS) recentLists.poll();
@@ -120,15 +126,15 @@
     }
 
     /** The list that operators know: it lags behind by {@link #LIST_LAG_INTERVALS} intervals. */
-    private List<String> list() {
+    private List<String> laggingNodeNames() {
         var outdated = recentLists.peek();
         return outdated.isEmpty()
                 ? fleet.nodes().stream().map(node -> node.name).toList()
                 : outdated;
     }
 
-    int faults() {
-        return faults.faultCount;
+    int faultCount() {
+        return faultInjector.faultCount;
     }
 
     long count(Outcome outcome) {
--- a/test/sim/src/test/java/craneway/sim/history/HistorySweep.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistorySweep.java
@@ -19,8 +19,8 @@
         var totals = new long[5];
         for (var seed = from; seed < from + count; seed++) {
             var startedAt = System.nanoTime();
-            var run = Trial.of(seed, seconds);
-            if (args.length > 3) run.readingLate();
+            var run = HistoryRun.of(seed, seconds);
+            if (args.length > 3) run.withLateReads();
             var violation = run.play();
             var tookMillis = (System.nanoTime() - startedAt) / 1_000_000;
             if (!violation.isEmpty()) System.out.println(violation);
@@ -30,7 +30,7 @@
             totals[3] += run.count(Outcome.UNCLEAR);
             totals[4] += violation.isEmpty() ? 0 : 1;
             for (var event : Event.values())
-                if (run.fleet.count(event) > 0) countByEvent.merge(event, run.fleet.count(event), Integer::sum);
+                if (run.fleet.countOf(event) > 0) countByEvent.merge(event, run.fleet.countOf(event), Integer::sum);
             if (tookMillis > 5_000) System.out.println("seed " + seed + " took " + tookMillis + " ms");
         }
         System.out.println(countByEvent);
--- a/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.sim.history.Office.Request;
 import craneway.sim.history.Operation.Outcome;
+import craneway.sim.history.OperatorEndpoint.Request;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
         var acknowledgedCount = 0L;
         var unclearCount = 0L;
         for (var seed = from; seed < from + count; seed++) {
-            var run = Trial.of(seed, RUN_SECONDS);
+            var run = HistoryRun.of(seed, RUN_SECONDS);
             violations.append(run.play());
             acknowledgedCount += run.count(Outcome.ACKNOWLEDGED);
             unclearCount += run.count(Outcome.UNCLEAR);
@@ -48,8 +48,8 @@
     }
 
     private static String checkDelayedCommand(boolean emptied) {
-        var fleet = new Fleet(1, 3);
-        fleet.net.heldByCut = 1;
+        var fleet = new StoreFleet(1, 3);
+        fleet.net.heldShare = 1;
         fleet.run(10 * SECOND_MICROS);
         var leader = fleet.leader();
         var isolated = fleet.nodes().stream()
@@ -81,7 +81,7 @@
     }
 
     private static String checkFrozenStore(boolean guarded) {
-        var fleet = new Fleet(1, 3);
+        var fleet = new StoreFleet(1, 3);
         fleet.run(10 * SECOND_MICROS);
         var leader = fleet.leader();
         var frozen = fleet.nodes().stream()
@@ -100,31 +100,31 @@
         return HistoryChecker.check(history);
     }
 
-    private static void read(Fleet fleet, StoreNode node, List<Operation> history) {
-        var net = new OperatorNet(fleet, new Office());
+    private static void read(StoreFleet fleet, StoreNode node, List<Operation> history) {
+        var net = new OperatorNetwork(fleet, new OperatorEndpoint());
         new OperatorClient("reader", fleet.sim, net, () -> List.of(node.name), history, 0, () -> {})
                 .read(3 * SECOND_MICROS);
         fleet.run(5 * SECOND_MICROS);
     }
 
     private static void markZone(
-            Fleet fleet, StoreNode node, boolean emptied, boolean guarded, List<Operation> history) {
-        var net = new OperatorNet(fleet, new Office());
-        net.guarded = guarded;
-        net.latestRead = Long.MAX_VALUE;
+            StoreFleet fleet, StoreNode node, boolean emptied, boolean guarded, List<Operation> history) {
+        var net = new OperatorNetwork(fleet, new OperatorEndpoint());
+        net.pauseGuardEnabled = guarded;
+        net.maxReadDelayMicros = Long.MAX_VALUE;
         var sentAt = fleet.sim.now();
         var outcome = new ArrayList<Outcome>();
         net.call(node, Request.mark("z1", emptied), answer -> {
-            if (answer.ok()) outcome.add(Outcome.ACKNOWLEDGED);
+            if (answer.isOk()) outcome.add(Outcome.ACKNOWLEDGED);
         });
         fleet.run(SECOND_MICROS);
         if (outcome.isEmpty()) outcome.add(Outcome.UNCLEAR);
-        history.add(Operation.mark("operator", "z1", emptied, sentAt, fleet.sim.now(), outcome.get(0)));
+        history.add(Operation.markZone("operator", "z1", emptied, sentAt, fleet.sim.now(), outcome.get(0)));
     }
 
     private static List<Outcome> outcomes(List<Operation> history) {
         return history.stream()
-                .filter(operation -> operation.type() == Operation.Type.MARK)
+                .filter(operation -> operation.type() == Operation.Type.MARK_ZONE)
                 .map(Operation::outcome)
                 .toList();
     }
--- a/test/sim/src/test/java/craneway/sim/history/Chart.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryTimeline.java
@@ -6,20 +6,20 @@
 import java.util.Locale;
 
 /** Draws a history as text: a line for each call and each end, a column for each client. */
-final class Chart {
+final class HistoryTimeline {
     private static final int CLIENT_COLUMN_WIDTH = 34;
 
     private record Line(long at, String client, String text) {}
 
-    private Chart() {}
+    private HistoryTimeline() {}
 
     static String of(List<Operation> history) {
         var clients =
                 history.stream().map(Operation::client).distinct().sorted().toList();
         var lines = new ArrayList<Line>();
         for (var operation : history) {
-            lines.add(new Line(operation.call(), operation.client(), "> " + operation));
-            lines.add(new Line(operation.end(), operation.client(), "< " + operation.answer()));
+            lines.add(new Line(operation.calledAt(), operation.client(), "> " + operation));
+            lines.add(new Line(operation.endedAt(), operation.client(), "< " + operation.describeResult()));
         }
         lines.sort(Comparator.comparingLong(Line::at));
         var text = new StringBuilder(pad("seconds", 12));
--- a/test/sim/src/test/java/craneway/sim/history/Linearizer.java
+++ b/test/sim/src/test/java/craneway/sim/history/LinearizabilityChecker.java
@@ -22,10 +22,11 @@
  *   <li>Of equal unclear ones, the one that is excluded first goes first; the other can take its later place.
  * </ul>
  *
- * Unclear operations may be placed at any time after their call. In a model with
- * {@link SequentialModel#bars} this ends once a command takes effect that was sent after they were given up.
+ * <p>Unclear operations may be placed at any time after their call. In a model with
+ * {@link SequentialModel#excludesLateEffects} this ends once a command takes effect that was sent after they were given
+ * up.
  */
-final class Linearizer<S> {
+final class LinearizabilityChecker<S> {
     /** A node of the search tree: the operations that are placed or excluded, and the state after them. */
     private record Node<S>(BitSet placed, S state) {}
 
@@ -34,17 +35,17 @@
     private final Set<Node<S>> visited = new HashSet<>();
     private int requiredLeft;
 
-    private Linearizer(SequentialModel<S> model, List<Operation> history) {
+    private LinearizabilityChecker(SequentialModel<S> model, List<Operation> history) {
         this.model = model;
         operations = history.stream()
-                .sorted(Comparator.comparingLong(Operation::call))
+                .sorted(Comparator.comparingLong(Operation::calledAt))
                 .toList();
-        requiredLeft = (int) operations.stream().filter(Operation::required).count();
+        requiredLeft = (int) operations.stream().filter(Operation::isDefinite).count();
     }
 
     /** Whether some order of the operations, all on one object, is possible in the model from the given state on. */
-    static <S> boolean holds(SequentialModel<S> model, S from, List<Operation> history) {
-        var search = new Linearizer<>(model, history);
+    static <S> boolean isLinearizable(SequentialModel<S> model, S from, List<Operation> history) {
+        var search = new LinearizabilityChecker<>(model, history);
         return search.search(new BitSet(), from, Long.MIN_VALUE);
     }
 
@@ -61,11 +62,12 @@
         if (neutral >= 0) return place(neutral, placed, state, lastCall);
         for (var i : candidates(placed, earliestEnd)) {
             var operation = operations.get(i);
-            if (!operation.required()
+            if (!operation.isDefinite()
                     && (isExcluded(operation, lastCall)
                             || !goesFirst(operation, candidates(placed, earliestEnd), lastCall))) continue;
             for (var next : model.apply(state, operation)) {
-                if (!operation.required() && !enablesAnother(i, state, next, candidates(placed, earliestEnd))) continue;
+                if (!operation.isDefinite() && !enablesAnother(i, state, next, candidates(placed, earliestEnd)))
+                    continue;
                 if (place(i, placed, next, lastCall)) return true;
             }
         }
@@ -80,14 +82,14 @@
     }
 
     private boolean isExcluded(Operation operation, long lastCall) {
-        return !operation.required() && model.bars() && lastCall >= operation.end();
+        return !operation.isDefinite() && model.excludesLateEffects() && lastCall >= operation.endedAt();
     }
 
     /** The operations that may come next: those called before the earliest end of a required one that is left. */
     private List<Integer> candidates(BitSet placed, long earliestEnd) {
         var candidates = new ArrayList<Integer>();
         var i = placed.nextClearBit(0);
-        while (i < operations.size() && operations.get(i).call() <= earliestEnd) {
+        while (i < operations.size() && operations.get(i).calledAt() <= earliestEnd) {
             candidates.add(i);
             i = placed.nextClearBit(i + 1);
         }
@@ -100,10 +102,10 @@
             var other = operations.get(i);
             if (other == operation) return true;
             var same = other.type() == operation.type()
-                    && other.base() == operation.base()
-                    && other.number() == operation.number()
+                    && other.baseVersion() == operation.baseVersion()
+                    && other.version() == operation.version()
                     && other.value().equals(operation.value());
-            if (same && !other.required() && !isExcluded(other, lastCall) && other.end() <= operation.end())
+            if (same && !other.isDefinite() && !isExcluded(other, lastCall) && other.endedAt() <= operation.endedAt())
                 return false;
         }
         return true;
@@ -125,9 +127,9 @@
         var operation = operations.get(index);
         var acknowledgedCommand = operation.type() != Type.READ && operation.outcome() == Outcome.ACKNOWLEDGED;
         placed.set(index);
-        if (operation.required()) requiredLeft--;
-        var found = search(placed, next, acknowledgedCommand ? Math.max(lastCall, operation.call()) : lastCall);
-        if (operation.required()) requiredLeft++;
+        if (operation.isDefinite()) requiredLeft--;
+        var found = search(placed, next, acknowledgedCommand ? Math.max(lastCall, operation.calledAt()) : lastCall);
+        if (operation.isDefinite()) requiredLeft++;
         placed.clear(index);
         return found;
     }
@@ -136,8 +138,8 @@
         var earliest = Long.MAX_VALUE;
         for (var i = placed.nextClearBit(0); i < operations.size(); i = placed.nextClearBit(i + 1)) {
             var operation = operations.get(i);
-            if (operation.call() > earliest) break;
-            if (operation.required()) earliest = Math.min(earliest, operation.end());
+            if (operation.calledAt() > earliest) break;
+            if (operation.isDefinite()) earliest = Math.min(earliest, operation.endedAt());
         }
         return earliest;
     }
@@ -146,7 +148,7 @@
     private int findNeutral(BitSet placed, S state, long earliestEnd) {
         for (var i : candidates(placed, earliestEnd)) {
             var operation = operations.get(i);
-            if (!operation.required() || model.bars() && operation.type() != Type.READ) continue;
+            if (!operation.isDefinite() || model.excludesLateEffects() && operation.type() != Type.READ) continue;
             if (model.apply(state, operation).equals(List.of(state))) return i;
         }
         return -1;
--- a/test/sim/src/test/java/craneway/sim/history/LinearizerTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/LinearizabilityCheckerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Compares the search with one that tries every order on short random histories, and runs it on long ones. */
-class LinearizerTest {
+class LinearizabilityCheckerTest {
     private static final int CASES = 20_000;
     private static final int MAX_OPERATIONS = 6;
     private static final int LONG_HISTORY_LENGTH = 400;
@@ -21,9 +21,10 @@
         var random = new Random(1);
         var linearizable = 0;
         for (var i = 0; i < CASES; i++) {
-            var history = randomHistory(random, LinearizerTest::configuration);
-            var holds = Linearizer.holds(new ConfigurationModel(), new ConfigurationModel().initial(), history);
-            assertEquals(someOrderHolds(new ConfigurationModel(), history), holds, () -> Chart.of(history));
+            var history = randomHistory(random, LinearizabilityCheckerTest::configuration);
+            var holds = LinearizabilityChecker.isLinearizable(
+                    new ConfigurationModel(), new ConfigurationModel().initial(), history);
+            assertEquals(someOrderHolds(new ConfigurationModel(), history), holds, () -> HistoryTimeline.of(history));
             if (holds) linearizable++;
         }
         assertTrue(linearizable > CASES / 20 && linearizable < CASES * 19 / 20, "linearizable: " + linearizable);
@@ -34,9 +35,9 @@
         var random = new Random(2);
         var linearizable = 0;
         for (var i = 0; i < CASES; i++) {
-            var history = randomHistory(random, LinearizerTest::zone);
-            var holds = Linearizer.holds(new ZoneModel(), Operation.OPEN, history);
-            assertEquals(someOrderHolds(new ZoneModel(), history), holds, () -> Chart.of(history));
+            var history = randomHistory(random, LinearizabilityCheckerTest::zone);
+            var holds = LinearizabilityChecker.isLinearizable(new ZoneModel(), Operation.OPEN, history);
+            assertEquals(someOrderHolds(new ZoneModel(), history), holds, () -> HistoryTimeline.of(history));
             if (holds) linearizable++;
         }
         assertTrue(linearizable > CASES / 20 && linearizable < CASES * 19 / 20, "linearizable: " + linearizable);
@@ -57,10 +58,10 @@
                 var isAcknowledged = random.nextInt(5) > 0;
                 if (!isCommand) history.add(Operation.readZone("c", "z1", emptied, from, until));
                 else
-                    history.add(Operation.mark(
+                    history.add(Operation.markZone(
                             "c", "z1", emptied, from, until, isAcknowledged ? Outcome.ACKNOWLEDGED : Outcome.UNCLEAR));
             }
-            assertTrue(Linearizer.holds(new ZoneModel(), Operation.OPEN, history));
+            assertTrue(LinearizabilityChecker.isLinearizable(new ZoneModel(), Operation.OPEN, history));
         }
     }
 
@@ -86,12 +87,12 @@
         var emptied = random.nextBoolean();
         return random.nextBoolean()
                 ? Operation.readZone("c", "z1", emptied, call, end)
-                : Operation.mark("c", "z1", emptied, call, end, outcome(random));
+                : Operation.markZone("c", "z1", emptied, call, end, outcome(random));
     }
 
     private static Operation configuration(Random random, long call, long end) {
         var number = random.nextInt(4);
-        var value = number == 0 ? Operation.NOTHING : random.nextInt(4) > 0 ? "a" : "b";
+        var value = number == 0 ? Operation.NO_CONFIGURATION : random.nextInt(4) > 0 ? "a" : "b";
         if (number == 0 || random.nextInt(3) == 0) return Operation.readConfiguration("c", number, value, call, end);
         var outcome = random.nextInt(4) == 0 ? Outcome.REFUSED : outcome(random);
         return Operation.configure("c", Math.max(0, number - 1 - random.nextInt(2)), number, value, call, end, outcome);
@@ -104,16 +105,18 @@
     /** Tries every order: any operation whose call is not after the end of a remaining required one may be next. */
     private static <S> boolean someOrderHolds(
             SequentialModel<S> model, S state, List<Operation> remaining, long lastCall) {
-        if (remaining.stream().noneMatch(Operation::required)) return true;
+        if (remaining.stream().noneMatch(Operation::isDefinite)) return true;
         for (var operation : remaining) {
-            var tooLate = remaining.stream().anyMatch(other -> other.required() && other.end() < operation.call());
-            if (tooLate || !operation.required() && model.bars() && lastCall >= operation.end()) continue;
+            var tooLate =
+                    remaining.stream().anyMatch(other -> other.isDefinite() && other.endedAt() < operation.calledAt());
+            if (tooLate || !operation.isDefinite() && model.excludesLateEffects() && lastCall >= operation.endedAt())
+                continue;
             var rest = new ArrayList<>(remaining);
             rest.remove(operation);
             var acknowledgedCommand = operation.type() != Type.READ && operation.outcome() == Outcome.ACKNOWLEDGED;
             for (var next : model.apply(state, operation))
                 if (someOrderHolds(
-                        model, next, rest, acknowledgedCommand ? Math.max(lastCall, operation.call()) : lastCall))
+                        model, next, rest, acknowledgedCommand ? Math.max(lastCall, operation.calledAt()) : lastCall))
                     return true;
         }
         return false;
--- a/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
@@ -1,8 +1,8 @@
 package craneway.sim.history;
 
 import craneway.sim.Sim;
-import craneway.sim.history.Office.Answer;
-import craneway.sim.history.Office.Request;
+import craneway.sim.history.OperatorEndpoint.Answer;
+import craneway.sim.history.OperatorEndpoint.Request;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
@@ -24,14 +24,14 @@
     /** Receives the result of each attempt and of the whole call; null stands for no response. */
     interface Listener {
         /** Called when an attempt ends. */
-        void tried(long sentAt, Answer answer);
+        void attemptEnded(long sentAt, Answer answer);
 
         /** Called when the whole call ends; the answer is null if no definite one came in time. */
-        void over(long startedAt, Answer answer);
+        void callEnded(long startedAt, Answer answer);
     }
 
     private final Sim sim;
-    private final OperatorNet net;
+    private final OperatorNetwork net;
     private final Supplier<List<String>> nodeNames;
     private final Request request;
     private final Listener listener;
@@ -47,7 +47,7 @@
 
     OperatorCall(
             Sim sim,
-            OperatorNet net,
+            OperatorNetwork net,
             Supplier<List<String>> nodeNames,
             Request request,
             long timeout,
@@ -62,7 +62,7 @@
     }
 
     /** Starts the next attempt. */
-    void begin() {
+    void startAttempt() {
         var attempt = ++attemptEvents;
         var sentAt = sim.now();
         lastNode = chooseNode();
@@ -83,15 +83,15 @@
 
     private void endAttempt(long sentAt, Answer answer) {
         attemptEvents++;
-        listener.tried(sentAt, answer);
-        if (answer != null && (answer.ok() || isRefusal(answer))) {
-            listener.over(startedAt, answer);
+        listener.attemptEnded(sentAt, answer);
+        if (answer != null && (answer.isOk() || isRefusal(answer))) {
+            listener.callEnded(startedAt, answer);
             return;
         }
         var nextAttemptAt = sim.now() + backoff;
         backoff = Math.min(MAX_BACKOFF_MICROS, backoff * 2);
-        if (nextAttemptAt > deadline) listener.over(startedAt, null);
-        else sim.at(nextAttemptAt, this::begin);
+        if (nextAttemptAt > deadline) listener.callEnded(startedAt, null);
+        else sim.at(nextAttemptAt, this::startAttempt);
     }
 
     private boolean isRefusal(Answer answer) {
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -1,9 +1,9 @@
 package craneway.sim.history;
 
 import craneway.sim.Sim;
-import craneway.sim.history.Office.Answer;
-import craneway.sim.history.Office.Request;
 import craneway.sim.history.Operation.Outcome;
+import craneway.sim.history.OperatorEndpoint.Answer;
+import craneway.sim.history.OperatorEndpoint.Request;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -23,7 +23,7 @@
     private final String name;
     private final Sim sim;
     private final Random random;
-    private final OperatorNet net;
+    private final OperatorNetwork net;
     private final Supplier<List<String>> nodeNames;
     private final List<Operation> history;
     private final List<Request> acceptedConfigurations = new ArrayList<>();
@@ -43,7 +43,7 @@
     OperatorClient(
             String name,
             Sim sim,
-            OperatorNet net,
+            OperatorNetwork net,
             Supplier<List<String>> nodeNames,
             List<Operation> history,
             long endTime,
@@ -59,7 +59,7 @@
     }
 
     /** Sends one command after the other, with pauses, until the end time. */
-    void work() {
+    void scheduleNext() {
         sim.after((long) (random.nextDouble() * MAX_THINK_MICROS), () -> {
             if (sim.now() < endTime) sendNext();
         });
@@ -83,28 +83,34 @@
     private void sendConfiguration(Request request) {
         call(request, CONFIGURATION_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void tried(long sentAt, Answer answer) {}
+            public void attemptEnded(long sentAt, Answer answer) {}
 
             @Override
-            public void over(long sentAt, Answer answer) {
+            public void callEnded(long sentAt, Answer answer) {
                 history.add(Operation.configure(
-                        name, request.base(), request.number(), request.value(), sentAt, sim.now(), outcome(answer)));
-                if (answer != null && answer.ok()) recordAccepted(request);
+                        name,
+                        request.baseVersion(),
+                        request.version(),
+                        request.value(),
+                        sentAt,
+                        sim.now(),
+                        outcome(answer)));
+                if (answer != null && answer.isOk()) recordAccepted(request);
                 else read(READ_TIMEOUT_MICROS);
-                if (answer != null && answer.ok()) work();
+                if (answer != null && answer.isOk()) scheduleNext();
             }
         });
     }
 
     private void recordAccepted(Request request) {
         if (!acceptedConfigurations.contains(request)) acceptedConfigurations.add(request);
-        newestKnownNumber = Math.max(newestKnownNumber, request.number());
+        newestKnownNumber = Math.max(newestKnownNumber, request.version());
         onAcknowledged.run();
     }
 
     private static Outcome outcome(Answer answer) {
         if (answer == null) return Outcome.UNCLEAR;
-        return answer.ok() ? Outcome.ACKNOWLEDGED : Outcome.REFUSED;
+        return answer.isOk() ? Outcome.ACKNOWLEDGED : Outcome.REFUSED;
     }
 
     /**
@@ -114,17 +120,17 @@
     private void markZone(String zone, boolean emptied) {
         call(Request.mark(zone, emptied), ZONE_COMMAND_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void tried(long sentAt, Answer answer) {
+            public void attemptEnded(long sentAt, Answer answer) {
                 var outcome = answer != null && answer.status() >= 500 || answer == Answer.BROKEN
                         ? Outcome.UNCLEAR
                         : outcome(answer);
-                history.add(Operation.mark(name, zone, emptied, sentAt, sim.now(), outcome));
+                history.add(Operation.markZone(name, zone, emptied, sentAt, sim.now(), outcome));
                 if (outcome == Outcome.ACKNOWLEDGED) onAcknowledged.run();
             }
 
             @Override
-            public void over(long startedAt, Answer answer) {
-                work();
+            public void callEnded(long startedAt, Answer answer) {
+                scheduleNext();
             }
         });
     }
@@ -133,13 +139,13 @@
     void read(long timeout) {
         call(Request.read(), timeout, new OperatorCall.Listener() {
             @Override
-            public void tried(long sentAt, Answer answer) {
-                if (answer != null && answer.ok()) recordRead(sentAt, answer);
+            public void attemptEnded(long sentAt, Answer answer) {
+                if (answer != null && answer.isOk()) recordRead(sentAt, answer);
             }
 
             @Override
-            public void over(long startedAt, Answer answer) {
-                work();
+            public void callEnded(long startedAt, Answer answer) {
+                scheduleNext();
             }
         });
     }
@@ -147,13 +153,13 @@
     private void recordRead(long sentAt, Answer answer) {
         var manifest = answer.manifest();
         newestKnownNumber = Math.max(newestKnownNumber, manifest.version);
-        var value = manifest.version == 0 ? Operation.NOTHING : Office.value(manifest.source);
+        var value = manifest.version == 0 ? Operation.NO_CONFIGURATION : OperatorEndpoint.value(manifest.source);
         history.add(Operation.readConfiguration(name, manifest.version, value, sentAt, sim.now()));
         for (var zone : List.of("z1", "z2"))
             history.add(Operation.readZone(name, zone, manifest.marks.containsKey("zone:" + zone), sentAt, sim.now()));
     }
 
     private void call(Request request, long timeout, OperatorCall.Listener listener) {
-        new OperatorCall(sim, net, nodeNames, request, timeout, listener).begin();
+        new OperatorCall(sim, net, nodeNames, request, timeout, listener).startAttempt();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/Office.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
@@ -10,15 +10,15 @@
  * craneway.api.operator.PlatformOperatorHandler} does without HTTP, with the production class {@link PlatformCommands}.
  * Its status codes are those of that handler.
  */
-class Office {
+class OperatorEndpoint {
     private static final String MANIFEST =
             "{\"name\":\"platform\",\"regions\":[\"a\",\"b\",\"c\"],\"zones\":[{\"name\":\"z1\",\"region\":\"a\"}],"
                     + "\"services\":[],\"routes\":[]}";
 
     /** A call: a configuration, a zone command, or a read if neither is given. */
-    record Request(long base, long number, String value, String zone, boolean emptied) {
-        static Request configure(long base, long number, String value) {
-            return new Request(base, number, value, null, false);
+    record Request(long baseVersion, long version, String value, String zone, boolean emptied) {
+        static Request configure(long baseVersion, long version, String value) {
+            return new Request(baseVersion, version, value, null, false);
         }
 
         static Request mark(String zone, boolean emptied) {
@@ -29,11 +29,11 @@
             return new Request(0, 0, null, null, false);
         }
 
-        boolean configures() {
+        boolean isConfiguration() {
             return value != null;
         }
 
-        boolean marks() {
+        boolean isZoneCommand() {
             return zone != null;
         }
     }
@@ -46,40 +46,41 @@
             return new Answer(status, null);
         }
 
-        boolean ok() {
+        boolean isOk() {
             return status >= 200 && status < 300;
         }
     }
 
     private final String padding;
 
-    Office() {
+    OperatorEndpoint() {
         this(0);
     }
 
     /** Makes configurations longer than their value by the given number of bytes. */
-    Office(int paddingBytes) {
+    OperatorEndpoint(int paddingBytes) {
         this.padding = "x".repeat(paddingBytes);
     }
 
     /** Handles a request on a store. */
-    void take(StoreNode node, Request request, Consumer<Answer> callback) {
-        if (request.configures()) configure(node, request, callback);
-        else if (request.marks())
-            node.passing()
-                    .markZone(request.zone(), request.emptied(), node.now(), result -> callback.accept(done(result)));
-        else node.passing().readManifest(result -> callback.accept(read(result)));
+    void handle(StoreNode node, Request request, Consumer<Answer> callback) {
+        if (request.isConfiguration()) configure(node, request, callback);
+        else if (request.isZoneCommand())
+            node.commands()
+                    .markZone(
+                            request.zone(), request.emptied(), node.now(), result -> callback.accept(toAnswer(result)));
+        else node.commands().readManifest(result -> callback.accept(read(result)));
     }
 
     void configure(StoreNode node, Request request, Consumer<Answer> callback) {
-        node.passing()
+        node.commands()
                 .putManifest(
-                        request.base(),
-                        request.number(),
+                        request.baseVersion(),
+                        request.version(),
                         MANIFEST,
                         source(request),
                         node.now(),
-                        result -> callback.accept(done(result)));
+                        result -> callback.accept(toAnswer(result)));
     }
 
     /** The text of the configuration as sent: its value, a blank and the padding. */
@@ -97,7 +98,7 @@
         return result.isLeft() ? Answer.of(status(result.getLeft())) : new Answer(200, result.get());
     }
 
-    static Answer done(Either<Problem, Void> result) {
+    static Answer toAnswer(Either<Problem, Void> result) {
         return Answer.of(result.isRight() ? 200 : status(result.getLeft()));
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/OperatorNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorNetwork.java
@@ -1,8 +1,8 @@
 package craneway.sim.history;
 
 import craneway.sim.Sim;
-import craneway.sim.history.Office.Answer;
-import craneway.sim.history.Office.Request;
+import craneway.sim.history.OperatorEndpoint.Answer;
+import craneway.sim.history.OperatorEndpoint.Request;
 import java.util.function.Consumer;
 
 /**
@@ -10,60 +10,60 @@
  * later, when its caller has given up, which also happens at a store that was frozen. A store whose process ends resets
  * its connections; one without power is silent.
  */
-final class OperatorNet {
+final class OperatorNetwork {
     private static final long MAX_READ_DELAY_MICROS = 190_000;
     private static final long MIN_LATENCY_MICROS = 1_000;
     private static final long LATENCY_SPREAD_MICROS = 500;
     private static final long MAX_LATE_DELAY_MICROS = 5_000_000;
 
-    private final Fleet fleet;
+    private final StoreFleet fleet;
     private final Sim sim;
-    private final Office office;
-    double lostCalls;
-    double lostAnswers;
-    double lateCalls;
+    private final OperatorEndpoint endpoint;
+    double lostCallShare;
+    double lostAnswerShare;
+    double lateCallShare;
 
-    /** A call that is read later than this after it was sent is dropped; see {@link Trial#readingLate}. */
-    long latestRead = MAX_READ_DELAY_MICROS;
+    /** A call that is read later than this after it was sent is dropped; see {@link HistoryRun#withLateReads}. */
+    long maxReadDelayMicros = MAX_READ_DELAY_MICROS;
 
     /** Whether stores refuse zone commands whose caller has given up, as the platform's process does. */
-    boolean guarded = true;
+    boolean pauseGuardEnabled = true;
 
-    OperatorNet(Fleet fleet, Office office) {
+    OperatorNetwork(StoreFleet fleet, OperatorEndpoint endpoint) {
         this.fleet = fleet;
-        this.office = office;
+        this.endpoint = endpoint;
         sim = fleet.sim;
     }
 
     /** Sends a call; {@code callback} runs once or never. */
     void call(StoreNode node, Request request, Consumer<Answer> callback) {
-        var session = node.life();
+        var session = node.session();
         var sentAt = sim.now();
-        if (sim.random.nextDouble() < lostCalls) return;
+        if (sim.random.nextDouble() < lostCallShare) return;
         var extraDelay =
-                sim.random.nextDouble() < lateCalls ? (long) (sim.random.nextDouble() * MAX_LATE_DELAY_MICROS) : 0;
+                sim.random.nextDouble() < lateCallShare ? (long) (sim.random.nextDouble() * MAX_LATE_DELAY_MICROS) : 0;
         sim.after(drawLatency() + extraDelay, () -> {
-            if (node.up() && node.life() == session) read(node, request, sentAt, callback);
-            else if (node.lit()) callback.accept(Answer.BROKEN);
+            if (node.isRunning() && node.session() == session) read(node, request, sentAt, callback);
+            else if (node.hasPower()) callback.accept(Answer.BROKEN);
         });
     }
 
     private void read(StoreNode node, Request request, long sentAt, Consumer<Answer> callback) {
         Runnable reset = () -> sim.after(drawLatency(), () -> callback.accept(Answer.BROKEN));
-        node.atReset(reset);
+        node.registerConnection(reset);
         node.run(() -> {
-            if (sim.now() - sentAt > latestRead) return;
-            var callerGaveUp = guarded
-                    && request.marks()
-                    && (sim.now() - sentAt >= OperatorCall.ATTEMPT_TIMEOUT_MICROS || !node.admits());
+            if (sim.now() - sentAt > maxReadDelayMicros) return;
+            var callerGaveUp = pauseGuardEnabled
+                    && request.isZoneCommand()
+                    && (sim.now() - sentAt >= OperatorCall.ATTEMPT_TIMEOUT_MICROS || !node.mayCallerBeWaiting());
             if (callerGaveUp) respond(node, Answer.of(503), reset, callback);
-            else office.take(node, request, answer -> respond(node, answer, reset, callback));
+            else endpoint.handle(node, request, answer -> respond(node, answer, reset, callback));
         });
     }
 
     private void respond(StoreNode node, Answer answer, Runnable reset, Consumer<Answer> callback) {
-        node.answered(reset);
-        if (sim.random.nextDouble() >= lostAnswers) sim.after(drawLatency(), () -> callback.accept(answer));
+        node.unregisterConnection(reset);
+        if (sim.random.nextDouble() >= lostAnswerShare) sim.after(drawLatency(), () -> callback.accept(answer));
     }
 
     private long drawLatency() {
--- a/test/sim/src/test/java/craneway/sim/history/SequentialModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/SequentialModel.java
@@ -12,7 +12,7 @@
     S initial();
 
     /** A state of which only the commands sent so far are known, for examining a history from its middle on. */
-    S unknown(List<Operation> sent);
+    S unknownAfter(List<Operation> sent);
 
     /**
      * The states that may follow if the operation takes effect now; empty if its outcome is impossible in this state.
@@ -23,5 +23,5 @@
      * Whether an unclear operation can no longer take effect after an acknowledged command that was sent when it had
      * been given up. Where every command names its base, the base already ensures this.
      */
-    boolean bars();
+    boolean excludesLateEffects();
 }
--- a/test/sim/src/test/java/craneway/sim/history/Fleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreFleet.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Executor;
 
 /** Three stores, or six of which five vote, one in each zone, assembled as the platform's process does. */
-final class Fleet {
+final class StoreFleet {
     private static final Map<String, String> REGIONS =
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
     private static final long DARK_AFTER_MICROS = 3_000_000;
@@ -25,7 +25,7 @@
     private static final int MAX_NOTES = 40_000;
 
     final Sim sim;
-    final StoreNet net;
+    final StoreNetwork net;
     final List<String> notes = new ArrayList<>();
     private final Map<String, StoreNode> nodes = new TreeMap<>();
     private final Map<String, StoreNode> replaced = new TreeMap<>();
@@ -33,9 +33,9 @@
     private final int toleratedLosses;
     private int createdStores;
 
-    Fleet(long seed, int stores) {
+    StoreFleet(long seed, int stores) {
         sim = new Sim(seed);
-        net = new StoreNet(this);
+        net = new StoreNetwork(this);
         toleratedLosses = stores > CORE_STORES ? 2 : 1;
         createdStores = stores;
         for (var i = 1; i <= stores; i++) nodes.put("s" + i, new StoreNode(this, "s" + i, "z" + i));
@@ -43,7 +43,7 @@
     }
 
     /** How many machines may be lost at once. */
-    int losses() {
+    int maxLosses() {
         return toleratedLosses;
     }
 
@@ -51,7 +51,7 @@
      * The addresses that a starting process is given: at the first start the same three stores, later three that serve
      * then.
      */
-    List<String> seeds(boolean first) {
+    List<String> seedAddresses(boolean first) {
         return first
                 ? List.of("s1", "s2", "s3")
                 : nodes.keySet().stream().limit(CORE_STORES).toList();
@@ -70,13 +70,13 @@
     }
 
     /** The options of a store, whose disk work runs on the given executor. */
-    StoreOptions rules(boolean first, Executor disk) {
+    StoreOptions storeOptions(boolean first, Executor disk) {
         var settings = new CoreSettings(CORE_STORES, true, first, DARK_AFTER_MICROS, FORGOTTEN_AFTER_MICROS);
         return new StoreOptions(
                 settings, Quorum.toleratingLosses(toleratedLosses, REGIONS), TimingProfile.LOW_TRAFFIC, part -> disk);
     }
 
-    String region(String zone) {
+    String regionOf(String zone) {
         return REGIONS.get(zone);
     }
 
@@ -99,7 +99,7 @@
     }
 
     private boolean isLeader(StoreNode node) {
-        var replicas = node.up() ? node.store().replicas() : null;
+        var replicas = node.isRunning() ? node.store().replicas() : null;
         return replicas != null
                 && replicas.length > 0
                 && replicas[Parts.MANIFEST_PART].group().hasLease(sim.now());
@@ -120,7 +120,7 @@
     }
 
     /** How often the event was logged. */
-    int count(Event event) {
+    int countOf(Event event) {
         return countByEvent.getOrDefault(event, 0);
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/StoreNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNetwork.java
@@ -11,7 +11,7 @@
  * seconds and overtaken by later ones; one sent over a cut link may arrive after the link is restored. None reaches a
  * later process of its receiver.
  */
-final class StoreNet {
+final class StoreNetwork {
     private static final long LOOPBACK_DELAY_MICROS = 50;
     private static final long SAME_REGION_DELAY_MICROS = 300;
     private static final long CROSS_REGION_DELAY_MICROS = 35_000;
@@ -21,7 +21,7 @@
     private static final long RECONNECT_INTERVAL_MICROS = 300_000;
     private static final long MAX_HOLD_MICROS = 10_000_000;
 
-    private final Fleet fleet;
+    private final StoreFleet fleet;
     private final Sim sim;
     private final Set<String> cutLinks = new HashSet<>();
     double lostShare;
@@ -29,9 +29,9 @@
     double lateShare;
 
     /** The share of messages sent over a cut link that arrive when it is restored. */
-    double heldByCut = 0.3;
+    double heldShare = 0.3;
 
-    StoreNet(Fleet fleet) {
+    StoreNetwork(StoreFleet fleet) {
         this.fleet = fleet;
         sim = fleet.sim;
     }
@@ -47,22 +47,22 @@
     }
 
     /** Whether no link is cut. */
-    boolean whole() {
+    boolean isIntact() {
         return cutLinks.isEmpty();
     }
 
     /** Whether messages pass in this direction. */
-    boolean open(String from, String to) {
+    boolean isReachable(String from, String to) {
         return !cutLinks.contains(from + ">" + to);
     }
 
     void send(StoreNode from, String address, Object message) {
-        if (!from.up()) return;
+        if (!from.isRunning()) return;
         var to = fleet.node(address);
         if (to == null) return;
         var encoded = Codec.writeTagged(message);
-        var coreId = message instanceof Hello ? 0 : from.core();
-        var session = to.life();
+        var coreId = message instanceof Hello ? 0 : from.coreId();
+        var session = to.session();
         if (to == from) {
             sim.after(LOOPBACK_DELAY_MICROS, () -> arrive(to, session, coreId, encoded));
             return;
@@ -81,7 +81,7 @@
     }
 
     private long drawDelay(StoreNode from, StoreNode to) {
-        var sameRegion = fleet.region(from.zone).equals(fleet.region(to.zone));
+        var sameRegion = fleet.regionOf(from.zone).equals(fleet.regionOf(to.zone));
         return (sameRegion ? SAME_REGION_DELAY_MICROS : CROSS_REGION_DELAY_MICROS)
                 + (long) (sim.random.nextDouble() * DELAY_SPREAD_MICROS);
     }
@@ -91,22 +91,22 @@
     }
 
     private void transmit(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
-        if (open(from.name, to.name)) sim.after(delay, arrival);
-        else if (sim.now() < heldUntil && sim.random.nextDouble() < heldByCut)
+        if (isReachable(from.name, to.name)) sim.after(delay, arrival);
+        else if (sim.now() < heldUntil && sim.random.nextDouble() < heldShare)
             transmitWhenRestored(from, to, delay, heldUntil, arrival);
     }
 
     /** Tries again until the link is restored or the time to hold a message has passed. */
     private void transmitWhenRestored(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
         sim.after(RECONNECT_INTERVAL_MICROS, () -> {
-            if (open(from.name, to.name)) sim.after(delay, arrival);
+            if (isReachable(from.name, to.name)) sim.after(delay, arrival);
             else if (sim.now() < heldUntil) transmitWhenRestored(from, to, delay, heldUntil, arrival);
         });
     }
 
     private static void arrive(StoreNode to, int session, long coreId, byte[] encoded) {
-        if (!to.up() || to.life() != session) return;
-        if (coreId != 0 && to.core() != 0 && to.core() != coreId) return;
+        if (!to.isRunning() || to.session() != session) return;
+        if (coreId != 0 && to.coreId() != 0 && to.coreId() != coreId) return;
         to.receive(encoded);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -20,7 +20,7 @@
 
     final String name;
     final String zone;
-    private final Fleet fleet;
+    private final StoreFleet fleet;
     private final Deque<Runnable> deferred = new ArrayDeque<>();
     private final Deque<Runnable> waitingForDisk = new ArrayDeque<>();
     private final List<Runnable> openConnections = new ArrayList<>();
@@ -35,7 +35,7 @@
     private long maxReceiveDelayMicros;
     private int session;
 
-    StoreNode(Fleet fleet, String name, String zone) {
+    StoreNode(StoreFleet fleet, String name, String zone) {
         this.fleet = fleet;
         this.name = name;
         this.zone = zone;
@@ -54,10 +54,11 @@
         session++;
         var self = new Node(name, Node.STORE, zone, name, 1_000_000_000L + now() / 1_000);
         var startedSession = session;
-        var options = fleet.rules(first, work -> {
+        var options = fleet.storeOptions(first, work -> {
             if (session == startedSession) runOnDisk(work);
         });
-        store = new Store(this, disk, self, fleet.seeds(first), options, new Random(fleet.sim.random.nextLong()));
+        store = new Store(
+                this, disk, self, fleet.seedAddresses(first), options, new Random(fleet.sim.random.nextLong()));
         commands = new PlatformCommands(store.coreClient());
         pauseGuard = new PauseGuard(now());
         fleet.sim.after(
@@ -126,58 +127,60 @@
         run(() -> store.membership().leave(now()));
     }
 
+    /** Suspends the process; its events are deferred. */
     void freeze() {
         if (running) suspended = true;
     }
 
+    /** Resumes the process and runs the deferred events. */
     void thaw() {
         suspended = false;
         while (!suspended && !deferred.isEmpty()) deferred.poll().run();
     }
 
     /** Sets whether the disk hangs; work for it waits meanwhile. */
-    void hang(boolean value) {
+    void setDiskHung(boolean value) {
         diskHung = value;
         while (!diskHung && !waitingForDisk.isEmpty()) waitingForDisk.poll().run();
     }
 
     /** Delays each received message by a random time up to this, 0 for none. */
-    void slow(long maxDelayMicros) {
+    void setMaxReceiveDelay(long maxDelayMicros) {
         maxReceiveDelayMicros = maxDelayMicros;
     }
 
     /** Registers an open connection: the action runs if the process ends while the machine has power. */
-    void atReset(Runnable onReset) {
+    void registerConnection(Runnable onReset) {
         openConnections.add(onReset);
     }
 
     /** Removes an open connection that got its response. */
-    void answered(Runnable onReset) {
+    void unregisterConnection(Runnable onReset) {
         openConnections.remove(onReset);
     }
 
     /** Whether the process runs, possibly frozen. */
-    boolean up() {
+    boolean isRunning() {
         return running;
     }
 
     /** Whether the machine has power, so that it resets connections to a process that has ended. */
-    boolean lit() {
+    boolean hasPower() {
         return powered;
     }
 
     /** Whether the process runs without any fault. */
-    boolean well() {
+    boolean isHealthy() {
         return running && !suspended && !diskHung && maxReceiveDelayMicros == 0;
     }
 
     /** A number that changes with every start and end of the process. */
-    int life() {
+    int session() {
         return session;
     }
 
     /** Whether the caller of a command that was just read on a new connection can still be waiting. */
-    boolean admits() {
+    boolean mayCallerBeWaiting() {
         return pauseGuard.admits(new PauseGuard.Connection(), now(), now());
     }
 
@@ -185,11 +188,11 @@
         return store;
     }
 
-    PlatformCommands passing() {
+    PlatformCommands commands() {
         return commands;
     }
 
-    long core() {
+    long coreId() {
         return store == null ? 0 : store.directory().self().coreId;
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/ZoneModel.java
+++ b/test/sim/src/test/java/craneway/sim/history/ZoneModel.java
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public String unknown(List<Operation> commands) {
+    public String unknownAfter(List<Operation> commands) {
         return UNKNOWN;
     }
 
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public boolean bars() {
+    public boolean excludesLateEffects() {
         return true;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/package-info.java
+++ b/test/sim/src/test/java/craneway/sim/history/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Histories of the control interface and their check for linearizability: operators that behave as the platform's page says, stores
- * made of the production classes on one simulated clock, faults drawn from a seed, and a search for an order of all calls that a
- * single store without faults could have given.
+ * Records histories of the operator interface and checks them for linearizability. Operators behave as the platform's
+ * documentation prescribes, the stores consist of the production classes on one simulated clock, and faults are drawn from
+ * a seed. A history passes if some order of all calls could have been produced by a single store without faults.
  */
 package craneway.sim.history;
--- a/test/sim/src/test/java/craneway/sim/model/Choice.java
+++ b/test/sim/src/test/java/craneway/sim/model/Choice.java
@@ -7,13 +7,13 @@
  * One step of a history: an event and the member slots, the message, the time or the size that it concerns.
  *
  * @param kind what happens
- * @param a a member slot, 0 for the current leader, or a time in milliseconds
- * @param b a second slot, a size in bytes or a flag
+ * @param argument a member slot, 0 for the current leader, or a time in milliseconds
+ * @param secondArgument a second slot, a size in bytes or a flag
  * @param label the label of the message that the event concerns, or empty
  */
-record Choice(Kind kind, int a, int b, String label) {
+record Choice(Kind kind, int argument, int secondArgument, String label) {
     /**
-     * What may happen. The constants from {@code ROUND} on are for long random histories; the {@link TroubleExplorer}
+     * What may happen. The constants from {@code ROUND} on are for long random histories; the {@link FaultExplorer}
      * also uses {@code CUT}, {@code FREEZE} and {@code THAW}.
      */
     enum Kind {
@@ -41,12 +41,12 @@
         MANAGE
     }
 
-    static Choice of(Kind kind, int a, int b) {
-        return new Choice(kind, a, b, "");
+    static Choice of(Kind kind, int argument, int secondArgument) {
+        return new Choice(kind, argument, secondArgument, "");
     }
 
-    static Choice of(Kind kind, int a) {
-        return of(kind, a, 0);
+    static Choice of(Kind kind, int argument) {
+        return of(kind, argument, 0);
     }
 
     static Choice of(Kind kind, String label) {
@@ -55,16 +55,18 @@
 
     @Override
     public String toString() {
-        return label.isEmpty() ? kind + " " + a + (b == 0 ? "" : " " + b) : kind + " " + label;
+        return label.isEmpty()
+                ? kind + " " + argument + (secondArgument == 0 ? "" : " " + secondArgument)
+                : kind + " " + label;
     }
 
     /** The history as text; consecutive rounds appear as one duration. */
-    static String readable(List<Choice> choices) {
+    static String describe(List<Choice> choices) {
         var text = new ArrayList<String>();
         var elapsedMillis = 0;
         for (var choice : choices) {
             if (choice.kind == Kind.ROUND) {
-                elapsedMillis += choice.a;
+                elapsedMillis += choice.argument;
                 continue;
             }
             if (elapsedMillis > 0) text.add("run " + elapsedMillis + " ms");
--- a/test/sim/src/test/java/craneway/sim/model/ExhaustiveTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/ExhaustiveTest.java
@@ -13,19 +13,19 @@
 
     @TestFactory
     Stream<DynamicTest> everyShortHistoryKeepsTheInvariants() {
-        return Starts.all()
-                .filter(start -> start.steps().length > 0)
+        return StartStates.all()
+                .filter(start -> start.advanceMillis().length > 0)
                 .map(start -> DynamicTest.dynamicTest(start.name(), () -> explore(start)));
     }
 
     @TestFactory
     Stream<DynamicTest> everyHistoryWithFewFaultsKeepsTheInvariants() {
-        return Starts.all().map(start -> DynamicTest.dynamicTest(start.name(), () -> exploreFaults(start)));
+        return StartStates.all().map(start -> DynamicTest.dynamicTest(start.name(), () -> exploreFaults(start)));
     }
 
     private static void exploreFaults(Explorer.Start start) {
         var startedAt = System.nanoTime();
-        var result = new TroubleExplorer(start, MAX_FAULTS, MAX_STATES * 8).run();
+        var result = new FaultExplorer(start, MAX_FAULTS, MAX_STATES * 8).run();
         System.out.printf(
                 "model: start %s, %d states, all with up to %d faults, %.1f s%n",
                 start.name(), result.states(), result.depth(), (System.nanoTime() - startedAt) / 1e9);
@@ -37,7 +37,11 @@
         var result = new Explorer(start, MAX_STATES).run();
         System.out.printf(
                 "model: start %s, %d states, depth %d, all of them: %s, %.1f s%n",
-                start.name(), result.states(), result.depth(), result.whole(), (System.nanoTime() - startedAt) / 1e9);
+                start.name(),
+                result.states(),
+                result.depth(),
+                result.complete(),
+                (System.nanoTime() - startedAt) / 1e9);
         assertNull(result.violation(), () -> result.violation().getMessage() + " after " + result.trace());
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Explorer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Explorer.java
@@ -17,28 +17,28 @@
      *
      * @param world creates the world
      * @param choices the history that leads to the start
-     * @param most how often each kind of event may occur; 0 for kinds that are not named
-     * @param steps by how many milliseconds time may advance at once
-     * @param horizon how many milliseconds after the start the {@link TroubleExplorer} follows a history
+     * @param limits how often each kind of event may occur; 0 for kinds that are not named
+     * @param advanceMillis by how many milliseconds time may advance at once
+     * @param horizonMillis how many milliseconds after the start the {@link FaultExplorer} follows a history
      */
     record Start(
             String name,
             Supplier<World> world,
             List<Choice> choices,
-            Map<Choice.Kind, Integer> most,
-            int[] steps,
-            int horizon) {}
+            Map<Choice.Kind, Integer> limits,
+            int[] advanceMillis,
+            int horizonMillis) {}
 
     /**
      * What an exploration found.
      *
      * @param states the number of distinct states
      * @param depth the length of the longest histories explored in full
-     * @param whole whether no state was left to explore
+     * @param complete whether no state was left to explore
      * @param trace the shortest history that violates an invariant, or empty
      * @param violation the violation, or null
      */
-    record Result(int states, int depth, boolean whole, List<Choice> trace, Violation violation) {}
+    record Result(int states, int depth, boolean complete, List<Choice> trace, Violation violation) {}
 
     /** A state by the choice that led to it from its parent. */
     private record Node(Node parent, Choice choice, int depth) {
@@ -86,10 +86,10 @@
     /** A world after the given history; its steps were checked before and are not checked again. */
     private World replay(List<Choice> path) {
         var world = start.world().get();
-        world.ledger().quick(true);
+        world.checker().setReplaying(true);
         start.choices().forEach(world::apply);
         path.forEach(world::apply);
-        world.ledger().quick(false);
+        world.checker().setReplaying(false);
         return world;
     }
 
@@ -104,8 +104,8 @@
     private Map<Choice.Kind, Integer> countLimited(List<Choice> path, Choice last) {
         var countByKind = new EnumMap<Choice.Kind, Integer>(Choice.Kind.class);
         for (var choice : path)
-            if (start.most().containsKey(choice.kind())) countByKind.merge(choice.kind(), 1, Integer::sum);
-        if (last != null && start.most().containsKey(last.kind())) countByKind.merge(last.kind(), 1, Integer::sum);
+            if (start.limits().containsKey(choice.kind())) countByKind.merge(choice.kind(), 1, Integer::sum);
+        if (last != null && start.limits().containsKey(last.kind())) countByKind.merge(last.kind(), 1, Integer::sum);
         return countByKind;
     }
 
@@ -115,8 +115,8 @@
         var usedByKind = countLimited(path, null);
         var choices = new ArrayList<Choice>();
         var distinctMessages = new HashSet<Long>();
-        for (var message : world.mail()) {
-            if (!distinctMessages.add(StateHash.letter(message))) continue;
+        for (var message : world.messagesInFlight()) {
+            if (!distinctMessages.add(StateHash.hashOfMessage(message))) continue;
             choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
             if (isAllowed(Choice.Kind.REPEAT, usedByKind)) choices.add(Choice.of(Choice.Kind.REPEAT, message.label()));
         }
@@ -127,7 +127,7 @@
             if (peer.group().role() == Role.LEADER) addLeaderChoices(world, peer, usedByKind, choices);
         }
         if (isAllowed(Choice.Kind.ADVANCE, usedByKind))
-            for (var step : start.steps()) choices.add(Choice.of(Choice.Kind.ADVANCE, step));
+            for (var step : start.advanceMillis()) choices.add(Choice.of(Choice.Kind.ADVANCE, step));
         return choices;
     }
 
@@ -142,6 +142,6 @@
     }
 
     private boolean isAllowed(Choice.Kind kind, Map<Choice.Kind, Integer> usedByKind) {
-        return usedByKind.getOrDefault(kind, 0) < start.most().getOrDefault(kind, 0);
+        return usedByKind.getOrDefault(kind, 0) < start.limits().getOrDefault(kind, 0);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/TroubleExplorer.java
+++ b/test/sim/src/test/java/craneway/sim/model/FaultExplorer.java
@@ -12,7 +12,7 @@
  * every member ticks in time. Reaches far deeper than {@link Explorer} and finds a violation with the fewest faults
  * first.
  */
-final class TroubleExplorer {
+final class FaultExplorer {
     private static final int ADVANCE_MILLIS = 100;
 
     /** A state by the choice that led to it from its parent. */
@@ -32,10 +32,10 @@
     private List<Node> nextLevel = new ArrayList<>();
     private boolean incomplete;
 
-    TroubleExplorer(Explorer.Start start, int maxFaults, int maxStates) {
+    FaultExplorer(Explorer.Start start, int maxFaults, int maxStates) {
         this.start = start;
         this.maxFaults = maxFaults;
-        horizonMicros = start.horizon() * 1_000L;
+        horizonMicros = start.horizonMillis() * 1_000L;
         this.maxStates = maxStates;
     }
 
@@ -69,15 +69,15 @@
         var node = from;
         try {
             var world = start.world().get();
-            world.ledger().quick(true);
+            world.checker().setReplaying(true);
             start.choices().forEach(world::apply);
             var end = world.now() + horizonMicros;
             var path = from.path();
             for (var i = 0; i < path.size(); i++) {
-                world.ledger().quick(i < path.size() - 1);
+                world.checker().setReplaying(i < path.size() - 1);
                 world.apply(path.get(i));
             }
-            world.ledger().quick(false);
+            world.checker().setReplaying(false);
             while (world.now() < end && visitedStates.add(StateHash.of(world))) {
                 if (mayAddFault) for (var fault : possibleFaults(world, path)) keepForNextLevel(new Node(node, fault));
                 node = new Node(node, nextWithoutFault(world));
@@ -99,17 +99,18 @@
     }
 
     /** Whether the network delivers the message without being asked to: it is not postponed, and its receiver runs. */
-    private static boolean isDeliverable(World world, Letter message) {
-        return !world.late().contains(message.label())
-                && world.peer(message.to()).runs();
+    private static boolean isDeliverable(World world, InFlightMessage message) {
+        return !world.postponedLabels().contains(message.label())
+                && world.peer(message.to()).isRunning();
     }
 
     /** What happens next without a fault: a delivery, a tick, or the passing of time. */
     private static Choice nextWithoutFault(World world) {
-        for (var message : world.mail())
+        for (var message : world.messagesInFlight())
             if (isDeliverable(world, message)) return Choice.of(Choice.Kind.DELIVER, message.label());
         for (var peer : world.peers())
-            if (peer.runs() && !world.ticked().contains(peer.slot())) return Choice.of(Choice.Kind.TICK, peer.slot());
+            if (peer.isRunning() && !world.tickedSlots().contains(peer.slot()))
+                return Choice.of(Choice.Kind.TICK, peer.slot());
         return Choice.of(Choice.Kind.ADVANCE, ADVANCE_MILLIS);
     }
 
@@ -117,16 +118,16 @@
         var choices = new ArrayList<Choice>();
         addMessageFaults(world, path, choices);
         if (isAllowed(Choice.Kind.ADVANCE, path))
-            for (var step : start.steps()) choices.add(Choice.of(Choice.Kind.ADVANCE, step));
+            for (var step : start.advanceMillis()) choices.add(Choice.of(Choice.Kind.ADVANCE, step));
         for (var peer : world.peers()) {
             for (var kind : List.of(Choice.Kind.RESTART, Choice.Kind.POWER, Choice.Kind.LOSE))
                 if (isAllowed(kind, path)) choices.add(Choice.of(kind, peer.slot()));
             for (var other : world.peers())
                 if (other != peer && isAllowed(Choice.Kind.CUT, path))
                     choices.add(Choice.of(Choice.Kind.CUT, peer.slot(), other.slot()));
-            if (peer.frozen()) choices.add(Choice.of(Choice.Kind.THAW, peer.slot()));
+            if (peer.isFrozen()) choices.add(Choice.of(Choice.Kind.THAW, peer.slot()));
             else if (isAllowed(Choice.Kind.FREEZE, path)) choices.add(Choice.of(Choice.Kind.FREEZE, peer.slot()));
-            if (peer.runs() && peer.group().role() == Role.LEADER) addLeaderChoices(world, peer, path, choices);
+            if (peer.isRunning() && peer.group().role() == Role.LEADER) addLeaderChoices(world, peer, path, choices);
         }
         return choices;
     }
@@ -137,9 +138,9 @@
      */
     private void addMessageFaults(World world, List<Choice> path, List<Choice> choices) {
         var first = true;
-        for (var message : world.mail()) {
+        for (var message : world.messagesInFlight()) {
             if (!isDeliverable(world, message)) {
-                if (world.peer(message.to()).runs()) choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
+                if (world.peer(message.to()).isRunning()) choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
                 continue;
             }
             if (!first) choices.add(Choice.of(Choice.Kind.DELIVER, message.label()));
@@ -159,7 +160,7 @@
     }
 
     private boolean isAllowed(Choice.Kind kind, List<Choice> path) {
-        var limit = start.most().getOrDefault(kind, 0);
+        var limit = start.limits().getOrDefault(kind, 0);
         return limit > 0
                 && (kind == Choice.Kind.ADVANCE
                         || path.stream().filter(choice -> choice.kind() == kind).count() < limit);
--- a/test/sim/src/test/java/craneway/sim/model/Chain.java
+++ b/test/sim/src/test/java/craneway/sim/model/HashChainStateMachine.java
@@ -8,14 +8,14 @@
  * A state machine whose state is a hash over all applied commands in order, so that two members that applied the same
  * commands hold the same state.
  */
-final class Chain implements StateMachine {
-    private final Ledger ledger;
+final class HashChainStateMachine implements StateMachine {
+    private final InvariantChecker checker;
     private final int memberSlot;
     private long lastIndex;
     private long hash;
 
-    Chain(Ledger ledger, int memberSlot) {
-        this.ledger = ledger;
+    HashChainStateMachine(InvariantChecker checker, int memberSlot) {
+        this.checker = checker;
         this.memberSlot = memberSlot;
     }
 
@@ -37,10 +37,10 @@
     }
 
     @Override
-    public void load(byte[] image) {
-        var buffer = image == null ? ByteBuffer.allocate(16) : ByteBuffer.wrap(image);
+    public void load(byte[] snapshot) {
+        var buffer = snapshot == null ? ByteBuffer.allocate(16) : ByteBuffer.wrap(snapshot);
         lastIndex = buffer.getLong();
         hash = buffer.getLong();
-        if (lastIndex > 0) ledger.checkLoaded(memberSlot, lastIndex, hash);
+        if (lastIndex > 0) checker.checkLoaded(memberSlot, lastIndex, hash);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Plants.java
+++ b/test/sim/src/test/java/craneway/sim/model/InjectedFaults.java
@@ -11,33 +11,33 @@
 import java.util.function.Consumer;
 
 /** Faults injected into what members send, receive or find on their disks. */
-final class Plants {
+final class InjectedFaults {
     private static final long STAMP_SHIFT_MICROS = 5_000_000;
 
-    private Plants() {}
+    private InjectedFaults() {}
 
     /** Changes the log before each restart of a member. */
-    private static Plant onDisk(Consumer<SegmentLog> change) {
-        return new Plant() {
+    private static InjectedFault onDisk(Consumer<SegmentLog> change) {
+        return new InjectedFault() {
             @Override
-            public void starting(int slot, ProbedDisk disk) {
+            public void beforeStart(int slot, TrackedDisk disk) {
                 if (disk.folder().names().isEmpty()) return;
-                var log = new SegmentLog(disk.folder(), "p" + World.PART + ".", Long.hashCode(World.CORE));
+                var log = new SegmentLog(disk.folder(), "p" + World.PART + ".", Long.hashCode(World.CORE_ID));
                 try {
                     change.accept(log);
                     log.sync();
                 } catch (DiskException e) {
-                    disk.full(true);
+                    disk.setFull(true);
                 }
             }
         };
     }
 
     /** Changes a copy of each received message. */
-    private static Plant onReceive(Consumer<PartMessage> change) {
-        return new Plant() {
+    private static InjectedFault onReceive(Consumer<PartMessage> change) {
+        return new InjectedFault() {
             @Override
-            public PartMessage received(int slot, PartMessage message) {
+            public PartMessage replaceReceived(int slot, PartMessage message) {
                 var copy = Codec.read(PartMessage.class, Codec.write(message));
                 change.accept(copy);
                 return copy;
@@ -46,10 +46,10 @@
     }
 
     /** Changes each message before it is sent. */
-    private static Plant onSend(Consumer<PartMessage> change) {
-        return new Plant() {
+    private static InjectedFault onSend(Consumer<PartMessage> change) {
+        return new InjectedFault() {
             @Override
-            public PartMessage sent(int slot, PartMessage message) {
+            public PartMessage replaceSent(int slot, PartMessage message) {
                 change.accept(message);
                 return message;
             }
@@ -57,29 +57,29 @@
     }
 
     /** Loses the vote over a restart. */
-    static Plant forgettingVotes() {
+    static InjectedFault forgetsVotes() {
         return onDisk(log -> log.saveTermAndVote(log.term(), 0));
     }
 
     /** Goes back one term over a restart. */
-    static Plant forgettingTerms() {
+    static InjectedFault forgetsTerms() {
         return onDisk(log -> log.saveTermAndVote(Math.max(0, log.term() - 1), 0));
     }
 
     /** Loses up to four entries over a restart. */
-    static Plant forgettingEntries() {
+    static InjectedFault forgetsEntries() {
         return onDisk(log -> log.cutFrom(Math.max(log.first(), log.last() - 3)));
     }
 
     /** Grants every vote. */
-    static Plant sayingYes() {
+    static InjectedFault grantsEveryVote() {
         return onSend(message -> {
             if (message.kind == PartMessage.VOTE_REPLY) message.granted = true;
         });
     }
 
     /** Refuses every vote. */
-    static Plant refusing() {
+    static InjectedFault refusesEveryVote() {
         return onSend(message -> {
             if (message.kind == PartMessage.VOTE_REPLY || message.kind == PartMessage.PRE_VOTE_REPLY)
                 message.granted = false;
@@ -87,22 +87,22 @@
     }
 
     /** Reports syncs that were not done. */
-    static Plant lyingAboutSync() {
-        return new Plant() {
+    static InjectedFault ignoresSyncs() {
+        return new InjectedFault() {
             @Override
-            public void starting(int slot, ProbedDisk disk) {
-                disk.lieAboutSync();
+            public void beforeStart(int slot, TrackedDisk disk) {
+                disk.ignoreSyncs();
             }
         };
     }
 
     /** Stores no entry and acknowledges every entry that it was sent. */
-    static Plant hollow() {
-        return new Plant() {
+    static InjectedFault acknowledgesWithoutStoring() {
+        return new InjectedFault() {
             private final Map<Integer, Long> highestIndexSent = new HashMap<>();
 
             @Override
-            public PartMessage received(int slot, PartMessage message) {
+            public PartMessage replaceReceived(int slot, PartMessage message) {
                 if (message.kind != PartMessage.APPEND || message.entries.isEmpty()) return message;
                 var copy = Codec.read(PartMessage.class, Codec.write(message));
                 highestIndexSent.merge(slot, message.entries.get(message.entries.size() - 1).index, Math::max);
@@ -111,7 +111,7 @@
             }
 
             @Override
-            public PartMessage sent(int slot, PartMessage message) {
+            public PartMessage replaceSent(int slot, PartMessage message) {
                 if (message.kind != PartMessage.APPEND_REPLY) return message;
                 message.granted = true;
                 message.index = highestIndexSent.getOrDefault(slot, 0L);
@@ -121,7 +121,7 @@
     }
 
     /** Treats every candidate's log as up to date. */
-    static Plant votingForStaleLogs() {
+    static InjectedFault votesForStaleLogs() {
         return onReceive(message -> {
             if (message.kind == PartMessage.VOTE || message.kind == PartMessage.PRE_VOTE)
                 message.logTerm = Long.MAX_VALUE;
@@ -129,17 +129,17 @@
     }
 
     /** Shifts the time stamp of acknowledgements, so that a leader believes that its lease lasts longer. */
-    static Plant stampingAhead() {
+    static InjectedFault overestimatesLease() {
         return onReceive(message -> {
             if (message.kind == PartMessage.APPEND_REPLY) message.stamp += STAMP_SHIFT_MICROS;
         });
     }
 
     /** Stores other command bodies in slot 2. */
-    static Plant altering() {
-        return new Plant() {
+    static InjectedFault altersCommands() {
+        return new InjectedFault() {
             @Override
-            public PartMessage received(int slot, PartMessage message) {
+            public PartMessage replaceReceived(int slot, PartMessage message) {
                 if (slot != 2 || message.kind != PartMessage.APPEND) return message;
                 var copy = Codec.read(PartMessage.class, Codec.write(message));
                 for (var entry : copy.entries) if (entry.type == Entry.COMMAND) entry.body[0] ^= 1;
@@ -152,7 +152,7 @@
      * Turns commands into membership changes at the followers, as if the leader proposed them without waiting for one
      * another.
      */
-    static Plant changingAtWill() {
+    static InjectedFault changesMembershipConcurrently() {
         return onReceive(message -> {
             for (var entry : message.entries) {
                 if (entry.type != Entry.COMMAND) continue;
--- a/test/sim/src/test/java/craneway/sim/model/Ledger.java
+++ b/test/sim/src/test/java/craneway/sim/model/InvariantChecker.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 
 /** Records what an observer of all members has seen in a history and checks the {@link Invariant}s over it. */
-final class Ledger {
+final class InvariantChecker {
     /** A member's id or an entry's index together with a term. */
     private record Key(long id, long term) {}
 
@@ -23,14 +23,14 @@
     private record Committed(long term, long leaderTerm, Object result) {}
 
     /** The version of a disk's content: the disk object and the number of writes to it. */
-    private record DiskState(ProbedDisk disk, int writes) {
+    private record DiskState(TrackedDisk disk, int writes) {
         static DiskState of(Peer peer) {
-            return new DiskState(peer.disk(), peer.disk().writes());
+            return new DiskState(peer.disk(), peer.disk().writeCount());
         }
     }
 
     /** The logs of one member as read from its disk, kept until the disk changes. */
-    private static final class Views {
+    private static final class Logs {
         DiskState state;
         LogView written;
         LogView synced;
@@ -46,25 +46,25 @@
     private final Map<Long, Long> firstCommittedInTerm = new HashMap<>();
     private final Map<Key, Long> checkedUpTo = new HashMap<>();
     private final Map<Key, Integer> proposerByEntry = new HashMap<>();
-    private final Map<Integer, Views> viewsBySlot = new HashMap<>();
+    private final Map<Integer, Logs> viewsBySlot = new HashMap<>();
     private final Map<Integer, DiskState> lastReadState = new HashMap<>();
     private boolean replaying;
     private int logCheckInterval = 1;
     private int checkCount;
     private long acknowledgedCount;
 
-    Ledger(World world, Set<Invariant> enabled) {
+    InvariantChecker(World world, Set<Invariant> enabled) {
         this.world = world;
         this.enabled = enabled;
     }
 
     /** Turns off checks that later ones do not depend on, for replaying steps that were checked before. */
-    void quick(boolean value) {
+    void setReplaying(boolean value) {
         replaying = value;
     }
 
     /** Reads the logs only in every {@code interval}th check, for histories in which logs grow long. */
-    void stride(int interval) {
+    void setLogCheckInterval(int interval) {
         logCheckInterval = interval;
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** The number of entries that were committed by the leader that proposed them. */
-    long acknowledged() {
+    long acknowledgedCount() {
         return acknowledgedCount;
     }
 
@@ -119,17 +119,17 @@
                 peer.id() + " sent term " + sentTerm + " but has stored " + view.term());
         var vote = candidateByVote.get(new Key(peer.id(), view.term()));
         require(
-                vote == null || vote == view.vote(),
+                vote == null || vote == view.votedFor(),
                 Invariant.TERM_NEVER_GOES_BACK,
-                peer.id() + " voted in term " + view.term() + " for " + vote + " but has stored " + view.vote());
+                peer.id() + " voted in term " + view.term() + " for " + vote + " but has stored " + view.votedFor());
     }
 
     private LogView writtenLog(Peer peer) {
-        return views(peer).written;
+        return logsOf(peer).written;
     }
 
-    private Views views(Peer peer) {
-        var views = viewsBySlot.computeIfAbsent(peer.slot(), slot -> new Views());
+    private Logs logsOf(Peer peer) {
+        var views = viewsBySlot.computeIfAbsent(peer.slot(), slot -> new Logs());
         if (views.written != null && DiskState.of(peer).equals(views.state)) return views;
         try {
             views.state = DiskState.of(peer);
@@ -168,8 +168,8 @@
         var members = peer.group().members();
         var syncedCount = 0;
         for (var voter : members.voters) {
-            var holder = world.holder(voter);
-            if (holder == null || views(holder).synced.holds(index, term)) syncedCount++;
+            var holder = world.peerWithId(voter);
+            if (holder == null || logsOf(holder).synced.holds(index, term)) syncedCount++;
         }
         require(
                 syncedCount >= members.majority(),
@@ -203,11 +203,11 @@
     /** Checks all invariants on the current state of all members. */
     void check() {
         for (var peer : world.peers()) {
-            if (!peer.up()) continue;
+            if (!peer.isUp()) continue;
             var group = peer.group();
             if (group.role() == Role.LEADER) recordLeader(peer.id(), group.term());
             require(
-                    peer.frozen() || !group.hasLease(world.now()) || group.applied() >= committedIndex(),
+                    peer.isFrozen() || !group.hasLease(world.now()) || group.applied() >= committedIndex(),
                     Invariant.FRESH_LEADER_IS_CURRENT,
                     peer.id() + " of term " + group.term() + " answers from " + group.applied() + ", committed is "
                             + committedIndex());
@@ -218,7 +218,7 @@
     }
 
     private void checkLeaderComplete(Peer peer) {
-        if (!peer.up() || peer.group().role() != Role.LEADER || !enabled.contains(Invariant.LEADER_COMPLETE)) return;
+        if (!peer.isUp() || peer.group().role() != Role.LEADER || !enabled.contains(Invariant.LEADER_COMPLETE)) return;
         var key = new Key(peer.id(), peer.group().term());
         var checkedIndex = checkedUpTo.getOrDefault(key, 0L);
         for (var entry : committedEntries.tailMap(checkedIndex, false).entrySet())
@@ -262,7 +262,7 @@
     }
 
     /** Checks that the leader at the end has applied everything that was ever committed. */
-    void checkEnd(Peer leader) {
+    void checkFinalLeader(Peer leader) {
         require(
                 leader.group().applied() >= committedIndex(),
                 Invariant.ACKNOWLEDGED_STAYS,
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -9,14 +9,14 @@
 /**
  * What a disk holds of one log, read by the production class from a copy.
  *
- * @param vote the candidate that the stored term's vote went to, 0 for none
- * @param first the index of the first entry
- * @param imageTerm the term of the last entry that the snapshot covers, 0 without a snapshot
+ * @param votedFor the candidate that the stored term's vote went to, 0 for none
+ * @param firstIndex the index of the first entry
+ * @param snapshotTerm the term of the last entry that the snapshot covers, 0 without a snapshot
  */
-record LogView(long term, long vote, long first, long imageTerm, List<Entry> entries) {
+record LogView(long term, long votedFor, long firstIndex, long snapshotTerm, List<Entry> entries) {
     /** Reads the log from a copy of a disk; recovery may write to it. */
     static LogView of(Disk copy) {
-        var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE));
+        var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE_ID));
         var entries = new ArrayList<Entry>();
         for (var i = log.first(); i <= log.last(); i++) entries.add(log.at(i));
         var snapshotTerm = log.snapshot() == null ? 0 : log.snapshot().term;
@@ -25,14 +25,16 @@
 
     /** Whether the log, including its snapshot, holds the entry. Whatever the snapshot covers counts as held. */
     boolean holds(long index, long term) {
-        if (index < first - 1) return true;
-        if (index == first - 1) return imageTerm == term;
-        return index < first + entries.size() && entries.get((int) (index - first)).term == term;
+        if (index < firstIndex - 1) return true;
+        if (index == firstIndex - 1) return snapshotTerm == term;
+        return index < firstIndex + entries.size() && entries.get((int) (index - firstIndex)).term == term;
     }
 
     /** The term of the entry at an index, or -1 if the log does not hold it. */
     long termAt(long index) {
-        if (index == first - 1) return imageTerm;
-        return index < first || index >= first + entries.size() ? -1 : entries.get((int) (index - first)).term;
+        if (index == firstIndex - 1) return snapshotTerm;
+        return index < firstIndex || index >= firstIndex + entries.size()
+                ? -1
+                : entries.get((int) (index - firstIndex)).term;
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/Steward.java
+++ b/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
@@ -9,30 +9,31 @@
  * Requests membership changes and leadership transfers as the store's membership manager does, and decides which disks
  * may be lost.
  */
-final class Steward {
+final class MembershipManager {
     /** How many entries a learner may lack when it is promoted. */
     private static final int MAX_LEARNER_LAG_ENTRIES = 64;
 
     private final World world;
 
-    Steward(World world) {
+    MembershipManager(World world) {
         this.world = world;
     }
 
     /** Performs one membership change or leadership transfer at a leader if it makes sense there. */
-    void change(Peer leader, Choice choice) {
-        if (!leader.runs()) return;
+    void changeMembership(Peer leader, Choice choice) {
+        if (!leader.isRunning()) return;
         var now = world.now();
         if (choice.kind() == Choice.Kind.HAND_OVER) {
-            leader.group().transferLeadership(world.peer(choice.b()).id(), now);
+            leader.group()
+                    .transferLeadership(world.peer(choice.secondArgument()).id(), now);
         } else {
             var newMembers = requestedMembers(leader, choice);
             if (newMembers != null
                     && keepsMajority(newMembers, 0)
                     && leader.group().changeMembers(newMembers, now))
-                world.ledger().checkMembershipChange(leader);
+                world.checker().checkMembershipChange(leader);
         }
-        leader.settle();
+        leader.syncAndSend();
     }
 
     /** The membership after the requested change, or null if the change does not apply. */
@@ -40,12 +41,14 @@
         var members = leader.group().members();
         return switch (choice.kind()) {
             case LEARN -> {
-                var id = world.peer(choice.b()).id();
-                yield members.learner != 0 || members.isMember(id) ? null : members.withLearner(id, "z" + choice.b());
+                var id = world.peer(choice.secondArgument()).id();
+                yield members.learner != 0 || members.isMember(id)
+                        ? null
+                        : members.withLearner(id, "z" + choice.secondArgument());
             }
             case PROMOTE -> isLearnerCaughtUp(leader, members) ? members.promoted() : null;
             default -> {
-                var id = memberAt(members, choice.b());
+                var id = memberAt(members, choice.secondArgument());
                 yield id == 0 || id == leader.id() || members.voters.length == 1 ? null : members.without(id);
             }
         };
@@ -68,25 +71,27 @@
      * Performs the next change that the membership manager of a serving leader would make: remove members with lost
      * disks, promote a learner, remove a surplus voter, or add a learner.
      */
-    void manage() {
+    void performNextChange() {
         var leader = world.leader();
         if (leader == null || !leader.group().hasLease(world.now())) return;
         var members = leader.group().members();
         var newMembers = desiredMembers(leader, members);
         if (newMembers != null && keepsMajority(newMembers, 0) && leader.group().changeMembers(newMembers, world.now()))
-            world.ledger().checkMembershipChange(leader);
-        leader.settle();
+            world.checker().checkMembershipChange(leader);
+        leader.syncAndSend();
     }
 
     private Members desiredMembers(Peer leader, Members members) {
-        if (members.learner != 0 && world.lost(members.learner)) return members.without(members.learner);
-        for (var voter : members.voters) if (voter != leader.id() && world.lost(voter)) return members.without(voter);
+        if (members.learner != 0 && world.isDiskLost(members.learner)) return members.without(members.learner);
+        for (var voter : members.voters)
+            if (voter != leader.id() && world.isDiskLost(voter)) return members.without(voter);
         if (isLearnerCaughtUp(leader, members)) return members.promoted();
-        if (members.learner != 0) return world.holder(members.learner).runs() ? null : members.without(members.learner);
-        if (members.voters.length > world.shape().voters()) return members.without(leastRecentlyHeard(leader, members));
-        if (members.voters.length == world.shape().voters()) return null;
+        if (members.learner != 0)
+            return world.peerWithId(members.learner).isRunning() ? null : members.without(members.learner);
+        if (members.voters.length > world.setup().voters()) return members.without(leastRecentlyHeard(leader, members));
+        if (members.voters.length == world.setup().voters()) return null;
         return world.peers().stream()
-                .filter(peer -> peer.runs() && !members.isMember(peer.id()))
+                .filter(peer -> peer.isRunning() && !members.isMember(peer.id()))
                 .findFirst()
                 .map(peer -> members.withLearner(peer.id(), "z" + peer.slot()))
                 .orElse(null);
@@ -104,7 +109,7 @@
     }
 
     /** Whether every membership that some log names keeps a majority of intact disks without this one. */
-    boolean mayLose(Peer peer) {
+    boolean mayLoseDisk(Peer peer) {
         return knownMemberships().stream().allMatch(members -> keepsMajority(members, peer.id()));
     }
 
@@ -117,7 +122,7 @@
     private boolean keepsMajority(Members members, long lostId) {
         if (lostId != 0 && !members.isVoter(lostId)) return true;
         var intactVoters = Arrays.stream(members.voters)
-                .filter(voter -> voter != lostId && !world.lost(voter))
+                .filter(voter -> voter != lostId && !world.isDiskLost(voter))
                 .count();
         return intactVoters >= members.majority();
     }
--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -18,8 +18,8 @@
     private final int slot;
     private Members initialMembers;
     private long id;
-    private ProbedDisk disk = new ProbedDisk(new Disk());
-    private Chain chain;
+    private TrackedDisk disk = new TrackedDisk(new Disk());
+    private HashChainStateMachine stateMachine;
     private Group group;
     private boolean suspended;
     private Members lastMembers = new Members();
@@ -46,33 +46,33 @@
 
     /** The membership that its log names, also while it is stopped. */
     Members members() {
-        return up() ? group.members() : lastMembers;
+        return isUp() ? group.members() : lastMembers;
     }
 
-    Chain chain() {
-        return chain;
+    HashChainStateMachine stateMachine() {
+        return stateMachine;
     }
 
-    ProbedDisk disk() {
+    TrackedDisk disk() {
         return disk;
     }
 
     /** Whether the process runs, possibly frozen. */
-    boolean up() {
+    boolean isUp() {
         return group != null;
     }
 
     /** Whether the process runs and is not frozen. */
-    boolean runs() {
-        return up() && !suspended;
+    boolean isRunning() {
+        return isUp() && !suspended;
     }
 
-    boolean frozen() {
+    boolean isFrozen() {
         return suspended;
     }
 
     /** Suspends or resumes the process. */
-    void freeze(boolean value) {
+    void setFrozen(boolean value) {
         suspended = value;
     }
 
@@ -80,19 +80,19 @@
     void start(Random random) {
         startCount++;
         suspended = false;
-        chain = new Chain(world.ledger(), slot);
-        world.plant().starting(slot, disk);
+        stateMachine = new HashChainStateMachine(world.checker(), slot);
+        world.injectedFault().beforeStart(slot, disk);
         try {
             group = new Group(
                     World.PART,
                     id,
-                    World.CORE,
+                    World.CORE_ID,
                     disk.folder(),
                     initialMembers,
-                    chain,
+                    stateMachine,
                     random,
                     this,
-                    world.pace(),
+                    world.timing(),
                     world.now());
         } catch (DiskLostException e) {
             throw new Violation(Invariant.HEALTHY_DISK_IS_KEPT, "slot " + slot + ": " + e.getMessage());
@@ -100,7 +100,7 @@
     }
 
     /** How often the member was started. */
-    int lives() {
+    int startCount() {
         return startCount;
     }
 
@@ -114,13 +114,13 @@
     /** Ends the process; the disk keeps only what was synced. */
     void losePower() {
         stop();
-        disk = new ProbedDisk(disk.syncedCopy());
+        disk = new TrackedDisk(disk.syncedCopy());
     }
 
     /** Ends the process and replaces the disk by an empty one with a new member id. */
     void loseDisk(long newId) {
         stop();
-        disk = new ProbedDisk(new Disk());
+        disk = new TrackedDisk(new Disk());
         id = newId;
         lastMembers = new Members();
         initialMembers = new Members();
@@ -131,18 +131,18 @@
     }
 
     /** Syncs the log and sends the messages that waited for it. */
-    void settle() {
+    void syncAndSend() {
         group.syncAndSend(world.now());
     }
 
     @Override
     public void send(PartMessage message) {
-        world.post(this, message);
+        world.send(this, message);
     }
 
     @Override
     public void applied(long index, long term, Object result) {
-        world.ledger().recordApplied(this, index, term, result);
+        world.checker().recordApplied(this, index, term, result);
     }
 
     @Override
--- a/test/sim/src/test/java/craneway/sim/model/RandomHistoriesTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/RandomHistoriesTest.java
@@ -14,38 +14,38 @@
 
     @Test
     void fiveVotersOfSixStores() {
-        play(History.Size.FIVE, SEED_COUNT);
+        play(RandomHistory.Size.FIVE_VOTERS, SEED_COUNT);
     }
 
     @Test
     void threeVotersOfFourStores() {
-        play(History.Size.THREE, SEED_COUNT);
+        play(RandomHistory.Size.THREE_VOTERS, SEED_COUNT);
     }
 
     @Test
     void threeVotersWithSnapshots() {
-        play(History.Size.SNAPSHOTS, SEED_COUNT / 6);
+        play(RandomHistory.Size.SNAPSHOTS, SEED_COUNT / 6);
     }
 
-    private static void play(History.Size size, int seedCount) {
+    private static void play(RandomHistory.Size size, int seedCount) {
         var startedAt = System.nanoTime();
         var entryCount = 0L;
         var acknowledgedCount = 0L;
         for (var seed = FIRST_SEED; seed < FIRST_SEED + seedCount; seed++) {
-            var history = History.of(size, seed);
+            var history = RandomHistory.of(size, seed);
             var choices = history.draw();
             try {
                 var world = history.play(choices);
-                entryCount += world.ledger().committedIndex();
-                acknowledgedCount += world.ledger().acknowledged();
+                entryCount += world.checker().committedIndex();
+                acknowledgedCount += world.checker().acknowledgedCount();
             } catch (Violation violation) {
                 System.out.println("model: seed " + seed + " breaks " + violation.getMessage());
                 var shortest = Shrinker.shrink(choices, candidate -> {
-                    var found = history.breach(candidate);
+                    var found = history.findViolation(candidate);
                     return found != null && found.invariant() == violation.invariant();
                 });
                 fail("seed " + seed + " of " + size + ": "
-                        + history.breach(shortest).getMessage() + " after " + Choice.readable(shortest));
+                        + history.findViolation(shortest).getMessage() + " after " + Choice.describe(shortest));
             }
         }
         System.out.printf(
--- a/test/sim/src/test/java/craneway/sim/model/History.java
+++ b/test/sim/src/test/java/craneway/sim/model/RandomHistory.java
@@ -8,21 +8,21 @@
 import java.util.Set;
 
 /** A long random history that depends on a seed alone. It is played on a world and ends with all faults repaired. */
-final class History {
+final class RandomHistory {
     /**
      * The dimensions of a history.
      *
      * @param voters the number of voters at the start
      * @param slots the number of stores
      * @param length the number of choices
-     * @param noise how many messages in a thousand are lost, how many duplicated and how many late
-     * @param large whether half of the entries are so large that snapshots are taken
-     * @param pace the timing of the group
+     * @param faultsPerThousand how many messages in a thousand are lost, how many duplicated and how many late
+     * @param largeEntries whether half of the entries are so large that snapshots are taken
+     * @param timing the timing of the group
      */
-    record Size(int voters, int slots, int length, int noise, boolean large, TimingProfile pace) {
-        static final Size FIVE = new Size(5, 6, 4_000, 5, false, TimingProfile.STANDARD);
-        static final Size THREE = new Size(3, 4, 3_000, 8, false, TimingProfile.LOW_TRAFFIC);
-        static final Size PLANTED = new Size(3, 3, 600, 40, false, TimingProfile.STANDARD);
+    record Size(int voters, int slots, int length, int faultsPerThousand, boolean largeEntries, TimingProfile timing) {
+        static final Size FIVE_VOTERS = new Size(5, 6, 4_000, 5, false, TimingProfile.STANDARD);
+        static final Size THREE_VOTERS = new Size(3, 4, 3_000, 8, false, TimingProfile.LOW_TRAFFIC);
+        static final Size INJECTED_FAULT = new Size(3, 3, 600, 40, false, TimingProfile.STANDARD);
         static final Size SNAPSHOTS = new Size(3, 4, 400, 5, true, TimingProfile.STANDARD);
     }
 
@@ -43,10 +43,10 @@
 
     private final Size size;
     private final long seed;
-    private final Plant injectedFault;
+    private final InjectedFault injectedFault;
     private final Set<Invariant> checked;
 
-    History(Size size, long seed, Plant injectedFault, Set<Invariant> checked) {
+    RandomHistory(Size size, long seed, InjectedFault injectedFault, Set<Invariant> checked) {
         this.size = size;
         this.seed = seed;
         this.injectedFault = injectedFault;
@@ -54,8 +54,8 @@
     }
 
     /** A history without injected faults that checks every invariant. */
-    static History of(Size size, long seed) {
-        return new History(size, seed, Plant.NONE, EnumSet.allOf(Invariant.class));
+    static RandomHistory of(Size size, long seed) {
+        return new RandomHistory(size, seed, InjectedFault.NONE, EnumSet.allOf(Invariant.class));
     }
 
     /** Draws the choices; the first 600 ms pass without a fault, so that a leader is elected. */
@@ -81,7 +81,7 @@
         return Choice.of(
                 Choice.Kind.PROPOSE,
                 leader,
-                size.large() && random.nextInt(2) == 0 ? LARGE_ENTRY_BYTES : random.nextInt(40));
+                size.largeEntries() && random.nextInt(2) == 0 ? LARGE_ENTRY_BYTES : random.nextInt(40));
     }
 
     /** Draws a fault or its repair, or, in most cases, a plain round. */
@@ -117,15 +117,15 @@
     }
 
     private World createWorld() {
-        var setup = new World.Shape(
+        var setup = new World.Setup(
                 size.voters(),
                 size.slots(),
-                size.pace(),
+                size.timing(),
                 seed,
-                size.noise(),
+                size.faultsPerThousand(),
                 startNumber -> new Random(seed * 31 + startNumber));
         var world = new World(setup, injectedFault, checked);
-        world.ledger().stride(8);
+        world.checker().setLogCheckInterval(8);
         return world;
     }
 
@@ -146,9 +146,9 @@
             if (peer == null || !peer.group().hasLease(world.now())) continue;
             if (i % 20 == 0) world.apply(Choice.of(Choice.Kind.MANAGE, 0));
             if (peer.group().applied() < peer.group().lastIndex() || i < 100) continue;
-            world.ledger().stride(1);
-            world.ledger().check();
-            world.ledger().checkEnd(peer);
+            world.checker().setLogCheckInterval(1);
+            world.checker().check();
+            world.checker().checkFinalLeader(peer);
             return;
         }
         if (checked.contains(Invariant.SERVES_AGAIN))
@@ -158,7 +158,7 @@
     }
 
     /** The violation that these choices lead to, or null. */
-    Violation breach(List<Choice> choices) {
+    Violation findViolation(List<Choice> choices) {
         try {
             play(choices);
             return null;
--- a/test/sim/src/test/java/craneway/sim/model/TracesTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/RegressionTracesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Short histories that each violated an invariant before the fault was fixed. */
-class TracesTest {
+class RegressionTracesTest {
     private static void deliver(World world, String... labels) {
         for (var label : labels) world.apply(Choice.of(Choice.Kind.DELIVER, label));
     }
@@ -24,7 +24,7 @@
      */
     @Test
     void aLeaderThatLetAnotherThroughIsNotFreshAgainByLateAcknowledgements() {
-        var start = Starts.young();
+        var start = StartStates.followersRestarted();
         var world = start.world().get();
         start.choices().forEach(world::apply);
         for (var choice : List.of(Choice.of(Choice.Kind.ADVANCE, 110), Choice.of(Choice.Kind.TICK, 2)))
@@ -47,7 +47,7 @@
      */
     @Test
     void aGroupOfOneOnAFullDiskKeepsItsProblemToItself() {
-        var world = Starts.world(1, 1, Plant.NONE, EnumSet.allOf(Invariant.class));
+        var world = StartStates.createWorld(1, 1, InjectedFault.NONE, EnumSet.allOf(Invariant.class));
         world.apply(Choice.of(Choice.Kind.FULL, 1, 1));
         world.apply(Choice.of(Choice.Kind.ADVANCE, 2_000));
         world.apply(Choice.of(Choice.Kind.TICK, 1));
@@ -66,12 +66,12 @@
      */
     @Test
     void aLeaderDoesNotTakeItselfOutOfTheGroup() {
-        var world = Starts.three();
-        Starts.elected(Starts.three()).forEach(world::apply);
+        var world = StartStates.threeVoters();
+        StartStates.electLeader(StartStates.threeVoters()).forEach(world::apply);
         world.apply(Choice.of(Choice.Kind.ADVANCE, 100));
         var leader = world.peer(1);
         var accepted = leader.group().changeMembers(leader.group().members().without(1), world.now());
-        leader.settle();
+        leader.syncAndSend();
         world.apply(Choice.of(Choice.Kind.TICK, 1));
         deliver(world, "1>2 APPEND#4", "1>3 APPEND#4");
         for (var slot : new int[] {2, 3}) world.apply(Choice.of(Choice.Kind.RESTART, slot));
@@ -85,7 +85,7 @@
 
     @Test
     void theSameHistoryLeadsToTheSameState() {
-        var start = Starts.promoting();
+        var start = StartStates.learnerPromoting();
         var one = start.world().get();
         var other = start.world().get();
         for (var choice : start.choices()) {
--- a/test/sim/src/test/java/craneway/sim/model/Shrinker.java
+++ b/test/sim/src/test/java/craneway/sim/model/Shrinker.java
@@ -36,10 +36,10 @@
             var second = choices.get(i + 1);
             var mergeable = first.kind() == Choice.Kind.ROUND
                     && second.kind() == Choice.Kind.ROUND
-                    && first.a() + second.a() <= MAX_MERGED_ROUND_MILLIS;
+                    && first.argument() + second.argument() <= MAX_MERGED_ROUND_MILLIS;
             var candidate = new ArrayList<>(choices);
             if (mergeable) candidate.subList(i, i + 2).clear();
-            if (mergeable) candidate.add(i, Choice.of(Choice.Kind.ROUND, first.a() + second.a()));
+            if (mergeable) candidate.add(i, Choice.of(Choice.Kind.ROUND, first.argument() + second.argument()));
             if (mergeable && fails.test(candidate)) choices = candidate;
             else i++;
         }
--- a/test/sim/src/test/java/craneway/sim/model/Starts.java
+++ b/test/sim/src/test/java/craneway/sim/model/StartStates.java
@@ -11,12 +11,12 @@
 import java.util.stream.Stream;
 
 /** The states from which the exhaustive explorations start. */
-final class Starts {
+final class StartStates {
     /** Returns the same value each time, so that the state does not depend on how often was drawn before. */
-    private static final class Fixed extends Random {
+    private static final class ConstantRandom extends Random {
         private final double value;
 
-        Fixed(double value) {
+        ConstantRandom(double value) {
             this.value = value;
         }
 
@@ -26,44 +26,45 @@
         }
     }
 
-    private Starts() {}
+    private StartStates() {}
 
     /** A world without random message faults, whose members draw the same election timeout each time. */
-    static World world(int voters, int slots, Plant injectedFault, Set<Invariant> checked) {
-        var setup = new World.Shape(voters, slots, TimingProfile.STANDARD, 1, 0, seed -> new Fixed(seed / 1_000 * 0.1));
+    static World createWorld(int voters, int slots, InjectedFault injectedFault, Set<Invariant> checked) {
+        var setup = new World.Setup(
+                voters, slots, TimingProfile.STANDARD, 1, 0, seed -> new ConstantRandom(seed / 1_000 * 0.1));
         return new World(setup, injectedFault, checked);
     }
 
     /** Three voters without injected faults, all invariants checked. */
-    static World three() {
-        return world(3, 3, Plant.NONE, EnumSet.allOf(Invariant.class));
+    static World threeVoters() {
+        return createWorld(3, 3, InjectedFault.NONE, EnumSet.allOf(Invariant.class));
     }
 
     /** Three members that have just started. */
     static Explorer.Start fresh() {
         return new Explorer.Start(
                 "fresh",
-                Starts::three,
+                StartStates::threeVoters,
                 List.of(Choice.of(Choice.Kind.ADVANCE, 160)),
-                most("PROPOSE 1, RESTART 1, POWER 1, ADVANCE 3, REPEAT 1, FREEZE 1, CUT 1"),
+                parseLimits("PROPOSE 1, RESTART 1, POWER 1, ADVANCE 3, REPEAT 1, FREEZE 1, CUT 1"),
                 new int[] {160, 600},
                 1_500);
     }
 
     /** A leader with one entry that all members hold; restarts and time may follow. */
-    static Explorer.Start led() {
+    static Explorer.Start withLeader() {
         return new Explorer.Start(
                 "led",
-                Starts::three,
-                elected(Starts.three()),
-                most("PROPOSE 1, RESTART 2, POWER 1, ADVANCE 4, REPEAT 1, HAND_OVER 1, FREEZE 1, CUT 1"),
+                StartStates::threeVoters,
+                electLeader(StartStates.threeVoters()),
+                parseLimits("PROPOSE 1, RESTART 2, POWER 1, ADVANCE 4, REPEAT 1, HAND_OVER 1, FREEZE 1, CUT 1"),
                 new int[] {100, 400},
                 1_500);
     }
 
     /** A leader whose followers have both been restarted while its own lease has nearly expired. */
-    static Explorer.Start young() {
-        var choices = elected(Starts.three());
+    static Explorer.Start followersRestarted() {
+        var choices = electLeader(StartStates.threeVoters());
         choices.add(Choice.of(Choice.Kind.ADVANCE, 600));
         choices.add(Choice.of(Choice.Kind.TICK, 1));
         for (var follower : new int[] {2, 3})
@@ -72,62 +73,75 @@
         choices.add(Choice.of(Choice.Kind.RESTART, 3));
         return new Explorer.Start(
                 "young",
-                Starts::three,
+                StartStates::threeVoters,
                 choices,
-                most("PROPOSE 2, ADVANCE 2, RESTART 1, REPEAT 1, FREEZE 1, CUT 1"),
+                parseLimits("PROPOSE 2, ADVANCE 2, RESTART 1, REPEAT 1, FREEZE 1, CUT 1"),
                 new int[] {110},
                 1_500);
     }
 
-    /** Like {@link #young}, with the leader frozen: it has not received its followers' replies yet. */
-    static Explorer.Start frozen() {
-        var young = young();
+    /** Like {@link #followersRestarted}, with the leader frozen: it has not received its followers' replies yet. */
+    static Explorer.Start leaderFrozen() {
+        var young = followersRestarted();
         young.choices().add(Choice.of(Choice.Kind.FREEZE, 1));
-        return new Explorer.Start("frozen", Starts::three, young.choices(), most("CUT 1"), new int[] {}, 400);
+        return new Explorer.Start(
+                "frozen", StartStates::threeVoters, young.choices(), parseLimits("CUT 1"), new int[] {}, 400);
     }
 
     /** Three voters and a fourth store that may join; a disk may be lost. */
-    static Explorer.Start changing() {
+    static Explorer.Start membershipChanging() {
         return new Explorer.Start(
                 "changing",
-                () -> world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class)),
-                elected(world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class))),
-                most("PROPOSE 1, POWER 1, LOSE 1, LEARN 1, PROMOTE 1, REMOVE 1, ADVANCE 3, FREEZE 1, CUT 1"),
+                () -> createWorld(3, 4, InjectedFault.NONE, EnumSet.allOf(Invariant.class)),
+                electLeader(createWorld(3, 4, InjectedFault.NONE, EnumSet.allOf(Invariant.class))),
+                parseLimits("PROPOSE 1, POWER 1, LOSE 1, LEARN 1, PROMOTE 1, REMOVE 1, ADVANCE 3, FREEZE 1, CUT 1"),
                 new int[] {100, 800},
                 1_500);
     }
 
     /** The leader has been asked to transfer leadership to slot 2, and there is time for its message to arrive late. */
-    static Explorer.Start handing() {
-        var choices = elected(Starts.three());
+    static Explorer.Start leadershipTransferring() {
+        var choices = electLeader(StartStates.threeVoters());
         choices.add(Choice.of(Choice.Kind.HAND_OVER, 1, 2));
         return new Explorer.Start(
-                "handing", Starts::three, choices, most("PROPOSE 1, RESTART 1, FREEZE 1, CUT 1"), new int[] {700}, 900);
+                "handing",
+                StartStates::threeVoters,
+                choices,
+                parseLimits("PROPOSE 1, RESTART 1, FREEZE 1, CUT 1"),
+                new int[] {700},
+                900);
     }
 
     /** A fourth store has caught up as a learner and is about to become a voter; a disk may be lost. */
-    static Explorer.Start promoting() {
-        var world = world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class));
-        var choices = elected(world);
+    static Explorer.Start learnerPromoting() {
+        var world = createWorld(3, 4, InjectedFault.NONE, EnumSet.allOf(Invariant.class));
+        var choices = electLeader(world);
         step(world, choices, Choice.of(Choice.Kind.LEARN, 1, 4));
         deliverAll(world, choices);
         step(world, choices, Choice.of(Choice.Kind.PROMOTE, 1));
         return new Explorer.Start(
                 "promoting",
-                () -> world(3, 4, Plant.NONE, EnumSet.allOf(Invariant.class)),
+                () -> createWorld(3, 4, InjectedFault.NONE, EnumSet.allOf(Invariant.class)),
                 choices,
-                most("PROPOSE 1, REMOVE 1, LOSE 1, POWER 1, CUT 1"),
+                parseLimits("PROPOSE 1, REMOVE 1, LOSE 1, POWER 1, CUT 1"),
                 new int[] {800},
                 900);
     }
 
     /** All starts. */
     static Stream<Explorer.Start> all() {
-        return Stream.of(fresh(), led(), young(), frozen(), handing(), changing(), promoting());
+        return Stream.of(
+                fresh(),
+                withLeader(),
+                followersRestarted(),
+                leaderFrozen(),
+                leadershipTransferring(),
+                membershipChanging(),
+                learnerPromoting());
     }
 
     /** Parses the limits of event kinds from a list such as {@code "PROPOSE 1, RESTART 2"}. */
-    static Map<Choice.Kind, Integer> most(String text) {
+    static Map<Choice.Kind, Integer> parseLimits(String text) {
         var limits = new EnumMap<Choice.Kind, Integer>(Choice.Kind.class);
         for (var item : text.split(", ")) {
             var words = item.split(" ");
@@ -137,7 +151,7 @@
     }
 
     /** Plays a history without faults until slot 1 leads and all members hold one entry, and returns its choices. */
-    static List<Choice> elected(World world) {
+    static List<Choice> electLeader(World world) {
         var choices = new ArrayList<Choice>();
         step(world, choices, Choice.of(Choice.Kind.ADVANCE, 160));
         step(world, choices, Choice.of(Choice.Kind.TICK, 1));
@@ -152,11 +166,12 @@
     }
 
     private static void deliverAll(World world, List<Choice> choices) {
-        while (!world.mail().isEmpty())
+        while (!world.messagesInFlight().isEmpty())
             step(
                     world,
                     choices,
-                    Choice.of(Choice.Kind.DELIVER, world.mail().get(0).label()));
+                    Choice.of(
+                            Choice.Kind.DELIVER, world.messagesInFlight().get(0).label()));
     }
 
     private static void step(World world, List<Choice> choices, Choice choice) {
--- a/test/sim/src/test/java/craneway/sim/model/StateHash.java
+++ b/test/sim/src/test/java/craneway/sim/model/StateHash.java
@@ -37,24 +37,25 @@
 
     /** The hash of a world; the order of messages in flight does not matter. */
     static long of(World world) {
-        var hash = Hash.of(world.now(), world.ledger().digest());
+        var hash = Hash.of(world.now(), world.checker().digest());
         for (var peer : world.peers()) {
             hash = Hash.of(hash, new StateHash().hashOf(peer.group()));
-            hash = Hash.of(hash, peer.chain().hash() * 31 + peer.id() * 2 + (peer.frozen() ? 1 : 0));
+            hash = Hash.of(hash, peer.stateMachine().hash() * 31 + peer.id() * 2 + (peer.isFrozen() ? 1 : 0));
         }
         var messagesHash = 0L;
-        for (var message : world.mail())
-            messagesHash += Hash.of(letter(message), world.late().contains(message.label()) ? 1 : 0);
+        for (var message : world.messagesInFlight())
+            messagesHash +=
+                    Hash.of(hashOfMessage(message), world.postponedLabels().contains(message.label()) ? 1 : 0);
         return Hash.of(
                 Hash.of(hash, messagesHash),
-                world.ticked().hashCode() * 31L + world.cuts().hashCode());
+                world.tickedSlots().hashCode() * 31L + world.cutLinks().hashCode());
     }
 
     /**
      * Hashes a message's ends and content but not its label: messages that differ only in the label are
      * interchangeable.
      */
-    static long letter(Letter message) {
+    static long hashOfMessage(InFlightMessage message) {
         return Hash.of(message.from() * 100 + message.to(), new StateHash().hashOf(message.message()));
     }
 
--- a/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
+++ b/test/sim/src/test/java/craneway/sim/model/TrackedDisk.java
@@ -13,7 +13,7 @@
  * A simulated disk that tracks how much of each file was synced and how often it was written. It intercepts the calls
  * of {@link Folder} by method name.
  */
-final class ProbedDisk {
+final class TrackedDisk {
     private final Disk disk;
     private final Folder folder;
     private final Map<String, Integer> writtenLengths = new HashMap<>();
@@ -21,7 +21,7 @@
     private boolean ignoresSync;
     private int writeCount;
 
-    ProbedDisk(Disk disk) {
+    TrackedDisk(Disk disk) {
         this.disk = disk;
         for (var name : disk.names()) setSynced(name, disk.read(name).length);
         folder = (Folder)
@@ -33,17 +33,17 @@
     }
 
     /** The number of calls that changed or synced a file. */
-    int writes() {
+    int writeCount() {
         return writeCount;
     }
 
     /** Sets whether the disk rejects every write. */
-    void full(boolean value) {
+    void setFull(boolean value) {
         disk.full(value);
     }
 
     /** Makes syncs from now on report success without doing anything. */
-    void lieAboutSync() {
+    void ignoreSyncs() {
         ignoresSync = true;
     }
 
--- a/test/sim/src/test/java/craneway/sim/model/World.java
+++ b/test/sim/src/test/java/craneway/sim/model/World.java
@@ -16,40 +16,46 @@
 /** Members of one consensus group on simulated disks, clock and network; every change to it is a {@link Choice}. */
 final class World {
     static final int PART = 0;
-    static final long CORE = 9;
+    static final long CORE_ID = 9;
 
     /**
      * The properties of a world.
      *
      * @param voters the number of voters at the start
      * @param slots the number of stores
-     * @param pace the timing of the group
-     * @param noise how many messages in a thousand are lost, how many duplicated and how many late
-     * @param randoms creates a member's source of randomness from its slot and the number of its starts
+     * @param timing the timing of the group
+     * @param faultsPerThousand how many messages in a thousand are lost, how many duplicated and how many late
+     * @param randomFactory creates a member's source of randomness from its slot and the number of its starts
      */
-    record Shape(int voters, int slots, TimingProfile pace, long seed, int noise, IntFunction<Random> randoms) {}
-
-    private final Shape setup;
-    private final Plant injectedFault;
-    private final Ledger ledger;
+    record Setup(
+            int voters,
+            int slots,
+            TimingProfile timing,
+            long seed,
+            int faultsPerThousand,
+            IntFunction<Random> randomFactory) {}
+
+    private final Setup setup;
+    private final InjectedFault injectedFault;
+    private final InvariantChecker checker;
     private final List<Peer> peers = new ArrayList<>();
     private final Map<Long, Integer> slotById = new HashMap<>();
     private final Map<String, Integer> countByLink = new HashMap<>();
-    private final List<Letter> messagesInFlight = new ArrayList<>();
+    private final List<InFlightMessage> messagesInFlight = new ArrayList<>();
     private final Set<String> postponedLabels = new HashSet<>();
     private final Set<Integer> tickedSlots = new HashSet<>();
     private final Set<Integer> cutLinks = new HashSet<>();
     private final Network network;
-    private final Steward steward;
+    private final MembershipManager membershipManager;
     private long nowMicros = 1_000_000;
     private long proposalCount;
 
-    World(Shape setup, Plant injectedFault, Set<Invariant> checked) {
+    World(Setup setup, InjectedFault injectedFault, Set<Invariant> checked) {
         this.setup = setup;
         this.injectedFault = injectedFault;
-        ledger = new Ledger(this, checked);
-        network = new Network(setup.seed(), setup.noise());
-        steward = new Steward(this);
+        checker = new InvariantChecker(this, checked);
+        network = new Network(setup.seed(), setup.faultsPerThousand());
+        membershipManager = new MembershipManager(this);
         var ids = new long[setup.voters()];
         var zones = new String[setup.voters()];
         for (var i = 0; i < ids.length; i++) {
@@ -64,24 +70,24 @@
         }
     }
 
-    Shape shape() {
+    Setup setup() {
         return setup;
     }
 
-    TimingProfile pace() {
-        return setup.pace();
+    TimingProfile timing() {
+        return setup.timing();
     }
 
-    Plant plant() {
+    InjectedFault injectedFault() {
         return injectedFault;
     }
 
-    Ledger ledger() {
-        return ledger;
+    InvariantChecker checker() {
+        return checker;
     }
 
-    Steward steward() {
-        return steward;
+    MembershipManager membershipManager() {
+        return membershipManager;
     }
 
     long now() {
@@ -96,46 +102,46 @@
         return peers.get(slot - 1);
     }
 
-    List<Letter> mail() {
+    List<InFlightMessage> messagesInFlight() {
         return messagesInFlight;
     }
 
     /** Labels of the messages that are delivered only by an explicit choice. */
-    Set<String> late() {
+    Set<String> postponedLabels() {
         return postponedLabels;
     }
 
     /** The cut links, each as 100 times the sender's slot plus the receiver's slot; what is sent over them is lost. */
-    Set<Integer> cuts() {
+    Set<Integer> cutLinks() {
         return cutLinks;
     }
 
     /** The slots that have ticked at the current time. */
-    Set<Integer> ticked() {
+    Set<Integer> tickedSlots() {
         return tickedSlots;
     }
 
     /** Whether the disk that belonged to this member id was lost. */
-    boolean lost(long id) {
+    boolean isDiskLost(long id) {
         return peer(slotById.get(id)).id() != id;
     }
 
     /** The peer with this member id, or null if its disk was lost. */
-    Peer holder(long id) {
-        return lost(id) ? null : peer(slotById.get(id));
+    Peer peerWithId(long id) {
+        return isDiskLost(id) ? null : peer(slotById.get(id));
     }
 
     /** Sends a message through the network, after the injected fault had its turn. */
-    void post(Peer sender, PartMessage message) {
-        var sent = injectedFault.sent(sender.slot(), message);
+    void send(Peer sender, PartMessage message) {
+        var sent = injectedFault.replaceSent(sender.slot(), message);
         var receiverSlot = slotById.get(message.to);
         if (sent == null || receiverSlot == null) return;
-        ledger.recordSent(sender, sent);
+        checker.recordSent(sender, sent);
         var link = sender.slot() + ">" + receiverSlot + " " + name(sent.kind);
         var label = link + "#" + countByLink.merge(link, 1, Integer::sum);
         if (cutLinks.contains(sender.slot() * 100 + receiverSlot)) return;
         for (var arrivesAt : network.arrivals(label, nowMicros))
-            messagesInFlight.add(new Letter(label, sender.slot(), receiverSlot, sent, arrivesAt));
+            messagesInFlight.add(new InFlightMessage(label, sender.slot(), receiverSlot, sent, arrivesAt));
     }
 
     private static String name(int kind) {
@@ -156,7 +162,7 @@
     void apply(Choice choice) {
         try {
             step(choice);
-            ledger.check();
+            checker.check();
         } catch (Violation violation) {
             throw violation;
         } catch (RuntimeException e) {
@@ -167,17 +173,17 @@
     private void step(Choice choice) {
         switch (choice.kind()) {
             case ADVANCE -> {
-                nowMicros += choice.a() * 1_000L;
+                nowMicros += choice.argument() * 1_000L;
                 tickedSlots.clear();
             }
             case POSTPONE -> postponedLabels.add(choice.label());
             case DELIVER, REPEAT -> deliver(choice);
-            case ROUND -> round(choice.a() * 1_000L);
-            case CUT -> cutLinks.add(choice.a() * 100 + choice.b());
+            case ROUND -> round(choice.argument() * 1_000L);
+            case CUT -> cutLinks.add(choice.argument() * 100 + choice.secondArgument());
             case HEAL -> cutLinks.clear();
-            case MANAGE -> steward.manage();
+            case MANAGE -> membershipManager.performNextChange();
             default -> {
-                var peer = choice.a() == 0 ? leader() : peer(choice.a());
+                var peer = choice.argument() == 0 ? leader() : peer(choice.argument());
                 if (peer != null) applyTo(peer, choice);
             }
         }
@@ -186,36 +192,36 @@
     private void applyTo(Peer peer, Choice choice) {
         switch (choice.kind()) {
             case TICK -> tick(peer);
-            case PROPOSE -> propose(peer, choice.b());
+            case PROPOSE -> propose(peer, choice.secondArgument());
             case RESTART -> restart(peer);
             case POWER -> losePower(peer);
             case LOSE -> loseDisk(peer);
-            case LEARN, PROMOTE, REMOVE, HAND_OVER -> steward.change(peer, choice);
-            case FREEZE -> peer.freeze(peer.up());
-            case THAW -> peer.freeze(false);
+            case LEARN, PROMOTE, REMOVE, HAND_OVER -> membershipManager.changeMembership(peer, choice);
+            case FREEZE -> peer.setFrozen(peer.isUp());
+            case THAW -> peer.setFrozen(false);
             case DOWN -> peer.stop();
             case UP -> start(peer);
-            case FULL -> peer.disk().full(choice.b() == 1);
+            case FULL -> peer.disk().setFull(choice.secondArgument() == 1);
             default -> throw new IllegalArgumentException(choice.toString());
         }
     }
 
     private void tick(Peer peer) {
-        if (!peer.runs()) return;
+        if (!peer.isRunning()) return;
         tickedSlots.add(peer.slot());
         peer.tick();
-        peer.settle();
+        peer.syncAndSend();
     }
 
     private void propose(Peer peer, int extraBytes) {
-        if (!peer.runs()) return;
+        if (!peer.isRunning()) return;
         var body = new byte[8 + extraBytes];
         body[0] = (byte) ++proposalCount;
         body[1] = (byte) (proposalCount >> 8);
         body[2] = (byte) peer.slot();
         var index = peer.group().propose(body, nowMicros);
-        if (index > 0) ledger.recordProposed(peer, index);
-        peer.settle();
+        if (index > 0) checker.recordProposed(peer, index);
+        peer.syncAndSend();
     }
 
     private void restart(Peer peer) {
@@ -229,22 +235,22 @@
     }
 
     private void loseDisk(Peer peer) {
-        if (!steward.mayLose(peer)) return;
+        if (!membershipManager.mayLoseDisk(peer)) return;
         peer.loseDisk(peer.id() + 100);
         slotById.put(peer.id(), peer.slot());
         start(peer);
     }
 
     private void start(Peer peer) {
-        if (peer.up()) return;
-        ledger.checkBeforeStart(peer);
-        peer.start(setup.randoms().apply(peer.slot() * 1_000 + peer.lives()));
+        if (peer.isUp()) return;
+        checker.checkBeforeStart(peer);
+        peer.start(setup.randomFactory().apply(peer.slot() * 1_000 + peer.startCount()));
     }
 
     private void deliver(Choice choice) {
         for (var message : messagesInFlight) {
             if (!message.label().equals(choice.label())) continue;
-            if (!peer(message.to()).runs()) return;
+            if (!peer(message.to()).isRunning()) return;
             if (choice.kind() == Choice.Kind.DELIVER) messagesInFlight.remove(message);
             else postponedLabels.add(message.label());
             receive(message);
@@ -252,10 +258,10 @@
         }
     }
 
-    private void receive(Letter message) {
+    private void receive(InFlightMessage message) {
         var receiver = peer(message.to());
-        receiver.group().receive(injectedFault.received(message.to(), message.message()), nowMicros);
-        receiver.settle();
+        receiver.group().receive(injectedFault.replaceReceived(message.to(), message.message()), nowMicros);
+        receiver.syncAndSend();
     }
 
     /**
@@ -267,19 +273,19 @@
         for (var peer : peers) if (network.ticksFirst(peer.slot(), nowMicros)) tick(peer);
         for (var message = nextDue(); message != null; message = nextDue()) {
             messagesInFlight.remove(message);
-            if (peer(message.to()).up()) receive(message);
-            ledger.check();
+            if (peer(message.to()).isUp()) receive(message);
+            checker.check();
         }
         for (var peer : peers) if (!network.ticksFirst(peer.slot(), nowMicros)) tick(peer);
     }
 
     /** The due message with the earliest arrival, or null; messages to frozen members wait. */
-    private Letter nextDue() {
-        Letter earliest = null;
+    private InFlightMessage nextDue() {
+        InFlightMessage earliest = null;
         for (var message : messagesInFlight)
-            if (message.at() <= nowMicros
-                    && !peer(message.to()).frozen()
-                    && (earliest == null || message.at() < earliest.at())) earliest = message;
+            if (message.arrivesAt() <= nowMicros
+                    && !peer(message.to()).isFrozen()
+                    && (earliest == null || message.arrivesAt() < earliest.arrivesAt())) earliest = message;
         return earliest;
     }
 
@@ -287,7 +293,7 @@
     Peer leader() {
         Peer newest = null;
         for (var peer : peers) {
-            if (!peer.runs() || peer.group().role() != Role.LEADER) continue;
+            if (!peer.isRunning() || peer.group().role() != Role.LEADER) continue;
             if (newest == null || peer.group().term() > newest.group().term()) newest = peer;
         }
         return newest;
