--- a/test/sim/src/main/java/craneway/sim/Chaos.java
+++ b/test/sim/src/main/java/craneway/sim/Chaos.java
@@ -174,10 +174,10 @@
         scenario.quiet();
         scenario.runTo(recoveryCheckedFrom + 50);
         var checks = scenario.checks();
-        var wrong = new ArrayList<>(checks.all());
-        wrong.addAll(checks.unserved(scenario.start + (long) (recoveryCheckedFrom * 1e6)));
+        var violations = new ArrayList<>(checks.all());
+        violations.addAll(checks.unserved(scenario.start + (long) (recoveryCheckedFrom * 1e6)));
         return new Result(
-                seed, faults, wrong, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
+                seed, faults, violations, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
     }
 
     /** Ends all faults, starts every machine that is down, and closes all recorded outages. */
--- a/test/sim/src/main/java/craneway/sim/Day.java
+++ b/test/sim/src/main/java/craneway/sim/Day.java
@@ -30,13 +30,13 @@
         scenario.quiet();
         scenario.runOn(50);
         var checks = scenario.checks();
-        var wrong = new ArrayList<>(checks.all());
-        wrong.addAll(checks.lost(
+        var violations = new ArrayList<>(checks.all());
+        violations.addAll(checks.lost(
                 scenario.start + (long) (RELEASE_START_SECOND * 1e6), scenario.start + (long) (releaseEnd * 1e6)));
-        wrong.addAll(checks.unserved(scenario.start + (long) (nightEnd * 1e6)));
+        violations.addAll(checks.unserved(scenario.start + (long) (nightEnd * 1e6)));
         for (var answer : scenario.answers)
-            if (answer.startsWith("declined")) wrong.add("an operator's command was " + answer);
-        return new Result(seed, wrong, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
+            if (answer.startsWith("declined")) violations.add("an operator's command was " + answer);
+        return new Result(seed, violations, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
     }
 
     /** High load, then changing request rates and response lengths. */
--- a/test/sim/src/main/java/craneway/sim/Disk.java
+++ b/test/sim/src/main/java/craneway/sim/Disk.java
@@ -49,12 +49,12 @@
 
     private final Map<String, SimulatedFile> files = new TreeMap<>();
     private final Map<String, SimulatedFile> deleted = new TreeMap<>();
-    private boolean full;
+    private boolean rejectsWrites;
     private boolean ignoresSync;
 
     /** Sets whether the disk rejects every write. */
     public void full(boolean value) {
-        full = value;
+        rejectsWrites = value;
     }
 
     /** Sets whether a sync reports success without doing anything. */
@@ -130,7 +130,7 @@
     }
 
     private void rejectIfFull() {
-        if (full) throw new DiskException(true, "the disk is full");
+        if (rejectsWrites) throw new DiskException(true, "the disk is full");
     }
 
     @Override
--- a/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
@@ -36,7 +36,7 @@
         var sentAt = fleet.sim.now();
         fleet.sim.after(CALL_DELAY_MICROS, () -> {
             fleet.nodes().forEach(node -> fleet.net.cut(isolated.name, node.name));
-            net.call(isolated, Request.mark("z1", true), answer -> {});
+            net.call(isolated, Request.markZone("z1", true), answer -> {});
         });
         fleet.run(SECOND_MICROS);
         history.add(Operation.markZone("operator", "z1", true, sentAt, fleet.sim.now(), Outcome.UNCLEAR));
@@ -52,7 +52,7 @@
     private void markZone(StoreNode node, boolean emptied) {
         var sentAt = fleet.sim.now();
         var acknowledged = new ArrayList<Boolean>();
-        net.call(node, Request.mark("z1", emptied), answer -> acknowledged.add(answer.isOk()));
+        net.call(node, Request.markZone("z1", emptied), answer -> acknowledged.add(answer.isOk()));
         while (acknowledged.isEmpty() && fleet.sim.now() < sentAt + SECOND_MICROS) fleet.run(POLL_INTERVAL_MICROS);
         assertTrue(acknowledged.equals(List.of(true)));
         history.add(Operation.markZone("operator", "z1", emptied, sentAt, fleet.sim.now(), Outcome.ACKNOWLEDGED));
--- a/test/sim/src/test/java/craneway/sim/history/FaultyEndpoints.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultyEndpoints.java
@@ -18,12 +18,12 @@
     static OperatorEndpoint readsWithoutMajority() {
         return new OperatorEndpoint() {
             @Override
-            void handle(StoreNode node, Request request, Consumer<Answer> callback) {
+            void handle(StoreNode node, Request request, Consumer<Response> callback) {
                 var replicas = node.store().replicas();
                 if (request.isConfiguration() || request.isZoneCommand() || replicas.length == 0)
                     super.handle(node, request, callback);
                 else
-                    callback.accept(new Answer(
+                    callback.accept(new Response(
                             200, replicas[Parts.MANIFEST_PART].records().rows().manifest));
             }
         };
@@ -33,13 +33,13 @@
     static OperatorEndpoint confirmsByNumber() {
         return new OperatorEndpoint() {
             @Override
-            void configure(StoreNode node, Request request, Consumer<Answer> callback) {
-                super.configure(node, request, answer -> {
-                    if (answer.status() != 412) callback.accept(answer);
+            void configure(StoreNode node, Request request, Consumer<Response> callback) {
+                super.configure(node, request, response -> {
+                    if (response.status() != 412) callback.accept(response);
                     else
                         node.commands().readManifest(result -> {
                             var sameNumber = result.isRight() && result.get().version == request.version();
-                            callback.accept(sameNumber ? Answer.of(200) : answer);
+                            callback.accept(sameNumber ? Response.of(200) : response);
                         });
                 });
             }
@@ -62,9 +62,11 @@
     static OperatorEndpoint confirmsWithoutMajority() {
         return new OperatorEndpoint() {
             @Override
-            void configure(StoreNode node, Request request, Consumer<Answer> callback) {
+            void configure(StoreNode node, Request request, Consumer<Response> callback) {
                 super.configure(
-                        node, request, answer -> callback.accept(answer.status() == 503 ? Answer.of(200) : answer));
+                        node,
+                        request,
+                        response -> callback.accept(response.status() == 503 ? Response.of(200) : response));
             }
         };
     }
@@ -76,17 +78,17 @@
             private final Map<String, Long> cachedAt = new HashMap<>();
 
             @Override
-            void handle(StoreNode node, Request request, Consumer<Answer> callback) {
+            void handle(StoreNode node, Request request, Consumer<Response> callback) {
                 var fresh = node.now() - cachedAt.getOrDefault(node.name, Long.MIN_VALUE / 2) < CACHE_DURATION_MICROS;
                 if (request.isConfiguration() || request.isZoneCommand()) super.handle(node, request, callback);
-                else if (fresh) callback.accept(new Answer(200, cachedByNode.get(node.name)));
+                else if (fresh) callback.accept(new Response(200, cachedByNode.get(node.name)));
                 else
-                    super.handle(node, request, answer -> {
-                        if (answer.isOk()) {
-                            cachedByNode.put(node.name, answer.manifest());
+                    super.handle(node, request, response -> {
+                        if (response.isOk()) {
+                            cachedByNode.put(node.name, response.manifest());
                             cachedAt.put(node.name, node.now());
                         }
-                        callback.accept(answer);
+                        callback.accept(response);
                     });
             }
         };
@@ -96,11 +98,11 @@
     static OperatorEndpoint duplicatesZoneCommands(Sim[] sim) {
         return new OperatorEndpoint() {
             @Override
-            void handle(StoreNode node, Request request, Consumer<Answer> callback) {
+            void handle(StoreNode node, Request request, Consumer<Response> callback) {
                 super.handle(node, request, callback);
                 if (request.isZoneCommand())
                     sim[0].after(
-                            DUPLICATE_DELAY_MICROS, () -> node.run(() -> super.handle(node, request, answer -> {})));
+                            DUPLICATE_DELAY_MICROS, () -> node.run(() -> super.handle(node, request, response -> {})));
             }
         };
     }
--- a/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
@@ -114,7 +114,7 @@
         net.maxReadDelayMicros = Long.MAX_VALUE;
         var sentAt = fleet.sim.now();
         var outcome = new ArrayList<Outcome>();
-        net.call(node, Request.mark("z1", emptied), answer -> {
+        net.call(node, Request.markZone("z1", emptied), answer -> {
             if (answer.isOk()) outcome.add(Outcome.ACKNOWLEDGED);
         });
         fleet.run(SECOND_MICROS);
--- a/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
@@ -1,8 +1,8 @@
 package craneway.sim.history;
 
 import craneway.sim.Sim;
-import craneway.sim.history.OperatorEndpoint.Answer;
 import craneway.sim.history.OperatorEndpoint.Request;
+import craneway.sim.history.OperatorEndpoint.Response;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
@@ -24,10 +24,10 @@
     /** Receives the result of each attempt and of the whole call; null stands for no response. */
     interface Listener {
         /** Called when an attempt ends. */
-        void attemptEnded(long sentAt, Answer answer);
+        void attemptEnded(long sentAt, Response response);
 
         /** Called when the whole call ends; the answer is null if no definite one came in time. */
-        void callEnded(long startedAt, Answer answer);
+        void callEnded(long startedAt, Response response);
     }
 
     private final Sim sim;
@@ -66,8 +66,8 @@
         var attempt = ++attemptEvents;
         var sentAt = sim.now();
         lastNode = chooseNode();
-        net.call(net.node(lastNode), request, answer -> {
-            if (attempt == attemptEvents) endAttempt(sentAt, answer);
+        net.call(net.node(lastNode), request, response -> {
+            if (attempt == attemptEvents) endAttempt(sentAt, response);
         });
         sim.after(ATTEMPT_TIMEOUT_MICROS, () -> {
             if (attempt == attemptEvents) endAttempt(sentAt, null);
@@ -81,11 +81,11 @@
         return candidates.get(sim.random.nextInt(candidates.size()));
     }
 
-    private void endAttempt(long sentAt, Answer answer) {
+    private void endAttempt(long sentAt, Response response) {
         attemptEvents++;
-        listener.attemptEnded(sentAt, answer);
-        if (answer != null && (answer.isOk() || isRefusal(answer))) {
-            listener.callEnded(startedAt, answer);
+        listener.attemptEnded(sentAt, response);
+        if (response != null && (response.isOk() || isRefusal(response))) {
+            listener.callEnded(startedAt, response);
             return;
         }
         var nextAttemptAt = sim.now() + backoff;
@@ -94,9 +94,9 @@
         else sim.at(nextAttemptAt, this::startAttempt);
     }
 
-    private boolean isRefusal(Answer answer) {
-        if (FINAL_STATUSES.contains(answer.status())) return true;
-        if (answer.status() < 400 || answer.status() >= 500 || RETRYABLE_STATUSES.contains(answer.status()))
+    private boolean isRefusal(Response response) {
+        if (FINAL_STATUSES.contains(response.status())) return true;
+        if (response.status() < 400 || response.status() >= 500 || RETRYABLE_STATUSES.contains(response.status()))
             return false;
         return ++otherClientErrors >= MAX_OTHER_CLIENT_ERRORS;
     }
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -2,8 +2,8 @@
 
 import craneway.sim.Sim;
 import craneway.sim.history.Operation.Outcome;
-import craneway.sim.history.OperatorEndpoint.Answer;
 import craneway.sim.history.OperatorEndpoint.Request;
+import craneway.sim.history.OperatorEndpoint.Response;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -83,10 +83,10 @@
     private void sendConfiguration(Request request) {
         call(request, CONFIGURATION_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void attemptEnded(long sentAt, Answer answer) {}
+            public void attemptEnded(long sentAt, Response response) {}
 
             @Override
-            public void callEnded(long sentAt, Answer answer) {
+            public void callEnded(long sentAt, Response response) {
                 history.add(Operation.configure(
                         name,
                         request.baseVersion(),
@@ -94,10 +94,10 @@
                         request.value(),
                         sentAt,
                         sim.now(),
-                        outcome(answer)));
-                if (answer != null && answer.isOk()) recordAccepted(request);
+                        outcome(response)));
+                if (response != null && response.isOk()) recordAccepted(request);
                 else read(READ_TIMEOUT_MICROS);
-                if (answer != null && answer.isOk()) scheduleNext();
+                if (response != null && response.isOk()) scheduleNext();
             }
         });
     }
@@ -108,9 +108,9 @@
         onAcknowledged.run();
     }
 
-    private static Outcome outcome(Answer answer) {
-        if (answer == null) return Outcome.UNCLEAR;
-        return answer.isOk() ? Outcome.ACKNOWLEDGED : Outcome.REFUSED;
+    private static Outcome outcome(Response response) {
+        if (response == null) return Outcome.UNCLEAR;
+        return response.isOk() ? Outcome.ACKNOWLEDGED : Outcome.REFUSED;
     }
 
     /**
@@ -118,18 +118,18 @@
      * take effect.
      */
     private void markZone(String zone, boolean emptied) {
-        call(Request.mark(zone, emptied), ZONE_COMMAND_TIMEOUT_MICROS, new OperatorCall.Listener() {
+        call(Request.markZone(zone, emptied), ZONE_COMMAND_TIMEOUT_MICROS, new OperatorCall.Listener() {
             @Override
-            public void attemptEnded(long sentAt, Answer answer) {
-                var outcome = answer != null && answer.status() >= 500 || answer == Answer.BROKEN
+            public void attemptEnded(long sentAt, Response response) {
+                var outcome = response != null && response.status() >= 500 || response == Response.BROKEN
                         ? Outcome.UNCLEAR
-                        : outcome(answer);
+                        : outcome(response);
                 history.add(Operation.markZone(name, zone, emptied, sentAt, sim.now(), outcome));
                 if (outcome == Outcome.ACKNOWLEDGED) onAcknowledged.run();
             }
 
             @Override
-            public void callEnded(long startedAt, Answer answer) {
+            public void callEnded(long startedAt, Response response) {
                 scheduleNext();
             }
         });
@@ -139,19 +139,19 @@
     void read(long timeout) {
         call(Request.read(), timeout, new OperatorCall.Listener() {
             @Override
-            public void attemptEnded(long sentAt, Answer answer) {
-                if (answer != null && answer.isOk()) recordRead(sentAt, answer);
+            public void attemptEnded(long sentAt, Response response) {
+                if (response != null && response.isOk()) recordRead(sentAt, response);
             }
 
             @Override
-            public void callEnded(long startedAt, Answer answer) {
+            public void callEnded(long startedAt, Response response) {
                 scheduleNext();
             }
         });
     }
 
-    private void recordRead(long sentAt, Answer answer) {
-        var manifest = answer.manifest();
+    private void recordRead(long sentAt, Response response) {
+        var manifest = response.manifest();
         newestKnownNumber = Math.max(newestKnownNumber, manifest.version);
         var value = manifest.version == 0 ? Operation.NO_CONFIGURATION : OperatorEndpoint.value(manifest.source);
         history.add(Operation.readConfiguration(name, manifest.version, value, sentAt, sim.now()));
--- a/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
@@ -21,7 +21,7 @@
             return new Request(baseVersion, version, value, null, false);
         }
 
-        static Request mark(String zone, boolean emptied) {
+        static Request markZone(String zone, boolean emptied) {
             return new Request(0, 0, null, zone, emptied);
         }
 
@@ -39,11 +39,11 @@
     }
 
     /** The response; the manifest is present for a read that succeeded. Status 0 stands for a broken connection. */
-    record Answer(int status, Rows.Manifest manifest) {
-        static final Answer BROKEN = new Answer(0, null);
+    record Response(int status, Rows.Manifest manifest) {
+        static final Response BROKEN = new Response(0, null);
 
-        static Answer of(int status) {
-            return new Answer(status, null);
+        static Response of(int status) {
+            return new Response(status, null);
         }
 
         boolean isOk() {
@@ -63,7 +63,7 @@
     }
 
     /** Handles a request on a store. */
-    void handle(StoreNode node, Request request, Consumer<Answer> callback) {
+    void handle(StoreNode node, Request request, Consumer<Response> callback) {
         if (request.isConfiguration()) configure(node, request, callback);
         else if (request.isZoneCommand())
             node.commands()
@@ -72,7 +72,7 @@
         else node.commands().readManifest(result -> callback.accept(read(result)));
     }
 
-    void configure(StoreNode node, Request request, Consumer<Answer> callback) {
+    void configure(StoreNode node, Request request, Consumer<Response> callback) {
         node.commands()
                 .putManifest(
                         request.baseVersion(),
@@ -94,12 +94,12 @@
     }
 
     /** A store without a configuration answers 404, which carries as much information as a configuration. */
-    private static Answer read(Either<Problem, Rows.Manifest> result) {
-        return result.isLeft() ? Answer.of(status(result.getLeft())) : new Answer(200, result.get());
+    private static Response read(Either<Problem, Rows.Manifest> result) {
+        return result.isLeft() ? Response.of(status(result.getLeft())) : new Response(200, result.get());
     }
 
-    static Answer toAnswer(Either<Problem, Void> result) {
-        return Answer.of(result.isRight() ? 200 : status(result.getLeft()));
+    static Response toAnswer(Either<Problem, Void> result) {
+        return Response.of(result.isRight() ? 200 : status(result.getLeft()));
     }
 
     private static int status(Problem problem) {
--- a/test/sim/src/test/java/craneway/sim/history/OperatorNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorNetwork.java
@@ -1,8 +1,8 @@
 package craneway.sim.history;
 
 import craneway.sim.Sim;
-import craneway.sim.history.OperatorEndpoint.Answer;
 import craneway.sim.history.OperatorEndpoint.Request;
+import craneway.sim.history.OperatorEndpoint.Response;
 import java.util.function.Consumer;
 
 /**
@@ -36,7 +36,7 @@
     }
 
     /** Sends a call; {@code callback} runs once or never. */
-    void call(StoreNode node, Request request, Consumer<Answer> callback) {
+    void call(StoreNode node, Request request, Consumer<Response> callback) {
         var session = node.session();
         var sentAt = sim.now();
         if (sim.random.nextDouble() < lostCallShare) return;
@@ -44,26 +44,26 @@
                 sim.random.nextDouble() < lateCallShare ? (long) (sim.random.nextDouble() * MAX_LATE_DELAY_MICROS) : 0;
         sim.after(drawLatency() + extraDelay, () -> {
             if (node.isRunning() && node.session() == session) read(node, request, sentAt, callback);
-            else if (node.hasPower()) callback.accept(Answer.BROKEN);
+            else if (node.hasPower()) callback.accept(Response.BROKEN);
         });
     }
 
-    private void read(StoreNode node, Request request, long sentAt, Consumer<Answer> callback) {
-        Runnable reset = () -> sim.after(drawLatency(), () -> callback.accept(Answer.BROKEN));
+    private void read(StoreNode node, Request request, long sentAt, Consumer<Response> callback) {
+        Runnable reset = () -> sim.after(drawLatency(), () -> callback.accept(Response.BROKEN));
         node.registerConnection(reset);
         node.run(() -> {
             if (sim.now() - sentAt > maxReadDelayMicros) return;
             var callerGaveUp = pauseGuardEnabled
                     && request.isZoneCommand()
                     && (sim.now() - sentAt >= OperatorCall.ATTEMPT_TIMEOUT_MICROS || !node.mayCallerBeWaiting());
-            if (callerGaveUp) respond(node, Answer.of(503), reset, callback);
-            else endpoint.handle(node, request, answer -> respond(node, answer, reset, callback));
+            if (callerGaveUp) respond(node, Response.of(503), reset, callback);
+            else endpoint.handle(node, request, response -> respond(node, response, reset, callback));
         });
     }
 
-    private void respond(StoreNode node, Answer answer, Runnable reset, Consumer<Answer> callback) {
+    private void respond(StoreNode node, Response response, Runnable reset, Consumer<Response> callback) {
         node.unregisterConnection(reset);
-        if (sim.random.nextDouble() >= lostAnswerShare) sim.after(drawLatency(), () -> callback.accept(answer));
+        if (sim.random.nextDouble() >= lostAnswerShare) sim.after(drawLatency(), () -> callback.accept(response));
     }
 
     private long drawLatency() {
