--- a/test/sim/src/main/java/craneway/sim/Chaos.java
+++ b/test/sim/src/main/java/craneway/sim/Chaos.java
@@ -7,11 +7,8 @@
 /** Runs the simulator under a random schedule of faults that is drawn from a seed, and shortens a failing schedule. */
 public final class Chaos {
     /**
-     * One scheduled action.
-     *
-     * @param at the second after the scenario's start
-     * @param node the machine, zone, {@code operator} or {@code net} that the action concerns
-     * @param what the action with its arguments, as {@link Scenario#act} takes it
+     * One scheduled action: the second after the scenario's start, the machine, zone, {@code operator} or {@code net}
+     * that it concerns, and the action with its arguments as {@link Scenario#act} takes it.
      */
     public record Fault(double at, String node, String what) {
         /** The fault as one line of a schedule. */
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -14,12 +14,9 @@
     private static final int MAX_SUBMISSIONS = 6;
 
     /**
-     * A piece of work.
-     *
-     * @param work the name of its class of work
-     * @param once whether it carries an idempotency key
-     * @param regions the allowed regions, separated by commas; empty for no restriction
-     * @param tokens the number of tokens to generate
+     * A piece of work: the service, the tenant, the name of its class of work, whether it carries an idempotency key,
+     * the allowed regions separated by commas (empty for no restriction), the number of tokens to generate and the
+     * deadline in milliseconds.
      */
     public record Work(
             String service, String tenant, String work, boolean once, String regions, int tokens, int deadlineMillis) {}
--- a/test/sim/src/main/java/craneway/sim/Journal.java
+++ b/test/sim/src/main/java/craneway/sim/Journal.java
@@ -12,8 +12,9 @@
  */
 public final class Journal {
     /**
-     * One execution of a submission on a runner. {@code manifest} and {@code table} are the versions by which a router
-     * chose the runner; {@code running} counts the runner's concurrent runs including this one.
+     * One execution of a submission on a runner. {@link #manifest} and {@link #table} are the versions by which a
+     * router chose the runner; {@link #running} counts the runner's concurrent runs including this one; {@link
+     * #endedAt} is -1 unless the run ended normally.
      */
     public static final class Run {
         public long at;
@@ -38,8 +39,8 @@
     }
 
     /**
-     * What a client got for one submission. {@code asked} is the key of the work, which is the same for all submissions
-     * of it; {@code verdict} says how the submission ended.
+     * What a client got for one submission. {@link #asked} is the key of the work, which is the same for all
+     * submissions of it. {@link #verdict} says how the submission ended.
      */
     public static final class Reply {
         public long at;
@@ -84,7 +85,7 @@
     /** A confirmed order that keeps a tenant's work in the given regions. */
     public record Kept(String tenant, List<String> regions, long confirmed) {}
 
-    /** A submission that one router forwarded to another. */
+    /** A submission that one router forwarded to another, and when. */
     public record Forward(long at, String sub) {}
 
     /** What a node holds at the end of a run. */
@@ -114,6 +115,7 @@
     /** By submission: when the router sent its verdict. */
     public final Map<String, Long> saidAt = new TreeMap<>();
 
+    /** Periods in which a process was frozen. */
     public final List<Down> frozen = new ArrayList<>();
 
     /** Periods in which a node was down, cut off or otherwise hindered, so that time limits do not apply to it. */
@@ -125,10 +127,18 @@
     /** By service and unit: how often its home changed. */
     public final Map<String, Integer> moves = new TreeMap<>();
 
+    /** The final state of each running node. */
     public final List<End> ends = new ArrayList<>();
+
+    /** The time of each submission. */
     public final List<Long> submittedAt = new ArrayList<>();
+
+    /** Whether an operator accepted the loss of claims. */
     public boolean claimsAccepted;
+
     public String service = "";
+
+    /** The number of submissions of all clients. */
     public int submissions;
 
     /** Counts the replies to submissions sent at or after the given time by verdict and problem. */
--- a/test/sim/src/main/java/craneway/sim/Net.java
+++ b/test/sim/src/main/java/craneway/sim/Net.java
@@ -25,6 +25,7 @@
     private double duplicateShare;
     private double delayShare;
 
+    /** Creates a network without machines and without faults. */
     public Net(Sim sim) {
         this.sim = sim;
     }
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -52,7 +52,7 @@
         for (var client : world.all(ClientMachine.class)) submitNext(client);
     }
 
-    /** Sets the spread of response lengths: from 3 tokens to fewer than 3 more than this. */
+    /** Sets the spread of response lengths: each has 3 tokens plus a random number below this. */
     public void swing(int tokens) {
         tokenSpread = tokens;
     }
@@ -325,7 +325,7 @@
         }
     }
 
-    /** Changes a byte of each log file on the machine's disk. */
+    /** Changes the byte at offset 40 of each log file on the machine's disk. */
     private void damageLogs(StoreMachine machine) {
         for (var fileName : machine.disk.names())
             if (fileName.matches("p\\d\\.log\\.\\d+")) machine.disk.damage(fileName, 40);
--- a/test/sim/src/main/java/craneway/sim/Shape.java
+++ b/test/sim/src/main/java/craneway/sim/Shape.java
@@ -7,13 +7,9 @@
 import java.util.List;
 
 /**
- * The size of a simulated fleet.
- *
- * @param name its name in the replay command
- * @param manifest the text of its manifest
- * @param routers the number of routers in each zone
- * @param slots the number of slots of each runner
- * @param slowSync the time in microseconds that a store's disk adds to each message of the replicated log
+ * The size of a simulated fleet: its name in the replay command, the text of its manifest, the number of routers in
+ * each zone, the number of slots of each runner, and the time in microseconds that a store's disk adds to each message
+ * of the replicated parts.
  */
 public record Shape(String name, String manifest, int[] routers, int slots, long slowSync) {
     /** A small fleet with two routers in each zone. */
@@ -22,7 +18,10 @@
     /** The shape of the deployment of the same name. */
     public static final Shape MATICAR = new Shape("maticar", readManifest("maticar-shape"), new int[] {3, 2, 2}, 6, 0);
 
-    /** The shape of the deployment of the same name, whose disks take 12 ms for a sync. */
+    /**
+     * The shape of the deployment of the same name. A store's disk delays each message of the replicated parts by 12
+     * ms.
+     */
     public static final Shape BRANNOCK =
             new Shape("brannock", readManifest("brannock-shape"), new int[] {3, 3, 3}, 6, 12_000);
 
--- a/test/sim/src/main/java/craneway/sim/Sim.java
+++ b/test/sim/src/main/java/craneway/sim/Sim.java
@@ -17,6 +17,7 @@
     private long now = 1_000_000;
     private long eventCount;
 
+    /** Creates a simulation whose random draws depend on the seed alone. */
     public Sim(long seed) {
         random = new Random(seed);
     }
--- a/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
@@ -68,7 +68,10 @@
         else if (request.isZoneCommand())
             node.commands()
                     .markZone(
-                            request.zone(), request.emptied(), node.now(), result -> callback.accept(toAnswer(result)));
+                            request.zone(),
+                            request.emptied(),
+                            node.now(),
+                            result -> callback.accept(toResponse(result)));
         else node.commands().readManifest(result -> callback.accept(read(result)));
     }
 
@@ -80,7 +83,7 @@
                         MANIFEST,
                         source(request),
                         node.now(),
-                        result -> callback.accept(toAnswer(result)));
+                        result -> callback.accept(toResponse(result)));
     }
 
     /** The text of the configuration as sent: its value, a blank and the padding. */
@@ -98,7 +101,7 @@
         return result.isLeft() ? Response.of(status(result.getLeft())) : new Response(200, result.get());
     }
 
-    static Response toAnswer(Either<Problem, Void> result) {
+    static Response toResponse(Either<Problem, Void> result) {
         return Response.of(result.isRight() ? 200 : status(result.getLeft()));
     }
 
