--- a/test/sim/src/main/java/craneway/sim/Journal.java
+++ b/test/sim/src/main/java/craneway/sim/Journal.java
@@ -12,9 +12,9 @@
  */
 public final class Journal {
     /**
-     * One execution of a submission on a runner. {@link #manifest} and {@link #table} are the versions by which a
-     * router chose the runner; {@link #running} counts the runner's concurrent runs including this one; {@link
-     * #endedAt} is -1 unless the run ended normally.
+     * One execution of a submission on a runner. {@link Run#manifest} and {@link Run#table} are the versions by which a
+     * router chose the runner; {@link Run#running} counts the runner's concurrent runs including this one; {@link
+     * Run#endedAt} is -1 unless the run ended normally.
      */
     public static final class Run {
         public long at;
@@ -39,8 +39,8 @@
     }
 
     /**
-     * What a client got for one submission. {@link #asked} is the key of the work, which is the same for all
-     * submissions of it. {@link #verdict} says how the submission ended.
+     * What a client got for one submission. {@link Reply#asked} is the key of the work, which is the same for all
+     * submissions of it. {@link Reply#verdict} says how the submission ended.
      */
     public static final class Reply {
         public long at;
--- a/test/sim/src/main/java/craneway/sim/Machine.java
+++ b/test/sim/src/main/java/craneway/sim/Machine.java
@@ -123,9 +123,9 @@
     }
 
     /** Schedules an event of this process after the given delay; it is dropped if the process ends before. */
-    public void mineAfter(long micros, Runnable event) {
+    public void mineAfter(long delayMicros, Runnable event) {
         var number = processNumber;
-        world.sim.after(micros, () -> {
+        world.sim.after(delayMicros, () -> {
             if (running && processNumber == number) run(event);
         });
     }
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -204,13 +204,13 @@
     }
 
     /** Rebuilds the core from one store, as an operator does after the loss of a majority. */
-    void rebuild(StoreMachine machine, Consumer<String> then) {
+    void rebuild(StoreMachine machine, Consumer<String> callback) {
         var text = machine.store.membership().view().manifestRow().text;
         var version = machine.store.membership().view().manifestRow().version;
         var result = machine.store.rebuild().flatMap(plan -> machine.store.rebuild(plan.confirmationToken()));
         if (result.isLeft()) {
             report(
-                    then,
+                    callback,
                     "declined " + result.getLeft().kind() + ": "
                             + result.getLeft().detail());
             return;
@@ -218,15 +218,15 @@
         manifestVersion = version + 1_000;
         journal.sent.add(new Journal.Sent(
                 text, version, sim.now(), sim.now() + 30_000_000, true, manifestVersion, new long[] {Long.MAX_VALUE}));
-        report(then, "rebuilt as generation " + result.get().generation());
+        report(callback, "rebuilt as generation " + result.get().generation());
     }
 
     /** Accepts the loss of claims, as an operator does after a rebuild. */
-    void acceptClaims(String at, Consumer<String> then) {
+    void acceptClaims(String nodeName, Consumer<String> callback) {
         journal.claimsAccepted = true;
-        operator(at)
+        operator(nodeName)
                 .acceptClaims(result -> report(
-                        then,
+                        callback,
                         result.isRight()
                                 ? "claims accepted"
                                 : "declined " + result.getLeft().kind()));
@@ -246,16 +246,16 @@
         journal.moves.clear();
     }
 
-    private OperatorCommands operator(String at) {
-        var machine = machine(at);
+    private OperatorCommands operator(String nodeName) {
+        var machine = machine(nodeName);
         return machine instanceof StoreMachine store ? store.operator : ((RouterMachine) machine).operator;
     }
 
     /** Sends a manifest on the given base version at a store or router and records the answer. */
-    public void send(String text, long base, String at) {
+    public void send(String text, long base, String nodeName) {
         var sentAt = sim.now();
         journal.unsure.add(text);
-        operator(at).putManifest(base, text, result -> {
+        operator(nodeName).putManifest(base, text, result -> {
             var accepted = result.isRight();
             if (accepted)
                 manifestVersion = Math.max(manifestVersion, result.get().version());
@@ -280,25 +280,26 @@
                     inForceEverywhereAt));
             if (accepted && inForceEverywhereAt[0] == Long.MAX_VALUE)
                 awaitRollout(
-                        at,
-                        (commands, then) -> commands.watchManifest(result.get().version(), then),
+                        nodeName,
+                        (commands, callback) ->
+                                commands.watchManifest(result.get().version(), callback),
                         () -> inForceEverywhereAt[0] = sim.now());
         });
     }
 
     /** One request that waits for the rollout of a manifest or plan. */
     private interface RolloutWatch {
-        void start(OperatorCommands commands, Consumer<Either<Problem, OperatorCommands.RolloutResult>> then);
+        void start(OperatorCommands commands, Consumer<Either<Problem, OperatorCommands.RolloutResult>> callback);
     }
 
     /** Watches a rollout every 0.5 s until no router acts on older state; waits while the asked node is down. */
-    private void awaitRollout(String at, RolloutWatch watch, Runnable completed) {
+    private void awaitRollout(String nodeName, RolloutWatch watch, Runnable completed) {
         sim.after(500_000, () -> {
-            if (!machine(at).up() || machine(at).frozen()) awaitRollout(at, watch, completed);
+            if (!machine(nodeName).up() || machine(nodeName).frozen()) awaitRollout(nodeName, watch, completed);
             else
-                watch.start(operator(at), result -> {
+                watch.start(operator(nodeName), result -> {
                     if (result.isRight() && result.get().routersStillActing().isEmpty()) completed.run();
-                    else awaitRollout(at, watch, completed);
+                    else awaitRollout(nodeName, watch, completed);
                 });
         });
     }
@@ -308,89 +309,89 @@
         return manifestVersion;
     }
 
-    /** Creates a plan from an intent and confirms it; {@code then} gets each answer. */
-    public void intent(Intent intent, String at, Consumer<String> then) {
-        operator(at).createPlan(intent, plan -> {
+    /** Creates a plan from an intent and confirms it; {@code callback} gets each answer. */
+    public void intent(Intent intent, String nodeName, Consumer<String> callback) {
+        operator(nodeName).createPlan(intent, plan -> {
             if (plan.isLeft())
                 report(
-                        then,
+                        callback,
                         "declined " + plan.getLeft().kind() + ": "
                                 + plan.getLeft().detail());
             else
-                operator(at).confirmPlan(plan.get().id, confirmation -> {
+                operator(nodeName).confirmPlan(plan.get().id, confirmation -> {
                     if (confirmation.isLeft())
-                        report(then, "declined " + confirmation.getLeft().kind());
+                        report(callback, "declined " + confirmation.getLeft().kind());
                     else {
                         report(
-                                then,
+                                callback,
                                 confirmation.get().routersStillActing().isEmpty()
                                         ? "confirmed"
                                         : "pending " + confirmation.get().routersStillActing());
                         if (!confirmation.get().routersStillActing().isEmpty())
                             awaitRollout(
-                                    at,
+                                    nodeName,
                                     (commands, result) -> commands.watchPlan(plan.get().id, result),
-                                    () -> report(then, "confirmed"));
+                                    () -> report(callback, "confirmed"));
                     }
                 });
         });
     }
 
     /** Empties a cell of the first service. */
-    public void emptyCell(String cell, String at, Consumer<String> then) {
-        empty(new Intent(Intent.EMPTY_CELL, null, service, cell, null, null), "", cell, at, then);
+    public void emptyCell(String cell, String nodeName, Consumer<String> callback) {
+        empty(new Intent(Intent.EMPTY_CELL, null, service, cell, null, null), "", cell, nodeName, callback);
     }
 
     /** Keeps a tenant's work in the given regions. */
-    public void keep(String tenant, List<String> regions, String at, Consumer<String> then) {
-        intent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), at, answer -> {
+    public void keep(String tenant, List<String> regions, String nodeName, Consumer<String> callback) {
+        intent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), nodeName, answer -> {
             if (answer.equals("confirmed")) journal.kept.add(new Journal.Kept(tenant, regions, sim.now()));
-            then.accept(answer);
+            callback.accept(answer);
         });
     }
 
     /** Notes an answer to the operator on the timeline and passes it on. */
-    private void report(Consumer<String> then, String answer) {
+    private void report(Consumer<String> callback, String answer) {
         timeline.note(sim.now(), "operator", answer);
-        then.accept(answer);
+        callback.accept(answer);
     }
 
     /** Empties a zone. */
-    public void emptyZone(String zone, String at, Consumer<String> then) {
-        empty(new Intent(Intent.EMPTY_ZONE, zone, null, null, null, null), zone, "", at, then);
+    public void emptyZone(String zone, String nodeName, Consumer<String> callback) {
+        empty(new Intent(Intent.EMPTY_ZONE, zone, null, null, null, null), zone, "", nodeName, callback);
     }
 
-    private void empty(Intent intent, String zone, String cell, String at, Consumer<String> then) {
+    private void empty(Intent intent, String zone, String cell, String nodeName, Consumer<String> callback) {
         var submittedAt = sim.now();
         journal.maybeEmptied.put(zone + cell, Long.MAX_VALUE);
-        intent(intent, at, answer -> {
+        intent(intent, nodeName, answer -> {
             if (answer.equals("confirmed") && takenBackAt.getOrDefault(zone + cell, 0L) < submittedAt) {
                 var emptied = new Journal.Emptied(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
                 journal.emptied.add(emptied);
                 openEmptied.put(zone + cell, emptied);
             }
-            then.accept(answer);
+            callback.accept(answer);
         });
     }
 
     /** Takes an emptied zone back. */
-    public void takeBack(String zone, String at, Consumer<String> then) {
-        takeBackArea(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, at, then);
+    public void takeBack(String zone, String nodeName, Consumer<String> callback) {
+        takeBackArea(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, nodeName, callback);
     }
 
     /** Takes an emptied cell back. */
-    public void takeBackCell(String cell, String at, Consumer<String> then) {
-        takeBackArea(new Intent(Intent.TAKE_BACK_CELL, null, service, cell, null, null), cell, at, then);
+    public void takeBackCell(String cell, String nodeName, Consumer<String> callback) {
+        takeBackArea(new Intent(Intent.TAKE_BACK_CELL, null, service, cell, null, null), cell, nodeName, callback);
     }
 
-    private void takeBackArea(Intent intent, String zoneOrCell, String at, Consumer<String> then) {
+    private void takeBackArea(Intent intent, String zoneOrCell, String nodeName, Consumer<String> callback) {
         takenBackAt.put(zoneOrCell, sim.now());
         var emptied = openEmptied.remove(zoneOrCell);
         if (emptied != null) emptied.takenBack()[0] = sim.now();
-        intent(intent, at, answer -> {
+        intent(intent, nodeName, answer -> {
             if (answer.equals("confirmed") || answer.startsWith("pending"))
                 journal.maybeEmptied.put(zoneOrCell, sim.now());
-            then.accept(answer);
+            callback.accept(answer);
         });
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/HistoryChecker.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryChecker.java
@@ -34,19 +34,19 @@
 
     private static <S> String checkObject(SequentialModel<S> model, List<Operation> operations, String subject) {
         if (LinearizabilityChecker.isLinearizable(model, model.initial(), operations)) return "";
-        var shortest = withoutReads(model, lateStart(model, earlyEnd(model, operations)));
+        var shortest = dropIrrelevant(model, dropStart(model, cutAtEarliestFailure(model, operations)));
         return "no order of these calls explains " + subject + ":\n"
-                + HistoryTimeline.of(withoutObsolete(shortest.operations()));
+                + HistoryTimeline.of(dropObsoleteZoneCommands(shortest.operations()));
     }
 
     /** Part of a history and the state before it. */
-    private record Part<S>(S from, List<Operation> operations) {}
+    private record Part<S>(S initialState, List<Operation> operations) {}
 
     /**
      * Cuts the history at the earliest end at which it still fails; operations that are open there may take effect or
      * not.
      */
-    private static <S> Part<S> earlyEnd(SequentialModel<S> model, List<Operation> operations) {
+    private static <S> Part<S> cutAtEarliestFailure(SequentialModel<S> model, List<Operation> operations) {
         var endTimes = operations.stream()
                 .filter(Operation::isDefinite)
                 .map(Operation::endedAt)
@@ -56,14 +56,14 @@
         var high = endTimes.size() - 1;
         while (low < high) {
             var middle = (low + high) / 2;
-            if (LinearizabilityChecker.isLinearizable(model, model.initial(), until(operations, endTimes.get(middle))))
-                low = middle + 1;
+            if (LinearizabilityChecker.isLinearizable(
+                    model, model.initial(), operationsUntil(operations, endTimes.get(middle)))) low = middle + 1;
             else high = middle;
         }
-        return new Part<>(model.initial(), until(operations, endTimes.get(low)));
+        return new Part<>(model.initial(), operationsUntil(operations, endTimes.get(low)));
     }
 
-    private static List<Operation> until(List<Operation> operations, long end) {
+    private static List<Operation> operationsUntil(List<Operation> operations, long end) {
         return operations.stream()
                 .filter(operation ->
                         operation.calledAt() <= end && (operation.endedAt() <= end || operation.type() != Type.READ))
@@ -74,14 +74,14 @@
     /**
      * Drops what ended before the latest moment from which the rest still fails, whatever the state was at that moment.
      */
-    private static <S> Part<S> lateStart(SequentialModel<S> model, Part<S> part) {
+    private static <S> Part<S> dropStart(SequentialModel<S> model, Part<S> part) {
         var starts = part.operations.stream()
                 .filter(Operation::isDefinite)
                 .map(Operation::endedAt)
                 .sorted(Comparator.reverseOrder())
                 .toList();
         for (var start : starts) {
-            var rest = from(part.operations, start);
+            var rest = operationsFrom(part.operations, start);
             var sent = part.operations.stream()
                     .filter(operation -> operation.calledAt() <= start)
                     .toList();
@@ -91,7 +91,7 @@
         return part;
     }
 
-    private static List<Operation> from(List<Operation> operations, long start) {
+    private static List<Operation> operationsFrom(List<Operation> operations, long start) {
         return operations.stream()
                 .filter(operation -> !operation.isDefinite()
                         || operation.endedAt() > start
@@ -101,15 +101,16 @@
     }
 
     /** Drops reads that the failure does not need, and unclear configurations that nothing could have followed. */
-    private static <S> Part<S> withoutReads(SequentialModel<S> model, Part<S> part) {
+    private static <S> Part<S> dropIrrelevant(SequentialModel<S> model, Part<S> part) {
         var result = part;
         for (var operation : part.operations) {
             var fewer = new ArrayList<>(result.operations);
             fewer.remove(operation);
             var needless = operation.isDefinite()
-                    ? operation.type() == Type.READ && !LinearizabilityChecker.isLinearizable(model, result.from, fewer)
+                    ? operation.type() == Type.READ
+                            && !LinearizabilityChecker.isLinearizable(model, result.initialState, fewer)
                     : isIrrelevant(operation, fewer);
-            if (needless) result = new Part<>(result.from, fewer);
+            if (needless) result = new Part<>(result.initialState, fewer);
         }
         return result;
     }
@@ -128,7 +129,7 @@
      * after that one: they may not take effect after it. The last one that commanded what was read stays, as the likely
      * cause.
      */
-    private static List<Operation> withoutObsolete(List<Operation> operations) {
+    private static List<Operation> dropObsoleteZoneCommands(List<Operation> operations) {
         var firstAcknowledged = operations.stream()
                 .filter(operation -> operation.type() == Type.MARK_ZONE && operation.isDefinite())
                 .min(Comparator.comparingLong(Operation::calledAt));
--- a/test/sim/src/test/java/craneway/sim/history/LinearizabilityChecker.java
+++ b/test/sim/src/test/java/craneway/sim/history/LinearizabilityChecker.java
@@ -44,9 +44,9 @@
     }
 
     /** Whether some order of the operations, all on one object, is possible in the model from the given state on. */
-    static <S> boolean isLinearizable(SequentialModel<S> model, S from, List<Operation> history) {
+    static <S> boolean isLinearizable(SequentialModel<S> model, S initialState, List<Operation> history) {
         var search = new LinearizabilityChecker<>(model, history);
-        return search.search(new BitSet(), from, Long.MIN_VALUE);
+        return search.search(new BitSet(), initialState, Long.MIN_VALUE);
     }
 
     /**
@@ -59,16 +59,16 @@
         if (!visited.add(new Node<>(placedOrExcluded(placed, lastCall), state))) return false;
         var earliestEnd = earliestRequiredEnd(placed);
         var neutral = findNeutral(placed, state, earliestEnd);
-        if (neutral >= 0) return place(neutral, placed, state, lastCall);
+        if (neutral >= 0) return searchWith(neutral, placed, state, lastCall);
         for (var i : candidates(placed, earliestEnd)) {
             var operation = operations.get(i);
             if (!operation.isDefinite()
                     && (isExcluded(operation, lastCall)
-                            || !goesFirst(operation, candidates(placed, earliestEnd), lastCall))) continue;
+                            || !isFirstOfEquals(operation, candidates(placed, earliestEnd), lastCall))) continue;
             for (var next : model.apply(state, operation)) {
                 if (!operation.isDefinite() && !enablesAnother(i, state, next, candidates(placed, earliestEnd)))
                     continue;
-                if (place(i, placed, next, lastCall)) return true;
+                if (searchWith(i, placed, next, lastCall)) return true;
             }
         }
         return false;
@@ -97,7 +97,7 @@
     }
 
     /** Of equal unclear operations only the one that is excluded first needs to be tried here. */
-    private boolean goesFirst(Operation operation, List<Integer> candidates, long lastCall) {
+    private boolean isFirstOfEquals(Operation operation, List<Integer> candidates, long lastCall) {
         for (var i : candidates) {
             var other = operations.get(i);
             if (other == operation) return true;
@@ -123,7 +123,7 @@
     }
 
     /** Places an operation and searches on from there. */
-    private boolean place(int index, BitSet placed, S next, long lastCall) {
+    private boolean searchWith(int index, BitSet placed, S next, long lastCall) {
         var operation = operations.get(index);
         var acknowledgedCommand = operation.type() != Type.READ && operation.outcome() == Outcome.ACKNOWLEDGED;
         placed.set(index);
--- a/test/sim/src/test/java/craneway/sim/model/Choice.java
+++ b/test/sim/src/test/java/craneway/sim/model/Choice.java
@@ -17,27 +17,52 @@
      * also uses {@code CUT}, {@code FREEZE} and {@code THAW}.
      */
     enum Kind {
+        /** Advances the clock by the argument in milliseconds. */
         ADVANCE,
+        /** Ticks a member. */
         TICK,
+        /** Delivers a message. */
         DELIVER,
+        /** Delivers a message and keeps it in flight, so that it can arrive again. */
         REPEAT,
+        /** Keeps a message back until it is delivered explicitly. */
         POSTPONE,
+        /** Proposes a command; the second argument is the number of additional bytes. */
         PROPOSE,
+        /** Ends the process of a member and starts it again. */
         RESTART,
+        /** Like {@code RESTART}, with the loss of all unsynced writes. */
         POWER,
+        /** Replaces a disk by an empty one with a new member id, if every known membership keeps a majority. */
         LOSE,
+        /** Adds the member in the second slot as a learner. */
         LEARN,
+        /** Promotes the learner to a voter. */
         PROMOTE,
+        /** Removes the voter in the second slot. */
         REMOVE,
+        /** Transfers leadership to the second slot. */
         HAND_OVER,
+        /**
+         * Advances the clock by the argument in milliseconds; running members tick and receive the messages that are
+         * due.
+         */
         ROUND,
+        /** Cuts the link from the first slot to the second. */
         CUT,
+        /** Restores all links. */
         HEAL,
+        /** Suspends a process. */
         FREEZE,
+        /** Resumes a process. */
         THAW,
+        /** Ends a process. */
         DOWN,
+        /** Starts a process. */
         UP,
+        /** Makes a disk reject writes if the second argument is 1, and accept them otherwise. */
         FULL,
+        /** Lets the leader perform the next membership change that is needed. */
         MANAGE
     }
 
