--- a/test/sim/src/test/java/craneway/sim/model/Choice.java
+++ b/test/sim/src/test/java/craneway/sim/model/Choice.java
@@ -23,7 +23,7 @@
         TICK,
         /** Delivers a message. */
         DELIVER,
-        /** Delivers a message and keeps it in flight, so that it can arrive again. */
+        /** Delivers a message and keeps it in flight, so that a later choice can deliver it again. */
         REPEAT,
         /** Keeps a message back until it is delivered explicitly. */
         POSTPONE,
