--- a/lib/api/src/main/java/craneway/api/operator/UsageJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/UsageJson.java
@@ -1,6 +1,6 @@
 package craneway.api.operator;
 
-import craneway.data.request.Usage;
+import craneway.data.request.UsageLog;
 import craneway.http.JsonResponses;
 
 /** Writes the usage records of a router as JSON. */
@@ -17,23 +17,23 @@
      * @param after the number of the last record that the caller has
      * @param wallClockOffset what to add to a time of the monotonic clock to get the wall clock time, in microseconds
      */
-    public static String of(String router, Usage usage, long after, long wallClockOffset) {
+    public static String of(String router, UsageLog usage, long after, long wallClockOffset) {
         var root = JsonResponses.JSON.createObjectNode();
         root.put("router", router);
         var rows = root.putArray("rows");
-        for (var row : usage.after(after, MAX_ROWS))
+        for (var row : usage.rowsAfter(after, MAX_ROWS))
             rows.addObject()
-                    .put("no", row.no())
+                    .put("no", row.number())
                     .put("tenant", row.tenant())
                     .put("service", row.service())
                     .put("work", row.work())
                     .put("region", row.region())
                     .put("runner", row.runner())
                     .put("tokens", row.tokens())
-                    .put("verdict", row.verdict())
-                    .put("takenAt", row.takenAt() + wallClockOffset)
-                    .put("firstAt", row.firstAt() == 0 ? 0 : row.firstAt() + wallClockOffset)
-                    .put("endedAt", row.endedAt() + wallClockOffset);
+                    .put("verdict", row.outcome())
+                    .put("takenAt", row.acceptedAtMicros() + wallClockOffset)
+                    .put("firstAt", row.firstDataAtMicros() == 0 ? 0 : row.firstDataAtMicros() + wallClockOffset)
+                    .put("endedAt", row.endedAtMicros() + wallClockOffset);
         return root.toString();
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/ColdShare.java
+++ b/lib/data/src/main/java/craneway/data/placement/ColdRunnerLimiter.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /** Who may send to a cold runner, and how often: a few routers drawn by rendezvous hash, one request each in a second. */
-public final class ColdShare {
+public final class ColdRunnerLimiter {
     private static final long GAP = 1_050_000;
     private static final double CAREFUL = 0.8;
 
     private final String self;
     private final Map<String, Long> last = new HashMap<>();
 
-    public ColdShare(String self) {
+    public ColdRunnerLimiter(String self) {
         this.self = self;
     }
 
     /** True if this router may send one request now to a runner that bears {@code perSecond} while cold. */
-    public boolean may(String runner, double perSecond, Collection<String> routers, long now) {
+    public boolean mayDispatch(String runner, double perSecond, Collection<String> routers, long now) {
         var seats = perSecond <= 0 ? 1 : Math.max(1, (int) (perSecond * CAREFUL));
         var key = Hash.of(runner);
         var mine = RendezvousHash.weight(key, self);
@@ -29,7 +29,7 @@
         return before < seats && now - last.getOrDefault(runner, Long.MIN_VALUE / 2) >= GAP;
     }
 
-    public void sent(String runner, long now) {
+    public void recordDispatch(String runner, long now) {
         last.put(runner, now);
         if (last.size() > 1_000) last.values().removeIf(t -> now - t > GAP);
     }
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 
 /** The parts of a prompt in order, by id and tokens; the last one is the request's own. Bad input reads as no parts. */
-public record Prompt(long[] ids, int[] tokens, int in, int out) {
+public record Prompt(long[] partIds, int[] partTokens, int promptTokens, int outputTokens) {
     private static final int MOST = 64, LONG = 4_000, MOST_TOKENS = 100_000_000;
 
-    public static Prompt of(String parts, String inOut) {
+    public static Prompt parse(String parts, String inOut) {
         var in = 0;
         var out = 0;
         if (inOut != null) {
@@ -40,36 +40,36 @@
     }
 
     /** How many parts are shared between requests: all but the last. */
-    public int shared() {
-        return Math.max(0, ids.length - 1);
+    public int sharedPartCount() {
+        return Math.max(0, partIds.length - 1);
     }
 
     /** The key that draws the unit: the last shared part, or the request's own where there is none. */
-    public long key() {
-        if (ids.length == 0) return 0;
-        return ids[Math.max(0, ids.length - 2)];
+    public long affinityKey() {
+        if (partIds.length == 0) return 0;
+        return partIds[Math.max(0, partIds.length - 2)];
     }
 
-    public long[] sharedIds() {
-        return Arrays.copyOf(ids, shared());
+    public long[] sharedPartIds() {
+        return Arrays.copyOf(partIds, sharedPartCount());
     }
 
-    public int[] sharedSizes() {
-        return Arrays.copyOf(tokens, shared());
+    public int[] sharedPartTokens() {
+        return Arrays.copyOf(partTokens, sharedPartCount());
     }
 
-    public int sharedTokens() {
+    public int sharedTokenCount() {
         var sum = 0;
-        for (var i = 0; i < shared(); i++) sum += tokens[i];
+        for (var i = 0; i < sharedPartCount(); i++) sum += partTokens[i];
         return sum;
     }
 
     /** Reading it holds up every stream of its runner for a while. */
     public boolean isLong() {
-        return in >= LONG;
+        return promptTokens >= LONG;
     }
 
-    public int slice() {
-        return Hash.bucket(Hash.mix(key()), Units.SLICE_COUNT);
+    public int unitSlice() {
+        return Hash.bucket(Hash.mix(affinityKey()), Units.SLICE_COUNT);
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
+++ b/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
@@ -18,12 +18,12 @@
         this.slack = slack;
     }
 
-    public void request(long now) {
+    public void recordRequest(long now) {
         asked.add(now);
         trim(asked, now);
     }
 
-    public boolean take(int routers, long now) {
+    public boolean tryAcquire(int routers, long now) {
         trim(asked, now);
         trim(used, now);
         if (used.size() + 1 > CAREFUL * (ratio * asked.size() + slack / Math.max(1, routers))) return false;
--- a/lib/data/src/main/java/craneway/data/placement/Placer.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
@@ -14,13 +14,13 @@
  * A unit is (region set, slice of the prompt's last shared part). The set is first the region where the request arrived; a long
  * shared part has one home for all regions, since reading it again costs more than the way there.
  */
-public final class Placer {
+public final class RunnerPlacer {
     /** Costs are microseconds. */
-    public record Choice(RunnerView runner, int read, long cost, boolean favourite, boolean home, int level, int load) {
-        public String about() {
-            return "runner " + runner.id() + " in " + runner.zone + (favourite ? " favourite" : "")
-                    + (home ? " home" : "") + ", read " + read + ", level " + level + ", load " + load + ", cost "
-                    + cost / 1000 + " ms";
+    public record Placement(RunnerView runner, int prefillTokens, long costMicros, boolean preferred, boolean inHomeZone, int backlogTokens, int runnerLoad) {
+        public String describe() {
+            return "runner " + runner.id() + " in " + runner.zone + (preferred ? " favourite" : "")
+                    + (inHomeZone ? " home" : "") + ", read " + prefillTokens + ", level " + backlogTokens + ", load " + runnerLoad + ", cost "
+                    + costMicros / 1000 + " ms";
         }
     }
 
@@ -37,12 +37,12 @@
             STREAMS = 120_000;
     private static final int FAR = 2_000, SHORT = 1_000, BURDEN = 8_000, QUEUE = 1_500;
 
-    private final Pool pool;
-    private final ColdShare cold;
+    private final RunnerPool pool;
+    private final ColdRunnerLimiter cold;
     private final String zone;
     private final String region;
 
-    public Placer(Pool pool, ColdShare cold, String zone, String region) {
+    public RunnerPlacer(RunnerPool pool, ColdRunnerLimiter cold, String zone, String region) {
         this.pool = pool;
         this.cold = cold;
         this.zone = zone;
@@ -50,16 +50,16 @@
     }
 
     /** Null where no runner may take it now. */
-    public Choice choose(Route route, String service, Prompt p, Set<String> tried, long now) {
+    public Placement selectRunner(Route route, String service, Prompt p, Set<String> tried, long now) {
         var home = home(route, service, p);
-        Choice best = null;
+        Placement best = null;
         var favourite = favourite(route, service, p, home);
-        for (var r : pool.of(service)) {
+        for (var r : pool.runnersOf(service)) {
             if (!allowed(route, r) || tried.contains(r.id())) continue;
-            if (r.cold(now) && !cold.may(r.id(), coldRate(service), pool.routers(), now)) continue;
+            if (r.isCold(now) && !cold.mayDispatch(r.id(), coldRate(service), pool.servingRouters(), now)) continue;
             if (!r.mayProbe(now)) continue;
             var c = cost(r, p, r == favourite, home == null || r.zone.equals(home), now);
-            if (best == null || c.cost() < best.cost()) best = c;
+            if (best == null || c.costMicros() < best.costMicros()) best = c;
         }
         return best;
     }
@@ -72,7 +72,7 @@
     private boolean allowed(Route route, RunnerView r) {
         return r.row.up()
                 && !r.stale
-                && !pool.emptied(r.zone)
+                && !pool.isZoneEmptied(r.zone)
                 && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(r.region));
     }
 
@@ -82,7 +82,7 @@
         if (s == null) return null;
         var near = s.regions.indexOf(region);
         if (near >= 0
-                && p.sharedTokens() < FAR
+                && p.sharedTokenCount() < FAR
                 && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(region))) {
             var h = zoneOf(s, 1 << near, p);
             if (h != null) return h;
@@ -98,7 +98,7 @@
     }
 
     private static String zoneOf(Rows.Service s, int set, Prompt p) {
-        var unit = set * Units.SLICE_COUNT + p.slice();
+        var unit = set * Units.SLICE_COUNT + p.unitSlice();
         var cell = unit < s.homes.length ? s.homes[unit] : PlacementTable.NOWHERE;
         return cell == PlacementTable.NOWHERE ? null : s.zones.get(cell);
     }
@@ -106,10 +106,10 @@
     private RunnerView favourite(Route route, String service, Prompt p, String home) {
         RunnerView best = null;
         var most = 0L;
-        for (var r : pool.of(service)) {
+        for (var r : pool.runnersOf(service)) {
             if (!allowed(route, r) || home != null && !r.zone.equals(home) || r.mixed && r.reader != p.isLong())
                 continue;
-            var w = RendezvousHash.weight(p.key(), r.hash);
+            var w = RendezvousHash.weight(p.affinityKey(), r.hash);
             if (best == null || Long.compareUnsigned(w, most) > 0) {
                 best = r;
                 most = w;
@@ -118,7 +118,7 @@
         return best;
     }
 
-    private Choice cost(RunnerView r, Prompt p, boolean favourite, boolean home, long now) {
+    private Placement cost(RunnerView r, Prompt p, boolean favourite, boolean home, long now) {
         var missing = r.missing(p);
         var level = r.level(now);
         var read = r.own(p) + missing;
@@ -131,30 +131,30 @@
         c += 40L * Math.max(0, (long) level + read - BURDEN) * Math.min(r.load(now), 10);
         if (r.crowded(now)) c += 1_000_000;
         if (r.waiting(now) > 0) c += 50_000L * r.waiting(now);
-        if (r.cold(now)) c += COLD;
-        if (r.suspected(now) || r.quietSince(now, QUIET) && pool.silent(r.zone, now)) c += SUSPECT;
+        if (r.isCold(now)) c += COLD;
+        if (r.isSuspected(now) || r.quietSince(now, QUIET) && pool.silent(r.zone, now)) c += SUSPECT;
         if (r.brokeLately(now)) c += BROKE;
-        return new Choice(r, read, c, favourite, home, (int) level, r.load(now));
+        return new Placement(r, read, c, favourite, home, (int) level, r.load(now));
     }
 
     /** Whether it is better to wait a little than to pile a long prompt on running streams. */
-    public boolean crowds(Choice c, long now) {
-        return c.read() > SHORT && c.runner().level(now) > QUEUE && c.runner().level(now) + c.read() > BURDEN;
+    public boolean shouldWait(Placement c, long now) {
+        return c.prefillTokens() > SHORT && c.runner().level(now) > QUEUE && c.runner().level(now) + c.prefillTokens() > BURDEN;
     }
 
-    public void started(Choice c, Prompt p, long now) {
+    public void recordStart(Placement c, Prompt p, long now) {
         c.runner().started(p, now);
-        if (c.read() >= SHORT) pool.told(c.runner(), c.read(), now);
-        else c.runner().reading(c.read(), now);
+        if (c.prefillTokens() >= SHORT) pool.recordPrefill(c.runner(), c.prefillTokens(), now);
+        else c.runner().recordPrefill(c.prefillTokens(), now);
         c.runner().probed(now);
-        if (c.runner().cold(now)) cold.sent(c.runner().id(), now);
+        if (c.runner().isCold(now)) cold.recordDispatch(c.runner().id(), now);
     }
 
-    public void ended(Choice c, Prompt p) {
+    public void recordEnd(Placement c, Prompt p) {
         c.runner().ended(p);
     }
 
-    public Collection<String> routers() {
-        return pool.routers();
+    public Collection<String> servingRouters() {
+        return pool.servingRouters();
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/Pool.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
@@ -15,17 +15,17 @@
 import java.util.Set;
 
 /** The runners as the newest view names them; lives that the view drops are forgotten. Not thread-safe: one thread asks. */
-public final class Pool {
+public final class RunnerPool {
     private static final int FEW = 40;
     private static final Comparator<RunnerView> BY_HASH = (a, b) -> Long.compare(a.hash, b.hash);
     private final Map<String, RunnerView> runners = new HashMap<>();
     private Map<String, List<RunnerView>> services = Map.of();
-    private Set<String> emptied = Set.of();
+    private Set<String> isZoneEmptied = Set.of();
     private final Map<String, Reading> readings = new HashMap<>();
     private Membership.CoreView view;
-    private List<String> routers = List.of();
+    private List<String> servingRouters = List.of();
 
-    public boolean follow(Membership.CoreView v) {
+    public boolean applyView(Membership.CoreView v) {
         if (v == view) return false;
         var old = view;
         view = v;
@@ -44,8 +44,8 @@
         }
         runners.keySet().retainAll(ids);
         services = all;
-        emptied = emptied(v.manifestRow().marks);
-        routers = routers(v);
+        isZoneEmptied = isZoneEmptied(v.manifestRow().marks);
+        servingRouters = servingRouters(v);
         return true;
     }
 
@@ -59,8 +59,8 @@
     }
 
     /** Some router gave this runner tokens to read. */
-    public void told(RunnerView r, int tokens, long now) {
-        r.reading(tokens, now);
+    public void recordPrefill(RunnerView r, int tokens, long now) {
+        r.recordPrefill(tokens, now);
         readings.computeIfAbsent(r.service + "/" + r.zone, k -> new Reading()).add(tokens, now);
     }
 
@@ -68,7 +68,7 @@
      * In a zone of a region that narrower region sets share, some of the runners read the long prompts and the others carry the
      * short ones, so that reading does not hold up streams; as many read as the zone's reading needs.
      */
-    public void seat(long now) {
+    public void assignRunnerRoles(long now) {
         services.forEach((service, all) -> {
             var bound = view.manifest().routes().regionSetsOf(service);
             var zones = new HashMap<String, List<RunnerView>>();
@@ -76,11 +76,11 @@
                 if (r.row.up())
                     zones.computeIfAbsent(r.zone, k -> new ArrayList<>()).add(r);
             zones.forEach((zone, list) ->
-                    seat(list, bound, readings.computeIfAbsent(service + "/" + zone, k -> new Reading()), now));
+                    assignRunnerRoles(list, bound, readings.computeIfAbsent(service + "/" + zone, k -> new Reading()), now));
         });
     }
 
-    private static void seat(List<RunnerView> list, Collection<String> bound, Reading reading, long now) {
+    private static void assignRunnerRoles(List<RunnerView> list, Collection<String> bound, Reading reading, long now) {
         var region = list.get(0).region;
         var shared = bound.stream().anyMatch(b -> List.of(b.split(" ")).contains(region));
         var n = shared ? reading.readers(list.size(), now) : list.size();
@@ -143,7 +143,7 @@
         return r;
     }
 
-    private static Set<String> emptied(Map<String, String> marks) {
+    private static Set<String> isZoneEmptied(Map<String, String> marks) {
         var all = new HashSet<String>();
         marks.forEach((k, v) -> {
             if (v.equals(Plan.EMPTIED) && k.startsWith("zone:")) all.add(k.substring(5));
@@ -151,7 +151,7 @@
         return all;
     }
 
-    private static List<String> routers(Membership.CoreView v) {
+    private static List<String> servingRouters(Membership.CoreView v) {
         var all = new ArrayList<String>();
         for (var n : v.membersByPart().get(Parts.MANIFEST_PART)) if (n.isRouter() && n.serving) all.add(n.name);
         return all;
@@ -159,17 +159,17 @@
 
     /** Whether some runner of this zone has fallen silent. */
     boolean silent(String zone, long now) {
-        for (var r : runners.values()) if (r.zone.equals(zone) && r.suspected(now)) return true;
+        for (var r : runners.values()) if (r.zone.equals(zone) && r.isSuspected(now)) return true;
         return false;
     }
 
-    public RunnerView named(String id) {
+    public RunnerView findRunner(String id) {
         return runners.get(id);
     }
 
     /** Partner addresses of the other routers; in a large fleet only those in these regions. */
-    public List<String> peers(String self, String one, String other) {
-        var few = routers.size() <= FEW;
+    public List<String> peerRouterAddresses(String self, String one, String other) {
+        var few = servingRouters.size() <= FEW;
         var all = new ArrayList<String>();
         for (var n : view.membersByPart().get(Parts.MANIFEST_PART)) {
             var g = view.manifest().regionOfZone(n.zone);
@@ -183,23 +183,23 @@
         return view;
     }
 
-    public Collection<String> routers() {
-        return routers;
+    public Collection<String> servingRouters() {
+        return servingRouters;
     }
 
-    public Collection<RunnerView> all() {
+    public Collection<RunnerView> allRunners() {
         return runners.values();
     }
     /** Whether news of this service has come; without it nothing is known of its runners. */
-    public boolean knows(String service) {
+    public boolean hasService(String service) {
         return services.containsKey(service);
     }
 
-    public List<RunnerView> of(String service) {
+    public List<RunnerView> runnersOf(String service) {
         return services.getOrDefault(service, List.of());
     }
 
-    public boolean emptied(String zone) {
-        return emptied.contains(zone);
+    public boolean isZoneEmptied(String zone) {
+        return isZoneEmptied.contains(zone);
     }
 }
--- a/lib/data/src/main/java/craneway/data/placement/RunnerView.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerView.java
@@ -19,14 +19,14 @@
     private final long cacheTokens;
     private final Map<Long, Integer> kept = new LinkedHashMap<>(64, 0.75f, true);
     private long keptTokens;
-    private int running;
+    private int requestsInFlight;
     private double level;
     private long levelAt = Long.MIN_VALUE / 2;
     private long held;
     private int othersRunning;
     private int othersWaiting;
     private long reportedAt = Long.MIN_VALUE / 2;
-    private long heard = Long.MIN_VALUE / 2;
+    private long recordHeard = Long.MIN_VALUE / 2;
     private long suspectSince = Long.MIN_VALUE;
     private long suspectUntil = Long.MIN_VALUE / 2;
     private long probed = Long.MIN_VALUE / 2;
@@ -54,11 +54,11 @@
         return row.address;
     }
 
-    public int running() {
-        return running;
+    public int requestsInFlight() {
+        return requestsInFlight;
     }
 
-    public boolean cold(long now) {
+    public boolean isCold(long now) {
         return row.cold || now < coldUntil;
     }
 
@@ -66,33 +66,33 @@
     int missing(Prompt p) {
         var missing = 0;
         var broken = false;
-        for (var i = 0; i < p.shared(); i++) {
-            broken |= !kept.containsKey(p.ids()[i]);
-            if (broken) missing += p.tokens()[i];
+        for (var i = 0; i < p.sharedPartCount(); i++) {
+            broken |= !kept.containsKey(p.partIds()[i]);
+            if (broken) missing += p.partTokens()[i];
         }
         return missing;
     }
 
     int own(Prompt p) {
-        var sum = p.in();
-        for (var i = 0; i < p.shared(); i++) sum -= p.tokens()[i];
+        var sum = p.promptTokens();
+        for (var i = 0; i < p.sharedPartCount(); i++) sum -= p.partTokens()[i];
         return Math.max(0, sum);
     }
 
     void started(Prompt p, long now) {
-        running++;
-        held += p.in() + p.out();
-        for (var i = 0; i < p.shared(); i++) keeps(p.ids()[i], p.tokens()[i]);
+        requestsInFlight++;
+        held += p.promptTokens() + p.outputTokens();
+        for (var i = 0; i < p.sharedPartCount(); i++) recordCachedParts(p.partIds()[i], p.partTokens()[i]);
         evict();
     }
 
     /** Some router has sent it these shared parts. */
-    public void keeps(long[] ids, int[] sizes) {
-        for (var i = 0; i < Math.min(ids.length, sizes.length); i++) keeps(ids[i], sizes[i]);
+    public void recordCachedParts(long[] ids, int[] sizes) {
+        for (var i = 0; i < Math.min(ids.length, sizes.length); i++) recordCachedParts(ids[i], sizes[i]);
         evict();
     }
 
-    private void keeps(long id, int tokens) {
+    private void recordCachedParts(long id, int tokens) {
         if (kept.put(id, tokens) == null) keptTokens += tokens;
     }
 
@@ -106,7 +106,7 @@
     }
 
     /** Some router has sent it a prompt of which this many tokens are still to be read. */
-    public void reading(int tokens, long now) {
+    public void recordPrefill(int tokens, long now) {
         level = level(now) + tokens;
         levelAt = now;
     }
@@ -117,18 +117,18 @@
     }
 
     void ended(Prompt p) {
-        running--;
-        held -= p.in() + p.out();
+        requestsInFlight--;
+        held -= p.promptTokens() + p.outputTokens();
     }
 
-    public void reported(int run, int wait, long now) {
-        othersRunning = Math.max(0, run - running);
+    public void recordLoadReport(int run, int wait, long now) {
+        othersRunning = Math.max(0, run - requestsInFlight);
         othersWaiting = wait;
         reportedAt = now;
     }
 
     int load(long now) {
-        return running + (now - reportedAt < REPORT_FRESH ? othersRunning + othersWaiting : 0);
+        return requestsInFlight + (now - reportedAt < REPORT_FRESH ? othersRunning + othersWaiting : 0);
     }
 
     int waiting(long now) {
@@ -139,28 +139,28 @@
         return load(now) >= slots || cacheTokens > 0 && held > cacheTokens * 9 / 10;
     }
 
-    public void heard(long now) {
-        heard = now;
+    public void recordHeard(long now) {
+        recordHeard = now;
         suspectSince = Long.MIN_VALUE;
         suspectUntil = now;
     }
 
-    public long heardAt() {
-        return heard;
+    public long lastHeardAt() {
+        return recordHeard;
     }
 
-    public void suspect(long now) {
+    public void markSuspected(long now) {
         if (suspectSince == Long.MIN_VALUE) suspectSince = now;
         suspectUntil = now + QUIET;
     }
 
-    public boolean suspected(long now) {
+    public boolean isSuspected(long now) {
         return now < suspectUntil;
     }
 
     /** It has requests running and has said nothing for this long. */
     boolean quietSince(long now, long micros) {
-        return running > 0 && now - heard > micros;
+        return requestsInFlight > 0 && now - recordHeard > micros;
     }
 
     /** One request may try a runner that was silent once its quiet time is over. */
@@ -173,12 +173,12 @@
     }
 
     /** Another life answers at its address. */
-    public void gone() {
+    public void markReplaced() {
         stale = true;
     }
 
     /** A connection to it broke off in the middle of a request. */
-    public void broke(long now) {
+    public void recordBrokenConnection(long now) {
         brokeAt = now;
     }
 
--- a/lib/data/src/main/java/craneway/data/request/Decision.java
+++ b/lib/data/src/main/java/craneway/data/request/Decision.java
@@ -9,7 +9,7 @@
 
     record Forward(Node router, int unit, boolean runOnce) implements Decision {}
 
-    record Buffer(Problem otherwise) implements Decision {}
+    record Buffer(Problem problemIfExpired) implements Decision {}
 
     record Decline(Problem problem) implements Decision {}
 }
--- a/lib/data/src/main/java/craneway/data/request/HttpExchange.java
+++ b/lib/data/src/main/java/craneway/data/request/HttpExchange.java
@@ -4,49 +4,49 @@
 import java.util.Map;
 
 public interface HttpExchange {
-    String TENANT = "craneway-tenant",
-            WORK = "craneway-work",
-            KEY = "craneway-key",
-            REGIONS = "craneway-regions",
-            DEADLINE = "craneway-deadline-ms",
-            HOP = "craneway-hop",
-            TRANSACTION = "craneway-transaction",
-            PROBLEM = "craneway-problem",
-            RETRY_MICROS = "craneway-retry-micros",
-            LOAD = "craneway-load",
-            MANIFEST = "craneway-manifest",
-            TABLE = "craneway-table";
-    String TO_RUNNER = "/v1/chat/completions", TO_ROUTER = "/transaction";
-
-    interface Call {
-        void took();
+    String TENANT_HEADER = "craneway-tenant",
+            WORK_HEADER = "craneway-work",
+            KEY_HEADER = "craneway-key",
+            REGIONS_HEADER = "craneway-regions",
+            DEADLINE_MS_HEADER = "craneway-deadline-ms",
+            HOP_HEADER = "craneway-hop",
+            TRANSACTION_HEADER = "craneway-transaction",
+            PROBLEM_HEADER = "craneway-problem",
+            RETRY_MICROS_HEADER = "craneway-retry-micros",
+            LOAD_HEADER = "craneway-load",
+            MANIFEST_VERSION_HEADER = "craneway-manifest",
+            TABLE_VERSION_HEADER = "craneway-table";
+    String RUNNER_PATH = "/v1/chat/completions", ROUTER_PATH = "/transaction";
+
+    interface OutgoingCall {
+        void acknowledgeChunk();
 
         void cancel();
     }
 
-    interface Sink {
-        void refused();
+    interface ResponseListener {
+        void onRefused();
 
-        void status(int code, Map<String, String> headers);
+        void onStatus(int code, Map<String, String> headers);
 
-        void chunk(byte[] b);
+        void onChunk(byte[] b);
 
-        void end();
+        void onEnd();
 
-        void broken();
+        void onBroken();
     }
 
-    void later(Runnable step);
+    void runLater(Runnable step);
 
-    Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink);
+    OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink);
 
-    void start();
+    void startResponse();
 
-    boolean write(byte[] b);
+    boolean writeChunk(byte[] b);
 
-    void whole();
+    void endResponse();
 
-    void verdict(Problem p);
+    void sendProblem(Problem p);
 
-    void cut(Problem p, boolean started);
+    void abortResponse(Problem p, boolean started);
 }
--- a/lib/data/src/main/java/craneway/data/request/Request.java
+++ b/lib/data/src/main/java/craneway/data/request/Request.java
@@ -8,8 +8,8 @@
         String tenant,
         String work,
         List<String> regions,
-        String key,
-        long prefix,
-        long deadline,
+        String idempotencyKey,
+        long prefixHash,
+        long deadlineMicros,
         boolean forwarded,
         byte[] body) {}
--- a/lib/data/src/main/java/craneway/data/request/Decider.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestDecider.java
@@ -2,8 +2,8 @@
 
 import craneway.control.node.Membership.CoreView;
 import craneway.control.plan.UnitMover;
-import craneway.data.runner.Chooser;
-import craneway.data.runner.Loads;
+import craneway.data.runner.RunnerSelector;
+import craneway.data.runner.RunnerLoads;
 import craneway.model.manifest.Manifest;
 import craneway.model.problem.Problem;
 import craneway.model.problem.ProblemKind;
@@ -20,21 +20,21 @@
 import java.util.Map;
 import java.util.Set;
 
-public final class Decider {
+public final class RequestDecider {
     private final String zone;
-    private final Loads loads;
-    private final Chooser chooser;
+    private final RunnerLoads loads;
+    private final RunnerSelector chooser;
 
-    public Decider(String self, String zone, Loads loads) {
+    public RequestDecider(String self, String zone, RunnerLoads loads) {
         this.zone = zone;
         this.loads = loads;
-        this.chooser = new Chooser(self, loads);
+        this.chooser = new RunnerSelector(self, loads);
     }
 
-    public Decision ask(CoreView v, Request t, Set<String> avoided, Map<String, Long> closedSince, long now) {
+    public Decision decide(CoreView v, Request t, Set<String> avoided, Map<String, Long> closedSince, long now) {
         var m = v.manifest();
         if (m == null) return decline(ProblemKind.NO_MANIFEST);
-        if (now >= t.deadline()) return decline(ProblemKind.DEADLINE_PASSED);
+        if (now >= t.deadlineMicros()) return decline(ProblemKind.DEADLINE_PASSED);
         var service = m.service(t.service());
         if (service == null)
             return new Decision.Decline(Problem.of(ProblemKind.UNKNOWN_SERVICE, "no service " + t.service()));
@@ -42,7 +42,7 @@
         if (work == null)
             return new Decision.Decline(
                     Problem.of(ProblemKind.UNKNOWN_WORK, "service " + t.service() + " has no work " + t.work()));
-        if (work.runOnce() && t.key().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
+        if (work.runOnce() && t.idempotencyKey().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
         if (t.body().length > service.maxBodyBytes()) return decline(ProblemKind.TOO_LARGE);
         var row = v.services().get(t.service());
         if (row == null || row.homes.length == 0) return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
@@ -120,7 +120,7 @@
         var since = Math.max(
                 closedSince.getOrDefault("zone:" + row.zones.get(home), Long.MIN_VALUE),
                 closedSince.getOrDefault("cell:" + row.name + "/" + row.cells.get(home), Long.MIN_VALUE));
-        return now >= since + RequestExecutor.DRAIN;
+        return now >= since + RequestExecutor.DRAIN_MICROS;
     }
 
     private Decision serve(
@@ -140,15 +140,15 @@
             if (r.up()
                     && r.cell.equals(cell)
                     && !avoided.contains(r.name)
-                    && loads.usable(r, now)
-                    && (leased || loads.heardLately(r.name, now))) able.add(r);
+                    && loads.isUsable(r, now)
+                    && (leased || loads.announcedRecently(r.name, now))) able.add(r);
         if (able.isEmpty())
             return comes(v, row, home, unit, avoided)
                     ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
                     : decline(ProblemKind.NO_RUNNER);
-        var best = chooser.choose(
+        var best = chooser.selectRunner(
                 able,
-                Hash.of(t.prefix(), Hash.of(t.service())),
+                Hash.of(t.prefixHash(), Hash.of(t.service())),
                 service.warmUpTime(),
                 leased && v.isSettled(Parts.partOf(t.service()), now),
                 routersHere(v, t),
@@ -157,17 +157,17 @@
         return new Decision.Serve(best, unit, row.tableVersion, once);
     }
 
-    public boolean still(CoreView v, Request t, Rows.Runner r, Map<String, Long> closedSince, long now) {
+    public boolean mayStillServe(CoreView v, Request t, Rows.Runner r, Map<String, Long> closedSince, long now) {
         var row = v.services().get(t.service());
         var known = row == null ? null : row.runners.get(r.name);
-        if (known == null || !known.up() || known.incarnation != r.incarnation || !loads.usable(known, now))
+        if (known == null || !known.up() || known.incarnation != r.incarnation || !loads.isUsable(known, now))
             return false;
         if (closed(row, row.cells.indexOf(known.cell), v, closedSince, now)) return false;
         if (v.hasLease(Parts.partOf(t.service()), now) && v.hasLease(Parts.MANIFEST_PART, now)) return true;
         var work = v.manifest().service(t.service()) == null
                 ? null
                 : v.manifest().service(t.service()).work(t.work());
-        return work != null && !work.runOnce() && !pastGrace(v, t, now) && loads.heardLately(r.name, now);
+        return work != null && !work.runOnce() && !pastGrace(v, t, now) && loads.announcedRecently(r.name, now);
     }
 
     private static boolean comes(CoreView v, Rows.Service row, int home, int unit, Set<String> avoided) {
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -5,7 +5,7 @@
 import craneway.control.node.NodeDirectory;
 import craneway.control.node.Port;
 import craneway.data.runner.CellSignals;
-import craneway.data.runner.Loads;
+import craneway.data.runner.RunnerLoads;
 import craneway.model.event.Event;
 import craneway.model.problem.Problem;
 import craneway.model.problem.ProblemKind;
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 public final class RequestExecutor {
-    public static final long DRAIN = 1_500_000;
+    public static final long DRAIN_MICROS = 1_500_000;
     private static final int QUOTA_SHARE = 10;
     private static final long PATIENCE = 5_000_000,
             SHARE = 4,
@@ -37,60 +37,60 @@
     private final NodeDirectory directory;
     private final Membership membership;
     private final CoreClient coreClient;
-    private final Loads loads;
-    private final Decider decider;
-    private final AttemptTokens tries = new AttemptTokens();
-    private final Counts counts = new Counts();
+    private final RunnerLoads loads;
+    private final RequestDecider decider;
+    private final RetryTokenBucket tries = new RetryTokenBucket();
+    private final RequestCounters counters = new RequestCounters();
     private final Map<Long, RequestState> requests = new ConcurrentHashMap<>();
     private final Map<String, ConcurrentLinkedQueue<RequestState>> buffers = new ConcurrentHashMap<>();
     private final Map<String, AtomicInteger> buffered = new ConcurrentHashMap<>();
     private final Map<String, Long> closedSince = new ConcurrentHashMap<>();
     private final Map<String, Rows.Service> met = new ConcurrentHashMap<>();
-    private final CellSignals signals = new CellSignals();
-    private final Usage usage = new Usage();
+    private final CellSignals cellSignals = new CellSignals();
+    private final UsageLog usageLog = new UsageLog();
     private final Quotas quotas = new Quotas();
     private final AtomicLong claimNo = new AtomicLong();
     private volatile boolean stopping;
 
     public RequestExecutor(
-            Port port, NodeDirectory directory, Membership membership, CoreClient coreClient, Loads loads) {
+            Port port, NodeDirectory directory, Membership membership, CoreClient coreClient, RunnerLoads loads) {
         this.port = port;
         this.directory = directory;
         this.membership = membership;
         this.coreClient = coreClient;
         this.loads = loads;
-        this.decider = new Decider(directory.self().name, directory.self().zone, loads);
+        this.decider = new RequestDecider(directory.self().name, directory.self().zone, loads);
     }
 
-    public Counts counts() {
-        return counts;
+    public RequestCounters counters() {
+        return counters;
     }
 
-    public CellSignals signals() {
-        return signals;
+    public CellSignals cellSignals() {
+        return cellSignals;
     }
 
-    public Usage usage() {
-        return usage;
+    public UsageLog usageLog() {
+        return usageLog;
     }
 
     private void used(RequestState c, String verdict) {
         if (c.atPeer) return;
         var m = membership.view().manifest();
-        usage.add(c, m == null ? "" : m.regionOfZone(directory.self().zone), verdict, port.now());
+        usageLog.add(c, m == null ? "" : m.regionOfZone(directory.self().zone), verdict, port.now());
     }
 
-    public int open() {
+    public int openRequests() {
         return requests.size();
     }
 
-    public void stop() {
+    public void stopAccepting() {
         stopping = true;
     }
 
-    public void take(Request t, RequestOutput line) {
-        counts.taken.incrementAndGet();
-        if (t.forwarded()) counts.forwardedIn.incrementAndGet();
+    public void accept(Request t, RequestOutput line) {
+        counters.accepted.incrementAndGet();
+        if (t.forwarded()) counters.forwardedIn.incrementAndGet();
         earn(t.service());
         var c = new RequestState(t, line, port.now());
         requests.put(t.id(), c);
@@ -103,11 +103,11 @@
     private void earn(String service) {
         var routers = 0;
         for (var n : membership.view().membersByPart().get(Parts.partOf(service))) if (n.isRouter()) routers++;
-        tries.earn(Math.max(1, routers));
+        tries.addForRequest(Math.max(1, routers));
     }
 
     private static long patience(RequestState c) {
-        return Math.min(PATIENCE, (c.t.deadline() - c.takenAt) / SHARE);
+        return Math.min(PATIENCE, (c.t.deadlineMicros() - c.takenAt) / SHARE);
     }
 
     private static long left(RequestState c, long now) {
@@ -116,10 +116,10 @@
 
     private void decide(RequestState c) {
         var now = port.now();
-        var d = decider.ask(membership.view(), c.t, c.avoided, closedSince, now);
+        var d = decider.decide(membership.view(), c.t, c.avoided, closedSince, now);
         if (d instanceof Decision.Serve s) serve(c, s);
         else if (d instanceof Decision.Forward f) forward(c, f);
-        else if (d instanceof Decision.Buffer b) buffer(c, b.otherwise(), now);
+        else if (d instanceof Decision.Buffer b) buffer(c, b.problemIfExpired(), now);
         else if (d instanceof Decision.Decline x) end(c, x.problem());
     }
 
@@ -142,9 +142,9 @@
         c.ranOn = c.runner.name;
         c.atPeer = false;
         c.sentAt = c.heardAt;
-        loads.started(c.runner.name);
-        counts.dispatched.incrementAndGet();
-        c.line.serve(c.attempt, c.runner);
+        loads.recordStart(c.runner.name);
+        counters.dispatched.incrementAndGet();
+        c.line.dispatchToRunner(c.attempt, c.runner);
     }
 
     private void forward(RequestState c, Decision.Forward f) {
@@ -158,8 +158,8 @@
         c.heardAt = port.now();
         c.router = f.router().name;
         c.atPeer = true;
-        counts.forwardedOut.incrementAndGet();
-        c.line.forward(c.attempt, f.router());
+        counters.forwardedOut.incrementAndGet();
+        c.line.forwardToRouter(c.attempt, f.router());
     }
 
     private void buffer(RequestState c, Problem otherwise, long now) {
@@ -171,7 +171,7 @@
             return;
         }
         if (c.state == RequestPhase.BUFFERED || !c.move(RequestPhase.BUFFERED)) return;
-        counts.buffered.incrementAndGet();
+        counters.buffered.incrementAndGet();
         n.incrementAndGet();
         buffers.computeIfAbsent(c.t.service(), k -> new ConcurrentLinkedQueue<>())
                 .add(c);
@@ -258,7 +258,7 @@
     }
 
     private static String key(Request t) {
-        var whole = t.service() + "\n" + t.tenant() + "\n" + t.key();
+        var whole = t.service() + "\n" + t.tenant() + "\n" + t.idempotencyKey();
         return Long.toHexString(Hash.of(whole)) + Long.toHexString(Hash.of("2\n" + whole));
     }
 
@@ -302,14 +302,14 @@
                 : given;
         giveBack(c, p.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
         requests.remove(c.t.id());
-        counts.verdict(p.kind());
+        counters.countProblem(p.kind());
         used(c, p.kind().name().toLowerCase());
-        c.line.verdict(p);
+        c.line.endWithProblem(p);
     }
 
     private void leaveRunner(RequestState c) {
         if (c.runner == null) return;
-        loads.ended(c.runner.name);
+        loads.recordEnd(c.runner.name);
         c.runner = null;
     }
 
@@ -318,7 +318,7 @@
         return c != null && c.attempt == attempt ? c : null;
     }
 
-    public void notRun(long id, int attempt, Problem p) {
+    public void onNotRun(long id, int attempt, Problem p) {
         var c = at(id, attempt);
         if (c == null) return;
         synchronized (c) {
@@ -329,7 +329,7 @@
         wake(c.t.service());
     }
 
-    public void refusedWork(long id, int attempt, Problem p) {
+    public void onRejected(long id, int attempt, Problem p) {
         var c = at(id, attempt);
         if (c == null) return;
         synchronized (c) {
@@ -342,11 +342,11 @@
 
     private void runnerDeclined(RequestState c, Problem p) {
         var name = c.runner.name;
-        if (p.kind() == ProblemKind.BUSY) loads.reported(name, c.runner.slots, port.now());
+        if (p.kind() == ProblemKind.BUSY) loads.recordLoadReport(name, c.runner.slots, port.now());
         else c.avoided.add(name);
         if (p.kind() == ProblemKind.NO_PATH) {
             loads.eject(name, port.now());
-            signals.problem(c.t.service(), c.runner.cell);
+            cellSignals.recordProblem(c.t.service(), c.runner.cell);
         }
         leaveRunner(c);
         if (p.kind() == ProblemKind.BUSY) waitForSlot(c);
@@ -382,49 +382,49 @@
 
     private boolean payTry(RequestState c) {
         if (!c.owesAttempt) return true;
-        if (!tries.spend()) return false;
+        if (!tries.tryTake()) return false;
         c.owesAttempt = false;
-        counts.extraTries.incrementAndGet();
+        counters.retries.incrementAndGet();
         return true;
     }
 
-    public boolean clear(long id, int attempt) {
+    public boolean confirmDispatch(long id, int attempt) {
         var c = at(id, attempt);
         if (c == null) return false;
         synchronized (c) {
             if (c.state == RequestPhase.FORWARDED) return true;
             if (c.state != RequestPhase.RUNNING) return false;
-            if (decider.still(membership.view(), c.t, c.runner, closedSince, port.now())) return true;
+            if (decider.mayStillServe(membership.view(), c.t, c.runner, closedSince, port.now())) return true;
             leaveRunner(c);
             if (c.move(RequestPhase.TAKEN)) decide(c);
             return false;
         }
     }
 
-    public void stamp(String service, Map<String, String> headers) {
+    public void addVersionHeaders(String service, Map<String, String> headers) {
         var v = membership.view();
         var s = v.services().get(service);
-        headers.put(HttpExchange.MANIFEST, Long.toString(v.manifestRow().version));
-        headers.put(HttpExchange.TABLE, Long.toString(s == null ? 0 : s.tableVersion));
+        headers.put(HttpExchange.MANIFEST_VERSION_HEADER, Long.toString(v.manifestRow().version));
+        headers.put(HttpExchange.TABLE_VERSION_HEADER, Long.toString(s == null ? 0 : s.tableVersion));
     }
 
-    public boolean opened(long id, int attempt) {
+    public boolean onStreamStarted(long id, int attempt) {
         var c = at(id, attempt);
         if (c == null) return false;
         synchronized (c) {
             c.firstAt = port.now();
             if (c.runner != null && c.state == RequestPhase.RUNNING)
-                signals.first(c.t.service(), c.runner.cell, port.now() - c.sentAt);
+                cellSignals.recordFirstData(c.t.service(), c.runner.cell, port.now() - c.sentAt);
             return c.move(RequestPhase.STREAMING);
         }
     }
 
-    public void whole(long id, int attempt) {
+    public void onStreamCompleted(long id, int attempt) {
         var c = at(id, attempt);
         if (c == null) return;
         synchronized (c) {
             if (!c.move(RequestPhase.ENDED)) return;
-            counts.whole.incrementAndGet();
+            counters.completedStreams.incrementAndGet();
             used(c, "whole");
             giveBack(c, Rows.Claim.DONE);
             leaveRunner(c);
@@ -433,7 +433,7 @@
         wake(c.t.service());
     }
 
-    public void broken(long id, int attempt) {
+    public void onAttemptBroken(long id, int attempt) {
         var c = at(id, attempt);
         if (c == null) return;
         synchronized (c) {
@@ -446,7 +446,7 @@
 
     private void brokenEarly(RequestState c, boolean forwarded) {
         var name = forwarded ? c.router : c.runner.name;
-        if (!forwarded) signals.problem(c.t.service(), c.runner.cell);
+        if (!forwarded) cellSignals.recordProblem(c.t.service(), c.runner.cell);
         leaveRunner(c);
         c.avoided.add(name);
         if (!forwarded) loads.eject(name, port.now());
@@ -459,17 +459,17 @@
 
     private void cutOff(RequestState c, Problem p) {
         if (!c.move(RequestPhase.ENDED)) return;
-        counts.cut.incrementAndGet();
+        counters.cutStreams.incrementAndGet();
         used(c, "cut");
-        if (c.runner != null) signals.problem(c.t.service(), c.runner.cell);
+        if (c.runner != null) cellSignals.recordProblem(c.t.service(), c.runner.cell);
         port.logEvent(Event.RESPONSE_CUT_OFF, c.t.service() + " " + c.t.work() + " transaction " + c.t.id());
         giveBack(c, Rows.Claim.UNKNOWN);
         leaveRunner(c);
         requests.remove(c.t.id());
-        c.line.cut(p);
+        c.line.cutStream(p);
     }
 
-    public void gone(long id) {
+    public void onClientDisconnected(long id) {
         var c = requests.get(id);
         if (c == null) return;
         synchronized (c) {
@@ -481,12 +481,12 @@
             giveBack(c, ran ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
             leaveRunner(c);
             requests.remove(id);
-            c.line.cut(Problem.of(ProblemKind.RUN_BROKEN, "the requester went away"));
+            c.line.cutStream(Problem.of(ProblemKind.RUN_BROKEN, "the requester went away"));
         }
         wake(c.t.service());
     }
 
-    public void progress(long id, int tokens) {
+    public void onProgress(long id, int tokens) {
         var c = requests.get(id);
         if (c == null) return;
         c.heardAt = port.now();
@@ -494,8 +494,8 @@
     }
 
     private void watch(RequestState c, Membership.CoreView v, long now) {
-        if (now >= c.t.deadline()) late(c);
-        else if (now - c.heardAt > SILENT && lost(c, v)) broken(c.t.id(), c.attempt);
+        if (now >= c.t.deadlineMicros()) late(c);
+        else if (now - c.heardAt > SILENT && lost(c, v)) onAttemptBroken(c.t.id(), c.attempt);
     }
 
     private boolean lost(RequestState c, Membership.CoreView v) {
@@ -519,7 +519,7 @@
         for (var k : v.manifestRow().marks.keySet()) closedSince.putIfAbsent(k, now);
         closedSince.keySet().removeIf(k -> !v.manifestRow().marks.containsKey(k));
         for (var s : v.services().values())
-            if (met.put(s.name, s) != s) s.runners.values().forEach(r -> loads.meet(r, now));
+            if (met.put(s.name, s) != s) s.runners.values().forEach(r -> loads.registerIncarnation(r, now));
         for (var s : buffers.keySet()) wake(s);
         for (var c : List.copyOf(requests.values())) watch(c, v, now);
     }
--- a/lib/data/src/main/java/craneway/data/request/RequestOutput.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestOutput.java
@@ -5,11 +5,11 @@
 import craneway.state.record.Rows;
 
 public interface RequestOutput {
-    void serve(int attempt, Rows.Runner runner);
+    void dispatchToRunner(int attempt, Rows.Runner runner);
 
-    void forward(int attempt, Node router);
+    void forwardToRouter(int attempt, Node router);
 
-    void verdict(Problem p);
+    void endWithProblem(Problem p);
 
-    void cut(Problem p);
+    void cutStream(Problem p);
 }
--- a/lib/data/src/main/java/craneway/data/request/StreamScan.java
+++ b/lib/data/src/main/java/craneway/data/request/SseScanner.java
@@ -1,21 +1,21 @@
 package craneway.data.request;
 
-public final class StreamScan {
+public final class SseScanner {
     private static final byte[] DONE = "data: [DONE]".getBytes();
     private static final int PREFIX = 5;
 
     private int at;
     private boolean matching = true;
-    private boolean done;
-    private boolean whole;
+    private boolean isDone;
+    private boolean isComplete;
     private boolean data = true;
-    private int events;
+    private int eventCount;
 
-    public void accept(byte[] b, int len) {
-        for (var i = 0; i < len; i++) accept(b[i]);
+    public void scan(byte[] b, int len) {
+        for (var i = 0; i < len; i++) scan(b[i]);
     }
 
-    private void accept(byte x) {
+    private void scan(byte x) {
         if (x == '\r') return;
         if (x != '\n') {
             matching &= at < DONE.length && DONE[at] == x;
@@ -23,23 +23,23 @@
             at++;
             return;
         }
-        whole = done && at == 0;
+        isComplete = isDone && at == 0;
         var end = matching && at == DONE.length;
-        if (data && at >= PREFIX && !end) events++;
-        done = whole || end;
+        if (data && at >= PREFIX && !end) eventCount++;
+        isDone = isComplete || end;
         at = 0;
         matching = data = true;
     }
 
-    public int events() {
-        return events;
+    public int eventCount() {
+        return eventCount;
     }
 
-    public boolean done() {
-        return done && at == 0;
+    public boolean isDone() {
+        return isDone && at == 0;
     }
 
-    public boolean whole() {
-        return whole && at == 0;
+    public boolean isComplete() {
+        return isComplete && at == 0;
     }
 }
--- a/lib/data/src/main/java/craneway/data/request/Usage.java
+++ b/lib/data/src/main/java/craneway/data/request/UsageLog.java
@@ -5,21 +5,21 @@
 import java.util.Deque;
 import java.util.List;
 
-public final class Usage {
+public final class UsageLog {
     private static final int MOST = 50_000;
 
     public record Row(
-            long no,
+            long number,
             String tenant,
             String service,
             String work,
             String region,
             String runner,
             int tokens,
-            String verdict,
-            long takenAt,
-            long firstAt,
-            long endedAt) {}
+            String outcome,
+            long acceptedAtMicros,
+            long firstDataAtMicros,
+            long endedAtMicros) {}
 
     private final Deque<Row> rows = new ArrayDeque<>();
     private long count;
@@ -40,9 +40,9 @@
         if (rows.size() > MOST) rows.poll();
     }
 
-    public synchronized List<Row> after(long no, int most) {
+    public synchronized List<Row> rowsAfter(long no, int most) {
         var all = new ArrayList<Row>();
-        for (var r : rows) if (r.no > no && all.size() < most) all.add(r);
+        for (var r : rows) if (r.number > no && all.size() < most) all.add(r);
         return all;
     }
 }
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -6,7 +6,7 @@
 import craneway.control.node.Port;
 import craneway.data.request.RequestExecutor;
 import craneway.data.runner.Announcement;
-import craneway.data.runner.Loads;
+import craneway.data.runner.RunnerLoads;
 import craneway.model.event.Event;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
@@ -32,8 +32,8 @@
     private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
-    private final Loads loads = new Loads();
-    private final RequestExecutor executor;
+    private final RunnerLoads runnerLoads = new RunnerLoads();
+    private final RequestExecutor requestExecutor;
     private volatile Consumer<Reading> reading = r -> {};
     private volatile Consumer<Silence> silence = s -> {};
 
@@ -46,8 +46,8 @@
         directory = new NodeDirectory(port, self, seeds, timing);
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, timing);
-        membership.setSignalSource(part -> executor().signals().take(part));
-        executor = new RequestExecutor(port, directory, membership, coreClient, loads);
+        membership.setSignalSource(part -> requestExecutor().cellSignals().drain(part));
+        requestExecutor = new RequestExecutor(port, directory, membership, coreClient, runnerLoads);
     }
 
     public NodeDirectory directory() {
@@ -62,29 +62,29 @@
         return membership;
     }
 
-    public RequestExecutor executor() {
-        return executor;
+    public RequestExecutor requestExecutor() {
+        return requestExecutor;
     }
 
-    public Loads loads() {
-        return loads;
+    public RunnerLoads runnerLoads() {
+        return runnerLoads;
     }
 
     /** Who hears what other routers gave runners to read. */
-    public void onReading(Consumer<Reading> then) {
+    public void setPrefillListener(Consumer<Reading> then) {
         reading = then;
     }
 
     /** Who hears which runners other routers find silent. */
-    public void onSilence(Consumer<Silence> then) {
+    public void setSilenceListener(Consumer<Silence> then) {
         silence = then;
     }
 
-    public boolean ready() {
+    public boolean isReady() {
         return directory.self().serving && membership.isUsable(port.now());
     }
 
-    public void unready() {
+    public void markUnready() {
         membership.stopServing();
     }
 
@@ -94,7 +94,7 @@
         directory.tick(now);
         membership.tick(now);
         coreClient.tick(now);
-        executor.tick(now);
+        requestExecutor.tick(now);
     }
 
     private void follow() {
@@ -125,8 +125,8 @@
         if (alone && directory.self().coreId != 0) membership.tick(now);
     }
 
-    public void announce(Announcement a, Consumer<CommandResult> then) {
-        loads.heard(a.name(), a.incarnation(), a.load(), port.now());
+    public void announceRunner(Announcement a, Consumer<CommandResult> then) {
+        runnerLoads.recordAnnouncement(a.name(), a.incarnation(), a.load(), port.now());
         var c = new Commands.RunnerPut();
         c.service = a.service();
         c.runner = a.name();
@@ -139,8 +139,8 @@
         coreClient.request(Parts.partOf(a.service()), c, PATIENCE, then);
     }
 
-    public void leave(String service, String runner, long incarnation, Consumer<CommandResult> then) {
-        loads.leaving(runner, incarnation);
+    public void markRunnerLeaving(String service, String runner, long incarnation, Consumer<CommandResult> then) {
+        runnerLoads.markLeaving(runner, incarnation);
         var c = new Commands.RunnerMark();
         c.service = service;
         c.runner = runner;
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -19,17 +19,17 @@
         });
     }
 
-    public synchronized void first(String service, String cell, long micros) {
+    public synchronized void recordFirstData(String service, String cell, long micros) {
         var s = of(service, cell);
         s.runs++;
         s.firstMicros += micros;
     }
 
-    public synchronized void problem(String service, String cell) {
+    public synchronized void recordProblem(String service, String cell) {
         of(service, cell).problems++;
     }
 
-    public synchronized List<Signal> take(int part) {
+    public synchronized List<Signal> drain(int part) {
         var all = new ArrayList<Signal>();
         cells.values().removeIf(s -> Parts.partOf(s.service) == part && all.add(s));
         return all;
--- a/lib/data/src/main/java/craneway/data/runner/Loads.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerLoads.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-public final class Loads {
-    public static final long HEARD = 2_500_000;
+public final class RunnerLoads {
+    public static final long RECENT_ANNOUNCEMENT_MICROS = 2_500_000;
     private static final long REPORT_FRESH = 1_500_000, EJECTED = 1_000_000;
 
     private static final class Load {
@@ -27,7 +27,7 @@
         return loads.computeIfAbsent(runner, k -> new Load());
     }
 
-    public void meet(Rows.Runner r, long now) {
+    public void registerIncarnation(Rows.Runner r, long now) {
         var l = of(r.name);
         synchronized (l) {
             if (l.incarnation >= r.incarnation) return;
@@ -40,17 +40,17 @@
         }
     }
 
-    public void heard(String runner, long incarnation, int load, long now) {
+    public void recordAnnouncement(String runner, long incarnation, int load, long now) {
         var l = of(runner);
         synchronized (l) {
             if (incarnation < l.incarnation) return;
             l.heard = now;
             l.heardIncarnation = incarnation;
         }
-        reported(runner, load, now);
+        recordLoadReport(runner, load, now);
     }
 
-    public void reported(String runner, int load, long now) {
+    public void recordLoadReport(String runner, int load, long now) {
         var l = of(runner);
         synchronized (l) {
             l.others = Math.max(0, load - l.running);
@@ -58,7 +58,7 @@
         }
     }
 
-    public void leaving(String runner, long incarnation) {
+    public void markLeaving(String runner, long incarnation) {
         var l = of(runner);
         synchronized (l) {
             if (incarnation >= l.incarnation) l.leaving = true;
@@ -73,35 +73,35 @@
         }
     }
 
-    public void started(String runner) {
+    public void recordStart(String runner) {
         var l = of(runner);
         synchronized (l) {
             l.running++;
         }
     }
 
-    public void ended(String runner) {
+    public void recordEnd(String runner) {
         var l = of(runner);
         synchronized (l) {
             l.running--;
         }
     }
 
-    public int running(String runner) {
+    public int requestsInFlight(String runner) {
         var l = of(runner);
         synchronized (l) {
             return l.running;
         }
     }
 
-    public int load(String runner, long now) {
+    public int currentLoad(String runner, long now) {
         var l = of(runner);
         synchronized (l) {
             return now - l.reportedAt < REPORT_FRESH ? l.running + l.others : l.running;
         }
     }
 
-    public boolean usable(Rows.Runner r, long now) {
+    public boolean isUsable(Rows.Runner r, long now) {
         var l = of(r.name);
         synchronized (l) {
             var left = l.leaving && l.incarnation >= r.incarnation;
@@ -110,15 +110,15 @@
         }
     }
 
-    public boolean heardLately(String runner, long now) {
+    public boolean announcedRecently(String runner, long now) {
         var l = of(runner);
         synchronized (l) {
-            return now - l.heard < HEARD;
+            return now - l.heard < RECENT_ANNOUNCEMENT_MICROS;
         }
     }
 
-    public int ramp(Rows.Runner r, long warmUp, long now) {
-        meet(r, now);
+    public int usableSlots(Rows.Runner r, long warmUp, long now) {
+        registerIncarnation(r, now);
         var l = of(r.name);
         synchronized (l) {
             var past = now - l.since;
--- a/lib/data/src/main/java/craneway/data/runner/Chooser.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerSelector.java
@@ -4,21 +4,21 @@
 import craneway.state.record.Rows;
 import java.util.List;
 
-public final class Chooser {
+public final class RunnerSelector {
     private static final double BOUND = 1.25;
 
     private final String self;
-    private final Loads loads;
+    private final RunnerLoads loads;
 
-    public Chooser(String self, Loads loads) {
+    public RunnerSelector(String self, RunnerLoads loads) {
         this.self = self;
         this.loads = loads;
     }
 
-    public Rows.Runner choose(
+    public Rows.Runner selectRunner(
             List<Rows.Runner> from, long prefix, long warmUp, boolean settled, List<String> routers, long now) {
         var total = 1;
-        for (var r : from) total += loads.load(r.name, now);
+        for (var r : from) total += loads.currentLoad(r.name, now);
         var bound = Math.max(1, (int) Math.ceil(BOUND * total / from.size()));
         var able = from.stream()
                 .filter(r -> fits(r, warmUp, settled, routers, now))
@@ -31,7 +31,7 @@
         Rows.Runner best = null;
         var most = 0L;
         for (var r : from) {
-            if (loads.load(r.name, now) >= bound) continue;
+            if (loads.currentLoad(r.name, now) >= bound) continue;
             var w = RendezvousHash.weight(prefix, r.name);
             if (best == null || Long.compareUnsigned(w, most) > 0) {
                 best = r;
@@ -42,10 +42,10 @@
     }
 
     private boolean fits(Rows.Runner r, long warmUp, boolean settled, List<String> routers, long now) {
-        var load = loads.load(r.name, now);
+        var load = loads.currentLoad(r.name, now);
         if (load >= r.slots) return false;
-        var ramp = loads.ramp(r, warmUp, now);
-        return ramp >= r.slots || settled && load < ramp && loads.running(r.name) < share(r.name, ramp, routers);
+        var ramp = loads.usableSlots(r, warmUp, now);
+        return ramp >= r.slots || settled && load < ramp && loads.requestsInFlight(r.name) < share(r.name, ramp, routers);
     }
 
     private int share(String runner, int ramp, List<String> routers) {
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.data.placement.Placer;
+import craneway.data.placement.RunnerPlacer;
 import craneway.data.placement.Prompt;
 import craneway.model.manifest.Route;
 import craneway.model.unit.Hash;
@@ -32,7 +32,7 @@
         this.receivedAt = receivedAt;
         var headers = exchange.getRequestHeaders();
         tryId = headers.getFirst(names.tryId());
-        prompt = Prompt.of(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
+        prompt = Prompt.parse(headers.getFirst(names.promptParts()), headers.getFirst(names.tokenCounts()));
         service = route.selectService(Hash.of(tryId == null ? "" : tryId));
         deadlineAt = receivedAt
                 + Math.min(route.deadline(), millisToMicros(headers.getFirst(names.deadlineMs()), route.deadline()));
@@ -52,7 +52,7 @@
      *
      * @param streamToContinue the stream that the runner must continue, null if it must start a new response
      */
-    RequestHead headFor(Placer.Choice choice, long now, StreamRelay streamToContinue) {
+    RequestHead headFor(RunnerPlacer.Placement choice, long now, StreamRelay streamToContinue) {
         var query = exchange.getQueryString();
         var target = query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
         var method = exchange.getRequestMethod();
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -1,9 +1,9 @@
 package craneway.gateway.proxy;
 
 import craneway.control.node.Membership.CoreView;
-import craneway.data.placement.ColdShare;
-import craneway.data.placement.Placer;
-import craneway.data.placement.Pool;
+import craneway.data.placement.ColdRunnerLimiter;
+import craneway.data.placement.RunnerPlacer;
+import craneway.data.placement.RunnerPool;
 import craneway.data.placement.Prompt;
 import craneway.data.placement.RetryBudget;
 import craneway.data.placement.RunnerView;
@@ -53,8 +53,8 @@
     private final EventSink log;
     private final RunnerConnectionPool runnerConnections;
     private final ClientConnections clientConnections;
-    private final Pool pool = new Pool();
-    private final Placer placer;
+    private final RunnerPool pool = new RunnerPool();
+    private final RunnerPlacer placer;
     private final RetryBudget retryBudget;
     private final Set<RequestExchange> openExchanges = new HashSet<>();
     private final RunnerNoticeQueue notices;
@@ -83,7 +83,7 @@
         notices = new RunnerNoticeQueue(clock);
         runnerConnections = new RunnerConnectionPool(ioThread, clock);
         clientConnections = new ClientConnections(clock);
-        placer = new Placer(pool, new ColdShare(nodeSettings.name()), nodeSettings.zone(), nodeSettings.region());
+        placer = new RunnerPlacer(pool, new ColdRunnerLimiter(nodeSettings.name()), nodeSettings.zone(), nodeSettings.region());
         var bounds = nodeSettings.tolerances();
         retryBudget = new RetryBudget(bounds.retryWindow(), bounds.retryRatio(), bounds.retrySlack());
     }
@@ -114,7 +114,7 @@
                 lastSweepAt = checkTime;
                 runnerConnections.closeExpired();
                 clientConnections.closeExpired(limits());
-                if (pool.view() != null && pool.view().manifest() != null) pool.seat(checkTime);
+                if (pool.view() != null && pool.view().manifest() != null) pool.assignRunnerRoles(checkTime);
             }
         } finally {
             if (!closed) scheduleNextCheck();
@@ -130,7 +130,7 @@
         return names;
     }
 
-    Placer placer() {
+    RunnerPlacer placer() {
         return placer;
     }
 
@@ -152,7 +152,7 @@
         return view == null || view.manifest() == null ? null : view.manifest().limits();
     }
 
-    Pool pool() {
+    RunnerPool pool() {
         return pool;
     }
 
@@ -167,7 +167,7 @@
 
     /** Applies the newest view and the queued notices to the runners' state; called before a runner is selected. */
     void refreshRunners() {
-        pool.follow(currentView.get());
+        pool.applyView(currentView.get());
         notices.drain(this::applyReading, this::applySilence);
     }
 
@@ -198,7 +198,7 @@
         var fields = loadHeader.split(",");
         if (fields.length < 2) return;
         try {
-            runner.reported(Integer.parseInt(fields[0].trim()), Integer.parseInt(fields[1].trim()), now());
+            runner.recordLoadReport(Integer.parseInt(fields[0].trim()), Integer.parseInt(fields[1].trim()), now());
         } catch (NumberFormatException e) {
             log.logEvent(Event.BAD_MESSAGE, "malformed load header from runner " + runner.id() + ": " + loadHeader);
         }
@@ -212,49 +212,49 @@
     }
 
     /** Tells the routers that use the selected runner which tokens it has to prefill, unless they are few. */
-    void announceReading(Placer.Choice choice, Prompt prompt) {
-        if (choice.read() < MIN_ANNOUNCED_TOKENS) return;
+    void announceReading(RunnerPlacer.Placement choice, Prompt prompt) {
+        if (choice.prefillTokens() < MIN_ANNOUNCED_TOKENS) return;
         var message = new Reading();
         message.runner = choice.runner().id();
-        message.tokens = choice.read();
-        message.parts = prompt.sharedIds();
-        message.sizes = prompt.sharedSizes();
-        for (var address : pool.peers(nodeSettings.name(), choice.runner().region, nodeSettings.region()))
+        message.tokens = choice.prefillTokens();
+        message.parts = prompt.sharedPartIds();
+        message.sizes = prompt.sharedPartTokens();
+        for (var address : pool.peerRouterAddresses(nodeSettings.name(), choice.runner().region, nodeSettings.region()))
             peerSender.accept(address, message);
     }
 
     private void applyReading(Reading message, long receivedAt) {
-        var runner = pool.named(message.runner);
+        var runner = pool.findRunner(message.runner);
         if (runner == null || message.tokens <= 0) return;
-        pool.told(runner, message.tokens, receivedAt);
-        runner.keeps(message.parts, message.sizes);
+        pool.recordPrefill(runner, message.tokens, receivedAt);
+        runner.recordCachedParts(message.parts, message.sizes);
     }
 
     /** Marks a runner as suspected and, if it was not yet, tells the other routers to avoid it. */
     void reportSilent(RunnerView runner) {
         var reportTime = now();
-        if (!runner.suspected(reportTime)) {
+        if (!runner.isSuspected(reportTime)) {
             var message = new Silence();
             message.runner = runner.id();
-            for (var address : pool.peers(nodeSettings.name(), runner.region, nodeSettings.region()))
+            for (var address : pool.peerRouterAddresses(nodeSettings.name(), runner.region, nodeSettings.region()))
                 peerSender.accept(address, message);
         }
-        runner.suspect(reportTime);
+        runner.markSuspected(reportTime);
     }
 
     private void applySilence(Silence message, long receivedAt) {
-        var runner = pool.named(message.runner);
-        if (runner != null && receivedAt - runner.heardAt() > RECENT_RESPONSE_MICROS) runner.suspect(receivedAt);
+        var runner = pool.findRunner(message.runner);
+        if (runner != null && receivedAt - runner.lastHeardAt() > RECENT_RESPONSE_MICROS) runner.markSuspected(receivedAt);
     }
 
     /** Records that another runner, or another incarnation of this one, now has its address. */
     void markReplaced(RunnerView runner) {
-        runner.gone();
+        runner.markReplaced();
     }
 
     /** Records that a connection to this runner broke during a request. */
     void recordBreak(RunnerView runner, String cause) {
-        runner.broke(now());
+        runner.recordBrokenConnection(now());
     }
 
     /** The value of the Retry-After header: after how many seconds a client should try again. */
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -1,6 +1,6 @@
 package craneway.gateway.proxy;
 
-import craneway.data.placement.Placer;
+import craneway.data.placement.RunnerPlacer;
 import craneway.model.event.Event;
 import craneway.model.manifest.Route;
 import io.undertow.server.HttpServerExchange;
@@ -33,7 +33,7 @@
     private final ResponseTiming timing = new ResponseTiming();
     private final Set<String> triedRunnerIds = new HashSet<>();
     private ExchangeState state = ExchangeState.SELECTING_RUNNER;
-    private Placer.Choice choice;
+    private RunnerPlacer.Placement choice;
     private RunnerCall call;
     private long sentAt;
     private String choiceDescription = "";
@@ -62,7 +62,7 @@
     void start() {
         context.add(this);
         var now = context.now();
-        context.retryBudget().request(now);
+        context.retryBudget().recordRequest(now);
         deadlineTimer = context.schedule(request.deadlineAt - now, this::handleDeadline);
         selectRunner();
     }
@@ -79,9 +79,9 @@
             fail(StatusCodes.BAD_GATEWAY, "no further try is left");
             return;
         }
-        var selected = context.placer().choose(route, request.service, request.prompt, triedRunnerIds, now);
+        var selected = context.placer().selectRunner(route, request.service, request.prompt, triedRunnerIds, now);
         if (selected == null) waitOrFail(now);
-        else if (context.placer().crowds(selected, now)
+        else if (context.placer().shouldWait(selected, now)
                 && now - request.receivedAt < route.firstChunkTarget() * 4 / 10
                 && attempts.sentCount() == 0)
             selectionTimer = context.schedule(SELECTION_RETRY_DELAY_MICROS, this::selectRunner);
@@ -91,7 +91,7 @@
     /** Takes one retry from the route's tries and from the retry budget; returns false if none is left. */
     private boolean acquireRetry(long now) {
         return attempts.sentCount() < route.maxAttempts()
-                && context.retryBudget().take(context.placer().routers().size(), now);
+                && context.retryBudget().tryAcquire(context.placer().servingRouters().size(), now);
     }
 
     /** No runner is available: schedules another selection, or fails if the request has waited for too long. */
@@ -113,20 +113,20 @@
      * longer while this router does not know the runners of the service yet.
      */
     private long maxSelectionWait() {
-        return context.pool().knows(request.service)
+        return context.pool().hasService(request.service)
                 ? Math.max(100_000, route.firstChunkTarget() / 4)
                 : STARTUP_WAIT_MICROS;
     }
 
-    private void sendTo(Placer.Choice selected, long now) {
+    private void sendTo(RunnerPlacer.Placement selected, long now) {
         choice = selected;
         attempts.start();
         triedRunnerIds.add(selected.runner().id());
         state = ExchangeState.AWAITING_RESPONSE;
         sentAt = now;
-        context.placer().started(selected, request.prompt, now);
+        context.placer().recordStart(selected, request.prompt, now);
         context.announceReading(selected, request.prompt);
-        choiceDescription = selected.about();
+        choiceDescription = selected.describe();
         call = new RunnerCall(
                 context.runnerConnections(),
                 selected.runner().address(),
@@ -138,14 +138,14 @@
 
     private void releaseRunner() {
         if (choice == null) return;
-        context.placer().ended(choice, request.prompt);
+        context.placer().recordEnd(choice, request.prompt);
         choice = null;
     }
 
     private void recordDataReceived() {
         var now = context.now();
         timing.recordData(now);
-        choice.runner().heard(now);
+        choice.runner().recordHeard(now);
     }
 
     /** Checks whether the client is still connected and whether the runner still responds. */
@@ -176,10 +176,10 @@
     /** Moves the request to another runner, if a try, a runner that is not suspected and retry budget are available. */
     private void failOver(long now) {
         if (attempts.sentCount() >= route.maxAttempts()) return;
-        var selected = context.placer().choose(route, request.service, request.prompt, triedRunnerIds, now);
+        var selected = context.placer().selectRunner(route, request.service, request.prompt, triedRunnerIds, now);
         if (selected == null
-                || selected.runner().suspected(now)
-                || !context.retryBudget().take(context.placer().routers().size(), now)) return;
+                || selected.runner().isSuspected(now)
+                || !context.retryBudget().tryAcquire(context.placer().servingRouters().size(), now)) return;
         call.cancel();
         releaseRunner();
         if (response.isStarted()) response.resume();
@@ -273,9 +273,9 @@
 
     /** Handles the callbacks of one attempt; ignores them once the request has finished or moved to another runner. */
     private final class ResponseListener implements RunnerCall.Listener {
-        private final Placer.Choice attemptChoice;
+        private final RunnerPlacer.Placement attemptChoice;
 
-        ResponseListener(Placer.Choice attemptChoice) {
+        ResponseListener(RunnerPlacer.Placement attemptChoice) {
             this.attemptChoice = attemptChoice;
         }
 
@@ -286,7 +286,7 @@
         @Override
         public void onNotSent(String cause) {
             if (isStale()) return;
-            attemptChoice.runner().suspect(context.now());
+            attemptChoice.runner().markSuspected(context.now());
             attempts.markNeverSent();
             handleNotRun();
         }
@@ -300,7 +300,7 @@
                 handleUnusableResponse();
                 return;
             }
-            choice.runner().heard(context.now());
+            choice.runner().recordHeard(context.now());
             context.recordLoad(choice.runner(), headers.getFirst(names.runnerLoad()));
             if (outcome == ResponseOutcome.NOT_RUN) {
                 if (status == ResponseOutcome.MISDIRECTED_STATUS && !response.expectsWeightVersion())
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseTiming.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ResponseTiming.java
@@ -30,7 +30,7 @@
             ProxyContext context, IncomingRequest request, long sentAt, int sentCount, String choiceDescription) {
         if (!isSlow(request.route, request.receivedAt)) return;
         context.logSlowResponse(request.route.name() + " " + describe(request.receivedAt, sentAt) + ", sent "
-                + sentCount + ", tokens " + request.prompt.in() + ", " + choiceDescription);
+                + sentCount + ", tokens " + request.prompt.promptTokens() + ", " + choiceDescription);
     }
 
     private String describe(long receivedAt, long sentAt) {
--- a/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/CompletionHandler.java
@@ -80,7 +80,7 @@
                     this::defaultDeadline,
                     clock.getAsLong());
             if (request.isLeft()) {
-                router.executor().counts().verdict(request.getLeft().kind());
+                router.requestExecutor().counters().countProblem(request.getLeft().kind());
                 JsonResponses.sendProblem(exchange, request.getLeft());
                 return;
             }
@@ -100,14 +100,14 @@
     private void relay(HttpServerExchange exchange, Request request) throws InterruptedException {
         var routerName = router.directory().self().name;
         var httpExchange = new UndertowExchange(exchange, caller, routerName);
-        var relay = new RequestRelay(request, router.executor(), router.loads(), clock, routerName, httpExchange);
+        var relay = new RequestRelay(request, router.requestExecutor(), router.runnerLoads(), clock, routerName, httpExchange);
         currentRequestId(exchange).set(request.id());
-        relay.begin();
+        relay.start();
         try {
-            httpExchange.runSteps(relay::over, () -> router.executor().gone(request.id()));
+            httpExchange.runSteps(relay::isFinished, () -> router.requestExecutor().onClientDisconnected(request.id()));
         } finally {
             currentRequestId(exchange).set(0);
-            if (!relay.over()) router.executor().gone(request.id());
+            if (!relay.isFinished()) router.requestExecutor().onClientDisconnected(request.id());
         }
     }
 
@@ -121,7 +121,7 @@
         if (attached != null) return attached;
         var created = new AtomicLong();
         connection.putAttachment(CURRENT_REQUEST_ID, created);
-        connection.addCloseListener(c -> router.executor().gone(created.get()));
+        connection.addCloseListener(c -> router.requestExecutor().onClientDisconnected(created.get()));
         return created;
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -73,12 +73,12 @@
     }
 
     @Override
-    public void later(Runnable step) {
+    public void runLater(Runnable step) {
         steps.add(step);
     }
 
     @Override
-    public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
+    public OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
         var callHeaders = new HashMap<HttpString, String>();
         headers.forEach((name, value) -> callHeaders.put(new HttpString(name), value));
         var call = caller.open(
@@ -91,32 +91,32 @@
                 new AsyncHttpClient.ResponseListener() {
                     @Override
                     public void onConnectFailure(String cause) {
-                        sink.refused();
+                        sink.onRefused();
                     }
 
                     @Override
                     public void onHeaders(int code, HeaderMap responseHeaders) {
-                        sink.status(code, toLowerCaseMap(responseHeaders));
+                        sink.onStatus(code, toLowerCaseMap(responseHeaders));
                     }
 
                     @Override
                     public void onChunk(byte[] bytes) {
-                        sink.chunk(bytes);
+                        sink.onChunk(bytes);
                     }
 
                     @Override
                     public void onEnd() {
-                        sink.end();
+                        sink.onEnd();
                     }
 
                     @Override
                     public void onFailure(String cause) {
-                        sink.broken();
+                        sink.onBroken();
                     }
                 });
-        return new Call() {
+        return new OutgoingCall() {
             @Override
-            public void took() {
+            public void acknowledgeChunk() {
                 call.chunkConsumed();
             }
 
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void start() {
+    public void startResponse() {
         exchange.setStatusCode(200);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
         exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public boolean write(byte[] bytes) {
+    public boolean writeChunk(byte[] bytes) {
         try {
             var output = exchange.getOutputStream();
             output.write(bytes);
@@ -156,19 +156,19 @@
     }
 
     @Override
-    public void whole() {
+    public void endResponse() {
         exchange.endExchange();
     }
 
     @Override
-    public void verdict(Problem problem) {
+    public void sendProblem(Problem problem) {
         JsonResponses.sendProblem(exchange, problem);
     }
 
     @Override
-    public void cut(Problem problem, boolean started) {
+    public void abortResponse(Problem problem, boolean started) {
         if (started)
-            write(("\n\nevent: error\ndata: " + JsonResponses.problemJson(problem) + "\n\n")
+            writeChunk(("\n\nevent: error\ndata: " + JsonResponses.problemJson(problem) + "\n\n")
                     .getBytes(StandardCharsets.UTF_8));
         IoUtils.safeClose(exchange.getConnection());
     }
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -93,14 +93,14 @@
                             "an announcement needs service, name, cell, address as IP:PORT, slots from 1 and load from 0"));
             return;
         }
-        router.announce(announcement, responder(exchange));
+        router.announceRunner(announcement, responder(exchange));
     }
 
     private void leave(HttpServerExchange exchange, Leave leave) {
         if (isBlank(leave.service) || isBlank(leave.name))
             JsonResponses.sendProblem(
                     exchange, Problem.of(ProblemKind.BAD_FIELD, "a leave needs service, name and incarnation"));
-        else router.leave(leave.service, leave.name, leave.incarnation, responder(exchange));
+        else router.markRunnerLeaving(leave.service, leave.name, leave.incarnation, responder(exchange));
     }
 
     private static boolean isBlank(String text) {
--- a/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
+++ b/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
@@ -42,7 +42,7 @@
         /** Called once with the status code and headers of the response. */
         void onHeaders(int code, HeaderMap headers);
 
-        /** Called with each piece of the body; {@link Call#chunkConsumed} must be called once the piece is consumed. */
+        /** Called with each piece of the body; {@link OutgoingCall#chunkConsumed} must be called once the piece is consumed. */
         void onChunk(byte[] bytes);
 
         /** Called when the response is complete. */
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Sends a request on a persistent connection, which stays open after a complete response; {@link Call#connection}
+     * Sends a request on a persistent connection, which stays open after a complete response; {@link OutgoingCall#connection}
      * returns it for the next request.
      *
      * @param kept the connection of an earlier call; if it is null or closed, a new connection is made
--- a/lib/process/src/main/java/craneway/process/Metrics.java
+++ b/lib/process/src/main/java/craneway/process/Metrics.java
@@ -10,13 +10,13 @@
     private Metrics() {}
 
     static String of(Router r) {
-        var c = r.executor().counts();
+        var c = r.requestExecutor().counters();
         var verdicts = new TreeMap<String, Long>();
-        c.verdicts().forEach((k, v) -> verdicts.put(k.toLowerCase(), v));
+        c.problemCounts().forEach((k, v) -> verdicts.put(k.toLowerCase(), v));
         var tables = new TreeMap<String, Long>();
         r.membership().view().services().values().forEach(s -> tables.put(s.name, s.tableVersion));
         return new MetricsText()
-                .counter("transactions_taken", "transactions taken, forwarded ones included", c.taken.get())
+                .counter("transactions_taken", "transactions taken, forwarded ones included", c.accepted.get())
                 .counter("transactions_forwarded_in", "of these, forwarded by another router", c.forwardedIn.get())
                 .counter(
                         "transactions_forwarded_out",
@@ -24,13 +24,13 @@
                         c.forwardedOut.get())
                 .counter("transactions_buffered", "times a transaction waited in the buffer", c.buffered.get())
                 .counter("runner_dispatches", "streams asked of runners", c.dispatched.get())
-                .counter("extra_tries", "tries beyond the first", c.extraTries.get())
-                .counter("streams_whole", "streams passed on to their end", c.whole.get())
-                .counter("streams_cut", "streams visibly cut", c.cut.get())
+                .counter("extra_tries", "tries beyond the first", c.retries.get())
+                .counter("streams_whole", "streams passed on to their end", c.completedStreams.get())
+                .counter("streams_cut", "streams visibly cut", c.cutStreams.get())
                 .gauge(
                         "transactions_open",
                         "transactions in this router now",
-                        r.executor().open())
+                        r.requestExecutor().openRequests())
                 .counters("verdicts", "verdicts told, by kind", "kind", verdicts)
                 .gauge("manifest_version", MANIFEST, r.membership().view().manifestRow().version)
                 .gauges("table_version", "version of a service's table on this node", "service", tables)
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -31,8 +31,8 @@
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         wire.start(router.directory()::hasSameOrigin, router::receive);
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::ready, host::send);
-        router.onReading(server::receiveNotice);
-        router.onSilence(server::receiveNotice);
+        router.setPrefillListener(server::receiveNotice);
+        router.setSilenceListener(server::receiveNotice);
         host.tick(router::tick, TICK);
         log.logEvent(
                 Event.STARTED,
@@ -57,7 +57,7 @@
         var began = host.now();
         host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
-        router.unready();
+        router.markUnready();
         pause(TELL);
         router.membership().leave(host.now());
         var serve = began + Math.min(LINGER, node.tolerances().shutdownGrace() * 6 / 10);
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -49,12 +49,12 @@
                         () -> Metrics.of(router),
                         after -> UsageJson.of(
                                 s.name,
-                                router.executor().usage(),
+                                router.requestExecutor().usageLog(),
                                 after,
                                 System.currentTimeMillis() * 1000 - host.now()),
                         null),
                 MANIFEST_BODY);
-        host.listen(s.platform, new ReadinessHandler(router::ready), ANNOUNCE_BODY);
+        host.listen(s.platform, new ReadinessHandler(router::isReady), ANNOUNCE_BODY);
         host.tick(() -> {
             router.tick();
             operator.tick(host.now());
@@ -76,12 +76,12 @@
     }
 
     public void stopGently() throws InterruptedException {
-        host.logEvent(Event.STOPPING, router.executor().open() + " transactions open");
-        router.unready();
+        host.logEvent(Event.STOPPING, router.requestExecutor().openRequests() + " transactions open");
+        router.markUnready();
         pause(READINESS);
-        router.executor().stop();
+        router.requestExecutor().stopAccepting();
         var until = host.now() + STREAMS;
-        while (router.executor().open() > 0 && host.now() < until) pause(20_000);
+        while (router.requestExecutor().openRequests() > 0 && host.now() < until) pause(20_000);
         router.membership().leave(host.now());
         host.stopListening();
         pause(LAST_REPLIES);
--- a/test/features/src/test/java/craneway/features/NearSteps.java
+++ b/test/features/src/test/java/craneway/features/NearSteps.java
@@ -364,7 +364,7 @@
                         ("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\ncraneway-tenant: office-zagreb-centre\r\ncraneway-work: lookup\r\nContent-Length: "
                                         + b.length() + "\r\n\r\n" + b)
                                 .getBytes());
-        await("the runner runs", () -> router.router().loads().running("runner-1") == 1);
+        await("the runner runs", () -> router.router().runnerLoads().requestsInFlight("runner-1") == 1);
         if (when.equals("in the stream")) {
             var in = socket.getInputStream();
             var seen = new StringBuilder();
@@ -375,13 +375,13 @@
 
     @Then("the router lets go while the runner still thinks")
     public void letGo() {
-        await("the router lets go", () -> router.router().loads().running("runner-1") == 0);
+        await("the router lets go", () -> router.router().runnerLoads().requestsInFlight("runner-1") == 0);
         if (runner.running() != 1) throw new AssertionError("the runner had its first token out");
     }
 
     @Then("the runner's call is cancelled before its end")
     public void cancelled() throws IOException {
-        await("the router lets go", () -> router.router().loads().running("runner-1") == 0);
+        await("the router lets go", () -> router.router().runnerLoads().requestsInFlight("runner-1") == 0);
         await("the runner stops", () -> runner.running() == 0);
         if (Files.readString(folder.resolve("runner-1.jsonl")).contains("\"end\",\"sub\":\"gone1\""))
             throw new AssertionError("it ran to its end");
--- a/test/pass/src/test/java/craneway/pass/PlacerTest.java
+++ b/test/pass/src/test/java/craneway/pass/PlacerTest.java
@@ -8,9 +8,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import craneway.control.node.Membership;
-import craneway.data.placement.ColdShare;
-import craneway.data.placement.Placer;
-import craneway.data.placement.Pool;
+import craneway.data.placement.ColdRunnerLimiter;
+import craneway.data.placement.RunnerPlacer;
+import craneway.data.placement.RunnerPool;
 import craneway.data.placement.Prompt;
 import craneway.data.placement.RetryBudget;
 import craneway.model.manifest.ManifestReader;
@@ -31,7 +31,7 @@
     private static final int RUNNERS = 3;
     private final Rows.Service service = new Rows.Service();
     private final Rows.Manifest topic = new Rows.Manifest();
-    private final Pool pool = new Pool();
+    private final RunnerPool pool = new RunnerPool();
 
     private PlacerTest() {
         service.name = "s";
@@ -66,7 +66,7 @@
         var members = new ArrayList<List<Node>>();
         for (var i = 0; i < 4; i++)
             members.add(IntStream.range(0, 20).mapToObj(n -> router("r" + n)).toList());
-        pool.follow(new Membership.CoreView(
+        pool.applyView(new Membership.CoreView(
                 topic,
                 ManifestReader.read(Bed.MANIFEST).get(),
                 new HashMap<>(Map.of("s", service)),
@@ -81,19 +81,19 @@
         return n.with(1, true);
     }
 
-    private Placer at(String router, String zone, String region) {
-        return new Placer(pool, new ColdShare(router), zone, region);
+    private RunnerPlacer at(String router, String zone, String region) {
+        return new RunnerPlacer(pool, new ColdRunnerLimiter(router), zone, region);
     }
 
-    private Placer.Choice choose(Placer p, String route, Prompt prompt) {
+    private RunnerPlacer.Placement choose(RunnerPlacer p, String route, Prompt prompt) {
         var r = pool.view().manifest().routes().match("h.example", "/" + route + "/x");
-        return p.choose(r, "s", prompt, Set.of(), 10_000_000);
+        return p.selectRunner(r, "s", prompt, Set.of(), 10_000_000);
     }
 
     @Test
     void shortPromptsStayInTheRegionWhereTheyArrive() {
         for (var i = 0; i < 50; i++) {
-            var p = Prompt.of("aa:50,b" + i + ":60,c" + i + ":500", "610,100");
+            var p = Prompt.parse("aa:50,b" + i + ":60,c" + i + ":500", "610,100");
             assertEquals("ra", choose(at("r1", "a", "ra"), "once", p).runner().region);
             assertEquals("rb", choose(at("r2", "b", "rb"), "once", p).runner().region);
         }
@@ -103,7 +103,7 @@
     void aLongSharedPartHasOneHomeForAllRegionsAndOneFavourite() {
         var seen = new HashSet<String>();
         for (var i = 0; i < 50; i++) {
-            var p = Prompt.of("aa:2500,b" + i + ":3700,c" + i + ":2800", "9000,50");
+            var p = Prompt.parse("aa:2500,b" + i + ":3700,c" + i + ":2800", "9000,50");
             var one = choose(at("r1", "a", "ra"), "once", p).runner();
             var two = choose(at("r2", "b", "rb"), "once", p).runner();
             assertEquals(one.id(), two.id());
@@ -117,7 +117,7 @@
         for (var i = 0; i < 50; i++)
             assertEquals(
                     "rb",
-                    choose(at("r1", "a", "ra"), "home", Prompt.of("b" + i + ":60,c:5", "65,9"))
+                    choose(at("r1", "a", "ra"), "home", Prompt.parse("b" + i + ":60,c:5", "65,9"))
                             .runner()
                             .region);
     }
@@ -125,11 +125,11 @@
     @Test
     void longReadingIsNotPiledOnOneRunner() {
         var placer = at("r1", "a", "ra");
-        var p = Prompt.of("aa:2500,bb:3700,c:2800", "9000,50");
+        var p = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
         var seen = new HashSet<String>();
         for (var i = 0; i < 6; i++) {
             var c = choose(placer, "once", p);
-            placer.started(c, p, 10_000_000);
+            placer.recordStart(c, p, 10_000_000);
             seen.add(c.runner().id());
         }
         assertTrue(seen.size() > 1, seen.toString());
@@ -138,12 +138,12 @@
     @Test
     void whatAnotherRouterGaveARunnerToReadCounts() {
         var placer = at("r1", "a", "ra");
-        var p = Prompt.of("aa:2500,bb:3700,c:2800", "9000,50");
+        var p = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
         var first = choose(placer, "once", p);
-        pool.told(first.runner(), 60_000, 10_000_000);
+        pool.recordPrefill(first.runner(), 60_000, 10_000_000);
         var other = choose(placer, "once", p);
         assertNotEquals(first.runner().id(), other.runner().id());
-        var later = placer.choose(
+        var later = placer.selectRunner(
                 pool.view().manifest().routes().match("h.example", "/once/x"), "s", p, Set.of(), 20_000_000);
         assertEquals(first.runner().id(), later.runner().id());
     }
@@ -151,38 +151,38 @@
     @Test
     void partsThatAnotherRouterHadReadAreNotReadAgain() {
         var placer = at("r1", "a", "ra");
-        var p = Prompt.of("aa:2500,bb:3700,c:2800", "9000,50");
+        var p = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
         var first = choose(placer, "once", p);
-        assertEquals(9_000, first.read());
-        var other = pool.all().stream()
+        assertEquals(9_000, first.prefillTokens());
+        var other = pool.allRunners().stream()
                 .filter(r -> r.region.equals(first.runner().region) && r != first.runner())
                 .findFirst()
                 .orElseThrow();
-        other.keeps(p.sharedIds(), p.sharedSizes());
+        other.recordCachedParts(p.sharedPartIds(), p.sharedPartTokens());
         var then = choose(placer, "once", p);
         assertEquals(other.id(), then.runner().id());
-        assertEquals(2_800, then.read());
+        assertEquals(2_800, then.prefillTokens());
     }
 
     @Test
     void aLongPromptWaitsWhileTooMuchIsToBeRead() {
         var placer = at("r1", "a", "ra");
-        var p = Prompt.of("aa:2500,bb:3700,c:2800", "9000,50");
-        for (var r : pool.all()) pool.told(r, 9_000, 10_000_000);
-        assertTrue(placer.crowds(choose(placer, "once", p), 10_000_000));
-        var later = placer.choose(
+        var p = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
+        for (var r : pool.allRunners()) pool.recordPrefill(r, 9_000, 10_000_000);
+        assertTrue(placer.shouldWait(choose(placer, "once", p), 10_000_000));
+        var later = placer.selectRunner(
                 pool.view().manifest().routes().match("h.example", "/once/x"), "s", p, Set.of(), 11_000_000);
-        assertFalse(placer.crowds(later, 11_000_000));
+        assertFalse(placer.shouldWait(later, 11_000_000));
     }
 
     @Test
     void aSilentRunnerIsAvoidedAndAskedAgainOnce() {
         var placer = at("r1", "a", "ra");
-        var p = Prompt.of("bb:60,c:5", "65,9");
+        var p = Prompt.parse("bb:60,c:5", "65,9");
         var first = choose(placer, "once", p).runner();
-        first.suspect(9_900_000);
+        first.markSuspected(9_900_000);
         assertNotEquals(first.id(), choose(placer, "once", p).runner().id());
-        first.heard(9_950_000);
+        first.recordHeard(9_950_000);
         assertEquals(first.id(), choose(placer, "once", p).runner().id());
     }
 
@@ -191,7 +191,7 @@
         service.runners.clear();
         runner("a0", "a", true);
         publish();
-        var p = Prompt.of("bb:60,c:5", "65,9");
+        var p = Prompt.parse("bb:60,c:5", "65,9");
         var placers =
                 IntStream.range(0, 20).mapToObj(i -> at("r" + i, "a", "ra")).toList();
         var route = pool.view().manifest().routes().match("h.example", "/once/x");
@@ -199,10 +199,10 @@
         for (var ms = 0; ms < 3_000; ms += 10) {
             for (var x : placers) {
                 var now = 10_000_000 + ms * 1_000L;
-                var c = x.choose(route, "s", p, Set.of(), now);
+                var c = x.selectRunner(route, "s", p, Set.of(), now);
                 if (c == null) continue;
-                x.started(c, p, now);
-                x.ended(c, p);
+                x.recordStart(c, p, now);
+                x.recordEnd(c, p);
                 sent[ms / 1_000]++;
             }
         }
@@ -213,7 +213,7 @@
     void emptiedZonesAndLeavingRunnersAreNeverChosen() {
         topic.marks.put("zone:a", "emptied");
         publish();
-        var p = Prompt.of("bb:60,c:5", "65,9");
+        var p = Prompt.parse("bb:60,c:5", "65,9");
         assertEquals("b", choose(at("r1", "a", "ra"), "once", p).runner().zone);
         for (var r : service.runners.values()) r.state = Rows.Runner.LEAVING;
         publish();
@@ -229,37 +229,37 @@
         var used = 0;
         for (var t = 0L; t < 10_000_000; t += 10_000) {
             var b = all.get((int) (t / 10_000 % 10));
-            b.request(t);
+            b.recordRequest(t);
             asked++;
-            for (var k = 0; k < 3; k++) if (b.take(10, t)) used++;
+            for (var k = 0; k < 3; k++) if (b.tryAcquire(10, t)) used++;
         }
         assertTrue(used > 0 && used <= 0.2 * asked + 60, used + " of " + asked);
     }
 
     @Test
     void badPartsReadAsNone() {
-        assertEquals(0, Prompt.of("", null).shared());
-        assertEquals(0, Prompt.of(null, "x,y").in());
-        assertEquals(0, Prompt.of("a:-5", "7").tokens()[0]);
-        assertNotNull(Prompt.of("::::,,,", "1,2,3"));
-        assertFalse(Prompt.of("a:1," + "b:1,".repeat(100), "5,5").ids().length > 64);
+        assertEquals(0, Prompt.parse("", null).sharedPartCount());
+        assertEquals(0, Prompt.parse(null, "x,y").promptTokens());
+        assertEquals(0, Prompt.parse("a:-5", "7").partTokens()[0]);
+        assertNotNull(Prompt.parse("::::,,,", "1,2,3"));
+        assertFalse(Prompt.parse("a:1," + "b:1,".repeat(100), "5,5").partIds().length > 64);
     }
 
     @Test
     void aStreamThatLeavesASilentZoneDoesNotGoToAnotherSilentRunnerThere() {
         var placer = at("r1", "a", "ra");
-        var p = Prompt.of("bb:60,c:5", "65,9");
+        var p = Prompt.parse("bb:60,c:5", "65,9");
         var route = pool.view().manifest().routes().match("h.example", "/once/x");
-        var inA = pool.all().stream().filter(r -> r.zone.equals("a")).toList();
+        var inA = pool.allRunners().stream().filter(r -> r.zone.equals("a")).toList();
         for (var r : inA) {
-            placer.started(new Placer.Choice(r, 5, 0, true, true, 0, 0), p, 9_000_000);
-            r.heard(9_300_000);
+            placer.recordStart(new RunnerPlacer.Placement(r, 5, 0, true, true, 0, 0), p, 9_000_000);
+            r.recordHeard(9_300_000);
         }
-        inA.get(0).suspect(10_000_000);
-        inA.get(1).suspect(10_000_000);
+        inA.get(0).markSuspected(10_000_000);
+        inA.get(1).markSuspected(10_000_000);
         assertEquals(
                 "b",
-                placer.choose(route, "s", p, Set.of(inA.get(0).id(), inA.get(1).id()), 10_000_000)
+                placer.selectRunner(route, "s", p, Set.of(inA.get(0).id(), inA.get(1).id()), 10_000_000)
                         .runner()
                         .zone);
     }
--- a/test/pass/src/test/java/craneway/pass/PoolNewsTest.java
+++ b/test/pass/src/test/java/craneway/pass/PoolNewsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import craneway.control.node.Membership;
-import craneway.data.placement.Pool;
+import craneway.data.placement.RunnerPool;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
 import craneway.state.message.Node;
@@ -19,7 +19,7 @@
 /** A pool is made anew where views tell other news, and kept where they differ in their leases only. */
 class PoolNewsTest {
     private final Manifest manifest = ManifestReader.read(Bed.MANIFEST).get();
-    private final Pool pool = new Pool();
+    private final RunnerPool pool = new RunnerPool();
 
     private static Rows.Service service(String... runners) {
         var service = new Rows.Service();
@@ -58,11 +58,11 @@
         var topic = new Rows.Manifest();
         var services = Map.of("s", service("i1"));
         var members = members(router("r1"));
-        pool.follow(view(topic, services, members, 1));
-        var before = pool.of("s");
+        pool.applyView(view(topic, services, members, 1));
+        var before = pool.runnersOf("s");
         var renewed = view(topic, services, members, 2);
-        assertTrue(pool.follow(renewed));
-        assertSame(before, pool.of("s"));
+        assertTrue(pool.applyView(renewed));
+        assertSame(before, pool.runnersOf("s"));
         assertSame(renewed, pool.view());
     }
 
@@ -71,14 +71,14 @@
         var topic = new Rows.Manifest();
         var services = Map.of("s", service("i1"));
         var members = members(router("r1"));
-        pool.follow(view(topic, services, members, 1));
-        pool.follow(view(topic, Map.of("s", service("i1", "i2")), members, 1));
-        assertEquals(2, pool.of("s").size());
+        pool.applyView(view(topic, services, members, 1));
+        pool.applyView(view(topic, Map.of("s", service("i1", "i2")), members, 1));
+        assertEquals(2, pool.runnersOf("s").size());
         var marked = new Rows.Manifest();
         marked.marks.put("zone:a", Plan.EMPTIED);
-        pool.follow(view(marked, services, members, 1));
-        assertTrue(pool.emptied("a"));
-        pool.follow(view(marked, services, members(router("r1"), router("r2")), 1));
-        assertEquals(List.of("r1", "r2"), List.copyOf(pool.routers()));
+        pool.applyView(view(marked, services, members, 1));
+        assertTrue(pool.isZoneEmptied("a"));
+        pool.applyView(view(marked, services, members(router("r1"), router("r2")), 1));
+        assertEquals(List.of("r1", "r2"), List.copyOf(pool.servingRouters()));
     }
 }
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -70,16 +70,16 @@
         world.journal.submissions++;
         world.journal.submittedAt.add(now());
         var headers = new HashMap<String, String>();
-        headers.put(HttpExchange.TENANT, work.tenant);
-        headers.put(HttpExchange.WORK, work.work);
-        headers.put(HttpExchange.DEADLINE, Integer.toString(work.deadlineMillis));
-        if (work.once) headers.put(HttpExchange.KEY, key);
-        if (!work.regions.isEmpty()) headers.put(HttpExchange.REGIONS, work.regions);
+        headers.put(HttpExchange.TENANT_HEADER, work.tenant);
+        headers.put(HttpExchange.WORK_HEADER, work.work);
+        headers.put(HttpExchange.DEADLINE_MS_HEADER, Integer.toString(work.deadlineMillis));
+        if (work.once) headers.put(HttpExchange.KEY_HEADER, key);
+        if (!work.regions.isEmpty()) headers.put(HttpExchange.REGIONS_HEADER, work.regions);
         var body = work.service + " " + reply.sub + " " + (work.once ? key : "-") + " " + work.tokens;
         world.open(
                 this,
                 router.address,
-                HttpExchange.TO_RUNNER,
+                HttpExchange.RUNNER_PATH,
                 headers,
                 body.getBytes(),
                 new ReplySink(reply, work, key, submissionNumber));
@@ -98,7 +98,7 @@
     }
 
     /** Receives the response of one submission and judges whether it is complete. */
-    private final class ReplySink implements HttpExchange.Sink {
+    private final class ReplySink implements HttpExchange.ResponseListener {
         private final Journal.Reply reply;
         private final Work work;
         private final String key;
@@ -120,26 +120,26 @@
         }
 
         @Override
-        public void refused() {
+        public void onRefused() {
             complete("refused");
         }
 
         @Override
-        public void status(int status, Map<String, String> responseHeaders) {
+        public void onStatus(int status, Map<String, String> responseHeaders) {
             statusCode = status;
             headers = responseHeaders;
         }
 
         @Override
-        public void chunk(byte[] bytes) {
+        public void onChunk(byte[] bytes) {
             received.append(new String(bytes));
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             if (statusCode != 200) {
-                reply.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM));
-                reply.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS));
+                reply.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM_HEADER));
+                reply.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS_HEADER));
                 complete(ProblemKind.of(reply.code).workOutcome().name().toLowerCase());
                 return;
             }
@@ -147,7 +147,7 @@
         }
 
         @Override
-        public void broken() {
+        public void onBroken() {
             if (statusCode == 0) complete("lost");
             else if (isComplete()) complete("whole");
             else complete(received.toString().contains("[DONE]") ? "false-end" : tokens() < 0 ? "disordered" : "cut");
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -43,7 +43,7 @@
         router.tick();
         operator.tick(now());
         world.sees(this, router.membership().view());
-        if (leaving && router.executor().open() == 0)
+        if (leaving && router.requestExecutor().openRequests() == 0)
             mine(() -> {
                 router.membership().leave(now());
                 mineAfter(100_000, this::crash);
@@ -52,16 +52,16 @@
 
     /** Stops the router as a rolling release does: unready first, then drained, then a leave. */
     public void stopGently() {
-        router.unready();
+        router.markUnready();
         mineAfter(2_200_000, () -> {
-            router.executor().stop();
+            router.requestExecutor().stopAccepting();
             leaving = true;
         });
     }
 
     /** Whether the router accepts new requests. */
     public boolean ready() {
-        return up() && !frozen() && router.ready();
+        return up() && !frozen() && router.isReady();
     }
 
     @Override
@@ -77,30 +77,30 @@
     @Override
     public void serve(SimulatedStream stream, String path, Map<String, String> headers, byte[] body) {
         var text = new String(body);
-        if (path.equals(HttpExchange.TO_ROUTER))
+        if (path.equals(HttpExchange.ROUTER_PATH))
             world.journal.forwards.add(new Journal.Forward(now(), text.split(" ")[1]));
-        var regions = headers.getOrDefault(HttpExchange.REGIONS, "");
+        var regions = headers.getOrDefault(HttpExchange.REGIONS_HEADER, "");
         var request = new Request(
                 ++lastRequestId,
                 text.split(" ")[0],
-                headers.get(HttpExchange.TENANT),
-                headers.getOrDefault(HttpExchange.WORK, ""),
+                headers.get(HttpExchange.TENANT_HEADER),
+                headers.getOrDefault(HttpExchange.WORK_HEADER, ""),
                 regions.isEmpty() ? List.of() : List.of(regions.split(",")),
-                headers.getOrDefault(HttpExchange.KEY, ""),
-                Hash.of(headers.getOrDefault(HttpExchange.WORK, "")),
-                now() + Long.parseLong(headers.get(HttpExchange.DEADLINE)) * 1000,
-                path.equals(HttpExchange.TO_ROUTER),
+                headers.getOrDefault(HttpExchange.KEY_HEADER, ""),
+                Hash.of(headers.getOrDefault(HttpExchange.WORK_HEADER, "")),
+                now() + Long.parseLong(headers.get(HttpExchange.DEADLINE_MS_HEADER)) * 1000,
+                path.equals(HttpExchange.ROUTER_PATH),
                 body);
         var relay = new RequestRelay(
                 request,
-                router.executor(),
-                router.loads(),
+                router.requestExecutor(),
+                router.runnerLoads(),
                 this::now,
                 name,
-                new ClientExchange(stream, path.equals(HttpExchange.TO_RUNNER) ? text.split(" ")[1] : ""));
-        var executor = router.executor();
-        stream.onCancel(() -> executor.gone(request.id()));
-        relay.begin();
+                new ClientExchange(stream, path.equals(HttpExchange.RUNNER_PATH) ? text.split(" ")[1] : ""));
+        var executor = router.requestExecutor();
+        stream.onCancel(() -> executor.onClientDisconnected(request.id()));
+        relay.start();
     }
 
     /** Passes what the request relay produces to the caller's stream. */
@@ -114,43 +114,43 @@
         }
 
         @Override
-        public void later(Runnable step) {
+        public void runLater(Runnable step) {
             mine(step);
         }
 
         @Override
-        public Call open(String address, String path, Map<String, String> headers, byte[] body, Sink sink) {
+        public OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
             return world.open(RouterMachine.this, address, path, headers, body, sink);
         }
 
         @Override
-        public void start() {
+        public void startResponse() {
             stream.status(200, Map.of());
         }
 
         @Override
-        public boolean write(byte[] bytes) {
+        public boolean writeChunk(byte[] bytes) {
             stream.chunk(bytes);
             return stream.isOpen();
         }
 
         @Override
-        public void whole() {
+        public void endResponse() {
             stream.end();
         }
 
         @Override
-        public void verdict(Problem problem) {
+        public void sendProblem(Problem problem) {
             if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
             var headers = new HashMap<String, String>();
-            headers.put(HttpExchange.PROBLEM, Integer.toString(problem.kind().code()));
-            headers.put(HttpExchange.RETRY_MICROS, Long.toString(problem.retryAfterMicros()));
+            headers.put(HttpExchange.PROBLEM_HEADER, Integer.toString(problem.kind().code()));
+            headers.put(HttpExchange.RETRY_MICROS_HEADER, Long.toString(problem.retryAfterMicros()));
             stream.status(problem.kind().status(), headers);
             stream.end();
         }
 
         @Override
-        public void cut(Problem problem, boolean started) {
+        public void abortResponse(Problem problem, boolean started) {
             if (started) stream.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
             stream.breakOff();
         }
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -70,7 +70,7 @@
         var announcement =
                 new Announcement(service, name, address, cell, slots, incarnation, isCold(), activeRuns.size());
         for (var router : world.routersIn(zone))
-            world.net.send(this, router.address, () -> router.router.announce(announcement, reply -> {}));
+            world.net.send(this, router.address, () -> router.router.announceRunner(announcement, reply -> {}));
     }
 
     /** Stops announcing and tells the routers that the runner leaves. */
@@ -89,7 +89,7 @@
         world.net.send(
                 this,
                 router.address,
-                () -> router.router.leave(service, name, leavingIncarnation, reply -> {
+                () -> router.router.markRunnerLeaving(service, name, leavingIncarnation, reply -> {
                     if (reply.kind == 0)
                         world.net.send(router, address, () -> {
                             if (acknowledged[0] || incarnation != leavingIncarnation) return;
@@ -105,7 +105,7 @@
 
     @Override
     public void serve(SimulatedStream stream, String path, Map<String, String> headers, byte[] body) {
-        var load = Map.of(HttpExchange.LOAD, Integer.toString(activeRuns.size()));
+        var load = Map.of(HttpExchange.LOAD_HEADER, Integer.toString(activeRuns.size()));
         if (activeRuns.size() >= slots) {
             stream.status(503, load);
             stream.end();
@@ -121,13 +121,13 @@
         run.service = service;
         run.sub = fields[1];
         run.key = fields[2].equals("-") ? "" : fields[2];
-        run.tenant = headers.get(HttpExchange.TENANT);
+        run.tenant = headers.get(HttpExchange.TENANT_HEADER);
         run.tokens = Integer.parseInt(fields[3]);
         run.cold = isCold();
         run.bornAt = startedAt;
-        run.regions = headers.getOrDefault(HttpExchange.REGIONS, "");
-        run.manifest = Long.parseLong(headers.get(HttpExchange.MANIFEST));
-        run.table = Long.parseLong(headers.get(HttpExchange.TABLE));
+        run.regions = headers.getOrDefault(HttpExchange.REGIONS_HEADER, "");
+        run.manifest = Long.parseLong(headers.get(HttpExchange.MANIFEST_VERSION_HEADER));
+        run.table = Long.parseLong(headers.get(HttpExchange.TABLE_VERSION_HEADER));
         run.slots = slots;
         activeRuns.add(run);
         run.running = activeRuns.size();
--- a/test/sim/src/main/java/craneway/sim/SimulatedStream.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedStream.java
@@ -9,7 +9,7 @@
  * A simulated HTTP request with a streamed response. Frames arrive in order; over a cut link they wait until the link
  * is restored.
  */
-final class SimulatedStream implements HttpExchange.Call {
+final class SimulatedStream implements HttpExchange.OutgoingCall {
     private static final long CUT_RETRY_INTERVAL_MICROS = 200_000;
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
@@ -22,7 +22,7 @@
     final Machine from;
     final Machine to;
     private final World world;
-    private final HttpExchange.Sink sink;
+    private final HttpExchange.ResponseListener sink;
 
     /** A part of the response on its way to the caller. */
     private record Frame(long at, Runnable delivery, boolean last) {}
@@ -34,7 +34,7 @@
     private String submissionId = "";
     private Runnable onCancel = () -> {};
 
-    SimulatedStream(World world, Machine from, Machine to, HttpExchange.Sink sink) {
+    SimulatedStream(World world, Machine from, Machine to, HttpExchange.ResponseListener sink) {
         this.world = world;
         this.from = from;
         this.to = to;
@@ -47,15 +47,15 @@
         submissionId = new String(body).split(" ")[1];
         if (!world.net.open(from, to) || !world.net.open(to, from)) {
             world.journal.blocked.merge(submissionId, CONNECT_TIMEOUT_MICROS, Long::sum);
-            world.sim.after(CONNECT_TIMEOUT_MICROS, () -> runOnCaller(sink::refused, true));
-        } else if (!to.up()) world.sim.after(latency, () -> runOnCaller(sink::refused, true));
+            world.sim.after(CONNECT_TIMEOUT_MICROS, () -> runOnCaller(sink::onRefused, true));
+        } else if (!to.up()) world.sim.after(latency, () -> runOnCaller(sink::onRefused, true));
         else world.sim.after(2 * latency, () -> accept(path, headers, body));
     }
 
     private void accept(String path, Map<String, String> headers, byte[] body) {
         if (closed) return;
         if (!to.up()) {
-            runOnCaller(sink::broken, true);
+            runOnCaller(sink::onBroken, true);
             return;
         }
         accepted = true;
@@ -76,19 +76,19 @@
     }
 
     void status(int code, Map<String, String> headers) {
-        reply(() -> sink.status(code, headers), false);
+        reply(() -> sink.onStatus(code, headers), false);
     }
 
     void chunk(byte[] bytes) {
-        reply(() -> sink.chunk(bytes), false);
+        reply(() -> sink.onChunk(bytes), false);
     }
 
     void end() {
-        reply(sink::end, true);
+        reply(sink::onEnd, true);
     }
 
     void breakOff() {
-        reply(sink::broken, true);
+        reply(sink::onBroken, true);
     }
 
     private void reply(Runnable delivery, boolean last) {
@@ -134,13 +134,13 @@
             world.streams.remove(this);
             if (world.net.open(to, from))
                 world.sim.after(world.net.latency(from, to), () -> {
-                    if (from.up()) from.run(sink::broken);
+                    if (from.up()) from.run(sink::onBroken);
                 });
         }
     }
 
     @Override
-    public void took() {}
+    public void acknowledgeChunk() {}
 
     @Override
     public void cancel() {
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -164,13 +164,13 @@
     }
 
     /** Opens a request from a machine to an address. */
-    HttpExchange.Call open(
+    HttpExchange.OutgoingCall open(
             Machine from,
             String address,
             String path,
             Map<String, String> headers,
             byte[] body,
-            HttpExchange.Sink sink) {
+            HttpExchange.ResponseListener sink) {
         var stream = new SimulatedStream(this, from, net.at(address), sink);
         stream.connect(path, headers, body);
         return stream;
--- a/test/sim/src/test/java/craneway/sim/CapacityCost.java
+++ b/test/sim/src/test/java/craneway/sim/CapacityCost.java
@@ -2,9 +2,9 @@
 
 import craneway.control.node.Membership.CoreView;
 import craneway.control.store.Quorum;
-import craneway.data.placement.ColdShare;
-import craneway.data.placement.Placer;
-import craneway.data.placement.Pool;
+import craneway.data.placement.ColdRunnerLimiter;
+import craneway.data.placement.RunnerPlacer;
+import craneway.data.placement.RunnerPool;
 import craneway.data.placement.Prompt;
 import craneway.model.manifest.ManifestReader;
 import craneway.model.unit.Parts;
@@ -433,19 +433,19 @@
         var cost = new double[RUNNERS.length][2];
         for (var x = -1; x < RUNNERS.length; x++) {
             var n = RUNNERS[Math.max(0, x)];
-            var pool = new Pool();
-            var placer = new Placer(pool, new ColdShare("r1"), "z1", "r1");
+            var pool = new RunnerPool();
+            var placer = new RunnerPlacer(pool, new ColdRunnerLimiter("r1"), "z1", "r1");
             var views = new ArrayList<CoreView>();
             for (var i = 0; i < 40; i++) views.add(view(n));
             var from = System.nanoTime();
-            views.forEach(pool::follow);
+            views.forEach(pool::applyView);
             var follow = (System.nanoTime() - from) / 1e3 / views.size();
             var route = pool.view().manifest().routes().match("api.example", "/p0/x");
-            var p = Prompt.of("aa:2500,bb:3700,c:2800", "9000,50");
+            var p = Prompt.parse("aa:2500,bb:3700,c:2800", "9000,50");
             var all = new double[9];
             for (var t = 0; t < all.length; t++) {
                 from = System.nanoTime();
-                for (var i = 0; i < 200; i++) placer.choose(route, SERVICE, p, Set.of(), 10_000_000);
+                for (var i = 0; i < 200; i++) placer.selectRunner(route, SERVICE, p, Set.of(), 10_000_000);
                 all[t] = (System.nanoTime() - from) / 2e5;
             }
             if (x < 0) continue;
--- a/test/sim/src/test/java/craneway/sim/CurrentTest.java
+++ b/test/sim/src/test/java/craneway/sim/CurrentTest.java
@@ -149,7 +149,7 @@
     }
 
     private void announce(String service, String cell) {
-        c.get("r1").router.announce(new Announcement(service, "run-1", "10.0.0.1:80", cell, 4, 1, false, 0), x -> {});
+        c.get("r1").router.announceRunner(new Announcement(service, "run-1", "10.0.0.1:80", cell, 4, 1, false, 0), x -> {});
     }
 
     private void cut(String a, String b) {
