--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -73,7 +73,7 @@
                 Exchanges.dispatch(
                         exchange,
                         () -> commands.readManifest(
-                                result -> sendConfiguration(exchange, result.map(manifest -> manifest.source))));
+                                result -> sendConfiguration(exchange, result.map(manifest -> manifest.sourceText))));
             case "PUT" -> Exchanges.readBody(exchange, configurationExecutor, body -> putConfiguration(exchange, body));
             default -> Exchanges.sendMethodNotAllowed(exchange);
         }
@@ -175,8 +175,8 @@
         command.cold = runner.cold();
         command.load = runner.load();
         command.state = heartbeat.leaving() ? Rows.Runner.LEAVING : Rows.Runner.UP;
-        command.coldFor = heartbeat.remainingColdTime();
-        command.goneIn = heartbeat.remainingLifetime();
+        command.coldMicros = heartbeat.remainingColdTime();
+        command.goneAfterMicros = heartbeat.remainingLifetime();
         command.sequence = heartbeat.sequence();
         return command;
     }
--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -68,24 +68,24 @@
         for (var cell = 0; cell < service.cells.size(); cell++) {
             var units = 0;
             // Units below 100 belong to the empty region set and are never used.
-            for (var unit = 100; unit < service.homes.length; unit++) if (service.homes[unit] == cell) units++;
+            for (var unit = 100; unit < service.homeCells.length; unit++) if (service.homeCells[unit] == cell) units++;
             cells.addObject()
                     .put("name", service.cells.get(cell))
                     .put("zone", service.zones.get(cell))
                     .put("region", service.cellRegions.get(cell))
                     .put("units", units)
-                    .put("runnersUp", service.runnersUp(cell))
+                    .put("runnersUp", service.countRunnersUp(cell))
                     .put("load", totalInCell(service, cell, part, false))
                     .put("slots", totalInCell(service, cell, part, true));
         }
         json.put("displacedUnits", service.displacedUnits.length);
-        service.heldUntil.keySet().forEach(json.putArray("heldBack")::add);
+        service.heldBackUntilAge.keySet().forEach(json.putArray("heldBack")::add);
         var steps = json.putArray("steps");
         // Only the latest eight steps are shown.
         service.steps.stream().skip(Math.max(0, service.steps.size() - 8)).forEach(step -> steps.addObject()
                 .put("step", step.id)
                 .put("units", step.units.length)
-                .put("to", service.cells.get(step.to))
+                .put("to", service.cells.get(step.toCell))
                 .put("state", step.stateName())
                 .put("cause", step.cause)
                 .put("tableVersion", step.tableVersion));
@@ -105,7 +105,7 @@
     /** Returns the total slots, or else the total load, of the runners in a cell that are up. */
     private static int totalInCell(Rows.Service service, int cell, PartStatus part, boolean countSlots) {
         return service.runners.values().stream()
-                .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
+                .filter(runner -> runner.isUp() && runner.cell.equals(service.cells.get(cell)))
                 .mapToInt(runner ->
                         countSlots ? runner.slots : part.loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
@@ -122,7 +122,7 @@
         plan.steps.forEach(json.putArray("steps")::add);
         plan.loads.forEach(json.putArray("loads")::add);
         plan.warnings.forEach(json.putArray("warnings")::add);
-        if (!plan.cause.isEmpty()) json.put("cause", plan.cause);
+        if (!plan.stopCause.isEmpty()) json.put("cause", plan.stopCause);
         return json;
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -104,8 +104,8 @@
     public void requestUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
         var pending = new PendingRequest();
         pending.part = part;
-        pending.body = Codec.writeTagged(body);
-        pending.isCommand = Commands.is(body);
+        pending.body = Codec.encodeTagged(body);
+        pending.isCommand = Commands.isCommand(body);
         pending.deadline = deadline;
         pending.onResult = onResult;
         synchronized (this) {
@@ -134,16 +134,16 @@
         request.id = pending.id;
         request.part = pending.part;
         request.from = directory.self();
-        request.life = life;
-        request.lowest = pendingById.firstKey();
+        request.sessionId = life;
+        request.lowestPending = pendingById.firstKey();
         request.body = pending.body;
         pending.clockOnly = false;
         if (!pending.isCommand) return request;
         var clock = clockByPart.get(pending.part);
         if (clock != null && clock.isFresh(now)) {
-            request.term = clock.term();
-            request.bound = clock.leaderTimeAt(pending.deadline);
-        } else if (store.fenced && !pending.sendUnbound) {
+            request.leaderTerm = clock.term();
+            request.leaderDeadline = clock.leaderTimeAt(pending.deadline);
+        } else if (store.supportsIdentifiedCommands && !pending.sendUnbound) {
             pending.clockOnly = true;
             request.body = CLOCK_REQUEST_BODY;
         }
@@ -160,18 +160,18 @@
      * Takes a result. Results for an earlier process at this address and for requests no longer pending are dropped.
      */
     public void receive(CommandResult result) {
-        if (result.life != 0 && result.life != life) {
-            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(result.life) + " request " + result.id);
+        if (result.sessionId != 0 && result.sessionId != life) {
+            port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(result.sessionId) + " request " + result.id);
             return;
         }
         PendingRequest pending;
         synchronized (this) {
             pending = pendingById.get(result.id);
             if (pending == null) return;
-            if (result.term != 0)
+            if (result.leaderTerm != 0)
                 clockByPart.merge(
                         pending.part,
-                        new LeaderClock(result.term, result.clock, port.now()),
+                        new LeaderClock(result.leaderTerm, result.leaderClock, port.now()),
                         LeaderClock::moreAccurate);
             if (result.kind == ProblemKind.NOT_OWNER.code() || result.kind == ProblemKind.UNCERTAIN.code()) {
                 redirect(pending, result.leader);
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -2,9 +2,9 @@
 
 import craneway.model.unit.Hash;
 import craneway.model.unit.TimingProfile;
-import craneway.state.message.Messages.Renew;
+import craneway.state.message.Messages.Renewal;
 import craneway.state.message.Messages.Renewals;
-import craneway.state.message.Messages.Signal;
+import craneway.state.message.Messages.CellSignal;
 import craneway.state.message.Node;
 import java.util.List;
 import java.util.Map;
@@ -37,7 +37,7 @@
     private final TimingProfile timing;
     private final PartLease[] partLeases;
     private final TopicTable topics;
-    private IntFunction<List<Signal>> signalSource = part -> List.of();
+    private IntFunction<List<CellSignal>> signalSource = part -> List.of();
     private boolean isLeaving;
 
     LeaseRenewer(
@@ -56,7 +56,7 @@
     }
 
     /** Sets where the signals of a part come from. */
-    void setSignalSource(IntFunction<List<Signal>> source) {
+    void setSignalSource(IntFunction<List<CellSignal>> source) {
         signalSource = source;
     }
 
@@ -90,7 +90,7 @@
         var recipients =
                 lease.sentToAllStores ? stores : List.of(stores.get(Math.floorMod(lease.storeTurn++, stores.size())));
         for (var store : recipients) {
-            if (timing.lowTraffic() && store.renewals)
+            if (timing.lowTraffic() && store.supportsRenewalBatches)
                 addToBatch(
                         renewal,
                         leader,
@@ -103,8 +103,8 @@
      * Adds a renewal to a message. The reply leaves out the leader that the message names, so the message may name
      * one only if it leads all parts in it.
      */
-    private static void addToBatch(Renew renewal, Node leader, Renewals batch) {
-        if (batch.leader != incarnationOf(leader)) batch.leader = 0;
+    private static void addToBatch(Renewal renewal, Node leader, Renewals batch) {
+        if (batch.leaderIncarnation != incarnationOf(leader)) batch.leaderIncarnation = 0;
         batch.parts.add(renewal);
     }
 
@@ -114,10 +114,10 @@
     }
 
     /** The renewal of one part, without the fields that a message for several parts carries once. */
-    private Renew renewalFor(int part, PartLease lease) {
-        var renewal = new Renew();
+    private Renewal renewalFor(int part, PartLease lease) {
+        var renewal = new Renewal();
         renewal.part = part;
-        renewal.members = lease.membersVersion;
+        renewal.membersVersion = lease.membersVersion;
         renewal.signals.addAll(signalSource.apply(part));
         topics.forEachVersion(part, (name, version) -> {
             renewal.topics.add(name);
@@ -129,22 +129,22 @@
     private Renewals newBatch(Node leader, long now) {
         var batch = new Renewals();
         batch.from = directory.self();
-        batch.stamp = now;
+        batch.sentAt = now;
         batch.leaving = isLeaving;
-        batch.leader = incarnationOf(leader);
+        batch.leaderIncarnation = incarnationOf(leader);
         return batch;
     }
 
     /** Sends a renewal in a message of its own. */
-    private void sendSingle(Renew renewal, Node store, long now) {
-        var message = new Renew();
+    private void sendSingle(Renewal renewal, Node store, long now) {
+        var message = new Renewal();
         message.part = renewal.part;
-        message.members = renewal.members;
+        message.membersVersion = renewal.membersVersion;
         message.topics = renewal.topics;
         message.versions = renewal.versions;
         message.signals = renewal.signals;
         message.from = directory.self();
-        message.stamp = now;
+        message.sentAt = now;
         message.leaving = isLeaving;
         port.send(store.peerAddress, message);
     }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -1,7 +1,7 @@
 package craneway.control.node;
 
 import craneway.model.unit.Parts;
-import craneway.state.message.Messages.RenewReply;
+import craneway.state.message.Messages.RenewalReply;
 import craneway.state.message.Node;
 
 /**
@@ -32,10 +32,10 @@
      * Handles the refusal of a part. Returns whether the incarnation was raised, so that all leases have to be
      * renewed again.
      */
-    boolean handleRefusal(RenewReply refusal) {
+    boolean handleRefusal(RenewalReply refusal) {
         var self = directory.self();
         if (refusal.incarnation < self.incarnation || namesThisLife(refusal, self)) return false;
-        var isSameAddress = refusal.known != null && refusal.known.peerAddress.equals(self.peerAddress);
+        var isSameAddress = refusal.recordedMember != null && refusal.recordedMember.peerAddress.equals(self.peerAddress);
         if (!isSameAddress && grantedIncarnations[refusal.part] == self.incarnation) {
             superseded = true;
             return false;
@@ -48,7 +48,7 @@
      * Whether the incarnation that the refusal names is that of this process: then it answers a late message of an
      * earlier process.
      */
-    private static boolean namesThisLife(RenewReply refusal, Node self) {
-        return refusal.incarnation == self.incarnation && (refusal.known == null || !refusal.known.otherLife(self));
+    private static boolean namesThisLife(RenewalReply refusal, Node self) {
+        return refusal.incarnation == self.incarnation && (refusal.recordedMember == null || !refusal.recordedMember.isOtherSession(self));
     }
 }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -5,11 +5,11 @@
 import craneway.model.problem.ProblemKind;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
-import craneway.state.message.Messages.Signal;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
+import craneway.state.message.Messages.CellSignal;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.ArrayList;
@@ -115,7 +115,7 @@
     }
 
     /** Sets where the signals that renewals carry come from, by part. */
-    public synchronized void setSignalSource(IntFunction<List<Signal>> source) {
+    public synchronized void setSignalSource(IntFunction<List<CellSignal>> source) {
         renewer.setSignalSource(source);
     }
 
@@ -195,13 +195,13 @@
     }
 
     /** Takes the replies to the renewals that were sent in one message. */
-    public synchronized void receive(RenewReplies replies, long now) {
+    public synchronized void receive(RenewalReplies replies, long now) {
         for (var reply : replies.parts) {
-            reply.stamp = replies.stamp;
+            reply.sentAt = replies.sentAt;
             if (reply.incarnation == 0) reply.incarnation = replies.incarnation;
             if (reply.kind == 0) {
                 reply.leader = replies.leader;
-                reply.grace = replies.grace;
+                reply.graceMicros = replies.graceMicros;
             }
             receive(reply, now);
         }
@@ -211,7 +211,7 @@
     }
 
     /** Takes the reply of a part to a renewal. */
-    public synchronized void receive(RenewReply reply, long now) {
+    public synchronized void receive(RenewalReply reply, long now) {
         if (reply.part < 0 || reply.part >= partLeases.length) return;
         var lease = partLeases[reply.part];
         if (reply.kind == ProblemKind.NOT_OWNER.code()) {
@@ -233,8 +233,8 @@
             lease.members = List.copyOf(reply.members);
             reply.members.forEach(member -> directory.learnNode(member, now));
         }
-        lease.offeredUntil = Math.max(lease.offeredUntil, reply.stamp + LEASE_MICROS);
-        lease.offeredGrace = reply.grace;
+        lease.offeredUntil = Math.max(lease.offeredUntil, reply.sentAt + LEASE_MICROS);
+        lease.offeredGrace = reply.graceMicros;
         if (timing.lowTraffic() && lease.nextRenewalAt > now)
             lease.nextRenewalAt = renewer.isCurrent(reply.part)
                     ? now + renewer.delayToNextRenewal(now)
@@ -243,7 +243,7 @@
     }
 
     /** Handles the reply of a store that does not lead: renews soon at the leader that it names, if that is news. */
-    private void handleNotLeader(RenewReply reply, PartLease lease, long now) {
+    private void handleNotLeader(RenewalReply reply, PartLease lease, long now) {
         lease.unansweredRenewals =
                 Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
         if (lease.sentToAllStores) {
@@ -272,12 +272,12 @@
     }
 
     /** Takes a subscription of another router. */
-    public synchronized void receive(Subscribe subscription, long now) {
+    public synchronized void receive(Subscription subscription, long now) {
         topics.addSubscriber(subscription, now);
     }
 
     /** Takes a new version of a topic, and accepts a lease that waited for it. */
-    public synchronized void receive(News news, long now) {
+    public synchronized void receive(TopicUpdate news, long now) {
         if (!topics.accept(news)) return;
         if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
         publishView();
--- a/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -82,7 +82,7 @@
     /** Raises the incarnation of this process above a known one and greets at the next tick. */
     public synchronized void raiseIncarnation(long knownIncarnation) {
         if (self.incarnation > knownIncarnation) return;
-        self = self.with(self.above(knownIncarnation), self.serving);
+        self = self.with(self.incarnationAbove(knownIncarnation), self.serving);
         greetAtNextTick();
     }
 
@@ -118,7 +118,7 @@
 
     /** Whether the sender belongs to the same core, of whatever generation. */
     public boolean hasSameOrigin(Hello hello) {
-        return founding != null && founding.sameOrigin(hello.founding);
+        return founding != null && founding.hasSameOrigin(hello.founding);
     }
 
     /** Changes to a newer generation of the core; this process does not serve until it is current there. */
@@ -221,7 +221,7 @@
      */
     private void outrankEarlierLife(Node node) {
         var outranksThis =
-                node.incarnation > self.incarnation || node.incarnation == self.incarnation && node.otherLife(self);
+                node.incarnation > self.incarnation || node.incarnation == self.incarnation && node.isOtherSession(self);
         if (outranksThis && node.peerAddress.equals(self.peerAddress)) raiseIncarnation(node.incarnation);
     }
 
@@ -286,10 +286,10 @@
         var hello = new Hello();
         hello.from = self;
         hello.wantsReply = wantsReply;
-        hello.seen = emptyStoresDigest;
+        hello.foundersDigest = emptyStoresDigest;
         hello.lowTraffic = true;
         if (recipient == null || recipient.node.coreId != self.coreId) hello.founding = founding;
-        if (recipient != null) hello.have = recipient.listDigest;
+        if (recipient != null) hello.knownListDigest = recipient.listDigest;
         return hello;
     }
 
@@ -298,7 +298,7 @@
         var entry = knownByName.get(hello.from.name);
         if (!hello.lowTraffic) {
             var reply = fullHello(false, now);
-            if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.known.add(entry.node);
+            if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.knownNodes.add(entry.node);
             return reply;
         }
         var reply = lowTrafficHello(false, entry);
@@ -309,9 +309,9 @@
                 .map(other -> other.node)
                 .sorted(Comparator.comparing(node -> node.name))
                 .toList();
-        reply.list = digestOf(stores);
-        if (reply.list != hello.have) reply.known.addAll(stores);
-        if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.known.add(entry.node);
+        reply.storeListDigest = digestOf(stores);
+        if (reply.storeListDigest != hello.knownListDigest) reply.knownNodes.addAll(stores);
+        if (entry != null && entry.node.incarnation > hello.from.incarnation) reply.knownNodes.add(entry.node);
         return reply;
     }
 
@@ -335,10 +335,10 @@
         var hello = new Hello();
         hello.from = self;
         hello.wantsReply = wantsReply;
-        hello.seen = emptyStoresDigest;
+        hello.foundersDigest = emptyStoresDigest;
         hello.founding = founding;
         for (var entry : knownByName.values())
-            if (now - entry.lastHeardAt < RECENTLY_HEARD_MICROS) hello.known.add(entry.node);
+            if (now - entry.lastHeardAt < RECENTLY_HEARD_MICROS) hello.knownNodes.add(entry.node);
         return hello;
     }
 
@@ -349,7 +349,7 @@
     public void receive(Hello hello, long now) {
         if (hello.from == null || hello.from.name.equals(self.name)) return;
         if (hello.from.coreId != 0 && self.coreId != 0 && hello.from.coreId != self.coreId) {
-            if (hasSameOrigin(hello) && hello.founding.newerThan(founding)) newerFounding = hello.founding;
+            if (hasSameOrigin(hello) && hello.founding.isNewerThan(founding)) newerFounding = hello.founding;
             else if (hasSameOrigin(hello) && hello.wantsReply) port.send(hello.from.peerAddress, fullHello(false, now));
             return;
         }
@@ -360,10 +360,10 @@
             if (entry.earlierNode != null) recordReplacement(entry.earlierNode, hello.from);
             entry.earlierNode = null;
             entry.lastHeardAt = now;
-            entry.emptyStoresDigest = hello.seen;
-            if (hello.list != 0) entry.listDigest = hello.list;
+            entry.emptyStoresDigest = hello.foundersDigest;
+            if (hello.storeListDigest != 0) entry.listDigest = hello.storeListDigest;
         }
-        hello.known.forEach(node -> learnNode(node, now));
+        hello.knownNodes.forEach(node -> learnNode(node, now));
         if (founding == null && hello.founding != null) founding = hello.founding;
         if (self.coreId == 0 && self.isRouter() && hello.from.coreId != 0) joinCore(hello.from.coreId);
         if (hello.wantsReply) port.send(hello.from.peerAddress, replyTo(hello, now));
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -7,8 +7,8 @@
 import craneway.model.unit.RendezvousHash;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Codec;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.HashMap;
@@ -53,7 +53,7 @@
     private final IntFunction<List<Node>> membersOfPart;
     private final Map<String, Topic> topics = new TreeMap<>();
     private final Map<String, Rows.Service> services = new TreeMap<>();
-    private final Map<String, News> newsBeforeManifest = new HashMap<>();
+    private final Map<String, TopicUpdate> newsBeforeManifest = new HashMap<>();
     private Map<String, Rows.Service> servicesSnapshot;
     private Rows.Manifest manifestTopic = new Rows.Manifest();
     private Manifest manifest;
@@ -154,10 +154,10 @@
         if (isOverdue) topic.lastPullAt = now;
         if (source == null) return;
         topic.nextSubscribeAt = now + timing.subscriptionRenewalInterval();
-        var request = new Subscribe();
+        var request = new Subscription();
         request.from = directory.self();
         request.topic = name;
-        request.have = topic.version;
+        request.knownVersion = topic.version;
         port.send(source.peerAddress, request);
     }
 
@@ -176,17 +176,17 @@
     }
 
     /** Adds a subscriber and sends it the topic if it has an older version. */
-    void addSubscriber(Subscribe request, long now) {
+    void addSubscriber(Subscription request, long now) {
         var topic = topics.get(request.topic);
         if (topic == null || request.from == null) return;
         topic.subscribedAtByAddress.put(request.from.peerAddress, now);
-        if (topic.body != null && topic.version > request.have)
+        if (topic.body != null && topic.version > request.knownVersion)
             port.send(request.from.peerAddress, newsOf(request.topic, topic));
     }
 
     /** A message with the content of a topic. */
-    private static News newsOf(String name, Topic topic) {
-        var news = new News();
+    private static TopicUpdate newsOf(String name, Topic topic) {
+        var news = new TopicUpdate();
         news.topic = name;
         news.version = topic.version;
         news.body = topic.body;
@@ -197,13 +197,13 @@
      * Takes news that are newer than what this process has and passes them on to its subscribers. Returns whether
      * they were newer.
      */
-    boolean accept(News news) {
+    boolean accept(TopicUpdate news) {
         var topic = topics.get(news.topic);
         if (topic == null && timing.lowTraffic() && manifest == null)
             newsBeforeManifest.merge(news.topic, news, (a, b) -> a.version < b.version ? b : a);
         if (topic == null || news.version <= topic.version) return false;
-        if (news.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.read(Rows.Manifest.class, news.body));
-        else acceptService(Codec.read(Rows.Service.class, news.body));
+        if (news.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.decode(Rows.Manifest.class, news.body));
+        else acceptService(Codec.decode(Rows.Service.class, news.body));
         topic.version = news.version;
         topic.newestVersion = Math.max(topic.newestVersion, news.version);
         topic.body = news.body;
@@ -216,7 +216,7 @@
      * Returns and removes the news of services that arrived before the manifest that names them; empty until the
      * manifest is there.
      */
-    List<News> takeDeferredNews() {
+    List<TopicUpdate> takeDeferredNews() {
         if (manifest == null || newsBeforeManifest.isEmpty()) return List.of();
         var deferred = List.copyOf(newsBeforeManifest.values());
         newsBeforeManifest.clear();
--- a/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
+++ b/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
@@ -36,7 +36,7 @@
         for (var status : parts)
             for (var service : status.services)
                 for (var cell = 0; cell < service.cells.size(); cell++)
-                    if (service.live(cell) && service.runnersUp(cell) > 0)
+                    if (service.hasWeight(cell) && service.countRunnersUp(cell) > 0)
                         estimates.add(of(service, cell, manifestRow, parts, status));
         return estimates;
     }
@@ -49,7 +49,7 @@
                 new Intent(Intent.EMPTY_CELL, null, service.name, cellName, null, null), manifestRow, parts);
         int load = 0, slots = 0, remainingSlots = 0;
         for (var runner : service.runners.values()) {
-            if (!runner.up()) continue;
+            if (!runner.isUp()) continue;
             if (runner.cell.equals(cellName)) {
                 load += status.loadByRunner.getOrDefault(service.name + "/" + runner.name, 0);
                 slots += runner.slots;
--- a/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
+++ b/lib/control/src/main/java/craneway/control/operator/IntentPlanner.java
@@ -138,7 +138,7 @@
         var closedCells = UnitMover.closedCells(service, marks);
         var healthyCells = new BitSet();
         for (var cell = 0; cell < service.cells.size(); cell++)
-            if (service.live(cell) && service.runnersUp(cell) > 0) healthyCells.set(cell);
+            if (service.hasWeight(cell) && service.countRunnersUp(cell) > 0) healthyCells.set(cell);
         var openCells = (BitSet) healthyCells.clone();
         openCells.andNot(closedCells);
         var unserved = findUnservedRegions(service, manifest, marks, openCells);
@@ -194,9 +194,9 @@
     private static void addSteps(Plan plan, Rows.Service service, Manifest.Service manifestService, int[] wantedHomes) {
         var moves = new TreeMap<String, Integer>();
         for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++)
-            if (wantedHomes[unit] != service.homes[unit])
+            if (wantedHomes[unit] != service.homeCells[unit])
                 moves.merge(
-                        cellName(service, service.homes[unit]) + " to " + cellName(service, wantedHomes[unit]),
+                        cellName(service, service.homeCells[unit]) + " to " + cellName(service, wantedHomes[unit]),
                         1,
                         Integer::sum);
         moves.forEach((route, count) -> plan.steps.add(
@@ -217,7 +217,7 @@
     private static String checkCapacity(
             Plan plan, Rows.Service service, BitSet openCells, int[] wantedHomes, Map<String, Integer> loadByRunner) {
         var load = service.runners.values().stream()
-                .filter(Rows.Runner::up)
+                .filter(Rows.Runner::isUp)
                 .mapToInt(runner -> loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
         var slots = slotCount(service, openCells);
@@ -248,7 +248,7 @@
     /** The slots of the running runners in some cells. */
     private static int slotCount(Rows.Service service, BitSet cells) {
         return service.runners.values().stream()
-                .filter(runner -> runner.up() && cells.get(service.cells.indexOf(runner.cell)))
+                .filter(runner -> runner.isUp() && cells.get(service.cells.indexOf(runner.cell)))
                 .mapToInt(runner -> runner.slots)
                 .sum();
     }
--- a/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -89,7 +89,7 @@
         query.zone = watch.zone;
         coreClient.request(Parts.MANIFEST_PART, query, REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind != 0) return;
-            watch.lastStatus = Codec.read(RolloutStatus.class, result.body);
+            watch.lastStatus = Codec.decode(RolloutStatus.class, result.body);
             if (watch.doneWhen.test(watch.lastStatus)) finish(watch);
         });
     }
@@ -115,7 +115,7 @@
     }
 
     private static Problem toProblem(CommandResult result) {
-        return new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter);
+        return new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfterMicros);
     }
 
     /** Reads the current manifest and marks from their leader. */
@@ -126,14 +126,14 @@
                 REQUEST_TIMEOUT_MICROS,
                 result -> onResult.accept(
                         result.kind == 0
-                                ? Either.right(Codec.read(Rows.Manifest.class, result.body))
+                                ? Either.right(Codec.decode(Rows.Manifest.class, result.body))
                                 : Either.left(toProblem(result))));
     }
 
     /** Sends a manifest that was written against {@code baseVersion}, and waits for all members to confirm it. */
     public void putManifest(long baseVersion, String text, Consumer<Either<Problem, RolloutResult>> onResult) {
         var command = new Commands.ManifestPut();
-        command.base = baseVersion;
+        command.baseVersion = baseVersion;
         command.text = text;
         coreClient.request(Parts.MANIFEST_PART, command, REQUEST_TIMEOUT_MICROS, result -> {
             if (result.kind != 0) onResult.accept(Either.left(toProblem(result)));
@@ -173,7 +173,7 @@
             var part = index;
             coreClient.request(index, new Queries.Status(), REQUEST_TIMEOUT_MICROS, result -> {
                 synchronized (statusByPart) {
-                    if (result.kind == 0) statusByPart[part] = Codec.read(PartStatus.class, result.body);
+                    if (result.kind == 0) statusByPart[part] = Codec.decode(PartStatus.class, result.body);
                     if (--outstanding[0] > 0) return;
                 }
                 onResult.accept(reachedParts(statusByPart));
@@ -234,7 +234,7 @@
                 REQUEST_TIMEOUT_MICROS,
                 result -> onResult.accept(
                         result.kind == 0
-                                ? Either.right(Codec.read(Plan.class, result.body))
+                                ? Either.right(Codec.decode(Plan.class, result.body))
                                 : Either.left(toProblem(result))));
     }
 
@@ -270,7 +270,7 @@
                         "plan " + planId + " is " + found.get().stateName())));
             else
                 awaitRollout(
-                        found.get().confirmedTopic,
+                        found.get().confirmedTopicVersion,
                         planId,
                         markedZone(found.get()),
                         status -> status.routersStillActing.isEmpty(),
@@ -284,7 +284,7 @@
      */
     private static String markedZone(Plan plan) {
         for (var text : plan.marks.keySet()) {
-            var key = MarkKey.read(text);
+            var key = MarkKey.parse(text);
             if (key != null && key.target() == MarkKey.Target.ZONE) return key.name();
         }
         return "";
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -39,7 +39,7 @@
                 new Queries.ManifestGet(),
                 REQUEST_TIMEOUT_MICROS,
                 result ->
-                        onResult.accept(toResult(result).map(ignored -> Codec.read(Rows.Manifest.class, result.body))));
+                        onResult.accept(toResult(result).map(ignored -> Codec.decode(Rows.Manifest.class, result.body))));
     }
 
     /**
@@ -57,10 +57,10 @@
             long callerWaitingSince,
             Consumer<Either<Problem, Void>> onResult) {
         var command = new Commands.ManifestPut();
-        command.base = baseVersion;
-        command.number = number;
+        command.baseVersion = baseVersion;
+        command.senderNumber = number;
         command.text = text;
-        command.source = source;
+        command.sourceText = source;
         submitChange(Parts.MANIFEST_PART, command, callerWaitingSince, onResult);
     }
 
@@ -121,6 +121,6 @@
     private static Either<Problem, Void> toResult(CommandResult result) {
         return result.kind == 0
                 ? Either.right(null)
-                : Either.left(new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter));
+                : Either.left(new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfterMicros));
     }
 }
--- a/lib/control/src/main/java/craneway/control/plan/HomePlanner.java
+++ b/lib/control/src/main/java/craneway/control/plan/HomePlanner.java
@@ -15,7 +15,7 @@
 
     /** The wanted home of each unit as an index of a cell, or {@link PlacementTable#NOWHERE}. */
     public static int[] wantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
-        var unitCount = service.homes.length;
+        var unitCount = service.homeCells.length;
         var homes = new int[unitCount];
         var weights = cellWeights(service);
         for (var unit = 0; unit < unitCount; unit++)
@@ -30,8 +30,8 @@
      */
     private static int wantedHome(
             Rows.Service service, int unit, BitSet closedCells, BitSet healthyCells, int[] weights) {
-        var currentHome = service.homes[unit];
-        var displacedTo = service.displaced(unit);
+        var currentHome = service.homeCells[unit];
+        var displacedTo = service.displacedCellOf(unit);
         if (displacedTo != PlacementTable.NOWHERE
                 && isAllowed(service, unit, displacedTo)
                 && !closedCells.get(displacedTo)
@@ -40,7 +40,7 @@
         if (bestCell != currentHome
                 && bestCell != PlacementTable.NOWHERE
                 && currentHome != PlacementTable.NOWHERE
-                && service.heldUntil.containsKey(service.cells.get(bestCell))
+                && service.heldBackUntilAge.containsKey(service.cells.get(bestCell))
                 && isAllowed(service, unit, currentHome)
                 && !closedCells.get(currentHome)
                 && healthyCells.get(currentHome)) return currentHome;
@@ -54,7 +54,7 @@
     /** The weight of each cell. */
     private static int[] cellWeights(Rows.Service service) {
         var weights = new int[service.cells.size()];
-        for (var cell = 0; cell < weights.length; cell++) weights[cell] = service.weight(cell);
+        for (var cell = 0; cell < weights.length; cell++) weights[cell] = service.weightOf(cell);
         return weights;
     }
 
@@ -78,7 +78,7 @@
             var score = score(
                     unit,
                     service.cells.get(cell),
-                    weights[cell] / square(service.sharing(cell, Units.regionSetOf(unit))));
+                    weights[cell] / square(service.countRegionSetsSharing(cell, Units.regionSetOf(unit))));
             if (score > bestScore) {
                 bestScore = score;
                 bestCell = cell;
@@ -97,7 +97,7 @@
 
     /** Whether a cell is in use and lies in one of the unit's regions. */
     private static boolean isAllowed(Rows.Service service, int unit, int cell) {
-        return service.live(cell)
+        return service.hasWeight(cell)
                 && Units.containsRegion(
                         Units.regionSetOf(unit), service.regions.indexOf(service.cellRegions.get(cell)));
     }
--- a/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -2,7 +2,7 @@
 
 import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
-import craneway.state.message.Commands.Displace;
+import craneway.state.message.Commands.UnitDisplacement;
 import craneway.state.record.Rows;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -59,7 +59,7 @@
      * The next displacement or return for a service, null if nothing is due. To be called at each scan, since it also
      * updates the utilization.
      */
-    public Displace nextDisplacement(
+    public UnitDisplacement nextDisplacement(
             Rows.Service service, Map<String, Integer> loadByRunner, BitSet openCells, long now) {
         var utilization = utilizationByCell(service, loadByRunner);
         for (var cell = 0; cell < utilization.length; cell++) {
@@ -99,12 +99,12 @@
 
     /** The utilization of each cell as its runners report it; 1 for a cell without slots. */
     private static double[] utilizationByCell(Rows.Service service, Map<String, Integer> loadByRunner) {
-        var cellNumbers = service.cellNumbers();
+        var cellNumbers = service.cellNumbersByName();
         var loadOfCell = new long[service.cells.size()];
         var slotsOfCell = new long[loadOfCell.length];
         for (var runner : service.runners.values()) {
             var cell = cellNumbers.get(runner.cell);
-            if (!runner.up() || cell == null) continue;
+            if (!runner.isUp() || cell == null) continue;
             loadOfCell[cell] += Math.min(runner.slots, loadByRunner.getOrDefault(service.name + "/" + runner.name, 0));
             slotsOfCell[cell] += runner.slots;
         }
@@ -121,17 +121,17 @@
     }
 
     /** Displaces units from the first cell that has been full for long enough and for which another cell has room. */
-    private Displace displaceFromFullCell(Rows.Service service, double[] utilization, BitSet openCells, long now) {
+    private UnitDisplacement displaceFromFullCell(Rows.Service service, double[] utilization, BitSet openCells, long now) {
         for (var cell = 0; cell < utilization.length; cell++) {
             if (!hasLasted(fullSinceByCell, service, cell, FULL_HOLD_MICROS, now)) continue;
             var target = leastUtilizedCell(service, utilization, openCells, cell);
             if (target == PlacementTable.NOWHERE) continue;
             var units = new ArrayList<Integer>();
-            for (var unit = service.homes.length - 1;
+            for (var unit = service.homeCells.length - 1;
                     unit >= Units.SLICE_COUNT && units.size() < MAX_UNITS_PER_COMMAND;
                     unit--)
-                if (service.homes[unit] == cell
-                        && service.displaced(unit) == PlacementTable.NOWHERE
+                if (service.homeCells[unit] == cell
+                        && service.displacedCellOf(unit) == PlacementTable.NOWHERE
                         && isAllowed(service, unit, target)) units.add(unit);
             if (!units.isEmpty()) return newDisplace(service, units, target);
         }
@@ -148,7 +148,7 @@
             if (cell == excluded
                     || !openCells.get(cell)
                     || utilization[cell] > MAX_TARGET_UTILIZATION
-                    || service.heldUntil.containsKey(service.cells.get(cell))) continue;
+                    || service.heldBackUntilAge.containsKey(service.cells.get(cell))) continue;
             if (bestCell == PlacementTable.NOWHERE || utilization[cell] < utilization[bestCell]) bestCell = cell;
         }
         return bestCell;
@@ -160,7 +160,7 @@
     }
 
     /** Ends the displacement of units whose regular home has been calm for long enough. */
-    private Displace returnToCalmHome(Rows.Service service, long now) {
+    private UnitDisplacement returnToCalmHome(Rows.Service service, long now) {
         var units = new ArrayList<Integer>();
         for (var unit : service.displacedUnits) {
             var home = HomePlanner.homeWithAllCellsOpen(service, unit);
@@ -172,8 +172,8 @@
     }
 
     /** A command that displaces units to a cell, or ends their displacement. */
-    private static Displace newDisplace(Rows.Service service, List<Integer> units, int target) {
-        var command = new Displace();
+    private static UnitDisplacement newDisplace(Rows.Service service, List<Integer> units, int target) {
+        var command = new UnitDisplacement();
         command.service = service.name;
         command.tableVersion = service.tableVersion;
         command.units = units.stream().mapToInt(unit -> unit).toArray();
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -47,7 +47,7 @@
             var degradation = units.length > 0
                     ? describeDegradation(
                             watched.baseline,
-                            signals.totalsSince(service.name, service.cells.get(step.to), watched.since, now))
+                            signals.totalsSince(service.name, service.cells.get(step.toCell), watched.since, now))
                     : null;
             if (degradation == null && now - watched.since < WATCH_MICROS) continue;
             watchedSteps.remove(service.name + "/" + step.id);
@@ -63,10 +63,10 @@
     private WatchedStep watchedStep(Rows.Service service, Rows.Step step, SignalHistory signals, long now) {
         var existing = watchedSteps.get(service.name + "/" + step.id);
         if (existing != null) return existing;
-        var baseline = signals.totalsSince(service.name, service.cells.get(step.to), now - BASELINE_WINDOW_MICROS, now);
+        var baseline = signals.totalsSince(service.name, service.cells.get(step.toCell), now - BASELINE_WINDOW_MICROS, now);
         for (var other : service.steps) {
             var watched = watchedSteps.get(service.name + "/" + other.id);
-            if (watched == null || other.to != step.to) continue;
+            if (watched == null || other.toCell != step.toCell) continue;
             baseline = watched.baseline;
             break;
         }
@@ -78,7 +78,7 @@
     /** The units of a step whose old home is open. */
     private static int[] returnableUnits(Rows.Step step, BitSet openCells) {
         return IntStream.range(0, step.units.length)
-                .filter(index -> step.from[index] >= 0 && openCells.get(step.from[index]))
+                .filter(index -> step.fromCells[index] >= 0 && openCells.get(step.fromCells[index]))
                 .map(index -> step.units[index])
                 .toArray();
     }
@@ -104,8 +104,8 @@
         mark.service = service.name;
         mark.id = step.id;
         mark.state = degradation == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
-        mark.cause = degradation == null ? "" : service.cells.get(step.to) + ": " + degradation;
-        mark.heldMicros = HOLD_MICROS;
+        mark.cause = degradation == null ? "" : service.cells.get(step.toCell) + ": " + degradation;
+        mark.holdBackMicros = HOLD_MICROS;
         mark.units = units;
         return mark;
     }
--- a/lib/control/src/main/java/craneway/control/plan/UnitMover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -70,9 +70,9 @@
         var units = new ArrayList<Integer>();
         var allUnassigned = true;
         for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) {
-            if (wantedHomes[unit] == service.homes[unit]) continue;
+            if (wantedHomes[unit] == service.homeCells[unit]) continue;
             units.add(unit);
-            allUnassigned &= service.homes[unit] == PlacementTable.NOWHERE;
+            allUnassigned &= service.homeCells[unit] == PlacementTable.NOWHERE;
         }
         if (units.isEmpty()) return null;
         if (allUnassigned) return newTableStep(service, units, wantedHomes);
@@ -95,8 +95,8 @@
     private StepMark resolveAskedStep(
             Rows.Service service, Rows.Step step, int[] wantedHomes, StoreSyncCheck storeReady, long now) {
         var askedAt = askedAtByStep.computeIfAbsent(service.name + "/" + step.id, key -> now);
-        var isStillWanted = Arrays.stream(step.units).allMatch(unit -> wantedHomes[unit] == step.to);
-        var isConfirmed = isStillWanted && storeReady.isSynced(step.to, step.index);
+        var isStillWanted = Arrays.stream(step.units).allMatch(unit -> wantedHomes[unit] == step.toCell);
+        var isConfirmed = isStillWanted && storeReady.isSynced(step.toCell, step.askedAtIndex);
         if (!isConfirmed && isStillWanted && now - askedAt < CONFIRM_TIMEOUT_MICROS) return null;
         askedAtByStep.remove(service.name + "/" + step.id);
         var mark = new StepMark();
@@ -118,9 +118,9 @@
         ask.service = service.name;
         ask.tableVersion = service.tableVersion;
         ask.units = units.stream().mapToInt(unit -> unit).toArray();
-        ask.to = wantedHomes[units.get(0)];
-        var currentHome = service.homes[units.get(0)];
-        ask.cause = service.displaced(units.get(0)) == ask.to
+        ask.toCell = wantedHomes[units.get(0)];
+        var currentHome = service.homeCells[units.get(0)];
+        ask.cause = service.displacedCellOf(units.get(0)) == ask.toCell
                 ? "pressure"
                 : currentHome != PlacementTable.NOWHERE && closedCells.get(currentHome)
                         ? "emptied"
@@ -134,7 +134,7 @@
         tableStep.service = ask.service;
         tableStep.tableVersion = ask.tableVersion;
         tableStep.units = ask.units;
-        tableStep.cells = Arrays.stream(ask.units).map(unit -> ask.to).toArray();
+        tableStep.cells = Arrays.stream(ask.units).map(unit -> ask.toCell).toArray();
         return tableStep;
     }
 
@@ -149,13 +149,13 @@
     private int[] cachedWantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
         var cached = wantedHomesByService.get(service.name);
         if (cached == null
-                || cached.newsVersion != service.newsVersion
-                || cached.heldCellCount != service.heldUntil.size()
+                || cached.newsVersion != service.topicVersion
+                || cached.heldCellCount != service.heldBackUntilAge.size()
                 || !cached.closedCells.equals(closedCells)
                 || !cached.healthyCells.equals(healthyCells)) {
             cached = new WantedHomes(
-                    service.newsVersion,
-                    service.heldUntil.size(),
+                    service.topicVersion,
+                    service.heldBackUntilAge.size(),
                     closedCells,
                     healthyCells,
                     HomePlanner.wantedHomes(service, closedCells, healthyCells));
@@ -170,7 +170,7 @@
     private static long stepPause(Rows.Service service, int cell, Manifest.Service manifestService) {
         if (cell == PlacementTable.NOWHERE) return manifestService.stepPause();
         var hasColdRunner = service.runners.values().stream()
-                .filter(runner -> runner.up() && runner.cell.equals(service.cells.get(cell)))
+                .filter(runner -> runner.isUp() && runner.cell.equals(service.cells.get(cell)))
                 .anyMatch(runner -> runner.cold);
         return hasColdRunner
                 ? Math.max(manifestService.stepPause(), manifestService.warmUpTime() / 10)
@@ -200,9 +200,9 @@
     /** The cells with a running runner, either for a while or with units at home there. */
     private BitSet healthyCells(Rows.Service service, long now) {
         var healthy = new BitSet();
-        var runnersUp = service.runnersUp();
+        var runnersUp = service.countRunnersUp();
         var cellsWithUnits = new BitSet();
-        for (var home : service.homes) if (home >= 0) cellsWithUnits.set(home);
+        for (var home : service.homeCells) if (home >= 0) cellsWithUnits.set(home);
         for (var cell = 0; cell < runnersUp.length; cell++) {
             var key = service.name + "/" + service.cells.get(cell);
             if (runnersUp[cell] == 0) {
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -54,8 +54,8 @@
 
     /** Checks the term and the bound of a command from a process that names its life. */
     Admission check(CommandRequest request, long term, long now) {
-        if (request.term != term || now > request.bound || request.bound > now + MAX_WAIT_MICROS) return Admission.LATE;
-        return livesKnowingClock.get(request.life) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
+        if (request.leaderTerm != term || now > request.leaderDeadline || request.leaderDeadline > now + MAX_WAIT_MICROS) return Admission.LATE;
+        return livesKnowingClock.get(request.sessionId) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
     }
 
     /**
@@ -74,12 +74,12 @@
      * holder, incarnation and attempt already identify them.
      */
     static Object withIdentity(CommandRequest request, Object command, byte[] body) {
-        if (request.life == 0 || command instanceof Commands.Claim || command instanceof Commands.Finish)
+        if (request.sessionId == 0 || command instanceof Commands.ClaimTake || command instanceof Commands.ClaimFinish)
             return command;
-        var fenced = new Commands.Fenced();
-        fenced.life = request.life;
+        var fenced = new Commands.IdentifiedCommand();
+        fenced.sessionId = request.sessionId;
         fenced.sequence = request.id;
-        fenced.lowest = request.lowest;
+        fenced.lowestPending = request.lowestPending;
         fenced.body = body;
         return fenced;
     }
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -1,7 +1,7 @@
 package craneway.control.store;
 
 import craneway.control.node.Membership;
-import craneway.state.message.Messages.Renew;
+import craneway.state.message.Messages.Renewal;
 import craneway.state.message.Node;
 import java.util.HashMap;
 import java.util.Map;
@@ -42,14 +42,14 @@
     }
 
     /** Records a renewal that was granted. */
-    void recordRenewal(Renew renewal, long now) {
+    void recordRenewal(Renewal renewal, long now) {
         var lease = leaseByMember.computeIfAbsent(renewal.from.name, name -> new Lease());
         if (lease.address != null && !lease.address.equals(renewal.from.peerAddress))
             lease.earlierInstanceUntil = lease.renewedAt + LAPSE_AFTER_MICROS + lease.graceMicros;
         if (lease.incarnation != renewal.from.incarnation) lease.versionByTopic.clear();
         lease.address = renewal.from.peerAddress;
         lease.incarnation = renewal.from.incarnation;
-        lease.graceMicros = renewal.from.grace;
+        lease.graceMicros = renewal.from.graceMicros;
         lease.renewedAt = now;
         for (var i = 0; i < renewal.topics.size(); i++)
             lease.versionByTopic.put(renewal.topics.get(i), renewal.versions.get(i));
@@ -85,6 +85,6 @@
 
     /** Whether the member has been silent for so long that its row can be removed. */
     boolean isForgettable(Node member, long now) {
-        return now - lastRenewedAt(member.name) > FORGET_AFTER_MICROS + member.grace;
+        return now - lastRenewedAt(member.name) > FORGET_AFTER_MICROS + member.graceMicros;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -79,7 +79,7 @@
         dropExpired(members, now);
         var lostStore = memberWithLostDisk(members);
         if (lostStore != 0) return Optional.of(members.without(lostStore));
-        if (members.learner != 0) return resolveLearner(members, leadingSince, now);
+        if (members.learnerId != 0) return resolveLearner(members, leadingSince, now);
         if (members.voters.length > quorum.voterCount()) return removeSurplusVoter(members, now);
         return admitLearner(members, now);
     }
@@ -96,7 +96,7 @@
 
     /** A member other than this leader whose disk is lost; 0 if there is none. */
     private long memberWithLostDisk(Members members) {
-        if (members.learner != 0 && storeStatus.isDiskLost(members.learner)) return members.learner;
+        if (members.learnerId != 0 && storeStatus.isDiskLost(members.learnerId)) return members.learnerId;
         for (var voter : members.voters) if (voter != selfId && storeStatus.isDiskLost(voter)) return voter;
         return 0;
     }
@@ -104,10 +104,10 @@
     /** Promotes a learner that has caught up; removes one that leaves or has been silent for too long. */
     private Optional<Members> resolveLearner(Members members, long leadingSince, long now) {
         var leadingForMicros = now - leadingSince;
-        if (isLeaving(members.learner)
-                || isSilent(members.learner, now) && leadingForMicros > timing.storeReplacementDelay())
-            return Optional.of(members.without(members.learner));
-        if (storeStatus.isCaughtUp(members.learner) && leadingForMicros > timing.leaderSettleTime())
+        if (isLeaving(members.learnerId)
+                || isSilent(members.learnerId, now) && leadingForMicros > timing.storeReplacementDelay())
+            return Optional.of(members.without(members.learnerId));
+        if (storeStatus.isCaughtUp(members.learnerId) && leadingForMicros > timing.leaderSettleTime())
             return Optional.of(withLearnerPromoted(members, now));
         return Optional.empty();
     }
@@ -117,9 +117,9 @@
      * would need one store more for a majority, and losing the new voter at that moment would leave none.
      */
     private Members withLearnerPromoted(Members members, long now) {
-        if (members.voters.length < quorum.voterCount()) return members.promoted();
+        if (members.voters.length < quorum.voterCount()) return members.withLearnerPromoted();
         for (var voter : members.voters) if (isSilent(voter, now)) return members.without(voter);
-        return members.promoted();
+        return members.withLearnerPromoted();
     }
 
     private boolean isSilent(long store, long now) {
@@ -179,7 +179,7 @@
      */
     public boolean mayLeave(long store, Members members, long leadingSince, long now) {
         if (!members.isMember(store)) return true;
-        var changing = members.learner != 0
+        var changing = members.learnerId != 0
                 || members.voters.length > quorum.voterCount()
                 || admitLearner(members, now).isPresent();
         if (changing || now - leadingSince < JOIN_REQUESTS_COMPLETE_AFTER_MICROS) return false;
@@ -204,7 +204,7 @@
     public boolean canTakeLeadership(long store, Members members, long now) {
         if (store == 0 || store == selfId || isLeaving(store) || !members.isVoter(store)) return false;
         return members.voters.length == quorum.voterCount()
-                && members.learner == 0
+                && members.learnerId == 0
                 && wasHeardRecently(store, now)
                 && storeStatus.isCaughtUp(store);
     }
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -20,10 +20,10 @@
 import craneway.state.message.Messages.CommandRequest;
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Messages.Join;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Renew;
-import craneway.state.message.Messages.RenewReply;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.Renewal;
+import craneway.state.message.Messages.RenewalReply;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.message.Queries;
 import craneway.state.part.Group;
@@ -164,7 +164,7 @@
         this.group = new Group(
                 part,
                 selfId,
-                directory.founding().origin(),
+                directory.founding().originalCoreId(),
                 folder,
                 initialMembers,
                 records,
@@ -228,12 +228,12 @@
      * Queues a lease renewal; {@code onReply} is not called for a member that leaves or whose row could not be
      * written.
      */
-    public void receive(Renew renewal, Consumer<RenewReply> onReply) {
+    public void receive(Renewal renewal, Consumer<RenewalReply> onReply) {
         enqueue(() -> handleRenewal(renewal, port.now(), onReply));
     }
 
     /** Queues a subscription to a topic of this part. */
-    public void receive(Subscribe subscription) {
+    public void receive(Subscription subscription) {
         enqueue(() -> addSubscriber(subscription, port.now()));
     }
 
@@ -255,12 +255,12 @@
      */
     public boolean shouldJoin(long now) {
         return !group.members().isMember(directory.self().storeId)
-                || !group.leaderHeard(now, 2 * timing.electionTimeout());
+                || !group.hasLeaderContact(now, 2 * timing.electionTimeout());
     }
 
     /** Whether this store leads the part and has applied everything that earlier terms committed. */
     public boolean isLeader() {
-        return group.ready();
+        return group.isReadyLeader();
     }
 
     /** The replicated log; it is not safe for use outside the replica's events. */
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public void applied(long index, long term, Object result) {
+    public void onApplied(long index, long term, Object result) {
         var proposal = pendingProposals.remove(index);
         if (proposal == null) return;
         proposal.onResult.accept(
@@ -292,7 +292,7 @@
     }
 
     @Override
-    public void leadershipChanged(boolean leads, long term) {
+    public void onLeadershipChanged(boolean leads, long term) {
         port.logEvent(leads ? Event.LEADER : Event.LEADERSHIP_LOST, "part " + part + " term " + term);
         commandFence.reset();
         memberLeases.clear(port.now());
@@ -317,7 +317,7 @@
     }
 
     @Override
-    public void note(Event event, String detail) {
+    public void logEvent(Event event, String detail) {
         port.logEvent(event, detail);
     }
 
@@ -352,7 +352,7 @@
 
     /** The leader to redirect a sender to; null if none is known or if this store is the one that last led. */
     private Node otherLeader() {
-        var leaderId = group.leader();
+        var leaderId = group.leaderId();
         return leaderId == 0 || leaderId == directory.self().storeId ? null : directory.storeById(leaderId);
     }
 
@@ -361,7 +361,7 @@
      * outcome once it is applied.
      */
     private void propose(Object command, Consumer<CommandResult> onResult) {
-        var index = group.propose(Codec.writeTagged(command), port.now());
+        var index = group.propose(Codec.encodeTagged(command), port.now());
         if (index < 0) {
             onResult.accept(Records.failure(ProblemKind.NOT_OWNER, ""));
         } else {
@@ -381,12 +381,12 @@
             reply(request, result);
             return;
         }
-        if (request.life != 0 && request.body != null && request.body.length == 0) {
+        if (request.sessionId != 0 && request.body != null && request.body.length == 0) {
             declineCommand(request, ProblemKind.LATE_COMMAND);
             return;
         }
         try {
-            admitOrDecline(request, Codec.readTagged(request.body), now);
+            admitOrDecline(request, Codec.decodeTagged(request.body), now);
         } catch (BadMessageException e) {
             port.logEvent(Event.BAD_MESSAGE, e.getMessage());
             reply(request, Records.failure(ProblemKind.BAD_MESSAGE, e.getMessage()));
@@ -398,12 +398,12 @@
      * result.
      */
     private void admitOrDecline(CommandRequest request, Object body, long now) {
-        if (request.life == 0 || !Commands.is(body)) {
+        if (request.sessionId == 0 || !Commands.isCommand(body)) {
             dispatch(request, body, now);
             return;
         }
         var admission = commandFence.check(request, group.term(), now);
-        var earlierResult = records.verdict(request.life, request.id);
+        var earlierResult = records.recordedResult(request.sessionId, request.id);
         if (admission == CommandFence.Admission.ADMITTED && earlierResult != null) {
             reply(request, earlierResult);
             return;
@@ -411,19 +411,19 @@
         var zoneOrder = body instanceof Commands.ZoneMark mark ? mark : null;
         if (admission == CommandFence.Admission.ADMITTED
                 && zoneOrder != null
-                && commandFence.isOvertaken(zoneOrder.zone, request.bound)) admission = CommandFence.Admission.LATE;
+                && commandFence.isOvertaken(zoneOrder.zone, request.leaderDeadline)) admission = CommandFence.Admission.LATE;
         if (admission == CommandFence.Admission.ADMITTED) dispatch(request, body, now);
         else {
             var isLate = admission == CommandFence.Admission.LATE;
-            if (request.term != 0)
+            if (request.leaderTerm != 0)
                 port.logEvent(isLate ? Event.LATE_COMMAND : Event.UNKNOWN_INSTANCE, describeCommand(request, body));
             declineCommand(request, isLate ? ProblemKind.LATE_COMMAND : ProblemKind.UNKNOWN_LIFE);
         }
     }
 
     private String describeCommand(CommandRequest request, Object body) {
-        return body.getClass().getSimpleName() + " of " + request.from.name + " life " + Long.toHexString(request.life)
-                + " request " + request.id + " term " + request.term + ", at part " + part + " term " + group.term();
+        return body.getClass().getSimpleName() + " of " + request.from.name + " life " + Long.toHexString(request.sessionId)
+                + " request " + request.id + " term " + request.leaderTerm + ", at part " + part + " term " + group.term();
     }
 
     /**
@@ -431,7 +431,7 @@
      * with a new bound, before its deadline.
      */
     private void declineCommand(CommandRequest request, ProblemKind kind) {
-        commandFence.recordClockSent(request.life);
+        commandFence.recordClockSent(request.sessionId);
         reply(request, Records.failure(kind, kind.text()));
     }
 
@@ -441,14 +441,14 @@
         response.id = request.id;
         response.kind = result.kind;
         response.detail = result.detail;
-        response.retryAfter = result.retryAfter;
+        response.retryAfterMicros = result.retryAfterMicros;
         response.leader = result.leader;
         response.version = result.version;
         response.body = result.body;
-        response.life = request.life;
-        if (request.life != 0 && group.ready()) {
-            response.term = group.term();
-            response.clock = port.now();
+        response.sessionId = request.sessionId;
+        if (request.sessionId != 0 && group.isReadyLeader()) {
+            response.leaderTerm = group.term();
+            response.leaderClock = port.now();
         }
         port.send(request.from.peerAddress, response);
     }
@@ -478,7 +478,7 @@
     /** Whether all members, and so all replicas, can read commands that carry the identity of their sender. */
     private boolean allMembersReadFencedCommands() {
         var members = records.rows().members.values();
-        return !members.isEmpty() && members.stream().allMatch(member -> member.node.fenced);
+        return !members.isEmpty() && members.stream().allMatch(member -> member.node.supportsIdentifiedCommands);
     }
 
     /** Whether some service of this part has a runner of this name that is not leaving. */
@@ -490,7 +490,7 @@
 
     private static CommandResult okWithBody(Object body) {
         var result = Records.ok();
-        result.body = Codec.write(body);
+        result.body = Codec.encode(body);
         return result;
     }
 
@@ -504,7 +504,7 @@
      * sender.
      */
     private void putManifest(CommandRequest request, Commands.ManifestPut command) {
-        var parsed = command.number > 0 ? null : ManifestReader.read(command.text);
+        var parsed = command.senderNumber > 0 ? null : ManifestReader.read(command.text);
         if (parsed != null && parsed.isLeft())
             reply(
                     request,
@@ -527,7 +527,7 @@
         }
         var isUnchanged = known != null
                 && known.state == command.state
-                && (known.up() || known.state == Rows.Runner.LEAVING)
+                && (known.isUp() || known.state == Rows.Runner.LEAVING)
                 && known.incarnation == command.incarnation
                 && known.cold == command.cold
                 && known.slots == command.slots
@@ -541,7 +541,7 @@
         var cellIndex = service == null ? -1 : service.cells.indexOf(command.cell);
         if (service == null)
             reply(request, Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + command.service));
-        else if (cellIndex < 0 || !service.live(cellIndex))
+        else if (cellIndex < 0 || !service.hasWeight(cellIndex))
             reply(
                     request,
                     Records.failure(
@@ -562,12 +562,12 @@
         status.part = part;
         status.leader = directory.self().name;
         status.term = group.term();
-        status.appliedIndex = group.applied();
+        status.appliedIndex = group.appliedIndex();
         var members = group.members();
         for (var i = 0; i < members.voters.length; i++)
             status.groupMembers.add(storeName(members.voters[i]) + " (" + members.zones[i] + ")");
-        if (members.learner != 0)
-            status.groupMembers.add(storeName(members.learner) + " (" + members.learnerZone + ", learner)");
+        if (members.learnerId != 0)
+            status.groupMembers.add(storeName(members.learnerId) + " (" + members.learnerZone + ", learner)");
         status.members.addAll(records.rows().members.values());
         status.services.addAll(records.rows().services.values());
         status.plans.addAll(records.rows().plans.values());
@@ -600,7 +600,7 @@
                     && !member.lapsed
                     && !memberLeases.earlierInstanceMayAct(member.node, now)) continue;
             status.unconfirmedMembers.add(member.node.name);
-            var grace = query.zone.isEmpty() || member.node.zone.equals(query.zone) ? member.node.grace : 0;
+            var grace = query.zone.isEmpty() || member.node.zone.equals(query.zone) ? member.node.graceMicros : 0;
             if (member.node.isRouter() && memberLeases.mayStillAct(member.node, grace, now))
                 status.routersStillActing.add(member.node.name);
         }
@@ -611,7 +611,7 @@
      * Grants or refuses a lease renewal as the leader. A member whose row is missing, lapsed or different is written
      * to the log first.
      */
-    private void handleRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
+    private void handleRenewal(Renewal renewal, long now, Consumer<RenewalReply> onReply) {
         if (!group.hasLease(now)) {
             var reply = newRenewReply(renewal, ProblemKind.NOT_OWNER.code());
             reply.leader = otherLeader();
@@ -625,7 +625,7 @@
         if (outranking != null) {
             var reply = newRenewReply(renewal, ProblemKind.STALE_MEMBER.code());
             reply.incarnation = outranking.incarnation;
-            reply.known = outranking;
+            reply.recordedMember = outranking;
             onReply.accept(reply);
         } else if (renewal.leaving) {
             removeMember(renewal, member);
@@ -634,9 +634,9 @@
                 || member.node.incarnation != renewal.from.incarnation
                 || !member.node.peerAddress.equals(renewal.from.peerAddress)
                 || member.node.serving != renewal.from.serving
-                || member.node.grace != renewal.from.grace
-                || member.node.wire != renewal.from.wire
-                || member.node.fenced != renewal.from.fenced
+                || member.node.graceMicros != renewal.from.graceMicros
+                || member.node.wireVersion != renewal.from.wireVersion
+                || member.node.supportsIdentifiedCommands != renewal.from.supportsIdentifiedCommands
                 || !member.node.clientAddress.equals(renewal.from.clientAddress)) {
             var command = new Commands.MemberPut();
             command.node = renewal.from;
@@ -653,28 +653,28 @@
      * store has heard. Null if the sender may renew.
      */
     private Node findOutrankingNode(Node sender, Rows.Member member) {
-        var known = member != null ? member.node : sender.life == 0 ? null : directory.nodeByName(sender.name);
+        var known = member != null ? member.node : sender.sessionId == 0 ? null : directory.nodeByName(sender.name);
         if (known == null) return null;
         var isNewer = known.incarnation > sender.incarnation;
-        return isNewer || member != null && known.incarnation == sender.incarnation && known.otherLife(sender)
+        return isNewer || member != null && known.incarnation == sender.incarnation && known.isOtherSession(sender)
                 ? known
                 : null;
     }
 
-    private void removeMember(Renew renewal, Rows.Member member) {
+    private void removeMember(Renewal renewal, Rows.Member member) {
         if (member == null) return;
-        var command = new Commands.MemberGone();
+        var command = new Commands.MemberRemoved();
         command.name = renewal.from.name;
         command.incarnation = renewal.from.incarnation;
         propose(command);
     }
 
-    private RenewReply newRenewReply(Renew renewal, int kind) {
-        var reply = new RenewReply();
+    private RenewalReply newRenewReply(Renewal renewal, int kind) {
+        var reply = new RenewalReply();
         reply.part = part;
         reply.kind = kind;
         reply.incarnation = renewal.from.incarnation;
-        reply.stamp = renewal.stamp;
+        reply.sentAt = renewal.sentAt;
         return reply;
     }
 
@@ -682,12 +682,12 @@
      * Sends the topics that a new member does not have yet, or that a member has been behind on for a while, without
      * waiting for its subscription.
      */
-    private void pushStaleTopics(Renew renewal, long now) {
+    private void pushStaleTopics(Renewal renewal, long now) {
         pushedAtByTarget.values().removeIf(sentAt -> now - sentAt > PUSH_INTERVAL_MICROS);
         for (var topic : topicNames()) {
             var index = renewal.topics.indexOf(topic);
             var reportedVersion = index < 0 ? 0 : renewal.versions.get(index);
-            if (index < 0 && renewal.members >= 0
+            if (index < 0 && renewal.membersVersion >= 0
                     || reportedVersion >= topicVersion(topic)
                     || reportedVersion > 0
                             && now - publishedAtByTopic.getOrDefault(topic, leaderSince)
@@ -698,15 +698,15 @@
     }
 
     /** Records a renewal and its signals, and replies with the members if they changed and the topic versions. */
-    private void grantRenewal(Renew renewal, long now, Consumer<RenewReply> onReply) {
+    private void grantRenewal(Renewal renewal, long now, Consumer<RenewalReply> onReply) {
         memberLeases.recordRenewal(renewal, now);
         for (var signal : renewal.signals)
-            signalHistory.add(signal.service, signal.cell, signal.runs, signal.problems, signal.firstMicros, now);
+            signalHistory.add(signal.service, signal.cell, signal.startedAnswers, signal.failures, signal.firstTokenMicros, now);
         var reply = newRenewReply(renewal, 0);
         reply.leader = directory.self();
-        reply.grace = renewal.from.grace;
+        reply.graceMicros = renewal.from.graceMicros;
         reply.membersVersion = records.rows().membersVersion;
-        if (reply.membersVersion != renewal.members)
+        if (reply.membersVersion != renewal.membersVersion)
             reply.members = new ArrayList<>(records.rows().members.values().stream()
                     .filter(member -> !member.lapsed)
                     .map(member -> member.node)
@@ -731,28 +731,28 @@
     private long topicVersion(String topic) {
         if (topic.equals(Parts.MANIFEST_TOPIC)) return records.rows().manifest.topicVersion;
         var service = records.rows().services.get(topic);
-        return service == null ? 0 : service.newsVersion;
+        return service == null ? 0 : service.topicVersion;
     }
 
     /** A message with the current version and content of a topic. */
-    private News buildNews(String topic) {
-        var news = new News();
+    private TopicUpdate buildNews(String topic) {
+        var news = new TopicUpdate();
         news.topic = topic;
         news.version = topicVersion(topic);
-        news.body = Codec.write(
+        news.body = Codec.encode(
                 topic.equals(Parts.MANIFEST_TOPIC)
-                        ? records.rows().manifest.inForce()
+                        ? records.rows().manifest.copyForPublication()
                         : records.rows().services.get(topic));
         return news;
     }
 
     /** Adds or renews a subscription, and sends the topic if the subscriber has an older version. */
-    private void addSubscriber(Subscribe subscription, long now) {
+    private void addSubscriber(Subscription subscription, long now) {
         if (!group.hasLease(now) || topicVersion(subscription.topic) == 0) return;
         subscribersByTopic
                 .computeIfAbsent(subscription.topic, topic -> new HashMap<>())
                 .put(subscription.from.peerAddress, now);
-        if (topicVersion(subscription.topic) > subscription.have)
+        if (topicVersion(subscription.topic) > subscription.knownVersion)
             port.send(subscription.from.peerAddress, buildNews(subscription.topic));
     }
 
@@ -790,7 +790,7 @@
     }
 
     private void proposeRemoval(Rows.Member member) {
-        var command = new Commands.MemberGone();
+        var command = new Commands.MemberRemoved();
         command.name = member.node.name;
         command.incarnation = member.node.incarnation;
         if (wasAlreadyProposed("gone/" + command.name)) return;
@@ -808,7 +808,7 @@
             for (var runner : service.runners.values()) {
                 var key = service.name + "/" + runner.name;
                 var heardAt = runnerHeardAt.computeIfAbsent(key, absentKey -> now);
-                if (!runner.up() || now - heardAt <= settings.darkAfterMicros() || wasAlreadyProposed("dark/" + key))
+                if (!runner.isUp() || now - heardAt <= settings.darkAfterMicros() || wasAlreadyProposed("dark/" + key))
                     continue;
                 var command = new Commands.RunnerMark();
                 command.service = service.name;
@@ -822,7 +822,7 @@
 
     /** Takes a request to join or leave, or the leader's answer to a request to leave. */
     private void handleJoin(Join request, long now) {
-        if (request.answer) plannedLeave.recordAnswer(request.mayGo, now);
+        if (request.isReply) plannedLeave.recordAnswer(request.mayStop, now);
         else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
         else if (group.hasLease(now) && !group.members().isMember(request.from.storeId))
             membershipChanges.requestJoin(request.from.storeId, request.from.zone, now + JOIN_REQUEST_TTL_MICROS);
@@ -833,8 +833,8 @@
         var answer = new Join();
         answer.part = part;
         answer.from = directory.self();
-        answer.answer = true;
-        answer.mayGo = membershipChanges.mayLeave(request.from.storeId, group.members(), leaderSince, now);
+        answer.isReply = true;
+        answer.mayStop = membershipChanges.mayLeave(request.from.storeId, group.members(), leaderSince, now);
         port.send(request.from.peerAddress, answer);
     }
 
@@ -844,7 +844,7 @@
      */
     public boolean isNeeded(long stoppingSince, long now) {
         return plannedLeave.isNeeded(
-                stoppingSince, group.ready(), group.leaderHeard(now, 2 * timing.electionTimeout()), now);
+                stoppingSince, group.isReadyLeader(), group.hasLeaderContact(now, 2 * timing.electionTimeout()), now);
     }
 
     private void proposeMembershipChange(long now) {
@@ -862,17 +862,17 @@
 
         @Override
         public long lastHeardAt(long store) {
-            return group.heardFrom(store);
+            return group.lastHeardAt(store);
         }
 
         @Override
         public boolean isCaughtUp(long store) {
-            return group.caughtUp(store, port.now());
+            return group.isCaughtUp(store, port.now());
         }
 
         @Override
         public boolean holdsAllEntries(long store) {
-            return group.matchOf(store) >= group.lastIndex();
+            return group.matchIndexOf(store) >= group.lastIndex();
         }
     }
 
@@ -888,16 +888,16 @@
     private void proposeAging(long now) {
         if (now - lastAgedAt < AGING_INTERVAL_MICROS) return;
         var rows = records.rows();
-        var anyCellHeld = rows.services.values().stream().anyMatch(service -> !service.heldUntil.isEmpty());
+        var anyCellHeld = rows.services.values().stream().anyMatch(service -> !service.heldBackUntilAge.isEmpty());
         var anyRunnerEnded = settings.forgetAfterMicros() > 0
                 && rows.services.values().stream()
-                        .anyMatch(service -> service.runners.values().stream().anyMatch(runner -> !runner.up()));
+                        .anyMatch(service -> service.runners.values().stream().anyMatch(runner -> !runner.isUp()));
         if (anyCellHeld || anyRunnerEnded || rows.claimsLost || !rows.claims.isEmpty() || !rows.quotas.isEmpty()) {
-            var command = new Commands.Age();
-            command.micros = now - lastAgedAt;
-            command.forgotten = settings.forgetAfterMicros();
+            var command = new Commands.AgeAdvance();
+            command.elapsedMicros = now - lastAgedAt;
+            command.runnerRetentionMicros = settings.forgetAfterMicros();
             var manifest = membership.view().manifest();
-            command.retention = manifest == null ? 86_400_000_000L : manifest.claimRetention();
+            command.claimRetentionMicros = manifest == null ? 86_400_000_000L : manifest.claimRetention();
             propose(command);
         }
         lastAgedAt = now;
@@ -923,8 +923,8 @@
         var command = new Commands.ServiceSync();
         command.service = service.name();
         command.manifestVersion = manifestVersion;
-        command.bySlots = service.weightedBySlots();
-        command.bound.addAll(manifest.routes().regionSetsOf(service.name()));
+        command.weighedBySlots = service.weightedBySlots();
+        command.boundRegionSets.addAll(manifest.routes().regionSetsOf(service.name()));
         command.regions.addAll(manifest.regions());
         for (var cell : service.cells()) {
             command.cells.add(cell.name());
@@ -954,7 +954,7 @@
 
     private int totalLoad(Rows.Service service) {
         return service.runners.values().stream()
-                .filter(Rows.Runner::up)
+                .filter(Rows.Runner::isUp)
                 .mapToInt(runner -> loadByRunner.getOrDefault(service.name + "/" + runner.name, 0))
                 .sum();
     }
@@ -974,14 +974,14 @@
                 view.manifestRow().marks,
                 (cell, index) -> isZoneStoreSynced(service, cell, index, now),
                 now);
-        if (lowestWireVersion() < Node.STEPS)
+        if (lowestWireVersion() < Node.STEPS_WIRE_VERSION)
             return step instanceof Commands.StepAsk stepAsk ? UnitMover.toTableStep(stepAsk) : step;
         return step != null ? step : pressureRelief.nextDisplacement(service, loadByRunner, openCells, now);
     }
 
     private int lowestWireVersion() {
         return records.rows().members.values().stream()
-                .mapToInt(member -> member.node.wire)
+                .mapToInt(member -> member.node.wireVersion)
                 .min()
                 .orElse(0);
     }
@@ -989,7 +989,7 @@
     /** Logs a step or displacement that was applied. */
     private void logStep(String service, Object command) {
         var row = records.rows().services.get(service);
-        if (command instanceof Commands.Displace displacement)
+        if (command instanceof Commands.UnitDisplacement displacement)
             port.logEvent(
                     Event.CELL_LOAD_CHANGED,
                     service + " " + displacement.units.length + " units "
@@ -997,8 +997,8 @@
                                     ? "may go back"
                                     : "to " + row.cells.get(displacement.cells[0])));
         if (!(command instanceof Commands.StepMark mark)) return;
-        var step = row.step(mark.id);
-        var detail = service + " step " + step.id + " " + step.units.length + " units to " + row.cells.get(step.to)
+        var step = row.findStep(mark.id);
+        var detail = service + " step " + step.id + " " + step.units.length + " units to " + row.cells.get(step.toCell)
                 + ": " + step.stateName() + ", " + step.cause + ", table version " + row.tableVersion;
         port.logEvent(
                 mark.state == Rows.Step.TAKEN_BACK || mark.state == Rows.Step.DROPPED
@@ -1015,8 +1015,8 @@
         var storeId = voterInZone(group.members(), service.zones.get(cell));
         return storeId == 0
                 || storeId == directory.self().storeId
-                || now - group.heardFrom(storeId) > REACHABLE_STORE_WINDOW_MICROS
-                || group.matchOf(storeId) >= index;
+                || now - group.lastHeardAt(storeId) > REACHABLE_STORE_WINDOW_MICROS
+                || group.matchIndexOf(storeId) >= index;
     }
 
     /** Transfers leadership to the preferred store once this leader has led for a while. */
@@ -1041,7 +1041,7 @@
 
     /** Transfers leadership to the best successor, if there is one. */
     private void transferLeadership(long now) {
-        if (!group.ready()) return;
+        if (!group.isReadyLeader()) return;
         var successor = membershipChanges.selectSuccessor(group.members(), now);
         if (successor != 0) group.transferLeadership(successor, now);
     }
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -1,8 +1,8 @@
 package craneway.control.store;
 
 import craneway.control.node.Port;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
 import craneway.state.message.Messages.Renewals;
 import craneway.state.message.Node;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
     private final Node self;
     private final Renewals request;
     private final long receivedAt;
-    private final List<RenewReply> collectedReplies = new ArrayList<>();
+    private final List<RenewalReply> collectedReplies = new ArrayList<>();
     private int outstandingReplies;
     private boolean timedOut;
 
@@ -36,9 +36,9 @@
      * Adds the reply of a part, without what the message as a whole already says, and sends if nothing else is to be
      * waited for.
      */
-    synchronized void add(RenewReply reply) {
+    synchronized void add(RenewalReply reply) {
         if (reply.incarnation == request.from.incarnation) reply.incarnation = 0;
-        reply.stamp = reply.grace = 0;
+        reply.sentAt = reply.graceMicros = 0;
         if (reply.kind == 0) reply.leader = null;
         collectedReplies.add(reply);
         outstandingReplies--;
@@ -58,11 +58,11 @@
     }
 
     private void send() {
-        var message = new RenewReplies();
-        message.stamp = request.stamp;
+        var message = new RenewalReplies();
+        message.sentAt = request.sentAt;
         message.incarnation = request.from.incarnation;
-        message.grace = request.from.grace;
-        if (request.leader != self.incarnation) message.leader = self;
+        message.graceMicros = request.from.graceMicros;
+        if (request.leaderIncarnation != self.incarnation) message.leader = self;
         message.parts.addAll(collectedReplies);
         collectedReplies.clear();
         port.send(request.from.peerAddress, message);
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -12,7 +12,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.DiskLostException;
 import craneway.state.disk.Folder;
-import craneway.state.disk.Seal;
+import craneway.state.disk.ChecksumEnvelope;
 import craneway.state.message.BadMessageException;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.CommandRequest;
@@ -20,12 +20,12 @@
 import craneway.state.message.Messages.Founding;
 import craneway.state.message.Messages.Hello;
 import craneway.state.message.Messages.Join;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Renew;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.Renewal;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
 import craneway.state.message.Messages.Renewals;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.part.Members;
 import craneway.state.part.PartMessage;
@@ -124,7 +124,7 @@
         this.seeds = seeds;
         this.random = random;
         self.storeId = loadOrCreateIdentity();
-        if (self.life != 0) self.incarnation = self.above(loadLastIncarnation());
+        if (self.sessionId != 0) self.incarnation = self.incarnationAbove(loadLastIncarnation());
         directory = new NodeDirectory(port, self, withKnownStores(seeds), rules.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
         membership = new Membership(port, directory, coreClient, rules.timing());
@@ -180,8 +180,8 @@
         var bytes = folder.read(IDENTITY_FILE);
         try {
             if (bytes != null)
-                return ByteBuffer.wrap(Seal.open(IDENTITY_FILE, bytes)).getLong();
-            if (!folder.names().stream().allMatch(name -> name.startsWith(LOST_FILE_PREFIX)))
+                return ByteBuffer.wrap(ChecksumEnvelope.unwrap(IDENTITY_FILE, bytes)).getLong();
+            if (!folder.fileNames().stream().allMatch(name -> name.startsWith(LOST_FILE_PREFIX)))
                 setAllFilesAside("the file with the identity of the store is missing");
         } catch (DiskLostException e) {
             setAllFilesAside(e.getMessage());
@@ -189,7 +189,7 @@
         var storeId = random.nextLong() >>> 1 | 1;
         folder.replace(
                 IDENTITY_FILE,
-                Seal.close(ByteBuffer.allocate(8).putLong(storeId).array()));
+                ChecksumEnvelope.wrap(ByteBuffer.allocate(8).putLong(storeId).array()));
         return storeId;
     }
 
@@ -199,7 +199,7 @@
         try {
             return bytes == null
                     ? 0
-                    : ByteBuffer.wrap(Seal.open(INCARNATION_FILE, bytes)).getLong();
+                    : ByteBuffer.wrap(ChecksumEnvelope.unwrap(INCARNATION_FILE, bytes)).getLong();
         } catch (DiskLostException e) {
             port.logEvent(Event.DISK_WRITE_FAILED, INCARNATION_FILE + ": " + e.getMessage());
             return 0;
@@ -210,7 +210,7 @@
         try {
             folder.replace(
                     INCARNATION_FILE,
-                    Seal.close(ByteBuffer.allocate(8).putLong(incarnation).array()));
+                    ChecksumEnvelope.wrap(ByteBuffer.allocate(8).putLong(incarnation).array()));
             savedIncarnation = incarnation;
         } catch (DiskException e) {
             port.logEvent(Event.DISK_WRITE_FAILED, INCARNATION_FILE + ": " + e.getMessage());
@@ -224,7 +224,7 @@
     private void setAllFilesAside(String cause) {
         port.logEvent(Event.DATA_DIRECTORY_DAMAGED, cause);
         if (folder.read(IDENTITY_FILE) != null) setAsideFile(IDENTITY_FILE);
-        for (var name : folder.names()) if (!name.startsWith(LOST_FILE_PREFIX)) setAsideFile(name);
+        for (var name : folder.fileNames()) if (!name.startsWith(LOST_FILE_PREFIX)) setAsideFile(name);
     }
 
     /** Renames a file; if one of that name was set aside before, the new one gets a number. */
@@ -253,7 +253,7 @@
         var bytes = folder.read(CORE_FILE);
         if (bytes == null) return;
         try {
-            startReplicas(Codec.read(Founding.class, Seal.open(CORE_FILE, bytes)));
+            startReplicas(Codec.decode(Founding.class, ChecksumEnvelope.unwrap(CORE_FILE, bytes)));
         } catch (DiskLostException | BadMessageException e) {
             setAllFilesAside(e.getMessage());
             directory.self().storeId = loadOrCreateIdentity();
@@ -266,8 +266,8 @@
     private void startReplicas(Founding founding) {
         var selfId = directory.self().storeId;
         directory.founding(founding, founding.coreId);
-        var initialMembers = founding.has(selfId) ? Members.of(founding.stores, founding.zones) : new Members();
-        initialMembers.generation = founding.has(selfId) ? founding.generation : 0;
+        var initialMembers = founding.hasStore(selfId) ? Members.of(founding.storeIds, founding.zones) : new Members();
+        initialMembers.coreGeneration = founding.hasStore(selfId) ? founding.generation : 0;
         var started = new PartReplica[Parts.COUNT];
         for (var part = 0; part < started.length; part++)
             started[part] = new PartReplica(
@@ -349,7 +349,7 @@
                 if (voter == directory.self().storeId || node != null && directory.wasHeardRecently(node.name, now))
                     reachableVoters++;
             }
-            if (replica.group().leaderHeard(now, LEADER_ALIVE_WINDOW_MICROS)
+            if (replica.group().hasLeaderContact(now, LEADER_ALIVE_WINDOW_MICROS)
                     || reachableVoters >= replica.group().members().majority()
                             && replica.group().members().voters.length > 1)
                 return Either.left(Problem.of(
@@ -372,13 +372,13 @@
                     "the state of this store changed after the rebuild was proposed; request a new proposal"));
         var self = directory.self();
         var founding = new Founding();
-        founding.origin = directory.founding().origin();
+        founding.originalCoreId = directory.founding().originalCoreId();
         founding.generation = directory.founding().generation + 1;
-        founding.coreId = Hash.of(Hash.of(founding.origin, founding.generation), self.storeId) | 1;
-        founding.stores = new long[] {self.storeId};
+        founding.coreId = Hash.of(Hash.of(founding.originalCoreId, founding.generation), self.storeId) | 1;
+        founding.storeIds = new long[] {self.storeId};
         founding.zones = new String[] {self.zone};
         closeReplicas();
-        folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
+        folder.replace(CORE_FILE, ChecksumEnvelope.wrap(Codec.encode(founding)));
         port.logEvent(
                 Event.CORE_REBUILT, "core " + Long.toHexString(founding.coreId) + " generation " + founding.generation);
         directory.followCore(founding);
@@ -485,16 +485,16 @@
     private static Founding newFounding(List<Node> stores, long digest) {
         var founding = new Founding();
         founding.coreId = digest;
-        founding.stores = stores.stream().mapToLong(store -> store.storeId).toArray();
+        founding.storeIds = stores.stream().mapToLong(store -> store.storeId).toArray();
         founding.zones = stores.stream().map(store -> store.zone).toArray(String[]::new);
         return founding;
     }
 
     /** Records the core on disk, as a founder or as a store that joins, and starts the replicas. */
     private void adoptCore(Founding founding) {
-        folder.replace(CORE_FILE, Seal.close(Codec.write(founding)));
+        folder.replace(CORE_FILE, ChecksumEnvelope.wrap(Codec.encode(founding)));
         port.logEvent(
-                founding.has(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
+                founding.hasStore(directory.self().storeId) ? Event.CORE_BOOTSTRAPPED : Event.JOINED_CORE,
                 "core " + Long.toHexString(founding.coreId));
         startReplicas(founding);
     }
@@ -503,19 +503,19 @@
     public void receive(Object message) {
         var now = port.now();
         if (message instanceof Hello hello) directory.receive(hello, now);
-        else if (message instanceof RenewReply reply) membership.receive(reply, now);
-        else if (message instanceof News news) membership.receive(news, now);
+        else if (message instanceof RenewalReply reply) membership.receive(reply, now);
+        else if (message instanceof TopicUpdate news) membership.receive(news, now);
         else if (message instanceof CommandResult result) coreClient.receive(result);
         else if (message instanceof PartMessage partMessage)
             withReplica(partMessage.part, replica -> replica.receive(partMessage));
         else if (message instanceof CommandRequest request) handleCommandRequest(request);
-        else if (message instanceof RenewReplies replies) membership.receive(replies, now);
+        else if (message instanceof RenewalReplies replies) membership.receive(replies, now);
         else if (message instanceof Renewals renewals) handleRenewals(renewals, now);
-        else if (message instanceof Renew renewal)
+        else if (message instanceof Renewal renewal)
             withReplica(
                     renewal.part,
                     replica -> replica.receive(renewal, reply -> port.send(renewal.from.peerAddress, reply)));
-        else if (message instanceof Subscribe subscription)
+        else if (message instanceof Subscription subscription)
             withReplica(Parts.partOf(subscription.topic), replica -> replica.receive(subscription));
         else if (message instanceof Join join) withReplica(join.part, replica -> replica.receive(join));
         else
@@ -532,7 +532,7 @@
         replyBatches.add(batch);
         for (var renewal : renewals.parts) {
             renewal.from = renewals.from;
-            renewal.stamp = renewals.stamp;
+            renewal.sentAt = renewals.sentAt;
             renewal.leaving = renewals.leaving;
             withReplica(renewal.part, replica -> replica.receive(renewal, batch::add));
         }
@@ -546,7 +546,7 @@
         }
         var result = Records.failure(ProblemKind.NOT_OWNER, "");
         result.id = request.id;
-        result.life = request.life;
+        result.sessionId = request.sessionId;
         port.send(request.from.peerAddress, result);
     }
 
--- a/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
+++ b/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
@@ -72,10 +72,10 @@
     private CommandResult resultFor(CommandRequest request, int kind, long term, long clock) {
         var result = new CommandResult();
         result.id = request.id;
-        result.life = request.life;
+        result.sessionId = request.sessionId;
         result.kind = kind;
-        result.term = term;
-        result.clock = clock;
+        result.leaderTerm = term;
+        result.leaderClock = clock;
         return result;
     }
 
@@ -91,13 +91,13 @@
     void sendsACommandOnceItKnowsTheLeadersClock() {
         sendZoneOrder();
         assertEquals(0, lastSent().body.length);
-        assertEquals(0, lastSent().term);
+        assertEquals(0, lastSent().leaderTerm);
         now += 70_000;
         coreClient.receive(resultFor(lastSent(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000));
         assertEquals(2, sent.size());
         assertTrue(lastSent().body.length > 0);
-        assertEquals(3, lastSent().term);
-        assertEquals(9_000_000 + TIMEOUT_MICROS - 70_000, lastSent().bound);
+        assertEquals(3, lastSent().leaderTerm);
+        assertEquals(9_000_000 + TIMEOUT_MICROS - 70_000, lastSent().leaderDeadline);
         assertTrue(results.isEmpty());
     }
 
@@ -106,7 +106,7 @@
         learnLeaderClock(3, 9_000_000);
         now += 1_000_000;
         sendZoneOrder();
-        var bound = lastSent().bound;
+        var bound = lastSent().leaderDeadline;
         assertEquals(9_000_000 + 1_000_000 + TIMEOUT_MICROS, bound);
         now += 400_000;
         coreClient.tick(now);
@@ -117,8 +117,8 @@
         assertTrue(sent.size() >= 3);
         for (var copy : sent) {
             assertEquals(sent.get(0).id, copy.id);
-            assertEquals(LIFE, copy.life);
-            assertEquals(bound, copy.bound);
+            assertEquals(LIFE, copy.sessionId);
+            assertEquals(bound, copy.leaderDeadline);
         }
     }
 
@@ -132,7 +132,7 @@
             now += delay;
             coreClient.receive(resultFor(lastSent(), 0, 3, clockReading));
             sendZoneOrder();
-            assertTrue(lastSent().bound <= 9_000_000 + now + TIMEOUT_MICROS - 50_000_000, "after " + requestedAt);
+            assertTrue(lastSent().leaderDeadline <= 9_000_000 + now + TIMEOUT_MICROS - 50_000_000, "after " + requestedAt);
             coreClient.receive(resultFor(lastSent(), 0, 0, 0));
         }
     }
@@ -161,17 +161,17 @@
     void sendsAQueryAtOnceAndWithoutABound() {
         coreClient.request(0, new Queries.ManifestGet(), TIMEOUT_MICROS, results::add);
         assertTrue(lastSent().body.length > 0);
-        assertEquals(0, lastSent().term);
+        assertEquals(0, lastSent().leaderTerm);
     }
 
     @Test
     void sendsAnUnboundCommandAtOnceToALeaderThatCannotTellItsClock() {
         var oldLeader = new Node("s2", Node.STORE, "z2", "s2", 1);
-        oldLeader.fenced = false;
+        oldLeader.supportsIdentifiedCommands = false;
         coreClient.leader(0, oldLeader);
         sendZoneOrder();
         assertTrue(lastSent().body.length > 0);
-        assertEquals(0, lastSent().bound);
+        assertEquals(0, lastSent().leaderDeadline);
         var result = new CommandResult();
         result.id = lastSent().id;
         coreClient.receive(result);
@@ -194,11 +194,11 @@
         learnLeaderClock(3, 9_000_000);
         sendZoneOrder();
         var result = resultFor(lastSent(), 0, 3, 9_000_000);
-        result.life = LIFE + 1;
+        result.sessionId = LIFE + 1;
         coreClient.receive(result);
         assertTrue(results.isEmpty());
         assertEquals(List.of(Event.STALE_REPLY), events);
-        result.life = LIFE;
+        result.sessionId = LIFE;
         coreClient.receive(result);
         assertEquals(1, results.size());
     }
@@ -221,10 +221,10 @@
         sendZoneOrder();
         var second = lastSent();
         assertEquals(first.id + 1, second.id);
-        assertEquals(first.id, second.lowest);
+        assertEquals(first.id, second.lowestPending);
         coreClient.receive(resultFor(first, 0, 3, 9_000_000));
         sendZoneOrder();
-        assertEquals(second.id, lastSent().lowest);
+        assertEquals(second.id, lastSent().lowestPending);
     }
 
     @Test
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -30,10 +30,10 @@
     private static CommandRequest command(long life, long term, long bound) {
         var request = new CommandRequest();
         request.id = 12;
-        request.lowest = 11;
-        request.life = life;
-        request.term = term;
-        request.bound = bound;
+        request.lowestPending = 11;
+        request.sessionId = life;
+        request.leaderTerm = term;
+        request.leaderDeadline = bound;
         return request;
     }
 
@@ -94,13 +94,13 @@
     void wrapsACommandWithItsIdentityUnlessItHasItsOwn() {
         var body = new byte[] {1, 2, 3};
         var fenced = assertInstanceOf(
-                Commands.Fenced.class,
+                Commands.IdentifiedCommand.class,
                 CommandFence.withIdentity(command(LIFE, TERM, NOW_MICROS), new Commands.ZoneMark(), body));
-        assertEquals(LIFE, fenced.life);
+        assertEquals(LIFE, fenced.sessionId);
         assertEquals(12, fenced.sequence);
-        assertEquals(11, fenced.lowest);
+        assertEquals(11, fenced.lowestPending);
         assertSame(body, fenced.body);
-        var claim = new Commands.Claim();
+        var claim = new Commands.ClaimTake();
         assertSame(claim, CommandFence.withIdentity(command(LIFE, TERM, NOW_MICROS), claim, body));
         var unidentified = new Commands.ZoneMark();
         assertSame(unidentified, CommandFence.withIdentity(command(0, 0, 0), unidentified, body));
--- a/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
+++ b/lib/control/src/test/java/craneway/control/store/MembershipChangesTest.java
@@ -88,10 +88,10 @@
     void removesALearnerThatIsSilentOrLeaves() {
         var members = threeVoters.without(3).withLearner(4, "c");
         changes.announceLeave(4, SOON_MICROS);
-        assertEquals(0, next(members).learner);
+        assertEquals(0, next(members).learnerId);
         changes.requestJoin(4, "c", SOON_MICROS);
         stores.heardAt.put(4L, LONG_AGO_MICROS);
-        assertEquals(0, next(members).learner);
+        assertEquals(0, next(members).learnerId);
     }
 
     @Test
@@ -100,7 +100,7 @@
         changes.announceLeave(2, SOON_MICROS);
         assertFalse(changes.mayLeave(2, threeVoters, LONG_AGO_MICROS, NOW_MICROS));
         var withLearner = next(threeVoters);
-        assertEquals(4, withLearner.learner);
+        assertEquals(4, withLearner.learnerId);
         assertTrue(withLearner.isVoter(2));
         assertFalse(changes.mayLeave(2, withLearner, LONG_AGO_MICROS, NOW_MICROS));
         var fourVoters = next(withLearner);
--- a/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
@@ -70,7 +70,7 @@
     }
 
     private boolean allowed(Route route, RunnerView r) {
-        return r.row.up()
+        return r.row.isUp()
                 && !r.stale
                 && !pool.isZoneEmptied(r.zone)
                 && (route.allowedRegions().isEmpty() || route.allowedRegions().contains(r.region));
@@ -99,7 +99,7 @@
 
     private static String zoneOf(Rows.Service s, int set, Prompt p) {
         var unit = set * Units.SLICE_COUNT + p.unitSlice();
-        var cell = unit < s.homes.length ? s.homes[unit] : PlacementTable.NOWHERE;
+        var cell = unit < s.homeCells.length ? s.homeCells[unit] : PlacementTable.NOWHERE;
         return cell == PlacementTable.NOWHERE ? null : s.zones.get(cell);
     }
 
--- a/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
@@ -73,7 +73,7 @@
             var bound = view.manifest().routes().regionSetsOf(service);
             var zones = new HashMap<String, List<RunnerView>>();
             for (var r : all)
-                if (r.row.up())
+                if (r.row.isUp())
                     zones.computeIfAbsent(r.zone, k -> new ArrayList<>()).add(r);
             zones.forEach((zone, list) ->
                     assignRunnerRoles(list, bound, readings.computeIfAbsent(service + "/" + zone, k -> new Reading()), now));
--- a/lib/data/src/main/java/craneway/data/request/RequestDecider.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestDecider.java
@@ -45,7 +45,7 @@
         if (work.runOnce() && t.idempotencyKey().isEmpty()) return decline(ProblemKind.RUN_ONCE_WITHOUT_KEY);
         if (t.body().length > service.maxBodyBytes()) return decline(ProblemKind.TOO_LARGE);
         var row = v.services().get(t.service());
-        if (row == null || row.homes.length == 0) return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
+        if (row == null || row.homeCells.length == 0) return new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER));
         return placed(v, t, service, row, work.runOnce(), avoided, closedSince, now);
     }
 
@@ -61,7 +61,7 @@
         var set = regionSet(v, t, row);
         if (set == 0) return decline(ProblemKind.NO_HOME_REGION);
         var unit = Units.unitOf(set, t.tenant());
-        var home = row.homes[unit];
+        var home = row.homeCells[unit];
         if (home == PlacementTable.NOWHERE)
             return elsewhere(v, row, unit)
                     ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
@@ -137,7 +137,7 @@
         var cell = row.cells.get(home);
         var able = new ArrayList<Rows.Runner>();
         for (var r : row.runners.values())
-            if (r.up()
+            if (r.isUp()
                     && r.cell.equals(cell)
                     && !avoided.contains(r.name)
                     && loads.isUsable(r, now)
@@ -160,7 +160,7 @@
     public boolean mayStillServe(CoreView v, Request t, Rows.Runner r, Map<String, Long> closedSince, long now) {
         var row = v.services().get(t.service());
         var known = row == null ? null : row.runners.get(r.name);
-        if (known == null || !known.up() || known.incarnation != r.incarnation || !loads.isUsable(known, now))
+        if (known == null || !known.isUp() || known.incarnation != r.incarnation || !loads.isUsable(known, now))
             return false;
         if (closed(row, row.cells.indexOf(known.cell), v, closedSince, now)) return false;
         if (v.hasLease(Parts.partOf(t.service()), now) && v.hasLease(Parts.MANIFEST_PART, now)) return true;
@@ -172,17 +172,17 @@
 
     private static boolean comes(CoreView v, Rows.Service row, int home, int unit, Set<String> avoided) {
         var here = row.cells.get(home);
-        for (var r : row.runners.values()) if (r.up() && r.cell.equals(here) && !avoided.contains(r.name)) return true;
-        return row.runnersUp(home) == 0 && elsewhere(v, row, unit);
+        for (var r : row.runners.values()) if (r.isUp() && r.cell.equals(here) && !avoided.contains(r.name)) return true;
+        return row.countRunnersUp(home) == 0 && elsewhere(v, row, unit);
     }
 
     private static boolean elsewhere(CoreView v, Rows.Service row, int unit) {
         var closed = UnitMover.closedCells(row, v.manifestRow().marks);
         for (var c = 0; c < row.cells.size(); c++) {
-            var allowed = row.live(c)
+            var allowed = row.hasWeight(c)
                     && !closed.get(c)
                     && Units.containsRegion(Units.regionSetOf(unit), row.regions.indexOf(row.cellRegions.get(c)));
-            if (allowed && row.runnersUp(c) > 0) return true;
+            if (allowed && row.countRunnersUp(c) > 0) return true;
         }
         return false;
     }
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -202,19 +202,19 @@
     }
 
     private void meteredBy(RequestState c, CommandResult v) {
-        if (v.kind == 0) quotas.add(c.t.service() + "/" + c.t.tenant(), (int) v.version, port.now() + v.retryAfter);
+        if (v.kind == 0) quotas.add(c.t.service() + "/" + c.t.tenant(), (int) v.version, port.now() + v.retryAfterMicros);
         synchronized (c) {
             if (c.state != RequestPhase.CLAIMING) return;
             if (v.kind == 0) decide(c);
             else if (v.kind == ProblemKind.QUOTA_SPENT.code())
-                end(c, Problem.of(ProblemKind.QUOTA_SPENT, v.detail, v.retryAfter));
+                end(c, Problem.of(ProblemKind.QUOTA_SPENT, v.detail, v.retryAfterMicros));
             else notAsked(c, ProblemKind.of(v.kind), v);
         }
     }
 
     private void claim(RequestState c, Decision.Serve s) {
         if (!c.move(RequestPhase.CLAIMING)) return;
-        var x = new Commands.Claim();
+        var x = new Commands.ClaimTake();
         x.service = c.t.service();
         x.key = key(c.t);
         x.unit = s.unit();
@@ -234,7 +234,7 @@
         if (!c.move(RequestPhase.CLAIMING)) return;
         coreClient.request(
                 Parts.partOf(c.t.service()),
-                finish(c, Rows.Claim.FREED),
+                finish(c, Rows.Claim.RELEASED),
                 Math.min(CLAIM_PATIENCE, Math.max(LEAST, left(c, port.now()))),
                 v -> {
                     synchronized (c) {
@@ -246,8 +246,8 @@
                 });
     }
 
-    private Commands.Finish finish(RequestState c, int state) {
-        var x = new Commands.Finish();
+    private Commands.ClaimFinish finish(RequestState c, int state) {
+        var x = new Commands.ClaimFinish();
         x.service = c.t.service();
         x.key = key(c.t);
         x.holder = directory.self().name;
@@ -266,7 +266,7 @@
         synchronized (c) {
             if (v.kind == 0) c.claimed = true;
             if (c.state != RequestPhase.CLAIMING) {
-                giveBack(c, Rows.Claim.FREED);
+                giveBack(c, Rows.Claim.RELEASED);
                 return;
             }
             if (v.kind == 0) decide(c);
@@ -300,7 +300,7 @@
         var p = c.started && given.kind().workOutcome() == WorkOutcome.DECLINED
                 ? Problem.of(ProblemKind.RUN_BROKEN, "an earlier try broke off; then: " + given.detail())
                 : given;
-        giveBack(c, p.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.FREED : Rows.Claim.UNKNOWN);
+        giveBack(c, p.kind().workOutcome() == WorkOutcome.DECLINED ? Rows.Claim.RELEASED : Rows.Claim.UNKNOWN);
         requests.remove(c.t.id());
         counters.countProblem(p.kind());
         used(c, p.kind().name().toLowerCase());
@@ -478,7 +478,7 @@
                     || c.state == RequestPhase.FORWARDED;
             if (!c.move(RequestPhase.ENDED)) return;
             used(c, "gone");
-            giveBack(c, ran ? Rows.Claim.UNKNOWN : Rows.Claim.FREED);
+            giveBack(c, ran ? Rows.Claim.UNKNOWN : Rows.Claim.RELEASED);
             leaveRunner(c);
             requests.remove(id);
             c.line.cutStream(Problem.of(ProblemKind.RUN_BROKEN, "the requester went away"));
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -13,12 +13,12 @@
 import craneway.state.message.Commands;
 import craneway.state.message.Messages.CommandResult;
 import craneway.state.message.Messages.Hello;
-import craneway.state.message.Messages.News;
-import craneway.state.message.Messages.Reading;
-import craneway.state.message.Messages.RenewReplies;
-import craneway.state.message.Messages.RenewReply;
-import craneway.state.message.Messages.Silence;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.TopicUpdate;
+import craneway.state.message.Messages.PrefillNotice;
+import craneway.state.message.Messages.RenewalReplies;
+import craneway.state.message.Messages.RenewalReply;
+import craneway.state.message.Messages.SilenceNotice;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.List;
@@ -34,8 +34,8 @@
     private final Membership membership;
     private final RunnerLoads runnerLoads = new RunnerLoads();
     private final RequestExecutor requestExecutor;
-    private volatile Consumer<Reading> reading = r -> {};
-    private volatile Consumer<Silence> silence = s -> {};
+    private volatile Consumer<PrefillNotice> reading = r -> {};
+    private volatile Consumer<SilenceNotice> silence = s -> {};
 
     public Router(Port port, Node self, List<String> seeds, Random random) {
         this(port, self, seeds, TimingProfile.STANDARD, random);
@@ -71,12 +71,12 @@
     }
 
     /** Who hears what other routers gave runners to read. */
-    public void setPrefillListener(Consumer<Reading> then) {
+    public void setPrefillListener(Consumer<PrefillNotice> then) {
         reading = then;
     }
 
     /** Who hears which runners other routers find silent. */
-    public void setSilenceListener(Consumer<Silence> then) {
+    public void setSilenceListener(Consumer<SilenceNotice> then) {
         silence = then;
     }
 
@@ -108,13 +108,13 @@
     public void receive(Object m) {
         var now = port.now();
         if (m instanceof Hello h) greeted(h, now);
-        else if (m instanceof RenewReplies v) membership.receive(v, now);
-        else if (m instanceof RenewReply v) membership.receive(v, now);
-        else if (m instanceof Subscribe s) membership.receive(s, now);
-        else if (m instanceof News n) membership.receive(n, now);
+        else if (m instanceof RenewalReplies v) membership.receive(v, now);
+        else if (m instanceof RenewalReply v) membership.receive(v, now);
+        else if (m instanceof Subscription s) membership.receive(s, now);
+        else if (m instanceof TopicUpdate n) membership.receive(n, now);
         else if (m instanceof CommandResult v) coreClient.receive(v);
-        else if (m instanceof Reading r) reading.accept(r);
-        else if (m instanceof Silence s) silence.accept(s);
+        else if (m instanceof PrefillNotice r) reading.accept(r);
+        else if (m instanceof SilenceNotice s) silence.accept(s);
         else
             port.logEvent(Event.BAD_MESSAGE, "a router takes no " + m.getClass().getSimpleName());
     }
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -1,18 +1,18 @@
 package craneway.data.runner;
 
 import craneway.model.unit.Parts;
-import craneway.state.message.Messages.Signal;
+import craneway.state.message.Messages.CellSignal;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 public final class CellSignals {
-    private final Map<String, Signal> cells = new HashMap<>();
+    private final Map<String, CellSignal> cells = new HashMap<>();
 
-    private Signal of(String service, String cell) {
+    private CellSignal of(String service, String cell) {
         return cells.computeIfAbsent(service + "/" + cell, k -> {
-            var s = new Signal();
+            var s = new CellSignal();
             s.service = service;
             s.cell = cell;
             return s;
@@ -21,16 +21,16 @@
 
     public synchronized void recordFirstData(String service, String cell, long micros) {
         var s = of(service, cell);
-        s.runs++;
-        s.firstMicros += micros;
+        s.startedAnswers++;
+        s.firstTokenMicros += micros;
     }
 
     public synchronized void recordProblem(String service, String cell) {
-        of(service, cell).problems++;
+        of(service, cell).failures++;
     }
 
-    public synchronized List<Signal> drain(int part) {
-        var all = new ArrayList<Signal>();
+    public synchronized List<CellSignal> drain(int part) {
+        var all = new ArrayList<CellSignal>();
         cells.values().removeIf(s -> Parts.partOf(s.service) == part && all.add(s));
         return all;
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -12,8 +12,8 @@
 import craneway.model.manifest.Manifest.Limits;
 import craneway.model.manifest.Route;
 import craneway.model.node.NodeSettings;
-import craneway.state.message.Messages.Reading;
-import craneway.state.message.Messages.Silence;
+import craneway.state.message.Messages.PrefillNotice;
+import craneway.state.message.Messages.SilenceNotice;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
@@ -214,27 +214,27 @@
     /** Tells the routers that use the selected runner which tokens it has to prefill, unless they are few. */
     void announceReading(RunnerPlacer.Placement choice, Prompt prompt) {
         if (choice.prefillTokens() < MIN_ANNOUNCED_TOKENS) return;
-        var message = new Reading();
+        var message = new PrefillNotice();
         message.runner = choice.runner().id();
-        message.tokens = choice.prefillTokens();
-        message.parts = prompt.sharedPartIds();
-        message.sizes = prompt.sharedPartTokens();
+        message.prefillTokens = choice.prefillTokens();
+        message.sharedPartIds = prompt.sharedPartIds();
+        message.sharedPartTokens = prompt.sharedPartTokens();
         for (var address : pool.peerRouterAddresses(nodeSettings.name(), choice.runner().region, nodeSettings.region()))
             peerSender.accept(address, message);
     }
 
-    private void applyReading(Reading message, long receivedAt) {
+    private void applyReading(PrefillNotice message, long receivedAt) {
         var runner = pool.findRunner(message.runner);
-        if (runner == null || message.tokens <= 0) return;
-        pool.recordPrefill(runner, message.tokens, receivedAt);
-        runner.recordCachedParts(message.parts, message.sizes);
+        if (runner == null || message.prefillTokens <= 0) return;
+        pool.recordPrefill(runner, message.prefillTokens, receivedAt);
+        runner.recordCachedParts(message.sharedPartIds, message.sharedPartTokens);
     }
 
     /** Marks a runner as suspected and, if it was not yet, tells the other routers to avoid it. */
     void reportSilent(RunnerView runner) {
         var reportTime = now();
         if (!runner.isSuspected(reportTime)) {
-            var message = new Silence();
+            var message = new SilenceNotice();
             message.runner = runner.id();
             for (var address : pool.peerRouterAddresses(nodeSettings.name(), runner.region, nodeSettings.region()))
                 peerSender.accept(address, message);
@@ -242,7 +242,7 @@
         runner.markSuspected(reportTime);
     }
 
-    private void applySilence(Silence message, long receivedAt) {
+    private void applySilence(SilenceNotice message, long receivedAt) {
         var runner = pool.findRunner(message.runner);
         if (runner != null && receivedAt - runner.lastHeardAt() > RECENT_RESPONSE_MICROS) runner.markSuspected(receivedAt);
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyServer.java
@@ -3,8 +3,8 @@
 import craneway.control.node.Membership.CoreView;
 import craneway.model.event.EventSink;
 import craneway.model.node.NodeSettings;
-import craneway.state.message.Messages.Reading;
-import craneway.state.message.Messages.Silence;
+import craneway.state.message.Messages.PrefillNotice;
+import craneway.state.message.Messages.SilenceNotice;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.server.HttpHandler;
@@ -101,12 +101,12 @@
     }
 
     /** Receives another router's report that a runner is silent. */
-    public void receiveNotice(Silence notice) {
+    public void receiveNotice(SilenceNotice notice) {
         context.notices().add(notice);
     }
 
     /** Receives another router's report of the tokens that it gave a runner to prefill. */
-    public void receiveNotice(Reading notice) {
+    public void receiveNotice(PrefillNotice notice) {
         context.notices().add(notice);
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerNoticeQueue.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerNoticeQueue.java
@@ -1,7 +1,7 @@
 package craneway.gateway.proxy;
 
-import craneway.state.message.Messages.Reading;
-import craneway.state.message.Messages.Silence;
+import craneway.state.message.Messages.PrefillNotice;
+import craneway.state.message.Messages.SilenceNotice;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongSupplier;
@@ -17,7 +17,7 @@
         void handle(T notice, long receivedAt);
     }
 
-    private record Notice(Reading reading, Silence silence, long receivedAt) {}
+    private record Notice(PrefillNotice reading, SilenceNotice silence, long receivedAt) {}
 
     /** A router that cannot keep up drops the newest notices, since each is only a hint. */
     private static final int MAX_QUEUED_NOTICES = 4_096;
@@ -31,12 +31,12 @@
     }
 
     /** Adds a notice that a runner was given tokens to prefill. */
-    void add(Reading reading) {
+    void add(PrefillNotice reading) {
         add(new Notice(reading, null, clock.getAsLong()));
     }
 
     /** Adds a notice that a runner is silent. */
-    void add(Silence silence) {
+    void add(SilenceNotice silence) {
         add(new Notice(null, silence, clock.getAsLong()));
     }
 
@@ -46,7 +46,7 @@
     }
 
     /** Removes all queued notices and passes them to the handlers in the order of their arrival. */
-    void drain(Handler<Reading> readingHandler, Handler<Silence> silenceHandler) {
+    void drain(Handler<PrefillNotice> readingHandler, Handler<SilenceNotice> silenceHandler) {
         for (var notice = queue.poll(); notice != null; notice = queue.poll()) {
             size.decrementAndGet();
             if (notice.reading != null) readingHandler.handle(notice.reading, notice.receivedAt);
--- a/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
+++ b/lib/gateway/src/main/java/craneway/gateway/runner/RunnerHandler.java
@@ -114,7 +114,7 @@
             if (result.kind == 0) JsonResponses.sendJson(exchange, "{\"acknowledged\":true}");
             else
                 JsonResponses.sendProblem(
-                        exchange, new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfter));
+                        exchange, new Problem(ProblemKind.of(result.kind), result.detail, result.retryAfterMicros));
         };
     }
 }
--- a/lib/gateway/src/test/java/craneway/gateway/proxy/RunnerNoticeQueueTest.java
+++ b/lib/gateway/src/test/java/craneway/gateway/proxy/RunnerNoticeQueueTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import craneway.state.message.Messages.Reading;
-import craneway.state.message.Messages.Silence;
+import craneway.state.message.Messages.PrefillNotice;
+import craneway.state.message.Messages.SilenceNotice;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
@@ -20,19 +20,19 @@
 
     private void drain() {
         queue.drain(
-                (reading, receivedAt) -> drained.add(reading.runner + " " + reading.tokens + " at " + receivedAt),
+                (reading, receivedAt) -> drained.add(reading.runner + " " + reading.prefillTokens + " at " + receivedAt),
                 (silence, receivedAt) -> drained.add(silence.runner + " silent at " + receivedAt));
     }
 
     private void addReading(String runner, int tokens) {
-        var reading = new Reading();
+        var reading = new PrefillNotice();
         reading.runner = runner;
-        reading.tokens = tokens;
+        reading.prefillTokens = tokens;
         queue.add(reading);
     }
 
     private void addSilence(String runner) {
-        var silence = new Silence();
+        var silence = new SilenceNotice();
         silence.runner = runner;
         queue.add(silence);
     }
--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -3,7 +3,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.Folder;
 import craneway.state.disk.SegmentLog;
-import craneway.state.disk.UnknownFormat;
+import craneway.state.disk.UnknownFormatException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -71,7 +71,7 @@
     private void refuseNewerFormat(Path root) {
         try {
             SegmentLog.checkFormats(this);
-        } catch (UnknownFormat e) {
+        } catch (UnknownFormatException e) {
             release();
             throw new BadStartupException(List.of("data folder " + root + ": " + e.getMessage()));
         }
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return guard(() -> directory.names().stream()
                 .filter(n -> !n.endsWith(TEMPORARY) && !n.equals(LOCK))
                 .sorted()
--- a/lib/process/src/main/java/craneway/process/Metrics.java
+++ b/lib/process/src/main/java/craneway/process/Metrics.java
@@ -42,7 +42,7 @@
         var applied = new TreeMap<String, Long>();
         for (var k : s.replicas()) {
             owned.put(Integer.toString(k.group().part()), k.isLeader() ? 1L : 0L);
-            applied.put(Integer.toString(k.group().part()), k.group().applied());
+            applied.put(Integer.toString(k.group().part()), k.group().appliedIndex());
         }
         return new MetricsText()
                 .gauge("manifest_version", MANIFEST, s.membership().view().manifestRow().version)
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -26,7 +26,7 @@
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO, THREADS, TICKS, wire);
         var self =
-                Node.started(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+                Node.ofNewProcess(node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
         router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         wire.start(router.directory()::hasSameOrigin, router::receive);
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -46,7 +46,7 @@
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
         host = new Host(log, IO, THREADS, TICKS, wire);
         var self =
-                Node.started(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
+                Node.ofNewProcess(node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
                 new Near(node.peerAddress()), disk, self, node.seedAddresses(), rules(node), new SecureRandom());
         wire.start(store.directory()::hasSameOrigin, store::receive);
@@ -112,8 +112,8 @@
                 host.send(address, message);
                 return;
             }
-            var b = Codec.writeTagged(message);
-            host.worker().execute(() -> store.receive(Codec.readTagged(b)));
+            var b = Codec.encodeTagged(message);
+            host.worker().execute(() -> store.receive(Codec.decodeTagged(b)));
         }
 
         @Override
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -29,7 +29,7 @@
 
     public RouterProcess(Startup s, EventLog log) {
         host = new Host(log, THREADS, () -> core());
-        var self = Node.started(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
+        var self = Node.ofNewProcess(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
         router = new Router(host, self, s.seeds, new SecureRandom());
         operator = new OperatorCommands(host, router.coreClient());
         var forwarded = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -27,7 +27,7 @@
     public StoreProcess(Startup s, EventLog log) {
         disk = new DiskFolder(s.data);
         host = new Host(log, THREADS, () -> core());
-        var self = Node.started(s.name, Node.STORE, s.zone, s.peerAddress, new SecureRandom().nextLong());
+        var self = Node.ofNewProcess(s.name, Node.STORE, s.zone, s.peerAddress, new SecureRandom().nextLong());
         store = new Store(host, disk, self, s.seeds, s.stores, new SecureRandom());
         var operator = new OperatorCommands(host, store.coreClient());
         host.listen(
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -10,7 +10,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.Folder;
 import craneway.state.disk.SegmentLog;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -74,7 +74,7 @@
             var is = after.read("f");
             if (ended || is[0] == 2) assertArrayEquals(NEW, is);
             else assertArrayEquals(OLD, is);
-            assertEquals(List.of("f"), after.names());
+            assertEquals(List.of("f"), after.fileNames());
         });
     }
 
@@ -99,7 +99,7 @@
         everyCrash(holding("f", OLD), f -> f.rename("f", "g"), (after, ended) -> {
             var g = after.read("g");
             assertArrayEquals(OLD, g == null ? after.read("f") : g);
-            if (ended) assertEquals(List.of("g"), after.names());
+            if (ended) assertEquals(List.of("g"), after.fileNames());
         });
     }
 
@@ -151,7 +151,7 @@
             var f = on(d);
             failAt(d, step);
             var e = assertThrows(DiskException.class, () -> f.replace("f", NEW));
-            assertTrue(e.full());
+            assertTrue(e.isDiskFull());
             assertArrayEquals(OLD, f.read("f"));
             assertEquals(List.of("f"), d.names());
         }
@@ -163,7 +163,7 @@
         Files.write(root.resolve("core"), OLD);
         var f = new DiskFolder(root);
         assertFalse(Files.exists(root.resolve("p0.image.9.tmp")));
-        assertEquals(List.of("core"), f.names());
+        assertEquals(List.of("core"), f.fileNames());
         f.release();
     }
 
@@ -212,7 +212,7 @@
         assertNull(again.read("b"));
         again.delete("m");
         again.delete("m");
-        assertEquals(List.of("a", "c"), again.names());
+        assertEquals(List.of("a", "c"), again.fileNames());
         assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
         again.release();
     }
@@ -255,10 +255,10 @@
             var log = new SegmentLog(folder, "p0.", 1);
             for (var i = 1L; i <= 4; i++) {
                 log.saveTermAndVote(i, 2);
-                log.append(new Entry(i, i, Entry.COMMAND, new byte[(int) i * 5]));
+                log.append(new LogEntry(i, i, LogEntry.COMMAND, new byte[(int) i * 5]));
                 log.sync();
                 acknowledged.add(i);
-                if (i == 2) log.install(image(1));
+                if (i == 2) log.installSnapshot(image(1));
             }
             return true;
         } catch (FakeDirectory.Crash e) {
@@ -276,8 +276,8 @@
 
     private static void holds(FakeDirectory d, List<Long> acknowledged) {
         var log = new SegmentLog(on(d), "p0.", 1);
-        assertTrue(log.last() >= acknowledged.size(), log.last() + " of " + acknowledged);
-        assertTrue(log.term() >= acknowledged.size());
-        for (var i = log.first(); i <= log.last(); i++) assertEquals(i, log.at(i).term);
+        assertTrue(log.lastIndex() >= acknowledged.size(), log.lastIndex() + " of " + acknowledged);
+        assertTrue(log.currentTerm() >= acknowledged.size());
+        for (var i = log.firstIndex(); i <= log.lastIndex(); i++) assertEquals(i, log.entryAt(i).term);
     }
 }
--- a/lib/state/src/main/java/craneway/state/disk/Folder.java
+++ b/lib/state/src/main/java/craneway/state/disk/Folder.java
@@ -6,7 +6,7 @@
 /** The files of one store. Every method may throw a {@link DiskException}. */
 public interface Folder {
     /** The names of all files, sorted. */
-    List<String> names();
+    List<String> fileNames();
 
     /** The bytes of a file, or null if there is none. */
     byte[] read(String name);
--- a/lib/state/src/main/java/craneway/state/disk/PartFiles.java
+++ b/lib/state/src/main/java/craneway/state/disk/PartFiles.java
@@ -28,7 +28,7 @@
 
     /** The numbers of all segments, from the lowest. */
     List<Integer> segments() {
-        return folder.names().stream()
+        return folder.fileNames().stream()
                 .filter(n -> n.matches("\\Q" + prefix + SEGMENT + "\\E\\d+"))
                 .map(n -> Integer.parseInt(n.substring(n.lastIndexOf('.') + 1)))
                 .sorted()
@@ -42,7 +42,7 @@
         var newest = all.isEmpty() ? 0 : all.get(all.size() - 1);
         if (mark != null && mark.segment() > newest) throw new DiskLostException(segment(mark.segment()) + ": missing");
         if (newest > 0) return new SegmentReader(segment(newest), newest, folder.read(segment(newest)), mark).read();
-        if (folder.names().stream().anyMatch(n -> n.startsWith(prefix + SNAPSHOT)))
+        if (folder.fileNames().stream().anyMatch(n -> n.startsWith(prefix + SNAPSHOT)))
             throw new DiskLostException(prefix + SEGMENT + ": missing beside a snapshot");
         return null;
     }
@@ -57,13 +57,13 @@
     }
 
     void write(Snapshot i) {
-        folder.replace(snapshot(i.index), Seal.close(Codec.write(i)));
+        folder.replace(snapshot(i.index), ChecksumEnvelope.wrap(Codec.encode(i)));
     }
 
     Snapshot read(long index, long term) {
         var b = folder.read(snapshot(index));
         if (b == null) throw new DiskLostException(snapshot(index) + ": missing");
-        var i = Codec.read(Snapshot.class, Seal.open(snapshot(index), b));
+        var i = Codec.decode(Snapshot.class, ChecksumEnvelope.unwrap(snapshot(index), b));
         if (i.index != index || i.term != term)
             throw new DiskLostException(snapshot(index) + ": of another index or term");
         return i;
@@ -71,7 +71,7 @@
 
     /** Removes all segments and snapshots but those named; what cannot be removed is left to the next time. */
     void removeBut(int segment, long snapshotIndex) {
-        for (var n : folder.names()) {
+        for (var n : folder.fileNames()) {
             var old = n.startsWith(prefix + SEGMENT) && !n.equals(segment(segment));
             var unused = n.startsWith(prefix + SNAPSHOT) && !n.equals(snapshot(snapshotIndex));
             if (old || unused) remove(n);
--- a/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentHeader.java
@@ -41,7 +41,7 @@
         if (b.getInt() != MAGIC) return 1;
         var format = b.getInt();
         if (b.getInt() != ~format) throw new DiskLostException(name + ": its header is damaged");
-        if (format != FORMAT) throw new UnknownFormat(name, format);
+        if (format != FORMAT) throw new UnknownFormatException(name, format);
         return format;
     }
 
--- a/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
+++ b/lib/state/src/main/java/craneway/state/disk/SegmentLog.java
@@ -1,6 +1,6 @@
 package craneway.state.disk;
 
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,16 +19,16 @@
     private final Folder folder;
     private final PartFiles files;
     private final int core;
-    private final List<Entry> entries = new ArrayList<>();
+    private final List<LogEntry> entries = new ArrayList<>();
     private Snapshot snapshot;
-    private long term;
-    private long vote;
+    private long currentTerm;
+    private long votedFor;
     private int segment;
     private long nonce;
     private RecordCodec codec;
     private int size;
     private int synced;
-    private boolean dirty;
+    private boolean isDirty;
     private DiskException failure;
 
     /**
@@ -47,9 +47,9 @@
         }
     }
 
-    /** Throws {@link UnknownFormat} if any segment of a folder is of a newer format; nothing is written. */
+    /** Throws {@link UnknownFormatException} if any segment of a folder is of a newer format; nothing is written. */
     public static void checkFormats(Folder folder) {
-        for (var n : folder.names()) {
+        for (var n : folder.fileNames()) {
             if (!n.matches("p\\d+\\.log\\.\\d+")) continue;
             var head = folder.readHead(n, SegmentHeader.FORMAT_SIZE);
             if (head != null && head.length == SegmentHeader.FORMAT_SIZE) formatOrDamage(n, head);
@@ -65,13 +65,13 @@
     }
 
     /** The newest term known. */
-    public long term() {
-        return term;
+    public long currentTerm() {
+        return currentTerm;
     }
 
     /** Who got the vote of this term, or 0. */
-    public long vote() {
-        return vote;
+    public long votedFor() {
+        return votedFor;
     }
 
     /** The newest snapshot, or null. */
@@ -80,8 +80,8 @@
     }
 
     /** Whether something of the log is not known to be synced. */
-    public boolean dirty() {
-        return dirty;
+    public boolean isDirty() {
+        return isDirty;
     }
 
     /** The problem since which this log takes nothing more, or null. */
@@ -90,64 +90,64 @@
     }
 
     /** Whether the segment has grown so much that a snapshot is due. */
-    public boolean needsSnapshot() {
+    public boolean isSnapshotDue() {
         return size > ROLL;
     }
 
     /** The index of the first entry behind the snapshot. */
-    public long first() {
+    public long firstIndex() {
         return snapshot == null ? 1 : snapshot.index + 1;
     }
 
     /** The index of the last entry. */
-    public long last() {
-        return first() + entries.size() - 1;
+    public long lastIndex() {
+        return firstIndex() + entries.size() - 1;
     }
 
     /** The term of an entry, of the snapshot's last one too; -1 if it is not known. */
     public long termAt(long i) {
-        if (i == first() - 1) return snapshot == null ? 0 : snapshot.term;
-        return i < first() || i > last() ? -1 : at(i).term;
+        if (i == firstIndex() - 1) return snapshot == null ? 0 : snapshot.term;
+        return i < firstIndex() || i > lastIndex() ? -1 : entryAt(i).term;
     }
 
     /** The entry of an index. */
-    public Entry at(long i) {
-        return entries.get((int) (i - first()));
+    public LogEntry entryAt(long i) {
+        return entries.get((int) (i - firstIndex()));
     }
 
     /** Sets the term and the vote. */
     public void saveTermAndVote(long newTerm, long newVote) {
         put(LogRecord.vote(newTerm, newVote));
-        term = newTerm;
-        vote = newVote;
+        currentTerm = newTerm;
+        votedFor = newVote;
     }
 
     /** Appends an entry. */
-    public void append(Entry e) {
+    public void append(LogEntry e) {
         put(LogRecord.entry(e.index, e.term, e.type, e.body));
         entries.add(e);
     }
 
     /** Drops the entries from an index on. */
-    public void cutFrom(long i) {
-        if (i > last()) return;
+    public void truncateFrom(long i) {
+        if (i > lastIndex()) return;
         put(LogRecord.cut(i));
-        entries.subList((int) (i - first()), entries.size()).clear();
+        entries.subList((int) (i - firstIndex()), entries.size()).clear();
     }
 
     /** Makes all changes so far last. */
     public void sync() {
-        if (!dirty) return;
+        if (!isDirty) return;
         attempt(() -> folder.sync(files.segment(segment)));
         synced = size;
-        dirty = false;
+        isDirty = false;
         mark();
     }
 
     /** Takes a snapshot in place of the entries up to its index; all changes so far last afterwards. */
-    public void install(Snapshot i) {
+    public void installSnapshot(Snapshot i) {
         attempt(() -> files.write(i));
-        var keep = new ArrayList<Entry>();
+        var keep = new ArrayList<LogEntry>();
         if (termAt(i.index) == i.term)
             entries.stream().filter(e -> e.index > i.index).forEach(keep::add);
         snapshot = i;
@@ -159,7 +159,7 @@
     private void put(LogRecord r) {
         attempt(() -> {
             var b = codec.encode(r, size, synced);
-            dirty = true;
+            isDirty = true;
             folder.append(files.segment(segment), b, b.length);
             size += b.length;
         });
@@ -172,7 +172,7 @@
             work.run();
         } catch (DiskException e) {
             failure = e;
-            dirty = true;
+            isDirty = true;
             throw e;
         }
     }
@@ -185,7 +185,7 @@
         var old = files.segments();
         var number = old.isEmpty() ? 1 : old.get(old.size() - 1) + 1;
         var records = new ArrayList<LogRecord>();
-        records.add(LogRecord.vote(term, vote));
+        records.add(LogRecord.vote(currentTerm, votedFor));
         for (var e : entries) records.add(LogRecord.entry(e.index, e.term, e.type, e.body));
         var length = SegmentHeader.SIZE
                 + records.stream().mapToInt(RecordCodec::size).sum();
@@ -215,7 +215,7 @@
         codec = newCodec;
         size = at;
         synced = at;
-        dirty = false;
+        isDirty = false;
         mark();
     }
 
@@ -226,22 +226,22 @@
             throw new DiskLostException(files.segment(segment) + ": belongs to another core");
         if (contents.snapshotIndex() != 0) snapshot = files.read(contents.snapshotIndex(), contents.snapshotTerm());
         contents.records().forEach(this::replay);
-        dirty = !contents.allSynced();
+        isDirty = !contents.allSynced();
     }
 
     private void replay(LogRecord r) {
         switch (r.type()) {
             case RecordView.HARD -> {
-                term = r.term();
-                vote = r.index();
+                currentTerm = r.term();
+                votedFor = r.index();
             }
             case RecordView.ENTRY -> {
-                if (r.index() != last() + 1) throw new DiskLostException("gap in the log at entry " + r.index());
-                entries.add(new Entry(r.index(), r.term(), r.kind(), r.body()));
+                if (r.index() != lastIndex() + 1) throw new DiskLostException("gap in the log at entry " + r.index());
+                entries.add(new LogEntry(r.index(), r.term(), r.kind(), r.body()));
             }
             case RecordView.CUT -> {
-                if (r.index() < first() || r.index() > last()) throw new DiskLostException("cut at entry " + r.index());
-                entries.subList((int) (r.index() - first()), entries.size()).clear();
+                if (r.index() < firstIndex() || r.index() > lastIndex()) throw new DiskLostException("cut at entry " + r.index());
+                entries.subList((int) (r.index() - firstIndex()), entries.size()).clear();
             }
             default -> throw new DiskLostException("record of unknown type " + r.type());
         }
--- a/lib/state/src/main/java/craneway/state/disk/SyncMark.java
+++ b/lib/state/src/main/java/craneway/state/disk/SyncMark.java
@@ -11,7 +11,7 @@
     private static final int SIZE_WITHOUT_NONCE = 12;
 
     byte[] encode() {
-        return Seal.close(ByteBuffer.allocate(SIZE)
+        return ChecksumEnvelope.wrap(ByteBuffer.allocate(SIZE)
                 .putInt(segment)
                 .putLong(length)
                 .putLong(nonce)
--- a/lib/state/src/main/java/craneway/state/message/Codec.java
+++ b/lib/state/src/main/java/craneway/state/message/Codec.java
@@ -11,7 +11,7 @@
     private Codec() {}
 
     @SuppressWarnings("unchecked")
-    public static byte[] write(Object o) {
+    public static byte[] encode(Object o) {
         var b = BUFFER.get();
         try {
             return ProtostuffIOUtil.toByteArray(o, RuntimeSchema.getSchema((Class<Object>) o.getClass()), b);
@@ -20,7 +20,7 @@
         }
     }
 
-    public static <T> T read(Class<T> type, byte[] body) {
+    public static <T> T decode(Class<T> type, byte[] body) {
         try {
             var schema = RuntimeSchema.getSchema(type);
             var t = schema.newMessage();
@@ -31,16 +31,16 @@
         }
     }
 
-    public static byte[] writeTagged(Object o) {
-        var body = write(o);
+    public static byte[] encodeTagged(Object o) {
+        var body = encode(o);
         var tagged = new byte[body.length + 1];
         tagged[0] = (byte) Tags.of(o.getClass());
         System.arraycopy(body, 0, tagged, 1, body.length);
         return tagged;
     }
 
-    public static Object readTagged(byte[] b) {
+    public static Object decodeTagged(byte[] b) {
         if (b.length == 0) throw new BadMessageException("empty message");
-        return read(Tags.type(b[0]), Arrays.copyOfRange(b, 1, b.length));
+        return decode(Tags.type(b[0]), Arrays.copyOfRange(b, 1, b.length));
     }
 }
--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -7,16 +7,16 @@
     private Commands() {}
 
     /** Whether a message body changes the replicated state, rather than only reading it. */
-    public static boolean is(Object body) {
+    public static boolean isCommand(Object body) {
         return body.getClass().getEnclosingClass() == Commands.class;
     }
 
     /** A command under the identity of its asker, so that it is applied once however many copies of it are logged. */
-    public static final class Fenced {
-        public long life;
+    public static final class IdentifiedCommand {
+        public long sessionId;
         public long sequence;
         /** The least sequence of this life that still waits for its verdict. */
-        public long lowest;
+        public long lowestPending;
 
         public byte[] body = {};
     }
@@ -30,18 +30,18 @@
         public long incarnation;
     }
 
-    public static final class MemberGone {
+    public static final class MemberRemoved {
         public String name;
         public long incarnation;
     }
 
     public static final class ManifestPut {
-        public long base;
+        public long baseVersion;
         public String text;
         /** The number its sender gave it; 0: the next one. */
-        public long number;
+        public long senderNumber;
         /** The text as it was sent, where that differs; kept to be read back. */
-        public String source = "";
+        public String sourceText = "";
     }
 
     public static final class ServiceSync {
@@ -52,9 +52,9 @@
         public List<String> zones = new ArrayList<>();
         public List<String> cellRegions = new ArrayList<>();
         public List<Integer> weights = new ArrayList<>();
-        public boolean bySlots;
+        public boolean weighedBySlots;
         /** The region sets that routes to it are bound to, each a list of names. */
-        public List<String> bound = new ArrayList<>();
+        public List<String> boundRegionSets = new ArrayList<>();
     }
 
     public static final class RunnerPut {
@@ -69,9 +69,9 @@
         /** UP or LEAVING, as in the record. */
         public int state;
         /** How long it stays cold, and how long until it is gone, in microseconds; 0: not told. */
-        public long coldFor;
+        public long coldMicros;
 
-        public long goneIn;
+        public long goneAfterMicros;
         /** Rises with each call of a runner; 0: not counted. */
         public long sequence;
     }
@@ -88,7 +88,7 @@
         public String runner;
     }
 
-    public static final class Claim {
+    public static final class ClaimTake {
         public String service;
         public String key;
         public int unit;
@@ -99,7 +99,7 @@
         public long attempt;
     }
 
-    public static final class Finish {
+    public static final class ClaimFinish {
         public String service;
         public String key;
         public String holder;
@@ -108,11 +108,11 @@
         public int state;
     }
 
-    public static final class Age {
-        public long micros;
-        public long retention;
+    public static final class AgeAdvance {
+        public long elapsedMicros;
+        public long claimRetentionMicros;
         /** After how long a runner that left or went dark is forgotten; 0: never. */
-        public long forgotten;
+        public long runnerRetentionMicros;
     }
 
     public static final class TableStep {
@@ -130,7 +130,7 @@
         public String service;
         public long tableVersion;
         public int[] units;
-        public int to;
+        public int toCell;
         public String cause = "";
     }
 
@@ -139,11 +139,11 @@
         public long id;
         public int state;
         public String cause = "";
-        public long heldMicros;
+        public long holdBackMicros;
         public int[] units = {};
     }
 
-    public static final class Displace {
+    public static final class UnitDisplacement {
         public String service;
         public long tableVersion;
         public int[] units;
--- a/lib/state/src/main/java/craneway/state/message/MarkKey.java
+++ b/lib/state/src/main/java/craneway/state/message/MarkKey.java
@@ -31,7 +31,7 @@
     }
 
     /** Reads a key as records hold it; null where it is none of these. */
-    public static MarkKey read(String text) {
+    public static MarkKey parse(String text) {
         for (var t : Target.values())
             if (text.startsWith(t.prefix)) return new MarkKey(t, text.substring(t.prefix.length()));
         return null;
--- a/lib/state/src/main/java/craneway/state/message/Plan.java
+++ b/lib/state/src/main/java/craneway/state/message/Plan.java
@@ -13,8 +13,8 @@
     public int state;
     public long manifestVersion;
     public long marksVersion;
-    public long confirmedTopic;
-    public String cause = "";
+    public long confirmedTopicVersion;
+    public String stopCause = "";
     public TreeMap<String, String> marks = new TreeMap<>();
     public List<String> steps = new ArrayList<>();
     public List<String> warnings = new ArrayList<>();
--- a/lib/state/src/main/java/craneway/state/part/Election.java
+++ b/lib/state/src/main/java/craneway/state/part/Election.java
@@ -75,7 +75,7 @@
         replica.transitions.become(Role.PRE_CANDIDATE, now);
         (recentlyStarted(now) ? conditionalVotes : granted).add(replica.self);
         for (var v : replica.members().voters)
-            if (v != replica.self) replica.send(ask(PartMessage.PRE_VOTE, v, replica.log.term() + 1));
+            if (v != replica.self) replica.send(ask(PartMessage.PRE_VOTE, v, replica.log.currentTerm() + 1));
         countPreVotes(now);
     }
 
@@ -89,11 +89,11 @@
     void startElection(long now, boolean unconditional) {
         replica.transitions.become(Role.CANDIDATE, now);
         replica.leader = 0;
-        replica.log.saveTermAndVote(replica.log.term() + 1, replica.self);
+        replica.log.saveTermAndVote(replica.log.currentTerm() + 1, replica.self);
         granted.add(replica.self);
         for (var v : replica.members().voters) {
             if (v == replica.self) continue;
-            var m = ask(PartMessage.VOTE, v, replica.log.term());
+            var m = ask(PartMessage.VOTE, v, replica.log.currentTerm());
             m.granted = unconditional;
             replica.send(m);
         }
@@ -106,7 +106,7 @@
 
     private PartMessage ask(int kind, long to, long term) {
         var m = replica.message(kind, to, term);
-        m.index = replica.log.last();
+        m.index = replica.log.lastIndex();
         m.logTerm = replica.log.termAt(m.index);
         return m;
     }
@@ -127,7 +127,7 @@
     }
 
     private boolean upToDate(PartMessage m) {
-        var last = replica.log.last();
+        var last = replica.log.lastIndex();
         var term = replica.log.termAt(last);
         return m.logTerm > term || m.logTerm == term && m.index >= last;
     }
@@ -137,8 +137,8 @@
         var mine = now < recentlyStartedUntil + replica.timing.leaderLeaseDuration() && hasPriority(m);
         if (mine && replica.role == Role.FOLLOWER) due = now;
         r.recentlyStarted = recentlyStarted(now);
-        r.granted = m.term > replica.log.term() && upToDate(m) && !leaderAlive(now) && !mine;
-        r.index = replica.log.term();
+        r.granted = m.term > replica.log.currentTerm() && upToDate(m) && !leaderAlive(now) && !mine;
+        r.index = replica.log.currentTerm();
         replica.send(r);
         if (r.granted) giveWay(now);
     }
@@ -154,20 +154,20 @@
     private boolean hasPriority(PartMessage m) {
         var log = replica.log;
         var self = replica.self;
-        if (m.logTerm != log.termAt(log.last())
-                || m.index != log.last()
+        if (m.logTerm != log.termAt(log.lastIndex())
+                || m.index != log.lastIndex()
                 || !replica.members().isVoter(self)) return false;
-        var lower = self < m.from && log.vote() != m.from && (log.vote() != 0 || log.term() == 0);
-        return log.vote() == self || lower;
+        var lower = self < m.from && log.votedFor() != m.from && (log.votedFor() != 0 || log.currentTerm() == 0);
+        return log.votedFor() == self || lower;
     }
 
     void preVoteReply(PartMessage m, long now) {
-        if (m.index > replica.log.term()) {
+        if (m.index > replica.log.currentTerm()) {
             replica.log.saveTermAndVote(m.index, 0);
             replica.transitions.become(Role.FOLLOWER, now);
             return;
         }
-        if (replica.role != Role.PRE_CANDIDATE || !m.granted || m.term != replica.log.term() + 1) return;
+        if (replica.role != Role.PRE_CANDIDATE || !m.granted || m.term != replica.log.currentTerm() + 1) return;
         if (!replica.members().isVoter(m.from)) return;
         (m.recentlyStarted ? conditionalVotes : granted).add(m.from);
         countPreVotes(now);
@@ -176,17 +176,17 @@
     void onVote(PartMessage m, long now) {
         var log = replica.log;
         var r = replica.message(PartMessage.VOTE_REPLY, m.from);
-        var free = log.vote() == 0 || log.vote() == m.from;
-        r.granted = m.term == log.term() && free && replica.role == Role.FOLLOWER && upToDate(m);
+        var free = log.votedFor() == 0 || log.votedFor() == m.from;
+        r.granted = m.term == log.currentTerm() && free && replica.role == Role.FOLLOWER && upToDate(m);
         if (r.granted) {
-            if (log.vote() == 0) log.saveTermAndVote(log.term(), m.from);
+            if (log.votedFor() == 0) log.saveTermAndVote(log.currentTerm(), m.from);
             due = nextElectionTimeout(now);
         }
         replica.send(r);
     }
 
     void onVoteReply(PartMessage m, long now) {
-        if (replica.role != Role.CANDIDATE || m.term != replica.log.term() || !m.granted) return;
+        if (replica.role != Role.CANDIDATE || m.term != replica.log.currentTerm() || !m.granted) return;
         if (!replica.members().isVoter(m.from)) return;
         granted.add(m.from);
         winWithMajority(now);
--- a/lib/state/src/main/java/craneway/state/part/EncodedSnapshot.java
+++ b/lib/state/src/main/java/craneway/state/part/EncodedSnapshot.java
@@ -15,10 +15,10 @@
 
     EncodedSnapshot(Snapshot snapshot) {
         this.snapshot = snapshot;
-        bytes = Codec.write(snapshot);
+        bytes = Codec.encode(snapshot);
         identity.index = snapshot.index;
         identity.term = snapshot.term;
-        identity.total = bytes.length;
+        identity.totalBytes = bytes.length;
         identity.checksum = checksum(bytes);
     }
 
--- a/lib/state/src/main/java/craneway/state/part/Follower.java
+++ b/lib/state/src/main/java/craneway/state/part/Follower.java
@@ -21,22 +21,22 @@
     void onAppend(PartMessage m, long now) {
         var log = replica.log;
         var r = answer(PartMessage.APPEND_REPLY, m);
-        if (m.term < log.term()) {
+        if (m.term < log.currentTerm()) {
             replica.send(r);
             return;
         }
         election.follow(m.from, now);
-        var known = m.index <= replica.applied || log.termAt(m.index) == m.logTerm && m.index <= log.last();
+        var known = m.index <= replica.applied || log.termAt(m.index) == m.logTerm && m.index <= log.lastIndex();
         r.granted = known;
-        r.index = known ? Math.max(m.index, store(m)) : Math.min(log.last(), m.index - 1);
+        r.index = known ? Math.max(m.index, store(m)) : Math.min(log.lastIndex(), m.index - 1);
         replica.send(r);
-        if (known) replica.commitTo(Math.min(m.commit, r.index));
+        if (known) replica.commitTo(Math.min(m.commitIndex, r.index));
     }
 
     private PartMessage answer(int kind, PartMessage m) {
         var r = replica.message(kind, m.from);
-        r.stamp = m.stamp;
-        r.readsPieces = true;
+        r.sentAt = m.sentAt;
+        r.supportsSnapshotPieces = true;
         return r;
     }
 
@@ -46,14 +46,14 @@
         for (var e : m.entries) {
             last = e.index;
             if (e.index <= replica.applied || log.termAt(e.index) == e.term) continue;
-            if (e.index <= log.last()) replica.cutFrom(e.index);
+            if (e.index <= log.lastIndex()) replica.cutFrom(e.index);
             replica.append(e);
         }
         return last;
     }
 
     void snapshotSent(PartMessage m, long now) {
-        if (m.term < replica.log.term()) return;
+        if (m.term < replica.log.currentTerm()) return;
         if (m.wholeSnapshot == null || m.wholeSnapshot.body == null) {
             refuse(m, "no snapshot in the message");
             return;
@@ -66,7 +66,7 @@
     private void install(Snapshot snapshot) {
         if (snapshot.index <= replica.applied) return;
         replica.install(snapshot);
-        replica.out.note(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
+        replica.out.logEvent(Event.SNAPSHOT_LOADED, "part " + replica.part + " index " + snapshot.index);
     }
 
     /** Says that everything up to the snapshot is held, as for entries. */
@@ -78,23 +78,23 @@
     }
 
     void snapshotPieceSent(PartMessage m, long now) {
-        if (m.snapshot == null) {
+        if (m.snapshotPiece == null) {
             refuse(m, "no piece in the message");
             return;
         }
-        if (m.term < replica.log.term()) {
+        if (m.term < replica.log.currentTerm()) {
             refusePiece(m, 0, "term " + m.term + " is past");
             return;
         }
         election.follow(m.from, now);
-        if (m.snapshot.index <= replica.applied) {
-            installed(m, m.snapshot.index);
+        if (m.snapshotPiece.index <= replica.applied) {
+            installed(m, m.snapshotPiece.index);
             return;
         }
-        var outcome = snapshotReceiver.take(m.term, m.snapshot, now);
+        var outcome = snapshotReceiver.take(m.term, m.snapshotPiece, now);
         if (outcome.snapshot() != null) {
             install(outcome.snapshot());
-            installed(m, m.snapshot.index);
+            installed(m, m.snapshotPiece.index);
         } else if (outcome.refusal() != null) {
             refusePiece(m, outcome.held(), outcome.refusal());
         } else {
@@ -103,7 +103,7 @@
     }
 
     private void refuse(PartMessage m, String why) {
-        replica.out.note(
+        replica.out.logEvent(
                 Event.SNAPSHOT_REJECTED, "part " + replica.part + " from " + Long.toHexString(m.from) + ": " + why);
     }
 
@@ -115,7 +115,7 @@
     private void answerPiece(PartMessage m, long held, boolean yes) {
         var r = answer(PartMessage.SNAPSHOT_PIECE_REPLY, m);
         r.granted = yes;
-        r.snapshot = m.snapshot.at(held);
+        r.snapshotPiece = m.snapshotPiece.at(held);
         replica.send(r);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/Group.java
+++ b/lib/state/src/main/java/craneway/state/part/Group.java
@@ -54,7 +54,7 @@
         become(Role.FOLLOWER, now);
         replica.heardLeaderAt = Long.MIN_VALUE / 2;
         election.started(now);
-        if (first.isVoter(self) && first.generation > replica.membership.generation(replica.log)) rebuild(first, now);
+        if (first.isVoter(self) && first.coreGeneration > replica.membership.generation(replica.log)) rebuild(first, now);
     }
 
     private void rebuild(Members first, long now) {
@@ -67,11 +67,11 @@
     }
 
     private void note(Event e, String detail) {
-        replica.out.note(e, "part " + replica.part + " " + detail);
+        replica.out.logEvent(e, "part " + replica.part + " " + detail);
     }
 
     /** Whether this store, as leader or follower, knows of a leader in contact within that time. */
-    public boolean leaderHeard(long now, long within) {
+    public boolean hasLeaderContact(long now, long within) {
         var leader = replica.leader;
         return replica.role == Role.LEADER && now < replication.majorityContact() + within
                 || leader != 0 && leader != replica.self && now < replica.heardLeaderAt + within;
@@ -88,13 +88,13 @@
     }
 
     /** The store known to lead; 0 for none. */
-    public long leader() {
+    public long leaderId() {
         return replica.leader;
     }
 
     /** The current term. */
     public long term() {
-        return replica.log.term();
+        return replica.log.currentTerm();
     }
 
     /** The members in force. */
@@ -103,39 +103,39 @@
     }
 
     /** The last index applied to the machine. */
-    public long applied() {
+    public long appliedIndex() {
         return replica.applied;
     }
 
     /** The last index of the log. */
     public long lastIndex() {
-        return replica.log.last();
+        return replica.log.lastIndex();
     }
 
     /** Whether this store leads and has applied all that earlier terms committed. */
-    public boolean ready() {
+    public boolean isReadyLeader() {
         return replica.role == Role.LEADER && replica.applied >= termStart;
     }
 
     /** Whether this store may answer as the leader: it is ready and within its lease. */
     public boolean hasLease(long now) {
-        return ready()
+        return isReadyLeader()
                 && !handOver.open()
                 && now < replication.majorityContact() + replica.timing.leaderLeaseDuration();
     }
 
     /** Up to where a store's log is known to match this leader's. */
-    public long matchOf(long id) {
-        return id == replica.self ? replica.log.last() : replication.matchOf(id);
+    public long matchIndexOf(long id) {
+        return id == replica.self ? replica.log.lastIndex() : replication.matchOf(id);
     }
 
     /** Whether this leader's rounds of catching up with a peer have become short: what a learner needs to be made a voter. */
-    public boolean caughtUp(long id, long now) {
+    public boolean isCaughtUp(long id, long now) {
         return replica.role == Role.LEADER && replication.caughtUp(id, now);
     }
 
     /** When this leader last heard a store; 0 for never. */
-    public long heardFrom(long id) {
+    public long lastHeardAt(long id) {
         return replication.heardFrom(id);
     }
 
@@ -147,7 +147,7 @@
         if (from == Role.LEADER) replication.end();
         if (from == Role.LEADER && leadershipReported) {
             leadershipReported = false;
-            replica.out.leadershipChanged(false, replica.log.term());
+            replica.out.onLeadershipChanged(false, replica.log.currentTerm());
         }
         if (to == Role.LEADER) lead(now);
     }
@@ -155,8 +155,8 @@
     private void lead(long now) {
         replica.leader = replica.self;
         replication.begin(now);
-        termStart = replica.log.last() + 1;
-        replica.append(Entry.NO_OP, NONE);
+        termStart = replica.log.lastIndex() + 1;
+        replica.append(LogEntry.NO_OP, NONE);
         replication.feedAll(now);
     }
 
@@ -197,9 +197,9 @@
 
     /** Appends a command as the leader; its index, or -1 where this store may not. */
     public long propose(byte[] command, long now) {
-        if (!ready() || handOver.open()) return -1;
+        if (!isReadyLeader() || handOver.open()) return -1;
         try {
-            return replica.append(Entry.COMMAND, command);
+            return replica.append(LogEntry.COMMAND, command);
         } catch (DiskException e) {
             fail(e, now);
             return -1;
@@ -212,9 +212,9 @@
      */
     public boolean changeMembers(Members next, long now) {
         if (!next.isVoter(replica.self)) return false;
-        if (!ready() || replica.commit < replica.membership.index()) return false;
+        if (!isReadyLeader() || replica.commit < replica.membership.index()) return false;
         try {
-            replica.append(Entry.MEMBERSHIP, Codec.write(next));
+            replica.append(LogEntry.MEMBERSHIP, Codec.encode(next));
             note(Event.MEMBERS_CHANGED, "voters " + Arrays.toString(next.zones) + " learner " + next.learnerZone);
             return true;
         } catch (DiskException e) {
@@ -225,7 +225,7 @@
 
     /** Stops proposals and hands leadership over once that voter is level; whether that began. */
     public boolean transferLeadership(long to, long now) {
-        if (!ready() || handOver.open() || !members().isVoter(to) || to == replica.self) return false;
+        if (!isReadyLeader() || handOver.open() || !members().isVoter(to) || to == replica.self) return false;
         handOver.begin(to, now);
         return true;
     }
@@ -246,7 +246,7 @@
             return;
         }
         if (m.kind == PartMessage.VOTE && !m.granted && election.refusesOthers(now)) return;
-        if (m.term > replica.log.term() && m.kind != PartMessage.PRE_VOTE_REPLY) {
+        if (m.term > replica.log.currentTerm() && m.kind != PartMessage.PRE_VOTE_REPLY) {
             replica.log.saveTermAndVote(m.term, 0);
             stepDown(now);
         }
@@ -260,16 +260,16 @@
             case PartMessage.SNAPSHOT_PIECE -> follower.snapshotPieceSent(m, now);
             case PartMessage.SNAPSHOT_PIECE_REPLY -> replication.snapshotPieceReply(m, now);
             case PartMessage.TIMEOUT_NOW -> {
-                if (m.term == replica.log.term() && members().isVoter(replica.self)) election.startElection(now, true);
+                if (m.term == replica.log.currentTerm() && members().isVoter(replica.self)) election.startElection(now, true);
             }
-            default -> replica.out.note(Event.BAD_MESSAGE, "part message of kind " + m.kind);
+            default -> replica.out.logEvent(Event.BAD_MESSAGE, "part message of kind " + m.kind);
         }
     }
 
     private void committed() {
-        if (ready() && !leadershipReported) {
+        if (isReadyLeader() && !leadershipReported) {
             leadershipReported = true;
-            replica.out.leadershipChanged(true, replica.log.term());
+            replica.out.onLeadershipChanged(true, replica.log.currentTerm());
         }
         var settled = replica.role == Role.LEADER && replica.commit >= replica.membership.index();
         if (settled && !members().isVoter(replica.self)) stepDown(replica.heardLeaderAt);
@@ -296,7 +296,7 @@
 
     private void fail(DiskException e, long now) {
         replica.dropPending();
-        replica.out.note(Event.DISK_WRITE_FAILED, "part " + replica.part + ": " + e.getMessage());
+        replica.out.logEvent(Event.DISK_WRITE_FAILED, "part " + replica.part + ": " + e.getMessage());
         replica.leader = 0;
         become(Role.DISK_FAILED, now);
     }
--- a/lib/state/src/main/java/craneway/state/part/GroupListener.java
+++ b/lib/state/src/main/java/craneway/state/part/GroupListener.java
@@ -5,9 +5,9 @@
 public interface GroupListener {
     void send(PartMessage m);
 
-    void applied(long index, long term, Object result);
+    void onApplied(long index, long term, Object result);
 
-    void leadershipChanged(boolean owns, long term);
+    void onLeadershipChanged(boolean owns, long term);
 
-    void note(Event e, String detail);
+    void logEvent(Event e, String detail);
 }
--- a/lib/state/src/main/java/craneway/state/part/HandOver.java
+++ b/lib/state/src/main/java/craneway/state/part/HandOver.java
@@ -36,7 +36,7 @@
 
     /** Tells the heir to stand once it holds all, and all is committed. */
     void finish() {
-        var last = replica.log.last();
+        var last = replica.log.lastIndex();
         if (heir == 0 || replica.commit < last || replication.matchOf(heir) < last) return;
         replica.send(replica.message(PartMessage.TIMEOUT_NOW, heir));
         heir = 0;
--- a/lib/state/src/main/java/craneway/state/part/Entry.java
+++ b/lib/state/src/main/java/craneway/state/part/LogEntry.java
@@ -1,6 +1,6 @@
 package craneway.state.part;
 
-public final class Entry {
+public final class LogEntry {
     public static final int NO_OP = 0, COMMAND = 1, MEMBERSHIP = 2;
 
     public long index;
@@ -8,9 +8,9 @@
     public int type;
     public byte[] body;
 
-    public Entry() {}
+    public LogEntry() {}
 
-    public Entry(long index, long term, int type, byte[] body) {
+    public LogEntry(long index, long term, int type, byte[] body) {
         this.index = index;
         this.term = term;
         this.type = type;
--- a/lib/state/src/main/java/craneway/state/part/Members.java
+++ b/lib/state/src/main/java/craneway/state/part/Members.java
@@ -5,9 +5,9 @@
 public final class Members {
     public long[] voters = {};
     public String[] zones = {};
-    public long learner;
+    public long learnerId;
     public String learnerZone = "";
-    public int generation;
+    public int coreGeneration;
 
     public static Members of(long[] voters, String[] zones) {
         var m = new Members();
@@ -22,12 +22,12 @@
     }
 
     public boolean isMember(long id) {
-        return isVoter(id) || learner != 0 && learner == id;
+        return isVoter(id) || learnerId != 0 && learnerId == id;
     }
 
     public String zoneOf(long id) {
         for (var i = 0; i < voters.length; i++) if (voters[i] == id) return zones[i];
-        return learner == id ? learnerZone : null;
+        return learnerId == id ? learnerZone : null;
     }
 
     public int majority() {
@@ -36,23 +36,23 @@
 
     public Members withLearner(long id, String zone) {
         var m = copy(voters, zones);
-        m.learner = id;
+        m.learnerId = id;
         m.learnerZone = zone;
         return m;
     }
 
-    public Members promoted() {
+    public Members withLearnerPromoted() {
         var n = voters.length;
         var v = Arrays.copyOf(voters, n + 1);
         var z = Arrays.copyOf(zones, n + 1);
-        v[n] = learner;
+        v[n] = learnerId;
         z[n] = learnerZone;
         return copy(v, z);
     }
 
     private Members copy(long[] v, String[] z) {
         var m = of(v, z);
-        m.generation = generation;
+        m.coreGeneration = coreGeneration;
         return m;
     }
 
@@ -67,8 +67,8 @@
             z[j++] = zones[i];
         }
         var m = copy(v, z);
-        if (learner != id) {
-            m.learner = learner;
+        if (learnerId != id) {
+            m.learnerId = learnerId;
             m.learnerZone = learnerZone;
         }
         return m;
--- a/lib/state/src/main/java/craneway/state/part/MembershipLog.java
+++ b/lib/state/src/main/java/craneway/state/part/MembershipLog.java
@@ -26,31 +26,31 @@
     /** Finds them anew, after the log was opened, cut or replaced. */
     void find(SegmentLog log) {
         members = log.snapshot() == null ? first : log.snapshot().members;
-        index = log.first() - 1;
-        for (var i = log.last(); i >= log.first(); i--) {
-            if (log.at(i).type != Entry.MEMBERSHIP) continue;
-            members = Codec.read(Members.class, log.at(i).body);
+        index = log.firstIndex() - 1;
+        for (var i = log.lastIndex(); i >= log.firstIndex(); i--) {
+            if (log.entryAt(i).type != LogEntry.MEMBERSHIP) continue;
+            members = Codec.decode(Members.class, log.entryAt(i).body);
             index = i;
             return;
         }
     }
 
     /** Takes note of an entry that was just appended. */
-    void appended(Entry e) {
-        if (e.type != Entry.MEMBERSHIP) return;
-        members = Codec.read(Members.class, e.body);
+    void appended(LogEntry e) {
+        if (e.type != LogEntry.MEMBERSHIP) return;
+        members = Codec.decode(Members.class, e.body);
         index = e.index;
     }
 
     /** The members in force at an entry of the log. */
     Members at(SegmentLog log, long at) {
-        for (var i = at; i >= log.first(); i--)
-            if (log.at(i).type == Entry.MEMBERSHIP) return Codec.read(Members.class, log.at(i).body);
+        for (var i = at; i >= log.firstIndex(); i--)
+            if (log.entryAt(i).type == LogEntry.MEMBERSHIP) return Codec.decode(Members.class, log.entryAt(i).body);
         return log.snapshot() == null ? first : log.snapshot().members;
     }
 
     /** The generation of the core that the log knows; 0 for an empty log. */
     int generation(SegmentLog log) {
-        return index < log.first() && log.snapshot() == null ? 0 : members.generation;
+        return index < log.firstIndex() && log.snapshot() == null ? 0 : members.coreGeneration;
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/PartMessage.java
+++ b/lib/state/src/main/java/craneway/state/part/PartMessage.java
@@ -22,14 +22,14 @@
     public long term;
     public long index;
     public long logTerm;
-    public long commit;
-    public long stamp;
+    public long commitIndex;
+    public long sentAt;
     public boolean granted;
-    public List<Entry> entries = new ArrayList<>();
+    public List<LogEntry> entries = new ArrayList<>();
     public Snapshot wholeSnapshot;
     public boolean recentlyStarted;
     /** Whether the sender reads snapshots in pieces; false where an older process does not tell. */
-    public boolean readsPieces;
+    public boolean supportsSnapshotPieces;
     /** The piece of a SNAPSHOT_PIECE, or how much of it is held in a SNAPSHOT_PIECE_REPLY. */
-    public SnapshotPiece snapshot;
+    public SnapshotPiece snapshotPiece;
 }
--- a/lib/state/src/main/java/craneway/state/part/Peer.java
+++ b/lib/state/src/main/java/craneway/state/part/Peer.java
@@ -42,9 +42,9 @@
 
     void heard(PartMessage m, long now) {
         heardAt = now;
-        acknowledgedStamp = Math.max(acknowledgedStamp, m.stamp);
+        acknowledgedStamp = Math.max(acknowledgedStamp, m.sentAt);
         replied = true;
-        readsPieces = m.readsPieces;
+        readsPieces = m.supportsSnapshotPieces;
     }
 
     void matched(long index, long lastIndex, long now) {
@@ -56,7 +56,7 @@
 
     /** It holds nothing that fits behind the entries sent; a beat refused while a large message is on its way says nothing. */
     void refused(PartMessage m, long now) {
-        if (awaitsLarge(now) && m.stamp != largeSentAt) return;
+        if (awaitsLarge(now) && m.sentAt != largeSentAt) return;
         largeUntil = Long.MIN_VALUE;
         next = Math.max(match + 1, Math.min(next - 1, m.index + 1));
     }
--- a/lib/state/src/main/java/craneway/state/part/Replica.java
+++ b/lib/state/src/main/java/craneway/state/part/Replica.java
@@ -78,8 +78,8 @@
         pending.clear();
         leader = 0;
         heardLeaderAt = now;
-        machine.load(log.snapshot() == null ? null : log.snapshot().body);
-        commit = log.first() - 1;
+        machine.restoreSnapshot(log.snapshot() == null ? null : log.snapshot().body);
+        commit = log.firstIndex() - 1;
         applied = commit;
         membership.find(log);
     }
@@ -89,7 +89,7 @@
     }
 
     PartMessage message(int kind, long to) {
-        return message(kind, to, log.term());
+        return message(kind, to, log.currentTerm());
     }
 
     PartMessage message(int kind, long to, long term) {
@@ -119,46 +119,46 @@
 
     /** Appends an entry of the current term. */
     long append(int type, byte[] body) {
-        var e = new Entry(log.last() + 1, log.term(), type, body);
+        var e = new LogEntry(log.lastIndex() + 1, log.currentTerm(), type, body);
         append(e);
         return e.index;
     }
 
-    void append(Entry e) {
+    void append(LogEntry e) {
         log.append(e);
         membership.appended(e);
     }
 
     /** Cuts entries that another leader's take the place of. */
     void cutFrom(long index) {
-        log.cutFrom(index);
+        log.truncateFrom(index);
         membership.find(log);
     }
 
     void commitTo(long to) {
-        commit = Math.max(commit, Math.min(to, log.last()));
+        commit = Math.max(commit, Math.min(to, log.lastIndex()));
         while (applied < commit) {
-            var e = log.at(applied + 1);
+            var e = log.entryAt(applied + 1);
             applied++;
-            var result = e.type == Entry.COMMAND ? machine.apply(e.index, e.body) : null;
-            out.applied(e.index, e.term, result);
+            var result = e.type == LogEntry.COMMAND ? machine.apply(e.index, e.body) : null;
+            out.onApplied(e.index, e.term, result);
         }
         transitions.committed();
     }
 
     /** Goes on from this log alone with other members, as a new generation of the core; the last entry before that. */
     long rebuild(Members alone) {
-        log.saveTermAndVote(log.term() + 1, self);
-        append(Entry.MEMBERSHIP, Codec.write(alone));
-        append(Entry.COMMAND, Codec.writeTagged(new Commands.Rebuilt()));
+        log.saveTermAndVote(log.currentTerm() + 1, self);
+        append(LogEntry.MEMBERSHIP, Codec.encode(alone));
+        append(LogEntry.COMMAND, Codec.encodeTagged(new Commands.Rebuilt()));
         log.sync();
-        return log.last() - 2;
+        return log.lastIndex() - 2;
     }
 
     /** Writes a snapshot of what is applied and cuts the log behind it, once the log is long; whether it did. */
     boolean compact() {
-        var entries = applied - log.first() + 1;
-        var due = log.needsSnapshot() && entries > 1 || entries >= ENTRIES;
+        var entries = applied - log.firstIndex() + 1;
+        var due = log.isSnapshotDue() && entries > 1 || entries >= ENTRIES;
         if (due) takeSnapshot();
         return due;
     }
@@ -168,14 +168,14 @@
         i.index = applied;
         i.term = log.termAt(applied);
         i.members = membership.at(log, applied);
-        i.body = machine.snapshot();
-        log.install(i);
+        i.body = machine.encodeSnapshot();
+        log.installSnapshot(i);
     }
 
     /** Goes on from a snapshot of the leader's. */
     void install(Snapshot snapshot) {
-        log.install(snapshot);
-        machine.load(snapshot.body);
+        log.installSnapshot(snapshot);
+        machine.restoreSnapshot(snapshot.body);
         applied = snapshot.index;
         commit = applied;
         membership.find(log);
--- a/lib/state/src/main/java/craneway/state/part/Replication.java
+++ b/lib/state/src/main/java/craneway/state/part/Replication.java
@@ -34,7 +34,7 @@
     }
 
     private Peer newPeer(long now) {
-        var last = replica.log.last();
+        var last = replica.log.lastIndex();
         return new Peer(last + 1, new CatchUp(replica.timing.electionTimeout(), last, now), now);
     }
 
@@ -48,7 +48,7 @@
         var m = replica.members();
         var all = new ArrayList<Long>();
         for (var v : m.voters) if (v != replica.self) all.add(v);
-        if (m.learner != 0 && m.learner != replica.self) all.add(m.learner);
+        if (m.learnerId != 0 && m.learnerId != replica.self) all.add(m.learnerId);
         return all;
     }
 
@@ -93,7 +93,7 @@
     void feedBehind(long now) {
         for (var id : others()) {
             var p = peers.get(id);
-            if (p != null && p.behind(replica.log.last(), now)) replicate(id, now);
+            if (p != null && p.behind(replica.log.lastIndex(), now)) replicate(id, now);
         }
     }
 
@@ -105,9 +105,9 @@
     private void replicate(long id, long now) {
         var p = peers.get(id);
         p.sentAt = now;
-        var needsSnapshot = p.next < replica.log.first();
+        var needsSnapshot = p.next < replica.log.firstIndex();
         if (p.snapshot != null || p.awaitsLarge(now) || needsSnapshot && !p.replied) {
-            replica.send(append(id, Math.max(p.match, replica.log.first() - 1), now));
+            replica.send(append(id, Math.max(p.match, replica.log.firstIndex() - 1), now));
             if (p.snapshot != null) sendPieces(id, p, now);
         } else if (needsSnapshot) {
             sendSnapshot(id, p, now);
@@ -119,10 +119,10 @@
     private void sendEntries(long id, Peer p, long now) {
         var m = append(id, p.next - 1, now);
         var bytes = 0;
-        for (var i = p.next; i <= replica.log.last() && m.entries.size() < BATCH; i++) {
-            var length = replica.log.at(i).body.length;
+        for (var i = p.next; i <= replica.log.lastIndex() && m.entries.size() < BATCH; i++) {
+            var length = replica.log.entryAt(i).body.length;
             if (bytes > 0 && bytes + length > BATCH_BYTES) break;
-            m.entries.add(replica.log.at(i));
+            m.entries.add(replica.log.entryAt(i));
             bytes += length;
         }
         p.next += m.entries.size();
@@ -141,7 +141,7 @@
         }
         var m = replica.message(PartMessage.SNAPSHOT, id);
         m.wholeSnapshot = snapshot;
-        m.stamp = now;
+        m.sentAt = now;
         replica.send(m);
         p.sendsLarge(snapshot.index, snapshot.body.length, now);
     }
@@ -149,8 +149,8 @@
     private void sendPieces(long id, Peer p, long now) {
         for (var piece : p.snapshot.due(now)) {
             var m = replica.message(PartMessage.SNAPSHOT_PIECE, id);
-            m.snapshot = piece;
-            m.stamp = now;
+            m.snapshotPiece = piece;
+            m.sentAt = now;
             replica.send(m);
         }
     }
@@ -164,13 +164,13 @@
         var m = replica.message(PartMessage.APPEND, id);
         m.index = after;
         m.logTerm = replica.log.termAt(after);
-        m.commit = replica.commit;
-        m.stamp = now;
+        m.commitIndex = replica.commit;
+        m.sentAt = now;
         return m;
     }
 
     private Peer answering(PartMessage m, long now) {
-        if (replica.role != Role.LEADER || m.term != replica.log.term()) return null;
+        if (replica.role != Role.LEADER || m.term != replica.log.currentTerm()) return null;
         var p = peers.get(m.from);
         if (p == null) return null;
         var wasAway = now - p.heardAt > replica.timing.electionTimeout();
@@ -183,18 +183,18 @@
     void onAppendReply(PartMessage m, long now) {
         var p = answering(m, now);
         if (p == null) return;
-        if (m.granted) p.matched(m.index, replica.log.last(), now);
+        if (m.granted) p.matched(m.index, replica.log.lastIndex(), now);
         else p.refused(m, now);
         if (p.snapshot != null && p.match >= p.snapshot.index()) endTransfer(p);
         advance();
-        if (replica.role == Role.LEADER && p.behind(replica.log.last(), now)) replicate(m.from, now);
+        if (replica.role == Role.LEADER && p.behind(replica.log.lastIndex(), now)) replicate(m.from, now);
     }
 
     void snapshotPieceReply(PartMessage m, long now) {
         var p = answering(m, now);
-        if (p == null || p.snapshot == null || m.snapshot == null) return;
-        if (m.granted) p.snapshot.held(m.snapshot, now);
-        else p.snapshot.refused(m.snapshot, m.stamp, now);
+        if (p == null || p.snapshot == null || m.snapshotPiece == null) return;
+        if (m.granted) p.snapshot.held(m.snapshotPiece, now);
+        else p.snapshot.refused(m.snapshotPiece, m.sentAt, now);
         sendPieces(m.from, p, now);
     }
 
@@ -204,11 +204,11 @@
         var log = replica.log;
         var match = new long[m.voters.length];
         for (var i = 0; i < match.length; i++) {
-            var own = log.dirty() ? 0 : log.last();
+            var own = log.isDirty() ? 0 : log.lastIndex();
             match[i] = m.voters[i] == replica.self ? own : matchOf(m.voters[i]);
         }
         Arrays.sort(match);
         var held = match[match.length - m.majority()];
-        if (held > replica.commit && log.termAt(held) == log.term()) replica.commitTo(held);
+        if (held > replica.commit && log.termAt(held) == log.currentTerm()) replica.commitTo(held);
     }
 }
--- a/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotPiece.java
@@ -7,14 +7,14 @@
 public final class SnapshotPiece {
     public long index;
     public long term;
-    public long total;
+    public long totalBytes;
     public long checksum;
     public long offset;
     public byte[] bytes;
 
     /** Whether both speak of the same snapshot, byte for byte. */
     boolean sameSnapshot(SnapshotPiece other) {
-        return index == other.index && term == other.term && total == other.total && checksum == other.checksum;
+        return index == other.index && term == other.term && totalBytes == other.totalBytes && checksum == other.checksum;
     }
 
     /** Names the same snapshot at another offset, without bytes. */
@@ -22,7 +22,7 @@
         var p = new SnapshotPiece();
         p.index = index;
         p.term = term;
-        p.total = total;
+        p.totalBytes = totalBytes;
         p.checksum = checksum;
         p.offset = newOffset;
         return p;
--- a/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
+++ b/lib/state/src/main/java/craneway/state/part/SnapshotReceiver.java
@@ -43,7 +43,7 @@
         lastAt = now;
         if (p.offset > length) return new Outcome(length, "offset " + p.offset + " behind a gap at " + length, null);
         add(p);
-        return length < open.total ? new Outcome(length, null, null) : whole();
+        return length < open.totalBytes ? new Outcome(length, null, null) : whole();
     }
 
     private static boolean malformed(SnapshotPiece p) {
@@ -51,10 +51,10 @@
                 || p.bytes.length == 0
                 || p.bytes.length > MOST_PIECE
                 || p.index <= 0
-                || p.total <= 0
-                || p.total > MOST
+                || p.totalBytes <= 0
+                || p.totalBytes > MOST
                 || p.offset < 0
-                || p.offset > p.total - p.bytes.length;
+                || p.offset > p.totalBytes - p.bytes.length;
     }
 
     private void begin(SnapshotPiece p) {
@@ -67,7 +67,7 @@
         if (end <= length) return;
         if (end > held.length) {
             var room = Math.max(Math.max(end, FIRST_ROOM), 2 * held.length);
-            held = Arrays.copyOf(held, (int) Math.min(open.total, room));
+            held = Arrays.copyOf(held, (int) Math.min(open.totalBytes, room));
         }
         System.arraycopy(p.bytes, 0, held, (int) p.offset, p.bytes.length);
         length = end;
@@ -80,9 +80,9 @@
         if (EncodedSnapshot.checksum(bytes) != expected.checksum)
             return new Outcome(0, "the whole snapshot is damaged", null);
         try {
-            var snapshot = Codec.read(Snapshot.class, bytes);
+            var snapshot = Codec.decode(Snapshot.class, bytes);
             if (snapshot.index == expected.index && snapshot.term == expected.term && snapshot.body != null)
-                return new Outcome(expected.total, null, snapshot);
+                return new Outcome(expected.totalBytes, null, snapshot);
             return new Outcome(0, "the whole is not the snapshot it was said to be", null);
         } catch (BadMessageException e) {
             return new Outcome(0, "the whole is no snapshot: " + e.getMessage(), null);
--- a/lib/state/src/main/java/craneway/state/part/StateMachine.java
+++ b/lib/state/src/main/java/craneway/state/part/StateMachine.java
@@ -3,7 +3,7 @@
 public interface StateMachine {
     Object apply(long index, byte[] command);
 
-    byte[] snapshot();
+    byte[] encodeSnapshot();
 
-    void load(byte[] snapshot);
+    void restoreSnapshot(byte[] snapshot);
 }
--- a/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ClaimCommands.java
@@ -10,14 +10,14 @@
 
     private ClaimCommands() {}
 
-    static CommandResult claimsAccepted(Rows.Whole rows) {
+    static CommandResult claimsAccepted(Rows.PartState rows) {
         rows.claimsLost = false;
         return Records.ok();
     }
 
-    static CommandResult claim(Rows.Whole rows, Commands.Claim c) {
+    static CommandResult claim(Rows.PartState rows, Commands.ClaimTake c) {
         var old = rows.claims.get(c.key);
-        if (old != null && old.state != Rows.Claim.FREED) return claimed(old, c);
+        if (old != null && old.state != Rows.Claim.RELEASED) return claimed(old, c);
         if (rows.claimsLost) return Records.failure(ProblemKind.CLAIMS_LOST, ProblemKind.CLAIMS_LOST.text());
         if (old != null && sameTry(old, c.holder, c.incarnation, c.attempt))
             return Records.failure(ProblemKind.OUTCOME_UNKNOWN, "this try was given back");
@@ -33,12 +33,12 @@
         return Records.ok();
     }
 
-    private static Rows.Claim claimOf(Rows.Whole rows, String holder, long incarnation, long tryNo) {
+    private static Rows.Claim claimOf(Rows.PartState rows, String holder, long incarnation, long tryNo) {
         var r = new Rows.Claim();
         r.holder = holder;
         r.incarnation = incarnation;
         r.attempt = tryNo;
-        r.age = rows.age;
+        r.takenAtAge = rows.ageMicros;
         return r;
     }
 
@@ -46,7 +46,7 @@
         return r.holder.equals(holder) && r.incarnation == incarnation && r.attempt == tryNo;
     }
 
-    private static CommandResult claimed(Rows.Claim r, Commands.Claim c) {
+    private static CommandResult claimed(Rows.Claim r, Commands.ClaimTake c) {
         if (r.state == Rows.Claim.OPEN && sameTry(r, c.holder, c.incarnation, c.attempt)) return Records.ok();
         return switch (r.state) {
             case Rows.Claim.OPEN -> Records.failure(ProblemKind.IN_PROGRESS, ProblemKind.IN_PROGRESS.text());
@@ -55,9 +55,9 @@
         };
     }
 
-    static CommandResult finish(Rows.Whole rows, Commands.Finish c) {
+    static CommandResult finish(Rows.PartState rows, Commands.ClaimFinish c) {
         var r = rows.claims.get(c.key);
-        if (r == null && c.state == Rows.Claim.FREED) {
+        if (r == null && c.state == Rows.Claim.RELEASED) {
             r = claimOf(rows, c.holder, c.incarnation, c.attempt);
             rows.claims.put(c.key, r);
         }
@@ -67,36 +67,36 @@
         return Records.ok();
     }
 
-    static CommandResult age(Rows.Whole rows, Commands.Age c) {
-        rows.age += c.micros;
-        if (rows.claimsLost && rows.age - rows.lostSince > c.retention) rows.claimsLost = false;
-        rows.claims.values().removeIf(r -> r.state != Rows.Claim.OPEN && rows.age - r.age > c.retention);
-        rows.quotas.values().removeIf(q -> q.minute < rows.age / MINUTE);
-        rows.services.values().forEach(s -> s.heldUntil.values().removeIf(t -> t <= rows.age));
-        if (c.forgotten > 0) rows.services.values().forEach(s -> RunnerCommands.forget(rows, s, c.forgotten));
+    static CommandResult age(Rows.PartState rows, Commands.AgeAdvance c) {
+        rows.ageMicros += c.elapsedMicros;
+        if (rows.claimsLost && rows.ageMicros - rows.claimsLostAtAge > c.claimRetentionMicros) rows.claimsLost = false;
+        rows.claims.values().removeIf(r -> r.state != Rows.Claim.OPEN && rows.ageMicros - r.takenAtAge > c.claimRetentionMicros);
+        rows.quotas.values().removeIf(q -> q.minute < rows.ageMicros / MINUTE);
+        rows.services.values().forEach(s -> s.heldBackUntilAge.values().removeIf(t -> t <= rows.ageMicros));
+        if (c.runnerRetentionMicros > 0) rows.services.values().forEach(s -> RunnerCommands.forget(rows, s, c.runnerRetentionMicros));
         return Records.ok();
     }
 
-    static CommandResult quotaTake(Rows.Whole rows, Commands.QuotaTake c) {
+    static CommandResult quotaTake(Rows.PartState rows, Commands.QuotaTake c) {
         var may = ServiceCommands.mayWrite(rows, c.service, c.unit, c.tableVersion, c.region);
         if (may != null) return may;
-        var minute = rows.age / MINUTE;
+        var minute = rows.ageMicros / MINUTE;
         var q = rows.quotas.computeIfAbsent(new QuotaKey(c.service, c.tenant).text(), k -> new Rows.Quota());
         if (q.minute != minute) {
             q.minute = minute;
             q.used = 0;
         }
-        var left = (minute + 1) * MINUTE - rows.age;
+        var left = (minute + 1) * MINUTE - rows.ageMicros;
         var n = Math.min(c.count, c.limit - q.used);
         if (n <= 0) {
             var v = Records.failure(
                     ProblemKind.QUOTA_SPENT, "tenant " + c.tenant + " used its " + c.limit + " for this minute");
-            v.retryAfter = left;
+            v.retryAfterMicros = left;
             return v;
         }
         q.used += n;
         var v = Records.versioned(n);
-        v.retryAfter = left;
+        v.retryAfterMicros = left;
         return v;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/Fingerprint.java
+++ b/lib/state/src/main/java/craneway/state/record/Fingerprint.java
@@ -31,14 +31,14 @@
     boolean isThatOf(long number, Rows.Manifest m) {
         var known = m.digests.get(number);
         if (known != null) return Arrays.equals(known, digest);
-        var old = m.taken.get(number);
+        var old = m.legacyHashes.get(number);
         return old != null && old == hash;
     }
 
     void remember(long number, Rows.Manifest m) {
         m.digests.put(number, digest);
-        m.taken.put(number, hash);
-        while (m.taken.size() > REMEMBERED)
-            m.digests.remove(m.taken.pollFirstEntry().getKey());
+        m.legacyHashes.put(number, hash);
+        while (m.legacyHashes.size() > REMEMBERED)
+            m.digests.remove(m.legacyHashes.pollFirstEntry().getKey());
     }
 }
