--- a/lib/state/src/main/java/craneway/state/record/Lives.java
+++ b/lib/state/src/main/java/craneway/state/record/Lives.java
@@ -18,55 +18,55 @@
 
     private Lives() {}
 
-    static CommandResult once(Rows.Whole rows, Commands.Fenced f, Function<Object, CommandResult> handle) {
-        var known = verdict(rows, f.life, f.sequence);
+    static CommandResult once(Rows.PartState rows, Commands.IdentifiedCommand f, Function<Object, CommandResult> handle) {
+        var known = verdict(rows, f.sessionId, f.sequence);
         if (known != null) return known;
-        var life = rows.lives.computeIfAbsent(f.life, k -> new Rows.Life());
-        life.index = rows.index;
-        if (f.sequence < life.floor)
-            return Records.failure(ProblemKind.LATE_COMMAND, "ask " + f.sequence + " is below " + life.floor);
-        var v = handle.apply(Codec.readTagged(f.body));
-        life.applied.put(f.sequence, applied(v));
-        trim(life, f.lowest);
-        while (rows.lives.size() > LIVES) rows.lives.remove(idle(rows));
+        var life = rows.sessions.computeIfAbsent(f.sessionId, k -> new Rows.Session());
+        life.lastIndex = rows.lastIndex;
+        if (f.sequence < life.lowestSequence)
+            return Records.failure(ProblemKind.LATE_COMMAND, "ask " + f.sequence + " is below " + life.lowestSequence);
+        var v = handle.apply(Codec.decodeTagged(f.body));
+        life.results.put(f.sequence, applied(v));
+        trim(life, f.lowestPending);
+        while (rows.sessions.size() > LIVES) rows.sessions.remove(idle(rows));
         return v;
     }
 
-    static CommandResult verdict(Rows.Whole rows, long life, long sequence) {
-        var l = rows.lives.get(life);
-        var a = l == null ? null : l.applied.get(sequence);
+    static CommandResult verdict(Rows.PartState rows, long life, long sequence) {
+        var l = rows.sessions.get(life);
+        var a = l == null ? null : l.results.get(sequence);
         return a == null ? null : verdict(a);
     }
 
-    private static void trim(Rows.Life life, long lowest) {
-        life.floor = Math.max(life.floor, lowest);
-        life.applied.headMap(life.floor).clear();
-        while (life.applied.size() > VERDICTS)
-            life.floor = life.applied.pollFirstEntry().getKey() + 1;
+    private static void trim(Rows.Session life, long lowest) {
+        life.lowestSequence = Math.max(life.lowestSequence, lowest);
+        life.results.headMap(life.lowestSequence).clear();
+        while (life.results.size() > VERDICTS)
+            life.lowestSequence = life.results.pollFirstEntry().getKey() + 1;
     }
 
     /** The life that has been idle for longest. */
-    private static Long idle(Rows.Whole rows) {
-        return rows.lives.entrySet().stream()
-                .min(Comparator.comparingLong(e -> e.getValue().index))
+    private static Long idle(Rows.PartState rows) {
+        return rows.sessions.entrySet().stream()
+                .min(Comparator.comparingLong(e -> e.getValue().lastIndex))
                 .map(Map.Entry::getKey)
                 .orElseThrow();
     }
 
-    private static Rows.Applied applied(CommandResult v) {
-        var a = new Rows.Applied();
+    private static Rows.RecordedResult applied(CommandResult v) {
+        var a = new Rows.RecordedResult();
         a.kind = v.kind;
         a.detail = v.detail;
-        a.retryAfter = v.retryAfter;
+        a.retryAfterMicros = v.retryAfterMicros;
         a.version = v.version;
         return a;
     }
 
-    private static CommandResult verdict(Rows.Applied a) {
+    private static CommandResult verdict(Rows.RecordedResult a) {
         var v = new CommandResult();
         v.kind = a.kind;
         v.detail = a.detail;
-        v.retryAfter = a.retryAfter;
+        v.retryAfterMicros = a.retryAfterMicros;
         v.version = a.version;
         return v;
     }
--- a/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ManifestCommands.java
@@ -10,41 +10,41 @@
 final class ManifestCommands {
     private ManifestCommands() {}
 
-    static CommandResult manifestPut(Rows.Whole rows, Commands.ManifestPut c) {
+    static CommandResult manifestPut(Rows.PartState rows, Commands.ManifestPut c) {
         var m = rows.manifest;
-        if (c.number > 0) return numbered(rows, c, m);
-        if (c.base == base(m) && c.text.equals(m.text)) return taken(m);
-        if (c.base != m.version)
+        if (c.senderNumber > 0) return numbered(rows, c, m);
+        if (c.baseVersion == base(m) && c.text.equals(m.text)) return taken(m);
+        if (c.baseVersion != m.version)
             return Records.failure(
-                    ProblemKind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.version);
-        m.base = c.base;
-        m.number = 0;
+                    ProblemKind.RACE_LOST, "written against version " + c.baseVersion + ", in force is version " + m.version);
+        m.baseVersion = c.baseVersion;
+        m.senderNumber = 0;
         m.version++;
         m.text = c.text;
-        m.topicVersion = rows.index;
+        m.topicVersion = rows.lastIndex;
         return taken(m);
     }
 
     /** What the newest one was built on; snapshots of older processes do not tell. */
     private static long base(Rows.Manifest m) {
-        return m.base < 0 ? m.version - 1 : m.base;
+        return m.baseVersion < 0 ? m.version - 1 : m.baseVersion;
     }
 
-    private static CommandResult numbered(Rows.Whole rows, Commands.ManifestPut c, Rows.Manifest m) {
-        var change = Fingerprint.of(c.source, c.base);
-        if (change.isThatOf(c.number, m)) return taken(m);
-        if (c.base != m.known())
+    private static CommandResult numbered(Rows.PartState rows, Commands.ManifestPut c, Rows.Manifest m) {
+        var change = Fingerprint.of(c.sourceText, c.baseVersion);
+        if (change.isThatOf(c.senderNumber, m)) return taken(m);
+        if (c.baseVersion != m.knownNumber())
             return Records.failure(
-                    ProblemKind.RACE_LOST, "written against version " + c.base + ", in force is version " + m.known());
-        if (c.number <= m.known())
-            return Records.failure(ProblemKind.BAD_MANIFEST, "version " + c.number + " is not above " + m.known());
-        m.base = c.base;
-        m.version = Math.max(c.number, m.version + 1);
-        m.number = m.version == c.number ? 0 : c.number;
+                    ProblemKind.RACE_LOST, "written against version " + c.baseVersion + ", in force is version " + m.knownNumber());
+        if (c.senderNumber <= m.knownNumber())
+            return Records.failure(ProblemKind.BAD_MANIFEST, "version " + c.senderNumber + " is not above " + m.knownNumber());
+        m.baseVersion = c.baseVersion;
+        m.version = Math.max(c.senderNumber, m.version + 1);
+        m.senderNumber = m.version == c.senderNumber ? 0 : c.senderNumber;
         m.text = c.text;
-        m.source = c.source;
-        m.topicVersion = rows.index;
-        change.remember(c.number, m);
+        m.sourceText = c.sourceText;
+        m.topicVersion = rows.lastIndex;
+        change.remember(c.senderNumber, m);
         return taken(m);
     }
 
@@ -54,14 +54,14 @@
         return v;
     }
 
-    static CommandResult zoneMark(Rows.Whole rows, Commands.ZoneMark c) {
+    static CommandResult zoneMark(Rows.PartState rows, Commands.ZoneMark c) {
         var m = rows.manifest;
         var key = MarkKey.zone(c.zone).text();
         if (m.marks.containsKey(key) == c.emptied) return Records.versioned(m.topicVersion);
         if (c.emptied) m.marks.put(key, Plan.EMPTIED);
         else m.marks.remove(key);
         m.marksVersion++;
-        m.topicVersion = rows.index;
+        m.topicVersion = rows.lastIndex;
         return Records.versioned(m.topicVersion);
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/MemberCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/MemberCommands.java
@@ -8,7 +8,7 @@
 final class MemberCommands {
     private MemberCommands() {}
 
-    static CommandResult memberPut(Rows.Whole rows, Commands.MemberPut c) {
+    static CommandResult memberPut(Rows.PartState rows, Commands.MemberPut c) {
         var old = rows.members.get(c.node.name);
         if (old != null && old.node.incarnation > c.node.incarnation)
             return Records.failure(ProblemKind.STALE_MEMBER, Long.toString(old.node.incarnation));
@@ -17,21 +17,21 @@
         var m = new Rows.Member();
         m.node = c.node;
         rows.members.put(c.node.name, m);
-        rows.membersVersion = rows.index;
+        rows.membersVersion = rows.lastIndex;
         return Records.ok();
     }
 
-    static CommandResult memberOut(Rows.Whole rows, String name, long incarnation, boolean gone) {
+    static CommandResult memberOut(Rows.PartState rows, String name, long incarnation, boolean gone) {
         var m = rows.members.get(name);
         if (m == null || m.node.incarnation != incarnation) return Records.ok();
         abandon(rows, name, incarnation);
         m.lapsed = true;
         if (gone) rows.members.remove(name);
-        rows.membersVersion = rows.index;
+        rows.membersVersion = rows.lastIndex;
         return Records.ok();
     }
 
-    private static void abandon(Rows.Whole rows, String holder, long upTo) {
+    private static void abandon(Rows.PartState rows, String holder, long upTo) {
         for (var c : rows.claims.values())
             if (c.state == Rows.Claim.OPEN && c.holder.equals(holder) && c.incarnation <= upTo)
                 c.state = Rows.Claim.UNKNOWN;
--- a/lib/state/src/main/java/craneway/state/record/PlanCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/PlanCommands.java
@@ -9,20 +9,20 @@
 final class PlanCommands {
     private PlanCommands() {}
 
-    static CommandResult planPut(Rows.Whole rows, Commands.PlanPut c) {
+    static CommandResult planPut(Rows.PartState rows, Commands.PlanPut c) {
         var p = c.plan;
         if (p.manifestVersion != rows.manifest.version || p.marksVersion != rows.manifest.marksVersion)
             return Records.failure(ProblemKind.STALE_PLAN, "the manifest or the marks moved while the plan was made");
-        p.id = ++rows.planCount;
+        p.id = ++rows.lastPlanId;
         rows.plans.put(p.id, p);
         while (rows.plans.size() > 100) rows.plans.pollFirstEntry();
         return Records.versioned(p.id);
     }
 
-    static CommandResult planConfirm(Rows.Whole rows, Commands.PlanConfirm c) {
+    static CommandResult planConfirm(Rows.PartState rows, Commands.PlanConfirm c) {
         var p = rows.plans.get(c.plan);
         if (p == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + c.plan);
-        if (p.state == Plan.CONFIRMED) return Records.versioned(p.confirmedTopic);
+        if (p.state == Plan.CONFIRMED) return Records.versioned(p.confirmedTopicVersion);
         if (p.state == Plan.STOPPED) return Records.failure(ProblemKind.STALE_PLAN, "plan " + c.plan + " was stopped");
         var m = rows.manifest;
         if (p.manifestVersion != m.version || p.marksVersion != m.marksVersion)
@@ -35,20 +35,20 @@
             else m.marks.put(k, v);
         });
         m.marksVersion++;
-        m.topicVersion = rows.index;
+        m.topicVersion = rows.lastIndex;
         p.state = Plan.CONFIRMED;
-        p.confirmedTopic = rows.index;
-        return Records.versioned(p.confirmedTopic);
+        p.confirmedTopicVersion = rows.lastIndex;
+        return Records.versioned(p.confirmedTopicVersion);
     }
 
-    static CommandResult planStop(Rows.Whole rows, Commands.PlanStop c) {
+    static CommandResult planStop(Rows.PartState rows, Commands.PlanStop c) {
         var p = rows.plans.get(c.plan);
         if (p == null) return Records.failure(ProblemKind.UNKNOWN_PLAN, "no plan " + c.plan);
         if (p.state == Plan.CONFIRMED)
             return Records.failure(
                     ProblemKind.STALE_PLAN, "plan " + c.plan + " is in force; take it back with an intent");
         p.state = Plan.STOPPED;
-        p.cause = c.cause;
+        p.stopCause = c.cause;
         return Records.ok();
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -13,25 +13,25 @@
 public final class Records implements StateMachine {
     private static final long REBUILT = 1_000;
 
-    private final Map<Class<?>, BiFunction<Rows.Whole, Object, CommandResult>> handlers = new HashMap<>();
-    private Rows.Whole rows = new Rows.Whole();
+    private final Map<Class<?>, BiFunction<Rows.PartState, Object, CommandResult>> handlers = new HashMap<>();
+    private Rows.PartState rows = new Rows.PartState();
 
     public Records() {
         on(Commands.MemberPut.class, MemberCommands::memberPut);
         on(Commands.MemberLapsed.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, false));
-        on(Commands.MemberGone.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, true));
+        on(Commands.MemberRemoved.class, (r, c) -> MemberCommands.memberOut(r, c.name, c.incarnation, true));
         on(Commands.ManifestPut.class, ManifestCommands::manifestPut);
         on(Commands.ServiceSync.class, ServiceCommands::serviceSync);
         on(Commands.RunnerPut.class, RunnerCommands::runnerPut);
         on(Commands.RunnerMark.class, RunnerCommands::runnerMark);
         on(Commands.RunnerLeft.class, RunnerCommands::runnerLeft);
-        on(Commands.Claim.class, ClaimCommands::claim);
-        on(Commands.Finish.class, ClaimCommands::finish);
-        on(Commands.Age.class, ClaimCommands::age);
+        on(Commands.ClaimTake.class, ClaimCommands::claim);
+        on(Commands.ClaimFinish.class, ClaimCommands::finish);
+        on(Commands.AgeAdvance.class, ClaimCommands::age);
         on(Commands.TableStep.class, ServiceCommands::tableStep);
         on(Commands.StepAsk.class, Steps::ask);
         on(Commands.StepMark.class, Steps::mark);
-        on(Commands.Displace.class, Steps::displace);
+        on(Commands.UnitDisplacement.class, Steps::displace);
         on(Commands.Rebuilt.class, (r, c) -> rebuilt(r));
         on(Commands.ClaimsAccepted.class, (r, c) -> ClaimCommands.claimsAccepted(r));
         on(Commands.ZoneMark.class, ManifestCommands::zoneMark);
@@ -42,24 +42,24 @@
     }
 
     @SuppressWarnings("unchecked")
-    private <C> void on(Class<C> type, BiFunction<Rows.Whole, C, CommandResult> handler) {
+    private <C> void on(Class<C> type, BiFunction<Rows.PartState, C, CommandResult> handler) {
         handlers.put(type, (r, o) -> handler.apply(r, (C) o));
     }
 
-    public Rows.Whole rows() {
+    public Rows.PartState rows() {
         return rows;
     }
 
     /** What the command of this identity came to; null where it is not known to be applied. */
-    public CommandResult verdict(long life, long sequence) {
+    public CommandResult recordedResult(long life, long sequence) {
         return Lives.verdict(rows, life, sequence);
     }
 
     @Override
     public CommandResult apply(long index, byte[] command) {
-        rows.index = index;
-        var c = Codec.readTagged(command);
-        return c instanceof Commands.Fenced f ? Lives.once(rows, f, this::handle) : handle(c);
+        rows.lastIndex = index;
+        var c = Codec.decodeTagged(command);
+        return c instanceof Commands.IdentifiedCommand f ? Lives.once(rows, f, this::handle) : handle(c);
     }
 
     private CommandResult handle(Object command) {
@@ -70,13 +70,13 @@
     }
 
     @Override
-    public byte[] snapshot() {
-        return Codec.write(rows);
+    public byte[] encodeSnapshot() {
+        return Codec.encode(rows);
     }
 
     @Override
-    public void load(byte[] snapshot) {
-        rows = snapshot == null ? new Rows.Whole() : Codec.read(Rows.Whole.class, snapshot);
+    public void restoreSnapshot(byte[] snapshot) {
+        rows = snapshot == null ? new Rows.PartState() : Codec.decode(Rows.PartState.class, snapshot);
     }
 
     public static CommandResult ok() {
@@ -87,7 +87,7 @@
         var v = new CommandResult();
         v.kind = kind.code();
         v.detail = detail;
-        v.retryAfter = kind.isTransient() ? 1_000_000 : 0;
+        v.retryAfterMicros = kind.isTransient() ? 1_000_000 : 0;
         return v;
     }
 
@@ -97,19 +97,19 @@
         return v;
     }
 
-    private static CommandResult rebuilt(Rows.Whole rows) {
+    private static CommandResult rebuilt(Rows.PartState rows) {
         rows.claimsLost = true;
-        rows.lostSince = rows.age;
+        rows.claimsLostAtAge = rows.ageMicros;
         rows.claims.values().forEach(c -> {
             if (c.state == Rows.Claim.OPEN) c.state = Rows.Claim.UNKNOWN;
         });
         var m = rows.manifest;
-        if (m.number == 0 && m.taken.containsKey(m.version)) m.number = m.version;
+        if (m.senderNumber == 0 && m.legacyHashes.containsKey(m.version)) m.senderNumber = m.version;
         m.version += m.version == 0 ? 0 : REBUILT;
-        m.topicVersion = rows.index;
+        m.topicVersion = rows.lastIndex;
         for (var s : rows.services.values()) {
             s.tableVersion += REBUILT;
-            s.newsVersion = rows.index;
+            s.topicVersion = rows.lastIndex;
         }
         return ok();
     }
--- a/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/RunnerCommands.java
@@ -8,11 +8,11 @@
 final class RunnerCommands {
     private RunnerCommands() {}
 
-    static CommandResult runnerPut(Rows.Whole rows, Commands.RunnerPut c) {
+    static CommandResult runnerPut(Rows.PartState rows, Commands.RunnerPut c) {
         var s = rows.services.get(c.service);
         if (s == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service);
         var cell = s.cells.indexOf(c.cell);
-        if (cell < 0 || !s.live(cell))
+        if (cell < 0 || !s.hasWeight(cell))
             return Records.failure(ProblemKind.BAD_FIELD, "service " + c.service + " has no cell " + c.cell);
         var old = s.runners.get(c.runner);
         if (old != null
@@ -30,16 +30,16 @@
         r.slots = c.slots;
         r.incarnation = c.incarnation;
         r.cold = c.cold;
-        r.coldFor = c.coldFor;
-        r.goneIn = c.goneIn;
+        r.coldMicros = c.coldMicros;
+        r.goneAfterMicros = c.goneAfterMicros;
         r.state = c.state;
-        r.endedAge = rows.age;
+        r.endedAtAge = rows.ageMicros;
         s.runners.put(c.runner, r);
-        s.newsVersion = rows.index;
+        s.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
-    static CommandResult runnerMark(Rows.Whole rows, Commands.RunnerMark c) {
+    static CommandResult runnerMark(Rows.PartState rows, Commands.RunnerMark c) {
         var s = rows.services.get(c.service);
         if (s == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + c.service);
         var r = s.runners.get(c.runner);
@@ -50,7 +50,7 @@
         return Records.ok();
     }
 
-    static CommandResult runnerLeft(Rows.Whole rows, Commands.RunnerLeft c) {
+    static CommandResult runnerLeft(Rows.PartState rows, Commands.RunnerLeft c) {
         for (var s : rows.services.values()) {
             var r = s.runners.get(c.runner);
             if (r != null) end(rows, s, r, Rows.Runner.LEAVING);
@@ -58,14 +58,14 @@
         return Records.ok();
     }
 
-    private static void end(Rows.Whole rows, Rows.Service s, Rows.Runner r, int state) {
+    private static void end(Rows.PartState rows, Rows.Service s, Rows.Runner r, int state) {
         if (r.state == Rows.Runner.LEAVING || r.state == state) return;
         r.state = state;
-        r.endedAge = rows.age;
-        s.newsVersion = rows.index;
+        r.endedAtAge = rows.ageMicros;
+        s.topicVersion = rows.lastIndex;
     }
 
-    static void forget(Rows.Whole rows, Rows.Service s, long after) {
-        if (s.runners.values().removeIf(r -> !r.up() && rows.age - r.endedAge > after)) s.newsVersion = rows.index;
+    static void forget(Rows.PartState rows, Rows.Service s, long after) {
+        if (s.runners.values().removeIf(r -> !r.isUp() && rows.ageMicros - r.endedAtAge > after)) s.topicVersion = rows.lastIndex;
     }
 }
--- a/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/ServiceCommands.java
@@ -11,21 +11,21 @@
 final class ServiceCommands {
     private ServiceCommands() {}
 
-    static CommandResult serviceSync(Rows.Whole rows, Commands.ServiceSync c) {
+    static CommandResult serviceSync(Rows.PartState rows, Commands.ServiceSync c) {
         var s = rows.services.computeIfAbsent(c.service, n -> new Rows.Service());
         if (c.manifestVersion <= s.manifestVersion) return Records.ok();
         s.name = c.service;
         s.manifestVersion = c.manifestVersion;
-        s.bySlots = c.bySlots;
+        s.weighedBySlots = c.weighedBySlots;
         for (var r : c.regions) if (!s.regions.contains(r) && s.regions.size() < Units.MAX_REGIONS) s.regions.add(r);
-        s.sets = c.bound.stream().mapToInt(b -> set(s, b)).distinct().toArray();
+        s.regionSetsInUse = c.boundRegionSets.stream().mapToInt(b -> set(s, b)).distinct().toArray();
         for (var i = 0; i < s.cells.size(); i++) if (!c.cells.contains(s.cells.get(i))) s.weights.set(i, 0);
         for (var i = 0; i < c.cells.size(); i++) putCell(s, c, i);
-        var old = s.homes;
-        s.homes = Arrays.copyOf(old, Units.unitCount(s.regions.size()));
-        Arrays.fill(s.homes, old.length, s.homes.length, PlacementTable.NOWHERE);
+        var old = s.homeCells;
+        s.homeCells = Arrays.copyOf(old, Units.unitCount(s.regions.size()));
+        Arrays.fill(s.homeCells, old.length, s.homeCells.length, PlacementTable.NOWHERE);
         s.tableVersion++;
-        s.newsVersion = rows.index;
+        s.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
@@ -49,17 +49,17 @@
         }
     }
 
-    static CommandResult tableStep(Rows.Whole rows, Commands.TableStep c) {
+    static CommandResult tableStep(Rows.PartState rows, Commands.TableStep c) {
         var s = rows.services.get(c.service);
         if (s == null || s.tableVersion != c.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
-        for (var i = 0; i < c.units.length; i++) s.homes[c.units[i]] = c.cells[i];
+        for (var i = 0; i < c.units.length; i++) s.homeCells[c.units[i]] = c.cells[i];
         s.tableVersion++;
-        s.newsVersion = rows.index;
+        s.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
-    static CommandResult mayWrite(Rows.Whole rows, String service, int unit, long tableVersion, String region) {
+    static CommandResult mayWrite(Rows.PartState rows, String service, int unit, long tableVersion, String region) {
         var s = rows.services.get(service);
         if (s == null) return Records.failure(ProblemKind.UNKNOWN_SERVICE, "no service " + service);
         if (tableVersion != s.tableVersion) {
@@ -68,7 +68,7 @@
             v.version = s.tableVersion;
             return v;
         }
-        var home = unit < 0 || unit >= s.homes.length ? PlacementTable.NOWHERE : s.homes[unit];
+        var home = unit < 0 || unit >= s.homeCells.length ? PlacementTable.NOWHERE : s.homeCells[unit];
         if (home == PlacementTable.NOWHERE || !s.cellRegions.get(home).equals(region))
             return Records.failure(ProblemKind.NOT_UNIT_HOME, "unit " + unit + " is not at home in " + region);
         return null;
--- a/lib/state/src/main/java/craneway/state/record/Steps.java
+++ b/lib/state/src/main/java/craneway/state/record/Steps.java
@@ -11,31 +11,31 @@
 
     private Steps() {}
 
-    static CommandResult ask(Rows.Whole rows, Commands.StepAsk c) {
+    static CommandResult ask(Rows.PartState rows, Commands.StepAsk c) {
         var s = rows.services.get(c.service);
         if (s == null || s.tableVersion != c.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         if (s.steps.stream().anyMatch(x -> x.state == Rows.Step.ASKED))
             return Records.failure(ProblemKind.STALE_TABLE, "another step is being confirmed");
         var x = new Rows.Step();
-        x.id = ++s.stepCount;
+        x.id = ++s.lastStepId;
         x.units = c.units;
-        x.from = Arrays.stream(c.units).map(u -> s.homes[u]).toArray();
-        x.to = c.to;
+        x.fromCells = Arrays.stream(c.units).map(u -> s.homeCells[u]).toArray();
+        x.toCell = c.toCell;
         x.cause = c.cause;
-        x.index = rows.index;
-        x.askedAge = rows.age;
+        x.askedAtIndex = rows.lastIndex;
+        x.askedAtAge = rows.ageMicros;
         s.steps.add(x);
-        while (s.steps.size() > REMEMBERED && s.steps.get(0).over()) s.steps.remove(0);
+        while (s.steps.size() > REMEMBERED && s.steps.get(0).isOver()) s.steps.remove(0);
         var v = Records.ok();
         v.version = x.id;
         return v;
     }
 
-    static CommandResult mark(Rows.Whole rows, Commands.StepMark c) {
+    static CommandResult mark(Rows.PartState rows, Commands.StepMark c) {
         var s = rows.services.get(c.service);
-        var x = s == null ? null : s.step(c.id);
-        if (x == null || !x.may(c.state))
+        var x = s == null ? null : s.findStep(c.id);
+        if (x == null || !x.canBecome(c.state))
             return Records.failure(ProblemKind.STALE_TABLE, "the step is " + (x == null ? "unknown" : x.stateName()));
         x.state = c.state;
         if (!c.cause.isEmpty()) x.cause += "; " + c.cause;
@@ -44,37 +44,37 @@
         return Records.ok();
     }
 
-    private static void raise(Rows.Whole rows, Rows.Service s, Rows.Step x) {
-        for (var i = 0; i < x.units.length; i++) if (s.homes[x.units[i]] == x.from[i]) s.homes[x.units[i]] = x.to;
+    private static void raise(Rows.PartState rows, Rows.Service s, Rows.Step x) {
+        for (var i = 0; i < x.units.length; i++) if (s.homeCells[x.units[i]] == x.fromCells[i]) s.homeCells[x.units[i]] = x.toCell;
         moved(rows, s);
         x.tableVersion = s.tableVersion;
     }
 
-    private static void takeBack(Rows.Whole rows, Rows.Service s, Rows.Step x, Commands.StepMark c) {
+    private static void takeBack(Rows.PartState rows, Rows.Service s, Rows.Step x, Commands.StepMark c) {
         for (var i = 0; i < x.units.length; i++) {
             var u = x.units[i];
-            if (s.homes[u] == x.to && Arrays.stream(c.units).anyMatch(v -> v == u)) s.homes[u] = x.from[i];
+            if (s.homeCells[u] == x.toCell && Arrays.stream(c.units).anyMatch(v -> v == u)) s.homeCells[u] = x.fromCells[i];
         }
-        s.heldUntil.put(s.cells.get(x.to), rows.age + c.heldMicros);
+        s.heldBackUntilAge.put(s.cells.get(x.toCell), rows.ageMicros + c.holdBackMicros);
         clear(s, x.units);
         moved(rows, s);
     }
 
-    private static void moved(Rows.Whole rows, Rows.Service s) {
+    private static void moved(Rows.PartState rows, Rows.Service s) {
         s.tableVersion++;
-        s.newsVersion = rows.index;
+        s.topicVersion = rows.lastIndex;
     }
 
     private static void clear(Rows.Service s, int[] units) {
         for (var u : units) put(s, u, PlacementTable.NOWHERE);
     }
 
-    static CommandResult displace(Rows.Whole rows, Commands.Displace c) {
+    static CommandResult displace(Rows.PartState rows, Commands.UnitDisplacement c) {
         var s = rows.services.get(c.service);
         if (s == null || s.tableVersion != c.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
         for (var i = 0; i < c.units.length; i++) put(s, c.units[i], c.cells[i]);
-        s.newsVersion = rows.index;
+        s.topicVersion = rows.lastIndex;
         return Records.ok();
     }
 
--- a/lib/state/src/test/java/craneway/state/disk/FailingDiskTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/FailingDiskTest.java
@@ -7,7 +7,7 @@
 
 import craneway.state.disk.LogHistory.Call;
 import craneway.state.disk.PowerLossFolder.Fault;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.util.List;
 import java.util.TreeMap;
@@ -75,18 +75,18 @@
         assertThrows(DiskException.class, h.log::sync);
         refusesAll(h.log);
         assertThrows(DiskException.class, h.log::sync);
-        assertTrue(h.log.dirty());
+        assertTrue(h.log.isDirty());
         assertEquals(before, LogHistory.describe(h.log));
     }
 
     private static void refusesAll(SegmentLog log) {
         assertThrows(DiskException.class, () -> log.saveTermAndVote(50, 1));
-        assertThrows(DiskException.class, () -> log.append(new Entry(log.last() + 1, 50, Entry.COMMAND, new byte[3])));
-        if (log.last() >= log.first()) assertThrows(DiskException.class, () -> log.cutFrom(log.last()));
+        assertThrows(DiskException.class, () -> log.append(new LogEntry(log.lastIndex() + 1, 50, LogEntry.COMMAND, new byte[3])));
+        if (log.lastIndex() >= log.firstIndex()) assertThrows(DiskException.class, () -> log.truncateFrom(log.lastIndex()));
         var i = new Snapshot();
         i.index = 99;
         i.body = new byte[3];
-        assertThrows(DiskException.class, () -> log.install(i));
+        assertThrows(DiskException.class, () -> log.installSnapshot(i));
     }
 
     /** Without a byte of space the log is read; it counts as synced only where the mark proves it. */
@@ -105,7 +105,7 @@
         f.faults((n, what) -> Fault.REFUSED);
         var log = new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE);
         assertEquals(h.states.get(h.states.size() - 1), LogHistory.describe(log), name);
-        assertEquals(unsynced, log.dirty(), name);
+        assertEquals(unsynced, log.isDirty(), name);
         if (unsynced) assertThrows(DiskException.class, log::sync, name);
         else log.sync();
         refusesAll(log);
@@ -114,14 +114,14 @@
         f.faults((n, what) -> Fault.NONE);
         var again = LogHistory.goingOn(f);
         assertEquals(h.states.get(h.states.size() - 1), LogHistory.describe(again.log), name);
-        assertFalse(again.log.dirty());
+        assertFalse(again.log.isDirty());
         assertTrue(again.make(List.of(LogHistory.entry(9, 4), LogHistory.sync())));
         for (var o = 0L; o < f.outcomes(); o++) again.check(f.afterPowerLoss(o), name + " " + o);
     }
 
     private static TreeMap<String, Integer> contents(Folder f) {
         var all = new TreeMap<String, Integer>();
-        f.names().forEach(n -> all.put(n, java.util.Arrays.hashCode(f.read(n))));
+        f.fileNames().forEach(n -> all.put(n, java.util.Arrays.hashCode(f.read(n))));
         return all;
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/LogHistory.java
+++ b/lib/state/src/test/java/craneway/state/disk/LogHistory.java
@@ -1,6 +1,6 @@
 package craneway.state.disk;
 
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Snapshot;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -63,17 +63,17 @@
         if (!now.equals(next)) throw new AssertionError(now + " instead of " + next);
     }
 
-    private String next(long term, long vote, Snapshot snapshot, List<Entry> entries) {
+    private String next(long term, long vote, Snapshot snapshot, List<LogEntry> entries) {
         return text(term, vote, snapshot, entries);
     }
 
-    private List<Entry> entries() {
+    private List<LogEntry> entries() {
         return entries(log);
     }
 
-    private static List<Entry> entries(SegmentLog log) {
-        var all = new ArrayList<Entry>();
-        for (var i = log.first(); i <= log.last(); i++) all.add(log.at(i));
+    private static List<LogEntry> entries(SegmentLog log) {
+        var all = new ArrayList<LogEntry>();
+        for (var i = log.firstIndex(); i <= log.lastIndex(); i++) all.add(log.entryAt(i));
         return all;
     }
 
@@ -85,10 +85,10 @@
         return h -> {
             var body = new byte[bytes];
             Arrays.fill(body, (byte) (h.states.size() * 31 + 5));
-            var e = new Entry(h.log.last() + 1, term, Entry.COMMAND, body);
+            var e = new LogEntry(h.log.lastIndex() + 1, term, LogEntry.COMMAND, body);
             var all = h.entries();
             all.add(e);
-            h.change(x -> x.log.append(e), h.next(h.log.term(), h.log.vote(), h.log.snapshot(), all));
+            h.change(x -> x.log.append(e), h.next(h.log.currentTerm(), h.log.votedFor(), h.log.snapshot(), all));
         };
     }
 
@@ -96,7 +96,7 @@
         return h -> {
             var all = h.entries();
             all.removeIf(e -> e.index >= from);
-            h.change(x -> x.log.cutFrom(from), h.next(h.log.term(), h.log.vote(), h.log.snapshot(), all));
+            h.change(x -> x.log.truncateFrom(from), h.next(h.log.currentTerm(), h.log.votedFor(), h.log.snapshot(), all));
         };
     }
 
@@ -109,7 +109,7 @@
             var all = h.entries();
             var matches = h.log.termAt(index) == term;
             all.removeIf(e -> !matches || e.index <= index);
-            h.change(x -> x.log.install(i), h.next(h.log.term(), h.log.vote(), i, all));
+            h.change(x -> x.log.installSnapshot(i), h.next(h.log.currentTerm(), h.log.votedFor(), i, all));
             h.acknowledged = h.states.size() - 1;
         };
     }
@@ -122,10 +122,10 @@
     }
 
     static String describe(SegmentLog log) {
-        return text(log.term(), log.vote(), log.snapshot(), entries(log));
+        return text(log.currentTerm(), log.votedFor(), log.snapshot(), entries(log));
     }
 
-    private static String text(long term, long vote, Snapshot snapshot, List<Entry> entries) {
+    private static String text(long term, long vote, Snapshot snapshot, List<LogEntry> entries) {
         var all = entries.stream()
                 .map(e -> e.index + "/" + e.term + ":" + e.body.length + "x" + Arrays.hashCode(e.body))
                 .toList();
--- a/lib/state/src/test/java/craneway/state/disk/OldFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/OldFormatTest.java
@@ -57,7 +57,7 @@
         i.index = index;
         i.term = term;
         i.body = new byte[] {1, 2, 3};
-        return record(BASE, 0, 0, 0, Codec.write(i));
+        return record(BASE, 0, 0, 0, Codec.encode(i));
     }
 
     /** A folder with a snapshot up to 4, the entries 5 to 7 (6 and 7 written twice), and a vote for 3 in term 3. */
@@ -80,16 +80,16 @@
 
     private static void readWhole(PowerLossFolder f) {
         var log = new SegmentLog(f, "p0.", CORE);
-        assertEquals(3, log.term());
-        assertEquals(3, log.vote());
+        assertEquals(3, log.currentTerm());
+        assertEquals(3, log.votedFor());
         assertEquals(4, log.snapshot().index);
         assertArrayEquals(new byte[] {1, 2, 3}, log.snapshot().body);
-        assertEquals(7, log.last());
+        assertEquals(7, log.lastIndex());
         assertEquals(2, log.termAt(5));
         assertEquals(3, log.termAt(6));
-        assertEquals(2, log.at(6).type);
-        assertArrayEquals(body(5), log.at(5).body);
-        assertArrayEquals(body(8), log.at(7).body);
+        assertEquals(2, log.entryAt(6).type);
+        assertArrayEquals(body(5), log.entryAt(5).body);
+        assertArrayEquals(body(8), log.entryAt(7).body);
     }
 
     private static PowerLossFolder changed(IntUnaryOperator length, byte[] mark, byte[]... behind) {
@@ -105,7 +105,7 @@
     void aFolderIsReadAndWrittenInThePresentFormat() {
         var f = folder();
         readWhole(f);
-        assertEquals(java.util.List.of("p0.image.4", "p0.log.10", "p0.mark"), f.names());
+        assertEquals(java.util.List.of("p0.image.4", "p0.log.10", "p0.mark"), f.fileNames());
         assertEquals(SegmentHeader.FORMAT, SegmentHeader.formatOf("p0.log.10", f.read("p0.log.10")));
         readWhole(f);
     }
--- a/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
+++ b/lib/state/src/test/java/craneway/state/disk/PowerLossFolder.java
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return names.keySet().stream().filter(n -> !n.endsWith(".tmp")).toList();
     }
 
--- a/lib/state/src/test/java/craneway/state/disk/RandomCrashTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/RandomCrashTest.java
@@ -54,21 +54,21 @@
 
     private static Call call(int kind, int salt) {
         if (kind < 2)
-            return h -> LogHistory.vote(h.log.term() + salt % 2, salt % 4).on(h);
+            return h -> LogHistory.vote(h.log.currentTerm() + salt % 2, salt % 4).on(h);
         if (kind < 3) return RandomCrashTest::take;
         if (kind < 5) return h -> cutSome(h, salt);
         if (kind < 12)
-            return h -> LogHistory.entry(Math.max(1, h.log.term()), salt % 90).on(h);
+            return h -> LogHistory.entry(Math.max(1, h.log.currentTerm()), salt % 90).on(h);
         return LogHistory.sync();
     }
 
     private static void cutSome(LogHistory h, int salt) {
-        var held = h.log.last() - h.log.first() + 1;
-        if (held > 0) LogHistory.cut(h.log.last() - salt % Math.min(held, 3)).on(h);
+        var held = h.log.lastIndex() - h.log.firstIndex() + 1;
+        if (held > 0) LogHistory.cut(h.log.lastIndex() - salt % Math.min(held, 3)).on(h);
     }
 
     private static void take(LogHistory h) {
-        var index = (h.log.first() + h.log.last()) / 2;
-        if (index >= h.log.first()) LogHistory.take(index, h.log.termAt(index)).on(h);
+        var index = (h.log.firstIndex() + h.log.lastIndex()) / 2;
+        if (index >= h.log.firstIndex()) LogHistory.take(index, h.log.termAt(index)).on(h);
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentDamageTest.java
@@ -155,8 +155,8 @@
         var h = threeSyncs();
         var whole = h.folder.read("p0.log.1");
         var f = with(with(h.folder, MARK, null), "p0.log.1", flipped(whole, whole.length - 1, 1));
-        assertEquals(1, new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE).term() - 1);
-        assertEquals(2, new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE).last());
+        assertEquals(1, new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE).currentTerm() - 1);
+        assertEquals(2, new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE).lastIndex());
     }
 
     @Test
@@ -168,9 +168,9 @@
         f.put("p0.log.1", newer);
         var before = contents(f);
         f.faults((step, what) -> PowerLossFolder.Fault.CRASH);
-        var e = assertThrows(UnknownFormat.class, () -> SegmentLog.checkFormats(f));
+        var e = assertThrows(UnknownFormatException.class, () -> SegmentLog.checkFormats(f));
         assertTrue(e.getMessage().startsWith("p0.log.1 has the data format 3; this version knows formats up to 2"));
-        assertThrows(UnknownFormat.class, () -> new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE));
+        assertThrows(UnknownFormatException.class, () -> new SegmentLog(f, LogHistory.PREFIX, LogHistory.CORE));
         assertEquals(0, f.steps());
         assertEquals(before.keySet(), contents(f).keySet());
         before.forEach((n, b) -> assertArrayEquals(b, f.read(n)));
@@ -178,7 +178,7 @@
 
     private static TreeMap<String, byte[]> contents(Folder f) {
         var all = new TreeMap<String, byte[]>();
-        f.names().forEach(n -> all.put(n, f.read(n)));
+        f.fileNames().forEach(n -> all.put(n, f.read(n)));
         return all;
     }
 }
--- a/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
@@ -1,6 +1,6 @@
 package craneway.state.disk;
 
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
         private long syncs;
 
         @Override
-        public List<String> names() {
+        public List<String> fileNames() {
             return List.copyOf(files.keySet());
         }
 
@@ -70,7 +70,7 @@
         var log = new SegmentLog(folder, "p0.", 1);
         var start = System.nanoTime();
         for (var i = 1; i <= APPENDS; i++) {
-            log.append(new Entry(i, 1, Entry.COMMAND, new byte[BODY]));
+            log.append(new LogEntry(i, 1, LogEntry.COMMAND, new byte[BODY]));
             log.sync();
         }
         var taken = (System.nanoTime() - start) / APPENDS;
--- a/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
+++ b/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
@@ -82,11 +82,11 @@
     @Test
     void aSnapshotTooLargeOrMalformedTakesNoRoom() {
         var p = new EncodedSnapshot(snapshot(9, 200_000)).piece(0);
-        p.total = SnapshotReceiver.MOST + 1L;
+        p.totalBytes = SnapshotReceiver.MOST + 1L;
         assertNotNull(take(TERM, p).refusal());
-        p.total = 10;
+        p.totalBytes = 10;
         assertNotNull(take(TERM, p).refusal());
-        p.total = Long.MAX_VALUE;
+        p.totalBytes = Long.MAX_VALUE;
         p.offset = Long.MAX_VALUE - 1;
         assertNotNull(take(TERM, p).refusal());
         assertEquals(0, receiver.room());
--- a/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
+++ b/lib/state/src/test/java/craneway/state/record/ConfigurationTest.java
@@ -19,28 +19,28 @@
 
     private CommandResult put(long base, long number, String source) {
         var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
+        c.baseVersion = base;
+        c.senderNumber = number;
         c.text = "read: " + source;
-        c.source = source;
-        return records.apply(++index, Codec.writeTagged(c));
+        c.sourceText = source;
+        return records.apply(++index, Codec.encodeTagged(c));
     }
 
     private CommandResult putUnnumbered(long base, String text) {
         var c = new Commands.ManifestPut();
-        c.base = base;
+        c.baseVersion = base;
         c.text = text;
-        return records.apply(++index, Codec.writeTagged(c));
+        return records.apply(++index, Codec.encodeTagged(c));
     }
 
     private void reload() {
         var next = new Records();
-        next.load(records.snapshot());
+        next.restoreSnapshot(records.encodeSnapshot());
         records = next;
     }
 
     private void rebuild() {
-        records.apply(++index, Codec.writeTagged(new Commands.Rebuilt()));
+        records.apply(++index, Codec.encodeTagged(new Commands.Rebuilt()));
     }
 
     private Rows.Manifest newest() {
@@ -62,7 +62,7 @@
         assertEquals(OK, put(0, 3, "a").kind);
         assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
-        assertEquals("a", newest().source);
+        assertEquals("a", newest().sourceText);
         assertEquals(ProblemKind.BAD_MANIFEST.code(), put(3, 3, "b").kind);
     }
 
@@ -118,7 +118,7 @@
     void ofMoreThanAreRememberedTheNewestAreAcknowledgedAgainAndOlderOnesHaveNoEffect() {
         var all = Fingerprint.REMEMBERED + 500;
         for (var n = 1; n <= all; n++) assertEquals(OK, put(n - 1, n, "text " + n).kind);
-        assertEquals(Fingerprint.REMEMBERED, newest().taken.size());
+        assertEquals(Fingerprint.REMEMBERED, newest().legacyHashes.size());
         assertEquals(Fingerprint.REMEMBERED, newest().digests.size());
         reload();
         var oldest = all - Fingerprint.REMEMBERED + 1;
@@ -126,13 +126,13 @@
         assertEquals(OK, put(all - 1, all, "text " + all).kind);
         assertEquals(ProblemKind.RACE_LOST.code(), put(oldest - 2, oldest - 1, "text " + (oldest - 1)).kind);
         assertEquals(all, newest().version);
-        assertEquals("text " + all, newest().source);
+        assertEquals("text " + all, newest().sourceText);
     }
 
     @Test
     void twoTextsOfOneHashAreToldApart() {
         put(0, 3, "a");
-        newest().taken.put(3L, Hash.of(Hash.of("b"), 0));
+        newest().legacyHashes.put(3L, Hash.of(Hash.of("b"), 0));
         assertEquals(ProblemKind.RACE_LOST.code(), put(0, 3, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
     }
@@ -142,7 +142,7 @@
         put(0, 3, "a");
         put(3, 5, "b");
         newest().digests.clear();
-        newest().base = -1;
+        newest().baseVersion = -1;
         reload();
         assertEquals(OK, put(3, 5, "b").kind);
         assertEquals(OK, put(0, 3, "a").kind);
@@ -154,8 +154,8 @@
     @Test
     void whatRoutersGetHoldsNoFingerprints() {
         put(0, 3, "a");
-        assertTrue(newest().inForce().taken.isEmpty());
-        assertTrue(newest().inForce().digests.isEmpty());
-        assertEquals(0, newest().inForce().source.length());
+        assertTrue(newest().copyForPublication().legacyHashes.isEmpty());
+        assertTrue(newest().copyForPublication().digests.isEmpty());
+        assertEquals(0, newest().copyForPublication().sourceText.length());
     }
 }
--- a/lib/state/src/test/java/craneway/state/record/LivesTest.java
+++ b/lib/state/src/test/java/craneway/state/record/LivesTest.java
@@ -21,12 +21,12 @@
     private long index;
 
     private CommandResult apply(long life, long sequence, long lowest, Object command) {
-        var f = new Commands.Fenced();
-        f.life = life;
+        var f = new Commands.IdentifiedCommand();
+        f.sessionId = life;
         f.sequence = sequence;
-        f.lowest = lowest;
-        f.body = Codec.writeTagged(command);
-        return records.apply(++index, Codec.writeTagged(f));
+        f.lowestPending = lowest;
+        f.body = Codec.encodeTagged(command);
+        return records.apply(++index, Codec.encodeTagged(f));
     }
 
     private static Commands.ZoneMark mark(boolean emptied) {
@@ -59,7 +59,7 @@
         assertEquals(ProblemKind.UNKNOWN_PLAN.code(), first.kind);
         assertEquals(first.kind, copy.kind);
         assertEquals(first.detail, copy.detail);
-        assertEquals(first.retryAfter, copy.retryAfter);
+        assertEquals(first.retryAfterMicros, copy.retryAfterMicros);
     }
 
     @Test
@@ -73,11 +73,11 @@
     @Test
     void whatItsProcessNoLongerWaitsForIsForgotten() {
         for (var i = 1; i <= 5; i++) apply(LIFE, i, 1, mark(i % 2 == 0));
-        assertEquals(5, records.rows().lives.get(LIFE).applied.size());
+        assertEquals(5, records.rows().sessions.get(LIFE).results.size());
         apply(LIFE, 6, 5, mark(true));
-        assertEquals(2, records.rows().lives.get(LIFE).applied.size());
-        assertNull(records.verdict(LIFE, 4));
-        assertNotNull(records.verdict(LIFE, 5));
+        assertEquals(2, records.rows().sessions.get(LIFE).results.size());
+        assertNull(records.recordedResult(LIFE, 4));
+        assertNotNull(records.recordedResult(LIFE, 5));
         assertEquals(ProblemKind.LATE_COMMAND.code(), apply(LIFE, 4, 4, mark(false)).kind);
         assertTrue(emptied());
     }
@@ -85,7 +85,7 @@
     @Test
     void theVerdictsOfALifeAreBounded() {
         for (var i = 1; i <= 3 * Lives.VERDICTS; i++) apply(LIFE, i, 1, mark(true));
-        assertEquals(Lives.VERDICTS, records.rows().lives.get(LIFE).applied.size());
+        assertEquals(Lives.VERDICTS, records.rows().sessions.get(LIFE).results.size());
         assertEquals(ProblemKind.LATE_COMMAND.code(), apply(LIFE, 1, 1, mark(false)).kind);
         assertTrue(emptied());
     }
@@ -97,9 +97,9 @@
             apply(i, 1, 1, mark(true));
             if (i == Lives.LIVES / 2) apply(LIFE, 2, 1, mark(true));
         }
-        assertEquals(Lives.LIVES, records.rows().lives.size());
-        assertTrue(records.rows().lives.containsKey(LIFE));
-        assertFalse(records.rows().lives.containsKey(1L));
+        assertEquals(Lives.LIVES, records.rows().sessions.size());
+        assertTrue(records.rows().sessions.containsKey(LIFE));
+        assertFalse(records.rows().sessions.containsKey(1L));
     }
 
     @Test
@@ -107,7 +107,7 @@
         apply(LIFE, 7, 7, mark(true));
         apply(LIFE + 1, 3, 3, mark(false));
         var other = new Records();
-        other.load(records.snapshot());
+        other.restoreSnapshot(records.encodeSnapshot());
         records = other;
         assertEquals(0, apply(LIFE, 7, 7, mark(true)).kind);
         assertFalse(emptied());
@@ -118,30 +118,30 @@
     void replicasThatApplyTheSameEntriesHoldTheSameSnapshot() {
         var other = new Records();
         for (var i = 1; i <= 2_000; i++) {
-            var f = new Commands.Fenced();
-            f.life = LIFE * (i % 7);
+            var f = new Commands.IdentifiedCommand();
+            f.sessionId = LIFE * (i % 7);
             f.sequence = i - i % 3;
-            f.lowest = i - 20;
-            f.body = Codec.writeTagged(mark(i % 5 < 2));
-            var b = Codec.writeTagged(f);
+            f.lowestPending = i - 20;
+            f.body = Codec.encodeTagged(mark(i % 5 < 2));
+            var b = Codec.encodeTagged(f);
             records.apply(i, b);
             other.apply(i, b);
         }
-        assertArrayEquals(records.snapshot(), other.snapshot());
+        assertArrayEquals(records.encodeSnapshot(), other.encodeSnapshot());
     }
 
     @Test
     void aCommandWithinACommandIsRefused() {
-        var inner = new Commands.Fenced();
-        inner.body = Codec.writeTagged(mark(true));
+        var inner = new Commands.IdentifiedCommand();
+        inner.body = Codec.encodeTagged(mark(true));
         assertEquals(ProblemKind.BAD_MESSAGE.code(), apply(LIFE, 1, 1, inner).kind);
         assertFalse(emptied());
     }
 
     @Test
     void aCommandWithoutIdentityIsAppliedAsBefore() {
-        assertEquals(0, records.apply(++index, Codec.writeTagged(mark(true))).kind);
+        assertEquals(0, records.apply(++index, Codec.encodeTagged(mark(true))).kind);
         assertTrue(emptied());
-        assertTrue(records.rows().lives.isEmpty());
+        assertTrue(records.rows().sessions.isEmpty());
     }
 }
--- a/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
+++ b/lib/state/src/test/java/craneway/state/record/OlderFormatTest.java
@@ -62,19 +62,19 @@
 
     private static Commands.ManifestPut put(long base, long number, String source) {
         var c = new Commands.ManifestPut();
-        c.base = base;
-        c.number = number;
-        c.text = c.source = source;
+        c.baseVersion = base;
+        c.senderNumber = number;
+        c.text = c.sourceText = source;
         return c;
     }
 
     private static byte[] fenced(Object command) {
-        var f = new Commands.Fenced();
-        f.life = -5;
+        var f = new Commands.IdentifiedCommand();
+        f.sessionId = -5;
         f.sequence = 9;
-        f.lowest = 9;
-        f.body = Codec.writeTagged(command);
-        return Codec.writeTagged(f);
+        f.lowestPending = 9;
+        f.body = Codec.encodeTagged(command);
+        return Codec.encodeTagged(f);
     }
 
     @Test
@@ -88,20 +88,20 @@
         old.manifest.taken.put(5L, print.hash());
         old.manifest.marks.put("zone:z1", Plan.EMPTIED);
         var records = new Records();
-        records.load(Codec.write(old));
-        assertTrue(records.rows().lives.isEmpty());
-        assertEquals(0, records.apply(41, Codec.writeTagged(put(3, 5, "b"))).kind);
+        records.restoreSnapshot(Codec.encode(old));
+        assertTrue(records.rows().sessions.isEmpty());
+        assertEquals(0, records.apply(41, Codec.encodeTagged(put(3, 5, "b"))).kind);
         assertEquals(0, records.apply(42, fenced(put(5, 6, "c"))).kind);
         assertEquals(6, records.rows().manifest.version);
         assertTrue(records.rows().manifest.marks.containsKey("zone:z1"));
-        assertEquals(1, records.rows().lives.size());
+        assertEquals(1, records.rows().sessions.size());
     }
 
     @Test
     void anOlderProcessReadsASnapshotOfThisOne() {
         var records = new Records();
         records.apply(1, fenced(put(0, 5, "a")));
-        var old = Codec.read(OlderWhole.class, records.snapshot());
+        var old = Codec.decode(OlderWhole.class, records.encodeSnapshot());
         assertEquals(5, old.manifest.version);
         assertEquals(Fingerprint.of("a", 0).hash(), old.manifest.taken.get(5L));
         assertEquals(1, old.index);
@@ -114,16 +114,16 @@
         a.part = 2;
         a.from = new Node("s1", Node.STORE, "z1", "s1", 1);
         a.body = new byte[] {1, 2};
-        a.life = a.lowest = a.term = a.bound = -7;
-        var oldAsk = Codec.read(OlderAsk.class, Codec.write(a));
+        a.sessionId = a.lowestPending = a.leaderTerm = a.leaderDeadline = -7;
+        var oldAsk = Codec.decode(OlderAsk.class, Codec.encode(a));
         assertEquals(3, oldAsk.id);
         assertEquals("s1", oldAsk.from.name);
         assertArrayEquals(a.body, oldAsk.body);
         var v = new Messages.CommandResult();
         v.id = 3;
         v.kind = 4;
-        v.life = v.term = v.clock = -7;
-        assertEquals(4, Codec.read(OlderVerdict.class, Codec.write(v)).kind);
+        v.sessionId = v.leaderTerm = v.leaderClock = -7;
+        assertEquals(4, Codec.decode(OlderVerdict.class, Codec.encode(v)).kind);
     }
 
     @Test
@@ -131,16 +131,16 @@
         var a = new OlderAsk();
         a.id = 3;
         a.body = new byte[] {1, 2};
-        var read = Codec.read(Messages.CommandRequest.class, Codec.write(a));
+        var read = Codec.decode(Messages.CommandRequest.class, Codec.encode(a));
         assertEquals(3, read.id);
-        assertEquals(0, read.life);
-        assertEquals(0, read.bound);
+        assertEquals(0, read.sessionId);
+        assertEquals(0, read.leaderDeadline);
         var v = new OlderVerdict();
         v.id = 3;
         v.kind = 4;
-        var verdict = Codec.read(Messages.CommandResult.class, Codec.write(v));
+        var verdict = Codec.decode(Messages.CommandResult.class, Codec.encode(v));
         assertEquals(4, verdict.kind);
-        assertEquals(0, verdict.life);
-        assertEquals(0, verdict.term);
+        assertEquals(0, verdict.sessionId);
+        assertEquals(0, verdict.leaderTerm);
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -29,7 +29,7 @@
 
     @Override
     public void send(String address, Object message) {
-        lanes.computeIfAbsent(address, Lane::new).send(Codec.writeTagged(message));
+        lanes.computeIfAbsent(address, Lane::new).send(Codec.encodeTagged(message));
     }
 
     @Override
@@ -79,7 +79,7 @@
             }
             bytes -= n;
             since = now.getAsLong();
-            var body = Codec.write(b);
+            var body = Codec.encode(b);
             call = caller.openPersistent(
                     kept,
                     address,
--- a/lib/transport/src/main/java/craneway/transport/PeerHandler.java
+++ b/lib/transport/src/main/java/craneway/transport/PeerHandler.java
@@ -50,8 +50,8 @@
     private void greet(HttpServerExchange e, byte[] b, String foreign) {
         var greeted = false;
         try {
-            for (var m : Codec.read(MessageBatch.class, b).messages) {
-                if (!(Codec.readTagged(m) instanceof Hello h) || h.from == null || !kin.test(h)) continue;
+            for (var m : Codec.decode(MessageBatch.class, b).messages) {
+                if (!(Codec.decodeTagged(m) instanceof Hello h) || h.from == null || !kin.test(h)) continue;
                 receive.accept(h);
                 greeted = true;
             }
@@ -74,7 +74,7 @@
         try {
             if (!HeaderNames.checksum(b).equals(e.getRequestHeaders().getFirst(HeaderNames.CHECKSUM)))
                 throw new BadMessageException("checksum differs");
-            for (var m : Codec.read(MessageBatch.class, b).messages) receive.accept(Codec.readTagged(m));
+            for (var m : Codec.decode(MessageBatch.class, b).messages) receive.accept(Codec.decodeTagged(m));
             e.setStatusCode(204);
         } catch (BadMessageException x) {
             log.logEvent(Event.BAD_MESSAGE, x.getMessage() + " from " + e.getSourceAddress());
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -110,7 +110,7 @@
 
     @Override
     public void send(String to, Object message) {
-        lanes.computeIfAbsent(to, Lane::new).add(Codec.writeTagged(message));
+        lanes.computeIfAbsent(to, Lane::new).add(Codec.encodeTagged(message));
         if (waiting.compareAndSet(false, true) && Thread.currentThread() != thread) selector.wakeup();
     }
 
@@ -205,7 +205,7 @@
     }
 
     private void hand(byte[] b, boolean foreign, Frame f, SocketAddress from) {
-        var m = Codec.readTagged(b);
+        var m = Codec.decodeTagged(b);
         if (foreign && !(m instanceof Hello h && h.from != null && kin.test(h))) {
             notes.bad("core " + Long.toHexString(f.core()) + " from " + from);
             return;
@@ -263,7 +263,7 @@
             marked.set(false);
             used = t;
             if (to.equals(address)) {
-                for (var m = next(queue); m != null; m = next(queue)) hand(Codec.readTagged(m));
+                for (var m = next(queue); m != null; m = next(queue)) hand(Codec.decodeTagged(m));
                 return;
             }
             for (var some = small(); !some.isEmpty(); some = small()) datagram(some);
--- a/lib/transport/src/test/java/craneway/transport/WireTest.java
+++ b/lib/transport/src/test/java/craneway/transport/WireTest.java
@@ -8,7 +8,7 @@
 import craneway.state.message.Messages.Founding;
 import craneway.state.message.Messages.Hello;
 import craneway.state.message.Messages.Join;
-import craneway.state.message.Messages.News;
+import craneway.state.message.Messages.TopicUpdate;
 import craneway.state.message.Node;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -43,7 +43,7 @@
                     () -> this.core,
                     () -> System.nanoTime() / 1000,
                     (e, d) -> notes.add(e == Event.BAD_MESSAGE ? d : e + " " + d));
-            wire.start(h -> h.founding != null && h.founding.origin() == 7, got::add);
+            wire.start(h -> h.founding != null && h.founding.originalCoreId() == 7, got::add);
             open.add(wire);
         }
 
@@ -84,8 +84,8 @@
         return j;
     }
 
-    private static News news(long version, byte[] body) {
-        var n = new News();
+    private static TopicUpdate news(long version, byte[] body) {
+        var n = new TopicUpdate();
         n.topic = "t";
         n.version = version;
         n.body = body;
@@ -125,8 +125,8 @@
         var body = random(3_000_000);
         a.wire.send(b.address, news(1, body));
         a.wire.send(b.address, news(2, body));
-        assertEquals(body.length, b.next(News.class).body.length);
-        assertEquals(2, b.next(News.class).version);
+        assertEquals(body.length, b.next(TopicUpdate.class).body.length);
+        assertEquals(2, b.next(TopicUpdate.class).version);
         assertTrue(a.wire.counts().connections() >= 1);
     }
 
@@ -135,7 +135,7 @@
         var a = new End(5);
         var b = new End(5);
         a.wire.send(b.address, news(1, new byte[10_000]));
-        assertEquals(10_000, b.next(News.class).body.length);
+        assertEquals(10_000, b.next(TopicUpdate.class).body.length);
         assertEquals(0, a.wire.counts().connections());
         assertTrue(a.wire.counts().sent() < 300);
     }
@@ -157,7 +157,7 @@
         var h = new Hello();
         h.from = new Node("a", Node.STORE, "z", a.address, 1);
         h.founding = new Founding();
-        h.founding.origin = 7;
+        h.founding.originalCoreId = 7;
         a.wire.send(b.address, h);
         assertEquals("a", b.next(Hello.class).from.name);
         a.core = 0;
@@ -208,6 +208,6 @@
         a.wire.send(b.address, news(2, random(20_000)));
         a.wire.send(b.address, join(1));
         var got = List.of(b.got.poll(10, TimeUnit.SECONDS), b.got.poll(10, TimeUnit.SECONDS));
-        assertTrue(got.stream().anyMatch(m -> m instanceof News) && got.stream().anyMatch(m -> m instanceof Join));
+        assertTrue(got.stream().anyMatch(m -> m instanceof TopicUpdate) && got.stream().anyMatch(m -> m instanceof Join));
     }
 }
--- a/test/features/src/test/java/craneway/features/NearSteps.java
+++ b/test/features/src/test/java/craneway/features/NearSteps.java
@@ -12,7 +12,7 @@
 import craneway.process.StoreProcess;
 import craneway.router.RouterMain;
 import craneway.standin.StandinRunner;
-import craneway.state.disk.Seal;
+import craneway.state.disk.ChecksumEnvelope;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages;
 import craneway.store.StoreMain;
@@ -161,9 +161,9 @@
     private static byte[] foreignCore() {
         var f = new Messages.Founding();
         f.coreId = 77;
-        f.stores = new long[] {5};
+        f.storeIds = new long[] {5};
         f.zones = new String[] {"zagreb-1"};
-        return Seal.close(Codec.write(f));
+        return ChecksumEnvelope.wrap(Codec.encode(f));
     }
 
     @When("^a store starts again on a folder whose (\\S+) is (.+)$")
--- a/test/features/src/test/java/craneway/features/RecordSteps.java
+++ b/test/features/src/test/java/craneway/features/RecordSteps.java
@@ -19,7 +19,7 @@
     private long index;
 
     private CommandResult apply(Object command) {
-        last = records.apply(++index, Codec.writeTagged(command));
+        last = records.apply(++index, Codec.encodeTagged(command));
         return last;
     }
 
@@ -57,7 +57,7 @@
     @Then("a claim for unit {int} from {word} at version {long} gets {word}")
     public void claim(int unit, String region, long version, String verdict) {
         var before = records.rows().claims.size();
-        var c = new Commands.Claim();
+        var c = new Commands.ClaimTake();
         c.service = "registry";
         c.key = "k" + index;
         c.unit = unit;
@@ -92,13 +92,13 @@
     @Then("after a snapshot and a restart the same claims and table are there")
     public void image() {
         var other = new Records();
-        other.load(records.snapshot());
+        other.restoreSnapshot(records.encodeSnapshot());
         var a = records.rows();
         var b = other.rows();
         if (!a.claims.keySet().equals(b.claims.keySet())) throw new AssertionError("claims differ");
         for (var s : a.services.values()) {
             Rows.Service t = b.services.get(s.name);
-            if (t.tableVersion != s.tableVersion || !Arrays.equals(t.homes, s.homes))
+            if (t.tableVersion != s.tableVersion || !Arrays.equals(t.homeCells, s.homeCells))
                 throw new AssertionError("table differs");
         }
     }
--- a/test/features/src/test/java/craneway/features/SimSteps.java
+++ b/test/features/src/test/java/craneway/features/SimSteps.java
@@ -288,7 +288,7 @@
 
     @Given("a fleet of the wire version before under seed {long}")
     public void earlier(long seed) {
-        s = Shape.SMALL.scenario(seed, Node.WIRE - 1);
+        s = Shape.SMALL.scenario(seed, Node.WIRE_VERSION - 1);
     }
 
     @Then("seeds {long} to {long} of random faults on the {word} fleet keep every promise")
--- a/test/pass/src/test/java/craneway/pass/Bed.java
+++ b/test/pass/src/test/java/craneway/pass/Bed.java
@@ -73,9 +73,9 @@
         service.zones.addAll(List.of("a", "b"));
         service.cellRegions.addAll(List.of("ra", "rb"));
         service.weights.addAll(List.of(1, 1));
-        service.homes = new int[400];
-        Arrays.fill(service.homes, 0);
-        Arrays.fill(service.homes, 200, 300, 1);
+        service.homeCells = new int[400];
+        Arrays.fill(service.homeCells, 0);
+        Arrays.fill(service.homeCells, 200, 300, 1);
         publish();
         var bounds = new NodeSettings.Tolerances(
                 4_000_000, 3_000_000, 8_000_000, 3_000_000, 5_000_000, 0.2, 10_000_000, 60, 1.5, 5, 400_000, 5_000_000);
@@ -194,7 +194,7 @@
         s.zones = service.zones;
         s.cellRegions = service.cellRegions;
         s.weights = service.weights;
-        s.homes = service.homes;
+        s.homeCells = service.homeCells;
         s.runners = service.runners;
         var members = new ArrayList<List<Node>>();
         for (var i = 0; i < 4; i++) members.add(List.of());
--- a/test/pass/src/test/java/craneway/pass/PlacerTest.java
+++ b/test/pass/src/test/java/craneway/pass/PlacerTest.java
@@ -40,9 +40,9 @@
         service.zones.addAll(List.of("a", "b"));
         service.cellRegions.addAll(List.of("ra", "rb"));
         service.weights.addAll(List.of(1, 1));
-        service.homes = new int[400];
-        for (var u = 200; u < 300; u++) service.homes[u] = 1;
-        for (var u = 300; u < 400; u++) service.homes[u] = u % 2;
+        service.homeCells = new int[400];
+        for (var u = 200; u < 300; u++) service.homeCells[u] = 1;
+        for (var u = 300; u < 400; u++) service.homeCells[u] = u % 2;
         for (var i = 0; i < RUNNERS; i++) {
             runner("a" + i, "a", false);
             runner("b" + i, "b", false);
--- a/test/sim/src/main/java/craneway/sim/Disk.java
+++ b/test/sim/src/main/java/craneway/sim/Disk.java
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(files.keySet());
     }
 
--- a/test/sim/src/main/java/craneway/sim/MachinePort.java
+++ b/test/sim/src/main/java/craneway/sim/MachinePort.java
@@ -35,7 +35,7 @@
     @Override
     public void send(String address, Object message) {
         if (machine.life() != processNumber) return;
-        var encoded = Codec.writeTagged(message);
+        var encoded = Codec.encodeTagged(message);
         var coreId = ((Receiver) machine).coreId();
         // As on real connections, only a greeting passes between nodes of different cores.
         machine.world.net.send(machine, address, () -> {
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -71,7 +71,7 @@
 
     @Override
     public void receive(byte[] message) {
-        router.receive(Codec.readTagged(message));
+        router.receive(Codec.decodeTagged(message));
     }
 
     @Override
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -327,7 +327,7 @@
 
     /** Changes the byte at offset 40 of each log file on the machine's disk. */
     private void damageLogs(StoreMachine machine) {
-        for (var fileName : machine.disk.names())
+        for (var fileName : machine.disk.fileNames())
             if (fileName.matches("p\\d\\.log\\.\\d+")) machine.disk.damage(fileName, 40);
     }
 
--- a/test/sim/src/main/java/craneway/sim/Shape.java
+++ b/test/sim/src/main/java/craneway/sim/Shape.java
@@ -41,7 +41,7 @@
 
     /** Bootstraps a fleet of this shape whose nodes speak the current wire version. */
     public Scenario scenario(long seed) {
-        return scenario(seed, Node.WIRE);
+        return scenario(seed, Node.WIRE_VERSION);
     }
 
     /** Bootstraps a fleet of this shape whose nodes speak the given wire version. */
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -4,8 +4,8 @@
 import craneway.control.store.Store;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.CommandRequest;
-import craneway.state.message.Messages.Renew;
-import craneway.state.message.Messages.Subscribe;
+import craneway.state.message.Messages.Renewal;
+import craneway.state.message.Messages.Subscription;
 import craneway.state.message.Node;
 import craneway.state.part.PartMessage;
 import java.util.ArrayDeque;
@@ -68,11 +68,11 @@
 
     @Override
     public void receive(byte[] encoded) {
-        var message = Codec.readTagged(encoded);
+        var message = Codec.decodeTagged(encoded);
         var needsDisk = message instanceof PartMessage
                 || message instanceof CommandRequest
-                || message instanceof Renew
-                || message instanceof Subscribe;
+                || message instanceof Renewal
+                || message instanceof Subscription;
         if (needsDisk && diskDelayMicros > 0 && !diskStalled)
             mineAfter(diskDelayMicros, () -> handlePartMessage(message));
         else if (needsDisk) handlePartMessage(message);
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -51,7 +51,7 @@
     public boolean warmStart = true;
 
     /** The wire version that nodes speak which start from now on. */
-    public int wire = Node.WIRE;
+    public int wire = Node.WIRE_VERSION;
 
     final Set<SimulatedStream> streams = new LinkedHashSet<>();
 
@@ -118,13 +118,13 @@
     Node node(Machine machine, String kind) {
         var node = wallJumps.containsKey(machine.name)
                 ? new Node(machine.name, kind, machine.zone, machine.address, wall(machine))
-                : Node.started(
+                : Node.ofNewProcess(
                         machine.name,
                         kind,
                         machine.zone,
                         machine.address,
                         Hash.of(Hash.of(machine.name), machine.life()));
-        node.wire = wire;
+        node.wireVersion = wire;
         return node;
     }
 
@@ -196,10 +196,10 @@
 
     /** Counts each unit whose home changed. */
     private void recordMoves(Rows.Service row) {
-        var previous = homes.put(row.name, row.homes);
-        if (previous == null || previous == row.homes) return;
+        var previous = homes.put(row.name, row.homeCells);
+        if (previous == null || previous == row.homeCells) return;
         for (var unit = 0; unit < previous.length; unit++)
-            if (previous[unit] >= 0 && previous[unit] != row.homes[unit])
+            if (previous[unit] >= 0 && previous[unit] != row.homeCells[unit])
                 journal.moves.merge(row.name + " " + unit, 1, Integer::sum);
     }
 
--- a/test/sim/src/test/java/craneway/sim/BadCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/BadCommandTest.java
@@ -26,11 +26,11 @@
         a.id = 4711;
         a.part = Parts.MANIFEST_PART;
         a.from = first.store.directory().self();
-        a.life = life;
-        a.lowest = a.id;
-        a.term = term;
-        a.bound = bound;
-        a.body = Codec.writeTagged(order(true));
+        a.sessionId = life;
+        a.lowestPending = a.id;
+        a.leaderTerm = term;
+        a.leaderDeadline = bound;
+        a.body = Codec.encodeTagged(order(true));
         return a;
     }
 
--- a/test/sim/src/test/java/craneway/sim/CapacityCost.java
+++ b/test/sim/src/test/java/craneway/sim/CapacityCost.java
@@ -11,7 +11,7 @@
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Codec;
 import craneway.state.message.Commands;
-import craneway.state.message.Messages.Reading;
+import craneway.state.message.Messages.PrefillNotice;
 import craneway.state.message.Node;
 import craneway.state.record.Rows;
 import java.util.ArrayList;
@@ -264,7 +264,7 @@
             var had = routersOf(c).stream()
                     .filter(m -> slots(m, "runner-" + n) == 100 + no[0])
                     .count();
-            var row = Codec.write(o.store
+            var row = Codec.encode(o.store
                             .replicas()[Parts.partOf(SERVICE)]
                             .records()
                             .rows()
@@ -386,8 +386,8 @@
             var s = new Rows.Service();
             s.name = SERVICE;
             for (var i = 0; i < n; i++) s.runners.put("runner-" + i, of(runner(i, 128)));
-            var b = Codec.write(s);
-            row("row of a service with runners", n, heap(() -> Codec.read(Rows.Service.class, b)) / 1e3);
+            var b = Codec.encode(s);
+            row("row of a service with runners", n, heap(() -> Codec.decode(Rows.Service.class, b)) / 1e3);
         }
         for (var n : TENANTS) {
             var text = text(6, n, 1);
@@ -410,14 +410,14 @@
                     heap(() -> {
                                 var all = new ArrayList<byte[]>();
                                 for (var i = 0; i < n; i++)
-                                    all.add(Codec.write(new Node(
+                                    all.add(Codec.encode(new Node(
                                             "counter-" + i,
                                             Node.ROUTER,
                                             "zone-" + i % 96,
                                             "10.0.0." + i + ":7001",
                                             1)));
                                 return all.stream()
-                                        .map(b -> Codec.read(Node.class, b))
+                                        .map(b -> Codec.decode(Node.class, b))
                                         .toList();
                             })
                             / 1e3);
@@ -450,18 +450,18 @@
             }
             if (x < 0) continue;
             cost[x] = new double[] {middle(all), follow};
-            row(n, spread(all), follow, Codec.writeTagged(notice()).length);
+            row(n, spread(all), follow, Codec.encodeTagged(notice()).length);
         }
         fit("choice us", RUNNERS, i -> cost[i][0]);
         fit("view us", RUNNERS, i -> cost[i][1]);
     }
 
-    private static Reading notice() {
-        var m = new Reading();
+    private static PrefillNotice notice() {
+        var m = new PrefillNotice();
         m.runner = "runner-4711";
-        m.tokens = 9_000;
-        m.parts = new long[] {1L << 60, 1L << 61, 1L << 62};
-        m.sizes = new int[] {2_500, 3_700, 2_800};
+        m.prefillTokens = 9_000;
+        m.sharedPartIds = new long[] {1L << 60, 1L << 61, 1L << 62};
+        m.sharedPartTokens = new int[] {2_500, 3_700, 2_800};
         return m;
     }
 
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -78,9 +78,9 @@
             life++;
             var random = new Random(sim.random.nextLong());
             var self = wall == 0
-                    ? Node.started(name, kind, zone, address, random.nextLong())
+                    ? Node.ofNewProcess(name, kind, zone, address, random.nextLong())
                     : new Node(name, kind, zone, address, 1_000_000_000L + sim.now() / 1_000 + wall);
-            self.fenced = fenced;
+            self.supportsIdentifiedCommands = fenced;
             if (kind.equals(Node.STORE))
                 store = new Store(
                         this, disk, self, seeds, new StoreOptions(founders, quorum, pace, p -> this::work), random);
@@ -196,7 +196,7 @@
             if (!up) return;
             var mine = core();
             if (sim.random.nextDouble() < lost) return;
-            var b = Codec.writeTagged(message);
+            var b = Codec.encodeTagged(message);
             meter.sent(this, to, message, b);
             if (!to.equals(address)) {
                 sent++;
@@ -216,8 +216,8 @@
                 m.gotBytes += b.length;
             }
             m.act(() -> m.timed(() -> {
-                if (m.store != null) m.store.receive(Codec.readTagged(b));
-                else m.router.receive(Codec.readTagged(b));
+                if (m.store != null) m.store.receive(Codec.decodeTagged(b));
+                else m.router.receive(Codec.decodeTagged(b));
             }));
         }
 
--- a/test/sim/src/test/java/craneway/sim/ConfigurationOrderTest.java
+++ b/test/sim/src/test/java/craneway/sim/ConfigurationOrderTest.java
@@ -83,7 +83,7 @@
                 .records()
                 .rows()
                 .manifest
-                .source;
+                .sourceText;
     }
 
     private void onlyThisOne(Call won, Call lost) {
@@ -182,7 +182,7 @@
     }
 
     private int lives(Cluster.Member m) {
-        return m.store.replicas()[Parts.MANIFEST_PART].records().rows().lives.size();
+        return m.store.replicas()[Parts.MANIFEST_PART].records().rows().sessions.size();
     }
 
     @Test
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -42,7 +42,7 @@
             var owner = c.owner(p);
             if (owner == null || m.store.replicas().length == 0) return false;
             var last = owner.store.replicas()[p].group().lastIndex();
-            if (m.store.replicas()[p].group().applied() < last) return false;
+            if (m.store.replicas()[p].group().appliedIndex() < last) return false;
         }
         return true;
     }
--- a/test/sim/src/test/java/craneway/sim/GroupTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupTest.java
@@ -7,7 +7,7 @@
 import craneway.model.unit.TimingProfile;
 import craneway.state.disk.DiskLostException;
 import craneway.state.disk.SegmentLog;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Group;
 import craneway.state.part.GroupListener;
 import craneway.state.part.Members;
@@ -33,12 +33,12 @@
         }
 
         @Override
-        public byte[] snapshot() {
+        public byte[] encodeSnapshot() {
             return new byte[applied];
         }
 
         @Override
-        public void load(byte[] image) {
+        public void restoreSnapshot(byte[] image) {
             applied = image == null ? 0 : image.length;
         }
     }
@@ -63,13 +63,13 @@
         }
 
         @Override
-        public void applied(long index, long term, Object result) {}
+        public void onApplied(long index, long term, Object result) {}
 
         @Override
-        public void leadershipChanged(boolean owns, long term) {}
+        public void onLeadershipChanged(boolean owns, long term) {}
 
         @Override
-        public void note(Event e, String detail) {}
+        public void logEvent(Event e, String detail) {}
     }
 
     private long now = 1_000_000;
@@ -211,35 +211,35 @@
         var disk = new Disk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.saveTermAndVote(1, 1);
-        for (var i = 1; i <= 5; i++) log.append(new Entry(i, 1, Entry.COMMAND, new byte[20]));
+        for (var i = 1; i <= 5; i++) log.append(new LogEntry(i, 1, LogEntry.COMMAND, new byte[20]));
         log.sync();
-        var old = disk.names().stream()
+        var old = disk.fileNames().stream()
                 .filter(n -> n.contains("log."))
                 .findFirst()
                 .get();
-        log.append(new Entry(6, 1, Entry.COMMAND, new byte[20]));
+        log.append(new LogEntry(6, 1, LogEntry.COMMAND, new byte[20]));
         var torn = disk.read(old);
         var image = new Snapshot();
         image.index = 4;
         image.term = 1;
         image.body = new byte[4];
-        log.install(image);
+        log.installSnapshot(image);
         torn[torn.length - 3] ^= 9;
         disk.replace(old, torn);
         var back = new SegmentLog(disk, "p0.", 1);
-        assertEquals(6, back.last());
+        assertEquals(6, back.lastIndex());
         assertEquals(4, back.snapshot().index);
-        assertEquals(1, back.vote());
+        assertEquals(1, back.votedFor());
     }
 
     @Test
     void aSyncedEntryThatIsDamagedIsALostDisk() {
         var disk = new Disk();
         var log = new SegmentLog(disk, "p0.", 1);
-        log.append(new Entry(1, 1, Entry.COMMAND, new byte[20]));
+        log.append(new LogEntry(1, 1, LogEntry.COMMAND, new byte[20]));
         log.sync();
         disk.damage(
-                disk.names().stream()
+                disk.fileNames().stream()
                         .filter(n -> n.contains("log."))
                         .findFirst()
                         .get(),
--- a/test/sim/src/test/java/craneway/sim/LateCopyTest.java
+++ b/test/sim/src/test/java/craneway/sim/LateCopyTest.java
@@ -96,7 +96,7 @@
         leader.crash();
         c.until(() -> c.ownedBut(leader), 5);
         var next = c.owner(Parts.MANIFEST_PART);
-        assertTrue(next.now() < copies.get(0).bound, "the next leader's clock is behind the bound");
+        assertTrue(next.now() < copies.get(0).leaderDeadline, "the next leader's clock is behind the bound");
         acknowledged(second, true);
         acknowledged(second, false);
         for (var a : copies) first.send(next.address, a);
@@ -174,7 +174,7 @@
                 .replicas()[Parts.MANIFEST_PART]
                 .records()
                 .rows()
-                .lives
+                .sessions
                 .size();
     }
 
--- a/test/sim/src/test/java/craneway/sim/LivesTest.java
+++ b/test/sim/src/test/java/craneway/sim/LivesTest.java
@@ -10,7 +10,7 @@
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
 import craneway.state.message.Codec;
-import craneway.state.message.Messages.Renew;
+import craneway.state.message.Messages.Renewal;
 import craneway.state.message.Messages.Renewals;
 import craneway.state.message.Node;
 import java.io.IOException;
@@ -51,7 +51,7 @@
     }
 
     private static Node copy(Node n) {
-        return Codec.read(Node.class, Codec.write(n));
+        return Codec.decode(Node.class, Codec.encode(n));
     }
 
     /** Leaves while one owner cannot hear it, so that one part keeps the record of the life that ended. */
@@ -119,9 +119,9 @@
     private static Renewals renewals(Node from, long now) {
         var all = new Renewals();
         all.from = from;
-        all.stamp = now;
+        all.sentAt = now;
         for (var p = 0; p < Parts.COUNT; p++) {
-            var r = new Renew();
+            var r = new Renewal();
             r.part = p;
             all.parts.add(r);
         }
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -93,7 +93,7 @@
         public void send(String to, Object message) {
             var peer = members.get(to);
             if (!up || peer == null || !peer.up) return;
-            var b = Codec.writeTagged(message);
+            var b = Codec.encodeTagged(message);
             var length = deflated(b);
             if (to.equals(name)) {
                 sim.after(0, () -> peer.arrive(b));
@@ -110,7 +110,7 @@
         }
 
         private void arrive(byte[] b) {
-            if (up) store.receive(Codec.readTagged(b));
+            if (up) store.receive(Codec.decodeTagged(b));
         }
 
         @Override
@@ -129,7 +129,7 @@
         boolean level() {
             var leader = leader();
             if (leader == null || store.replicas().length == 0) return false;
-            return manifestPart(this).applied() == manifestPart(leader).applied();
+            return manifestPart(this).appliedIndex() == manifestPart(leader).appliedIndex();
         }
 
         private craneway.state.part.Group manifestPart(Member m) {
@@ -137,7 +137,7 @@
         }
 
         long diskBytes() {
-            return disk.names().stream().mapToLong(n -> disk.read(n).length).sum();
+            return disk.fileNames().stream().mapToLong(n -> disk.read(n).length).sum();
         }
     }
 
@@ -185,7 +185,7 @@
 
     private void change(int routes, int round) {
         var c = new Commands.ManifestPut();
-        c.base = version;
+        c.baseVersion = version;
         c.text = text(routes, round);
         var done = new boolean[1];
         until(() -> leader() != null, 20);
--- a/test/sim/src/test/java/craneway/sim/SlowPaths.java
+++ b/test/sim/src/test/java/craneway/sim/SlowPaths.java
@@ -44,12 +44,12 @@
         }
 
         @Override
-        public byte[] snapshot() {
+        public byte[] encodeSnapshot() {
             return bytes.toByteArray();
         }
 
         @Override
-        public void load(byte[] image) {
+        public void restoreSnapshot(byte[] image) {
             bytes.reset();
             if (image != null) bytes.writeBytes(image);
         }
@@ -88,13 +88,13 @@
         }
 
         @Override
-        public void applied(long index, long term, Object result) {}
+        public void onApplied(long index, long term, Object result) {}
 
         @Override
-        public void leadershipChanged(boolean owns, long term) {}
+        public void onLeadershipChanged(boolean owns, long term) {}
 
         @Override
-        public void note(Event e, String detail) {
+        public void logEvent(Event e, String detail) {
             notes.add(e + " " + detail);
         }
 
@@ -148,10 +148,10 @@
     private void path(PartMessage m) {
         var to = peers.get(m.to);
         if (to == null || !to.up || drop.test(m) || random.nextDouble() < lost) return;
-        if (peers.get(m.from).earlierVersion) m.readsPieces = false;
+        if (peers.get(m.from).earlierVersion) m.supportsSnapshotPieces = false;
         if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) to.notes.add("unknown kind " + m.kind);
         if (to.earlierVersion && m.kind > PartMessage.TIMEOUT_NOW) return;
-        var b = Codec.write(m);
+        var b = Codec.encode(m);
         carry(m.from, m.to, b);
         if (random.nextDouble() < doubled) carry(m.from, m.to, b);
     }
@@ -174,7 +174,7 @@
     private void arrive(long to, byte[] b) {
         var p = peers.get(to);
         if (p == null || !p.up) return;
-        p.group.receive(Codec.read(PartMessage.class, b), sim.now());
+        p.group.receive(Codec.decode(PartMessage.class, b), sim.now());
         p.group.syncAndSend(sim.now());
     }
 
@@ -191,7 +191,7 @@
 
     Peer leader() {
         return peers.values().stream()
-                .filter(p -> p.up && p.group.role() == Role.LEADER && p.group.ready())
+                .filter(p -> p.up && p.group.role() == Role.LEADER && p.group.isReadyLeader())
                 .findFirst()
                 .orElse(null);
     }
@@ -205,12 +205,12 @@
             var leader = leader();
             var at = leader.group.propose(b, sim.now());
             leader.group.syncAndSend(sim.now());
-            until(() -> leader.group.applied() >= at, 60);
+            until(() -> leader.group.appliedIndex() >= at, 60);
         }
     }
 
     boolean level(Peer p) {
         var leader = leader();
-        return leader != null && p.group.applied() == leader.group.lastIndex();
+        return leader != null && p.group.appliedIndex() == leader.group.lastIndex();
     }
 }
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -33,7 +33,7 @@
     private static double caughtUp(SlowPaths paths, SlowPaths.Peer p, double most) {
         var took = paths.until(() -> paths.level(p), most);
         assertTrue(took < most, () -> "not caught up after " + took + " s: " + p.notes);
-        assertArrayEquals(paths.leader().heap.snapshot(), p.heap.snapshot());
+        assertArrayEquals(paths.leader().heap.encodeSnapshot(), p.heap.encodeSnapshot());
         return took;
     }
 
@@ -135,13 +135,13 @@
         paths.until(
                 () -> {
                     var leader = paths.leader();
-                    var lacks = leader.group.lastIndex() - leader.group.matchOf(3);
-                    if (leader.group.caughtUp(3, paths.sim.now()) && lacks > 5) early.add(lacks);
+                    var lacks = leader.group.lastIndex() - leader.group.matchIndexOf(3);
+                    if (leader.group.isCaughtUp(3, paths.sim.now()) && lacks > 5) early.add(lacks);
                     return paths.level(third);
                 },
                 40);
         assertEquals(List.of(), early);
-        assertTrue(paths.until(() -> paths.leader().group.caughtUp(3, paths.sim.now()), 2) < 1.5);
+        assertTrue(paths.until(() -> paths.leader().group.isCaughtUp(3, paths.sim.now()), 2) < 1.5);
     }
 
     private static PartMessage piece(SlowPaths paths, long term, long offset, int fill) {
@@ -150,14 +150,14 @@
         m.from = paths.leader().id;
         m.to = 3;
         m.term = term;
-        m.snapshot = new SnapshotPiece();
-        m.snapshot.index = 40;
-        m.snapshot.term = 1;
-        m.snapshot.total = 2_000;
-        m.snapshot.checksum = 77;
-        m.snapshot.offset = offset;
-        m.snapshot.bytes = new byte[1_000];
-        m.snapshot.bytes[0] = (byte) fill;
+        m.snapshotPiece = new SnapshotPiece();
+        m.snapshotPiece.index = 40;
+        m.snapshotPiece.term = 1;
+        m.snapshotPiece.totalBytes = 2_000;
+        m.snapshotPiece.checksum = 77;
+        m.snapshotPiece.offset = offset;
+        m.snapshotPiece.bytes = new byte[1_000];
+        m.snapshotPiece.bytes[0] = (byte) fill;
         return m;
     }
 
@@ -166,7 +166,7 @@
         p.group.receive(m, paths.sim.now());
         p.group.syncAndSend(paths.sim.now());
         assertEquals(before + 1, p.count(Event.SNAPSHOT_REJECTED), p.notes::toString);
-        assertEquals(0, p.group.applied());
+        assertEquals(0, p.group.appliedIndex());
         assertEquals(0, p.group.lastIndex());
     }
 
@@ -178,17 +178,17 @@
         var term = paths.leader().group.term();
         refused(paths, third, piece(paths, term, 1_000, 1));
         var none = piece(paths, term, 0, 1);
-        none.snapshot = null;
+        none.snapshotPiece = null;
         refused(paths, third, none);
         var empty = piece(paths, term, 0, 1);
-        empty.snapshot.bytes = null;
+        empty.snapshotPiece.bytes = null;
         refused(paths, third, empty);
         var beyond = piece(paths, term, 1_500, 1);
         refused(paths, third, beyond);
         third.group.receive(piece(paths, term, 0, 1), paths.sim.now());
-        assertEquals(0, third.group.applied());
+        assertEquals(0, third.group.appliedIndex());
         var other = piece(paths, term, 0, 1);
-        other.snapshot.checksum = 78;
+        other.snapshotPiece.checksum = 78;
         refused(paths, third, other);
         refused(paths, third, piece(paths, term - 1, 1_000, 1));
         refused(paths, third, piece(paths, term, 1_000, 2));
--- a/test/sim/src/test/java/craneway/sim/WatchTest.java
+++ b/test/sim/src/test/java/craneway/sim/WatchTest.java
@@ -104,7 +104,7 @@
     @Test
     void oneOfManyRunnersThatFallsSilentIsDarkInTime() {
         announce(MANY);
-        var took = c.until(() -> row().runners.values().stream().noneMatch(Rows.Runner::up), 6);
+        var took = c.until(() -> row().runners.values().stream().noneMatch(Rows.Runner::isUp), 6);
         assertTrue(took < 3.2, () -> took + " s");
     }
 
--- a/test/sim/src/test/java/craneway/sim/WireFormatTest.java
+++ b/test/sim/src/test/java/craneway/sim/WireFormatTest.java
@@ -9,7 +9,7 @@
 import craneway.state.message.Node;
 import craneway.state.message.Plan;
 import craneway.state.message.Queries;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Members;
 import craneway.state.part.PartMessage;
 import craneway.state.part.Snapshot;
@@ -27,24 +27,24 @@
     private static final List<Class<?>> TAGGED = List.of(
             PartMessage.class,
             Messages.Hello.class,
-            Messages.Renew.class,
-            Messages.RenewReply.class,
-            Messages.Subscribe.class,
-            Messages.News.class,
+            Messages.Renewal.class,
+            Messages.RenewalReply.class,
+            Messages.Subscription.class,
+            Messages.TopicUpdate.class,
             Messages.CommandRequest.class,
             Messages.CommandResult.class,
             Messages.Join.class,
             Messages.Founding.class,
             Commands.MemberPut.class,
             Commands.MemberLapsed.class,
-            Commands.MemberGone.class,
+            Commands.MemberRemoved.class,
             Commands.ManifestPut.class,
             Commands.ServiceSync.class,
             Commands.RunnerPut.class,
             Commands.RunnerMark.class,
-            Commands.Claim.class,
-            Commands.Finish.class,
-            Commands.Age.class,
+            Commands.ClaimTake.class,
+            Commands.ClaimFinish.class,
+            Commands.AgeAdvance.class,
             Commands.TableStep.class,
             Commands.PlanPut.class,
             Commands.PlanConfirm.class,
@@ -56,38 +56,38 @@
             Queries.PlanGet.class,
             Commands.StepAsk.class,
             Commands.StepMark.class,
-            Commands.Displace.class,
+            Commands.UnitDisplacement.class,
             Commands.Rebuilt.class,
             Commands.ClaimsAccepted.class,
             Commands.ZoneMark.class,
             Commands.RunnerLeft.class,
-            Messages.Reading.class,
-            Messages.Silence.class,
+            Messages.PrefillNotice.class,
+            Messages.SilenceNotice.class,
             Messages.Renewals.class,
-            Messages.RenewReplies.class);
+            Messages.RenewalReplies.class);
 
     /** Types of the fields in the order in which they are written; new ones are added at the end. */
     private static final Map<Class<?>, String> FIELDS = Map.ofEntries(
             Map.entry(PartMessage.class, "int,int,long,long,long,long,long,long,long,boolean,List,message,boolean"),
             Map.entry(Messages.Hello.class, "message,boolean,long,message,List,long,long,boolean"),
-            Map.entry(Messages.Renew.class, "int,message,long,boolean,long,List,List,List"),
-            Map.entry(Messages.RenewReply.class, "int,int,long,long,message,long,List,List,List,long"),
-            Map.entry(Messages.Subscribe.class, "message,String,long"),
-            Map.entry(Messages.News.class, "String,long,byte[]"),
+            Map.entry(Messages.Renewal.class, "int,message,long,boolean,long,List,List,List"),
+            Map.entry(Messages.RenewalReply.class, "int,int,long,long,message,long,List,List,List,long"),
+            Map.entry(Messages.Subscription.class, "message,String,long"),
+            Map.entry(Messages.TopicUpdate.class, "String,long,byte[]"),
             Map.entry(Messages.CommandRequest.class, "long,int,message,byte[]"),
             Map.entry(Messages.CommandResult.class, "long,int,String,long,long,message,byte[]"),
             Map.entry(Messages.Join.class, "int,message"),
             Map.entry(Messages.Founding.class, "long,long[],String[],long,int"),
             Map.entry(Commands.MemberPut.class, "message"),
             Map.entry(Commands.MemberLapsed.class, "String,long"),
-            Map.entry(Commands.MemberGone.class, "String,long"),
+            Map.entry(Commands.MemberRemoved.class, "String,long"),
             Map.entry(Commands.ManifestPut.class, "long,String,long,String"),
             Map.entry(Commands.ServiceSync.class, "String,long,List,List,List,List,List,boolean,List"),
             Map.entry(Commands.RunnerPut.class, "String,String,String,String,int,long,boolean,int,int,long,long,long"),
             Map.entry(Commands.RunnerMark.class, "String,String,long,int"),
-            Map.entry(Commands.Claim.class, "String,String,int,long,String,String,long,long"),
-            Map.entry(Commands.Finish.class, "String,String,String,long,long,int"),
-            Map.entry(Commands.Age.class, "long,long,long"),
+            Map.entry(Commands.ClaimTake.class, "String,String,int,long,String,String,long,long"),
+            Map.entry(Commands.ClaimFinish.class, "String,String,String,long,long,int"),
+            Map.entry(Commands.AgeAdvance.class, "long,long,long"),
             Map.entry(Commands.TableStep.class, "String,long,int[],int[]"),
             Map.entry(Commands.PlanPut.class, "message"),
             Map.entry(Commands.PlanConfirm.class, "long"),
@@ -97,17 +97,17 @@
             Map.entry(Queries.PlanGet.class, "long"),
             Map.entry(Commands.StepAsk.class, "String,long,int[],int,String"),
             Map.entry(Commands.StepMark.class, "String,long,int,String,long,int[]"),
-            Map.entry(Commands.Displace.class, "String,long,int[],int[]"),
+            Map.entry(Commands.UnitDisplacement.class, "String,long,int[],int[]"),
             Map.entry(Commands.ZoneMark.class, "String,boolean"),
             Map.entry(Commands.RunnerLeft.class, "String"),
-            Map.entry(Messages.Reading.class, "String,int,long[],int[]"),
-            Map.entry(Messages.Silence.class, "String"),
+            Map.entry(Messages.PrefillNotice.class, "String,int,long[],int[]"),
+            Map.entry(Messages.SilenceNotice.class, "String"),
             Map.entry(Messages.Renewals.class, "message,long,boolean,long,List"),
-            Map.entry(Messages.RenewReplies.class, "long,long,long,message,List"),
+            Map.entry(Messages.RenewalReplies.class, "long,long,long,message,List"),
             Map.entry(Node.class, "String,String,String,String,long,long,long,boolean,long,int,String,boolean"),
             Map.entry(Plan.class, "long,String,int,long,long,long,String,TreeMap,List,List,List"),
-            Map.entry(Messages.Signal.class, "String,String,long,long,long"),
-            Map.entry(Entry.class, "long,long,int,byte[]"),
+            Map.entry(Messages.CellSignal.class, "String,String,long,long,long"),
+            Map.entry(LogEntry.class, "long,long,int,byte[]"),
             Map.entry(Snapshot.class, "long,long,message,byte[]"),
             Map.entry(Members.class, "long[],String[],long,String,int"),
             Map.entry(Rows.Member.class, "message,boolean"),
@@ -120,7 +120,7 @@
             Map.entry(Rows.Quota.class, "long,int"),
             Map.entry(Rows.Manifest.class, "long,long,long,String,String,TreeMap,TreeMap"),
             Map.entry(
-                    Rows.Whole.class,
+                    Rows.PartState.class,
                     "long,long,long,long,TreeMap,message,TreeMap,TreeMap,TreeMap,TreeMap,boolean,long"));
 
     @Test
@@ -128,8 +128,8 @@
         for (var i = 0; i < TAGGED.size(); i++) {
             var type = TAGGED.get(i);
             var message = type.getDeclaredConstructor().newInstance();
-            assertEquals(i + 1, Codec.writeTagged(message)[0], type.getName());
-            assertEquals(type, Codec.readTagged(new byte[] {(byte) (i + 1)}).getClass());
+            assertEquals(i + 1, Codec.encodeTagged(message)[0], type.getName());
+            assertEquals(type, Codec.decodeTagged(new byte[] {(byte) (i + 1)}).getClass());
         }
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -153,7 +153,7 @@
     private void recordRead(long sentAt, Response response) {
         var manifest = response.manifest();
         newestKnownNumber = Math.max(newestKnownNumber, manifest.version);
-        var value = manifest.version == 0 ? Operation.NO_CONFIGURATION : OperatorEndpoint.value(manifest.source);
+        var value = manifest.version == 0 ? Operation.NO_CONFIGURATION : OperatorEndpoint.value(manifest.sourceText);
         history.add(Operation.readConfiguration(name, manifest.version, value, sentAt, sim.now()));
         for (var zone : List.of("z1", "z2"))
             history.add(Operation.readZone(name, zone, manifest.marks.containsKey("zone:" + zone), sentAt, sim.now()));
--- a/test/sim/src/test/java/craneway/sim/history/StoreNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNetwork.java
@@ -60,7 +60,7 @@
         if (!from.isRunning()) return;
         var to = fleet.node(address);
         if (to == null) return;
-        var encoded = Codec.writeTagged(message);
+        var encoded = Codec.encodeTagged(message);
         var coreId = message instanceof Hello ? 0 : from.coreId();
         var session = to.session();
         if (to == from) {
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -89,10 +89,10 @@
     /** Receives a message from another store or from itself. */
     void receive(byte[] encoded) {
         var receivingSession = session;
-        if (maxReceiveDelayMicros == 0) run(() -> store.receive(Codec.readTagged(encoded)));
+        if (maxReceiveDelayMicros == 0) run(() -> store.receive(Codec.decodeTagged(encoded)));
         else
             fleet.sim.after((long) (maxReceiveDelayMicros * fleet.sim.random.nextDouble()), () -> {
-                if (session == receivingSession) run(() -> store.receive(Codec.readTagged(encoded)));
+                if (session == receivingSession) run(() -> store.receive(Codec.decodeTagged(encoded)));
             });
     }
 
--- a/test/sim/src/test/java/craneway/sim/model/HashChainStateMachine.java
+++ b/test/sim/src/test/java/craneway/sim/model/HashChainStateMachine.java
@@ -32,12 +32,12 @@
     }
 
     @Override
-    public byte[] snapshot() {
+    public byte[] encodeSnapshot() {
         return ByteBuffer.allocate(16).putLong(lastIndex).putLong(hash).array();
     }
 
     @Override
-    public void load(byte[] snapshot) {
+    public void restoreSnapshot(byte[] snapshot) {
         var buffer = snapshot == null ? ByteBuffer.allocate(16) : ByteBuffer.wrap(snapshot);
         lastIndex = buffer.getLong();
         hash = buffer.getLong();
--- a/test/sim/src/test/java/craneway/sim/model/InjectedFaults.java
+++ b/test/sim/src/test/java/craneway/sim/model/InjectedFaults.java
@@ -3,7 +3,7 @@
 import craneway.state.disk.DiskException;
 import craneway.state.disk.SegmentLog;
 import craneway.state.message.Codec;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.Members;
 import craneway.state.part.PartMessage;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
         return new InjectedFault() {
             @Override
             public void beforeStart(int slot, TrackedDisk disk) {
-                if (disk.folder().names().isEmpty()) return;
+                if (disk.folder().fileNames().isEmpty()) return;
                 var log = new SegmentLog(disk.folder(), "p" + World.PART + ".", Long.hashCode(World.CORE_ID));
                 try {
                     change.accept(log);
@@ -38,7 +38,7 @@
         return new InjectedFault() {
             @Override
             public PartMessage replaceReceived(int slot, PartMessage message) {
-                var copy = Codec.read(PartMessage.class, Codec.write(message));
+                var copy = Codec.decode(PartMessage.class, Codec.encode(message));
                 change.accept(copy);
                 return copy;
             }
@@ -58,17 +58,17 @@
 
     /** Loses the vote over a restart. */
     static InjectedFault forgetsVotes() {
-        return onDisk(log -> log.saveTermAndVote(log.term(), 0));
+        return onDisk(log -> log.saveTermAndVote(log.currentTerm(), 0));
     }
 
     /** Goes back one term over a restart. */
     static InjectedFault forgetsTerms() {
-        return onDisk(log -> log.saveTermAndVote(Math.max(0, log.term() - 1), 0));
+        return onDisk(log -> log.saveTermAndVote(Math.max(0, log.currentTerm() - 1), 0));
     }
 
     /** Loses up to four entries over a restart. */
     static InjectedFault forgetsEntries() {
-        return onDisk(log -> log.cutFrom(Math.max(log.first(), log.last() - 3)));
+        return onDisk(log -> log.truncateFrom(Math.max(log.firstIndex(), log.lastIndex() - 3)));
     }
 
     /** Grants every vote. */
@@ -104,7 +104,7 @@
             @Override
             public PartMessage replaceReceived(int slot, PartMessage message) {
                 if (message.kind != PartMessage.APPEND || message.entries.isEmpty()) return message;
-                var copy = Codec.read(PartMessage.class, Codec.write(message));
+                var copy = Codec.decode(PartMessage.class, Codec.encode(message));
                 highestIndexSent.merge(slot, message.entries.get(message.entries.size() - 1).index, Math::max);
                 copy.entries.clear();
                 return copy;
@@ -131,7 +131,7 @@
     /** Shifts the time stamp of acknowledgements, so that a leader believes that its lease lasts longer. */
     static InjectedFault overestimatesLease() {
         return onReceive(message -> {
-            if (message.kind == PartMessage.APPEND_REPLY) message.stamp += STAMP_SHIFT_MICROS;
+            if (message.kind == PartMessage.APPEND_REPLY) message.sentAt += STAMP_SHIFT_MICROS;
         });
     }
 
@@ -141,8 +141,8 @@
             @Override
             public PartMessage replaceReceived(int slot, PartMessage message) {
                 if (slot != 2 || message.kind != PartMessage.APPEND) return message;
-                var copy = Codec.read(PartMessage.class, Codec.write(message));
-                for (var entry : copy.entries) if (entry.type == Entry.COMMAND) entry.body[0] ^= 1;
+                var copy = Codec.decode(PartMessage.class, Codec.encode(message));
+                for (var entry : copy.entries) if (entry.type == LogEntry.COMMAND) entry.body[0] ^= 1;
                 return copy;
             }
         };
@@ -155,9 +155,9 @@
     static InjectedFault changesMembershipConcurrently() {
         return onReceive(message -> {
             for (var entry : message.entries) {
-                if (entry.type != Entry.COMMAND) continue;
-                entry.type = Entry.MEMBERSHIP;
-                entry.body = Codec.write(Members.of(new long[] {1, 2, 3}, new String[] {"z1", "z2", "z3"}));
+                if (entry.type != LogEntry.COMMAND) continue;
+                entry.type = LogEntry.MEMBERSHIP;
+                entry.body = Codec.encode(Members.of(new long[] {1, 2, 3}, new String[] {"z1", "z2", "z3"}));
             }
         });
     }
--- a/test/sim/src/test/java/craneway/sim/model/InvariantChecker.java
+++ b/test/sim/src/test/java/craneway/sim/model/InvariantChecker.java
@@ -1,7 +1,7 @@
 package craneway.sim.model;
 
 import craneway.state.disk.DiskLostException;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import craneway.state.part.PartMessage;
 import craneway.state.part.Role;
 import java.util.Arrays;
@@ -207,9 +207,9 @@
             var group = peer.group();
             if (group.role() == Role.LEADER) recordLeader(peer.id(), group.term());
             require(
-                    peer.isFrozen() || !group.hasLease(world.now()) || group.applied() >= committedIndex(),
+                    peer.isFrozen() || !group.hasLease(world.now()) || group.appliedIndex() >= committedIndex(),
                     Invariant.FRESH_LEADER_IS_CURRENT,
-                    peer.id() + " of term " + group.term() + " answers from " + group.applied() + ", committed is "
+                    peer.id() + " of term " + group.term() + " answers from " + group.appliedIndex() + ", committed is "
                             + committedIndex());
         }
         if (replaying || ++checkCount % logCheckInterval != 0) return;
@@ -237,7 +237,7 @@
         var openChanges = 0;
         for (var entry : view.entries()) {
             checkEntry(peer, view, entry);
-            if (entry.type == Entry.MEMBERSHIP && entry.index > committedIndex()) openChanges++;
+            if (entry.type == LogEntry.MEMBERSHIP && entry.index > committedIndex()) openChanges++;
         }
         require(
                 openChanges <= 1,
@@ -246,14 +246,14 @@
     }
 
     /** Compares an entry with the same one in other logs, and checks the position of a membership change. */
-    private void checkEntry(Peer peer, LogView view, Entry entry) {
+    private void checkEntry(Peer peer, LogView view, LogEntry entry) {
         var content = new Content(view.termAt(entry.index - 1), entry.type, Arrays.hashCode(entry.body));
         var earlier = contentByEntry.putIfAbsent(new Key(entry.index, entry.term), content);
         require(
                 earlier == null || earlier.equals(content),
                 Invariant.LOGS_MATCH,
                 "entry " + entry.index + " of term " + entry.term + " differs at " + peer.id());
-        if (earlier != null || entry.type != Entry.MEMBERSHIP) return;
+        if (earlier != null || entry.type != LogEntry.MEMBERSHIP) return;
         var firstOwn = firstCommittedInTerm.get(entry.term);
         require(
                 firstOwn != null && firstOwn < entry.index,
@@ -264,9 +264,9 @@
     /** Checks that the leader at the end has applied everything that was ever committed. */
     void checkFinalLeader(Peer leader) {
         require(
-                leader.group().applied() >= committedIndex(),
+                leader.group().appliedIndex() >= committedIndex(),
                 Invariant.ACKNOWLEDGED_STAYS,
-                "leader " + leader.id() + " has " + leader.group().applied() + " of " + committedIndex());
+                "leader " + leader.id() + " has " + leader.group().appliedIndex() + " of " + committedIndex());
     }
 
     /** A hash over the recorded facts that decide later checks, to tell states apart. */
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -2,7 +2,7 @@
 
 import craneway.sim.Disk;
 import craneway.state.disk.SegmentLog;
-import craneway.state.part.Entry;
+import craneway.state.part.LogEntry;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -13,14 +13,14 @@
  * @param firstIndex the index of the first entry
  * @param snapshotTerm the term of the last entry that the snapshot covers, 0 without a snapshot
  */
-record LogView(long term, long votedFor, long firstIndex, long snapshotTerm, List<Entry> entries) {
+record LogView(long term, long votedFor, long firstIndex, long snapshotTerm, List<LogEntry> entries) {
     /** Reads the log from a copy of a disk; recovery may write to it. */
     static LogView of(Disk copy) {
         var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE_ID));
-        var entries = new ArrayList<Entry>();
-        for (var i = log.first(); i <= log.last(); i++) entries.add(log.at(i));
+        var entries = new ArrayList<LogEntry>();
+        for (var i = log.firstIndex(); i <= log.lastIndex(); i++) entries.add(log.entryAt(i));
         var snapshotTerm = log.snapshot() == null ? 0 : log.snapshot().term;
-        return new LogView(log.term(), log.vote(), log.first(), snapshotTerm, entries);
+        return new LogView(log.currentTerm(), log.votedFor(), log.firstIndex(), snapshotTerm, entries);
     }
 
     /** Whether the log, including its snapshot, holds the entry. Whatever the snapshot covers counts as held. */
--- a/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
+++ b/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
@@ -42,11 +42,11 @@
         return switch (choice.kind()) {
             case LEARN -> {
                 var id = world.peer(choice.secondArgument()).id();
-                yield members.learner != 0 || members.isMember(id)
+                yield members.learnerId != 0 || members.isMember(id)
                         ? null
                         : members.withLearner(id, "z" + choice.secondArgument());
             }
-            case PROMOTE -> isLearnerCaughtUp(leader, members) ? members.promoted() : null;
+            case PROMOTE -> isLearnerCaughtUp(leader, members) ? members.withLearnerPromoted() : null;
             default -> {
                 var id = memberAt(members, choice.secondArgument());
                 yield id == 0 || id == leader.id() || members.voters.length == 1 ? null : members.without(id);
@@ -55,8 +55,8 @@
     }
 
     private boolean isLearnerCaughtUp(Peer leader, Members members) {
-        return members.learner != 0
-                && leader.group().matchOf(members.learner) >= leader.group().lastIndex() - MAX_LEARNER_LAG_ENTRIES;
+        return members.learnerId != 0
+                && leader.group().matchIndexOf(members.learnerId) >= leader.group().lastIndex() - MAX_LEARNER_LAG_ENTRIES;
     }
 
     /**
@@ -82,12 +82,12 @@
     }
 
     private Members desiredMembers(Peer leader, Members members) {
-        if (members.learner != 0 && world.isDiskLost(members.learner)) return members.without(members.learner);
+        if (members.learnerId != 0 && world.isDiskLost(members.learnerId)) return members.without(members.learnerId);
         for (var voter : members.voters)
             if (voter != leader.id() && world.isDiskLost(voter)) return members.without(voter);
-        if (isLearnerCaughtUp(leader, members)) return members.promoted();
-        if (members.learner != 0)
-            return world.peerWithId(members.learner).isRunning() ? null : members.without(members.learner);
+        if (isLearnerCaughtUp(leader, members)) return members.withLearnerPromoted();
+        if (members.learnerId != 0)
+            return world.peerWithId(members.learnerId).isRunning() ? null : members.without(members.learnerId);
         if (members.voters.length > world.setup().voters()) return members.without(leastRecentlyHeard(leader, members));
         if (members.voters.length == world.setup().voters()) return null;
         return world.peers().stream()
@@ -103,7 +103,7 @@
         for (var voter : members.voters) {
             if (voter == leader.id()) continue;
             if (leastRecent == 0
-                    || leader.group().heardFrom(voter) < leader.group().heardFrom(leastRecent)) leastRecent = voter;
+                    || leader.group().lastHeardAt(voter) < leader.group().lastHeardAt(leastRecent)) leastRecent = voter;
         }
         return leastRecent;
     }
--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -141,13 +141,13 @@
     }
 
     @Override
-    public void applied(long index, long term, Object result) {
+    public void onApplied(long index, long term, Object result) {
         world.checker().recordApplied(this, index, term, result);
     }
 
     @Override
-    public void leadershipChanged(boolean owns, long term) {}
+    public void onLeadershipChanged(boolean owns, long term) {}
 
     @Override
-    public void note(Event e, String detail) {}
+    public void logEvent(Event e, String detail) {}
 }
--- a/test/sim/src/test/java/craneway/sim/model/RandomHistory.java
+++ b/test/sim/src/test/java/craneway/sim/model/RandomHistory.java
@@ -145,7 +145,7 @@
             var peer = world.leader();
             if (peer == null || !peer.group().hasLease(world.now())) continue;
             if (i % 20 == 0) world.apply(Choice.of(Choice.Kind.MANAGE, 0));
-            if (peer.group().applied() < peer.group().lastIndex() || i < 100) continue;
+            if (peer.group().appliedIndex() < peer.group().lastIndex() || i < 100) continue;
             world.checker().setLogCheckInterval(1);
             world.checker().check();
             world.checker().checkFinalLeader(peer);
--- a/test/sim/src/test/java/craneway/sim/model/TrackedDisk.java
+++ b/test/sim/src/test/java/craneway/sim/model/TrackedDisk.java
@@ -23,7 +23,7 @@
 
     TrackedDisk(Disk disk) {
         this.disk = disk;
-        for (var name : disk.names()) setSynced(name, disk.read(name).length);
+        for (var name : disk.fileNames()) setSynced(name, disk.read(name).length);
         folder = (Folder)
                 Proxy.newProxyInstance(Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, this::invoke);
     }
@@ -50,14 +50,14 @@
     /** A disk with everything that was written. */
     Disk copy() {
         var copy = new Disk();
-        for (var name : disk.names()) copy.replace(name, disk.read(name));
+        for (var name : disk.fileNames()) copy.replace(name, disk.read(name));
         return copy;
     }
 
     /** A disk with only what was synced. */
     Disk syncedCopy() {
         var copy = new Disk();
-        for (var name : disk.names())
+        for (var name : disk.fileNames())
             if (syncedLengths.containsKey(name))
                 copy.replace(name, Arrays.copyOf(disk.read(name), syncedLengths.get(name)));
         return copy;
