--- a/test/features/src/test/java/craneway/features/NearSteps.java
+++ b/test/features/src/test/java/craneway/features/NearSteps.java
@@ -124,7 +124,7 @@
         await("store ready", () -> status("store-platform", "/ready") == 200);
         send(manifest(), 0);
         runner = new StandinRunner(
-                new StandinRunner.Shape("runner-1", at.get("runner"), "registry", "zagreb-a", 2, 20, thinking, 4, 0),
+                new StandinRunner.Settings("runner-1", at.get("runner"), "registry", "zagreb-a", 2, 20, thinking, 4, 0),
                 List.of(at.get("runner-desk")),
                 folder.resolve("runner-1.jsonl"));
         runner.start();
@@ -376,13 +376,13 @@
     @Then("the router lets go while the runner still thinks")
     public void letGo() {
         await("the router lets go", () -> router.router().runnerLoads().requestsInFlight("runner-1") == 0);
-        if (runner.running() != 1) throw new AssertionError("the runner had its first token out");
+        if (runner.requestsInFlight() != 1) throw new AssertionError("the runner had its first token out");
     }
 
     @Then("the runner's call is cancelled before its end")
     public void cancelled() throws IOException {
         await("the router lets go", () -> router.router().runnerLoads().requestsInFlight("runner-1") == 0);
-        await("the runner stops", () -> runner.running() == 0);
+        await("the runner stops", () -> runner.requestsInFlight() == 0);
         if (Files.readString(folder.resolve("runner-1.jsonl")).contains("\"end\",\"sub\":\"gone1\""))
             throw new AssertionError("it ran to its end");
     }
--- a/test/features/src/test/java/craneway/features/ProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/ProcessSteps.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CranewayMain;
-import craneway.drill.Checker;
-import craneway.standin.Faults;
+import craneway.drill.JournalChecker;
+import craneway.standin.FaultInjector;
 import craneway.standin.Fleet;
 import io.cucumber.datatable.DataTable;
 import io.cucumber.java.After;
@@ -23,7 +23,7 @@
 
     private Fleet f;
     private Path journal;
-    private Checker checker;
+    private JournalChecker checker;
     private boolean planned = true;
     private int code;
 
@@ -64,14 +64,14 @@
             var at = Long.parseLong(r.get("at stream"));
             var fault = r.get("fault");
             planned &= !fault.matches("(kill|freeze)-(router|store)|wipe-store|kill-runner");
-            f.await("stream " + at, () -> load.isDone() || lines() >= at);
+            f.awaitCondition("stream " + at, () -> load.isDone() || lines() >= at);
             if (load.isDone()) throw new AssertionError("the load was over before " + fault);
-            Faults.bring(f, fault);
+            FaultInjector.inject(f, fault);
         }
         code = load.get();
-        for (var r : f.names("runners")) if (f.isRunning(r)) f.ask(r);
-        for (var r : f.names("runners")) if (f.isRunning(r)) f.ended(r);
-        checker = f.check(journal);
+        for (var r : f.processNames("runners")) if (f.isRunning(r)) f.requestStop(r);
+        for (var r : f.processNames("runners")) if (f.isRunning(r)) f.awaitExit(r);
+        checker = f.checkJournals(journal);
     }
 
     private long lines() {
@@ -84,9 +84,9 @@
 
     @Then("the journals agree and every promise they show was kept")
     public void agree() {
-        var wrong = checker.verdict(planned);
+        var wrong = checker.findViolations(planned);
         if (!wrong.isEmpty() || code != 0)
-            throw new AssertionError("load ended with " + code + ", " + wrong + " " + checker.counts());
+            throw new AssertionError("load ended with " + code + ", " + wrong + " " + checker.summary());
     }
 
     @Then("at least {int} streams were whole")
@@ -139,16 +139,16 @@
 
     @When("zone {word} is drilled with {int} streams while somebody sends work past the routers")
     public void rogue(String zone, int streams) throws IOException {
-        var runner = f.names("runners").stream()
-                .filter(r -> f.map.get("runners").get(r).get("zone").asText().equals(zone))
+        var runner = f.processNames("runners").stream()
+                .filter(r -> f.fleetJson.get("runners").get(r).get("zone").asText().equals(zone))
                 .findFirst()
                 .orElseThrow();
-        var address = f.map.get("runners").get(runner).get("address").asText();
+        var address = f.fleetJson.get("runners").get(runner).get("address").asText();
         var drill = CompletableFuture.supplyAsync(() -> drilled(zone, streams));
-        f.await("zone emptied", () -> f.marked("zone:" + zone));
-        f.await("the drill's end", () -> {
+        f.awaitCondition("zone emptied", () -> f.hasMark("zone:" + zone));
+        f.awaitCondition("the drill's end", () -> {
             try {
-                f.call(
+                f.send(
                         address,
                         Methods.POST,
                         "/v1/chat/completions",
@@ -170,7 +170,7 @@
 
     @Then("status shows every part owned and 3 stores in each group")
     public void status() {
-        f.await("all parts whole", () -> f.names("stores").stream().allMatch(f::votes));
+        f.awaitCondition("all parts whole", () -> f.processNames("stores").stream().allMatch(f::isVoterInEveryGroup));
     }
 
     @After
