--- a/test/features/src/test/java/craneway/features/NearSteps.java
+++ b/test/features/src/test/java/craneway/features/NearSteps.java
@@ -6,9 +6,9 @@
 import craneway.http.AsyncHttpClient;
 import craneway.http.BufferedHttpResponse;
 import craneway.log.EventLog;
-import craneway.process.BadStartupException;
+import craneway.process.InvalidSettingsException;
 import craneway.process.RouterProcess;
-import craneway.process.Startup;
+import craneway.process.StartupSettings;
 import craneway.process.StoreProcess;
 import craneway.router.RouterMain;
 import craneway.standin.StandinRunner;
@@ -100,7 +100,7 @@
         var seeds = at.get("store") + "," + at.get("router") + ",127.0.0.1:9";
         store = startStore(seeds);
         router = new RouterProcess(
-                Startup.of(
+                StartupSettings.load(
                         null,
                         Map.of(
                                 "name",
@@ -119,7 +119,7 @@
                                 at.get("runner-desk"),
                                 "seeds",
                                 seeds),
-                        Startup.ROUTER),
+                        StartupSettings.ROUTER_KIND),
                 new EventLog("router-1"));
         await("store ready", () -> status("store-platform", "/ready") == 200);
         send(manifest(), 0);
@@ -135,7 +135,7 @@
 
     private StoreProcess startStore(String seeds) {
         return new StoreProcess(
-                Startup.of(
+                StartupSettings.load(
                         null,
                         Map.of(
                                 "name",
@@ -154,7 +154,7 @@
                                 folder.resolve("data").toString(),
                                 "stores",
                                 "1"),
-                        Startup.STORE),
+                        StartupSettings.STORE_KIND),
                 new EventLog("store-1"));
     }
 
@@ -230,7 +230,7 @@
         at.put("store-platform", free());
         try (var second = startStore(at.get("store") + ",127.0.0.1:9,127.0.0.1:8")) {
             throw new AssertionError("two stores share a folder");
-        } catch (BadStartupException e) {
+        } catch (InvalidSettingsException e) {
             if (!e.getMessage().contains("in use")) throw e;
         }
     }
