--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -14,19 +14,20 @@
 import java.util.Map;
 import java.util.Random;
 
-public final class RouterMachine extends Machine implements NodePort.Receiver, Stream.Server {
+/** A simulated machine that runs the production router. */
+public final class RouterMachine extends Machine implements MachinePort.Receiver, SimulatedStream.Server {
     public Router router;
     public OperatorCommands operator;
-    private long ids;
+    private long lastRequestId;
     private boolean leaving;
 
-    RouterMachine(World w, String name, String zone, String address) {
-        super(w, name, zone, address);
+    RouterMachine(World world, String name, String zone, String address) {
+        super(world, name, zone, address);
     }
 
     @Override
     protected void boot() {
-        var port = new NodePort(this);
+        var port = new MachinePort(this);
         leaving = false;
         router =
                 new Router(port, world.node(this, Node.ROUTER), world.seeds(), new Random(world.sim.random.nextLong()));
@@ -49,6 +50,7 @@
             });
     }
 
+    /** Stops the router as a rolling release does: unready first, then drained, then a leave. */
     public void stopGently() {
         router.markUnready();
         mineAfter(2_200_000, () -> {
@@ -57,55 +59,57 @@
         });
     }
 
+    /** Whether the router accepts new requests. */
     public boolean ready() {
         return up() && !frozen() && router.isReady();
     }
 
     @Override
-    public long core() {
+    public long coreId() {
         return router == null ? 0 : router.directory().self().coreId;
     }
 
     @Override
-    public void receive(byte[] m) {
-        router.receive(Codec.decodeTagged(m));
+    public void receive(byte[] message) {
+        router.receive(Codec.decodeTagged(message));
     }
 
     @Override
-    public void serve(Stream s, String path, Map<String, String> h, byte[] body) {
+    public void serve(SimulatedStream stream, String path, Map<String, String> headers, byte[] body) {
         var text = new String(body);
         if (path.equals(HttpExchange.ROUTER_PATH))
             world.journal.forwards.add(new Journal.Forward(now(), text.split(" ")[1]));
-        var regions = h.getOrDefault(HttpExchange.REGIONS_HEADER, "");
-        var t = new Request(
-                ++ids,
+        var regions = headers.getOrDefault(HttpExchange.REGIONS_HEADER, "");
+        var request = new Request(
+                ++lastRequestId,
                 text.split(" ")[0],
-                h.get(HttpExchange.TENANT_HEADER),
-                h.getOrDefault(HttpExchange.WORK_HEADER, ""),
+                headers.get(HttpExchange.TENANT_HEADER),
+                headers.getOrDefault(HttpExchange.WORK_HEADER, ""),
                 regions.isEmpty() ? List.of() : List.of(regions.split(",")),
-                h.getOrDefault(HttpExchange.KEY_HEADER, ""),
-                Hash.of(h.getOrDefault(HttpExchange.WORK_HEADER, "")),
-                now() + Long.parseLong(h.get(HttpExchange.DEADLINE_MS_HEADER)) * 1000,
+                headers.getOrDefault(HttpExchange.KEY_HEADER, ""),
+                Hash.of(headers.getOrDefault(HttpExchange.WORK_HEADER, "")),
+                now() + Long.parseLong(headers.get(HttpExchange.DEADLINE_MS_HEADER)) * 1000,
                 path.equals(HttpExchange.ROUTER_PATH),
                 body);
-        var p = new RequestRelay(
-                t,
+        var relay = new RequestRelay(
+                request,
                 router.requestExecutor(),
                 router.runnerLoads(),
                 this::now,
                 name,
-                new Bound(s, path.equals(HttpExchange.RUNNER_PATH) ? text.split(" ")[1] : ""));
+                new ClientExchange(stream, path.equals(HttpExchange.RUNNER_PATH) ? text.split(" ")[1] : ""));
         var executor = router.requestExecutor();
-        s.onCancel(() -> executor.onClientDisconnected(t.id()));
-        p.start();
+        stream.onCancel(() -> executor.onClientDisconnected(request.id()));
+        relay.start();
     }
 
-    private final class Bound implements HttpExchange {
-        private final Stream back;
+    /** Passes what the request relay produces to the caller's stream. */
+    private final class ClientExchange implements HttpExchange {
+        private final SimulatedStream stream;
         private final String sub;
 
-        Bound(Stream back, String sub) {
-            this.back = back;
+        ClientExchange(SimulatedStream stream, String sub) {
+            this.stream = stream;
             this.sub = sub;
         }
 
@@ -115,41 +119,40 @@
         }
 
         @Override
-        public OutgoingCall openCall(
-                String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
+        public OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
             return world.open(RouterMachine.this, address, path, headers, body, sink);
         }
 
         @Override
         public void startResponse() {
-            back.status(200, Map.of());
+            stream.status(200, Map.of());
         }
 
         @Override
-        public boolean writeChunk(byte[] b) {
-            back.chunk(b);
-            return back.open();
+        public boolean writeChunk(byte[] bytes) {
+            stream.chunk(bytes);
+            return stream.isOpen();
         }
 
         @Override
         public void endResponse() {
-            back.end();
+            stream.end();
         }
 
         @Override
-        public void sendProblem(Problem p) {
+        public void sendProblem(Problem problem) {
             if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
-            var h = new HashMap<String, String>();
-            h.put(HttpExchange.PROBLEM_HEADER, Integer.toString(p.kind().code()));
-            h.put(HttpExchange.RETRY_MICROS_HEADER, Long.toString(p.retryAfterMicros()));
-            back.status(p.kind().status(), h);
-            back.end();
+            var headers = new HashMap<String, String>();
+            headers.put(HttpExchange.PROBLEM_HEADER, Integer.toString(problem.kind().code()));
+            headers.put(HttpExchange.RETRY_MICROS_HEADER, Long.toString(problem.retryAfterMicros()));
+            stream.status(problem.kind().status(), headers);
+            stream.end();
         }
 
         @Override
-        public void abortResponse(Problem p, boolean started) {
-            if (started) back.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
-            back.broken();
+        public void abortResponse(Problem problem, boolean started) {
+            if (started) stream.chunk("\n\nevent: error\ndata: {}\n\n".getBytes());
+            stream.breakOff();
         }
     }
 }
--- a/test/sim/src/test/java/craneway/sim/model/World.java
+++ b/test/sim/src/test/java/craneway/sim/model/World.java
@@ -13,71 +13,85 @@
 import java.util.Set;
 import java.util.function.IntFunction;
 
-/** Members of one agreement group on simulated disks, clock and network; every change of it is a {@link Placement}. */
+/** Members of one consensus group on simulated disks, clock and network; every change to it is a {@link Placement}. */
 final class World {
     static final int PART = 0;
-    static final long CORE = 9;
-
-    /** What a world is made of; the noise is how many in a thousand messages are lost, doubled or late. */
-    record Shape(int voters, int slots, TimingProfile pace, long seed, int noise, IntFunction<Random> randoms) {}
-
-    private final Shape shape;
-    private final Plant plant;
-    private final Ledger ledger;
+    static final long CORE_ID = 9;
+
+    /**
+     * The properties of a world.
+     *
+     * @param voters the number of voters at the start
+     * @param slots the number of stores
+     * @param timing the timing of the group
+     * @param faultsPerThousand how many messages in a thousand are lost, how many duplicated and how many late
+     * @param randomFactory creates a member's source of randomness from its slot and the number of its starts
+     */
+    record Setup(
+            int voters,
+            int slots,
+            TimingProfile timing,
+            long seed,
+            int faultsPerThousand,
+            IntFunction<Random> randomFactory) {}
+
+    private final Setup setup;
+    private final InjectedFault injectedFault;
+    private final InvariantChecker checker;
     private final List<Peer> peers = new ArrayList<>();
-    private final Map<Long, Integer> slots = new HashMap<>();
-    private final Map<String, Integer> labels = new HashMap<>();
-    private final List<Letter> mail = new ArrayList<>();
-    private final Set<String> late = new HashSet<>();
-    private final Set<Integer> ticked = new HashSet<>();
-    private final Set<Integer> cuts = new HashSet<>();
+    private final Map<Long, Integer> slotById = new HashMap<>();
+    private final Map<String, Integer> countByLink = new HashMap<>();
+    private final List<InFlightMessage> messagesInFlight = new ArrayList<>();
+    private final Set<String> postponedLabels = new HashSet<>();
+    private final Set<Integer> tickedSlots = new HashSet<>();
+    private final Set<Integer> cutLinks = new HashSet<>();
     private final Network network;
-    private final Steward steward;
-    private long now = 1_000_000;
-    private long proposals;
-
-    World(Shape shape, Plant plant, Set<Invariant> checked) {
-        this.shape = shape;
-        this.plant = plant;
-        ledger = new Ledger(this, checked);
-        network = new Network(shape.seed(), shape.noise());
-        steward = new Steward(this);
-        var ids = new long[shape.voters()];
-        var zones = new String[shape.voters()];
+    private final MembershipManager membershipManager;
+    private long nowMicros = 1_000_000;
+    private long proposalCount;
+
+    World(Setup setup, InjectedFault injectedFault, Set<Invariant> checked) {
+        this.setup = setup;
+        this.injectedFault = injectedFault;
+        checker = new InvariantChecker(this, checked);
+        network = new Network(setup.seed(), setup.faultsPerThousand());
+        membershipManager = new MembershipManager(this);
+        var ids = new long[setup.voters()];
+        var zones = new String[setup.voters()];
         for (var i = 0; i < ids.length; i++) {
             ids[i] = i + 1;
             zones[i] = "z" + (i + 1);
         }
-        for (var slot = 1; slot <= shape.slots(); slot++) {
+        for (var slot = 1; slot <= setup.slots(); slot++) {
             var peer = new Peer(this, slot, slot <= ids.length ? Members.of(ids, zones) : new Members());
             peers.add(peer);
-            slots.put(peer.id(), slot);
+            slotById.put(peer.id(), slot);
             start(peer);
         }
     }
 
-    Shape shape() {
-        return shape;
+    Setup setup() {
+        return setup;
     }
 
-    TimingProfile pace() {
-        return shape.pace();
+    TimingProfile timing() {
+        return setup.timing();
     }
 
-    Plant plant() {
-        return plant;
+    InjectedFault injectedFault() {
+        return injectedFault;
     }
 
-    Ledger ledger() {
-        return ledger;
+    InvariantChecker checker() {
+        return checker;
     }
 
-    Steward steward() {
-        return steward;
+    MembershipManager membershipManager() {
+        return membershipManager;
     }
 
     long now() {
-        return now;
+        return nowMicros;
     }
 
     List<Peer> peers() {
@@ -88,42 +102,46 @@
         return peers.get(slot - 1);
     }
 
-    List<Letter> mail() {
-        return mail;
+    List<InFlightMessage> messagesInFlight() {
+        return messagesInFlight;
     }
 
-    /** Labels of the letters that come only when someone chooses so. */
-    Set<String> late() {
-        return late;
+    /** Labels of the messages that are delivered only by an explicit choice. */
+    Set<String> postponedLabels() {
+        return postponedLabels;
     }
 
-    /** Hundred times the sender's slot, and the receiver's: what is sent there is lost. */
-    Set<Integer> cuts() {
-        return cuts;
+    /** The cut links, each as 100 times the sender's slot plus the receiver's slot; what is sent over them is lost. */
+    Set<Integer> cutLinks() {
+        return cutLinks;
     }
 
-    /** The slots that have looked at their clock at this very moment. */
-    Set<Integer> ticked() {
-        return ticked;
+    /** The slots that have ticked at the current time. */
+    Set<Integer> tickedSlots() {
+        return tickedSlots;
     }
 
-    boolean lost(long id) {
-        return peer(slots.get(id)).id() != id;
+    /** Whether the disk that belonged to this member id was lost. */
+    boolean isDiskLost(long id) {
+        return peer(slotById.get(id)).id() != id;
     }
 
-    Peer holder(long id) {
-        return lost(id) ? null : peer(slots.get(id));
+    /** The peer with this member id, or null if its disk was lost. */
+    Peer peerWithId(long id) {
+        return isDiskLost(id) ? null : peer(slotById.get(id));
     }
 
-    void post(Peer from, PartMessage message) {
-        var m = plant.sent(from.slot(), message);
-        var to = slots.get(message.to);
-        if (m == null || to == null) return;
-        ledger.sent(from, m);
-        var link = from.slot() + ">" + to + " " + name(m.kind);
-        var label = link + "#" + labels.merge(link, 1, Integer::sum);
-        if (cuts.contains(from.slot() * 100 + to)) return;
-        for (var at : network.arrivals(label, now)) mail.add(new Letter(label, from.slot(), to, m, at));
+    /** Sends a message through the network, after the injected fault had its turn. */
+    void send(Peer sender, PartMessage message) {
+        var sent = injectedFault.replaceSent(sender.slot(), message);
+        var receiverSlot = slotById.get(message.to);
+        if (sent == null || receiverSlot == null) return;
+        checker.recordSent(sender, sent);
+        var link = sender.slot() + ">" + receiverSlot + " " + name(sent.kind);
+        var label = link + "#" + countByLink.merge(link, 1, Integer::sum);
+        if (cutLinks.contains(sender.slot() * 100 + receiverSlot)) return;
+        for (var arrivesAt : network.arrivals(label, nowMicros))
+            messagesInFlight.add(new InFlightMessage(label, sender.slot(), receiverSlot, sent, arrivesAt));
     }
 
     private static String name(int kind) {
@@ -140,138 +158,144 @@
         };
     }
 
-    /** Does one choice, as far as it still makes sense, and checks every invariant. */
-    void apply(Choice c) {
+    /** Performs a choice as far as it applies to the current state, and checks every invariant. */
+    void apply(Choice choice) {
         try {
-            step(c);
-            ledger.check();
-        } catch (Violation v) {
-            throw v;
+            step(choice);
+            checker.check();
+        } catch (Violation violation) {
+            throw violation;
         } catch (RuntimeException e) {
             throw new Violation(Invariant.PROBLEMS_ARE_CONTAINED, e + " at " + e.getStackTrace()[0]);
         }
     }
 
-    private void step(Choice c) {
-        switch (c.kind()) {
+    private void step(Choice choice) {
+        switch (choice.kind()) {
             case ADVANCE -> {
-                now += c.a() * 1_000L;
-                ticked.clear();
+                nowMicros += choice.argument() * 1_000L;
+                tickedSlots.clear();
             }
-            case POSTPONE -> late.add(c.label());
-            case DELIVER, REPEAT -> deliver(c);
-            case ROUND -> round(c.a() * 1_000L);
-            case CUT -> cuts.add(c.a() * 100 + c.b());
-            case HEAL -> cuts.clear();
-            case MANAGE -> steward.manage();
+            case POSTPONE -> postponedLabels.add(choice.label());
+            case DELIVER, REPEAT -> deliver(choice);
+            case ROUND -> round(choice.argument() * 1_000L);
+            case CUT -> cutLinks.add(choice.argument() * 100 + choice.secondArgument());
+            case HEAL -> cutLinks.clear();
+            case MANAGE -> membershipManager.performNextChange();
             default -> {
-                var p = c.a() == 0 ? leader() : peer(c.a());
-                if (p != null) applyTo(p, c);
+                var peer = choice.argument() == 0 ? leader() : peer(choice.argument());
+                if (peer != null) applyTo(peer, choice);
             }
         }
     }
 
-    private void applyTo(Peer p, Choice c) {
-        switch (c.kind()) {
-            case TICK -> tick(p);
-            case PROPOSE -> propose(p, c.b());
-            case RESTART -> restart(p);
-            case POWER -> losePower(p);
-            case LOSE -> loseDisk(p);
-            case LEARN, PROMOTE, REMOVE, HAND_OVER -> steward.change(p, c);
-            case FREEZE -> p.freeze(p.up());
-            case THAW -> p.freeze(false);
-            case DOWN -> p.stop();
-            case UP -> start(p);
-            case FULL -> p.disk().full(c.b() == 1);
-            default -> throw new IllegalArgumentException(c.toString());
+    private void applyTo(Peer peer, Choice choice) {
+        switch (choice.kind()) {
+            case TICK -> tick(peer);
+            case PROPOSE -> propose(peer, choice.secondArgument());
+            case RESTART -> restart(peer);
+            case POWER -> losePower(peer);
+            case LOSE -> loseDisk(peer);
+            case LEARN, PROMOTE, REMOVE, HAND_OVER -> membershipManager.changeMembership(peer, choice);
+            case FREEZE -> peer.setFrozen(peer.isUp());
+            case THAW -> peer.setFrozen(false);
+            case DOWN -> peer.stop();
+            case UP -> start(peer);
+            case FULL -> peer.disk().setFull(choice.secondArgument() == 1);
+            default -> throw new IllegalArgumentException(choice.toString());
         }
     }
 
-    private void tick(Peer p) {
-        if (!p.runs()) return;
-        ticked.add(p.slot());
-        p.tick();
-        p.settle();
+    private void tick(Peer peer) {
+        if (!peer.isRunning()) return;
+        tickedSlots.add(peer.slot());
+        peer.tick();
+        peer.syncAndSend();
     }
 
-    private void propose(Peer p, int bytes) {
-        if (!p.runs()) return;
-        var body = new byte[8 + bytes];
-        body[0] = (byte) ++proposals;
-        body[1] = (byte) (proposals >> 8);
-        body[2] = (byte) p.slot();
-        var index = p.group().propose(body, now);
-        if (index > 0) ledger.proposed(p, index);
-        p.settle();
+    private void propose(Peer peer, int extraBytes) {
+        if (!peer.isRunning()) return;
+        var body = new byte[8 + extraBytes];
+        body[0] = (byte) ++proposalCount;
+        body[1] = (byte) (proposalCount >> 8);
+        body[2] = (byte) peer.slot();
+        var index = peer.group().propose(body, nowMicros);
+        if (index > 0) checker.recordProposed(peer, index);
+        peer.syncAndSend();
     }
 
-    private void restart(Peer p) {
-        p.stop();
-        start(p);
+    private void restart(Peer peer) {
+        peer.stop();
+        start(peer);
     }
 
-    private void losePower(Peer p) {
-        p.losePower();
-        start(p);
+    private void losePower(Peer peer) {
+        peer.losePower();
+        start(peer);
     }
 
-    private void loseDisk(Peer p) {
-        if (!steward.mayLose(p)) return;
-        p.loseDisk(p.id() + 100);
-        slots.put(p.id(), p.slot());
-        start(p);
+    private void loseDisk(Peer peer) {
+        if (!membershipManager.mayLoseDisk(peer)) return;
+        peer.loseDisk(peer.id() + 100);
+        slotById.put(peer.id(), peer.slot());
+        start(peer);
     }
 
-    private void start(Peer p) {
-        if (p.up()) return;
-        ledger.starting(p);
-        p.start(shape.randoms().apply(p.slot() * 1_000 + p.lives()));
+    private void start(Peer peer) {
+        if (peer.isUp()) return;
+        checker.checkBeforeStart(peer);
+        peer.start(setup.randomFactory().apply(peer.slot() * 1_000 + peer.startCount()));
     }
 
-    private void deliver(Choice c) {
-        for (var l : mail) {
-            if (!l.label().equals(c.label())) continue;
-            if (!peer(l.to()).runs()) return;
-            if (c.kind() == Choice.Kind.DELIVER) mail.remove(l);
-            else late.add(l.label());
-            hand(l);
+    private void deliver(Choice choice) {
+        for (var message : messagesInFlight) {
+            if (!message.label().equals(choice.label())) continue;
+            if (!peer(message.to()).isRunning()) return;
+            if (choice.kind() == Choice.Kind.DELIVER) messagesInFlight.remove(message);
+            else postponedLabels.add(message.label());
+            receive(message);
             return;
         }
     }
 
-    private void hand(Letter l) {
-        var p = peer(l.to());
-        p.group().receive(plant.received(l.to(), l.message()), now);
-        p.settle();
+    private void receive(InFlightMessage message) {
+        var receiver = peer(message.to());
+        receiver.group().receive(injectedFault.replaceReceived(message.to(), message.message()), nowMicros);
+        receiver.syncAndSend();
     }
 
-    /** Time goes on; whoever runs looks at its clock, then takes what has come, in the order of its coming. */
+    /**
+     * Advances time. Each running member ticks and receives the messages that are due, in the order of arrival; the
+     * network decides which of the two comes first.
+     */
     private void round(long micros) {
-        now += micros;
-        for (var p : peers) if (network.ticksFirst(p.slot(), now)) tick(p);
-        for (var l = nextDue(); l != null; l = nextDue()) {
-            mail.remove(l);
-            if (peer(l.to()).up()) hand(l);
-            ledger.check();
+        nowMicros += micros;
+        for (var peer : peers) if (network.ticksFirst(peer.slot(), nowMicros)) tick(peer);
+        for (var message = nextDue(); message != null; message = nextDue()) {
+            messagesInFlight.remove(message);
+            if (peer(message.to()).isUp()) receive(message);
+            checker.check();
         }
-        for (var p : peers) if (!network.ticksFirst(p.slot(), now)) tick(p);
+        for (var peer : peers) if (!network.ticksFirst(peer.slot(), nowMicros)) tick(peer);
     }
 
-    private Letter nextDue() {
-        Letter best = null;
-        for (var l : mail)
-            if (l.at() <= now && !peer(l.to()).frozen() && (best == null || l.at() < best.at())) best = l;
-        return best;
+    /** The due message with the earliest arrival, or null; messages to frozen members wait. */
+    private InFlightMessage nextDue() {
+        InFlightMessage earliest = null;
+        for (var message : messagesInFlight)
+            if (message.arrivesAt() <= nowMicros
+                    && !peer(message.to()).isFrozen()
+                    && (earliest == null || message.arrivesAt() < earliest.arrivesAt())) earliest = message;
+        return earliest;
     }
 
-    /** The leader of the highest term among those that run. */
+    /** The running leader of the highest term, or null. */
     Peer leader() {
-        Peer best = null;
-        for (var p : peers) {
-            if (!p.runs() || p.group().role() != Role.LEADER) continue;
-            if (best == null || p.group().term() > best.group().term()) best = p;
+        Peer newest = null;
+        for (var peer : peers) {
+            if (!peer.isRunning() || peer.group().role() != Role.LEADER) continue;
+            if (newest == null || peer.group().term() > newest.group().term()) newest = peer;
         }
-        return best;
+        return newest;
     }
 }
