--- a/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
@@ -1,7 +1,7 @@
 package craneway.command.measure;
 
 import craneway.command.CommandException;
-import craneway.sim.Measures;
+import craneway.sim.Measurements;
 import java.util.Arrays;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
@@ -32,15 +32,17 @@
             case "owner-killed" -> {
                 var results = Arrays.stream(allSeeds)
                         .parallel()
-                        .mapToObj(Measures::ownerKilled)
+                        .mapToObj(Measurements::measureOwnerLoss)
                         .toList();
                 printDistribution(
                         "declined",
-                        results.stream().mapToDouble(Measures.Owner::declined).toArray());
+                        results.stream()
+                                .mapToDouble(Measurements.OwnerLoss::declineCount)
+                                .toArray());
                 printDistribution(
                         "last decline, s",
                         results.stream()
-                                .mapToDouble(Measures.Owner::lastDecline)
+                                .mapToDouble(Measurements.OwnerLoss::lastDeclineSeconds)
                                 .toArray());
             }
             case "region-returned" ->
@@ -48,14 +50,14 @@
                         "first work after the return, s",
                         Arrays.stream(allSeeds)
                                 .parallel()
-                                .mapToDouble(Measures::regionReturned)
+                                .mapToDouble(Measurements::measureZoneReturn)
                                 .toArray());
             case "cold-runner" ->
                 printDistribution(
                         "share of a cold runner's slots",
                         Arrays.stream(allSeeds)
                                 .parallel()
-                                .mapToDouble(Measures::coldShare)
+                                .mapToDouble(Measurements::measureColdExcess)
                                 .toArray());
             default -> throw new CommandException(2, "unknown measurement " + measurement);
         }
--- a/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
@@ -1,7 +1,7 @@
 package craneway.command.replay;
 
+import craneway.sim.FleetShape;
 import craneway.sim.Limit;
-import craneway.sim.Shape;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -25,10 +25,10 @@
     @Override
     public Integer call() {
         var sweeps = List.of(
-                new SeedSweep(Shape.MATICAR, false, seeds),
-                new SeedSweep(Shape.BRANNOCK, false, seeds),
-                new SeedSweep(Shape.MATICAR, true, days),
-                new SeedSweep(Shape.BRANNOCK, true, days));
+                new SeedSweep(FleetShape.MATICAR, false, seeds),
+                new SeedSweep(FleetShape.BRANNOCK, false, seeds),
+                new SeedSweep(FleetShape.MATICAR, true, days),
+                new SeedSweep(FleetShape.BRANNOCK, true, days));
         System.out.printf("At commit %s, seeds %s, days %s:%n%n", commit, seeds, days);
         System.out.println(
                 "| | maticar | brannock | maticar days | brannock days | limit |\n|---|---|---|---|---|---|");
@@ -55,7 +55,7 @@
         for (var limit : Limit.values())
             if (limit != Limit.RETURN)
                 printRow(
-                        limit.words,
+                        limit.description,
                         sweeps.stream()
                                 .map(sweep -> sweep.worstByLimit.containsKey(limit)
                                         ? String.format("%.3f", sweep.worstByLimit.get(limit))
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -1,8 +1,8 @@
 package craneway.command.replay;
 
 import craneway.command.CommandException;
-import craneway.sim.Chaos;
-import craneway.sim.Day;
+import craneway.sim.RandomFaultRun;
+import craneway.sim.SimulatedDay;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -51,22 +51,22 @@
     /** Runs the seed with its random faults and returns the exit code. */
     private int replayFaults() {
         var fleetShape = SeedSweep.parseShape(shape);
-        var faults = Chaos.faults(fleetShape, seed);
-        if (shortest) faults = Chaos.shortest(fleetShape, seed, faults);
-        var result = Chaos.run(fleetShape, seed, faults);
+        var faults = RandomFaultRun.drawFaults(fleetShape, seed);
+        if (shortest) faults = RandomFaultRun.minimize(fleetShape, seed, faults);
+        var result = RandomFaultRun.run(fleetShape, seed, faults);
         System.out.print(result.timeline());
-        faults.forEach(fault -> System.out.println("fault " + fault.text()));
-        result.wrong().forEach(violation -> System.out.println("BROKEN " + violation));
-        SeedSweep.print(result.checks().worst);
-        return result.wrong().isEmpty() ? 0 : 1;
+        faults.forEach(fault -> System.out.println("fault " + fault.describe()));
+        result.violations().forEach(violation -> System.out.println("BROKEN " + violation));
+        SeedSweep.print(result.checks().worstValues);
+        return result.violations().isEmpty() ? 0 : 1;
     }
 
     /** Runs the simulated day of the seed and returns the exit code. */
     private int replayDay() {
-        var result = Day.run(SeedSweep.parseShape(shape), seed);
+        var result = SimulatedDay.run(SeedSweep.parseShape(shape), seed);
         System.out.print(result.timeline());
-        result.wrong().forEach(violation -> System.out.println("BROKEN " + violation));
-        SeedSweep.print(result.checks().worst);
-        return result.wrong().isEmpty() ? 0 : 1;
+        result.violations().forEach(violation -> System.out.println("BROKEN " + violation));
+        SeedSweep.print(result.checks().worstValues);
+        return result.violations().isEmpty() ? 0 : 1;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/SeedSweep.java
@@ -1,10 +1,10 @@
 package craneway.command.replay;
 
 import craneway.command.CommandException;
-import craneway.sim.Chaos;
-import craneway.sim.Day;
+import craneway.sim.FleetShape;
 import craneway.sim.Limit;
-import craneway.sim.Shape;
+import craneway.sim.RandomFaultRun;
+import craneway.sim.SimulatedDay;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
     final long seedCount;
     final long failedSeeds;
     final double seedsPerHour;
-    private final Shape shape;
+    private final FleetShape shape;
     private final boolean simulatesDays;
 
     /**
@@ -30,7 +30,7 @@
      * @param simulatesDays whether to run the simulated day of each seed instead of its random faults
      * @param seedRange the first and the last seed as FROM-TO
      */
-    SeedSweep(Shape shape, boolean simulatesDays, String seedRange) {
+    SeedSweep(FleetShape shape, boolean simulatesDays, String seedRange) {
         this.shape = shape;
         this.simulatesDays = simulatesDays;
         if (!seedRange.matches("\\d{1,15}-\\d{1,15}")) throw new CommandException(2, seedRange + " is not FROM-TO");
@@ -47,22 +47,28 @@
     }
 
     /** Returns the shape with this name; fails with exit code 2 if there is none. */
-    static Shape parseShape(String name) {
-        var found = Shape.named(name);
+    static FleetShape parseShape(String name) {
+        var found = FleetShape.byName(name);
         if (found == null) throw new CommandException(2, "--shape " + name + " is none of maticar, brannock, small");
         return found;
     }
 
     private boolean failsOnDay(long seed) {
-        var result = Day.run(shape, seed);
-        return recordRun("day " + seed, result.wrong(), result.checks().worst, result.submissions(), List.of());
+        var result = SimulatedDay.run(shape, seed);
+        return recordRun(
+                "day " + seed, result.violations(), result.checks().worstValues, result.submissions(), List.of());
     }
 
     private boolean failsUnderFaults(long seed) {
-        var result = Chaos.run(shape, seed, Chaos.faults(shape, seed));
+        var result = RandomFaultRun.run(shape, seed, RandomFaultRun.drawFaults(shape, seed));
         var shortestSchedule =
-                result.wrong().isEmpty() ? result.faults() : Chaos.shortest(shape, seed, result.faults());
-        return recordRun("seed " + seed, result.wrong(), result.checks().worst, result.submissions(), shortestSchedule);
+                result.violations().isEmpty() ? result.faults() : RandomFaultRun.minimize(shape, seed, result.faults());
+        return recordRun(
+                "seed " + seed,
+                result.violations(),
+                result.checks().worstValues,
+                result.submissions(),
+                shortestSchedule);
     }
 
     /** Adds the figures of a run, prints its violations and returns whether there were any. */
@@ -71,13 +77,13 @@
             List<String> violations,
             Map<Limit, Double> worstOfRun,
             int submissions,
-            List<Chaos.Fault> shortestSchedule) {
+            List<RandomFaultRun.Fault> shortestSchedule) {
         worstOfRun.forEach((limit, worst) -> worstByLimit.merge(limit, worst, Math::max));
         submissionCount.addAndGet(submissions);
         if (violations.isEmpty()) return false;
         System.out.println(
                 title + " of shape " + shape.name() + ": " + violations.subList(0, Math.min(3, violations.size())));
-        shortestSchedule.forEach(fault -> System.out.println("  shortest schedule: " + fault.text()));
+        shortestSchedule.forEach(fault -> System.out.println("  shortest schedule: " + fault.describe()));
         return true;
     }
 
@@ -97,6 +103,6 @@
     /** Prints the worst figure for each limit. */
     static void print(Map<Limit, Double> worstByLimit) {
         worstByLimit.forEach((limit, worst) ->
-                System.out.printf("worst %-10s %8.3f  limit %-5s %s%n", limit, worst, limit.value, limit.words));
+                System.out.printf("worst %-10s %8.3f  limit %-5s %s%n", limit, worst, limit.value, limit.description));
     }
 }
--- a/test/features/src/test/java/craneway/features/CheckerSteps.java
+++ b/test/features/src/test/java/craneway/features/CheckerSteps.java
@@ -1,9 +1,9 @@
 package craneway.features;
 
-import craneway.sim.Checks;
+import craneway.sim.FleetShape;
 import craneway.sim.Journal;
+import craneway.sim.PromiseChecker;
 import craneway.sim.Scenario;
-import craneway.sim.Shape;
 import craneway.sim.StoreMachine;
 import io.cucumber.java.en.Given;
 import io.cucumber.java.en.Then;
@@ -28,62 +28,63 @@
         for (var i = 0; i < 20; i++) {
             run("s" + i, i % 4 == 0 ? "k" + i : "", "runner-a", "zagreb-1", (i + 2) * S);
             told("s" + i, "whole", (i + 2) * S);
-            j.submittedAt.add((i + 2) * S);
+            j.submissionTimes.add((i + 2) * S);
         }
-        j.submissions = 20;
-        j.sent.add(new Journal.Sent(M1, 0, S, S, true, 1, new long[] {S}));
+        j.submissionCount = 20;
+        j.sentManifests.add(new Journal.SentManifest(M1, 0, S, S, true, 1, new long[] {S}));
         for (var n : List.of("router-1", "store-1")) {
-            j.seen.add(new Journal.Seen(S, n, 1, 1, M1));
-            j.ends.add(new Journal.End(n, 1, M1, Map.of(), Map.of("registry", 7L)));
+            j.seenManifests.add(new Journal.SeenManifest(S, n, 1, 1, M1));
+            j.finalStates.add(new Journal.FinalState(n, 1, M1, Map.of(), Map.of("registry", 7L)));
         }
     }
 
     private Journal.Run run(String sub, String key, String runner, String zone, long at) {
         var r = new Journal.Run();
-        r.sub = sub;
-        r.key = key;
+        r.submissionId = sub;
+        r.idempotencyKey = key;
         r.runner = runner;
         r.service = "registry";
         r.zone = zone;
         r.cell = zone.replace("-1", "-a");
         r.tenant = "office-zagreb-centre";
-        r.manifest = 1;
-        r.table = 7;
-        r.at = at;
+        r.manifestVersion = 1;
+        r.tableVersion = 7;
+        r.startedAt = at;
         r.endedAt = at + S;
-        r.whole = true;
+        r.complete = true;
         r.slots = 8;
-        r.running = 1;
+        r.concurrentRuns = 1;
         j.runs.add(r);
         return r;
     }
 
     private Journal.Reply told(String sub, String verdict, long at) {
         var t = new Journal.Reply();
-        t.sub = sub;
-        t.asked = sub;
+        t.submissionId = sub;
+        t.workKey = sub;
         t.verdict = verdict;
-        t.askedAt = at;
-        t.at = at + S;
+        t.submittedAt = at;
+        t.receivedAt = at + S;
         t.tenant = "office-zagreb-centre";
         t.deadlineMillis = 20_000;
-        t.retryAfter = S;
+        t.retryAfterMicros = S;
         j.replies.add(t);
         return t;
     }
 
     private void taken(long version, long at) {
-        j.sent.add(new Journal.Sent(M2, version - 1, at, at, true, version, new long[] {at}));
-        for (var n : List.of("router-1", "store-1")) j.seen.add(new Journal.Seen(at, n, 1, version, M2));
-        j.ends.replaceAll(e -> new Journal.End(e.node(), version, M2, e.marks(), e.tables()));
+        j.sentManifests.add(new Journal.SentManifest(M2, version - 1, at, at, true, version, new long[] {at}));
+        for (var n : List.of("router-1", "store-1"))
+            j.seenManifests.add(new Journal.SeenManifest(at, n, 1, version, M2));
+        j.finalStates.replaceAll(e -> new Journal.FinalState(e.node(), version, M2, e.marks(), e.tableVersions()));
     }
 
     private void cold(int slots, int running, double seconds) {
         var r = run("x", "", "runner-a", "zagreb-1", 30 * S + (long) (seconds * S));
-        r.cold = true;
-        r.bornAt = 30 * S;
+        r.runnerCold = true;
+        r.runnerStartedAt = 30 * S;
         r.slots = slots;
-        r.running = running;
+        r.concurrentRuns = running;
     }
 
     @When("{string} is planted")
@@ -98,61 +99,63 @@
                 run("x", "", "runner-a", "zagreb-1", 33_400_000);
             }
             case "work in a zone 5.3 s after its confirm" -> {
-                j.emptied.add(new Journal.Emptied("zagreb-1", "", 30 * S, new long[] {60 * S}));
+                j.emptiedAreas.add(new Journal.EmptiedArea("zagreb-1", "", 30 * S, new long[] {60 * S}));
                 run("x", "", "runner-a", "zagreb-1", 35_300_000);
             }
             case "work in a cell 5.3 s after its confirm" -> {
-                j.emptied.add(new Journal.Emptied("", "zagreb-a", 30 * S, new long[] {60 * S}));
+                j.emptiedAreas.add(new Journal.EmptiedArea("", "zagreb-a", 30 * S, new long[] {60 * S}));
                 run("x", "", "runner-a", "zagreb-1", 35_300_000);
             }
             case "a node that slipped back" -> {
                 taken(2, 8 * S);
-                j.seen.add(new Journal.Seen(9 * S, "router-1", 1, 1, M1));
+                j.seenManifests.add(new Journal.SeenManifest(9 * S, "router-1", 1, 1, M1));
             }
             case "a node that restarted with an older manifest" -> {
                 taken(2, 8 * S);
-                j.seen.add(new Journal.Seen(9 * S, "router-1", 2, 1, M1));
+                j.seenManifests.add(new Journal.SeenManifest(9 * S, "router-1", 2, 1, M1));
             }
             case "work by the old manifest 3.4 s after the new one was everywhere" -> {
                 taken(2, 24 * S);
                 run("x", "", "runner-a", "zagreb-1", 27_400_000);
             }
             case "such work by a node that was frozen and just woke" -> {
-                j.troubles.add(new Journal.Down("router-1", 20 * S, new long[] {27 * S}));
+                j.outages.add(new Journal.Outage("router-1", 20 * S, new long[] {27 * S}));
                 taken(2, 24 * S);
                 run("x", "", "runner-a", "zagreb-1", 27_400_000);
             }
             case "a node that got a manifest 3.4 s late, soon followed by another" -> {
-                j.sent.add(new Journal.Sent(M2, 1, 24 * S, 24 * S, true, 2, new long[] {Long.MAX_VALUE}));
+                j.sentManifests.add(
+                        new Journal.SentManifest(M2, 1, 24 * S, 24 * S, true, 2, new long[] {Long.MAX_VALUE}));
                 taken(3, 27_400_000);
             }
             case "a declined manifest in force" -> {
-                j.sent.add(new Journal.Sent("bad", 1, 10 * S, 10 * S, false, 0, new long[] {Long.MAX_VALUE}));
-                j.seen.add(new Journal.Seen(11 * S, "router-1", 1, 2, "bad"));
+                j.sentManifests.add(
+                        new Journal.SentManifest("bad", 1, 10 * S, 10 * S, false, 0, new long[] {Long.MAX_VALUE}));
+                j.seenManifests.add(new Journal.SeenManifest(11 * S, "router-1", 1, 2, "bad"));
             }
             case "work by a manifest that nobody was told is taken" ->
-                run("x", "", "runner-a", "zagreb-1", 30 * S).manifest = 2;
+                run("x", "", "runner-a", "zagreb-1", 30 * S).manifestVersion = 2;
             case "a node that ends without the newest manifest" -> {
                 taken(2, 24 * S);
-                j.ends.add(new Journal.End("router-2", 1, M1, Map.of(), Map.of("registry", 7L)));
+                j.finalStates.add(new Journal.FinalState("router-2", 1, M1, Map.of(), Map.of("registry", 7L)));
             }
             case "two manifests taken as one version" ->
-                j.sent.add(new Journal.Sent(M2, 0, 10 * S, 10 * S, true, 1, new long[] {10 * S}));
+                j.sentManifests.add(new Journal.SentManifest(M2, 0, 10 * S, 10 * S, true, 1, new long[] {10 * S}));
             case "a confirmed mark that is gone" ->
-                j.emptied.add(new Journal.Emptied("split-1", "", 30 * S, new long[] {Long.MAX_VALUE}));
+                j.emptiedAreas.add(new Journal.EmptiedArea("split-1", "", 30 * S, new long[] {Long.MAX_VALUE}));
             case "a kept tenant that is released by itself" ->
-                j.kept.add(new Journal.Kept("office-zagreb-centre", List.of("zagreb"), 30 * S));
-            case "a table step that is lost" -> run("x", "", "runner-a", "zagreb-1", 30 * S).table = 8;
+                j.keptTenants.add(new Journal.KeptTenant("office-zagreb-centre", List.of("zagreb"), 30 * S));
+            case "a table step that is lost" -> run("x", "", "runner-a", "zagreb-1", 30 * S).tableVersion = 8;
             case "a quota that is given out anew" -> {
                 for (var i = 0; i < 5; i++) run("q" + i, "", "runner-a", "zagreb-1", 30 * S + i).tenant = "metered";
             }
             case "work run outside its home regions" -> run("x", "", "runner-b", "split-1", 30 * S);
             case "work run outside the regions it asked for" -> {
                 run("x", "", "runner-b", "split-1", 30 * S).tenant = "t";
-                told("x", "whole", 30 * S).regions = "zagreb,osijek";
+                told("x", "whole", 30 * S).allowedRegions = "zagreb,osijek";
             }
             case "work of a kept tenant elsewhere" -> {
-                j.kept.add(new Journal.Kept("t", List.of("zagreb"), 30 * S));
+                j.keptTenants.add(new Journal.KeptTenant("t", List.of("zagreb"), 30 * S));
                 run("x", "", "runner-b", "split-1", 35_300_000).tenant = "t";
             }
             case "a second stream on a cold runner of 2 slots after 2.4 s" -> cold(2, 2, 2.4);
@@ -168,17 +171,17 @@
             }
             case "a submission that lost its router in a planned restart" -> told("gone", "lost", 3 * S);
             case "a submission that was declined and never served" -> told("gone", "declined", 3 * S);
-            case "a submission without a verdict" -> j.submissions++;
-            case "a decline after 0.51 of the deadline" -> told("late", "declined", 3 * S).at = 13_200_000;
+            case "a submission without a verdict" -> j.submissionCount++;
+            case "a decline after 0.51 of the deadline" -> told("late", "declined", 3 * S).receivedAt = 13_200_000;
             default -> throw new IllegalArgumentException(what);
         }
     }
 
     private List<String> wrong() {
-        j.service = "registry";
-        var c = new Checks(j, Map.of("zagreb-1", "zagreb", "split-1", "split"), Map.of("registry", 5 * S));
-        var all = new ArrayList<>(c.all());
-        all.addAll(c.lost());
+        j.serviceName = "registry";
+        var c = new PromiseChecker(j, Map.of("zagreb-1", "zagreb", "split-1", "split"), Map.of("registry", 5 * S));
+        var all = new ArrayList<>(c.checkAll());
+        all.addAll(c.findLost());
         return all;
     }
 
@@ -196,26 +199,26 @@
 
     @Given("a fleet whose disks lie about sync under seed {long}")
     public void lying(long seed) {
-        lying = Shape.SMALL.scenario(seed);
-        lying.world.all(StoreMachine.class).forEach(s -> s.disk.liesAboutSync(true));
+        lying = FleetShape.SMALL.createScenario(seed);
+        lying.world.machinesOfType(StoreMachine.class).forEach(s -> s.disk.setIgnoresSync(true));
     }
 
     @When("all stores lose power at once after manifest 2 was taken")
     public void power() {
-        lying.act("operator", "send v store-1 1");
-        lying.runTo(4);
-        for (var i = 1; i <= 3; i++) lying.act("store-" + i, "power-loss");
-        lying.runTo(5);
-        for (var i = 1; i <= 3; i++) lying.act("store-" + i, "start");
-        for (var m : List.copyOf(lying.world.machines.keySet())) if (m.startsWith("router")) lying.act(m, "kill");
-        lying.runTo(6);
-        for (var m : List.copyOf(lying.world.machines.keySet())) if (m.startsWith("router")) lying.act(m, "start");
-        lying.runTo(40);
+        lying.perform("operator", "send v store-1 1");
+        lying.runUntilSecond(4);
+        for (var i = 1; i <= 3; i++) lying.perform("store-" + i, "power-loss");
+        lying.runUntilSecond(5);
+        for (var i = 1; i <= 3; i++) lying.perform("store-" + i, "start");
+        for (var m : List.copyOf(lying.world.machines.keySet())) if (m.startsWith("router")) lying.perform(m, "kill");
+        lying.runUntilSecond(6);
+        for (var m : List.copyOf(lying.world.machines.keySet())) if (m.startsWith("router")) lying.perform(m, "start");
+        lying.runUntilSecond(40);
     }
 
     @Then("a promise is seen to break")
     public void broke() {
-        var w = lying.checks().all();
+        var w = lying.createChecker().checkAll();
         if (w.isEmpty()) throw new AssertionError("nothing was found");
     }
 }
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -19,7 +19,13 @@
      * deadline in milliseconds.
      */
     public record Work(
-            String service, String tenant, String work, boolean once, String regions, int tokens, int deadlineMillis) {}
+            String service,
+            String tenant,
+            String workClass,
+            boolean runOnce,
+            String allowedRegions,
+            int tokens,
+            int deadlineMillis) {}
 
     private int submissionCount;
     private int keyCount;
@@ -50,33 +56,33 @@
     public void submit(Work work, String key, int submissionNumber) {
         var routers = world.readyRouters(zone);
         if (routers.isEmpty()) {
-            mineAfter(500_000, () -> {
+            scheduleAfter(500_000, () -> {
                 if (submissionNumber < MAX_SUBMISSIONS) submit(work, key, submissionNumber + 1);
             });
             return;
         }
         var router = routers.get(world.sim.random.nextInt(routers.size()));
         var reply = new Journal.Reply();
-        reply.askedAt = now();
-        reply.sub = name + "-" + submissionCount++;
-        reply.key = work.once ? key : "";
+        reply.submittedAt = now();
+        reply.submissionId = name + "-" + submissionCount++;
+        reply.idempotencyKey = work.runOnce ? key : "";
         reply.tenant = work.tenant;
         reply.zone = zone;
-        reply.regions = work.regions;
+        reply.allowedRegions = work.allowedRegions;
         reply.tokens = work.tokens;
         reply.deadlineMillis = work.deadlineMillis;
-        reply.asked = key;
+        reply.workKey = key;
         reply.router = router.name;
-        world.journal.submissions++;
-        world.journal.submittedAt.add(now());
+        world.journal.submissionCount++;
+        world.journal.submissionTimes.add(now());
         var headers = new HashMap<String, String>();
         headers.put(HttpExchange.TENANT_HEADER, work.tenant);
-        headers.put(HttpExchange.WORK_HEADER, work.work);
+        headers.put(HttpExchange.WORK_HEADER, work.workClass);
         headers.put(HttpExchange.DEADLINE_MS_HEADER, Integer.toString(work.deadlineMillis));
-        if (work.once) headers.put(HttpExchange.KEY_HEADER, key);
-        if (!work.regions.isEmpty()) headers.put(HttpExchange.REGIONS_HEADER, work.regions);
-        var body = work.service + " " + reply.sub + " " + (work.once ? key : "-") + " " + work.tokens;
-        world.open(
+        if (work.runOnce) headers.put(HttpExchange.KEY_HEADER, key);
+        if (!work.allowedRegions.isEmpty()) headers.put(HttpExchange.REGIONS_HEADER, work.allowedRegions);
+        var body = work.service + " " + reply.submissionId + " " + (work.runOnce ? key : "-") + " " + work.tokens;
+        world.openRequest(
                 this,
                 router.address,
                 HttpExchange.RUNNER_PATH,
@@ -87,14 +93,14 @@
 
     /** Records the reply and submits the work again if the reply permits it. */
     private void finish(Journal.Reply reply, Work work, String key, int submissionNumber) {
-        reply.at = now();
+        reply.receivedAt = now();
         world.journal.replies.add(reply);
-        var retryable = reply.verdict.equals("declined") && reply.retryAfter > 0
+        var retryable = reply.verdict.equals("declined") && reply.retryAfterMicros > 0
                 || reply.verdict.equals("refused")
                 || reply.verdict.equals("lost")
                 || reply.verdict.equals("cut");
         if (retryable && submissionNumber < MAX_SUBMISSIONS)
-            mineAfter(Math.max(200_000, reply.retryAfter), () -> submit(work, key, submissionNumber + 1));
+            scheduleAfter(Math.max(200_000, reply.retryAfterMicros), () -> submit(work, key, submissionNumber + 1));
     }
 
     /** Receives the response of one submission and judges whether it is complete. */
@@ -138,9 +144,9 @@
         @Override
         public void onEnd() {
             if (statusCode != 200) {
-                reply.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM_HEADER));
-                reply.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS_HEADER));
-                complete(ProblemKind.of(reply.code).workOutcome().name().toLowerCase());
+                reply.problemCode = Integer.parseInt(headers.get(HttpExchange.PROBLEM_HEADER));
+                reply.retryAfterMicros = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS_HEADER));
+                complete(ProblemKind.of(reply.problemCode).workOutcome().name().toLowerCase());
                 return;
             }
             complete(isComplete() ? "whole" : "false-end");
--- a/test/sim/src/main/java/craneway/sim/Shape.java
+++ b/test/sim/src/main/java/craneway/sim/FleetShape.java
@@ -11,28 +11,29 @@
  * each zone, the number of slots of each runner, and the time in microseconds that a store's disk adds to each message
  * of the replicated parts.
  */
-public record Shape(String name, String manifest, int[] routers, int slots, long slowSync) {
+public record FleetShape(String name, String manifest, int[] routersPerZone, int slotsPerRunner, long diskDelayMicros) {
     /** A small fleet with two routers in each zone. */
-    public static final Shape SMALL = new Shape("small", readManifest("maticar"), new int[] {2, 2, 2}, 8, 0);
+    public static final FleetShape SMALL = new FleetShape("small", readManifest("maticar"), new int[] {2, 2, 2}, 8, 0);
 
     /** The shape of the deployment of the same name. */
-    public static final Shape MATICAR = new Shape("maticar", readManifest("maticar-shape"), new int[] {3, 2, 2}, 6, 0);
+    public static final FleetShape MATICAR =
+            new FleetShape("maticar", readManifest("maticar-shape"), new int[] {3, 2, 2}, 6, 0);
 
     /**
      * The shape of the deployment of the same name. A store's disk delays each message of the replicated parts by 12
      * ms.
      */
-    public static final Shape BRANNOCK =
-            new Shape("brannock", readManifest("brannock-shape"), new int[] {3, 3, 3}, 6, 12_000);
+    public static final FleetShape BRANNOCK =
+            new FleetShape("brannock", readManifest("brannock-shape"), new int[] {3, 3, 3}, 6, 12_000);
 
     /** The shape with the given name, or null. */
-    public static Shape named(String name) {
+    public static FleetShape byName(String name) {
         for (var shape : List.of(SMALL, MATICAR, BRANNOCK)) if (shape.name.equals(name)) return shape;
         return null;
     }
 
     private static String readManifest(String name) {
-        try (var in = Shape.class.getResourceAsStream("/craneway/sim/" + name + ".json")) {
+        try (var in = FleetShape.class.getResourceAsStream("/craneway/sim/" + name + ".json")) {
             return new String(in.readAllBytes());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -40,19 +41,19 @@
     }
 
     /** Bootstraps a fleet of this shape whose nodes speak the current wire version. */
-    public Scenario scenario(long seed) {
-        return scenario(seed, Node.WIRE_VERSION);
+    public Scenario createScenario(long seed) {
+        return createScenario(seed, Node.WIRE_VERSION);
     }
 
     /** Bootstraps a fleet of this shape whose nodes speak the given wire version. */
-    public Scenario scenario(long seed, int wire) {
-        var scenario = new Scenario(seed, manifest, routers, slots, wire);
-        for (var store : scenario.world.all(StoreMachine.class)) store.slow(slowSync);
+    public Scenario createScenario(long seed, int wire) {
+        var scenario = new Scenario(seed, manifest, routersPerZone, slotsPerRunner, wire);
+        for (var store : scenario.world.machinesOfType(StoreMachine.class)) store.setDiskDelay(diskDelayMicros);
         return scenario;
     }
 
     /** The names of the zones. */
-    List<String> zones() {
+    List<String> zoneNames() {
         return List.copyOf(ManifestReader.read(manifest).get().zones().keySet());
     }
 
@@ -60,7 +61,7 @@
      * The name of a runner in a zone's cell of the first service; {@code runnerIndex} is taken modulo the number of
      * runners.
      */
-    String runner(int zoneIndex, int runnerIndex) {
+    String runnerName(int zoneIndex, int runnerIndex) {
         var service = ManifestReader.read(manifest)
                 .get()
                 .services()
--- a/test/sim/src/main/java/craneway/sim/Limit.java
+++ b/test/sim/src/main/java/craneway/sim/Limit.java
@@ -1,6 +1,6 @@
 package craneway.sim;
 
-/** The limits that the documentation states, against which {@link Checks} compares what it measures. */
+/** The limits that the documentation states, against which {@link PromiseChecker} compares what it measures. */
 public enum Limit {
     LEAVE("s, new work to a leaving runner after its leave was acknowledged", 3.3),
     EMPTY("s, new work in an emptied zone or cell after the confirm", 5.2),
@@ -13,13 +13,13 @@
     RETURN("s, service after a region comes back", 12);
 
     /** What the value measures, with its unit. */
-    public final String words;
+    public final String description;
 
     /** The limit in the unit that the description names. */
     public final double value;
 
     Limit(String words, double value) {
-        this.words = words;
+        this.description = words;
         this.value = value;
     }
 
--- a/test/sim/src/main/java/craneway/sim/Machine.java
+++ b/test/sim/src/main/java/craneway/sim/Machine.java
@@ -29,17 +29,17 @@
     }
 
     /** Whether the process runs, possibly frozen. */
-    public boolean up() {
+    public boolean isRunning() {
         return running;
     }
 
-    /** Whether the process is suspended: events are held until {@link #wake}. */
-    public boolean frozen() {
+    /** Whether the process is suspended: events are held until {@link #resume}. */
+    public boolean isFrozen() {
         return suspended;
     }
 
     /** A number that changes with every start and every end of the process. */
-    public int life() {
+    public int processNumber() {
         return processNumber;
     }
 
@@ -59,7 +59,7 @@
             boot();
         } catch (DiskException e) {
             running = false;
-            world.sim.after(RESTART_DELAY_MICROS, () -> restart(lifecycleChange));
+            world.sim.scheduleAfter(RESTART_DELAY_MICROS, () -> restart(lifecycleChange));
             return;
         }
         scheduleTicks(processNumber);
@@ -71,8 +71,8 @@
 
     private void scheduleTicks(int number) {
         if (!running || processNumber != number) return;
-        run(this::tick);
-        world.sim.after(World.TICK_INTERVAL_MICROS, () -> scheduleTicks(number));
+        runOrDefer(this::tick);
+        world.sim.scheduleAfter(World.TICK_INTERVAL_MICROS, () -> scheduleTicks(number));
     }
 
     /** Ends the process at once; its held events are lost and its connections break. */
@@ -84,24 +84,24 @@
         recordFreezeEnd();
         deferred.clear();
         processNumber++;
-        died();
+        processEnded();
     }
 
     /** Suspends the process. */
     public void freeze() {
         if (!running || suspended) return;
         suspended = true;
-        world.journal.frozen.add(new Journal.Down(name, now(), new long[] {Long.MAX_VALUE}));
+        world.journal.freezes.add(new Journal.Outage(name, now(), new long[] {Long.MAX_VALUE}));
     }
 
     /** Records the end of the freeze in the journal. */
     private void recordFreezeEnd() {
-        for (var freeze : world.journal.frozen)
-            if (freeze.node().equals(name)) freeze.until()[0] = Math.min(freeze.until()[0], now());
+        for (var freeze : world.journal.freezes)
+            if (freeze.node().equals(name)) freeze.endedAt()[0] = Math.min(freeze.endedAt()[0], now());
     }
 
     /** Resumes a suspended process and runs the events that were held. */
-    public void wake() {
+    public void resume() {
         if (!suspended) return;
         suspended = false;
         recordFreezeEnd();
@@ -109,24 +109,24 @@
     }
 
     /** Runs an event now, or after the process resumes. */
-    public void run(Runnable event) {
+    public void runOrDefer(Runnable event) {
         if (suspended) deferred.add(event);
         else event.run();
     }
 
     /** Schedules an event of this process; it is dropped if the process ends before. */
-    public void mine(Runnable event) {
+    public void schedule(Runnable event) {
         var number = processNumber;
-        world.sim.after(0, () -> {
-            if (running && processNumber == number) run(event);
+        world.sim.scheduleAfter(0, () -> {
+            if (running && processNumber == number) runOrDefer(event);
         });
     }
 
     /** Schedules an event of this process after the given delay; it is dropped if the process ends before. */
-    public void mineAfter(long delayMicros, Runnable event) {
+    public void scheduleAfter(long delayMicros, Runnable event) {
         var number = processNumber;
-        world.sim.after(delayMicros, () -> {
-            if (running && processNumber == number) run(event);
+        world.sim.scheduleAfter(delayMicros, () -> {
+            if (running && processNumber == number) runOrDefer(event);
         });
     }
 
@@ -137,7 +137,7 @@
     protected abstract void tick();
 
     /** Called when the process has ended. */
-    protected void died() {
-        world.broke(this);
+    protected void processEnded() {
+        world.breakConnections(this);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/MachinePort.java
+++ b/test/sim/src/main/java/craneway/sim/MachinePort.java
@@ -24,7 +24,7 @@
 
     MachinePort(Machine machine) {
         this.machine = machine;
-        this.processNumber = machine.life();
+        this.processNumber = machine.processNumber();
     }
 
     @Override
@@ -34,12 +34,12 @@
 
     @Override
     public void send(String address, Object message) {
-        if (machine.life() != processNumber) return;
+        if (machine.processNumber() != processNumber) return;
         var encoded = Codec.encodeTagged(message);
         var coreId = ((Receiver) machine).coreId();
         // As on real connections, only a greeting passes between nodes of different cores.
         machine.world.net.send(machine, address, () -> {
-            if (machine.world.net.at(address) instanceof Receiver receiver
+            if (machine.world.net.machineAt(address) instanceof Receiver receiver
                     && (message instanceof Hello
                             || coreId == 0
                             || receiver.coreId() == 0
@@ -49,6 +49,6 @@
 
     @Override
     public void logEvent(Event e, String detail) {
-        machine.world.timeline.note(machine.now(), machine.name, "CW" + e.code() + " " + detail);
+        machine.world.timeline.add(machine.now(), machine.name, "CW" + e.code() + " " + detail);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/PlacementChecker.java
+++ b/test/sim/src/main/java/craneway/sim/PlacementChecker.java
@@ -20,9 +20,9 @@
 
     private final Journal journal;
     private final Map<String, String> zoneRegion;
-    private final Checks checks;
+    private final PromiseChecker checks;
 
-    PlacementChecker(Journal journal, Map<String, String> zoneRegion, Checks checks) {
+    PlacementChecker(Journal journal, Map<String, String> zoneRegion, PromiseChecker checks) {
         this.journal = journal;
         this.zoneRegion = zoneRegion;
         this.checks = checks;
@@ -32,7 +32,7 @@
         for (var leave : journal.leaves)
             for (var run : journal.runs)
                 if (run.runner.equals(leave.runner()) && run.incarnation == leave.incarnation()) checkLeave(leave, run);
-        for (var emptied : journal.emptied)
+        for (var emptied : journal.emptiedAreas)
             for (var run : journal.runs) if (emptied.covers(run)) checkEmptied(emptied, run);
         checkRegions();
         checkQuotas();
@@ -40,22 +40,23 @@
 
     /** Promise 4: a runner gets no new work after its leave was acknowledged and the limit has passed. */
     private void checkLeave(Journal.Leave leave, Journal.Run run) {
-        if (run.at <= leave.acknowledged()) return;
-        checks.recordWorst(Limit.LEAVE, (run.at - leave.acknowledged()) / 1e6);
-        if (run.at > leave.acknowledged() + Limit.LEAVE.micros())
-            checks.addViolation("promise 4: " + run.runner + " got " + run.sub + " "
-                    + (run.at - leave.acknowledged()) / 1000 + " ms after its leave");
+        if (run.startedAt <= leave.acknowledgedAt()) return;
+        checks.recordWorst(Limit.LEAVE, (run.startedAt - leave.acknowledgedAt()) / 1e6);
+        if (run.startedAt > leave.acknowledgedAt() + Limit.LEAVE.micros())
+            checks.addViolation("promise 4: " + run.runner + " got " + run.submissionId + " "
+                    + (run.startedAt - leave.acknowledgedAt()) / 1000 + " ms after its leave");
     }
 
     /**
      * Promise 5: no new work in an emptied zone or cell from the limit after the confirmation until it is taken back.
      */
-    private void checkEmptied(Journal.Emptied area, Journal.Run run) {
-        if (run.at <= area.confirmed() || run.at >= area.takenBack()[0]) return;
-        checks.recordWorst(Limit.EMPTY, (run.at - area.confirmed()) / 1e6);
-        if (run.at > area.confirmed() + Limit.EMPTY.micros())
-            checks.addViolation("promise 5: " + run.runner + " in " + area.zone() + area.cell() + " got " + run.sub
-                    + " " + (run.at - area.confirmed()) / 1000 + " ms after the confirmation");
+    private void checkEmptied(Journal.EmptiedArea area, Journal.Run run) {
+        if (run.startedAt <= area.confirmedAt() || run.startedAt >= area.takenBackAt()[0]) return;
+        checks.recordWorst(Limit.EMPTY, (run.startedAt - area.confirmedAt()) / 1e6);
+        if (run.startedAt > area.confirmedAt() + Limit.EMPTY.micros())
+            checks.addViolation(
+                    "promise 5: " + run.runner + " in " + area.zone() + area.cell() + " got " + run.submissionId + " "
+                            + (run.startedAt - area.confirmedAt()) / 1000 + " ms after the confirmation");
     }
 
     /**
@@ -65,39 +66,42 @@
     private void checkRegions() {
         var allowedBySubmission = new HashMap<String, String>();
         for (var reply : journal.replies)
-            if (!reply.regions.isEmpty()) allowedBySubmission.put(reply.sub, reply.regions);
+            if (!reply.allowedRegions.isEmpty()) allowedBySubmission.put(reply.submissionId, reply.allowedRegions);
         var homesByVersion = new HashMap<Long, Map<String, Set<String>>>();
-        for (var manifest : journal.sent)
-            if (manifest.taken()) homesByVersion.put(manifest.version(), homeRegions(manifest.text()));
+        for (var manifest : journal.sentManifests)
+            if (manifest.accepted()) homesByVersion.put(manifest.version(), homeRegions(manifest.text()));
         for (var run : journal.runs) {
             var homeRegions =
-                    homesByVersion.getOrDefault(run.manifest, Map.of()).get(run.tenant);
+                    homesByVersion.getOrDefault(run.manifestVersion, Map.of()).get(run.tenant);
             var region = zoneRegion.get(run.zone);
             if (homeRegions != null && !homeRegions.contains(region))
-                checks.addViolation("promise 9: " + run.sub + " of " + run.tenant + " ran in " + run.zone);
-            if (allowedBySubmission.containsKey(run.sub)
-                    && !List.of(allowedBySubmission.get(run.sub).split(",")).contains(region))
-                checks.addViolation("promise 9: " + run.sub + " restricted to " + allowedBySubmission.get(run.sub)
-                        + " ran in " + run.zone);
-            for (var kept : journal.kept)
+                checks.addViolation("promise 9: " + run.submissionId + " of " + run.tenant + " ran in " + run.zone);
+            if (allowedBySubmission.containsKey(run.submissionId)
+                    && !List.of(allowedBySubmission.get(run.submissionId).split(","))
+                            .contains(region))
+                checks.addViolation("promise 9: " + run.submissionId + " restricted to "
+                        + allowedBySubmission.get(run.submissionId) + " ran in " + run.zone);
+            for (var kept : journal.keptTenants)
                 if (kept.tenant().equals(run.tenant)
-                        && run.at > kept.confirmed() + Limit.EMPTY.micros()
+                        && run.startedAt > kept.confirmedAt() + Limit.EMPTY.micros()
                         && !kept.regions().contains(region))
-                    checks.addViolation("promise 9: " + run.sub + " of " + run.tenant + ", kept in " + kept.regions()
-                            + ", ran in " + run.zone);
+                    checks.addViolation("promise 9: " + run.submissionId + " of " + run.tenant + ", kept in "
+                            + kept.regions() + ", ran in " + run.zone);
         }
     }
 
     /** Whether every zone in which the submission may run may have been emptied when it was sent. */
     boolean allEmptied(Journal.Reply reply) {
         var regionsByTenant = new HashMap<String, Set<String>>();
-        for (var manifest : journal.sent) if (manifest.taken()) regionsByTenant.putAll(homeRegions(manifest.text()));
+        for (var manifest : journal.sentManifests)
+            if (manifest.accepted()) regionsByTenant.putAll(homeRegions(manifest.text()));
         for (var zone : zoneRegion.entrySet()) {
             var allowed = regionsByTenant.get(reply.tenant) == null
                     || regionsByTenant.get(reply.tenant).contains(zone.getValue());
-            allowed &=
-                    reply.regions.isEmpty() || List.of(reply.regions.split(",")).contains(zone.getValue());
-            if (allowed && journal.maybeEmptied.getOrDefault(zone.getKey(), 0L) <= reply.askedAt) return false;
+            allowed &= reply.allowedRegions.isEmpty()
+                    || List.of(reply.allowedRegions.split(",")).contains(zone.getValue());
+            if (allowed && journal.possiblyEmptiedUntil.getOrDefault(zone.getKey(), 0L) <= reply.submittedAt)
+                return false;
         }
         return true;
     }
@@ -127,20 +131,22 @@
     /** Promise 8: a tenant runs no more than its highest quota in each started minute of the run. */
     private void checkQuotas() {
         var highestQuota = new HashMap<String, Integer>();
-        for (var manifest : journal.sent)
-            if (manifest.taken())
+        for (var manifest : journal.sentManifests)
+            if (manifest.accepted())
                 for (var tenant : tenants(manifest.text()))
                     highestQuota.merge(
                             tenant.get("name").asText(),
                             tenant.path("quotaPerMinute").asInt(0),
                             Math::max);
         var submissionsRun = new HashMap<String, Set<String>>();
-        var firstRunAt = journal.runs.stream().mapToLong(run -> run.at).min().orElse(0);
-        var lastRunAt = journal.runs.stream().mapToLong(run -> run.at).max().orElse(0);
+        var firstRunAt =
+                journal.runs.stream().mapToLong(run -> run.startedAt).min().orElse(0);
+        var lastRunAt =
+                journal.runs.stream().mapToLong(run -> run.startedAt).max().orElse(0);
         for (var run : journal.runs)
             submissionsRun
                     .computeIfAbsent(run.service + " " + run.tenant, serviceAndTenant -> new HashSet<>())
-                    .add(run.sub);
+                    .add(run.submissionId);
         var minutes = (lastRunAt - firstRunAt) / MINUTE_MICROS + 2;
         submissionsRun.forEach((serviceAndTenant, submissions) -> {
             var quotaPerMinute =
--- a/test/sim/src/main/java/craneway/sim/Chaos.java
+++ b/test/sim/src/main/java/craneway/sim/RandomFaultRun.java
@@ -5,21 +5,26 @@
 import java.util.Random;
 
 /** Runs the simulator under a random schedule of faults that is drawn from a seed, and shortens a failing schedule. */
-public final class Chaos {
+public final class RandomFaultRun {
     /**
      * One scheduled action: the second after the scenario's start, the machine, zone, {@code operator} or {@code net}
-     * that it concerns, and the action with its arguments as {@link Scenario#act} takes it.
+     * that it concerns, and the action with its arguments as {@link Scenario#perform} takes it.
      */
-    public record Fault(double at, String node, String what) {
+    public record Fault(double second, String target, String action) {
         /** The fault as one line of a schedule. */
-        public String text() {
-            return String.format("%.2f %s %s", at, node, what);
+        public String describe() {
+            return String.format("%.2f %s %s", second, target, action);
         }
     }
 
     /** The outcome of a run: broken promises, the worst values measured and the timeline. */
     public record Result(
-            long seed, List<Fault> faults, List<String> wrong, Checks checks, String timeline, int submissions) {}
+            long seed,
+            List<Fault> faults,
+            List<String> violations,
+            PromiseChecker checks,
+            String timeline,
+            int submissions) {}
 
     /** The second at which all faults that are still active are healed. */
     private static final double HEAL_SECOND = 40;
@@ -27,18 +32,18 @@
     /** Seconds that a lost disk has for being restored before another disk may be lost. */
     private static final double DISK_REPAIR_SECONDS = 18;
 
-    private Chaos() {}
+    private RandomFaultRun() {}
 
     /**
      * Draws a schedule of two to seven faults with their repairs, and perhaps one late machine loss, sorted by time.
      */
-    public static List<Fault> faults(Shape shape, long seed) {
+    public static List<Fault> drawFaults(FleetShape shape, long seed) {
         var random = new Random(seed * 7919 + shape.name().hashCode());
         var faults = new ArrayList<Fault>();
         var faultCount = 2 + random.nextInt(6);
         for (var i = 0; i < faultCount; i++)
             addFault(shape, faults, random, 1 + random.nextDouble() * (HEAL_SECOND - 6));
-        faults.sort((a, b) -> Double.compare(a.at, b.at));
+        faults.sort((a, b) -> Double.compare(a.second, b.second));
         var schedule = separateDiskLosses(faults);
         addLateLoss(shape, schedule, random);
         return schedule;
@@ -52,26 +57,26 @@
         var restoredAt = Double.NEGATIVE_INFINITY;
         for (var i = 0; i < faults.size(); i++) {
             var fault = faults.get(i);
-            if (!fault.what.equals("disk-loss")) continue;
-            if (fault.at < restoredAt + DISK_REPAIR_SECONDS)
-                faults.set(i, new Fault(fault.at, fault.node, "power-loss"));
-            else restoredAt = fault.at + 10;
+            if (!fault.action.equals("disk-loss")) continue;
+            if (fault.second < restoredAt + DISK_REPAIR_SECONDS)
+                faults.set(i, new Fault(fault.second, fault.target, "power-loss"));
+            else restoredAt = fault.second + 10;
         }
         return faults;
     }
 
     /** Perhaps adds one machine that stays down after the healing. A store only if no disk was lost recently. */
-    private static void addLateLoss(Shape shape, List<Fault> faults, Random random) {
+    private static void addLateLoss(FleetShape shape, List<Fault> faults, Random random) {
         var zoneIndex = random.nextInt(3);
         switch (random.nextInt(4)) {
             case 0 -> {
                 var disksRestored = faults.stream()
-                        .noneMatch(fault -> fault.what.equals("disk-loss")
-                                && fault.at > HEAL_SECOND + 4 - DISK_REPAIR_SECONDS - 10);
+                        .noneMatch(fault -> fault.action.equals("disk-loss")
+                                && fault.second > HEAL_SECOND + 4 - DISK_REPAIR_SECONDS - 10);
                 if (disksRestored) faults.add(new Fault(HEAL_SECOND + 4, "store-" + (1 + zoneIndex), "kill"));
             }
             case 1 -> faults.add(new Fault(HEAL_SECOND + 4, "router-" + (1 + zoneIndex) + "-1", "kill"));
-            case 2 -> faults.add(new Fault(HEAL_SECOND + 4, shape.runner(0, 1), "kill"));
+            case 2 -> faults.add(new Fault(HEAL_SECOND + 4, shape.runnerName(0, 1), "kill"));
             default -> {}
         }
     }
@@ -80,14 +85,14 @@
      * Draws one fault that starts at the given second together with its end. The draws must keep their order: seeds are
      * replayed.
      */
-    private static void addFault(Shape shape, List<Fault> faults, Random random, double at) {
+    private static void addFault(FleetShape shape, List<Fault> faults, Random random, double at) {
         var until = Math.min(HEAL_SECOND - 1, at + 0.5 + random.nextDouble() * 10);
         var zoneIndex = random.nextInt(3);
-        var zone = shape.zones().get(zoneIndex);
-        var otherZone = shape.zones().get((zoneIndex + 1) % 3);
+        var zone = shape.zoneNames().get(zoneIndex);
+        var otherZone = shape.zoneNames().get((zoneIndex + 1) % 3);
         var store = "store-" + (zoneIndex + 1);
-        var router = "router-" + (zoneIndex + 1) + "-" + (1 + random.nextInt(shape.routers()[zoneIndex]));
-        var runner = shape.runner(zoneIndex, random.nextInt(2));
+        var router = "router-" + (zoneIndex + 1) + "-" + (1 + random.nextInt(shape.routersPerZone()[zoneIndex]));
+        var runner = shape.runnerName(zoneIndex, random.nextInt(2));
         var node = List.of(store, router, runner).get(random.nextInt(3));
         switch (random.nextInt(22)) {
             case 0 -> addActions(faults, at, node, "kill", until, "start");
@@ -150,31 +155,36 @@
      * Runs the schedule on a fleet of the given shape; heals everything at {@link #HEAL_SECOND} and then checks that
      * submissions are served.
      */
-    public static Result run(Shape shape, long seed, List<Fault> faults) {
-        var scenario = shape.scenario(seed);
-        scenario.world.warmStart = false;
-        scenario.traffic(120_000);
+    public static Result run(FleetShape shape, long seed, List<Fault> faults) {
+        var scenario = shape.createScenario(seed);
+        scenario.world.runnersStartWarm = false;
+        scenario.startTraffic(120_000);
         for (var fault : faults) {
-            if (fault.at >= HEAL_SECOND) continue;
-            scenario.runTo(fault.at);
-            scenario.act(fault.node, fault.what);
+            if (fault.second >= HEAL_SECOND) continue;
+            scenario.runUntilSecond(fault.second);
+            scenario.perform(fault.target, fault.action);
         }
-        scenario.runTo(HEAL_SECOND);
+        scenario.runUntilSecond(HEAL_SECOND);
         heal(scenario);
         for (var fault : faults) {
-            if (fault.at < HEAL_SECOND) continue;
-            scenario.runTo(fault.at);
-            scenario.act(fault.node, fault.what);
+            if (fault.second < HEAL_SECOND) continue;
+            scenario.runUntilSecond(fault.second);
+            scenario.perform(fault.target, fault.action);
         }
         var recoveryCheckedFrom = HEAL_SECOND + 17;
-        scenario.runTo(recoveryCheckedFrom + 10);
-        scenario.quiet();
-        scenario.runTo(recoveryCheckedFrom + 50);
-        var checks = scenario.checks();
-        var violations = new ArrayList<>(checks.all());
-        violations.addAll(checks.unserved(scenario.start + (long) (recoveryCheckedFrom * 1e6)));
+        scenario.runUntilSecond(recoveryCheckedFrom + 10);
+        scenario.stopTraffic();
+        scenario.runUntilSecond(recoveryCheckedFrom + 50);
+        var checks = scenario.createChecker();
+        var violations = new ArrayList<>(checks.checkAll());
+        violations.addAll(checks.findUnserved(scenario.startTime + (long) (recoveryCheckedFrom * 1e6)));
         return new Result(
-                seed, faults, violations, checks, scenario.world.timeline.draw(), scenario.world.journal.submissions);
+                seed,
+                faults,
+                violations,
+                checks,
+                scenario.world.timeline.render(),
+                scenario.world.journal.submissionCount);
     }
 
     /** Ends all faults, starts every machine that is down, and closes all recorded outages. */
@@ -182,26 +192,26 @@
         scenario.world.net.heal();
         for (var machine : scenario.world.machines.values()) {
             if (machine instanceof StoreMachine storeMachine) {
-                storeMachine.disk.full(false);
-                storeMachine.stall(false);
+                storeMachine.disk.setFull(false);
+                storeMachine.setDiskStalled(false);
             }
-            if (machine instanceof RunnerMachine runnerMachine) runnerMachine.dark(false);
-            machine.wake();
-            if (!machine.up()) machine.start();
+            if (machine instanceof RunnerMachine runnerMachine) runnerMachine.setSilent(false);
+            machine.resume();
+            if (!machine.isRunning()) machine.start();
         }
-        scenario.calmAll();
-        scenario.world.timeline.note(scenario.world.sim.now(), "all", "* healed");
+        scenario.endAllOutages();
+        scenario.world.timeline.add(scenario.world.sim.now(), "all", "* healed");
     }
 
     /** Removes faults one by one as long as the run still breaks a promise. */
-    public static List<Fault> shortest(Shape shape, long seed, List<Fault> faults) {
+    public static List<Fault> minimize(FleetShape shape, long seed, List<Fault> faults) {
         var schedule = faults;
         for (var shortened = true; shortened; ) {
             shortened = false;
             for (var i = 0; i < schedule.size() && !shortened; i++) {
                 var candidate = new ArrayList<>(schedule);
                 candidate.remove(i);
-                if (run(shape, seed, candidate).wrong.isEmpty()) continue;
+                if (run(shape, seed, candidate).violations.isEmpty()) continue;
                 schedule = candidate;
                 shortened = true;
             }
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -29,39 +29,42 @@
     protected void boot() {
         var port = new MachinePort(this);
         leaving = false;
-        router =
-                new Router(port, world.node(this, Node.ROUTER), world.seeds(), new Random(world.sim.random.nextLong()));
+        router = new Router(
+                port,
+                world.newIdentity(this, Node.ROUTER),
+                world.seedAddresses(),
+                new Random(world.sim.random.nextLong()));
         operator = new OperatorCommands(port, router.coreClient());
     }
 
     @Override
     protected void tick() {
         if (router.membership().isSuperseded()) {
-            mine(this::crash);
+            schedule(this::crash);
             return;
         }
         router.tick();
         operator.tick(now());
-        world.sees(this, router.membership().view());
+        world.recordManifest(this, router.membership().view());
         if (leaving && router.requestExecutor().openRequests() == 0)
-            mine(() -> {
+            schedule(() -> {
                 router.membership().leave(now());
-                mineAfter(100_000, this::crash);
+                scheduleAfter(100_000, this::crash);
             });
     }
 
     /** Stops the router as a rolling release does: unready first, then drained, then a leave. */
-    public void stopGently() {
+    public void stopGracefully() {
         router.markUnready();
-        mineAfter(2_200_000, () -> {
+        scheduleAfter(2_200_000, () -> {
             router.requestExecutor().stopAccepting();
             leaving = true;
         });
     }
 
     /** Whether the router accepts new requests. */
-    public boolean ready() {
-        return up() && !frozen() && router.isReady();
+    public boolean isReady() {
+        return isRunning() && !isFrozen() && router.isReady();
     }
 
     @Override
@@ -115,12 +118,13 @@
 
         @Override
         public void runLater(Runnable step) {
-            mine(step);
+            schedule(step);
         }
 
         @Override
-        public OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
-            return world.open(RouterMachine.this, address, path, headers, body, sink);
+        public OutgoingCall openCall(
+                String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
+            return world.openRequest(RouterMachine.this, address, path, headers, body, sink);
         }
 
         @Override
@@ -141,9 +145,10 @@
 
         @Override
         public void sendProblem(Problem problem) {
-            if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
+            if (!sub.isEmpty()) world.journal.verdictSentAt.put(sub, now());
             var headers = new HashMap<String, String>();
-            headers.put(HttpExchange.PROBLEM_HEADER, Integer.toString(problem.kind().code()));
+            headers.put(
+                    HttpExchange.PROBLEM_HEADER, Integer.toString(problem.kind().code()));
             headers.put(HttpExchange.RETRY_MICROS_HEADER, Long.toString(problem.retryAfterMicros()));
             stream.status(problem.kind().status(), headers);
             stream.end();
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -39,12 +39,12 @@
     }
 
     /** Sets whether the runner stops announcing itself while it goes on serving. */
-    public void dark(boolean value) {
+    public void setSilent(boolean value) {
         silent = value;
     }
 
     /** Sets whether the runner accepts work and then breaks the connection after the prefill. */
-    public void ail(boolean value) {
+    public void setFailing(boolean value) {
         failing = value;
     }
 
@@ -60,7 +60,7 @@
     }
 
     private boolean isCold() {
-        return now() - startedAt < WARM_UP_MICROS && !world.warmStart;
+        return now() - startedAt < WARM_UP_MICROS && !world.runnersStartWarm;
     }
 
     @Override
@@ -94,11 +94,11 @@
                         world.net.send(router, address, () -> {
                             if (acknowledged[0] || incarnation != leavingIncarnation) return;
                             acknowledged[0] = true;
-                            world.timeline.note(now(), name, "leave acknowledged");
+                            world.timeline.add(now(), name, "leave acknowledged");
                             world.journal.leaves.add(new Journal.Leave(name, leavingIncarnation, now()));
                         });
                 }));
-        mineAfter(1_000_000, () -> {
+        scheduleAfter(1_000_000, () -> {
             if (!acknowledged[0] && incarnation == leavingIncarnation) sendLeave(attempt + 1);
         });
     }
@@ -113,31 +113,31 @@
         }
         var fields = new String(body).split(" ");
         var run = new Journal.Run();
-        run.at = now();
+        run.startedAt = now();
         run.runner = name;
         run.incarnation = incarnation;
         run.zone = zone;
         run.cell = cell;
         run.service = service;
-        run.sub = fields[1];
-        run.key = fields[2].equals("-") ? "" : fields[2];
+        run.submissionId = fields[1];
+        run.idempotencyKey = fields[2].equals("-") ? "" : fields[2];
         run.tenant = headers.get(HttpExchange.TENANT_HEADER);
         run.tokens = Integer.parseInt(fields[3]);
-        run.cold = isCold();
-        run.bornAt = startedAt;
-        run.regions = headers.getOrDefault(HttpExchange.REGIONS_HEADER, "");
-        run.manifest = Long.parseLong(headers.get(HttpExchange.MANIFEST_VERSION_HEADER));
-        run.table = Long.parseLong(headers.get(HttpExchange.TABLE_VERSION_HEADER));
+        run.runnerCold = isCold();
+        run.runnerStartedAt = startedAt;
+        run.allowedRegions = headers.getOrDefault(HttpExchange.REGIONS_HEADER, "");
+        run.manifestVersion = Long.parseLong(headers.get(HttpExchange.MANIFEST_VERSION_HEADER));
+        run.tableVersion = Long.parseLong(headers.get(HttpExchange.TABLE_VERSION_HEADER));
         run.slots = slots;
         activeRuns.add(run);
-        run.running = activeRuns.size();
+        run.concurrentRuns = activeRuns.size();
         world.journal.runs.add(run);
         var finished = new boolean[1];
         stream.onCancel(() -> {
             finished[0] = true;
             activeRuns.remove(run);
         });
-        mineAfter(PREFILL_MICROS, () -> {
+        scheduleAfter(PREFILL_MICROS, () -> {
             if (finished[0]) return;
             if (failing) {
                 finished[0] = true;
@@ -154,13 +154,13 @@
         if (finished[0]) return;
         if (token < run.tokens) {
             stream.chunk(("data: " + token + "\n\n").getBytes());
-            mineAfter(TOKEN_INTERVAL_MICROS, () -> streamToken(stream, run, token + 1, finished));
+            scheduleAfter(TOKEN_INTERVAL_MICROS, () -> streamToken(stream, run, token + 1, finished));
             return;
         }
         stream.chunk("data: [DONE]\n\n".getBytes());
         stream.end();
         run.endedAt = now();
-        run.whole = true;
+        run.complete = true;
         activeRuns.remove(run);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -15,10 +15,10 @@
     public final World world;
 
     /** What the operators' commands were answered, in order. */
-    public final List<String> answers = new ArrayList<>();
+    public final List<String> operatorAnswers = new ArrayList<>();
 
     /** When the bootstrapped fleet was ready, in microseconds of simulated time. */
-    public final long start;
+    public final long startTime;
 
     /**
      * Draws the traffic; separate from the fleet's source, so that the traffic does not depend on the fleet's draws.
@@ -38,27 +38,27 @@
      */
     public Scenario(long seed, String manifest, int[] routers, int slots, int wire) {
         world = new World(seed, manifest, routers, slots);
-        world.wire = wire;
+        world.wireVersion = wire;
         random = new Random(seed ^ 0x5eed);
-        world.found();
-        start = world.sim.now();
+        world.bootstrap();
+        startTime = world.sim.now();
     }
 
     /** Starts the traffic, or changes its rate: each client submits once per pause on average. */
-    public void traffic(long newMeanPauseMicros) {
+    public void startTraffic(long newMeanPauseMicros) {
         meanPauseMicros = newMeanPauseMicros;
         if (trafficOn) return;
         trafficOn = true;
-        for (var client : world.all(ClientMachine.class)) submitNext(client);
+        for (var client : world.machinesOfType(ClientMachine.class)) submitNext(client);
     }
 
     /** Sets the spread of response lengths: each has 3 tokens plus a random number below this. */
-    public void swing(int tokens) {
+    public void setTokenSpread(int tokens) {
         tokenSpread = tokens;
     }
 
     /** Ends the traffic. */
-    public void quiet() {
+    public void stopTraffic() {
         trafficOn = false;
     }
 
@@ -74,16 +74,16 @@
             var earlier = recentRunOnceWork.get(random.nextInt(recentRunOnceWork.size()));
             client.submit(earlier.work, earlier.key, 1);
         } else {
-            var work = work();
+            var work = drawWork();
             var key = client.submit(work);
-            if (work.once()) recentRunOnceWork.add(new RunOnceWork(work, key));
+            if (work.runOnce()) recentRunOnceWork.add(new RunOnceWork(work, key));
             if (recentRunOnceWork.size() > 30) recentRunOnceWork.remove(0);
         }
-        world.sim.after((long) (meanPauseMicros * (0.5 + random.nextDouble())), () -> submitNext(client));
+        world.sim.scheduleAfter((long) (meanPauseMicros * (0.5 + random.nextDouble())), () -> submitNext(client));
     }
 
     /** Draws a piece of work with its tenant, service, class of work and regions. */
-    public ClientMachine.Work work() {
+    public ClientMachine.Work drawWork() {
         var tenantDraw = random.nextInt(10);
         var namedTenants = List.copyOf(world.manifest.tenants().keySet());
         var tenant = tenantDraw == 0 && !namedTenants.isEmpty()
@@ -110,13 +110,13 @@
                 20_000);
     }
 
-    /** Runs the simulation up to the given second after {@link #start}. */
-    public void runTo(double seconds) {
-        world.sim.runUntil(start + (long) (seconds * SECOND_MICROS));
+    /** Runs the simulation up to the given second after {@link #startTime}. */
+    public void runUntilSecond(double seconds) {
+        world.sim.runUntil(startTime + (long) (seconds * SECOND_MICROS));
     }
 
     /** Runs the simulation for the given number of seconds. */
-    public void runOn(double seconds) {
+    public void runForSeconds(double seconds) {
         world.sim.runUntil(world.sim.now() + (long) (seconds * SECOND_MICROS));
     }
 
@@ -126,9 +126,9 @@
      * @param node a machine, a zone, {@code all}, {@code operator} or {@code net}
      * @param action the name and its arguments, separated by blanks
      */
-    public void act(String node, String action) {
+    public void perform(String node, String action) {
         var fleet = world;
-        fleet.timeline.note(fleet.sim.now(), node, "* " + action);
+        fleet.timeline.add(fleet.sim.now(), node, "* " + action);
         var words = action.split(" ");
         if (node.equals("operator")) performAsOperator(words);
         else if (node.equals("net")) performOnNetwork(words);
@@ -144,13 +144,13 @@
     private void performAsOperator(String[] words) {
         var node = words.length > 2 ? words[2] : "store-1";
         switch (words[0]) {
-            case "empty" -> world.emptyZone(words[1], node, answers::add);
-            case "take-back" -> world.takeBack(words[1], node, answers::add);
-            case "empty-cell" -> world.emptyCell(words[1], node, answers::add);
-            case "take-back-cell" -> world.takeBackCell(words[1], node, answers::add);
-            case "keep" -> world.keep(words[1], List.of(words[3].split(",")), node, answers::add);
-            case "accept-claims" -> world.acceptClaims(words[1], answers::add);
-            case "send" -> world.send(variant(words[1]), Long.parseLong(words[3]), node);
+            case "empty" -> world.emptyZone(words[1], node, operatorAnswers::add);
+            case "take-back" -> world.takeBackZone(words[1], node, operatorAnswers::add);
+            case "empty-cell" -> world.emptyCell(words[1], node, operatorAnswers::add);
+            case "take-back-cell" -> world.takeBackCell(words[1], node, operatorAnswers::add);
+            case "keep" -> world.keepTenant(words[1], List.of(words[3].split(",")), node, operatorAnswers::add);
+            case "accept-claims" -> world.acceptClaims(words[1], operatorAnswers::add);
+            case "send" -> world.sendManifest(manifestVariant(words[1]), Long.parseLong(words[3]), node);
             default -> throw new IllegalArgumentException("unknown operator action " + words[0]);
         }
     }
@@ -158,9 +158,9 @@
     private void performOnNetwork(String[] words) {
         var share = Double.parseDouble(words[1]);
         switch (words[0]) {
-            case "drop" -> world.net.dropped(share);
-            case "double" -> world.net.doubled(share);
-            case "delay" -> world.net.delayed(share);
+            case "drop" -> world.net.setDropShare(share);
+            case "double" -> world.net.setDuplicateShare(share);
+            case "delay" -> world.net.setDelayShare(share);
             default -> throw new IllegalArgumentException("unknown network action " + words[0]);
         }
     }
@@ -169,7 +169,7 @@
      * A different text of the fleet's manifest for each name; {@code invalid} yields one that must be declined, a name
      * that starts with {@code big} one of several megabytes.
      */
-    public String variant(String name) {
+    public String manifestVariant(String name) {
         if (name.equals("invalid"))
             return world.manifestText
                     .replace("\"regions\": [", "\"regions\": [\"nowhere\", ")
@@ -224,23 +224,23 @@
     }
 
     /** The open outage of each hindered node. */
-    private final Map<String, Journal.Down> openOutages = new HashMap<>();
+    private final Map<String, Journal.Outage> openOutages = new HashMap<>();
 
     /** Records that time limits do not apply to a node from now on. */
     private void beginOutage(String node) {
         if (openOutages.containsKey(node)) return;
-        var outage = new Journal.Down(node, world.sim.now(), new long[] {Long.MAX_VALUE});
+        var outage = new Journal.Outage(node, world.sim.now(), new long[] {Long.MAX_VALUE});
         openOutages.put(node, outage);
-        world.journal.troubles.add(outage);
+        world.journal.outages.add(outage);
     }
 
     private void endOutage(String node) {
         var outage = openOutages.remove(node);
-        if (outage != null) outage.until()[0] = world.sim.now();
+        if (outage != null) outage.endedAt()[0] = world.sim.now();
     }
 
     /** Ends all open outages. */
-    void calmAll() {
+    void endAllOutages() {
         List.copyOf(openOutages.keySet()).forEach(this::endOutage);
     }
 
@@ -259,7 +259,7 @@
                 machine.freeze();
             }
             case "wake" -> {
-                machine.wake();
+                machine.resume();
                 endOutage(machine.name);
             }
             case "power-loss" -> {
@@ -270,24 +270,24 @@
             case "disk-loss" -> {
                 beginOutage(machine.name);
                 machine.crash();
-                ((StoreMachine) machine).disk.loseAll();
+                ((StoreMachine) machine).disk.wipe();
             }
             case "disk-damage" -> damageLogs((StoreMachine) machine);
-            case "disk-full" -> ((StoreMachine) machine).disk.full(true);
-            case "disk-free" -> ((StoreMachine) machine).disk.full(false);
+            case "disk-full" -> ((StoreMachine) machine).disk.setFull(true);
+            case "disk-free" -> ((StoreMachine) machine).disk.setFull(false);
             case "disk-stall" -> {
                 beginOutage(machine.name);
-                ((StoreMachine) machine).stall(true);
+                ((StoreMachine) machine).setDiskStalled(true);
             }
             case "disk-go-on" -> {
-                ((StoreMachine) machine).stall(false);
+                ((StoreMachine) machine).setDiskStalled(false);
                 endOutage(machine.name);
             }
-            case "slow" -> ((StoreMachine) machine).slow(Long.parseLong(words[1]));
-            case "clock-jump" -> world.wallJumps.put(machine.name, Long.parseLong(words[1]) * SECOND_MICROS);
+            case "slow" -> ((StoreMachine) machine).setDiskDelay(Long.parseLong(words[1]));
+            case "clock-jump" -> world.wallClockOffsets.put(machine.name, Long.parseLong(words[1]) * SECOND_MICROS);
             case "move-to" -> {
                 machine.address = words[1];
-                world.net.join(machine);
+                world.net.register(machine);
             }
             case "cut-from" -> {
                 var other = world.machine(words[1]);
@@ -300,27 +300,27 @@
                 endOutage(machine.name);
             }
             case "cut-from-core" -> {
-                for (var store : world.all(StoreMachine.class)) {
+                for (var store : world.machinesOfType(StoreMachine.class)) {
                     world.net.cut(machine, store);
                     world.net.cut(store, machine);
                 }
                 beginOutage(machine.name);
             }
             case "heal-with-core" -> {
-                for (var store : world.all(StoreMachine.class)) world.net.heal(machine, store);
+                for (var store : world.machinesOfType(StoreMachine.class)) world.net.heal(machine, store);
                 endOutage(machine.name);
             }
             case "stop-gently" -> {
                 beginOutage(machine.name);
-                ((RouterMachine) machine).stopGently();
+                ((RouterMachine) machine).stopGracefully();
             }
-            case "rebuild" -> world.rebuild((StoreMachine) machine, answers::add);
+            case "rebuild" -> world.rebuildCore((StoreMachine) machine, operatorAnswers::add);
             case "hand-over" -> ((StoreMachine) machine).store.transferLeadership();
             case "leave" -> ((RunnerMachine) machine).leave();
-            case "go-dark" -> ((RunnerMachine) machine).dark(true);
-            case "ail" -> ((RunnerMachine) machine).ail(true);
-            case "recover" -> ((RunnerMachine) machine).ail(false);
-            case "come-back" -> ((RunnerMachine) machine).dark(false);
+            case "go-dark" -> ((RunnerMachine) machine).setSilent(true);
+            case "ail" -> ((RunnerMachine) machine).setFailing(true);
+            case "recover" -> ((RunnerMachine) machine).setFailing(false);
+            case "come-back" -> ((RunnerMachine) machine).setSilent(false);
             default -> throw new IllegalArgumentException("unknown machine action " + words[0]);
         }
     }
@@ -328,24 +328,24 @@
     /** Changes the byte at offset 40 of each log file on the machine's disk. */
     private void damageLogs(StoreMachine machine) {
         for (var fileName : machine.disk.fileNames())
-            if (fileName.matches("p\\d\\.log\\.\\d+")) machine.disk.damage(fileName, 40);
+            if (fileName.matches("p\\d\\.log\\.\\d+")) machine.disk.corruptByte(fileName, 40);
     }
 
     /** Records the final states and returns the checks over the journal. */
-    public Checks checks() {
-        world.ends();
+    public PromiseChecker createChecker() {
+        world.recordFinalStates();
         var zoneRegion = new HashMap<String, String>();
         world.manifest.zones().values().forEach(zone -> zoneRegion.put(zone.name(), zone.region()));
         var warmUpMicros = new HashMap<String, Long>();
         world.manifest.services().values().forEach(service -> warmUpMicros.put(service.name(), service.warmUpTime()));
-        return new Checks(world.journal, zoneRegion, warmUpMicros);
+        return new PromiseChecker(world.journal, zoneRegion, warmUpMicros);
     }
 
     /** Counts complete replies to submissions sent at or after the given second. */
-    public long wholeSince(double seconds) {
-        var from = start + (long) (seconds * SECOND_MICROS);
+    public long countCompleteSince(double seconds) {
+        var from = startTime + (long) (seconds * SECOND_MICROS);
         return world.journal.replies.stream()
-                .filter(reply -> reply.verdict.equals("whole") && reply.askedAt >= from)
+                .filter(reply -> reply.verdict.equals("whole") && reply.submittedAt >= from)
                 .count();
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Disk.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedDisk.java
@@ -15,7 +15,7 @@
  * of the others, and each deleted name may reappear; one loss of power in four discards all unsynced writes and
  * deletions.
  */
-public final class Disk implements Folder {
+public final class SimulatedDisk implements Folder {
     /** One loss of power in this many discards everything that was not synced. */
     private static final int TOTAL_LOSS_ONE_IN = 4;
 
@@ -53,17 +53,17 @@
     private boolean ignoresSync;
 
     /** Sets whether the disk rejects every write. */
-    public void full(boolean value) {
+    public void setFull(boolean value) {
         rejectsWrites = value;
     }
 
     /** Sets whether a sync reports success without doing anything. */
-    public void liesAboutSync(boolean value) {
+    public void setIgnoresSync(boolean value) {
         ignoresSync = value;
     }
 
     /** Discards all files. */
-    public void loseAll() {
+    public void wipe() {
         files.clear();
         deleted.clear();
     }
@@ -122,7 +122,7 @@
      *
      * @param offset the position; the last byte is changed if the file is shorter
      */
-    public void damage(String name, int offset) {
+    public void corruptByte(String name, int offset) {
         var file = files.get(name);
         var content = file.bytes.toByteArray();
         content[Math.min(offset, content.length - 1)] ^= 0x7f;
--- a/test/sim/src/main/java/craneway/sim/Net.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedNetwork.java
@@ -9,7 +9,7 @@
  * The simulated network: latencies, lost, duplicated and delayed messages, and cut links. A link is cut for one
  * direction.
  */
-public final class Net {
+public final class SimulatedNetwork {
     /** Least one-way latency within a zone. */
     private static final long SAME_ZONE_LATENCY_MICROS = 300;
 
@@ -18,7 +18,7 @@
 
     private static final long MAX_EXTRA_DELAY_MICROS = 400_000;
 
-    private final Sim sim;
+    private final Simulation sim;
     private final Map<String, Machine> byAddress = new HashMap<>();
     private final Set<String> cutLinks = new HashSet<>();
     private double dropShare;
@@ -26,32 +26,32 @@
     private double delayShare;
 
     /** Creates a network without machines and without faults. */
-    public Net(Sim sim) {
+    public SimulatedNetwork(Simulation sim) {
         this.sim = sim;
     }
 
     /** Sets the share of messages that are lost. */
-    public void dropped(double share) {
+    public void setDropShare(double share) {
         dropShare = share;
     }
 
     /** Sets the share of messages that are delivered twice. */
-    public void doubled(double share) {
+    public void setDuplicateShare(double share) {
         duplicateShare = share;
     }
 
     /** Sets the share of messages that are delayed by up to {@link #MAX_EXTRA_DELAY_MICROS}. */
-    public void delayed(double share) {
+    public void setDelayShare(double share) {
         delayShare = share;
     }
 
     /** Makes a machine reachable at its current address. */
-    public void join(Machine machine) {
+    public void register(Machine machine) {
         byAddress.put(machine.address, machine);
     }
 
     /** The machine at an address, or null. */
-    public Machine at(String address) {
+    public Machine machineAt(String address) {
         return byAddress.get(address);
     }
 
@@ -75,17 +75,17 @@
     }
 
     /** Whether messages pass from one machine to the other. */
-    public boolean open(Machine from, Machine to) {
+    public boolean isReachable(Machine from, Machine to) {
         return !cutLinks.contains(from.name + ">" + to.name);
     }
 
     /** Draws whether a message is lost; draws nothing while no loss is set. */
-    public boolean drops() {
+    public boolean drawLoss() {
         return dropShare > 0 && sim.random.nextDouble() < dropShare;
     }
 
     /** Draws a one-way latency in microseconds. */
-    public long latency(Machine from, Machine to) {
+    public long drawLatency(Machine from, Machine to) {
         var minLatency = from.zone.equals(to.zone) ? SAME_ZONE_LATENCY_MICROS : CROSS_ZONE_LATENCY_MICROS;
         return minLatency + (long) (sim.random.nextDouble() * minLatency);
     }
@@ -93,7 +93,7 @@
     /** Sends a message; {@code receive} runs on the receiving machine, possibly twice or never. */
     public void send(Machine from, String address, Runnable receive) {
         var to = byAddress.get(address);
-        if (to == null || !open(from, to) || drops()) return;
+        if (to == null || !isReachable(from, to) || drawLoss()) return;
         deliver(from, to, receive);
         if (duplicateShare > 0 && sim.random.nextDouble() < duplicateShare) deliver(from, to, receive);
     }
@@ -102,8 +102,8 @@
         var extraDelay = delayShare > 0 && sim.random.nextDouble() < delayShare
                 ? (long) (sim.random.nextDouble() * MAX_EXTRA_DELAY_MICROS)
                 : 0;
-        sim.after(latency(from, to) + extraDelay, () -> {
-            if (to.up()) to.run(receive);
+        sim.scheduleAfter(drawLatency(from, to) + extraDelay, () -> {
+            if (to.isRunning()) to.runOrDefer(receive);
         });
     }
 }
--- a/test/sim/src/main/java/craneway/sim/SimulatedStream.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedStream.java
@@ -43,24 +43,24 @@
 
     /** Opens the connection: refused after a timeout if a link is cut, at once if no process listens. */
     void connect(String path, Map<String, String> headers, byte[] body) {
-        var latency = world.net.latency(from, to);
+        var latency = world.net.drawLatency(from, to);
         submissionId = new String(body).split(" ")[1];
-        if (!world.net.open(from, to) || !world.net.open(to, from)) {
-            world.journal.blocked.merge(submissionId, CONNECT_TIMEOUT_MICROS, Long::sum);
-            world.sim.after(CONNECT_TIMEOUT_MICROS, () -> runOnCaller(sink::onRefused, true));
-        } else if (!to.up()) world.sim.after(latency, () -> runOnCaller(sink::onRefused, true));
-        else world.sim.after(2 * latency, () -> accept(path, headers, body));
+        if (!world.net.isReachable(from, to) || !world.net.isReachable(to, from)) {
+            world.journal.blockedMicros.merge(submissionId, CONNECT_TIMEOUT_MICROS, Long::sum);
+            world.sim.scheduleAfter(CONNECT_TIMEOUT_MICROS, () -> runOnCaller(sink::onRefused, true));
+        } else if (!to.isRunning()) world.sim.scheduleAfter(latency, () -> runOnCaller(sink::onRefused, true));
+        else world.sim.scheduleAfter(2 * latency, () -> accept(path, headers, body));
     }
 
     private void accept(String path, Map<String, String> headers, byte[] body) {
         if (closed) return;
-        if (!to.up()) {
+        if (!to.isRunning()) {
             runOnCaller(sink::onBroken, true);
             return;
         }
         accepted = true;
         world.streams.add(this);
-        to.run(() -> {
+        to.runOrDefer(() -> {
             if (!closed) ((Server) to).serve(this, path, headers, body);
         });
     }
@@ -93,22 +93,22 @@
 
     private void reply(Runnable delivery, boolean last) {
         if (closed) return;
-        lastFrameAt = Math.max(lastFrameAt + 1, world.sim.now() + world.net.latency(from, to));
+        lastFrameAt = Math.max(lastFrameAt + 1, world.sim.now() + world.net.drawLatency(from, to));
         pending.add(new Frame(lastFrameAt, delivery, last));
-        if (pending.size() == 1) world.sim.at(lastFrameAt, this::deliverPending);
+        if (pending.size() == 1) world.sim.scheduleAt(lastFrameAt, this::deliverPending);
     }
 
     /** Delivers the next frame, or tries again later while a link is cut. */
     private void deliverPending() {
         if (closed || pending.isEmpty()) return;
-        if (!world.net.open(to, from) || !world.net.open(from, to)) {
-            world.journal.blocked.merge(submissionId, CUT_RETRY_INTERVAL_MICROS, Long::sum);
-            world.sim.after(CUT_RETRY_INTERVAL_MICROS, this::deliverPending);
+        if (!world.net.isReachable(to, from) || !world.net.isReachable(from, to)) {
+            world.journal.blockedMicros.merge(submissionId, CUT_RETRY_INTERVAL_MICROS, Long::sum);
+            world.sim.scheduleAfter(CUT_RETRY_INTERVAL_MICROS, this::deliverPending);
             return;
         }
         var frame = pending.poll();
         runOnCaller(frame.delivery, frame.last);
-        if (!pending.isEmpty()) world.sim.at(pending.peek().at, this::deliverPending);
+        if (!pending.isEmpty()) world.sim.scheduleAt(pending.peek().at, this::deliverPending);
     }
 
     private void runOnCaller(Runnable action, boolean last) {
@@ -117,7 +117,7 @@
             closed = true;
             world.streams.remove(this);
         }
-        if (from.up()) from.run(action);
+        if (from.isRunning()) from.runOrDefer(action);
     }
 
     /**
@@ -128,13 +128,13 @@
         if (machine == from) {
             closed = true;
             world.streams.remove(this);
-            if (to.up() && world.net.open(from, to)) to.run(onCancel);
+            if (to.isRunning() && world.net.isReachable(from, to)) to.runOrDefer(onCancel);
         } else if (machine == to) {
             closed = true;
             world.streams.remove(this);
-            if (world.net.open(to, from))
-                world.sim.after(world.net.latency(from, to), () -> {
-                    if (from.up()) from.run(sink::onBroken);
+            if (world.net.isReachable(to, from))
+                world.sim.scheduleAfter(world.net.drawLatency(from, to), () -> {
+                    if (from.isRunning()) from.runOrDefer(sink::onBroken);
                 });
         }
     }
@@ -147,8 +147,8 @@
         if (closed) return;
         closed = true;
         world.streams.remove(this);
-        world.sim.after(world.net.latency(from, to), () -> {
-            if (to.up()) to.run(onCancel);
+        world.sim.scheduleAfter(world.net.drawLatency(from, to), () -> {
+            if (to.isRunning()) to.runOrDefer(onCancel);
         });
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Sim.java
+++ b/test/sim/src/main/java/craneway/sim/Simulation.java
@@ -7,7 +7,7 @@
  * The discrete-event simulation: a clock, a queue of events, and the only source of randomness. A seed reproduces a run
  * exactly; events of the same time run in the order in which they were scheduled.
  */
-public final class Sim {
+public final class Simulation {
     /** A scheduled event; the number orders events of the same time. */
     private record Event(long at, long number, Runnable action) {}
 
@@ -18,7 +18,7 @@
     private long eventCount;
 
     /** Creates a simulation whose random draws depend on the seed alone. */
-    public Sim(long seed) {
+    public Simulation(long seed) {
         random = new Random(seed);
     }
 
@@ -28,13 +28,13 @@
     }
 
     /** Schedules an action for a time, at the earliest now. */
-    public void at(long time, Runnable action) {
+    public void scheduleAt(long time, Runnable action) {
         queue.add(new Event(Math.max(time, now), eventCount++, action));
     }
 
     /** Schedules an action after a delay. */
-    public void after(long delayMicros, Runnable action) {
-        at(now + delayMicros, action);
+    public void scheduleAfter(long delayMicros, Runnable action) {
+        scheduleAt(now + delayMicros, action);
     }
 
     /** Runs all events up to and including the given time, which then is the current time. */
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -14,7 +14,7 @@
 
 /** A simulated machine that runs the production store on a simulated disk. */
 public final class StoreMachine extends Machine implements MachinePort.Receiver {
-    public final Disk disk = new Disk();
+    public final SimulatedDisk disk = new SimulatedDisk();
     private final Deque<Object> waitingForDisk = new ArrayDeque<>();
     private boolean diskStalled;
     private long diskDelayMicros;
@@ -33,22 +33,22 @@
         store = new Store(
                 port,
                 disk,
-                world.node(this, Node.STORE),
-                world.seeds(),
-                world.stores(),
+                world.newIdentity(this, Node.STORE),
+                world.seedAddresses(),
+                world.coreStoreCount(),
                 new Random(world.sim.random.nextLong()));
         operator = new OperatorCommands(port, store.coreClient());
     }
 
     /** Sets the time that the disk adds to each message of the replicated parts, in microseconds. */
-    public void slow(long delayMicros) {
+    public void setDiskDelay(long delayMicros) {
         diskDelayMicros = delayMicros;
     }
 
     /**
      * Sets whether the disk hangs. While it does, messages of the replicated parts wait, and the node itself goes on.
      */
-    public void stall(boolean value) {
+    public void setDiskStalled(boolean value) {
         diskStalled = value;
         while (!diskStalled && !waitingForDisk.isEmpty()) store.receive(waitingForDisk.poll());
     }
@@ -58,7 +58,7 @@
         if (diskStalled) store.tickNode();
         else store.tick();
         operator.tick(now());
-        world.sees(this, store.membership().view());
+        world.recordManifest(this, store.membership().view());
     }
 
     @Override
@@ -74,7 +74,7 @@
                 || message instanceof Renewal
                 || message instanceof Subscription;
         if (needsDisk && diskDelayMicros > 0 && !diskStalled)
-            mineAfter(diskDelayMicros, () -> handlePartMessage(message));
+            scheduleAfter(diskDelayMicros, () -> handlePartMessage(message));
         else if (needsDisk) handlePartMessage(message);
         else store.receive(message);
     }
--- a/test/sim/src/main/java/craneway/sim/Timeline.java
+++ b/test/sim/src/main/java/craneway/sim/Timeline.java
@@ -11,17 +11,17 @@
     private final List<Entry> entries = new ArrayList<>();
 
     /** Adds an entry. */
-    public void note(long at, String node, String text) {
+    public void add(long at, String node, String text) {
         entries.add(new Entry(at, node, text));
     }
 
     /** Whether some entry of the node contains the text. */
-    public boolean has(String node, String text) {
+    public boolean contains(String node, String text) {
         return entries.stream().anyMatch(entry -> entry.node.equals(node) && entry.text.contains(text));
     }
 
     /** The table as text, one line for each entry. */
-    public String draw() {
+    public String render() {
         var nodes =
                 new ArrayList<>(new TreeSet<>(entries.stream().map(Entry::node).toList()));
         var text = new StringBuilder(String.format("%10s", "seconds"));
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -29,8 +29,8 @@
     /** Interval between the ticks of a process. */
     static final long TICK_INTERVAL_MICROS = 50_000;
 
-    public final Sim sim;
-    public final Net net;
+    public final Simulation sim;
+    public final SimulatedNetwork net;
     public final Timeline timeline = new Timeline();
     public final Journal journal = new Journal();
     public final Map<String, Machine> machines = new TreeMap<>();
@@ -39,19 +39,19 @@
      * Machines of an older release, whose incarnations come from a wall clock, with the microseconds by which that
      * clock is off.
      */
-    public final Map<String, Long> wallJumps = new HashMap<>();
+    public final Map<String, Long> wallClockOffsets = new HashMap<>();
 
     /** The name of the manifest's first service. */
-    public final String service;
+    public final String serviceName;
 
     public final Manifest manifest;
     public final String manifestText;
 
     /** Whether runners are warm from their start on. */
-    public boolean warmStart = true;
+    public boolean runnersStartWarm = true;
 
     /** The wire version that nodes speak which start from now on. */
-    public int wire = Node.WIRE_VERSION;
+    public int wireVersion = Node.WIRE_VERSION;
 
     final Set<SimulatedStream> streams = new LinkedHashSet<>();
 
@@ -61,9 +61,9 @@
     private final Map<String, Long> takenBackAt = new HashMap<>();
 
     /** By zone or cell: the confirmed emptying that is not taken back yet. */
-    private final Map<String, Journal.Emptied> openEmptied = new HashMap<>();
+    private final Map<String, Journal.EmptiedArea> openEmptied = new HashMap<>();
 
-    private List<String> seeds = List.of("store-1", "store-2", "store-3");
+    private List<String> seedAddresses = List.of("store-1", "store-2", "store-3");
     private long manifestVersion;
 
     /**
@@ -74,11 +74,11 @@
      */
     public World(long seed, String manifestText, int[] routers, int slots) {
         this.manifestText = manifestText;
-        sim = new Sim(seed);
-        net = new Net(sim);
+        sim = new Simulation(seed);
+        net = new SimulatedNetwork(sim);
         manifest = ManifestReader.read(manifestText).get();
         var firstService = manifest.services().values().iterator().next();
-        service = journal.service = firstService.name();
+        serviceName = journal.serviceName = firstService.name();
         var zoneNumber = 0;
         for (var zone : manifest.zones().keySet()) {
             add(new StoreMachine(this, "store-" + ++zoneNumber, zone, "store-" + zoneNumber));
@@ -96,41 +96,41 @@
 
     private void add(Machine machine) {
         machines.put(machine.name, machine);
-        net.join(machine);
+        net.register(machine);
     }
 
     /** The addresses that a starting process is given. */
-    List<String> seeds() {
-        return seeds;
+    List<String> seedAddresses() {
+        return seedAddresses;
     }
 
     /** Sets the addresses that processes are given which start from now on. */
-    public void seeds(List<String> addresses) {
-        seeds = addresses;
+    public void seedAddresses(List<String> addresses) {
+        seedAddresses = addresses;
     }
 
     /** The number of stores that found the core. */
-    int stores() {
+    int coreStoreCount() {
         return 3;
     }
 
     /** The identity of a machine's new process. */
-    Node node(Machine machine, String kind) {
-        var node = wallJumps.containsKey(machine.name)
-                ? new Node(machine.name, kind, machine.zone, machine.address, wall(machine))
+    Node newIdentity(Machine machine, String kind) {
+        var node = wallClockOffsets.containsKey(machine.name)
+                ? new Node(machine.name, kind, machine.zone, machine.address, wallClockMicros(machine))
                 : Node.ofNewProcess(
                         machine.name,
                         kind,
                         machine.zone,
                         machine.address,
-                        Hash.of(Hash.of(machine.name), machine.life()));
-        node.wireVersion = wire;
+                        Hash.of(Hash.of(machine.name), machine.processNumber()));
+        node.wireVersion = wireVersion;
         return node;
     }
 
     /** The machine's wall clock in microseconds. */
-    long wall(Machine machine) {
-        return 1_000_000_000_000L + sim.now() + wallJumps.getOrDefault(machine.name, 0L);
+    long wallClockMicros(Machine machine) {
+        return 1_000_000_000_000L + sim.now() + wallClockOffsets.getOrDefault(machine.name, 0L);
     }
 
     /** The machine of the given name; throws if there is none. */
@@ -142,7 +142,7 @@
     }
 
     /** All machines of a type, by name. */
-    public <T extends Machine> List<T> all(Class<T> type) {
+    public <T extends Machine> List<T> machinesOfType(Class<T> type) {
         var found = new ArrayList<T>();
         for (var machine : machines.values()) if (type.isInstance(machine)) found.add(type.cast(machine));
         return found;
@@ -150,45 +150,47 @@
 
     /** The routers of a zone whose process runs. */
     public List<RouterMachine> routersIn(String zone) {
-        return all(RouterMachine.class).stream()
-                .filter(router -> router.zone.equals(zone) && router.up())
+        return machinesOfType(RouterMachine.class).stream()
+                .filter(router -> router.zone.equals(zone) && router.isRunning())
                 .toList();
     }
 
     /** The ready routers of a zone, or of all zones if it has none. */
     List<RouterMachine> readyRouters(String zone) {
-        var inZone = routersIn(zone).stream().filter(RouterMachine::ready).toList();
+        var inZone = routersIn(zone).stream().filter(RouterMachine::isReady).toList();
         return inZone.isEmpty()
-                ? all(RouterMachine.class).stream().filter(RouterMachine::ready).toList()
+                ? machinesOfType(RouterMachine.class).stream()
+                        .filter(RouterMachine::isReady)
+                        .toList()
                 : inZone;
     }
 
     /** Opens a request from a machine to an address. */
-    HttpExchange.OutgoingCall open(
+    HttpExchange.OutgoingCall openRequest(
             Machine from,
             String address,
             String path,
             Map<String, String> headers,
             byte[] body,
             HttpExchange.ResponseListener sink) {
-        var stream = new SimulatedStream(this, from, net.at(address), sink);
+        var stream = new SimulatedStream(this, from, net.machineAt(address), sink);
         stream.connect(path, headers, body);
         return stream;
     }
 
     /** Breaks the connections of a machine whose process has ended. */
-    void broke(Machine machine) {
+    void breakConnections(Machine machine) {
         for (var stream : List.copyOf(streams)) stream.onProcessEnd(machine);
     }
 
     /** Records which manifest a node has in force, and which units have moved. */
-    void sees(Machine machine, Membership.CoreView view) {
+    void recordManifest(Machine machine, Membership.CoreView view) {
         if (view.manifest() == null) return;
         if (machine.name.equals("router-1-1")) view.services().values().forEach(this::recordMoves);
-        var processAndVersion = machine.life() + "/" + view.manifestRow().version;
+        var processAndVersion = machine.processNumber() + "/" + view.manifestRow().version;
         if (processAndVersion.equals(lastSeen.put(machine.name, processAndVersion))) return;
-        journal.seen.add(new Journal.Seen(
-                sim.now(), machine.name, machine.life(), view.manifestRow().version, view.manifestRow().text));
+        journal.seenManifests.add(new Journal.SeenManifest(
+                sim.now(), machine.name, machine.processNumber(), view.manifestRow().version, view.manifestRow().text));
     }
 
     /** By service: the home region of each unit when it was last looked at. */
@@ -200,11 +202,11 @@
         if (previous == null || previous == row.homeCells) return;
         for (var unit = 0; unit < previous.length; unit++)
             if (previous[unit] >= 0 && previous[unit] != row.homeCells[unit])
-                journal.moves.merge(row.name + " " + unit, 1, Integer::sum);
+                journal.moveCounts.merge(row.name + " " + unit, 1, Integer::sum);
     }
 
     /** Rebuilds the core from one store, as an operator does after the loss of a majority. */
-    void rebuild(StoreMachine machine, Consumer<String> callback) {
+    void rebuildCore(StoreMachine machine, Consumer<String> callback) {
         var text = machine.store.membership().view().manifestRow().text;
         var version = machine.store.membership().view().manifestRow().version;
         var result = machine.store.rebuild().flatMap(plan -> machine.store.rebuild(plan.confirmationToken()));
@@ -216,7 +218,7 @@
             return;
         }
         manifestVersion = version + 1_000;
-        journal.sent.add(new Journal.Sent(
+        journal.sentManifests.add(new Journal.SentManifest(
                 text, version, sim.now(), sim.now() + 30_000_000, true, manifestVersion, new long[] {Long.MAX_VALUE}));
         report(callback, "rebuilt as generation " + result.get().generation());
     }
@@ -238,12 +240,12 @@
     }
 
     /** Starts the fleet, waits for the core, sends the manifest and waits until it is in force. */
-    public void found() {
+    public void bootstrap() {
         startAll();
         sim.runUntil(sim.now() + 6_000_000);
-        send(manifestText, 0, "store-1");
+        sendManifest(manifestText, 0, "store-1");
         sim.runUntil(sim.now() + 8_000_000);
-        journal.moves.clear();
+        journal.moveCounts.clear();
     }
 
     private OperatorCommands operator(String nodeName) {
@@ -252,14 +254,14 @@
     }
 
     /** Sends a manifest on the given base version at a store or router and records the answer. */
-    public void send(String text, long base, String nodeName) {
+    public void sendManifest(String text, long base, String nodeName) {
         var sentAt = sim.now();
-        journal.unsure.add(text);
+        journal.undecidedManifests.add(text);
         operator(nodeName).putManifest(base, text, result -> {
             var accepted = result.isRight();
             if (accepted)
                 manifestVersion = Math.max(manifestVersion, result.get().version());
-            timeline.note(
+            timeline.add(
                     sim.now(),
                     "operator",
                     accepted
@@ -267,10 +269,10 @@
                             : "declined: " + result.getLeft().kind() + " "
                                     + result.getLeft().detail());
             if (!accepted && result.getLeft().kind() == ProblemKind.UNCERTAIN) return;
-            journal.unsure.remove(text);
+            journal.undecidedManifests.remove(text);
             var inForceEverywhereAt =
                     new long[] {accepted && result.get().routersStillActing().isEmpty() ? sim.now() : Long.MAX_VALUE};
-            journal.sent.add(new Journal.Sent(
+            journal.sentManifests.add(new Journal.SentManifest(
                     text,
                     base,
                     sentAt,
@@ -294,8 +296,9 @@
 
     /** Watches a rollout every 0.5 s until no router acts on older state; waits while the asked node is down. */
     private void awaitRollout(String nodeName, RolloutWatch watch, Runnable completed) {
-        sim.after(500_000, () -> {
-            if (!machine(nodeName).up() || machine(nodeName).frozen()) awaitRollout(nodeName, watch, completed);
+        sim.scheduleAfter(500_000, () -> {
+            if (!machine(nodeName).isRunning() || machine(nodeName).isFrozen())
+                awaitRollout(nodeName, watch, completed);
             else
                 watch.start(operator(nodeName), result -> {
                     if (result.isRight() && result.get().routersStillActing().isEmpty()) completed.run();
@@ -310,7 +313,7 @@
     }
 
     /** Creates a plan from an intent and confirms it; {@code callback} gets each answer. */
-    public void intent(Intent intent, String nodeName, Consumer<String> callback) {
+    public void submitIntent(Intent intent, String nodeName, Consumer<String> callback) {
         operator(nodeName).createPlan(intent, plan -> {
             if (plan.isLeft())
                 report(
@@ -339,20 +342,20 @@
 
     /** Empties a cell of the first service. */
     public void emptyCell(String cell, String nodeName, Consumer<String> callback) {
-        empty(new Intent(Intent.EMPTY_CELL, null, service, cell, null, null), "", cell, nodeName, callback);
+        empty(new Intent(Intent.EMPTY_CELL, null, serviceName, cell, null, null), "", cell, nodeName, callback);
     }
 
     /** Keeps a tenant's work in the given regions. */
-    public void keep(String tenant, List<String> regions, String nodeName, Consumer<String> callback) {
-        intent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), nodeName, answer -> {
-            if (answer.equals("confirmed")) journal.kept.add(new Journal.Kept(tenant, regions, sim.now()));
+    public void keepTenant(String tenant, List<String> regions, String nodeName, Consumer<String> callback) {
+        submitIntent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), nodeName, answer -> {
+            if (answer.equals("confirmed")) journal.keptTenants.add(new Journal.KeptTenant(tenant, regions, sim.now()));
             callback.accept(answer);
         });
     }
 
     /** Notes an answer to the operator on the timeline and passes it on. */
     private void report(Consumer<String> callback, String answer) {
-        timeline.note(sim.now(), "operator", answer);
+        timeline.add(sim.now(), "operator", answer);
         callback.accept(answer);
     }
 
@@ -363,11 +366,11 @@
 
     private void empty(Intent intent, String zone, String cell, String nodeName, Consumer<String> callback) {
         var submittedAt = sim.now();
-        journal.maybeEmptied.put(zone + cell, Long.MAX_VALUE);
-        intent(intent, nodeName, answer -> {
+        journal.possiblyEmptiedUntil.put(zone + cell, Long.MAX_VALUE);
+        submitIntent(intent, nodeName, answer -> {
             if (answer.equals("confirmed") && takenBackAt.getOrDefault(zone + cell, 0L) < submittedAt) {
-                var emptied = new Journal.Emptied(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
-                journal.emptied.add(emptied);
+                var emptied = new Journal.EmptiedArea(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
+                journal.emptiedAreas.add(emptied);
                 openEmptied.put(zone + cell, emptied);
             }
             callback.accept(answer);
@@ -375,31 +378,31 @@
     }
 
     /** Takes an emptied zone back. */
-    public void takeBack(String zone, String nodeName, Consumer<String> callback) {
+    public void takeBackZone(String zone, String nodeName, Consumer<String> callback) {
         takeBackArea(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, nodeName, callback);
     }
 
     /** Takes an emptied cell back. */
     public void takeBackCell(String cell, String nodeName, Consumer<String> callback) {
-        takeBackArea(new Intent(Intent.TAKE_BACK_CELL, null, service, cell, null, null), cell, nodeName, callback);
+        takeBackArea(new Intent(Intent.TAKE_BACK_CELL, null, serviceName, cell, null, null), cell, nodeName, callback);
     }
 
     private void takeBackArea(Intent intent, String zoneOrCell, String nodeName, Consumer<String> callback) {
         takenBackAt.put(zoneOrCell, sim.now());
         var emptied = openEmptied.remove(zoneOrCell);
-        if (emptied != null) emptied.takenBack()[0] = sim.now();
-        intent(intent, nodeName, answer -> {
+        if (emptied != null) emptied.takenBackAt()[0] = sim.now();
+        submitIntent(intent, nodeName, answer -> {
             if (answer.equals("confirmed") || answer.startsWith("pending"))
-                journal.maybeEmptied.put(zoneOrCell, sim.now());
+                journal.possiblyEmptiedUntil.put(zoneOrCell, sim.now());
             callback.accept(answer);
         });
     }
 
     /** Records the final state of each running node in the journal. */
-    void ends() {
-        journal.ends.clear();
+    void recordFinalStates() {
+        journal.finalStates.clear();
         for (var machine : machines.values()) {
-            if (!machine.up() || machine.frozen()) continue;
+            if (!machine.isRunning() || machine.isFrozen()) continue;
             var view = machine instanceof StoreMachine store
                     ? store.store.membership().view()
                     : machine instanceof RouterMachine routerMachine
@@ -408,7 +411,7 @@
             if (view == null) continue;
             var tableVersions = new HashMap<String, Long>();
             view.services().forEach((name, row) -> tableVersions.put(name, row.tableVersion));
-            journal.ends.add(new Journal.End(
+            journal.finalStates.add(new Journal.FinalState(
                     machine.name,
                     view.manifestRow().version,
                     view.manifestRow().text,
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -44,7 +44,7 @@
         final String kind;
         final String zone;
         String address;
-        Disk disk = new Disk();
+        SimulatedDisk disk = new SimulatedDisk();
         /**
          * If not 0, the process is of an older release that takes its incarnation from its wall clock, and that clock
          * is off by this many milliseconds.
@@ -101,7 +101,7 @@
             else router = new Router(this, self, seedAddresses, timingProfile, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
             var currentStart = startCount;
-            sim.after((long) (sim.random.nextDouble() * TICK_MICROS), () -> tick(currentStart));
+            sim.scheduleAfter((long) (sim.random.nextDouble() * TICK_MICROS), () -> tick(currentStart));
         }
 
         private void runPartWork(Runnable work) {
@@ -124,7 +124,7 @@
             if (paused || !tickPending) return;
             tickPending = false;
             var currentStart = startCount;
-            sim.after(TICK_MICROS, () -> tick(currentStart));
+            sim.scheduleAfter(TICK_MICROS, () -> tick(currentStart));
         }
 
         /** Runs an action in the process: at once, after the queued ones if it is slowed down, or when it resumes. */
@@ -139,7 +139,7 @@
             }
             busyUntilMicros = Math.max(busyUntilMicros, sim.now()) + handlingCostMicros;
             var currentStart = startCount;
-            sim.at(busyUntilMicros, () -> {
+            sim.scheduleAt(busyUntilMicros, () -> {
                 if (!running || startCount != currentStart) return;
                 if (paused) deferredActions.add(action);
                 else action.run();
@@ -166,7 +166,7 @@
         /** Ends the process and replaces its disk by an empty one. */
         void loseDisk() {
             crash();
-            disk = new Disk();
+            disk = new SimulatedDisk();
         }
 
         private void tick(int expectedStart) {
@@ -177,7 +177,7 @@
             }
             execute(() -> {
                 runMeasured(this::tickComponents);
-                sim.after(TICK_MICROS, () -> tick(expectedStart));
+                sim.scheduleAfter(TICK_MICROS, () -> tick(expectedStart));
             });
         }
 
@@ -224,7 +224,7 @@
             }
             Runnable arrival = () -> deliver(to, encoded, senderCore, message instanceof Hello);
             if (holdFilter.test(this, to, message)) heldMessages.add(arrival);
-            else sim.after(oneWayDelayMicros, arrival);
+            else sim.scheduleAfter(oneWayDelayMicros, arrival);
         }
 
         private void deliver(String to, byte[] encoded, long senderCore, boolean hello) {
@@ -252,7 +252,7 @@
         boolean test(Member from, String to, Object message);
     }
 
-    final Sim sim = new Sim(17);
+    final Simulation sim = new Simulation(17);
     final List<Runnable> heldMessages = new ArrayList<>();
     MessageFilter holdFilter = (from, to, message) -> false;
     final Map<String, Member> members = new TreeMap<>();
--- a/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
+++ b/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
@@ -45,8 +45,8 @@
         this.cluster = cluster;
         this.manifestText = manifestText;
         lastAcknowledgedAt = cluster.sim.now();
-        cluster.sim.after(COMMAND_INTERVAL_MICROS, this::sendCommands);
-        cluster.sim.after(READ_INTERVAL_MICROS, this::sendReads);
+        cluster.sim.scheduleAfter(COMMAND_INTERVAL_MICROS, this::sendCommands);
+        cluster.sim.scheduleAfter(READ_INTERVAL_MICROS, this::sendReads);
     }
 
     void stop() {
@@ -93,7 +93,7 @@
         var member = nextRunningStore();
         if (member != null && (!awaitingResponse || now - lastSentAt > RESPONSE_TIMEOUT_MICROS))
             sendCommand(member, now);
-        cluster.sim.after(COMMAND_INTERVAL_MICROS, this::sendCommands);
+        cluster.sim.scheduleAfter(COMMAND_INTERVAL_MICROS, this::sendCommands);
     }
 
     private void sendCommand(Cluster.Member member, long now) {
@@ -139,7 +139,7 @@
         if (stopped) return;
         var member = nextRunningStore();
         if (member != null) readManifest(member);
-        cluster.sim.after(READ_INTERVAL_MICROS, this::sendReads);
+        cluster.sim.scheduleAfter(READ_INTERVAL_MICROS, this::sendReads);
     }
 
     /** Reads the manifest from this store; the response must contain all that was acknowledged before the request. */
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -76,7 +76,7 @@
     private static void switchPower(Cluster cluster, boolean on) {
         for (var m : cluster.members.values()) {
             if (!on) m.losePower();
-            else cluster.sim.after((long) (cluster.sim.random.nextDouble() * 160_000), m::start);
+            else cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), m::start);
         }
     }
 
@@ -164,7 +164,7 @@
     void aLeaderWithAFullDiskIsReplacedAndNotReelectedWhileItIsFull() {
         var cluster = threeStores();
         var leader = cluster.leaderOf(0);
-        leader.disk.full(true);
+        leader.disk.setFull(true);
         cluster.addMember("r1", Node.ROUTER, "z1");
         assertBelow(2.0, cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 6), cluster);
         for (var i = 0; i < 100; i++) {
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -64,14 +64,14 @@
                 var storeId = store.storeId();
                 if (losesPower) store.losePower();
                 else store.crash();
-                store.disk.full(true);
+                store.disk.setFull(true);
                 store.start();
                 cluster.addMember("r1", Node.ROUTER, "z1");
                 cluster.runFor(5);
                 assertTrue(cluster.allPartsHaveLeaders(), () -> name + ": " + String.join("\n", cluster.eventLog));
                 assertTrue(cluster.eventLog.stream()
                         .anyMatch(event -> event.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
-                store.disk.full(false);
+                store.disk.setFull(false);
                 cluster.runFor(3);
                 assertEquals(storeId, store.storeId());
                 assertTrue(isCaughtUp(cluster, store), () -> name + ": " + String.join("\n", cluster.eventLog));
@@ -128,7 +128,7 @@
     }
 
     /** A folder that throws {@link Crash} instead of doing its write number {@code crashStep}, counted from 0. */
-    private static Folder crashingFolder(Disk disk, int crashStep) {
+    private static Folder crashingFolder(SimulatedDisk disk, int crashStep) {
         var nextStep = new int[1];
         return (Folder) Proxy.newProxyInstance(
                 Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, (proxy, method, arguments) -> {
@@ -147,11 +147,11 @@
     @Test
     void aDamagedFolderIsMovedAsideCompletelyThoughTheProcessCrashesMeanwhile() {
         for (var step = 0; ; step++) {
-            var disk = new Disk();
+            var disk = new SimulatedDisk();
             var damagedStore = newStore(disk);
             runStore(damagedStore);
             var oldStoreId = damagedStore.directory().self().storeId;
-            disk.damage("p2.log.1", 60);
+            disk.corruptByte("p2.log.1", 60);
             var expectedFiles = new HashMap<String, byte[]>();
             for (var name : List.of("identity", "core", "p2.log.1")) expectedFiles.put("lost." + name, disk.read(name));
             var completed = startsWithoutCrash(crashingFolder(disk, step));
@@ -164,10 +164,10 @@
 
     @Test
     void aSecondDamagedFolderDoesNotOverwriteTheFilesOfTheFirst() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         for (var i = 0; i < 2; i++) {
             runStore(newStore(disk));
-            disk.damage("p2.log.1", 60);
+            disk.corruptByte("p2.log.1", 60);
             var damaged = disk.read("p2.log.1");
             newStore(disk);
             assertArrayEquals(damaged, disk.read(i == 0 ? "lost.p2.log.1" : "lost.2.p2.log.1"));
--- a/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
@@ -47,7 +47,7 @@
 
     /** One replica of the group on a disk of its own. */
     private final class Replica implements GroupListener {
-        final Disk disk = new Disk();
+        final SimulatedDisk disk = new SimulatedDisk();
         final CountingStateMachine counter = new CountingStateMachine();
         final Group group;
         int sentMessages;
@@ -188,7 +188,7 @@
                 .filter(replica -> replica != leader)
                 .findFirst()
                 .get();
-        target.disk.full(true);
+        target.disk.setFull(true);
         propose(leader, 10);
         var term = leader.group.term();
         assertTrue(leader.group.transferLeadership(replicas.indexOf(target) + 1, now));
@@ -205,7 +205,7 @@
         leader.group.propose(new byte[10], now);
         leader.group.tick(now);
         assertEquals(0, leader.counter.applied);
-        replicas.stream().filter(replica -> replica != leader).forEach(replica -> replica.disk.full(true));
+        replicas.stream().filter(replica -> replica != leader).forEach(replica -> replica.disk.setFull(true));
         leader.group.syncAndSend(now);
         deliverMessages();
         runFor(300_000);
@@ -214,7 +214,7 @@
 
     @Test
     void anOldSegmentThatReappearsAfterAPowerLossIsIgnored() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.saveTermAndVote(1, 1);
         for (var i = 1; i <= 5; i++) log.append(new LogEntry(i, 1, LogEntry.COMMAND, new byte[20]));
@@ -240,11 +240,11 @@
 
     @Test
     void aDamagedSyncedEntryIsReportedAsALostDisk() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.append(new LogEntry(1, 1, LogEntry.COMMAND, new byte[20]));
         log.sync();
-        disk.damage(
+        disk.corruptByte(
                 disk.fileNames().stream()
                         .filter(name -> name.contains("log."))
                         .findFirst()
--- a/test/sim/src/test/java/craneway/sim/HungDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/HungDiskTest.java
@@ -50,7 +50,7 @@
     };
 
     private Folder hangingFolder() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         return (Folder) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {Folder.class}, (proxy, method, arguments) -> {
                     if (diskHangs.get()
--- a/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
@@ -77,7 +77,7 @@
             case PAUSED -> store.setPaused(active);
             case PAUSED_AND_PARTITIONED -> {
                 if (active) blockPaths(cluster, store, impairment);
-                else cluster.sim.after(NETWORK_RECOVERY_DELAY_MICROS, cluster.blockedPaths::clear);
+                else cluster.sim.scheduleAfter(NETWORK_RECOVERY_DELAY_MICROS, cluster.blockedPaths::clear);
                 store.setPaused(active);
             }
             case SLOWED -> store.handlingCostMicros = active ? SLOWED_HANDLING_MICROS : 0;
--- a/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
@@ -44,7 +44,7 @@
 
         private void tick() {
             if (!paused) pauseGuard.tick(node.now());
-            cluster.sim.after(TICK_MICROS, this::tick);
+            cluster.sim.scheduleAfter(TICK_MICROS, this::tick);
         }
 
         CommandStatus sendCommand(boolean emptied) {
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -98,7 +98,7 @@
         cluster.blockedPaths.add(leader.name + ">" + unreachable.name);
         cluster.blockedPaths.add(unreachable.name + ">" + leader.name);
         var version = putManifest(cluster);
-        cluster.sim.after(3 * Cluster.MICROS_PER_SECOND, cluster.blockedPaths::clear);
+        cluster.sim.scheduleAfter(3 * Cluster.MICROS_PER_SECOND, cluster.blockedPaths::clear);
         var leaveSeconds = stopGracefully(cluster, leaver);
         leaver.loseDisk();
         leader.loseDisk();
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -35,14 +35,14 @@
 
     private static final int SEED_COUNT = 5;
 
-    private final Sim sim;
+    private final Simulation sim;
     private final long syncMicros;
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Long> pathBusyUntil = new HashMap<>();
     private long manifestVersion;
 
     private RejoinCost(long seed, long syncMicros) {
-        sim = new Sim(seed);
+        sim = new Simulation(seed);
         this.syncMicros = syncMicros;
         for (var i = 1; i <= 3; i++) new Member("s" + i, "z" + i).start();
         runUntil(() -> leader() != null, 20);
@@ -53,7 +53,7 @@
     private final class Member implements Port {
         final String name;
         final String zone;
-        Disk disk = new Disk();
+        SimulatedDisk disk = new SimulatedDisk();
         Store store;
         boolean running;
         int startCount;
@@ -78,7 +78,7 @@
         /** Runs the work of a part once its disk sync has finished. */
         private void afterSync(Runnable work) {
             var currentStart = startCount;
-            sim.after(syncMicros, () -> {
+            sim.scheduleAfter(syncMicros, () -> {
                 if (running && startCount == currentStart) work.run();
             });
         }
@@ -86,7 +86,7 @@
         private void tick(int expectedStart) {
             if (!running || startCount != expectedStart) return;
             store.tick();
-            sim.after(TICK_MICROS, () -> tick(expectedStart));
+            sim.scheduleAfter(TICK_MICROS, () -> tick(expectedStart));
         }
 
         @Override
@@ -101,16 +101,16 @@
             var encoded = Codec.encodeTagged(message);
             var length = compressedLength(encoded);
             if (to.equals(name)) {
-                sim.after(0, () -> receiver.deliver(encoded));
+                sim.scheduleAfter(0, () -> receiver.deliver(encoded));
             } else if (length < CONNECTION_MIN_BYTES) {
-                sim.after(ONE_WAY_DELAY_MICROS, () -> receiver.deliver(encoded));
+                sim.scheduleAfter(ONE_WAY_DELAY_MICROS, () -> receiver.deliver(encoded));
             } else {
                 connectionBytes += length;
                 var path = name + ">" + to;
                 var startsAt = Math.max(sim.now(), pathBusyUntil.getOrDefault(path, 0L));
                 var endsAt = startsAt + 2 * ONE_WAY_DELAY_MICROS + (long) (length / BYTES_PER_MICRO);
                 pathBusyUntil.put(path, endsAt);
-                sim.at(endsAt + ONE_WAY_DELAY_MICROS, () -> receiver.deliver(encoded));
+                sim.scheduleAt(endsAt + ONE_WAY_DELAY_MICROS, () -> receiver.deliver(encoded));
             }
         }
 
@@ -239,7 +239,7 @@
             run.runFor(3 + seed * 0.037);
             var rejoining = run.follower();
             rejoining.running = false;
-            rejoining.disk = new Disk();
+            rejoining.disk = new SimulatedDisk();
             run.runFor(0.7);
             run.members.values().forEach(member -> member.connectionBytes = 0);
             rejoining.start();
@@ -265,7 +265,7 @@
         var returning = run.follower();
         returning.running = false;
         for (var i = 400; i < 1_000; i++) run.putManifest(400, i);
-        if (diskLost) returning.disk = new Disk();
+        if (diskLost) returning.disk = new SimulatedDisk();
         run.members.values().forEach(member -> member.connectionBytes = 0);
         var heapBefore = usedHeapBytes();
         returning.start();
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -89,7 +89,7 @@
             cluster.members.values().forEach(Cluster.Member::losePower);
             cluster.runFor(1.4);
             for (var member : cluster.members.values())
-                cluster.sim.after((long) (cluster.sim.random.nextDouble() * 160_000), member::start);
+                cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), member::start);
             cluster.runFor(0.16);
             assertBelow(0.8, cluster.runUntil(() -> cluster.allRoutersCurrent(version), 8));
             cluster.runFor(5);
--- a/test/sim/src/test/java/craneway/sim/SingleStoreClients.java
+++ b/test/sim/src/test/java/craneway/sim/SingleStoreClients.java
@@ -45,7 +45,7 @@
         this.target = target;
         this.otherOperator = otherOperator;
         this.manifestText = manifestText;
-        cluster.sim.after(CALL_INTERVAL_MICROS, this::sendCalls);
+        cluster.sim.scheduleAfter(CALL_INTERVAL_MICROS, this::sendCalls);
     }
 
     void stop() {
@@ -78,7 +78,7 @@
         if (stopped) return;
         var number = nextCall++;
         target.execute(() -> sendCall(number));
-        cluster.sim.after(CALL_INTERVAL_MICROS, this::sendCalls);
+        cluster.sim.scheduleAfter(CALL_INTERVAL_MICROS, this::sendCalls);
     }
 
     private void sendCall(long number) {
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -63,7 +63,7 @@
     /** One replica of the group; it keeps its disk when it stops. */
     final class Peer implements GroupListener {
         final long id;
-        final Disk disk;
+        final SimulatedDisk disk;
         AppendingStateMachine stateMachine = new AppendingStateMachine();
         Group group;
         boolean running;
@@ -75,7 +75,7 @@
 
         final List<String> eventLog = new ArrayList<>();
 
-        Peer(long id, Disk disk) {
+        Peer(long id, SimulatedDisk disk) {
             this.id = id;
             this.disk = disk;
         }
@@ -114,7 +114,7 @@
         }
     }
 
-    final Sim sim;
+    final Simulation sim;
     final Random random;
     final Members members;
     final Map<Long, Peer> peers = new TreeMap<>();
@@ -134,7 +134,7 @@
     long connectionBytes;
 
     SlowNetwork(long seed, int voters) {
-        sim = new Sim(seed);
+        sim = new Simulation(seed);
         random = new Random(seed);
         var ids = new long[voters];
         var zones = new String[voters];
@@ -147,7 +147,7 @@
     }
 
     Peer start(long id) {
-        var peer = peers.computeIfAbsent(id, k -> new Peer(k, new Disk()));
+        var peer = peers.computeIfAbsent(id, k -> new Peer(k, new SimulatedDisk()));
         peer.start();
         return peer;
     }
@@ -158,7 +158,7 @@
             peer.group.tick(sim.now());
             peer.group.syncAndSend(sim.now());
         }
-        sim.after(TICK_MICROS, this::tick);
+        sim.scheduleAfter(TICK_MICROS, this::tick);
     }
 
     private void transmit(PartMessage message) {
@@ -176,7 +176,7 @@
     private void scheduleDelivery(long from, long to, byte[] encoded) {
         var extraDelay = maxExtraDelayMicros > 0 ? (long) (random.nextDouble() * maxExtraDelayMicros) : 0;
         if (encoded.length < CONNECTION_MIN_BYTES) {
-            sim.after(ONE_WAY_DELAY_MICROS + extraDelay, () -> deliver(to, encoded));
+            sim.scheduleAfter(ONE_WAY_DELAY_MICROS + extraDelay, () -> deliver(to, encoded));
             return;
         }
         connectionBytes += encoded.length;
@@ -187,7 +187,7 @@
                 ? Long.MAX_VALUE
                 : (startsAt / outageIntervalMicros + 1) * outageIntervalMicros;
         pathBusyUntil.put(path, Math.min(endsAt, outageAt));
-        if (endsAt < outageAt) sim.at(endsAt + ONE_WAY_DELAY_MICROS + extraDelay, () -> deliver(to, encoded));
+        if (endsAt < outageAt) sim.scheduleAt(endsAt + ONE_WAY_DELAY_MICROS + extraDelay, () -> deliver(to, encoded));
     }
 
     private void deliver(long to, byte[] encoded) {
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -117,7 +117,7 @@
     @Test
     void aReceiverOfAnEarlierVersionGetsTheSnapshotInOneMessage() {
         var network = groupWithSnapshot(4);
-        network.peers.put(3L, network.new Peer(3, new Disk()));
+        network.peers.put(3L, network.new Peer(3, new SimulatedDisk()));
         network.peers.get(3L).earlierVersion = true;
         var third = network.start(3);
         assertCatchesUp(network, third, 60);
--- a/test/sim/src/test/java/craneway/sim/TrafficAndRecoveryCost.java
+++ b/test/sim/src/test/java/craneway/sim/TrafficAndRecoveryCost.java
@@ -144,14 +144,14 @@
         cluster.runFor(1.4);
         cluster.members
                 .values()
-                .forEach(
-                        member -> cluster.sim.after((long) (cluster.sim.random.nextDouble() * 160_000), member::start));
+                .forEach(member ->
+                        cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), member::start));
         cluster.runFor(0.16);
     }
 
     /** Fills the disk of a store and adds a router, whose membership has to be written. */
     private static void fillDisk(Cluster cluster, Cluster.Member store) {
-        store.disk.full(true);
+        store.disk.setFull(true);
         cluster.addRouters(1);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/TrafficMeter.java
+++ b/test/sim/src/test/java/craneway/sim/TrafficMeter.java
@@ -19,7 +19,7 @@
     /** Frames above this size are compressed. */
     private static final int MIN_COMPRESSED_BYTES = 300;
 
-    private final Sim sim;
+    private final Simulation sim;
     private final Map<String, List<byte[]>> openBatches = new HashMap<>();
     final Map<String, Long> bytesByType = new TreeMap<>();
     long messages;
@@ -27,7 +27,7 @@
     long frames;
     long frameBytes;
 
-    TrafficMeter(Sim sim) {
+    TrafficMeter(Simulation sim) {
         this.sim = sim;
     }
 
@@ -40,7 +40,7 @@
         var batch = openBatches.get(path);
         if (batch == null) {
             openBatches.put(path, batch = new ArrayList<>());
-            sim.after(BATCH_DELAY_MICROS, () -> countBatch(openBatches.remove(path)));
+            sim.scheduleAfter(BATCH_DELAY_MICROS, () -> countBatch(openBatches.remove(path)));
         }
         batch.add(encoded);
     }
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -184,7 +184,7 @@
             }
             case PLANNED_REPLACE -> {
                 addReplacement(store, 0);
-                cluster.sim.after(1_000_000, () -> terminate(store, cluster.sim.now()));
+                cluster.sim.scheduleAfter(1_000_000, () -> terminate(store, cluster.sim.now()));
                 expectRecoveryIn(1_000_000 + LEADERSHIP_TRANSFER_MICROS + SHUTDOWN_DELAY_MICROS);
             }
             case CUT -> partition(store);
@@ -198,12 +198,12 @@
     private void restartAfter(Cluster.Member store, Runnable stop) {
         if (removedStores.contains(store)) return;
         if (!store.running) {
-            cluster.sim.after(RESTART_DELAY_MICROS, () -> restartAfter(store, stop));
+            cluster.sim.scheduleAfter(RESTART_DELAY_MICROS, () -> restartAfter(store, stop));
             expectRecoveryIn(2 * RESTART_DELAY_MICROS);
             return;
         }
         stop.run();
-        cluster.sim.after(RESTART_DELAY_MICROS, () -> {
+        cluster.sim.scheduleAfter(RESTART_DELAY_MICROS, () -> {
             if (!store.running && !removedStores.contains(store)) {
                 store.start();
                 updateSeedAddresses();
@@ -215,14 +215,14 @@
     private void restartWithOtherSeeds(Cluster.Member store) {
         var others = currentStores.stream().filter(other -> other != store).toList();
         restartAfter(store, store::crash);
-        cluster.sim.after(
+        cluster.sim.scheduleAfter(
                 RESTART_DELAY_MICROS - 1,
                 () -> cluster.seedAddresses = List.of(others.get(addedStores % others.size()).address, "nowhere"));
     }
 
     private void addReplacement(Cluster.Member store, long delayMicros) {
         var index = currentStores.indexOf(store);
-        cluster.sim.after(delayMicros, () -> {
+        cluster.sim.scheduleAfter(delayMicros, () -> {
             updateSeedAddresses();
             var replacement = cluster.addMember("n" + ++addedStores, Node.STORE, store.zone);
             currentStores.set(index, replacement);
@@ -244,11 +244,11 @@
         removedStores.add(member);
         if (!member.running) return;
         if (member.store.transferLeadership() && cluster.sim.now() < startedAt + LEADERSHIP_TRANSFER_MICROS) {
-            cluster.sim.after(100_000, () -> terminate(member, startedAt));
+            cluster.sim.scheduleAfter(100_000, () -> terminate(member, startedAt));
             return;
         }
         member.store.membership().leave(cluster.sim.now());
-        cluster.sim.after(SHUTDOWN_DELAY_MICROS, member::crash);
+        cluster.sim.scheduleAfter(SHUTDOWN_DELAY_MICROS, member::crash);
     }
 
     private void partition(Cluster.Member store) {
@@ -257,7 +257,7 @@
             cluster.blockedPaths.add(member.name + ">" + store.name);
         }
         cluster.blockedPaths.remove(store.name + ">" + store.name);
-        cluster.sim.after(
+        cluster.sim.scheduleAfter(
                 PARTITION_MICROS,
                 () -> cluster.blockedPaths.removeIf(
                         path -> path.startsWith(store.name + ">") || path.endsWith(">" + store.name)));
--- a/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
@@ -34,7 +34,7 @@
                 .orElseThrow();
         markZone(isolated, false);
         var sentAt = fleet.sim.now();
-        fleet.sim.after(CALL_DELAY_MICROS, () -> {
+        fleet.sim.scheduleAfter(CALL_DELAY_MICROS, () -> {
             fleet.nodes().forEach(node -> fleet.net.cut(isolated.name, node.name));
             net.call(isolated, Request.markZone("z1", true), answer -> {});
         });
--- a/test/sim/src/test/java/craneway/sim/history/FaultInjector.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultInjector.java
@@ -41,7 +41,7 @@
 
     /** Injects faults at random intervals until the end time. */
     void start() {
-        fleet.sim.after(MIN_GAP_MICROS + drawDuration(MAX_EXTRA_GAP_MICROS), () -> {
+        fleet.sim.scheduleAfter(MIN_GAP_MICROS + drawDuration(MAX_EXTRA_GAP_MICROS), () -> {
             if (fleet.sim.now() >= endTime) return;
             faultCount++;
             injectFault();
@@ -70,7 +70,7 @@
     /** Injects some faults within milliseconds after an acknowledgement. */
     void afterAcknowledgement() {
         if (fleet.sim.now() >= endTime || random.nextDouble() >= FAULT_AFTER_ACKNOWLEDGEMENT_PROBABILITY) return;
-        fleet.sim.after(drawDuration(MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MICROS), () -> {
+        fleet.sim.scheduleAfter(drawDuration(MAX_DELAY_AFTER_ACKNOWLEDGEMENT_MICROS), () -> {
             faultCount++;
             var draw = random.nextInt(4);
             if (draw == 0) endAndRestart(fleet.nodes(), StoreNode::losePower);
@@ -118,7 +118,7 @@
     private void scheduleRepair(StoreNode node, long delay, Runnable repair) {
         var time = fleet.sim.now() + delay;
         repairedAt.merge(node.name, time, Math::max);
-        fleet.sim.at(time, repair);
+        fleet.sim.scheduleAt(time, repair);
     }
 
     /** Whether the machine has been healthy for {@link #RESYNC_MICROS}. */
@@ -145,8 +145,8 @@
         fleet.note(node.name, "REPLACED by " + replacement.name);
         node.store().transferLeadership();
         var stopDelay = drawDuration(MAX_STOP_DELAY_MICROS);
-        fleet.sim.after(stopDelay, node::leave);
-        fleet.sim.after(stopDelay + LEAVE_DURATION_MICROS, node::loseDisk);
+        fleet.sim.scheduleAfter(stopDelay, node::leave);
+        fleet.sim.scheduleAfter(stopDelay + LEAVE_DURATION_MICROS, node::loseDisk);
         scheduleRepair(
                 replacement, random.nextBoolean() ? 0 : drawDuration(MAX_FAULT_MICROS), () -> replacement.start(false));
     }
--- a/test/sim/src/test/java/craneway/sim/history/FaultyEndpoints.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultyEndpoints.java
@@ -1,7 +1,7 @@
 package craneway.sim.history;
 
 import craneway.model.unit.Parts;
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.state.record.Rows;
 import java.util.HashMap;
 import java.util.Map;
@@ -95,13 +95,13 @@
     }
 
     /** Applies a zone command a second time, seconds later. */
-    static OperatorEndpoint duplicatesZoneCommands(Sim[] sim) {
+    static OperatorEndpoint duplicatesZoneCommands(Simulation[] sim) {
         return new OperatorEndpoint() {
             @Override
             void handle(StoreNode node, Request request, Consumer<Response> callback) {
                 super.handle(node, request, callback);
                 if (request.isZoneCommand())
-                    sim[0].after(
+                    sim[0].scheduleAfter(
                             DUPLICATE_DELAY_MICROS, () -> node.run(() -> super.handle(node, request, response -> {})));
             }
         };
--- a/test/sim/src/test/java/craneway/sim/history/FaultyStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultyStoreTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
@@ -49,7 +49,7 @@
     @Test
     void detectsALateDuplicateOfAZoneCommand() {
         for (var seed = 1; seed <= MAX_SEEDS; seed++) {
-            var sim = new Sim[1];
+            var sim = new Simulation[1];
             var run = new HistoryRun(
                     seed, HistoryRun.storeCount(seed), RUN_SECONDS, FaultyEndpoints.duplicatesZoneCommands(sim));
             sim[0] = run.fleet.sim;
--- a/test/sim/src/test/java/craneway/sim/history/HistoryRun.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryRun.java
@@ -122,7 +122,7 @@
                 .map(node -> node.name)
                 .toList());
         if (recentLists.size() > LIST_LAG_INTERVALS) recentLists.poll();
-        fleet.sim.after(LIST_INTERVAL_MICROS, this::updateList);
+        fleet.sim.scheduleAfter(LIST_INTERVAL_MICROS, this::updateList);
     }
 
     /** The list that operators know: it lags behind by {@link #LIST_LAG_INTERVALS} intervals. */
--- a/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.sim.history.OperatorEndpoint.Request;
 import craneway.sim.history.OperatorEndpoint.Response;
 import java.util.List;
@@ -30,7 +30,7 @@
         void callEnded(long startedAt, Response response);
     }
 
-    private final Sim sim;
+    private final Simulation sim;
     private final OperatorNetwork net;
     private final Supplier<List<String>> nodeNames;
     private final Request request;
@@ -46,7 +46,7 @@
     private String lastNode = "";
 
     OperatorCall(
-            Sim sim,
+            Simulation sim,
             OperatorNetwork net,
             Supplier<List<String>> nodeNames,
             Request request,
@@ -69,7 +69,7 @@
         net.call(net.node(lastNode), request, response -> {
             if (attempt == attemptEvents) endAttempt(sentAt, response);
         });
-        sim.after(ATTEMPT_TIMEOUT_MICROS, () -> {
+        sim.scheduleAfter(ATTEMPT_TIMEOUT_MICROS, () -> {
             if (attempt == attemptEvents) endAttempt(sentAt, null);
         });
     }
@@ -91,7 +91,7 @@
         var nextAttemptAt = sim.now() + backoff;
         backoff = Math.min(MAX_BACKOFF_MICROS, backoff * 2);
         if (nextAttemptAt > deadline) listener.callEnded(startedAt, null);
-        else sim.at(nextAttemptAt, this::startAttempt);
+        else sim.scheduleAt(nextAttemptAt, this::startAttempt);
     }
 
     private boolean isRefusal(Response response) {
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.sim.history.Operation.Outcome;
 import craneway.sim.history.OperatorEndpoint.Request;
 import craneway.sim.history.OperatorEndpoint.Response;
@@ -21,7 +21,7 @@
     private static final int MAX_NUMBER_STEP = 3;
 
     private final String name;
-    private final Sim sim;
+    private final Simulation sim;
     private final Random random;
     private final OperatorNetwork net;
     private final Supplier<List<String>> nodeNames;
@@ -42,7 +42,7 @@
      */
     OperatorClient(
             String name,
-            Sim sim,
+            Simulation sim,
             OperatorNetwork net,
             Supplier<List<String>> nodeNames,
             List<Operation> history,
@@ -60,7 +60,7 @@
 
     /** Sends one command after the other, with pauses, until the end time. */
     void scheduleNext() {
-        sim.after((long) (random.nextDouble() * MAX_THINK_MICROS), () -> {
+        sim.scheduleAfter((long) (random.nextDouble() * MAX_THINK_MICROS), () -> {
             if (sim.now() < endTime) sendNext();
         });
     }
--- a/test/sim/src/test/java/craneway/sim/history/OperatorNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorNetwork.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.sim.history.OperatorEndpoint.Request;
 import craneway.sim.history.OperatorEndpoint.Response;
 import java.util.function.Consumer;
@@ -17,7 +17,7 @@
     private static final long MAX_LATE_DELAY_MICROS = 5_000_000;
 
     private final StoreFleet fleet;
-    private final Sim sim;
+    private final Simulation sim;
     private final OperatorEndpoint endpoint;
     double lostCallShare;
     double lostAnswerShare;
@@ -42,14 +42,14 @@
         if (sim.random.nextDouble() < lostCallShare) return;
         var extraDelay =
                 sim.random.nextDouble() < lateCallShare ? (long) (sim.random.nextDouble() * MAX_LATE_DELAY_MICROS) : 0;
-        sim.after(drawLatency() + extraDelay, () -> {
+        sim.scheduleAfter(drawLatency() + extraDelay, () -> {
             if (node.isRunning() && node.session() == session) read(node, request, sentAt, callback);
             else if (node.hasPower()) callback.accept(Response.BROKEN);
         });
     }
 
     private void read(StoreNode node, Request request, long sentAt, Consumer<Response> callback) {
-        Runnable reset = () -> sim.after(drawLatency(), () -> callback.accept(Response.BROKEN));
+        Runnable reset = () -> sim.scheduleAfter(drawLatency(), () -> callback.accept(Response.BROKEN));
         node.registerConnection(reset);
         node.run(() -> {
             if (sim.now() - sentAt > maxReadDelayMicros) return;
@@ -63,7 +63,8 @@
 
     private void respond(StoreNode node, Response response, Runnable reset, Consumer<Response> callback) {
         node.unregisterConnection(reset);
-        if (sim.random.nextDouble() >= lostAnswerShare) sim.after(drawLatency(), () -> callback.accept(response));
+        if (sim.random.nextDouble() >= lostAnswerShare)
+            sim.scheduleAfter(drawLatency(), () -> callback.accept(response));
     }
 
     private long drawLatency() {
--- a/test/sim/src/test/java/craneway/sim/history/StoreFleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreFleet.java
@@ -6,7 +6,7 @@
 import craneway.model.event.Event;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -24,7 +24,7 @@
     private static final int CORE_STORES = 3;
     private static final int MAX_NOTES = 40_000;
 
-    final Sim sim;
+    final Simulation sim;
     final StoreNetwork net;
     final List<String> notes = new ArrayList<>();
     private final Map<String, StoreNode> nodes = new TreeMap<>();
@@ -34,7 +34,7 @@
     private int createdStores;
 
     StoreFleet(long seed, int stores) {
-        sim = new Sim(seed);
+        sim = new Simulation(seed);
         net = new StoreNetwork(this);
         toleratedLosses = stores > CORE_STORES ? 2 : 1;
         createdStores = stores;
--- a/test/sim/src/test/java/craneway/sim/history/StoreNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNetwork.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.Hello;
 import java.util.HashSet;
@@ -22,7 +22,7 @@
     private static final long MAX_HOLD_MICROS = 10_000_000;
 
     private final StoreFleet fleet;
-    private final Sim sim;
+    private final Simulation sim;
     private final Set<String> cutLinks = new HashSet<>();
     double lostShare;
     double duplicateShare;
@@ -64,7 +64,7 @@
         var coreId = message instanceof Hello ? 0 : from.coreId();
         var session = to.session();
         if (to == from) {
-            sim.after(LOOPBACK_DELAY_MICROS, () -> arrive(to, session, coreId, encoded));
+            sim.scheduleAfter(LOOPBACK_DELAY_MICROS, () -> arrive(to, session, coreId, encoded));
             return;
         }
         if (sim.random.nextDouble() < lostShare) return;
@@ -91,15 +91,15 @@
     }
 
     private void transmit(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
-        if (isReachable(from.name, to.name)) sim.after(delay, arrival);
+        if (isReachable(from.name, to.name)) sim.scheduleAfter(delay, arrival);
         else if (sim.now() < heldUntil && sim.random.nextDouble() < heldShare)
             transmitWhenRestored(from, to, delay, heldUntil, arrival);
     }
 
     /** Tries again until the link is restored or the time to hold a message has passed. */
     private void transmitWhenRestored(StoreNode from, StoreNode to, long delay, long heldUntil, Runnable arrival) {
-        sim.after(RECONNECT_INTERVAL_MICROS, () -> {
-            if (isReachable(from.name, to.name)) sim.after(delay, arrival);
+        sim.scheduleAfter(RECONNECT_INTERVAL_MICROS, () -> {
+            if (isReachable(from.name, to.name)) sim.scheduleAfter(delay, arrival);
             else if (sim.now() < heldUntil) transmitWhenRestored(from, to, delay, heldUntil, arrival);
         });
     }
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -5,7 +5,7 @@
 import craneway.control.operator.PlatformCommands;
 import craneway.control.store.Store;
 import craneway.model.event.Event;
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.message.Codec;
 import craneway.state.message.Node;
 import java.util.ArrayDeque;
@@ -24,7 +24,7 @@
     private final Deque<Runnable> deferred = new ArrayDeque<>();
     private final Deque<Runnable> waitingForDisk = new ArrayDeque<>();
     private final List<Runnable> openConnections = new ArrayList<>();
-    private Disk disk = new Disk();
+    private SimulatedDisk disk = new SimulatedDisk();
     private Store store;
     private PlatformCommands commands;
     private PauseGuard pauseGuard;
@@ -61,7 +61,7 @@
                 this, disk, self, fleet.seedAddresses(first), options, new Random(fleet.sim.random.nextLong()));
         commands = new PlatformCommands(store.coreClient());
         pauseGuard = new PauseGuard(now());
-        fleet.sim.after(
+        fleet.sim.scheduleAfter(
                 (long) (fleet.sim.random.nextDouble() * TICK_INTERVAL_MICROS), () -> scheduleTicks(startedSession));
     }
 
@@ -76,7 +76,7 @@
             pauseGuard.tick(now());
             store.tick();
         });
-        fleet.sim.after(TICK_INTERVAL_MICROS, () -> scheduleTicks(startedSession));
+        fleet.sim.scheduleAfter(TICK_INTERVAL_MICROS, () -> scheduleTicks(startedSession));
     }
 
     /** Runs an event now, or once the machine is thawed; drops it if the process ends before. */
@@ -91,7 +91,7 @@
         var receivingSession = session;
         if (maxReceiveDelayMicros == 0) run(() -> store.receive(Codec.decodeTagged(encoded)));
         else
-            fleet.sim.after((long) (maxReceiveDelayMicros * fleet.sim.random.nextDouble()), () -> {
+            fleet.sim.scheduleAfter((long) (maxReceiveDelayMicros * fleet.sim.random.nextDouble()), () -> {
                 if (session == receivingSession) run(() -> store.receive(Codec.decodeTagged(encoded)));
             });
     }
@@ -119,7 +119,7 @@
     void loseDisk() {
         powered = false;
         kill();
-        disk = new Disk();
+        disk = new SimulatedDisk();
     }
 
     /** Announces to the other stores that this one leaves. */
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -1,6 +1,6 @@
 package craneway.sim.model;
 
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.disk.SegmentLog;
 import craneway.state.part.LogEntry;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  */
 record LogView(long term, long votedFor, long firstIndex, long snapshotTerm, List<LogEntry> entries) {
     /** Reads the log from a copy of a disk; recovery may write to it. */
-    static LogView of(Disk copy) {
+    static LogView of(SimulatedDisk copy) {
         var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE_ID));
         var entries = new ArrayList<LogEntry>();
         for (var i = log.firstIndex(); i <= log.lastIndex(); i++) entries.add(log.entryAt(i));
--- a/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
+++ b/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
@@ -56,7 +56,8 @@
 
     private boolean isLearnerCaughtUp(Peer leader, Members members) {
         return members.learnerId != 0
-                && leader.group().matchIndexOf(members.learnerId) >= leader.group().lastIndex() - MAX_LEARNER_LAG_ENTRIES;
+                && leader.group().matchIndexOf(members.learnerId)
+                        >= leader.group().lastIndex() - MAX_LEARNER_LAG_ENTRIES;
     }
 
     /**
--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -1,7 +1,7 @@
 package craneway.sim.model;
 
 import craneway.model.event.Event;
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.disk.DiskLostException;
 import craneway.state.part.Group;
 import craneway.state.part.GroupListener;
@@ -18,7 +18,7 @@
     private final int slot;
     private Members initialMembers;
     private long id;
-    private TrackedDisk disk = new TrackedDisk(new Disk());
+    private TrackedDisk disk = new TrackedDisk(new SimulatedDisk());
     private HashChainStateMachine stateMachine;
     private Group group;
     private boolean suspended;
@@ -120,7 +120,7 @@
     /** Ends the process and replaces the disk by an empty one with a new member id. */
     void loseDisk(long newId) {
         stop();
-        disk = new TrackedDisk(new Disk());
+        disk = new TrackedDisk(new SimulatedDisk());
         id = newId;
         lastMembers = new Members();
         initialMembers = new Members();
--- a/test/sim/src/test/java/craneway/sim/model/TrackedDisk.java
+++ b/test/sim/src/test/java/craneway/sim/model/TrackedDisk.java
@@ -1,6 +1,6 @@
 package craneway.sim.model;
 
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.disk.Folder;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Method;
@@ -14,14 +14,14 @@
  * of {@link Folder} by method name.
  */
 final class TrackedDisk {
-    private final Disk disk;
+    private final SimulatedDisk disk;
     private final Folder folder;
     private final Map<String, Integer> writtenLengths = new HashMap<>();
     private final Map<String, Integer> syncedLengths = new HashMap<>();
     private boolean ignoresSync;
     private int writeCount;
 
-    TrackedDisk(Disk disk) {
+    TrackedDisk(SimulatedDisk disk) {
         this.disk = disk;
         for (var name : disk.fileNames()) setSynced(name, disk.read(name).length);
         folder = (Folder)
@@ -39,7 +39,7 @@
 
     /** Sets whether the disk rejects every write. */
     void setFull(boolean value) {
-        disk.full(value);
+        disk.setFull(value);
     }
 
     /** Makes syncs from now on report success without doing anything. */
@@ -48,15 +48,15 @@
     }
 
     /** A disk with everything that was written. */
-    Disk copy() {
-        var copy = new Disk();
+    SimulatedDisk copy() {
+        var copy = new SimulatedDisk();
         for (var name : disk.fileNames()) copy.replace(name, disk.read(name));
         return copy;
     }
 
     /** A disk with only what was synced. */
-    Disk syncedCopy() {
-        var copy = new Disk();
+    SimulatedDisk syncedCopy() {
+        var copy = new SimulatedDisk();
         for (var name : disk.fileNames())
             if (syncedLengths.containsKey(name))
                 copy.replace(name, Arrays.copyOf(disk.read(name), syncedLengths.get(name)));
