--- /dev/null
+++ b/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
@@ -0,0 +1,105 @@
+package craneway.pass;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import craneway.state.record.Rows;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What the request of an attempt carries to a runner: the remaining deadline, and its own body only. */
+class AttemptRequestTest {
+    private static final int CLIENT_DEADLINE_MILLIS = 4_000;
+    private static final int FIRST_ATTEMPT_MILLIS = 1_000;
+    private static final int LONG_BODY_CHARS = 90_000;
+
+    @ParameterizedTest
+    @ValueSource(strings = {"/again/x", "/resume/x"})
+    void eachAttemptGetsRemainingClientDeadline(String path) throws Exception {
+        var receivedDeadlinesMillis = new CopyOnWriteArrayList<Integer>();
+        var attemptCount = new AtomicInteger();
+        try (var fixture = new ProxyFixture()) {
+            ScriptedRunner.Script script = connection -> {
+                var attemptId = connection.runNextRequest();
+                receivedDeadlinesMillis.add(Integer.parseInt(connection.header("Deadline")));
+                if (attemptCount.getAndIncrement() == 0) {
+                    fixture.advanceClock(FIRST_ATTEMPT_MILLIS * 1_000L);
+                    connection.reset();
+                } else {
+                    connection.write(ScriptedRunner.successResponse(attemptId));
+                }
+            };
+            try (var firstRunner = new ScriptedRunner(script);
+                    var secondRunner = new ScriptedRunner(script)) {
+                fixture.stopClock();
+                fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+                fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+                assertEquals(200, fixture.post(path, "t1", "").status());
+            }
+        }
+        assertEquals(2, receivedDeadlinesMillis.size());
+        assertTrue(
+                receivedDeadlinesMillis.get(0) <= CLIENT_DEADLINE_MILLIS
+                        && receivedDeadlinesMillis.get(0) > CLIENT_DEADLINE_MILLIS - FIRST_ATTEMPT_MILLIS,
+                receivedDeadlinesMillis.toString());
+        assertTrue(
+                receivedDeadlinesMillis.get(1) <= CLIENT_DEADLINE_MILLIS - FIRST_ATTEMPT_MILLIS,
+                receivedDeadlinesMillis.toString());
+    }
+
+    @Test
+    void routeDeadlineBoundsLongerClientDeadline() throws Exception {
+        var receivedDeadlinesMillis = new CopyOnWriteArrayList<Integer>();
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(connection -> {
+                    var attemptId = connection.runNextRequest();
+                    receivedDeadlinesMillis.add(Integer.parseInt(connection.header("Deadline")));
+                    connection.write(ScriptedRunner.successResponse(attemptId));
+                });
+                var client = fixture.connect()) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            client.getOutputStream()
+                    .write(("POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: 60000\r\n"
+                                    + "Content-Length: 0\r\n\r\n")
+                            .getBytes("ISO-8859-1"));
+            assertEquals(200, ProxyFixture.readResponse(client.getInputStream()).status());
+        }
+        assertTrue(receivedDeadlinesMillis.get(0) <= 5_000, receivedDeadlinesMillis.toString());
+    }
+
+    /** The runner responds after the head and reads the body only later: it must receive that body and no bytes of the next request. */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void bodyOfEarlyAnsweredRequestIsNotMixedIntoNextRequest(boolean declines) throws Exception {
+        var bodies = new CopyOnWriteArrayList<String>();
+        var firstResponseRead = new CountDownLatch(1);
+        ScriptedRunner.Script script = connection -> {
+            for (var requestLine = connection.readHead(); requestLine != null; requestLine = connection.readHead()) {
+                var respondsEarly = connection.header("Try").equals("t1");
+                var response = respondsEarly && declines
+                        ? ScriptedRunner.response(503, "t1", "Not-Run: 1\r\n", "")
+                        : ScriptedRunner.successResponse(connection.header("Try"));
+                if (respondsEarly) connection.write(response);
+                if (respondsEarly) firstResponseRead.await();
+                bodies.add(connection.header("Try") + " " + connection.readBody());
+                if (!respondsEarly) connection.write(response);
+            }
+        };
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(script)) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            var body = "b".repeat(LONG_BODY_CHARS);
+            assertEquals(
+                    declines ? 503 : 200, fixture.post("/once/x", "t1", body).status());
+            firstResponseRead.countDown();
+            assertEquals(200, fixture.post("/once/x", "t2", "c").status());
+        }
+        var firstBody = "t1 " + "b".repeat(LONG_BODY_CHARS);
+        for (var body : bodies) assertTrue(firstBody.startsWith(body) || body.equals("t2 c"), body);
+        assertTrue(bodies.contains("t2 c"));
+    }
+}
--- /dev/null
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
@@ -0,0 +1,193 @@
+package craneway.pass;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import craneway.state.record.Rows;
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The manifest's limits on a client's connection: 15 s idle and 3 s for a request head. The clock is advanced, not waited for. */
+class ClientConnectionLimitTest {
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long CLOCK_STEP_MICROS = 1_400_000;
+    private static final int CLOSE_TIMEOUT_MILLIS = 1_300;
+    private ProxyFixture fixture;
+    private FakeRunner runner;
+    private Socket client;
+
+    @BeforeEach
+    void openFixture() throws Exception {
+        fixture = new ProxyFixture();
+        runner = new FakeRunner(request -> request.respondOk("own of " + request.header("try")));
+        fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+        client = fixture.connect();
+        fixture.stopClock();
+    }
+
+    @AfterEach
+    void closeFixture() throws Exception {
+        client.close();
+        runner.close();
+        fixture.close();
+    }
+
+    private void send(String raw) throws IOException {
+        client.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    private void sendRequest(String attemptId) throws IOException {
+        send("POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId + "\r\nContent-Length: 0\r\n\r\n");
+    }
+
+    private ProxyFixture.Response readResponse() throws IOException {
+        return ProxyFixture.readResponse(client.getInputStream());
+    }
+
+    /** Advances the clock in steps that are too short for the router to take for a freeze, with a sweep after each. */
+    private void advanceClockInSteps(long micros) {
+        for (var remainingMicros = micros; remainingMicros > 0; remainingMicros -= CLOCK_STEP_MICROS) {
+            var sweepsBefore = fixture.server.sweepCount();
+            fixture.advanceClock(CLOCK_STEP_MICROS);
+            var deadlineNanos = System.nanoTime() + 5_000_000_000L;
+            while (fixture.server.sweepCount() == sweepsBefore && System.nanoTime() < deadlineNanos) Thread.yield();
+        }
+    }
+
+    private void assertClosed() throws IOException {
+        client.setSoTimeout(CLOSE_TIMEOUT_MILLIS);
+        assertEquals(-1, client.getInputStream().read());
+    }
+
+    @Test
+    void responseStatesKeepAliveTimeout() throws Exception {
+        sendRequest("t1");
+        assertEquals("timeout=12", readResponse().headers().get("Keep-Alive"));
+    }
+
+    @Test
+    void drainingRouterSendsConnectionCloseWithoutKeepAlive() throws Exception {
+        fixture.server.startDraining();
+        fixture.post("/once/x", "t0", "");
+        sendRequest("t1");
+        var response = readResponse();
+        assertEquals("own of t1", response.bodyText());
+        assertEquals("close", response.headers().get("Connection"));
+        assertNull(response.headers().get("Keep-Alive"));
+    }
+
+    @Test
+    void connectionIsServedAfterFourFifthsOfIdleLimit() throws Exception {
+        sendRequest("t1");
+        readResponse();
+        advanceClockInSteps(12 * MICROS_PER_SECOND);
+        sendRequest("t2");
+        assertEquals("own of t2", readResponse().bodyText());
+        advanceClockInSteps(12 * MICROS_PER_SECOND);
+        sendRequest("t3");
+        assertEquals("own of t3", readResponse().bodyText());
+    }
+
+    @Test
+    void connectionIdleBeyondLimitIsClosed() throws Exception {
+        sendRequest("t1");
+        readResponse();
+        advanceClockInSteps(16 * MICROS_PER_SECOND);
+        assertClosed();
+    }
+
+    @Test
+    void connectionWithoutAnyRequestIsClosed() throws Exception {
+        sendRequest("t1");
+        readResponse();
+        try (var other = fixture.connect()) {
+            advanceClockInSteps(16 * MICROS_PER_SECOND);
+            other.setSoTimeout(CLOSE_TIMEOUT_MILLIS);
+            assertEquals(-1, other.getInputStream().read());
+        }
+    }
+
+    @Test
+    void connectionWithOpenRequestIsNotClosed() throws Exception {
+        var secondEventDue = new CountDownLatch(1);
+        runner.setScript(request -> {
+            request.startStream();
+            request.writeChunk("id: 1\ndata: a\n\n");
+            secondEventDue.await();
+            request.writeChunk("id: 2\ndata: b\n\n");
+            request.respondRaw("0\r\n\r\n");
+        });
+        send("POST /stream/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nContent-Length: 0\r\n\r\n");
+        runner.awaitRequest();
+        advanceClockInSteps(20 * MICROS_PER_SECOND);
+        secondEventDue.countDown();
+        assertTrue(readResponse().complete());
+    }
+
+    @Test
+    void connectionWithLateRequestHeadIsClosed() throws Exception {
+        fixture.post("/once/x", "t0", "");
+        send("POST /once/x HTTP/1.1\r\nHost: h.exa");
+        advanceClockInSteps(5 * MICROS_PER_SECOND);
+        assertClosed();
+        assertEquals(1, runner.receivedRequests.size());
+    }
+
+    @Test
+    void requestHeadCompletedInTimeIsServed() throws Exception {
+        fixture.post("/once/x", "t0", "");
+        send("POST /once/x HTTP/1.1\r\nHost: h.exa");
+        advanceClockInSteps(2 * MICROS_PER_SECOND);
+        send("mple\r\nTry: t1\r\nContent-Length: 4\r\n\r\n");
+        advanceClockInSteps(5 * MICROS_PER_SECOND);
+        send("body");
+        assertEquals("own of t1", readResponse().bodyText());
+    }
+
+    @Test
+    void clockJumpBeyondLimitDoesNotCloseConnectionInUse() throws Exception {
+        sendRequest("t1");
+        readResponse();
+        fixture.advanceClockWhenIdle(60 * MICROS_PER_SECOND);
+        sendRequest("t2");
+        assertEquals("own of t2", readResponse().bodyText());
+    }
+
+    @Test
+    void responseCompletesAfterListenerStops() throws Exception {
+        var secondEventDue = new CountDownLatch(1);
+        runner.setScript(request -> {
+            request.startStream();
+            request.writeChunk("id: 1\ndata: a\n\n");
+            secondEventDue.await();
+            request.writeChunk("id: 2\ndata: b\n\n");
+            request.respondRaw("0\r\n\r\n");
+        });
+        send("POST /stream/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nContent-Length: 0\r\n\r\n");
+        runner.awaitRequest();
+        fixture.server.startDraining();
+        fixture.server.stopListening();
+        secondEventDue.countDown();
+        assertTrue(readResponse().complete());
+    }
+
+    @Test
+    void connectionIdleBelowLimitIsNotClosed() throws Exception {
+        sendRequest("t1");
+        readResponse();
+        advanceClockInSteps(14 * MICROS_PER_SECOND);
+        client.setSoTimeout(100);
+        try {
+            assertEquals(0, client.getInputStream().read());
+        } catch (SocketTimeoutException e) {
+            assertTrue(client.isConnected());
+        }
+    }
+}
--- /dev/null
+++ b/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
@@ -0,0 +1,203 @@
+package craneway.pass;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import craneway.state.record.Rows;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** A client disconnects: its run is cancelled within half a second and not retried, unless the request may run only once. */
+class ClientDisconnectTest {
+    private static final int CANCEL_TIMEOUT_MILLIS = 500;
+    private static final int PROCESSING_STATUS = 102;
+    private static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
+
+    private static String request(String path) {
+        return "POST " + path
+                + " HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: 4000\r\nContent-Length: 0\r\n\r\n";
+    }
+
+    private static void send(Socket client, String raw) throws IOException {
+        client.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
+        client.getOutputStream().flush();
+    }
+
+    private static void disconnect(Socket client, String how) throws IOException {
+        if (how.equals("reset")) client.setSoLinger(true, 0);
+        client.close();
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "/again/x,close",
+        "/again/x,reset",
+        "/stream/x,close",
+        "/stream/x,reset",
+        "/resume/x,close",
+        "/resume/x,reset"
+    })
+    void disconnectBeforeResponseCancelsRun(String path, String how) throws Exception {
+        var requestRan = new CountDownLatch(1);
+        var connectionEnded = new CountDownLatch(1);
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(connection -> {
+                    connection.runNextRequest();
+                    requestRan.countDown();
+                    connection.awaitPeerClose();
+                    connectionEnded.countDown();
+                })) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = fixture.connect()) {
+                send(client, request(path));
+                requestRan.await();
+                disconnect(client, how);
+                assertTrue(connectionEnded.await(CANCEL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            }
+            assertEquals(1, runner.ranAttemptIds.size());
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({"/stream/x,close", "/stream/x,reset", "/resume/x,close", "/resume/x,reset"})
+    void disconnectDuringStreamCancelsRun(String path, String how) throws Exception {
+        var firstEventAtClient = new CountDownLatch(1);
+        var clientGone = new CountDownLatch(1);
+        var connectionEnded = new CountDownLatch(1);
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(connection -> {
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                            + ScriptedRunner.chunk(FIRST_EVENT));
+                    clientGone.await();
+                    connection.write(ScriptedRunner.chunk("id: 2\ndata: b\n\n"));
+                    connection.awaitPeerClose();
+                    connectionEnded.countDown();
+                })) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = fixture.connect()) {
+                send(client, request(path));
+                var in = new TextLatchInputStream(client.getInputStream(), FIRST_EVENT, firstEventAtClient);
+                while (firstEventAtClient.getCount() > 0) in.read();
+                disconnect(client, how);
+                clientGone.countDown();
+                assertTrue(connectionEnded.await(CANCEL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            }
+            assertEquals(1, runner.ranAttemptIds.size());
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"close", "reset"})
+    void onceOnlyRunCompletesAfterClientDisconnects(String how) throws Exception {
+        var requestRan = new CountDownLatch(1);
+        var responseDue = new CountDownLatch(1);
+        var responseWritten = new CountDownLatch(1);
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(connection -> {
+                    var attemptId = connection.runNextRequest();
+                    requestRan.countDown();
+                    responseDue.await();
+                    connection.write(ScriptedRunner.successResponse(attemptId));
+                    responseWritten.countDown();
+                })) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = fixture.connect()) {
+                send(client, request("/once/x"));
+                requestRan.await();
+                disconnect(client, how);
+            }
+            var sweepsBefore = fixture.server.sweepCount();
+            while (fixture.server.sweepCount() < sweepsBefore + 2) Thread.yield();
+            assertEquals(1, fixture.server.openRequestCount());
+            responseDue.countDown();
+            responseWritten.await();
+            while (fixture.server.openRequestCount() > 0) Thread.yield();
+            assertEquals(1, runner.ranAttemptIds.size());
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"/once/x", "/again/x", "/stream/x"})
+    void clientThatDisconnectsBeforeRunnerIsAvailableIsNotServed(String path) throws Exception {
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(
+                        connection -> connection.write(ScriptedRunner.successResponse(connection.runNextRequest())))) {
+            fixture.publishViewWithoutService(false);
+            try (var client = fixture.connect()) {
+                send(client, request(path));
+            }
+            var sweepsBefore = fixture.server.sweepCount();
+            while (fixture.server.sweepCount() < sweepsBefore + 1) Thread.yield();
+            while (fixture.server.unansweredConnectionCount() > 0) Thread.yield();
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            assertEquals("t2", fixture.post("/again/x", "t2", "").headers().get("Try"));
+            assertEquals(java.util.List.of("t2"), runner.ranAttemptIds);
+        }
+    }
+
+    @Test
+    void halfClosedClientGetsResponseOfLongRun() throws Exception {
+        var requestRan = new CountDownLatch(1);
+        var responseDue = new CountDownLatch(1);
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(connection -> {
+                    var attemptId = connection.runNextRequest();
+                    requestRan.countDown();
+                    responseDue.await();
+                    connection.write(ScriptedRunner.successResponse(attemptId));
+                })) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = fixture.connect()) {
+                send(client, request("/again/x"));
+                requestRan.await();
+                client.shutdownOutput();
+                var in = client.getInputStream();
+                assertEquals(PROCESSING_STATUS, ResponseParser.readInterimStatus(in));
+                responseDue.countDown();
+                assertEquals(
+                        "body of t1",
+                        ResponseParser.readResponseAfterInterim(in).bodyText());
+            }
+            assertEquals(1, runner.ranAttemptIds.size());
+        }
+    }
+
+    @Test
+    void clientThatPipelinesDuringRunGetsBothResponses() throws Exception {
+        var requestRan = new CountDownLatch(1);
+        var responseDue = new CountDownLatch(1);
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(connection -> {
+                    for (var attemptId = connection.runNextRequest();
+                            attemptId != null;
+                            attemptId = connection.runNextRequest()) {
+                        requestRan.countDown();
+                        responseDue.await();
+                        connection.write(ScriptedRunner.successResponse(attemptId));
+                    }
+                })) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = fixture.connect()) {
+                send(client, request("/again/x"));
+                requestRan.await();
+                send(client, request("/again/x").replace("t1", "t2"));
+                var sweepsBefore = fixture.server.sweepCount();
+                while (fixture.server.sweepCount() < sweepsBefore + 2) Thread.yield();
+                responseDue.countDown();
+                assertEquals(
+                        "body of t1",
+                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                assertEquals(
+                        "body of t2",
+                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+            }
+        }
+    }
+}
--- a/test/pass/src/test/java/craneway/pass/FakeRunner.java
+++ b/test/pass/src/test/java/craneway/pass/FakeRunner.java
@@ -14,125 +14,139 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A runner whose answers a test writes byte by byte. */
+/**
+ * A runner that reads whole requests and answers each by a script, byte by byte where a test wants it. Connections are
+ * served by threads of their own; {@link ScriptedRunner} is for tests that script a whole connection.
+ */
 final class FakeRunner implements AutoCloseable {
-    record Request(String line, Map<String, String> headers, byte[] body, Socket socket) {
-        String header(String n) {
-            return headers.get(n);
+    /** A request as the runner received it, and the connection to respond on. */
+    record Request(String requestLine, Map<String, String> headers, byte[] body, Socket socket) {
+        String header(String name) {
+            return headers.get(name);
         }
 
-        void answer(String raw) throws IOException {
+        /** Writes these bytes to the connection as they are. */
+        void respondRaw(String raw) throws IOException {
             socket.getOutputStream().write(raw.getBytes("ISO-8859-1"));
             socket.getOutputStream().flush();
         }
 
-        void ok(String body) throws IOException {
-            answer("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: s\r\nContent-Length: " + body.length()
+        /** Responds 200 with this body, the request's attempt id and a stamp. */
+        void respondOk(String body) throws IOException {
+            respondRaw("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: s\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
         }
 
-        void streamHead() throws IOException {
-            answer("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: " + header("addressee")
+        /** Writes the head of a chunked event stream whose stamp names the addressed runner. */
+        void startStream() throws IOException {
+            respondRaw("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: " + header("addressee")
                     + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
 
-        void chunk(String s) throws IOException {
-            answer(Integer.toHexString(s.length()) + "\r\n" + s + "\r\n");
+        /** Writes one chunk with this text. */
+        void writeChunk(String data) throws IOException {
+            respondRaw(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
         }
 
-        void reset() throws IOException {
+        /** Closes the connection with a TCP reset. */
+        void resetConnection() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
+    /** Responds to one request. */
     interface Script {
-        void on(Request r) throws Exception;
+        void respond(Request request) throws Exception;
     }
 
-    final List<Request> seen = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<Request> arrivals = new LinkedBlockingQueue<>();
-    private final ServerSocket server;
+    final List<Request> receivedRequests = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<Request> requestQueue = new LinkedBlockingQueue<>();
+    private final ServerSocket listener;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private volatile Script script;
 
     FakeRunner(Script script) throws IOException {
         this.script = script;
-        server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        start(this::accept);
+        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        startDaemon(this::acceptConnections);
     }
 
-    void script(Script s) {
-        script = s;
+    /** Replaces the script for all later requests. */
+    void setScript(Script newScript) {
+        script = newScript;
     }
 
     String address() {
-        return "127.0.0.1:" + server.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    Request arrival() throws InterruptedException {
-        return arrivals.poll(5, TimeUnit.SECONDS);
+    /** Returns the next request that no earlier call returned; null if none comes within 5 s. */
+    Request awaitRequest() throws InterruptedException {
+        return requestQueue.poll(5, TimeUnit.SECONDS);
     }
 
-    int connections() {
+    int acceptedConnectionCount() {
         return sockets.size();
     }
 
-    private static void start(Runnable r) {
-        var t = new Thread(r);
-        t.setDaemon(true);
-        t.start();
+    private static void startDaemon(Runnable task) {
+        var thread = new Thread(task);
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                var s = server.accept();
-                sockets.add(s);
-                start(() -> serve(s));
+                var connection = listener.accept();
+                sockets.add(connection);
+                startDaemon(() -> serveConnection(connection));
             }
         } catch (IOException e) {
-            // closed
+            // the listener was closed
         }
     }
 
-    private void serve(Socket s) {
+    private void serveConnection(Socket connection) {
         try {
-            var in = s.getInputStream();
-            for (var r = read(in, s); r != null; r = read(in, s)) {
-                seen.add(r);
-                arrivals.add(r);
-                script.on(r);
+            var in = connection.getInputStream();
+            for (var request = readRequest(in, connection); request != null; request = readRequest(in, connection)) {
+                receivedRequests.add(request);
+                requestQueue.add(request);
+                script.respond(request);
             }
         } catch (Exception e) {
-            // the test looks at what was seen
+            // the test checks the received requests
         }
     }
 
-    static Request read(InputStream in, Socket s) throws IOException {
-        var line = line(in);
-        if (line == null) return null;
-        var h = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
-        for (var l = line(in); l != null && !l.isEmpty(); l = line(in))
-            h.put(
-                    l.substring(0, l.indexOf(':')).trim(),
-                    l.substring(l.indexOf(':') + 1).trim());
-        var n = Integer.parseInt(h.getOrDefault("content-length", "0"));
-        return new Request(line, h, in.readNBytes(n), s);
+    /** Reads one request; null when the connection has ended. */
+    static Request readRequest(InputStream in, Socket connection) throws IOException {
+        var requestLine = readLine(in);
+        if (requestLine == null) return null;
+        var headers = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
+        for (var field = readLine(in); field != null && !field.isEmpty(); field = readLine(in))
+            headers.put(
+                    field.substring(0, field.indexOf(':')).trim(),
+                    field.substring(field.indexOf(':') + 1).trim());
+        var contentLength = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+        return new Request(requestLine, headers, in.readNBytes(contentLength), connection);
     }
 
-    static String line(InputStream in) throws IOException {
-        var b = new ByteArrayOutputStream();
-        for (var c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) return null;
-            if (c != '\r') b.write(c);
+    /** Reads one line without its line end; null when the input ends before the line does. */
+    static String readLine(InputStream in) throws IOException {
+        var line = new ByteArrayOutputStream();
+        for (var next = in.read(); next != '\n'; next = in.read()) {
+            if (next < 0) return null;
+            if (next != '\r') line.write(next);
         }
-        return b.toString("ISO-8859-1");
+        return line.toString("ISO-8859-1");
     }
 
     @Override
     public void close() throws IOException {
-        server.close();
-        for (var s : sockets) s.close();
+        listener.close();
+        for (var socket : sockets) socket.close();
     }
 }
--- a/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
@@ -10,69 +10,71 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An exception that nobody foresaw, while a runner's bytes are passed on: the piece that was in hand is lost, so that the
- * answer must end visibly then, and neither go on behind it nor promise anything.
+ * An unexpected exception in the router while it forwards a runner's bytes. The piece being forwarded is lost, so the response
+ * must be visibly truncated there: it must not continue after the gap, nor promise that the request has not run.
  */
 class InternalFaultTest {
-    private static final String FIRST = "id: 1\ndata: a\n\n";
-    private static final String SECOND = "id: 2\ndata: b\n\n";
-    private static final String THIRD = "id: 3\ndata: c\n\n";
+    private static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
+    private static final String SECOND_EVENT = "id: 2\ndata: b\n\n";
+    private static final String THIRD_EVENT = "id: 3\ndata: c\n\n";
 
-    private static String head(boolean framed) {
-        var head = ScriptedRunner.streamHead("t1");
-        return framed ? head : head.replace("Transfer-Encoding: chunked", "Connection: close");
+    private static String streamHead(boolean chunked) {
+        var head = ScriptedRunner.streamResponseHead("t1");
+        return chunked ? head : head.replace("Transfer-Encoding: chunked", "Connection: close");
     }
 
-    /** The fault comes with the second piece, the third, or the end of the answer. */
+    /** The exception comes with the second piece, the third, or the end of the response. */
     @ParameterizedTest
     @CsvSource({
         "/stream/x,true,0", "/stream/x,true,1", "/stream/x,true,2", "/resume/x,true,0", "/resume/x,true,1",
         "/resume/x,true,2", "/once/x,true,0", "/stream/x,false,0", "/stream/x,false,1", "/resume/x,false,0",
         "/resume/x,false,1", "/once/x,false,0"
     })
-    void aPieceIsNeverLeftOut(String path, boolean framed, int piece) throws Exception {
+    void responseNeverSkipsPieceLostToException(String path, boolean chunked, int piece) throws Exception {
         var firstArrived = new CountDownLatch(1);
         var fault = new PlannedFault("craneway.gateway.proxy.RunnerCall", piece);
-        ScriptedRunner.Script script = c -> {
-            if (c.run() == null) return;
-            c.write(head(framed) + (framed ? ScriptedRunner.chunk(FIRST) : FIRST));
+        ScriptedRunner.Script script = connection -> {
+            if (connection.runNextRequest() == null) return;
+            connection.write(streamHead(chunked) + (chunked ? ScriptedRunner.chunk(FIRST_EVENT) : FIRST_EVENT));
             firstArrived.await();
-            c.write(framed ? ScriptedRunner.chunk(SECOND) : SECOND);
+            connection.write(chunked ? ScriptedRunner.chunk(SECOND_EVENT) : SECOND_EVENT);
             if (piece == 0) fault.awaitThrown();
-            c.write(framed ? ScriptedRunner.chunk(THIRD) + "0\r\n\r\n" : THIRD);
-            if (framed) c.untilClosed();
-            else c.close();
+            connection.write(chunked ? ScriptedRunner.chunk(THIRD_EVENT) + "0\r\n\r\n" : THIRD_EVENT);
+            if (chunked) connection.awaitPeerClose();
+            else connection.close();
         };
-        try (var bed = new Bed();
-                var one = new ScriptedRunner(script);
-                var client = bed.connect()) {
-            bed.runner("i1", one.address(), "a", Rows.Runner.UP);
-            Bed.send(client, path, "t1", "", "");
-            var planted = new PlantAt(client.getInputStream(), FIRST, () -> {
-                bed.plan(fault);
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(script);
+                var client = fixture.connect()) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            ProxyFixture.sendPost(client, path, "t1", "", "");
+            var planningStream = new TextActionInputStream(client.getInputStream(), FIRST_EVENT, () -> {
+                fixture.planClockFault(fault);
                 firstArrived.countDown();
             });
-            var answer = Bed.answer(planted);
+            var response = ProxyFixture.readResponse(planningStream);
             fault.awaitThrown();
-            assertTrue((FIRST + SECOND + THIRD).startsWith(answer.text()), answer.text());
-            assertFalse(answer.whole() && !answer.text().equals(FIRST + SECOND + THIRD), answer.text());
+            assertTrue((FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(response.bodyText()), response.bodyText());
+            assertFalse(
+                    response.complete() && !response.bodyText().equals(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT),
+                    response.bodyText());
         }
     }
 
-    /** The same before any byte of the answer has gone to the client: it gets a failure that promises nothing. */
+    /** An exception before any byte of the response is sent: the client gets a 502, which does not promise that nothing ran. */
     @ParameterizedTest
     @CsvSource({"/stream/x", "/once/x"})
-    void aFaultBeforeTheAnswerPromisesNothing(String path) throws Exception {
-        ScriptedRunner.Script script = c -> {
-            if (c.run() == null) return;
-            c.write(ScriptedRunner.success("t1"));
-            c.untilClosed();
+    void exceptionBeforeResponseYieldsBadGateway(String path) throws Exception {
+        ScriptedRunner.Script script = connection -> {
+            if (connection.runNextRequest() == null) return;
+            connection.write(ScriptedRunner.successResponse("t1"));
+            connection.awaitPeerClose();
         };
-        try (var bed = new Bed();
-                var one = new ScriptedRunner(script)) {
-            bed.plan(new PlannedFault("craneway.gateway.proxy.ResponseReader", 0));
-            bed.runner("i1", one.address(), "a", Rows.Runner.UP);
-            assertEquals(502, bed.ask(path, "t1", "").status());
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(script)) {
+            fixture.planClockFault(new PlannedFault("craneway.gateway.proxy.ResponseReader", 0));
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            assertEquals(502, fixture.post(path, "t1", "").status());
         }
     }
 }
--- a/test/pass/src/test/java/craneway/pass/PlannedFault.java
+++ b/test/pass/src/test/java/craneway/pass/PlannedFault.java
@@ -3,26 +3,30 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An exception that is thrown once, at the given pass of a thread through a place beneath the class of this name. */
+/**
+ * An exception that is thrown once, from a hook in code that the class under test calls. It is thrown when the hook is reached
+ * with the named class on the call stack, after a given number of earlier such passes.
+ */
 final class PlannedFault {
-    private final String className;
-    private final AtomicInteger passes;
+    private final String callerClassName;
+    private final AtomicInteger remainingPasses;
     private final CountDownLatch thrown = new CountDownLatch(1);
 
-    PlannedFault(String className, int passesBefore) {
-        this.className = className;
-        passes = new AtomicInteger(passesBefore);
+    PlannedFault(String callerClassName, int earlierPasses) {
+        this.callerClassName = callerClassName;
+        remainingPasses = new AtomicInteger(earlierPasses);
     }
 
-    /** Called from the place at which it may happen. */
-    void reached() {
-        var beneath = StackWalker.getInstance()
-                .walk(frames -> frames.anyMatch(f -> f.getClassName().equals(className)));
-        if (!beneath || passes.getAndDecrement() != 0) return;
+    /** Throws if this pass is the planned one. The hook calls this on every pass. */
+    void throwIfDue() {
+        var calledFromClass = StackWalker.getInstance()
+                .walk(frames -> frames.anyMatch(f -> f.getClassName().equals(callerClassName)));
+        if (!calledFromClass || remainingPasses.getAndDecrement() != 0) return;
         thrown.countDown();
-        throw new IllegalStateException("a fault planted by the test");
+        throw new IllegalStateException("exception planned by the test");
     }
 
+    /** Waits until the exception has been thrown. */
     void awaitThrown() throws InterruptedException {
         thrown.await();
     }
--- /dev/null
+++ b/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
@@ -0,0 +1,265 @@
+package craneway.pass;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import craneway.state.record.Rows;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Connections to runners that are kept between requests: what a runner sends or does on one of them must neither reach the
+ * next request nor make a once-only request run twice.
+ */
+class RunnerConnectionReuseTest {
+    private ProxyFixture fixture;
+    private Socket client;
+
+    @BeforeEach
+    void openFixture() throws Exception {
+        fixture = new ProxyFixture();
+        client = fixture.connect();
+    }
+
+    @AfterEach
+    void closeFixture() throws Exception {
+        client.close();
+        fixture.close();
+    }
+
+    private ProxyFixture.Response request(String path, String attemptId, int deadlineMillis) throws Exception {
+        client.getOutputStream()
+                .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId + "\r\nDeadline: "
+                                + deadlineMillis + "\r\nContent-Length: 4\r\n\r\nbody")
+                        .getBytes(StandardCharsets.ISO_8859_1));
+        return ProxyFixture.readResponse(client.getInputStream());
+    }
+
+    private void putRunner(String id, ScriptedRunner runner) {
+        fixture.putRunner(id, runner.address(), "a", Rows.Runner.UP);
+    }
+
+    /** Answers each request of a connection with its own success. */
+    private static void serveAll(ScriptedRunner.Connection connection) throws Exception {
+        for (var attemptId = connection.runNextRequest(); attemptId != null; attemptId = connection.runNextRequest())
+            connection.write(ScriptedRunner.successResponse(attemptId));
+    }
+
+    /**
+     * Returns a runner whose first connection serves one request and writes {@code unexpected} once it has read the head of
+     * the second; all other connections serve normally.
+     */
+    private ScriptedRunner runnerWithUnexpectedResponse(String unexpected) throws Exception {
+        return new ScriptedRunner(connection -> {
+            if (connection.index == 0) {
+                connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+                connection.readHead();
+                connection.write(unexpected);
+                connection.skipBody();
+            }
+            serveAll(connection);
+        });
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nTry: t1\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong",
+                "HTTP/1.1 500 No\r\nTry: t1\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong",
+                "HTTP/1.1 500 No\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong",
+                "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 503 No\r\nTry: t1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n",
+                "wrong bytes\r\n\r\n"
+            })
+    void unexpectedResponseReachesNoClient(String unexpected) throws Exception {
+        try (var runner = runnerWithUnexpectedResponse(unexpected);
+                var otherRunner = new ScriptedRunner(RunnerConnectionReuseTest::serveAll)) {
+            putRunner("i1", runner);
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            putRunner("i2", otherRunner);
+            var response = request("/once/x", "t2", 4_000);
+            assertEquals(502, response.status(), response.bodyText());
+            assertNull(response.headers().get("Stamp"));
+            assertTrue(runner.ranAttemptIds.stream().filter("t2"::equals).count()
+                            + otherRunner.ranAttemptIds.stream()
+                                    .filter("t2"::equals)
+                                    .count()
+                    <= 1);
+            assertEquals("body of t3", request("/again/x", "t3", 4_000).bodyText());
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nTry: t1\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong",
+                "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
+                "x"
+            })
+    void bytesOnIdleConnectionCloseIt(String unexpected) throws Exception {
+        var closedByRouter = new CountDownLatch(1);
+        var sendUnexpected = new CountDownLatch(1);
+        try (var runner = new ScriptedRunner(connection -> {
+            if (connection.index > 0) serveAll(connection);
+            connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+            sendUnexpected.await();
+            connection.write(unexpected);
+            connection.awaitPeerClose();
+            closedByRouter.countDown();
+        })) {
+            putRunner("i1", runner);
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            sendUnexpected.countDown();
+            closedByRouter.await();
+            assertEquals("body of t2", request("/once/x", "t2", 4_000).bodyText());
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"reset", "close"})
+    void connectionEndedByRunnerWhileIdleIsNotReused(String how) throws Exception {
+        var answered = new CountDownLatch(1);
+        var ended = new CountDownLatch(1);
+        try (var runner = new ScriptedRunner(connection -> {
+            if (connection.index > 0) serveAll(connection);
+            connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+            answered.await();
+            if (how.equals("reset")) {
+                connection.reset();
+            } else {
+                connection.halfClose();
+                connection.awaitPeerClose();
+            }
+            ended.countDown();
+        })) {
+            putRunner("i1", runner);
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            answered.countDown();
+            ended.await();
+            assertEquals("body of t2", request("/again/x", "t2", 4_000).bodyText());
+        }
+    }
+
+    /** Returns a runner that has dropped its first connection unnoticed after one response: the next byte sent on it gets a reset. */
+    private ScriptedRunner runnerThatDropsIdleConnection() throws Exception {
+        return new ScriptedRunner(connection -> {
+            if (connection.index > 0) serveAll(connection);
+            connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+            connection.socket.getInputStream().readNBytes(1);
+            connection.reset();
+        });
+    }
+
+    @Test
+    void onceOnlyRequestIsNotSentOnLongIdleConnection() throws Exception {
+        try (var runner = runnerThatDropsIdleConnection()) {
+            putRunner("i1", runner);
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            fixture.advanceClockWhenIdle(1_000_000);
+            assertEquals("body of t2", request("/once/x", "t2", 4_000).bodyText());
+            assertEquals(1, runner.ranAttemptIds.stream().filter("t2"::equals).count());
+        }
+    }
+
+    @Test
+    void onceOnlyRequestIsNotRetriedAfterResetOnReusedConnection() throws Exception {
+        try (var runner = runnerThatDropsIdleConnection();
+                var otherRunner = new ScriptedRunner(RunnerConnectionReuseTest::serveAll)) {
+            putRunner("i1", runner);
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            putRunner("i2", otherRunner);
+            var response = request("/once/x", "t2", 4_000);
+            assertTrue(response.status() == 502 || response.bodyText().equals("body of t2"), response.bodyText());
+            assertTrue(runner.ranAttemptIds.size() + otherRunner.ranAttemptIds.size() <= 2);
+        }
+    }
+
+    @Test
+    void repeatableRequestIsRetriedAfterResetOnReusedConnection() throws Exception {
+        try (var runner = runnerThatDropsIdleConnection();
+                var otherRunner = new ScriptedRunner(RunnerConnectionReuseTest::serveAll)) {
+            putRunner("i1", runner);
+            assertEquals("body of t1", request("/again/x", "t1", 4_000).bodyText());
+            putRunner("i2", otherRunner);
+            fixture.advanceClockWhenIdle(1_000_000);
+            assertEquals("body of t2", request("/again/x", "t2", 4_000).bodyText());
+        }
+    }
+
+    @Test
+    void connectionIsNotReusedBeyondRunnersKeepAliveTimeout() throws Exception {
+        try (var runner = new ScriptedRunner(connection -> {
+            for (var attemptId = connection.runNextRequest();
+                    attemptId != null;
+                    attemptId = connection.runNextRequest())
+                connection.write(
+                        ScriptedRunner.response(200, attemptId, "Stamp: s\r\nKeep-Alive: timeout=2\r\n", "ok"));
+        })) {
+            putRunner("i1", runner);
+            request("/again/x", "t1", 4_000);
+            fixture.advanceClockWhenIdle(1_000_000);
+            request("/again/x", "t2", 4_000);
+            assertEquals(1, runner.acceptedConnectionCount.get());
+            fixture.advanceClockWhenIdle(1_900_000);
+            request("/again/x", "t3", 4_000);
+            assertEquals(2, runner.acceptedConnectionCount.get());
+        }
+    }
+
+    @Test
+    void connectionWithZeroKeepAliveTimeoutIsNotReused() throws Exception {
+        try (var runner = new ScriptedRunner(connection -> {
+            for (var attemptId = connection.runNextRequest();
+                    attemptId != null;
+                    attemptId = connection.runNextRequest())
+                connection.write(
+                        ScriptedRunner.response(200, attemptId, "Stamp: s\r\nKeep-Alive: timeout=0\r\n", "ok"));
+        })) {
+            putRunner("i1", runner);
+            request("/again/x", "t1", 4_000);
+            request("/again/x", "t2", 4_000);
+            assertEquals(2, runner.acceptedConnectionCount.get());
+        }
+    }
+
+    @Test
+    void noNotRunStatusAfterRefusedConnectionAndSilentRun() throws Exception {
+        var closedRunner = new ScriptedRunner(connection -> {});
+        var address = closedRunner.address();
+        closedRunner.close();
+        var runners = new ScriptedRunner[1];
+        try (var silentRunner = new ScriptedRunner(connection -> {
+            connection.runNextRequest();
+            runners[0].awaitTestEnd();
+        })) {
+            runners[0] = silentRunner;
+            fixture.putRunner("i1", address, "a", Rows.Runner.UP);
+            fixture.putRunner("i2", silentRunner.address(), "b", Rows.Runner.UP);
+            assertEquals(504, request("/once/x", "t1", 400).status());
+            assertEquals(1, silentRunner.ranAttemptIds.size());
+        }
+    }
+
+    @Test
+    void noNotRunStatusAfterRefusedConnectionAndResetRun() throws Exception {
+        var closedRunner = new ScriptedRunner(connection -> {});
+        var address = closedRunner.address();
+        closedRunner.close();
+        try (var resettingRunner = new ScriptedRunner(connection -> {
+            connection.runNextRequest();
+            connection.reset();
+        })) {
+            fixture.putRunner("i1", address, "a", Rows.Runner.UP);
+            fixture.putRunner("i2", resettingRunner.address(), "b", Rows.Runner.UP);
+            assertEquals(502, request("/again/x", "t1", 1_000).status());
+        }
+    }
+}
--- a/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
@@ -15,141 +15,150 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each fault of a runner against a request that may run once, one that may be repeated, and a stream that may resume. */
+/** Each {@link RunnerFault} against a once-only request, a repeatable request and a resumable stream. */
 class RunnerFaultTest {
-    private static final List<Integer> PROMISES = List.of(408, 421, 429, 503);
+    private static final List<Integer> NOT_RUN_STATUSES = List.of(408, 421, 429, 503);
 
-    /** One router, two runners of which the first one asked does the fault once, and one client connection. */
-    private static final class Cell implements AutoCloseable {
-        final Bed bed = new Bed();
-        final AtomicInteger connections = new AtomicInteger();
-        final CountDownLatch head = new CountDownLatch(1);
+    /** A router, two runners and a client connection; the first runner connection performs the fault, once. */
+    private static final class Scene implements AutoCloseable {
+        final ProxyFixture fixture = new ProxyFixture();
+        final AtomicInteger acceptedConnections = new AtomicInteger();
+        final CountDownLatch headAtClient = new CountDownLatch(1);
         final List<ScriptedRunner> runners = new ArrayList<>();
         final Socket client;
-        volatile ScriptedRunner.Connection first;
+        volatile ScriptedRunner.Connection faultyConnection;
 
-        Cell(RunnerFault fault) throws Exception {
+        Scene(RunnerFault fault) throws Exception {
             for (var i = 0; i < 2; i++) {
-                var runner = new ScriptedRunner(c -> play(fault, c));
+                var runner = new ScriptedRunner(connection -> playFaultThenServe(fault, connection));
                 runners.add(runner);
-                bed.runner("i" + i, runner.address(), "a", craneway.state.record.Rows.Runner.UP);
+                fixture.putRunner("i" + i, runner.address(), "a", craneway.state.record.Rows.Runner.UP);
             }
-            client = bed.connect();
+            client = fixture.connect();
         }
 
-        private void play(RunnerFault fault, ScriptedRunner.Connection c) throws Exception {
-            if (connections.getAndIncrement() == 0) {
-                first = c;
-                fault.play.on(c, stage());
+        private void playFaultThenServe(RunnerFault fault, ScriptedRunner.Connection connection) throws Exception {
+            if (acceptedConnections.getAndIncrement() == 0) {
+                faultyConnection = connection;
+                fault.script.play(connection, faultContext());
             }
-            for (var id = c.run(); id != null; id = c.run()) c.write(ScriptedRunner.success(id));
+            for (var id = connection.runNextRequest(); id != null; id = connection.runNextRequest())
+                connection.write(ScriptedRunner.successResponse(id));
         }
 
-        private RunnerFault.Stage stage() {
-            return new RunnerFault.Stage() {
+        private RunnerFault.FaultContext faultContext() {
+            return new RunnerFault.FaultContext() {
                 @Override
-                public void silence() throws InterruptedException {
-                    bed.advanceWithin(700_000);
-                    runners.get(0).silence();
+                public void staySilent() throws InterruptedException {
+                    fixture.advanceClock(700_000);
+                    runners.get(0).awaitTestEnd();
                 }
 
                 @Override
-                public void clientHasHead() throws InterruptedException {
-                    head.await();
+                public void awaitHeadAtClient() throws InterruptedException {
+                    headAtClient.await();
                 }
             };
         }
 
-        Bed.Answer ask(String path, String tryId, int deadline) throws Exception {
+        ProxyFixture.Response request(String path, String attemptId, int deadlineMillis) throws Exception {
             var body = "b".repeat(50);
             client.getOutputStream()
-                    .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + tryId + "\r\nDeadline: "
-                                    + deadline + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                    .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId + "\r\nDeadline: "
+                                    + deadlineMillis + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.ISO_8859_1));
-            return Bed.answer(new Until(client.getInputStream(), "\r\n\r\n", head));
+            return ProxyFixture.readResponse(
+                    new TextLatchInputStream(client.getInputStream(), "\r\n\r\n", headAtClient));
         }
 
-        long runs(String tryId) {
+        long countRuns(String attemptId) {
             return runners.stream()
-                    .flatMap(r -> r.ran.stream())
-                    .filter(tryId::equals)
+                    .flatMap(runner -> runner.ranAttemptIds.stream())
+                    .filter(attemptId::equals)
                     .count();
         }
 
         @Override
         public void close() throws Exception {
             client.close();
-            for (var r : runners) r.close();
-            bed.close();
+            for (var runner : runners) runner.close();
+            fixture.close();
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void onceOnly(RunnerFault fault) throws Exception {
-        check(fault, fault.once, "/once/x", true);
+    void onceOnlyRequestGetsExpectedOutcome(RunnerFault fault) throws Exception {
+        checkFault(fault, fault.outcomeIfRunOnce, "/once/x", true);
     }
 
     @ParameterizedTest
     @EnumSource
-    void repeatable(RunnerFault fault) throws Exception {
-        check(fault, fault.repeatable, "/again/x", false);
+    void repeatableRequestGetsExpectedOutcome(RunnerFault fault) throws Exception {
+        checkFault(fault, fault.outcomeIfRepeatable, "/again/x", false);
     }
 
     @ParameterizedTest
     @EnumSource
-    void resumable(RunnerFault fault) throws Exception {
-        check(fault, fault.repeatable, "/resume/x", false);
+    void resumableRequestGetsExpectedOutcome(RunnerFault fault) throws Exception {
+        checkFault(fault, fault.outcomeIfRepeatable, "/resume/x", false);
     }
 
-    private static void check(RunnerFault fault, Outcome outcome, String path, boolean once) throws Exception {
-        try (var cell = new Cell(fault)) {
-            var brief = outcome == Outcome.LATE || fault == RunnerFault.BODY_SILENCE;
-            var a = cell.ask(path, "t1", brief ? 250 : 4_000);
-            invariants(a, cell.runs("t1"), once);
-            expect(outcome, a);
-            if (outcome != Outcome.SAFE)
-                assertEquals((cell.first.runs ? 1 : 0) + (outcome == Outcome.SECOND ? 1 : 0), cell.runs("t1"));
-            if (!a.whole()) return;
-            var next = cell.ask("/again/x", "t2", 4_000);
-            assertEquals("t2", next.headers().get("Try"), "the next answer on the connection is its own");
-            assertEquals("body of t2", next.text());
+    private static void checkFault(RunnerFault fault, Outcome outcome, String path, boolean runsOnce) throws Exception {
+        try (var scene = new Scene(fault)) {
+            var needsShortDeadline = outcome == Outcome.GATEWAY_TIMEOUT || fault == RunnerFault.SILENCE_WITHIN_BODY;
+            var response = scene.request(path, "t1", needsShortDeadline ? 250 : 4_000);
+            checkInvariants(response, scene.countRuns("t1"), runsOnce);
+            checkOutcome(outcome, response);
+            if (outcome != Outcome.TIMING_DEPENDENT)
+                assertEquals(
+                        (scene.faultyConnection.hasRunRequest ? 1 : 0)
+                                + (outcome == Outcome.SERVED_BY_SECOND_RUNNER ? 1 : 0),
+                        scene.countRuns("t1"));
+            if (!response.complete()) return;
+            var nextResponse = scene.request("/again/x", "t2", 4_000);
+            assertEquals(
+                    "t2",
+                    nextResponse.headers().get("Try"),
+                    "the next response on the connection belongs to the next request");
+            assertEquals("body of t2", nextResponse.bodyText());
         }
     }
 
-    private static void invariants(Bed.Answer a, long runs, boolean once) {
-        if (once) assertTrue(runs <= 1, "ran " + runs + " times");
-        if (PROMISES.contains(a.status())) assertEquals(0, runs, "a promise although it ran");
-        if (a.status() / 100 == 2 && a.whole()) {
-            assertEquals("body of t1", a.text());
-            assertEquals("s-t1", a.headers().get("Stamp"));
-            assertEquals("t1", a.headers().get("Try"));
+    private static void checkInvariants(ProxyFixture.Response response, long runs, boolean runsOnce) {
+        if (runsOnce) assertTrue(runs <= 1, "ran " + runs + " times");
+        if (NOT_RUN_STATUSES.contains(response.status()))
+            assertEquals(0, runs, "status promises that the request has not run, although it has");
+        if (response.status() / 100 == 2 && response.complete()) {
+            assertEquals("body of t1", response.bodyText());
+            assertEquals("s-t1", response.headers().get("Stamp"));
+            assertEquals("t1", response.headers().get("Try"));
         }
-        if (a.status() / 100 != 2) assertFalse(a.text().contains("whose"));
+        if (response.status() / 100 != 2) assertFalse(response.bodyText().contains("whose"));
     }
 
-    private static void expect(Outcome outcome, Bed.Answer a) {
+    private static void checkOutcome(Outcome outcome, ProxyFixture.Response response) {
         switch (outcome) {
-            case SERVED, SECOND -> {
-                assertEquals(200, a.status());
-                assertTrue(a.whole());
+            case SERVED_BY_FIRST_RUNNER, SERVED_BY_SECOND_RUNNER -> {
+                assertEquals(200, response.status());
+                assertTrue(response.complete());
             }
-            case PASSED -> {
-                assertEquals("failed", a.text());
-                assertEquals("s", a.headers().get("Stamp"));
+            case FAILURE_FORWARDED -> {
+                assertEquals("failed", response.bodyText());
+                assertEquals("s", response.headers().get("Stamp"));
             }
-            case LOST -> own(502, a);
-            case LATE -> own(504, a);
-            case CUT -> {
-                assertEquals(200, a.status());
-                assertFalse(a.whole());
+            case BAD_GATEWAY -> checkRouterResponse(502, response);
+            case GATEWAY_TIMEOUT -> checkRouterResponse(504, response);
+            case TRUNCATED -> {
+                assertEquals(200, response.status());
+                assertFalse(response.complete());
             }
-            case SAFE -> {}
+            case TIMING_DEPENDENT -> {}
         }
     }
 
-    private static void own(int status, Bed.Answer a) {
-        assertEquals(status, a.status(), a.text());
-        assertNull(a.headers().get("Stamp"), "an answer of the router bears no stamp");
+    private static void checkRouterResponse(int status, ProxyFixture.Response response) {
+        assertEquals(status, response.status(), response.bodyText());
+        assertNull(response.headers().get("Stamp"), "a response of the router has no stamp");
     }
 }
--- a/test/pass/src/test/java/craneway/pass/PoolNewsTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerPoolUpdateTest.java
@@ -16,9 +16,9 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** A pool is made anew where views tell other news, and kept where they differ in their leases only. */
-class PoolNewsTest {
-    private final Manifest manifest = ManifestReader.read(Bed.MANIFEST).get();
+/** A runner pool is rebuilt when a view brings other runners, marks or routers, and reused when only leases differ. */
+class RunnerPoolUpdateTest {
+    private final Manifest manifest = ManifestReader.read(ProxyFixture.MANIFEST).get();
     private final RunnerPool pool = new RunnerPool();
 
     private static Rows.Service service(String... runners) {
@@ -29,20 +29,23 @@
         service.cellRegions.add("ra");
         service.runners = new TreeMap<>();
         for (var id : runners) {
-            var row = new Rows.Runner();
-            row.name = id;
-            row.address = "127.0.0.1:1";
-            row.cell = "a";
-            row.slots = 8;
-            service.runners.put(id, row);
+            var runnerRow = new Rows.Runner();
+            runnerRow.name = id;
+            runnerRow.address = "127.0.0.1:1";
+            runnerRow.cell = "a";
+            runnerRow.slots = 8;
+            service.runners.put(id, runnerRow);
         }
         return service;
     }
 
     private Membership.CoreView view(
-            Rows.Manifest topic, Map<String, Rows.Service> services, List<List<Node>> members, long leases) {
-        var until = new long[] {leases, leases, leases, leases};
-        return new Membership.CoreView(topic, manifest, services, until, members, 0, until);
+            Rows.Manifest manifestRow,
+            Map<String, Rows.Service> services,
+            List<List<Node>> members,
+            long leaseEndMicros) {
+        var leaseEnds = new long[] {leaseEndMicros, leaseEndMicros, leaseEndMicros, leaseEndMicros};
+        return new Membership.CoreView(manifestRow, manifest, services, leaseEnds, members, 0, leaseEnds);
     }
 
     private static List<List<Node>> members(Node... routers) {
@@ -54,25 +57,25 @@
     }
 
     @Test
-    void isKeptWhereOnlyLeasesAreNew() {
-        var topic = new Rows.Manifest();
+    void poolIsReusedWhenOnlyLeasesChange() {
+        var manifestRow = new Rows.Manifest();
         var services = Map.of("s", service("i1"));
         var members = members(router("r1"));
-        pool.applyView(view(topic, services, members, 1));
+        pool.applyView(view(manifestRow, services, members, 1));
         var before = pool.runnersOf("s");
-        var renewed = view(topic, services, members, 2);
+        var renewed = view(manifestRow, services, members, 2);
         assertTrue(pool.applyView(renewed));
         assertSame(before, pool.runnersOf("s"));
         assertSame(renewed, pool.view());
     }
 
     @Test
-    void followsRunnersMarksAndRouters() {
-        var topic = new Rows.Manifest();
+    void poolIsRebuiltWhenRunnersMarksOrRoutersChange() {
+        var manifestRow = new Rows.Manifest();
         var services = Map.of("s", service("i1"));
         var members = members(router("r1"));
-        pool.applyView(view(topic, services, members, 1));
-        pool.applyView(view(topic, Map.of("s", service("i1", "i2")), members, 1));
+        pool.applyView(view(manifestRow, services, members, 1));
+        pool.applyView(view(manifestRow, Map.of("s", service("i1", "i2")), members, 1));
         assertEquals(2, pool.runnersOf("s").size());
         var marked = new Rows.Manifest();
         marked.marks.put("zone:a", Plan.EMPTIED);
--- a/test/pass/src/test/java/craneway/pass/ScriptedRunner.java
+++ b/test/pass/src/test/java/craneway/pass/ScriptedRunner.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A runner whose connections a test plays byte by byte, from the accept to the close; it counts what it ran. */
+/** A runner whose connections a test scripts byte by byte, from accept to close; it records which attempts ran on it. */
 final class ScriptedRunner implements AutoCloseable {
-    /** Plays one connection from its accept on. */
+    /** Handles one connection from its accept on. */
     interface Script {
         void play(Connection connection) throws Exception;
     }
@@ -23,198 +23,208 @@
     /** One accepted connection and the requests read from it. */
     static final class Connection {
         final Socket socket;
-        /** Which connection of this runner it is, from 0. */
-        final int number;
+        /** Index of this connection among those that the runner has accepted, from 0. */
+        final int index;
 
         private final ScriptedRunner runner;
-        /** Whether a request has run on it. */
-        volatile boolean runs;
+        /** Whether a request has run on this connection. */
+        volatile boolean hasRunRequest;
 
         private Map<String, String> headers = Map.of();
 
         Connection(ScriptedRunner runner, Socket socket, int number) {
             this.runner = runner;
             this.socket = socket;
-            this.number = number;
+            this.index = number;
         }
 
+        /** Returns a header of the request whose head was read last; empty if it is absent. */
         String header(String name) {
             return headers.getOrDefault(name, "");
         }
 
-        /** Reads one request and counts it as run; null where the connection ended. */
-        String run() throws IOException {
-            var line = head();
+        /** Reads one request and records it as run; returns its attempt id, or null when the connection has ended. */
+        String runNextRequest() throws IOException {
+            var line = readHead();
             if (line == null) return null;
-            body();
-            runs = true;
-            runner.ran.add(header("Try"));
+            skipBody();
+            hasRunRequest = true;
+            runner.ranAttemptIds.add(header("Try"));
             return header("Try");
         }
 
-        /** Reads one request that this runner will turn away. */
-        String readOnly() throws IOException {
-            var line = head();
-            if (line != null) body();
+        /** Reads one request without recording it as run, and returns its request line. */
+        String readWithoutRunning() throws IOException {
+            var line = readHead();
+            if (line != null) skipBody();
             return line;
         }
 
-        String head() throws IOException {
+        /** Reads the head of a request and returns its request line; null when the connection has ended. */
+        String readHead() throws IOException {
             var in = socket.getInputStream();
-            var line = FakeRunner.line(in);
+            var line = FakeRunner.readLine(in);
             if (line == null) return null;
-            var all = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
-            for (var l = FakeRunner.line(in); l != null && !l.isEmpty(); l = FakeRunner.line(in))
-                all.put(
-                        l.substring(0, l.indexOf(':')).trim(),
-                        l.substring(l.indexOf(':') + 1).trim());
-            headers = all;
+            var newHeaders = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
+            for (var field = FakeRunner.readLine(in);
+                    field != null && !field.isEmpty();
+                    field = FakeRunner.readLine(in))
+                newHeaders.put(
+                        field.substring(0, field.indexOf(':')).trim(),
+                        field.substring(field.indexOf(':') + 1).trim());
+            headers = newHeaders;
             return line;
         }
 
-        void body() throws IOException {
+        /** Reads and drops the body of the request whose head was read last. */
+        void skipBody() throws IOException {
             readBody();
         }
 
         /** Reads the body of the request whose head was read last. */
         String readBody() throws IOException {
-            var n = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
-            return new String(socket.getInputStream().readNBytes(n), StandardCharsets.ISO_8859_1);
+            var contentLength = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
+            return new String(socket.getInputStream().readNBytes(contentLength), StandardCharsets.ISO_8859_1);
         }
 
+        /** Writes these bytes at once. */
         void write(String raw) throws IOException {
             socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
         }
 
-        /** Every byte a packet of its own. */
-        void writeSplit(String raw) throws IOException {
+        /** Writes each byte as a packet of its own. */
+        void writeByteByByte(String raw) throws IOException {
             socket.setTcpNoDelay(true);
-            for (var b : raw.getBytes(StandardCharsets.ISO_8859_1)) {
-                socket.getOutputStream().write(b);
+            for (var single : raw.getBytes(StandardCharsets.ISO_8859_1)) {
+                socket.getOutputStream().write(single);
                 socket.getOutputStream().flush();
             }
         }
 
+        /** Closes the connection with a TCP reset. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
+        /** Closes the connection by a plain close (FIN). */
         void close() throws IOException {
             socket.close();
         }
 
+        /** Closes the sending side only. */
         void halfClose() throws IOException {
             socket.shutdownOutput();
         }
 
-        /** Waits until the other side has closed. */
-        void untilClosed() {
+        /** Reads and drops bytes until the peer has closed or reset the connection. */
+        void awaitPeerClose() {
             try {
                 var in = socket.getInputStream();
-                var sink = new ByteArrayOutputStream();
-                for (var c = in.read(); c >= 0; c = in.read()) sink.write(c);
+                var dropped = new ByteArrayOutputStream();
+                for (var next = in.read(); next >= 0; next = in.read()) dropped.write(next);
             } catch (IOException e) {
-                // a reset closes it too
+                // a reset closes it as well
             }
         }
     }
 
-    /** Tries that ran here, in order. */
-    final List<String> ran = new CopyOnWriteArrayList<>();
+    /** Ids of the attempts that ran here, in order. */
+    final List<String> ranAttemptIds = new CopyOnWriteArrayList<>();
 
-    final AtomicInteger accepted = new AtomicInteger();
-    private final ServerSocket server;
+    final AtomicInteger acceptedConnectionCount = new AtomicInteger();
+    private final ServerSocket listener;
     private final Script script;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final CountDownLatch closed = new CountDownLatch(1);
-    private final Thread acceptor;
+    private final CountDownLatch closedLatch = new CountDownLatch(1);
+    private final Thread acceptThread;
 
     ScriptedRunner(Script script) throws IOException {
         this.script = script;
-        server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        acceptor = start(this::accept);
+        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        acceptThread = startDaemon(this::acceptConnections);
     }
 
     String address() {
-        return "127.0.0.1:" + server.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
     /**
-     * Ends as a killed process does: nothing listens any more, and the kernel ends each connection by a plain close. A thread
-     * that waits for connections keeps the port listening until it has returned.
+     * Ends as a killed process does: nothing listens any more, and the kernel closes each connection plainly. Waits for the
+     * accepting thread, since the port stays open until a pending accept has returned.
      */
-    void die() throws IOException, InterruptedException {
-        server.close();
-        acceptor.join();
-        for (var s : sockets) s.close();
+    void simulateProcessKill() throws IOException, InterruptedException {
+        listener.close();
+        acceptThread.join();
+        for (var socket : sockets) socket.close();
     }
 
-    /** Keeps a script silent until the test is over. */
-    void silence() throws InterruptedException {
-        closed.await();
+    /** Blocks a script until the test closes this runner. */
+    void awaitTestEnd() throws InterruptedException {
+        closedLatch.await();
     }
 
-    private static Thread start(Runnable r) {
-        var t = new Thread(r);
-        t.setDaemon(true);
-        t.start();
-        return t;
+    private static Thread startDaemon(Runnable task) {
+        var thread = new Thread(task);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                var s = server.accept();
-                sockets.add(s);
-                var c = new Connection(this, s, accepted.getAndIncrement());
-                start(() -> play(c));
+                var socket = listener.accept();
+                sockets.add(socket);
+                var connection = new Connection(this, socket, acceptedConnectionCount.getAndIncrement());
+                startDaemon(() -> playScript(connection));
             }
         } catch (IOException e) {
-            // closed
+            // the listener was closed
         }
     }
 
-    private void play(Connection c) {
+    private void playScript(Connection connection) {
         try {
-            script.play(c);
+            script.play(connection);
         } catch (Exception e) {
-            // the test looks at what ran
+            // the test checks the attempts that ran
         }
     }
 
-    /** A complete answer to the try with this id. */
-    static String answer(int status, String tryId, String more, String body) {
-        return "HTTP/1.1 " + status + " Said\r\n" + (tryId == null ? "" : "Try: " + tryId + "\r\n") + more
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    /** Returns a complete response to this attempt; without the attempt header where {@code attemptId} is null. */
+    static String response(int status, String attemptId, String extraHeaders, String body) {
+        return "HTTP/1.1 " + status + " Said\r\n" + (attemptId == null ? "" : "Try: " + attemptId + "\r\n")
+                + extraHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A complete success with its stamp. */
-    static String success(String tryId) {
-        return answer(200, tryId, "Stamp: s-" + tryId + "\r\n", "body of " + tryId);
+    /** Returns a complete success with a stamp and a body that name the attempt. */
+    static String successResponse(String attemptId) {
+        return response(200, attemptId, "Stamp: s-" + attemptId + "\r\n", "body of " + attemptId);
     }
 
-    /** A success that lacks its last bytes. */
-    static String shortened(String tryId) {
-        var whole = success(tryId);
-        return whole.substring(0, whole.length() - 3);
+    /** Returns a success that lacks the last three bytes of its body. */
+    static String truncatedSuccessResponse(String attemptId) {
+        var complete = successResponse(attemptId);
+        return complete.substring(0, complete.length() - 3);
     }
 
-    /** Head of an event stream for the try with this id. */
-    static String streamHead(String tryId) {
-        return "HTTP/1.1 200 OK\r\nTry: " + tryId + "\r\nStamp: s-" + tryId
+    /** Returns the head of a chunked event stream for this attempt. */
+    static String streamResponseHead(String attemptId) {
+        return "HTTP/1.1 200 OK\r\nTry: " + attemptId + "\r\nStamp: s-" + attemptId
                 + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
-    static String chunk(String s) {
-        return Integer.toHexString(s.length()) + "\r\n" + s + "\r\n";
+    /** Returns one chunk with this data. */
+    static String chunk(String data) {
+        return Integer.toHexString(data.length()) + "\r\n" + data + "\r\n";
     }
 
     @Override
     public void close() throws IOException {
-        closed.countDown();
-        server.close();
-        for (var s : sockets) s.close();
+        closedLatch.countDown();
+        listener.close();
+        for (var socket : sockets) socket.close();
     }
 }
--- a/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
@@ -12,140 +12,156 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A runner breaks off between the events of a stream: one that may run once, and one that may resume. */
+/** A runner breaks a stream off after its first event: for a stream that may run only once, and for a resumable one. */
 class StreamFaultTest {
-    private static final String ONE = "id: 1\ndata: a\n\n";
-    private static final String TWO = "id: 2\ndata: b\n\n";
-    private static final String THREE = "id: 3\ndata: c\n\n";
-    private static final String END = "0\r\n\r\n";
+    private static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
+    private static final String SECOND_EVENT = "id: 2\ndata: b\n\n";
+    private static final String THIRD_EVENT = "id: 3\ndata: c\n\n";
+    private static final String LAST_CHUNK = "0\r\n\r\n";
 
     /** What the first runner does once its first event has reached the client. */
-    enum Break {
-        RESET(c -> c.reset()),
-        CLOSE(c -> c.close()),
-        HALF_CLOSE(c -> {
-            c.halfClose();
-            c.untilClosed();
+    enum StreamBreak {
+        RESET(connection -> connection.reset()),
+        CLOSE(connection -> connection.close()),
+        HALF_CLOSE(connection -> {
+            connection.halfClose();
+            connection.awaitPeerClose();
         }),
-        PART_OF_AN_EVENT_THEN_RESET(c -> {
-            c.write(ScriptedRunner.chunk("id: 2\nda"));
-            c.reset();
+        PART_OF_AN_EVENT_THEN_RESET(connection -> {
+            connection.write(ScriptedRunner.chunk("id: 2\nda"));
+            connection.reset();
         }),
-        PART_OF_A_CHUNK_THEN_CLOSE(c -> {
-            c.write("20\r\nid: 2\ndata: ");
-            c.close();
+        PART_OF_A_CHUNK_THEN_CLOSE(connection -> {
+            connection.write("20\r\nid: 2\ndata: ");
+            connection.close();
         }),
-        NO_CHUNK(c -> {
-            c.write("id: 2\ndata: b\n\n");
-            c.untilClosed();
+        EVENT_WITHOUT_CHUNK_HEADER(connection -> {
+            connection.write("id: 2\ndata: b\n\n");
+            connection.awaitPeerClose();
         }),
-        ANOTHER_ANSWER_WITHIN(c -> {
-            c.write(ScriptedRunner.success("another"));
-            c.untilClosed();
+        SECOND_RESPONSE_WITHIN_STREAM(connection -> {
+            connection.write(ScriptedRunner.successResponse("another"));
+            connection.awaitPeerClose();
         }),
-        SILENCE(ScriptedRunner.Connection::untilClosed);
+        SILENCE(ScriptedRunner.Connection::awaitPeerClose);
 
-        private final ScriptedRunner.Script play;
+        private final ScriptedRunner.Script script;
 
-        Break(ScriptedRunner.Script play) {
-            this.play = play;
+        StreamBreak(ScriptedRunner.Script play) {
+            this.script = play;
         }
     }
 
-    /** How the second runner answers a request that goes on from the first event. */
-    enum GoingOn {
-        WHOLE(true, ScriptedRunner.streamHead("t1") + ScriptedRunner.chunk(TWO) + ScriptedRunner.chunk(THREE) + END),
-        NOTHING_LEFT(true, ScriptedRunner.streamHead("t1") + END),
-        FAILURE(false, ScriptedRunner.answer(500, "t1", "Stamp: s\r\n", "failed")),
-        NOT_RUN(false, ScriptedRunner.answer(503, "t1", "Not-Run: 1\r\n", "")),
-        OF_ANOTHER_REQUEST(false, ScriptedRunner.streamHead("another") + ScriptedRunner.chunk(TWO) + END),
-        NO_STREAM(false, ScriptedRunner.success("t1")),
-        ENCODED(
+    /** How the second runner responds to a request to resume after the first event. */
+    enum ResumeResponse {
+        REMAINING_EVENTS(
+                true,
+                ScriptedRunner.streamResponseHead("t1")
+                        + ScriptedRunner.chunk(SECOND_EVENT)
+                        + ScriptedRunner.chunk(THIRD_EVENT)
+                        + LAST_CHUNK),
+        NO_EVENTS(true, ScriptedRunner.streamResponseHead("t1") + LAST_CHUNK),
+        FAILURE(false, ScriptedRunner.response(500, "t1", "Stamp: s\r\n", "failed")),
+        NOT_RUN(false, ScriptedRunner.response(503, "t1", "Not-Run: 1\r\n", "")),
+        WRONG_ATTEMPT_ID(
+                false, ScriptedRunner.streamResponseHead("another") + ScriptedRunner.chunk(SECOND_EVENT) + LAST_CHUNK),
+        NOT_A_STREAM(false, ScriptedRunner.successResponse("t1")),
+        CONTENT_ENCODING(
                 false,
-                ScriptedRunner.streamHead("t1").replace("Stamp", "Content-Encoding: gzip\r\nStamp")
-                        + ScriptedRunner.chunk(TWO)
-                        + END),
-        FROM_THE_START(
+                ScriptedRunner.streamResponseHead("t1").replace("Stamp", "Content-Encoding: gzip\r\nStamp")
+                        + ScriptedRunner.chunk(SECOND_EVENT)
+                        + LAST_CHUNK),
+        ALL_EVENTS(
                 false,
-                ScriptedRunner.streamHead("t1")
-                        + ScriptedRunner.chunk(ONE)
-                        + ScriptedRunner.chunk(TWO)
-                        + ScriptedRunner.chunk(THREE)
-                        + END),
-        FROM_THE_START_IN_ONE_CHUNK(
-                false, ScriptedRunner.streamHead("t1") + ScriptedRunner.chunk(ONE + TWO + THREE) + END);
+                ScriptedRunner.streamResponseHead("t1")
+                        + ScriptedRunner.chunk(FIRST_EVENT)
+                        + ScriptedRunner.chunk(SECOND_EVENT)
+                        + ScriptedRunner.chunk(THIRD_EVENT)
+                        + LAST_CHUNK),
+        ALL_EVENTS_IN_ONE_CHUNK(
+                false,
+                ScriptedRunner.streamResponseHead("t1")
+                        + ScriptedRunner.chunk(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT)
+                        + LAST_CHUNK);
 
-        private final boolean whole;
-        private final String answer;
+        private final boolean accepted;
+        private final String response;
 
-        GoingOn(boolean whole, String answer) {
-            this.whole = whole;
-            this.answer = answer;
+        ResumeResponse(boolean accepted, String response) {
+            this.accepted = accepted;
+            this.response = response;
         }
     }
 
-    private record Got(Bed.Answer answer, long runs, List<String> resumedAfter) {}
+    private record StreamResult(ProxyFixture.Response response, long runCount, List<String> lastEventIds) {}
 
-    private static Got play(String path, int deadline, Break how, String second) throws Exception {
-        var first = new CountDownLatch(1);
-        var number = new AtomicInteger();
-        var resumed = new java.util.concurrent.CopyOnWriteArrayList<String>();
-        try (var bed = new Bed()) {
-            ScriptedRunner.Script script = c -> {
-                if (number.getAndIncrement() == 0) {
-                    c.write(ScriptedRunner.streamHead(c.run()) + ScriptedRunner.chunk(ONE));
-                    first.await();
-                    if (how == Break.SILENCE) bed.advanceWithin(700_000);
-                    how.play.play(c);
+    private static StreamResult requestWithBrokenStream(
+            String path, int deadlineMillis, StreamBreak streamBreak, String secondResponse) throws Exception {
+        var firstEventAtClient = new CountDownLatch(1);
+        var connectionCount = new AtomicInteger();
+        var lastEventIds = new java.util.concurrent.CopyOnWriteArrayList<String>();
+        try (var fixture = new ProxyFixture()) {
+            ScriptedRunner.Script connectionScript = connection -> {
+                if (connectionCount.getAndIncrement() == 0) {
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                            + ScriptedRunner.chunk(FIRST_EVENT));
+                    firstEventAtClient.await();
+                    if (streamBreak == StreamBreak.SILENCE) fixture.advanceClock(700_000);
+                    streamBreak.script.play(connection);
                 } else {
-                    c.run();
-                    resumed.add(c.header("Last-Event-Id"));
-                    c.write(second);
-                    c.untilClosed();
+                    connection.runNextRequest();
+                    lastEventIds.add(connection.header("Last-Event-Id"));
+                    connection.write(secondResponse);
+                    connection.awaitPeerClose();
                 }
             };
-            try (var one = new ScriptedRunner(script);
-                    var two = new ScriptedRunner(script);
-                    var client = bed.connect()) {
-                bed.runner("i1", one.address(), "a", Rows.Runner.UP);
-                bed.runner("i2", two.address(), "a", Rows.Runner.UP);
+            try (var firstRunner = new ScriptedRunner(connectionScript);
+                    var secondRunner = new ScriptedRunner(connectionScript);
+                    var client = fixture.connect()) {
+                fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+                fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
                 client.getOutputStream()
-                        .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: " + deadline
-                                        + "\r\nContent-Length: 0\r\n\r\n")
+                        .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: "
+                                        + deadlineMillis + "\r\nContent-Length: 0\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
-                var a = Bed.answer(new Until(client.getInputStream(), ONE, first));
-                return new Got(a, one.ran.size() + two.ran.size(), resumed);
+                var response = ProxyFixture.readResponse(
+                        new TextLatchInputStream(client.getInputStream(), FIRST_EVENT, firstEventAtClient));
+                return new StreamResult(
+                        response, firstRunner.ranAttemptIds.size() + secondRunner.ranAttemptIds.size(), lastEventIds);
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void onceOnlyIsCutAndLooksCut(Break how) throws Exception {
-        var got = play("/stream/x", how == Break.SILENCE ? 300 : 4_000, how, "");
-        assertEquals(200, got.answer.status());
-        assertFalse(got.answer.whole());
-        assertTrue((ONE + TWO).startsWith(got.answer.text()), got.answer.text());
-        assertEquals(1, got.runs);
+    void onceOnlyStreamIsVisiblyTruncated(StreamBreak streamBreak) throws Exception {
+        var result =
+                requestWithBrokenStream("/stream/x", streamBreak == StreamBreak.SILENCE ? 300 : 4_000, streamBreak, "");
+        assertEquals(200, result.response.status());
+        assertFalse(result.response.complete());
+        assertTrue((FIRST_EVENT + SECOND_EVENT).startsWith(result.response.bodyText()), result.response.bodyText());
+        assertEquals(1, result.runCount);
     }
 
     @ParameterizedTest
     @EnumSource
-    void resumableGoesOnAfterTheLastWholeEvent(Break how) throws Exception {
-        var got = play("/resume/x", 4_000, how, GoingOn.WHOLE.answer);
-        assertTrue(got.answer.whole());
-        assertEquals(ONE + TWO + THREE, got.answer.text());
-        assertEquals("s-t1", got.answer.headers().get("Stamp"));
-        assertEquals(List.of("1"), got.resumedAfter);
-        assertEquals(2, got.runs);
+    void resumableStreamContinuesAfterLastCompleteEvent(StreamBreak streamBreak) throws Exception {
+        var result = requestWithBrokenStream("/resume/x", 4_000, streamBreak, ResumeResponse.REMAINING_EVENTS.response);
+        assertTrue(result.response.complete());
+        assertEquals(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT, result.response.bodyText());
+        assertEquals("s-t1", result.response.headers().get("Stamp"));
+        assertEquals(List.of("1"), result.lastEventIds);
+        assertEquals(2, result.runCount);
     }
 
     @ParameterizedTest
     @EnumSource
-    void whatTheSecondRunnerAnswersIsJoinedOrCut(GoingOn second) throws Exception {
-        var got = play("/resume/x", 4_000, Break.RESET, second.answer);
-        assertEquals(second.whole, got.answer.whole(), got.answer.text());
-        assertTrue((ONE + TWO + THREE).startsWith(got.answer.text()), got.answer.text());
-        assertEquals(2, got.runs);
+    void secondRunnersResponseIsJoinedOrStreamTruncated(ResumeResponse secondResponse) throws Exception {
+        var result = requestWithBrokenStream("/resume/x", 4_000, StreamBreak.RESET, secondResponse.response);
+        assertEquals(secondResponse.accepted, result.response.complete(), result.response.bodyText());
+        assertTrue(
+                (FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(result.response.bodyText()),
+                result.response.bodyText());
+        assertEquals(2, result.runCount);
     }
 }
--- a/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
@@ -18,154 +18,168 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many streams at once, of random events, whose runs break off at random bytes in random ways, before clients that read
- * slowly or leave. What a client got is always the begin of its stream, and all of it where it looks whole.
+ * Many concurrent streams of random events whose runs break off at random bytes in random ways, some of them with clients that
+ * read slowly. What a client receives is always a prefix of its stream, and the whole stream if the response is complete.
  */
 class StreamFuzzTest {
-    private static final int STREAMS = 40;
-    private static final int LANES = 8;
-    private static final int MOST_EVENTS = 40;
-    private static final int LARGE = 30_000;
-    private static final int SMALL = 50;
-    private static final int SMALL_WINDOW = 4_096;
-
-    /** How a run ends behind the byte at which it breaks off. */
-    private enum Break {
+    private static final int STREAM_COUNT = 40;
+    private static final int THREAD_COUNT = 8;
+    private static final int MAX_EVENTS = 40;
+    private static final int LARGE_EVENT_CHARS = 30_000;
+    private static final int SMALL_EVENT_CHARS = 50;
+    private static final int SMALL_RECEIVE_BUFFER_BYTES = 4_096;
+
+    /** What a runner does after the last byte of a run that it breaks off. */
+    private enum StreamBreak {
         CLOSE,
         RESET,
         HALF_CLOSE,
         GARBAGE
     }
 
-    /** All that a seed decides of one stream. */
-    private static final class Plan {
-        final String tryId;
+    /** Everything that a seed determines about one stream. */
+    private static final class StreamPlan {
+        final String attemptId;
         final List<String> events = new ArrayList<>();
-        final boolean framed;
-        final boolean slowClient;
+        final boolean chunked;
+        final boolean hasSlowClient;
         private final Random random;
 
-        Plan(long seed) {
+        StreamPlan(long seed) {
             random = new Random(seed);
-            tryId = "t" + seed;
-            framed = random.nextInt(4) > 0;
-            slowClient = random.nextInt(3) == 0;
-            var most = random.nextInt(4) == 0 ? LARGE : SMALL;
-            for (var i = 0; i < 1 + random.nextInt(MOST_EVENTS); i++)
-                events.add("id: " + i + "\ndata: " + "x".repeat(random.nextInt(most)) + "\n\n");
+            attemptId = "t" + seed;
+            chunked = random.nextInt(4) > 0;
+            hasSlowClient = random.nextInt(3) == 0;
+            var maxEventChars = random.nextInt(4) == 0 ? LARGE_EVENT_CHARS : SMALL_EVENT_CHARS;
+            for (var i = 0; i < 1 + random.nextInt(MAX_EVENTS); i++)
+                events.add("id: " + i + "\ndata: " + "x".repeat(random.nextInt(maxEventChars)) + "\n\n");
         }
 
-        String whole() {
+        String allEvents() {
             return String.join("", events);
         }
 
-        String after(String lastId) {
+        String eventsAfter(String lastId) {
             var from = lastId.isEmpty() ? 0 : Integer.parseInt(lastId) + 1;
             return String.join("", events.subList(from, events.size()));
         }
     }
 
-    private static void run(ScriptedRunner.Connection c, int breaksLeft) throws Exception {
-        var plan = new Plan(Long.parseLong(c.header("Try").substring(1)));
+    private static void playRun(ScriptedRunner.Connection connection, int breaksLeft) throws Exception {
+        var plan = new StreamPlan(Long.parseLong(connection.header("Try").substring(1)));
         var random = new Random(plan.random.nextLong() + breaksLeft);
-        var left = plan.after(c.header("Last-Event-Id"));
-        var breaks = breaksLeft > 0 && !left.isEmpty();
-        var head = ScriptedRunner.streamHead(plan.tryId);
-        c.write(plan.framed ? head : head.replace("Transfer-Encoding: chunked", "Connection: close"));
-        write(c, plan, breaks ? left.substring(0, random.nextInt(left.length())) : left, random);
-        if (breaks) breakOff(c, plan, random);
-        else if (plan.framed) c.write("0\r\n\r\n");
-        else c.close();
+        var remaining = plan.eventsAfter(connection.header("Last-Event-Id"));
+        var breaksOff = breaksLeft > 0 && !remaining.isEmpty();
+        var head = ScriptedRunner.streamResponseHead(plan.attemptId);
+        connection.write(plan.chunked ? head : head.replace("Transfer-Encoding: chunked", "Connection: close"));
+        writeInPieces(
+                connection,
+                plan,
+                breaksOff ? remaining.substring(0, random.nextInt(remaining.length())) : remaining,
+                random);
+        if (breaksOff) breakOff(connection, plan, random);
+        else if (plan.chunked) connection.write("0\r\n\r\n");
+        else connection.close();
     }
 
-    private static void write(ScriptedRunner.Connection c, Plan plan, String text, Random random) throws IOException {
-        for (var at = 0; at < text.length(); ) {
-            var n = Math.min(text.length() - at, 1 + random.nextInt(Math.max(200, text.length() / 3)));
-            var piece = text.substring(at, at + n);
-            c.write(plan.framed ? ScriptedRunner.chunk(piece) : piece);
-            at += n;
+    private static void writeInPieces(
+            ScriptedRunner.Connection connection, StreamPlan plan, String events, Random random) throws IOException {
+        for (var offset = 0; offset < events.length(); ) {
+            var length = Math.min(events.length() - offset, 1 + random.nextInt(Math.max(200, events.length() / 3)));
+            var piece = events.substring(offset, offset + length);
+            connection.write(plan.chunked ? ScriptedRunner.chunk(piece) : piece);
+            offset += length;
         }
     }
 
-    /** A close between the events of a run without a length is its end, so that such a run is reset. */
-    private static void breakOff(ScriptedRunner.Connection c, Plan plan, Random random) throws IOException {
-        switch (plan.framed ? Break.values()[random.nextInt(Break.values().length)] : Break.RESET) {
-            case CLOSE -> c.close();
-            case RESET -> c.reset();
+    /** Breaks the run off. A plain close would be a valid end of a run without chunks, so such a run is reset. */
+    private static void breakOff(ScriptedRunner.Connection connection, StreamPlan plan, Random random)
+            throws IOException {
+        switch (plan.chunked ? StreamBreak.values()[random.nextInt(StreamBreak.values().length)] : StreamBreak.RESET) {
+            case CLOSE -> connection.close();
+            case RESET -> connection.reset();
             case HALF_CLOSE -> {
-                c.halfClose();
-                c.untilClosed();
+                connection.halfClose();
+                connection.awaitPeerClose();
             }
             case GARBAGE -> {
-                c.write("no chunk");
-                c.untilClosed();
+                connection.write("no chunk");
+                connection.awaitPeerClose();
             }
         }
     }
 
-    private static Bed.Answer ask(Bed bed, String path, Plan plan) throws Exception {
-        try (var s = new Socket()) {
-            if (plan.slowClient) s.setReceiveBufferSize(SMALL_WINDOW);
-            bed.connect(s);
-            Bed.send(s, path, plan.tryId, "", "");
-            return Bed.answer(plan.slowClient ? new Slow(s.getInputStream()) : s.getInputStream());
+    private static ProxyFixture.Response request(ProxyFixture fixture, String path, StreamPlan plan) throws Exception {
+        try (var client = new Socket()) {
+            if (plan.hasSlowClient) client.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
+            fixture.connect(client);
+            ProxyFixture.sendPost(client, path, plan.attemptId, "", "");
+            return ProxyFixture.readResponse(
+                    plan.hasSlowClient ? new SlowInputStream(client.getInputStream()) : client.getInputStream());
         }
     }
 
-    /** Lets others run between reads of a few bytes. */
-    private static final class Slow extends java.io.FilterInputStream {
-        private static final int FEW = 512;
+    /** Reads at most a few hundred bytes at a time and yields to other threads between reads. */
+    private static final class SlowInputStream extends java.io.FilterInputStream {
+        private static final int MAX_BYTES_PER_READ = 512;
 
-        Slow(InputStream in) {
+        SlowInputStream(InputStream in) {
             super(in);
         }
 
         @Override
-        public int read(byte[] b, int from, int n) throws IOException {
+        public int read(byte[] buffer, int offset, int length) throws IOException {
             Thread.yield();
-            return super.read(b, from, Math.min(n, FEW));
+            return super.read(buffer, offset, Math.min(length, MAX_BYTES_PER_READ));
         }
     }
 
     @ParameterizedTest
     @CsvSource({"/stream/x,0,1", "/stream/x,1,2", "/resume/x,0,3", "/resume/x,1,4", "/resume/x,2,5", "/resume/x,1,6"})
-    void whatAClientGetsIsTheBeginOfItsStream(String path, int breaks, int seed) throws Exception {
+    void clientReceivesPrefixOfItsStream(String path, int breaksPerStream, int seed) throws Exception {
         var runs = new java.util.concurrent.ConcurrentHashMap<String, AtomicInteger>();
-        ScriptedRunner.Script script = c -> {
-            for (var id = c.run(); id != null; id = c.run()) {
-                var n = runs.computeIfAbsent(id, k -> new AtomicInteger()).getAndIncrement();
-                run(c, breaks - n);
+        ScriptedRunner.Script script = connection -> {
+            for (var attemptId = connection.runNextRequest();
+                    attemptId != null;
+                    attemptId = connection.runNextRequest()) {
+                var earlierRuns = runs.computeIfAbsent(attemptId, k -> new AtomicInteger())
+                        .getAndIncrement();
+                playRun(connection, breaksPerStream - earlierRuns);
             }
         };
-        var lanes = Executors.newFixedThreadPool(LANES);
-        try (var bed = new Bed();
-                var one = new ScriptedRunner(script);
-                var two = new ScriptedRunner(script);
-                var three = new ScriptedRunner(script)) {
-            bed.stopClock(); // no runner counts as silent on a busy machine
-            bed.runner("i1", one.address(), "a", Rows.Runner.UP);
-            bed.runner("i2", two.address(), "a", Rows.Runner.UP);
-            bed.runner("i3", three.address(), "a", Rows.Runner.UP);
-            var all = new ArrayList<Callable<Void>>();
-            for (var i = 0; i < STREAMS; i++) {
-                var plan = new Plan(seed * 1_000L + i);
-                all.add(() -> {
-                    check(plan, ask(bed, path, plan), breaks);
+        var executor = Executors.newFixedThreadPool(THREAD_COUNT);
+        try (var fixture = new ProxyFixture();
+                var firstRunner = new ScriptedRunner(script);
+                var secondRunner = new ScriptedRunner(script);
+                var thirdRunner = new ScriptedRunner(script)) {
+            fixture.stopClock(); // otherwise a runner could count as silent on a busy machine
+            fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+            fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+            fixture.putRunner("i3", thirdRunner.address(), "a", Rows.Runner.UP);
+            var tasks = new ArrayList<Callable<Void>>();
+            for (var i = 0; i < STREAM_COUNT; i++) {
+                var plan = new StreamPlan(seed * 1_000L + i);
+                tasks.add(() -> {
+                    checkResponse(plan, request(fixture, path, plan), breaksPerStream);
                     return null;
                 });
             }
-            for (var f : lanes.invokeAll(all)) f.get();
-            for (var n : runs.values()) assertTrue(n.get() <= (path.startsWith("/resume") ? 2 : 1), "runs " + n);
+            for (var future : executor.invokeAll(tasks)) future.get();
+            for (var runCount : runs.values())
+                assertTrue(runCount.get() <= (path.startsWith("/resume") ? 2 : 1), "runs " + runCount);
         } finally {
-            lanes.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    private static void check(Plan plan, Bed.Answer a, int breaks) {
-        var whole = plan.whole();
-        assertEquals(200, a.status(), plan.tryId);
-        assertTrue(whole.startsWith(a.text()), plan.tryId + " got what is no begin of its stream");
-        if (a.whole()) assertEquals(whole.length(), new String(a.body(), StandardCharsets.ISO_8859_1).length());
-        if (breaks == 0) assertTrue(a.whole(), plan.tryId);
+    private static void checkResponse(StreamPlan plan, ProxyFixture.Response response, int breaksPerStream) {
+        var allEvents = plan.allEvents();
+        assertEquals(200, response.status(), plan.attemptId);
+        assertTrue(
+                allEvents.startsWith(response.bodyText()),
+                plan.attemptId + " received something other than a prefix of its stream");
+        if (response.complete())
+            assertEquals(allEvents.length(), new String(response.body(), StandardCharsets.ISO_8859_1).length());
+        if (breaksPerStream == 0) assertTrue(response.complete(), plan.attemptId);
     }
 }
--- /dev/null
+++ b/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
@@ -0,0 +1,38 @@
+package craneway.pass;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import craneway.state.record.Rows;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * Guards against a router that never sweeps its open requests and idle connections, because each of a series of short requests
+ * puts the next sweep off.
+ */
+class SweepUnderLoadTest {
+    private static final int EXPECTED_SWEEPS = 3;
+
+    @Test
+    @Timeout(value = 30, unit = TimeUnit.SECONDS)
+    void consecutiveShortRequestsDoNotDelaySweeps() throws Exception {
+        ScriptedRunner.Script script = connection -> {
+            for (var attemptId = connection.runNextRequest();
+                    attemptId != null;
+                    attemptId = connection.runNextRequest())
+                connection.write(ScriptedRunner.successResponse(attemptId));
+        };
+        try (var fixture = new ProxyFixture();
+                var runner = new ScriptedRunner(script);
+                var client = fixture.connect()) {
+            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            var lastSweep = fixture.server.sweepCount() + EXPECTED_SWEEPS;
+            for (var i = 0; fixture.server.sweepCount() < lastSweep; i++) {
+                ProxyFixture.sendPost(client, "/again/x", "t" + i, "", "");
+                assertEquals(
+                        200, ProxyFixture.readResponse(client.getInputStream()).status());
+            }
+        }
+    }
+}
