--- a/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
+++ b/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
@@ -71,10 +71,13 @@
         assertTrue(receivedDeadlinesMillis.get(0) <= 5_000, receivedDeadlinesMillis.toString());
     }
 
-    /** The runner responds after the head and reads the body only later: it must receive that body and no bytes of the next request. */
+    /**
+     * The runner responds after the request head and reads the body only later. What it reads must belong to that body,
+     * not to the next request.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void bodyOfEarlyAnsweredRequestIsNotMixedIntoNextRequest(boolean declines) throws Exception {
+    void bodyOfEarlyRejectedOrServedRequestIsNotMixedIntoNextRequest(boolean declines) throws Exception {
         var bodies = new CopyOnWriteArrayList<String>();
         var firstResponseRead = new CountDownLatch(1);
         ScriptedRunner.Script script = connection -> {
--- a/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The manifest's limits on a client's connection: 15 s idle and 3 s for a request head. The clock is advanced, not waited for. */
+/**
+ * The manifest's limits on a client's connection: 15 s idle and 3 s for a request head. The clock is advanced, not
+ * waited for.
+ */
 class ClientConnectionLimitTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long CLOCK_STEP_MICROS = 1_400_000;
--- a/test/pass/src/test/java/craneway/pass/ClientConnectionTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Client connections: pipelining, split requests, half-closes, incomplete and smuggled requests, and what runs for them. */
+/**
+ * Client connections: pipelining, split requests, half-closes, incomplete and smuggled requests, and what runs for
+ * them.
+ */
 class ClientConnectionTest {
     private ProxyFixture fixture;
     private FakeRunner runner;
--- a/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client disconnects: its run is cancelled within half a second and not retried, unless the request may run only once. */
+/**
+ * A client disconnects: unless its request may run only once, the run is cancelled within half a second and not
+ * retried.
+ */
 class ClientDisconnectTest {
     private static final int CANCEL_TIMEOUT_MILLIS = 500;
     private static final int PROCESSING_STATUS = 102;
@@ -30,8 +33,8 @@
         client.getOutputStream().flush();
     }
 
-    private static void disconnect(Socket client, String how) throws IOException {
-        if (how.equals("reset")) client.setSoLinger(true, 0);
+    private static void disconnect(Socket client, String howItEnds) throws IOException {
+        if (howItEnds.equals("reset")) client.setSoLinger(true, 0);
         client.close();
     }
 
@@ -44,7 +47,7 @@
         "/resume/x,close",
         "/resume/x,reset"
     })
-    void disconnectBeforeResponseCancelsRun(String path, String how) throws Exception {
+    void disconnectBeforeResponseCancelsRun(String path, String howItEnds) throws Exception {
         var requestRan = new CountDownLatch(1);
         var connectionEnded = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
@@ -58,7 +61,7 @@
             try (var client = fixture.connect()) {
                 send(client, request(path));
                 requestRan.await();
-                disconnect(client, how);
+                disconnect(client, howItEnds);
                 assertTrue(connectionEnded.await(CANCEL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             }
             assertEquals(1, runner.ranAttemptIds.size());
@@ -67,7 +70,7 @@
 
     @ParameterizedTest
     @CsvSource({"/stream/x,close", "/stream/x,reset", "/resume/x,close", "/resume/x,reset"})
-    void disconnectDuringStreamCancelsRun(String path, String how) throws Exception {
+    void disconnectDuringStreamCancelsRun(String path, String howItEnds) throws Exception {
         var firstEventAtClient = new CountDownLatch(1);
         var clientGone = new CountDownLatch(1);
         var connectionEnded = new CountDownLatch(1);
@@ -85,7 +88,7 @@
                 send(client, request(path));
                 var in = new TextLatchInputStream(client.getInputStream(), FIRST_EVENT, firstEventAtClient);
                 while (firstEventAtClient.getCount() > 0) in.read();
-                disconnect(client, how);
+                disconnect(client, howItEnds);
                 clientGone.countDown();
                 assertTrue(connectionEnded.await(CANCEL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             }
@@ -95,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
-    void onceOnlyRunCompletesAfterClientDisconnects(String how) throws Exception {
+    void onceOnlyRunCompletesAfterClientDisconnects(String howItEnds) throws Exception {
         var requestRan = new CountDownLatch(1);
         var responseDue = new CountDownLatch(1);
         var responseWritten = new CountDownLatch(1);
@@ -111,7 +114,7 @@
             try (var client = fixture.connect()) {
                 send(client, request("/once/x"));
                 requestRan.await();
-                disconnect(client, how);
+                disconnect(client, howItEnds);
             }
             var sweepsBefore = fixture.server.sweepCount();
             while (fixture.server.sweepCount() < sweepsBefore + 2) Thread.yield();
--- a/test/pass/src/test/java/craneway/pass/FakeRunner.java
+++ b/test/pass/src/test/java/craneway/pass/FakeRunner.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A runner that reads whole requests and answers each by a script, byte by byte where a test wants it. Connections are
- * served by threads of their own; {@link ScriptedRunner} is for tests that script a whole connection.
+ * A runner that reads complete requests and responds to each by a script, byte by byte where a test wants it. Each
+ * connection is served by a thread of its own; {@link ScriptedRunner} is for tests that script a whole connection.
  */
 final class FakeRunner implements AutoCloseable {
     /** A request as the runner received it, and the connection to respond on. */
--- a/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An unexpected exception in the router while it forwards a runner's bytes. The piece being forwarded is lost, so the response
- * must be visibly truncated there: it must not continue after the gap, nor promise that the request has not run.
+ * An unexpected exception in the router while it forwards a runner's bytes. The piece being forwarded is lost, so the
+ * response must be visibly truncated there: it must not continue after the gap, nor promise that the request has not
+ * run.
  */
 class InternalFaultTest {
     private static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
@@ -61,7 +62,10 @@
         }
     }
 
-    /** An exception before any byte of the response is sent: the client gets a 502, which does not promise that nothing ran. */
+    /**
+     * An exception before any byte of the response is sent: the client gets a 502, which does not promise that nothing
+     * ran.
+     */
     @ParameterizedTest
     @CsvSource({"/stream/x", "/once/x"})
     void exceptionBeforeResponseYieldsBadGateway(String path) throws Exception {
--- a/test/pass/src/test/java/craneway/pass/NotRunPromiseTest.java
+++ b/test/pass/src/test/java/craneway/pass/NotRunPromiseTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards against a response that promises a once-only request has not run although it has, which would make the client send it
- * again. Tries every sequence of what three runners can do with the request.
+ * Guards against a response that promises a once-only request has not run although it has, which would make the client
+ * send it again. Tries every sequence of what three runners can do with the request.
  */
 class NotRunPromiseTest {
     private static final List<Integer> NOT_RUN_STATUSES = List.of(408, 421, 429, 503);
@@ -44,13 +44,13 @@
             connection.runNextRequest();
             connection.reset();
         }),
-        RUNS_AND_ANSWERS_503(connection ->
+        RUNS_AND_RESPONDS_503(connection ->
                 connection.write(ScriptedRunner.response(503, connection.runNextRequest(), "Stamp: s\r\n", "failed")));
 
         private final ScriptedRunner.Script script;
 
-        Behaviour(ScriptedRunner.Script play) {
-            this.script = play;
+        Behaviour(ScriptedRunner.Script script) {
+            this.script = script;
         }
 
         private boolean runsRequest() {
@@ -114,19 +114,19 @@
         }
     }
 
-    private static void checkResponse(List<Behaviour> sequence, ProxyFixture.Response response, int runs) {
-        assertTrue(runs <= 1, "ran " + runs + " times");
+    private static void checkResponse(List<Behaviour> sequence, ProxyFixture.Response response, int runCount) {
+        assertTrue(runCount <= 1, "ran " + runCount + " times");
         if (NOT_RUN_STATUSES.contains(response.status()))
-            assertEquals(0, runs, "status promises that the request has not run, although it has");
+            assertEquals(0, runCount, "status promises that the request has not run, although it has");
         var hasShortDeadline = sequence.contains(Behaviour.RUNS_AND_IS_SILENT);
         if (response.status() == 504) assertTrue(hasShortDeadline, response.bodyText());
         // on a busy machine the short deadline may pass before any runner has received the request
-        if (hasShortDeadline && (runs == 0 || response.status() == 504)) return;
+        if (hasShortDeadline && (runCount == 0 || response.status() == 504)) return;
         assertEquals(
                 sequence.stream().anyMatch(Behaviour::runsRequest),
-                runs == 1,
+                runCount == 1,
                 response.status() + " " + response.bodyText());
-        assertEquals(runs == 0, response.status() == 503, response.status() + " " + response.bodyText());
+        assertEquals(runCount == 0, response.status() == 503, response.status() + " " + response.bodyText());
         if (response.status() == 503)
             assertTrue(Double.parseDouble(response.headers().get("Retry-After")) > 0);
     }
--- a/test/pass/src/test/java/craneway/pass/PlannedFault.java
+++ b/test/pass/src/test/java/craneway/pass/PlannedFault.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An exception that is thrown once, from a hook in code that the class under test calls. It is thrown when the hook is reached
- * with the named class on the call stack, after a given number of earlier such passes.
+ * An exception that is thrown once, from a hook in code that the class under test calls. It is thrown when the hook is
+ * reached with the named class on the call stack, after a given number of earlier such passes.
  */
 final class PlannedFault {
     private final String callerClassName;
--- a/test/pass/src/test/java/craneway/pass/ProxyFixture.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyFixture.java
@@ -26,8 +26,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The HTTP proxy of one router, with a client on raw sockets on one side and scripted runners on the other. A test decides
- * which runners and marks the router knows of, and may move its clock.
+ * The HTTP proxy of one router, with a client on raw sockets on one side and scripted runners on the other. A test
+ * decides which runners and marks the router knows of, and may move its clock.
  */
 final class ProxyFixture implements AutoCloseable {
     static final String MANIFEST =
@@ -104,7 +104,7 @@
                 () -> coreView,
                 nodeSettings,
                 protocolNames(),
-                (Event e, String d) -> loggedEvents.add(e.code() + " " + d),
+                (Event event, String detail) -> loggedEvents.add(event.code() + " " + detail),
                 () -> true,
                 (a, m) -> {});
     }
--- a/test/pass/src/test/java/craneway/pass/ProxyRequestTest.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyRequestTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rules of the proxy for a single request: what is forwarded, what is retried, and which responses reach the client. Each
- * test causes the runner or client failure that a rule is meant for.
+ * The rules of the proxy for a single request: what is forwarded, what is retried, and which responses reach the
+ * client. Each test causes the runner or client failure that a rule is meant for.
  */
 class ProxyRequestTest {
     private static final String NOT_RUN_RESPONSE =
--- a/test/pass/src/test/java/craneway/pass/RandomFaultSequenceTest.java
+++ b/test/pass/src/test/java/craneway/pass/RandomFaultSequenceTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random sequences of runner faults, by seed. Each request may meet a fault of its own at each runner that it reaches, on
- * connections that earlier requests have left open. The checks use only what the client received and what the runners ran:
- * no once-only request runs twice, no attempt limit is exceeded, no status wrongly promises that a request has not run, and
- * no client receives bytes of another response.
+ * Random sequences of runner faults, by seed. Each request may meet a fault of its own at each runner that it reaches,
+ * on connections that earlier requests have left open. The checks use only what the client received and what the
+ * runners ran: no once-only request runs twice, no attempt limit is exceeded, no status wrongly promises that a request
+ * has not run, and no client receives bytes of another response.
  */
 class RandomFaultSequenceTest {
     private static final int SEED_COUNT = 120;
@@ -54,6 +54,7 @@
             String bodyText,
             Map<String, String> headers) {}
 
+    /** The fixture, the faulty runners and the client requests of one seed. */
     private static final class Sequence implements AutoCloseable {
         private final long seed;
         private final ProxyFixture fixture = new ProxyFixture();
@@ -108,10 +109,10 @@
             Socket client = null;
             for (var i = 0; i < REQUESTS_PER_SEED; i++) {
                 if (client == null) client = fixture.connect();
-                var path = ROUTES.get(random.nextInt(ROUTES.size()));
-                var answer = request(client, path, "t" + seed + "-" + i);
-                results.add(answer);
-                if (answer.status == 0 || !answer.complete || random.nextInt(4) == 0) {
+                var route = ROUTES.get(random.nextInt(ROUTES.size()));
+                var result = request(client, route, "t" + seed + "-" + i);
+                results.add(result);
+                if (result.status == 0 || !result.complete || random.nextInt(4) == 0) {
                     client.close();
                     client = null;
                 }
@@ -119,24 +120,24 @@
             if (client != null) client.close();
         }
 
-        private static ClientResult request(Socket client, RouteUnderTest path, String attemptId) {
+        private static ClientResult request(Socket client, RouteUnderTest route, String attemptId) {
             try {
                 var body = "b".repeat(50);
                 client.getOutputStream()
-                        .write(("POST " + path.path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId
+                        .write(("POST " + route.path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId
                                         + "\r\nDeadline: " + DEADLINE_MILLIS + "\r\nContent-Length: " + body.length()
                                         + "\r\n\r\n" + body)
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 var response = ProxyFixture.readResponse(client.getInputStream());
                 return new ClientResult(
                         attemptId,
-                        path,
+                        route,
                         response.status(),
                         response.complete(),
                         response.bodyText(),
                         response.headers());
             } catch (IOException | RuntimeException e) {
-                return new ClientResult(attemptId, path, 0, false, "", Map.of());
+                return new ClientResult(attemptId, route, 0, false, "", Map.of());
             }
         }
 
--- a/test/pass/src/test/java/craneway/pass/ResponseParser.java
+++ b/test/pass/src/test/java/craneway/pass/ResponseParser.java
@@ -28,7 +28,9 @@
         return readResponse(FakeRunner.readLine(in), in);
     }
 
-    /** Reads a final response after any number of "102 Processing" responses, which a half-closed client may receive. */
+    /**
+     * Reads a final response after any number of "102 Processing" responses, which a half-closed client may receive.
+     */
     static ProxyFixture.Response readResponseAfterInterim(InputStream in) throws IOException {
         var line = FakeRunner.readLine(in);
         while (PROCESSING_STATUS_LINE.equals(line)) {
@@ -52,8 +54,8 @@
     }
 
     /**
-     * Reads a body framed as in RFC 9112, section 6.3: by chunks, by a length, or by the end of the connection, which must
-     * not be a reset. Returns whether the body is complete.
+     * Reads a body framed as in RFC 9112, section 6.3: by chunks, by a length, or by the end of the connection, which
+     * must not be a reset. Returns whether the body is complete.
      */
     private static boolean readBody(InputStream in, ByteArrayOutputStream body, Map<String, String> headers)
             throws IOException {
--- a/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Connections to runners that are kept between requests: what a runner sends or does on one of them must neither reach the
- * next request nor make a once-only request run twice.
+ * Connections to runners that are kept between requests: what a runner sends or does on one of them must neither reach
+ * the next request nor make a once-only request run twice.
  */
 class RunnerConnectionReuseTest {
     private ProxyFixture fixture;
@@ -46,15 +46,15 @@
         fixture.putRunner(id, runner.address(), "a", Rows.Runner.UP);
     }
 
-    /** Answers each request of a connection with its own success. */
+    /** Responds to each request of a connection with a success of its own. */
     private static void serveAll(ScriptedRunner.Connection connection) throws Exception {
         for (var attemptId = connection.runNextRequest(); attemptId != null; attemptId = connection.runNextRequest())
             connection.write(ScriptedRunner.successResponse(attemptId));
     }
 
     /**
-     * Returns a runner whose first connection serves one request and writes {@code unexpected} once it has read the head of
-     * the second; all other connections serve normally.
+     * Returns a runner whose first connection serves one request and writes {@code unexpected} once it has read the
+     * head of the second; all other connections serve normally.
      */
     private ScriptedRunner runnerWithUnexpectedResponse(String unexpected) throws Exception {
         return new ScriptedRunner(connection -> {
@@ -125,30 +125,33 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"reset", "close"})
-    void connectionEndedByRunnerWhileIdleIsNotReused(String how) throws Exception {
-        var answered = new CountDownLatch(1);
-        var ended = new CountDownLatch(1);
+    void connectionEndedByRunnerWhileIdleIsNotReused(String howItEnds) throws Exception {
+        var firstResponseRead = new CountDownLatch(1);
+        var connectionEnded = new CountDownLatch(1);
         try (var runner = new ScriptedRunner(connection -> {
             if (connection.index > 0) serveAll(connection);
             connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
-            answered.await();
-            if (how.equals("reset")) {
+            firstResponseRead.await();
+            if (howItEnds.equals("reset")) {
                 connection.reset();
             } else {
                 connection.halfClose();
                 connection.awaitPeerClose();
             }
-            ended.countDown();
+            connectionEnded.countDown();
         })) {
             putRunner("i1", runner);
             assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
-            answered.countDown();
-            ended.await();
+            firstResponseRead.countDown();
+            connectionEnded.await();
             assertEquals("body of t2", request("/again/x", "t2", 4_000).bodyText());
         }
     }
 
-    /** Returns a runner that has dropped its first connection unnoticed after one response: the next byte sent on it gets a reset. */
+    /**
+     * Returns a runner that has dropped its first connection unnoticed after one response: the next byte sent on it
+     * gets a reset.
+     */
     private ScriptedRunner runnerThatDropsIdleConnection() throws Exception {
         return new ScriptedRunner(connection -> {
             if (connection.index > 0) serveAll(connection);
--- a/test/pass/src/test/java/craneway/pass/RunnerFault.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerFault.java
@@ -9,8 +9,8 @@
 import static craneway.pass.RunnerFault.Outcome.TRUNCATED;
 
 /**
- * What the first runner does wrong with the first request, phase by phase, and what the client gets for it: for a request
- * that may run only once, and for one that may be repeated.
+ * What the first runner does wrong with the first request, phase by phase, and what the client gets for it: for a
+ * request that may run only once, and for one that may be repeated.
  */
 enum RunnerFault {
     RESET_AFTER_ACCEPT(TIMING_DEPENDENT, TIMING_DEPENDENT, (connection, context) -> connection.reset()),
@@ -164,17 +164,17 @@
         connection.runNextRequest();
         connection.write(ScriptedRunner.response(500, null, "Stamp: s\r\n", "failed"));
     }),
-    RAN_BUT_ANSWERED_503(
+    RAN_BUT_RESPONDED_503(
             BAD_GATEWAY,
             SERVED_BY_SECOND_RUNNER,
             (connection, context) -> connection.write(
                     ScriptedRunner.response(503, connection.runNextRequest(), "Stamp: s\r\n", "failed"))),
-    RAN_BUT_ANSWERED_429(
+    RAN_BUT_RESPONDED_429(
             BAD_GATEWAY,
             SERVED_BY_SECOND_RUNNER,
             (connection, context) -> connection.write(
                     ScriptedRunner.response(429, connection.runNextRequest(), "Stamp: s\r\n", "failed"))),
-    RAN_BUT_ANSWERED_408(
+    RAN_BUT_RESPONDED_408(
             BAD_GATEWAY,
             SERVED_BY_SECOND_RUNNER,
             (connection, context) -> connection.write(
--- a/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
@@ -125,10 +125,10 @@
         }
     }
 
-    private static void checkInvariants(ProxyFixture.Response response, long runs, boolean runsOnce) {
-        if (runsOnce) assertTrue(runs <= 1, "ran " + runs + " times");
+    private static void checkInvariants(ProxyFixture.Response response, long runCount, boolean runsOnce) {
+        if (runsOnce) assertTrue(runCount <= 1, "ran " + runCount + " times");
         if (NOT_RUN_STATUSES.contains(response.status()))
-            assertEquals(0, runs, "status promises that the request has not run, although it has");
+            assertEquals(0, runCount, "status promises that the request has not run, although it has");
         if (response.status() / 100 == 2 && response.complete()) {
             assertEquals("body of t1", response.bodyText());
             assertEquals("s-t1", response.headers().get("Stamp"));
--- a/test/pass/src/test/java/craneway/pass/RunnerKilledMidResponseTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerKilledMidResponseTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against a truncated response that looks complete: a runner's process is killed within a response without a length,
- * and its kernel closes the connection plainly, just as a live runner does at the end of such a response. The router tells
- * the two apart by whether anything still listens at the runner's address.
+ * Guards against a truncated response that looks complete: a runner's process is killed within a response without a
+ * length, and its kernel closes the connection plainly, just as a live runner does at the end of such a response. The
+ * router tells the two apart by whether anything still listens at the runner's address.
  */
 class RunnerKilledMidResponseTest {
     private static final String FIRST_EVENTS = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
@@ -28,8 +28,8 @@
     };
 
     /**
-     * Sends a request whose first runner writes {@code firstRunnersOutput} and is killed, while a second runner can resume
-     * the stream; stores the number of runs on the second runner in {@code secondRunnersRuns[0]}.
+     * Sends a request whose first runner writes {@code firstRunnersOutput} and is killed, while a second runner can
+     * resume the stream; stores the number of runs on the second runner in {@code secondRunnersRuns[0]}.
      */
     private static ProxyFixture.Response requestWithRunnerKilledAfter(
             String path, String firstRunnersOutput, int[] secondRunnersRuns) throws Exception {
@@ -78,7 +78,10 @@
                 .complete());
     }
 
-    /** The counterpart: a live runner that closes the connection after its last event has sent a complete response. */
+    /**
+     * The counterpart: a live runner that closes the connection after its last event has sent a complete response. The
+     * router uses the connection with which it probed the runner's address again.
+     */
     @Test
     void responseOfLiveRunnerIsComplete() throws Exception {
         ScriptedRunner.Script respondsAndCloses = connection -> {
--- a/test/pass/src/test/java/craneway/pass/RunnerPlacerTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerPlacerTest.java
@@ -214,7 +214,7 @@
                 startsPerSecond[elapsedMillis / 1_000]++;
             }
         }
-        for (var n : startsPerSecond) assertTrue(n <= 9 && n > 0, Arrays.toString(startsPerSecond));
+        for (var starts : startsPerSecond) assertTrue(starts <= 9 && starts > 0, Arrays.toString(startsPerSecond));
     }
 
     @Test
--- a/test/pass/src/test/java/craneway/pass/ScriptedRunner.java
+++ b/test/pass/src/test/java/craneway/pass/ScriptedRunner.java
@@ -13,7 +13,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A runner whose connections a test scripts byte by byte, from accept to close; it records which attempts ran on it. */
+/**
+ * A runner whose connections a test scripts byte by byte, from accept to close; it records which attempts ran on it.
+ */
 final class ScriptedRunner implements AutoCloseable {
     /** Handles one connection from its accept on. */
     interface Script {
@@ -151,8 +153,8 @@
     }
 
     /**
-     * Ends as a killed process does: nothing listens any more, and the kernel closes each connection plainly. Waits for the
-     * accepting thread, since the port stays open until a pending accept has returned.
+     * Ends as a killed process does: nothing listens any more, and the kernel closes each connection plainly. Waits for
+     * the accepting thread, since the port stays open until a pending accept has returned.
      */
     void simulateProcessKill() throws IOException, InterruptedException {
         listener.close();
--- a/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
@@ -47,8 +47,8 @@
 
         private final ScriptedRunner.Script script;
 
-        StreamBreak(ScriptedRunner.Script play) {
-            this.script = play;
+        StreamBreak(ScriptedRunner.Script script) {
+            this.script = script;
         }
     }
 
@@ -93,8 +93,10 @@
         }
     }
 
+    /** The client's response, the number of runs, and the Last-Event-Id header of each run after the first. */
     private record StreamResult(ProxyFixture.Response response, long runCount, List<String> lastEventIds) {}
 
+    /** Requests a stream whose first run breaks off after one event; later runs send {@code secondResponse}. */
     private static StreamResult requestWithBrokenStream(
             String path, int deadlineMillis, StreamBreak streamBreak, String secondResponse) throws Exception {
         var firstEventAtClient = new CountDownLatch(1);
--- a/test/pass/src/test/java/craneway/pass/StreamForwardingTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamForwardingTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Streams through the proxy: events are forwarded as they arrive, a broken stream is visibly truncated, and a resumable one
- * continues on another runner within the same response.
+ * Streams through the proxy: events are forwarded as they arrive, a broken stream is visibly truncated, and a resumable
+ * one continues on another runner within the same response.
  */
 class StreamForwardingTest {
     private ProxyFixture fixture;
--- a/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many concurrent streams of random events whose runs break off at random bytes in random ways, some of them with clients that
- * read slowly. What a client receives is always a prefix of its stream, and the whole stream if the response is complete.
+ * Many concurrent streams of random events whose runs break off at random bytes in random ways, some of them with
+ * clients that read slowly. What a client receives is always a prefix of its stream, and the whole stream if the
+ * response is complete.
  */
 class StreamFuzzTest {
     private static final int STREAM_COUNT = 40;
@@ -65,6 +66,7 @@
         }
     }
 
+    /** Plays one run of the stream that the attempt id names, and breaks it off if breaks are left. */
     private static void playRun(ScriptedRunner.Connection connection, int breaksLeft) throws Exception {
         var plan = new StreamPlan(Long.parseLong(connection.header("Try").substring(1)));
         var random = new Random(plan.random.nextLong() + breaksLeft);
@@ -137,12 +139,13 @@
     @ParameterizedTest
     @CsvSource({"/stream/x,0,1", "/stream/x,1,2", "/resume/x,0,3", "/resume/x,1,4", "/resume/x,2,5", "/resume/x,1,6"})
     void clientReceivesPrefixOfItsStream(String path, int breaksPerStream, int seed) throws Exception {
-        var runs = new java.util.concurrent.ConcurrentHashMap<String, AtomicInteger>();
+        var runsByAttempt = new java.util.concurrent.ConcurrentHashMap<String, AtomicInteger>();
         ScriptedRunner.Script script = connection -> {
             for (var attemptId = connection.runNextRequest();
                     attemptId != null;
                     attemptId = connection.runNextRequest()) {
-                var earlierRuns = runs.computeIfAbsent(attemptId, k -> new AtomicInteger())
+                var earlierRuns = runsByAttempt
+                        .computeIfAbsent(attemptId, k -> new AtomicInteger())
                         .getAndIncrement();
                 playRun(connection, breaksPerStream - earlierRuns);
             }
@@ -165,7 +168,7 @@
                 });
             }
             for (var future : executor.invokeAll(tasks)) future.get();
-            for (var runCount : runs.values())
+            for (var runCount : runsByAttempt.values())
                 assertTrue(runCount.get() <= (path.startsWith("/resume") ? 2 : 1), "runs " + runCount);
         } finally {
             executor.shutdownNow();
--- a/test/pass/src/test/java/craneway/pass/StreamResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamResumeTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A stream joined from several runs loses no event, repeats none, and is complete only with its last event, whatever its runs
- * do.
+ * A stream joined from several runs loses no event, repeats none, and is complete only with its last event, whatever
+ * its runs do.
  */
 class StreamResumeTest {
     private static final String LAST_CHUNK = "0\r\n\r\n";
@@ -33,9 +33,12 @@
         return ScriptedRunner.streamResponseHead(attemptId).replace("Transfer-Encoding: chunked", "Connection: close");
     }
 
+    /** The client's response and the Last-Event-Id header of each run. */
     private record StreamResult(ProxyFixture.Response response, List<String> lastEventIds) {}
 
-    /** Requests a stream whose first run is scripted by {@code firstRun}; each later run sends {@code secondResponse}. */
+    /**
+     * Requests a stream whose first run is scripted by {@code firstRun}; each later run sends {@code secondResponse}.
+     */
     private static StreamResult requestStream(
             String path, String extraHeaders, ScriptedRunner.Script firstRun, String secondResponse) throws Exception {
         var runCount = new AtomicInteger();
@@ -68,8 +71,8 @@
         }
     }
 
-    /** How a run without a length ends when its runner fails. */
-    enum RunnerDeath {
+    /** How a run whose response has neither a length nor chunks ends when its runner fails. */
+    enum RunnerFailure {
         WITHIN_EVENT_BY_CLOSE(event(1) + event(2) + "id: 3\nda", false),
         WITHIN_EVENT_BY_RESET(event(1) + event(2) + "id: 3\nda", true),
         BETWEEN_EVENTS_BY_RESET(event(1) + event(2), true),
@@ -78,7 +81,7 @@
         private final String sentEvents;
         private final boolean reset;
 
-        RunnerDeath(String sentEvents, boolean reset) {
+        RunnerFailure(String sentEvents, boolean reset) {
             this.sentEvents = sentEvents;
             this.reset = reset;
         }
@@ -93,20 +96,20 @@
 
     @ParameterizedTest
     @EnumSource
-    void unframedStreamOfDeadRunnerIsNotComplete(RunnerDeath death) throws Exception {
-        var result = requestStream("/stream/x", "", death::play, "");
+    void unframedStreamOfFailedRunnerIsNotComplete(RunnerFailure failure) throws Exception {
+        var result = requestStream("/stream/x", "", failure::play, "");
         assertFalse(result.response.status() == 200 && result.response.complete(), result.response.bodyText());
         assertEquals(1, result.lastEventIds.size());
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = RunnerDeath.class,
+            value = RunnerFailure.class,
             names = {"WITHIN_EVENT_BY_CLOSE", "BEFORE_EVENT_TERMINATOR_BY_CLOSE"})
-    void unframedStreamOfDeadRunnerResumesOnOtherRunner(RunnerDeath death) throws Exception {
+    void unframedStreamOfFailedRunnerResumesOnOtherRunner(RunnerFailure failure) throws Exception {
         var remainingEvents =
                 ScriptedRunner.streamResponseHead("t1") + ScriptedRunner.chunk(event(3) + event(4)) + LAST_CHUNK;
-        var result = requestStream("/resume/x", "", death::play, remainingEvents);
+        var result = requestStream("/resume/x", "", failure::play, remainingEvents);
         assertEquals(ALL_EVENTS, result.response.bodyText());
         assertTrue(result.response.complete());
         assertEquals(List.of("", "2"), result.lastEventIds);
@@ -178,7 +181,7 @@
         assertEquals(List.of(""), result.lastEventIds);
     }
 
-    /** Within one run, too, an event whose id does not follow the previous one is not forwarded. */
+    /** Within one run, too, an event whose id repeats or decreases is not forwarded. */
     @ParameterizedTest
     @CsvSource({"1 2 2 3,1 2", "1 3 2 4,1 3", "1 2 1 2,1 2", "a a,a", "1 2 4 7,1 2 4 7"})
     void repeatedOrDecreasingEventIdTruncatesStream(String ids, String forwardedIds) throws Exception {
--- a/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
+++ b/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Guards against a router that never sweeps its open requests and idle connections, because each of a series of short requests
- * puts the next sweep off.
+ * Guards against a router that never sweeps its open requests and idle connections, because each of a series of short
+ * requests puts the next sweep off.
  */
 class SweepUnderLoadTest {
     private static final int EXPECTED_SWEEPS = 3;
--- a/test/pass/src/test/java/craneway/pass/TruncatedResponseTest.java
+++ b/test/pass/src/test/java/craneway/pass/TruncatedResponseTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards against a response that ends early but looks complete (RFC 9112, section 8). Checked for client connections that are
- * kept, that close after the response because the client or a draining router asks for it, and that speak HTTP/1.0.
+ * Guards against a response that ends early but looks complete (RFC 9112, section 8). Checked for client connections
+ * that are kept, that close after the response because the client or a draining router asks for it, and that speak
+ * HTTP/1.0.
  */
 class TruncatedResponseTest {
     private static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
--- a/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * The first run breaks off after two events, the second of which may name another version; the second run names a version
-     * of its own. {@code expectedOnResume} is the version that the second run is asked for.
+     * The first run breaks off after two events, the second of which may name another version; the second run names a
+     * version of its own. {@code expectedOnResume} is the version that the second run is asked for.
      */
     @ParameterizedTest
     @CsvSource(
