--- a/test/features/src/test/java/craneway/features/CheckerSteps.java
+++ b/test/features/src/test/java/craneway/features/CheckerSteps.java
@@ -12,210 +12,245 @@
 import java.util.List;
 import java.util.Map;
 
+/** Steps that plant faults in a journal of simulated submissions, to prove that the checkers find them. */
 public final class CheckerSteps {
-    private static final long S = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final Journal j = new Journal();
-    private Scenario lying;
+    private final Journal journal = new Journal();
+    private Scenario lyingDiskFleet;
 
-    private static final String
-            M1 =
-                    "{\"tenants\":[{\"name\":\"office-zagreb-centre\",\"regions\":[\"zagreb\"]},{\"name\":\"metered\",\"quotaPerMinute\":2}]}",
-            M2 = M1 + " ";
+    private static final String FIRST_MANIFEST =
+            "{\"tenants\":[{\"name\":\"office-zagreb-centre\",\"regions\":[\"zagreb\"]},{\"name\":\"metered\",\"quotaPerMinute\":2}]}";
 
-    @Given("a journal in which everything was kept")
-    public void kept() {
+    /** The same manifest with a trailing blank, so that its text differs. */
+    private static final String SECOND_MANIFEST = FIRST_MANIFEST + " ";
+
+    @Given("a journal in which every promise was kept")
+    public void journalWithoutBrokenPromise() {
         for (var i = 0; i < 20; i++) {
-            run("s" + i, i % 4 == 0 ? "k" + i : "", "runner-a", "zagreb-1", (i + 2) * S);
-            told("s" + i, "whole", (i + 2) * S);
-            j.submittedAt.add((i + 2) * S);
+            addRun("s" + i, i % 4 == 0 ? "k" + i : "", "runner-a", "zagreb-1", (i + 2) * MICROS_PER_SECOND);
+            addReply("s" + i, "whole", (i + 2) * MICROS_PER_SECOND);
+            journal.submittedAt.add((i + 2) * MICROS_PER_SECOND);
         }
-        j.submissions = 20;
-        j.sent.add(new Journal.Sent(M1, 0, S, S, true, 1, new long[] {S}));
-        for (var n : List.of("router-1", "store-1")) {
-            j.seen.add(new Journal.Seen(S, n, 1, 1, M1));
-            j.ends.add(new Journal.End(n, 1, M1, Map.of(), Map.of("registry", 7L)));
+        journal.submissions = 20;
+        journal.sent.add(new Journal.Sent(
+                FIRST_MANIFEST, 0, MICROS_PER_SECOND, MICROS_PER_SECOND, true, 1, new long[] {MICROS_PER_SECOND}));
+        for (var node : List.of("router-1", "store-1")) {
+            journal.seen.add(new Journal.Seen(MICROS_PER_SECOND, node, 1, 1, FIRST_MANIFEST));
+            journal.ends.add(new Journal.End(node, 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
         }
     }
 
-    private Journal.Run run(String sub, String key, String runner, String zone, long at) {
-        var r = new Journal.Run();
-        r.sub = sub;
-        r.key = key;
-        r.runner = runner;
-        r.service = "registry";
-        r.zone = zone;
-        r.cell = zone.replace("-1", "-a");
-        r.tenant = "office-zagreb-centre";
-        r.manifest = 1;
-        r.table = 7;
-        r.at = at;
-        r.endedAt = at + S;
-        r.whole = true;
-        r.slots = 8;
-        r.running = 1;
-        j.runs.add(r);
-        return r;
+    private Journal.Run addRun(String submission, String key, String runner, String zone, long startMicros) {
+        var run = new Journal.Run();
+        run.sub = submission;
+        run.key = key;
+        run.runner = runner;
+        run.service = "registry";
+        run.zone = zone;
+        run.cell = zone.replace("-1", "-a");
+        run.tenant = "office-zagreb-centre";
+        run.manifest = 1;
+        run.table = 7;
+        run.at = startMicros;
+        run.endedAt = startMicros + MICROS_PER_SECOND;
+        run.whole = true;
+        run.slots = 8;
+        run.running = 1;
+        journal.runs.add(run);
+        return run;
     }
 
-    private Journal.Reply told(String sub, String verdict, long at) {
-        var t = new Journal.Reply();
-        t.sub = sub;
-        t.asked = sub;
-        t.verdict = verdict;
-        t.askedAt = at;
-        t.at = at + S;
-        t.tenant = "office-zagreb-centre";
-        t.deadlineMillis = 20_000;
-        t.retryAfter = S;
-        j.replies.add(t);
-        return t;
+    private Journal.Reply addReply(String submission, String verdict, long askedMicros) {
+        var reply = new Journal.Reply();
+        reply.sub = submission;
+        reply.asked = submission;
+        reply.verdict = verdict;
+        reply.askedAt = askedMicros;
+        reply.at = askedMicros + MICROS_PER_SECOND;
+        reply.tenant = "office-zagreb-centre";
+        reply.deadlineMillis = 20_000;
+        reply.retryAfter = MICROS_PER_SECOND;
+        journal.replies.add(reply);
+        return reply;
     }
 
-    private void taken(long version, long at) {
-        j.sent.add(new Journal.Sent(M2, version - 1, at, at, true, version, new long[] {at}));
-        for (var n : List.of("router-1", "store-1")) j.seen.add(new Journal.Seen(at, n, 1, version, M2));
-        j.ends.replaceAll(e -> new Journal.End(e.node(), version, M2, e.marks(), e.tables()));
+    private void acceptSecondManifest(long version, long acceptedMicros) {
+        journal.sent.add(new Journal.Sent(
+                SECOND_MANIFEST, version - 1, acceptedMicros, acceptedMicros, true, version, new long[] {acceptedMicros
+                }));
+        for (var node : List.of("router-1", "store-1"))
+            journal.seen.add(new Journal.Seen(acceptedMicros, node, 1, version, SECOND_MANIFEST));
+        journal.ends.replaceAll(
+                end -> new Journal.End(end.node(), version, SECOND_MANIFEST, end.marks(), end.tables()));
     }
 
-    private void cold(int slots, int running, double seconds) {
-        var r = run("x", "", "runner-a", "zagreb-1", 30 * S + (long) (seconds * S));
-        r.cold = true;
-        r.bornAt = 30 * S;
-        r.slots = slots;
-        r.running = running;
+    private void addColdRun(int slots, int running, double secondsSinceStart) {
+        var run = addRun(
+                "x",
+                "",
+                "runner-a",
+                "zagreb-1",
+                30 * MICROS_PER_SECOND + (long) (secondsSinceStart * MICROS_PER_SECOND));
+        run.cold = true;
+        run.bornAt = 30 * MICROS_PER_SECOND;
+        run.slots = slots;
+        run.running = running;
     }
 
     @When("{string} is planted")
-    public void plant(String what) {
-        switch (what) {
-            case "a key that ran twice" -> run("x", "k4", "runner-a", "zagreb-1", 30 * S);
-            case "a declined submission that ran" -> told("s3", "declined", 3 * S);
-            case "a cut stream that looked finished" -> told("s3", "false-end", 3 * S);
-            case "a whole stream that no runner ended" -> told("never", "whole", 3 * S);
+    public void plantFault(String fault) {
+        switch (fault) {
+            case "a key that ran twice" -> addRun("x", "k4", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND);
+            case "a declined submission that ran" -> addReply("s3", "declined", 3 * MICROS_PER_SECOND);
+            case "a cut stream that looked finished" -> addReply("s3", "false-end", 3 * MICROS_PER_SECOND);
+            case "a whole stream that no runner ended" -> addReply("never", "whole", 3 * MICROS_PER_SECOND);
             case "work on a runner 3.4 s after its leave" -> {
-                j.leaves.add(new Journal.Leave("runner-a", 0, 30 * S));
-                run("x", "", "runner-a", "zagreb-1", 33_400_000);
+                journal.leaves.add(new Journal.Leave("runner-a", 0, 30 * MICROS_PER_SECOND));
+                addRun("x", "", "runner-a", "zagreb-1", 33_400_000);
             }
             case "work in a zone 5.3 s after its confirm" -> {
-                j.emptied.add(new Journal.Emptied("zagreb-1", "", 30 * S, new long[] {60 * S}));
-                run("x", "", "runner-a", "zagreb-1", 35_300_000);
+                journal.emptied.add(new Journal.Emptied(
+                        "zagreb-1", "", 30 * MICROS_PER_SECOND, new long[] {60 * MICROS_PER_SECOND}));
+                addRun("x", "", "runner-a", "zagreb-1", 35_300_000);
             }
             case "work in a cell 5.3 s after its confirm" -> {
-                j.emptied.add(new Journal.Emptied("", "zagreb-a", 30 * S, new long[] {60 * S}));
-                run("x", "", "runner-a", "zagreb-1", 35_300_000);
+                journal.emptied.add(new Journal.Emptied(
+                        "", "zagreb-a", 30 * MICROS_PER_SECOND, new long[] {60 * MICROS_PER_SECOND}));
+                addRun("x", "", "runner-a", "zagreb-1", 35_300_000);
             }
             case "a node that slipped back" -> {
-                taken(2, 8 * S);
-                j.seen.add(new Journal.Seen(9 * S, "router-1", 1, 1, M1));
+                acceptSecondManifest(2, 8 * MICROS_PER_SECOND);
+                journal.seen.add(new Journal.Seen(9 * MICROS_PER_SECOND, "router-1", 1, 1, FIRST_MANIFEST));
             }
             case "a node that restarted with an older manifest" -> {
-                taken(2, 8 * S);
-                j.seen.add(new Journal.Seen(9 * S, "router-1", 2, 1, M1));
+                acceptSecondManifest(2, 8 * MICROS_PER_SECOND);
+                journal.seen.add(new Journal.Seen(9 * MICROS_PER_SECOND, "router-1", 2, 1, FIRST_MANIFEST));
             }
             case "work by the old manifest 3.4 s after the new one was everywhere" -> {
-                taken(2, 24 * S);
-                run("x", "", "runner-a", "zagreb-1", 27_400_000);
+                acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
+                addRun("x", "", "runner-a", "zagreb-1", 27_400_000);
             }
             case "such work by a node that was frozen and just woke" -> {
-                j.troubles.add(new Journal.Down("router-1", 20 * S, new long[] {27 * S}));
-                taken(2, 24 * S);
-                run("x", "", "runner-a", "zagreb-1", 27_400_000);
+                journal.troubles.add(
+                        new Journal.Down("router-1", 20 * MICROS_PER_SECOND, new long[] {27 * MICROS_PER_SECOND}));
+                acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
+                addRun("x", "", "runner-a", "zagreb-1", 27_400_000);
             }
             case "a node that got a manifest 3.4 s late, soon followed by another" -> {
-                j.sent.add(new Journal.Sent(M2, 1, 24 * S, 24 * S, true, 2, new long[] {Long.MAX_VALUE}));
-                taken(3, 27_400_000);
+                journal.sent.add(new Journal.Sent(
+                        SECOND_MANIFEST, 1, 24 * MICROS_PER_SECOND, 24 * MICROS_PER_SECOND, true, 2, new long[] {
+                            Long.MAX_VALUE
+                        }));
+                acceptSecondManifest(3, 27_400_000);
             }
             case "a declined manifest in force" -> {
-                j.sent.add(new Journal.Sent("bad", 1, 10 * S, 10 * S, false, 0, new long[] {Long.MAX_VALUE}));
-                j.seen.add(new Journal.Seen(11 * S, "router-1", 1, 2, "bad"));
+                journal.sent.add(new Journal.Sent(
+                        "bad", 1, 10 * MICROS_PER_SECOND, 10 * MICROS_PER_SECOND, false, 0, new long[] {Long.MAX_VALUE
+                        }));
+                journal.seen.add(new Journal.Seen(11 * MICROS_PER_SECOND, "router-1", 1, 2, "bad"));
             }
             case "work by a manifest that nobody was told is taken" ->
-                run("x", "", "runner-a", "zagreb-1", 30 * S).manifest = 2;
+                addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).manifest = 2;
             case "a node that ends without the newest manifest" -> {
-                taken(2, 24 * S);
-                j.ends.add(new Journal.End("router-2", 1, M1, Map.of(), Map.of("registry", 7L)));
+                acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
+                journal.ends.add(new Journal.End("router-2", 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
             }
             case "two manifests taken as one version" ->
-                j.sent.add(new Journal.Sent(M2, 0, 10 * S, 10 * S, true, 1, new long[] {10 * S}));
+                journal.sent.add(new Journal.Sent(
+                        SECOND_MANIFEST, 0, 10 * MICROS_PER_SECOND, 10 * MICROS_PER_SECOND, true, 1, new long[] {
+                            10 * MICROS_PER_SECOND
+                        }));
             case "a confirmed mark that is gone" ->
-                j.emptied.add(new Journal.Emptied("split-1", "", 30 * S, new long[] {Long.MAX_VALUE}));
+                journal.emptied.add(
+                        new Journal.Emptied("split-1", "", 30 * MICROS_PER_SECOND, new long[] {Long.MAX_VALUE}));
             case "a kept tenant that is released by itself" ->
-                j.kept.add(new Journal.Kept("office-zagreb-centre", List.of("zagreb"), 30 * S));
-            case "a table step that is lost" -> run("x", "", "runner-a", "zagreb-1", 30 * S).table = 8;
+                journal.kept.add(new Journal.Kept("office-zagreb-centre", List.of("zagreb"), 30 * MICROS_PER_SECOND));
+            case "a table step that is lost" ->
+                addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).table = 8;
             case "a quota that is given out anew" -> {
-                for (var i = 0; i < 5; i++) run("q" + i, "", "runner-a", "zagreb-1", 30 * S + i).tenant = "metered";
+                for (var i = 0; i < 5; i++)
+                    addRun("q" + i, "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND + i).tenant = "metered";
             }
-            case "work run outside its home regions" -> run("x", "", "runner-b", "split-1", 30 * S);
+            case "work run outside its home regions" -> addRun("x", "", "runner-b", "split-1", 30 * MICROS_PER_SECOND);
             case "work run outside the regions it asked for" -> {
-                run("x", "", "runner-b", "split-1", 30 * S).tenant = "t";
-                told("x", "whole", 30 * S).regions = "zagreb,osijek";
+                addRun("x", "", "runner-b", "split-1", 30 * MICROS_PER_SECOND).tenant = "t";
+                addReply("x", "whole", 30 * MICROS_PER_SECOND).regions = "zagreb,osijek";
             }
             case "work of a kept tenant elsewhere" -> {
-                j.kept.add(new Journal.Kept("t", List.of("zagreb"), 30 * S));
-                run("x", "", "runner-b", "split-1", 35_300_000).tenant = "t";
+                journal.kept.add(new Journal.Kept("t", List.of("zagreb"), 30 * MICROS_PER_SECOND));
+                addRun("x", "", "runner-b", "split-1", 35_300_000).tenant = "t";
             }
-            case "a second stream on a cold runner of 2 slots after 2.4 s" -> cold(2, 2, 2.4);
-            case "a third stream on a cold runner of 8 slots after 1.8 s" -> cold(8, 3, 1.8);
+            case "a second stream on a cold runner of 2 slots after 2.4 s" -> addColdRun(2, 2, 2.4);
+            case "a third stream on a cold runner of 8 slots after 1.8 s" -> addColdRun(8, 3, 1.8);
             case "eleven extra runs more than a fifth" -> {
-                for (var i = 0; i < 15; i++) run("s1", "", "runner-a", "zagreb-1", 3 * S + i * S);
+                for (var i = 0; i < 15; i++)
+                    addRun("s1", "", "runner-a", "zagreb-1", 3 * MICROS_PER_SECOND + i * MICROS_PER_SECOND);
             }
             case "eleven extra runs within 10 s of silence" -> {
-                for (var i = 0; i < 11; i++) run("s1", "", "runner-a", "zagreb-1", 50 * S + i);
+                for (var i = 0; i < 11; i++) addRun("s1", "", "runner-a", "zagreb-1", 50 * MICROS_PER_SECOND + i);
             }
             case "fifteen forwards beyond the first hop" -> {
-                for (var i = 0; i < 16; i++) j.forwards.add(new Journal.Forward(3 * S + i * S, "s1"));
+                for (var i = 0; i < 16; i++)
+                    journal.forwards.add(new Journal.Forward(3 * MICROS_PER_SECOND + i * MICROS_PER_SECOND, "s1"));
             }
-            case "a submission that lost its router in a planned restart" -> told("gone", "lost", 3 * S);
-            case "a submission that was declined and never served" -> told("gone", "declined", 3 * S);
-            case "a submission without a verdict" -> j.submissions++;
-            case "a decline after 0.51 of the deadline" -> told("late", "declined", 3 * S).at = 13_200_000;
-            default -> throw new IllegalArgumentException(what);
+            case "a submission that lost its router in a planned restart" ->
+                addReply("gone", "lost", 3 * MICROS_PER_SECOND);
+            case "a submission that was declined and never served" ->
+                addReply("gone", "declined", 3 * MICROS_PER_SECOND);
+            case "a submission without a verdict" -> journal.submissions++;
+            case "a decline after 0.51 of the deadline" ->
+                addReply("late", "declined", 3 * MICROS_PER_SECOND).at = 13_200_000;
+            default -> throw new IllegalArgumentException(fault);
         }
     }
 
-    private List<String> wrong() {
-        j.service = "registry";
-        var c = new Checks(j, Map.of("zagreb-1", "zagreb", "split-1", "split"), Map.of("registry", 5 * S));
-        var all = new ArrayList<>(c.all());
-        all.addAll(c.lost());
-        return all;
+    private List<String> brokenPromises() {
+        journal.service = "registry";
+        var checks = new Checks(
+                journal, Map.of("zagreb-1", "zagreb", "split-1", "split"), Map.of("registry", 5 * MICROS_PER_SECOND));
+        var problems = new ArrayList<>(checks.all());
+        problems.addAll(checks.lost());
+        return problems;
     }
 
     @Then("the checker finds {string}")
-    public void finds(String text) {
-        var w = wrong();
-        if (w.stream().noneMatch(x -> x.contains(text))) throw new AssertionError("found " + w);
+    public void checkerFinds(String text) {
+        var problems = brokenPromises();
+        if (problems.stream().noneMatch(problem -> problem.contains(text)))
+            throw new AssertionError("found " + problems);
     }
 
     @Then("the checker finds nothing")
-    public void nothing() {
-        var w = wrong();
-        if (!w.isEmpty()) throw new AssertionError("found " + w);
+    public void checkerFindsNothing() {
+        var problems = brokenPromises();
+        if (!problems.isEmpty()) throw new AssertionError("found " + problems);
     }
 
     @Given("a fleet whose disks lie about sync under seed {long}")
-    public void lying(long seed) {
-        lying = Shape.SMALL.scenario(seed);
-        lying.world.all(StoreMachine.class).forEach(s -> s.disk.liesAboutSync(true));
+    public void fleetWithLyingDisks(long seed) {
+        lyingDiskFleet = Shape.SMALL.scenario(seed);
+        lyingDiskFleet.world.all(StoreMachine.class).forEach(store -> store.disk.liesAboutSync(true));
     }
 
     @When("all stores lose power at once after manifest 2 was taken")
-    public void power() {
-        lying.act("operator", "send v store-1 1");
-        lying.runTo(4);
-        for (var i = 1; i <= 3; i++) lying.act("store-" + i, "power-loss");
-        lying.runTo(5);
-        for (var i = 1; i <= 3; i++) lying.act("store-" + i, "start");
-        for (var m : List.copyOf(lying.world.machines.keySet())) if (m.startsWith("router")) lying.act(m, "kill");
-        lying.runTo(6);
-        for (var m : List.copyOf(lying.world.machines.keySet())) if (m.startsWith("router")) lying.act(m, "start");
-        lying.runTo(40);
+    public void losePowerAfterManifest() {
+        lyingDiskFleet.act("operator", "send v store-1 1");
+        lyingDiskFleet.runTo(4);
+        for (var i = 1; i <= 3; i++) lyingDiskFleet.act("store-" + i, "power-loss");
+        lyingDiskFleet.runTo(5);
+        for (var i = 1; i <= 3; i++) lyingDiskFleet.act("store-" + i, "start");
+        for (var machine : List.copyOf(lyingDiskFleet.world.machines.keySet()))
+            if (machine.startsWith("router")) lyingDiskFleet.act(machine, "kill");
+        lyingDiskFleet.runTo(6);
+        for (var machine : List.copyOf(lyingDiskFleet.world.machines.keySet()))
+            if (machine.startsWith("router")) lyingDiskFleet.act(machine, "start");
+        lyingDiskFleet.runTo(40);
     }
 
-    @Then("a promise is seen to break")
-    public void broke() {
-        var w = lying.checks().all();
-        if (w.isEmpty()) throw new AssertionError("nothing was found");
+    @Then("the checkers find a broken promise")
+    public void checkersFindBrokenPromise() {
+        var problems = lyingDiskFleet.checks().all();
+        if (problems.isEmpty()) throw new AssertionError("nothing was found");
     }
 }
--- a/test/features/src/test/java/craneway/features/FeaturesTest.java
+++ b/test/features/src/test/java/craneway/features/FeaturesTest.java
@@ -8,6 +8,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
+/** Runs all scenarios of {@code src/test/resources/features} with the steps of this package. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("features")
--- a/test/features/src/test/java/craneway/features/ProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/ProcessSteps.java
@@ -18,36 +18,37 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
+/** Steps that run a fleet of real processes under load, with faults and drills. */
 public final class ProcessSteps {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Fleet f;
+    private Fleet fleet;
     private Path journal;
     private Checker checker;
-    private boolean planned = true;
-    private int code;
+    private boolean onlyPlannedFaults = true;
+    private int exitCode;
 
     @Given("a fleet of processes with {int} router(s) in each zone and a runner in each cell")
-    public void fleet(int routers) throws IOException {
+    public void startFleet(int routers) throws IOException {
         var folder = Files.createTempDirectory("craneway-fleet").resolve("fleet");
         var manifest = folder.resolveSibling("maticar.json");
         try (var in = getClass().getResourceAsStream("/craneway/sim/maticar.json")) {
             Files.write(manifest, in.readAllBytes());
         }
-        f = new Fleet(folder, manifest, routers + "," + routers + "," + routers, "1,1,1", "12");
-        f.startAll();
-        f.awaitServing(3);
+        fleet = new Fleet(folder, manifest, routers + "," + routers + "," + routers, "1,1,1", "12");
+        fleet.startAll();
+        fleet.awaitServing(3);
         journal = folder.resolve("journal").resolve("requesters.jsonl");
     }
 
     @When("a load of {int} streams of about {int} tokens runs while this happens")
-    public void load(int streams, int tokens, DataTable t) throws Exception {
+    public void runLoad(int streams, int tokens, DataTable table) throws Exception {
         var load = CompletableFuture.supplyAsync(() -> CranewayMain.run(
                 "load",
                 "--to",
-                f.addresses("routers", "requester"),
+                fleet.addresses("routers", "requester"),
                 "--platform",
-                f.addresses("routers", "platform"),
+                fleet.addresses("routers", "platform"),
                 "--service",
                 "registry",
                 "--work",
@@ -60,69 +61,69 @@
                 "12",
                 "--journal",
                 journal.toString()));
-        for (var r : t.asMaps()) {
-            var at = Long.parseLong(r.get("at stream"));
-            var fault = r.get("fault");
-            planned &= !fault.matches("(kill|freeze)-(router|store)|wipe-store|kill-runner");
-            f.await("stream " + at, () -> load.isDone() || lines() >= at);
+        for (var row : table.asMaps()) {
+            var startLine = Long.parseLong(row.get("at stream"));
+            var fault = row.get("fault");
+            onlyPlannedFaults &= !fault.matches("(kill|freeze)-(router|store)|wipe-store|kill-runner");
+            fleet.await("stream " + startLine, () -> load.isDone() || journalLineCount() >= startLine);
             if (load.isDone()) throw new AssertionError("the load was over before " + fault);
-            Faults.bring(f, fault);
+            Faults.bring(fleet, fault);
         }
-        code = load.get();
-        for (var r : f.names("runners")) if (f.isRunning(r)) f.ask(r);
-        for (var r : f.names("runners")) if (f.isRunning(r)) f.ended(r);
-        checker = f.check(journal);
+        exitCode = load.get();
+        for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ask(runner);
+        for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ended(runner);
+        checker = fleet.check(journal);
     }
 
-    private long lines() {
-        try (var l = Files.lines(journal)) {
-            return l.count();
+    private long journalLineCount() {
+        try (var lines = Files.lines(journal)) {
+            return lines.count();
         } catch (IOException e) {
             return 0;
         }
     }
 
-    @Then("the journals agree and every promise they show was kept")
-    public void agree() {
-        var wrong = checker.verdict(planned);
-        if (!wrong.isEmpty() || code != 0)
-            throw new AssertionError("load ended with " + code + ", " + wrong + " " + checker.counts());
+    @Then("the journals agree and show no broken promise")
+    public void checkJournals() {
+        var problems = checker.verdict(onlyPlannedFaults);
+        if (!problems.isEmpty() || exitCode != 0)
+            throw new AssertionError("load exited with " + exitCode + ", " + problems + " " + checker.counts());
     }
 
-    @Then("at least {int} streams were whole")
-    public void whole(int n) throws IOException {
-        var c = count("whole");
-        if (c < n) throw new AssertionError(c + " whole of " + lines());
+    @Then("at least {int} streams were complete")
+    public void checkCompleteStreams(int minimum) throws IOException {
+        var complete = countVerdict("whole");
+        if (complete < minimum) throw new AssertionError(complete + " complete of " + journalLineCount());
     }
 
-    @Then("no submission ended otherwise than whole or told when to come back")
-    public void noneLost() throws IOException {
-        for (var v : new String[] {"cut", "lost", "broken", "unknown", "silent", "strange"})
-            if (count(v) > 0) throw new AssertionError(count(v) + " ended as " + v);
+    @Then("every submission ended complete or declined with a retry time")
+    public void checkNoneLost() throws IOException {
+        for (var verdict : new String[] {"cut", "lost", "broken", "unknown", "silent", "strange"})
+            if (countVerdict(verdict) > 0) throw new AssertionError(countVerdict(verdict) + " ended as " + verdict);
     }
 
-    @Then("some stream was visibly cut")
-    public void cut() throws IOException {
-        if (count("cut") == 0) throw new AssertionError("none was cut");
+    @Then("some stream was visibly truncated")
+    public void checkSomeCut() throws IOException {
+        if (countVerdict("cut") == 0) throw new AssertionError("no stream was cut");
     }
 
-    private long count(String verdict) throws IOException {
-        var n = 0L;
-        for (var l : Files.readAllLines(journal))
-            if (JSON.readTree(l).get("verdict").asText().equals(verdict)) n++;
-        return n;
+    private long countVerdict(String verdict) throws IOException {
+        var count = 0L;
+        for (var line : Files.readAllLines(journal))
+            if (JSON.readTree(line).get("verdict").asText().equals(verdict)) count++;
+        return count;
     }
 
     @When("zone {word} is drilled with {int} streams")
-    public void drill(String zone, int streams) {
-        code = drilled(zone, streams);
+    public void drillZone(String zone, int streams) {
+        exitCode = runDrill(zone, streams);
     }
 
-    private int drilled(String zone, int streams) {
+    private int runDrill(String zone, int streams) {
         return CranewayMain.run(
                 "drill",
                 "--fleet",
-                f.folder.toString(),
+                fleet.folder.toString(),
                 "--zone",
                 zone,
                 "--service",
@@ -134,21 +135,22 @@
                 "--at-once",
                 "12",
                 "--report",
-                f.folder.resolve("report.txt").toString());
+                fleet.folder.resolve("report.txt").toString());
     }
 
-    @When("zone {word} is drilled with {int} streams while somebody sends work past the routers")
-    public void rogue(String zone, int streams) throws IOException {
-        var runner = f.names("runners").stream()
-                .filter(r -> f.map.get("runners").get(r).get("zone").asText().equals(zone))
+    @When("zone {word} is drilled with {int} streams while work is sent to one of its runners directly")
+    public void drillZoneWithDirectWork(String zone, int streams) throws IOException {
+        var runner = fleet.names("runners").stream()
+                .filter(name ->
+                        fleet.map.get("runners").get(name).get("zone").asText().equals(zone))
                 .findFirst()
                 .orElseThrow();
-        var address = f.map.get("runners").get(runner).get("address").asText();
-        var drill = CompletableFuture.supplyAsync(() -> drilled(zone, streams));
-        f.await("zone emptied", () -> f.marked("zone:" + zone));
-        f.await("the drill's end", () -> {
+        var address = fleet.map.get("runners").get(runner).get("address").asText();
+        var drill = CompletableFuture.supplyAsync(() -> runDrill(zone, streams));
+        fleet.await("zone emptied", () -> fleet.marked("zone:" + zone));
+        fleet.await("the drill's end", () -> {
             try {
-                f.call(
+                fleet.call(
                         address,
                         Methods.POST,
                         "/v1/chat/completions",
@@ -159,22 +161,24 @@
             }
             return drill.isDone();
         });
-        code = drill.join();
+        exitCode = drill.join();
     }
 
-    @Then("the drill ends with {int} and its report says {string}")
-    public void report(int want, String text) throws IOException {
-        var r = Files.readString(f.folder.resolve("report.txt"));
-        if (code != want || !r.contains(text)) throw new AssertionError("ended with " + code + ": " + r);
+    @Then("the drill exits with {int} and its report contains {string}")
+    public void checkDrillReport(int expectedCode, String text) throws IOException {
+        var report = Files.readString(fleet.folder.resolve("report.txt"));
+        if (exitCode != expectedCode || !report.contains(text))
+            throw new AssertionError("exited with " + exitCode + ": " + report);
     }
 
     @Then("status shows every part owned and 3 stores in each group")
-    public void status() {
-        f.await("all parts whole", () -> f.names("stores").stream().allMatch(f::votes));
+    public void checkStatus() {
+        fleet.await("every part owned and 3 stores in each group", () -> fleet.names("stores").stream()
+                .allMatch(fleet::votes));
     }
 
     @After
     public void close() {
-        if (f != null) f.close();
+        if (fleet != null) fleet.close();
     }
 }
--- a/test/features/src/test/resources/features/bad-input.feature
+++ b/test/features/src/test/resources/features/bad-input.feature
@@ -1,6 +1,6 @@
-Feature: Bad input gets a clear verdict and has no effect
+Feature: Invalid input gets a clear verdict and has no effect
 
-  Scenario: Requesters, runners and operators are declined by kind
+  Scenario: Invalid requests of requesters, runners and operators are declined by kind
     Given a store, a router and a runner in this process
     Then each of these is declined with its own kind and nothing runs
       | to          | method | path                 | headers                                                          | body                  | status | kind                  |
@@ -40,7 +40,7 @@
       | operator    | GET    | /v1/plans/77         |                                                                  |                       | 404    | unknown_plan          |
     And the manifest in force is still version 1
 
-  Scenario: Messages between processes that are malformed or foreign are declined with an event
+  Scenario: Malformed and foreign messages between processes are declined with an event
     Given a store, a router and a runner in this process
     Then messages between processes that are "malformed" get 400 and change nothing
     And messages between processes that are "of another core" get 403 and change nothing
@@ -50,47 +50,47 @@
   Scenario Outline: A requester that hangs up <when> frees its runner
     Given a store, a router and a runner in this process
     When a requester asks for 400 tokens and hangs up "<when>"
-    Then the runner's call is cancelled before its end
+    Then the run is cancelled before its end
 
     Examples:
       | when                   |
       | in the stream          |
       | before the first token |
 
-  Scenario: A requester that hangs up while the runner thinks is noticed before the first token
-    Given a store, a router and a runner in this process that thinks for 20000 ms
+  Scenario: A requester that hangs up during prefill is noticed before the first token
+    Given a store, a router and a runner in this process whose prefill takes 20000 ms
     When a requester asks for 400 tokens and hangs up "before the first token"
-    Then the router lets go while the runner still thinks
+    Then the router releases the runner before its prefill ends
 
-  Scenario: Run-once work is told its record the second time
+  Scenario: Run-once work that is submitted again gets its recorded result
     Given a store, a router and a runner in this process
     When run-once work "k1" is submitted
     Then the reply is 200 "[DONE]"
     When run-once work "k1" is submitted
     Then the reply is 409 "already_done"
 
-  Scenario: A tenant's quota is kept where its unit is at home
+  Scenario: A tenant's quota is enforced at the home of its unit
     Given a store, a router and a runner in this process
     When a tenant with a quota of 5 submits 8 lookups
-    Then 5 are served and 3 declined as spent, with when to come back
+    Then 5 are served and 3 declined for an exhausted quota with a retry time
 
   Scenario: Metrics are in the usual text format
     Given a store, a router and a runner in this process
     When run-once work "m1" is submitted
     And the metrics of router and store are read
-    Then they hold "craneway_streams_whole_total 1" and "# TYPE craneway_streams_whole_total counter" and "craneway_part_owned{part="
+    Then they contain "craneway_streams_whole_total 1" and "# TYPE craneway_streams_whole_total counter" and "craneway_part_owned{part="
 
   Scenario: Usage is exported and read back
     Given a store, a router and a runner in this process
     When a tenant with a quota of 5 submits 8 lookups
     And the command line is run with "craneway usage export --at OPERATOR --out target/usage.csv"
-    Then it ends with 0 and says ""
+    Then it exits with 0 and prints ""
     And the export holds 5 whole rows of 1 token and 3 quota_spent rows of tenant office-zagreb-centre in zagreb
 
   Scenario Outline: Wrong startup values and flags end with code 2 and one message
     Given a startup file '{"name":"a b","zone":"","partner":"nowhere","colour":"red","seeds":["127.0.0.1:1"]}'
     When the command line is run with "<line>"
-    Then it ends with <code> and says "<text>"
+    Then it exits with <code> and prints "<text>"
 
     Examples:
       | line                                                   | code | text                                                                                             |
--- a/test/features/src/test/resources/features/checkers.feature
+++ b/test/features/src/test/resources/features/checkers.feature
@@ -1,7 +1,7 @@
 Feature: Every checker catches a planted fault
 
   Scenario Outline: The checker of promise <n> catches <planted>
-    Given a journal in which everything was kept
+    Given a journal in which every promise was kept
     When "<planted>" is planted
     Then the checker finds "promise <n>"
 
@@ -39,16 +39,16 @@
       | 12 | a submission that was declined and never served                    |
       | 12 | a submission without a verdict                                     |
 
-  Scenario: The untouched journal passes
-    Given a journal in which everything was kept
+  Scenario: A journal without a planted fault passes
+    Given a journal in which every promise was kept
     Then the checker finds nothing
 
   Scenario: A decline held beyond the documented share of the deadline is caught
-    Given a journal in which everything was kept
+    Given a journal in which every promise was kept
     When "a decline after 0.51 of the deadline" is planted
     Then the checker finds "was held for"
 
-  Scenario: A disk that lies about sync loses what was accepted, and the checkers see it
+  Scenario: A disk that acknowledges syncs falsely loses accepted writes, and the checkers notice
     Given a fleet whose disks lie about sync under seed 21
     When all stores lose power at once after manifest 2 was taken
-    Then a promise is seen to break
+    Then the checkers find a broken promise
--- a/test/features/src/test/resources/features/faults.feature
+++ b/test/features/src/test/resources/features/faults.feature
@@ -1,18 +1,18 @@
-Feature: What fails
+Feature: Faults of processes, disks, clocks and networks
 
   Scenario: Half of all processes are killed at once
     Given a fleet under seed 201
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1 | router-1-1 | router-2-1 | router-3-1 | runner-zagreb-a-1 | runner-zagreb-a-2 | runner-split-a-1 |
       | 2      | kill    | kill       | kill       | kill       | kill              | kill              | kill             |
       | 6      | start   | start      | start      | start      | start             | start             | start            |
     Then until second 24 every promise is kept
-    And submissions asked from second 18 on are served
+    And submissions sent from second 18 on are served
 
-  Scenario: Every process is killed at once, and what was accepted is still there
+  Scenario: Every process is killed at once, and accepted writes survive
     Given a fleet under seed 202
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | operator         | all        |
       | 1      | send m store-1 1 |            |
@@ -20,11 +20,11 @@
       | 5      |                  | start      |
     Then until second 26 every promise is kept
     And every node has the newest manifest
-    And submissions asked from second 18 on are served
+    And submissions sent from second 18 on are served
 
   Scenario: A leader is frozen and woken
     Given a fleet under seed 203
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1 | store-2 | store-3 | operator           |
       | 2      | freeze  |         |         |                    |
@@ -35,11 +35,11 @@
       | 20     |         |         | wake    |                    |
     Then until second 30 every promise is kept
     And every node has the newest manifest
-    And submissions asked from second 26 on are served
+    And submissions sent from second 26 on are served
 
-  Scenario: A store loses its disk right after a yes
+  Scenario: A store loses its disk right after acknowledging a manifest
     Given a fleet under seed 204
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | operator         | store-1   |
       | 2      | send a store-1 1 |           |
@@ -47,23 +47,23 @@
       | 4      |                  | start     |
     Then until second 20 every promise is kept
     And every node has the newest manifest
-    And "CW1103" on the timeline of store-1
+    And "CW1103" is on the timeline of store-1
 
-  Scenario: A control machine is swapped for an empty one at a new address
+  Scenario: A store machine is replaced by an empty one at a new address
     Given a fleet under seed 205
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-2                              | store-3 | operator         |
       | 2      | kill; disk-loss; move-to store-2b; start |     |                  |
       | 16     |                                      | kill    |                  |
       | 18     |                                      |         | send a store-1 1 |
     Then until second 28 every promise is kept
-    And "CW1103" on the timeline of store-2
-    And submissions asked from second 24 on are served
+    And "CW1103" is on the timeline of store-2
+    And submissions sent from second 24 on are served
 
-  Scenario: All seed machines are exchanged, one by one
+  Scenario: All seed machines are replaced one by one
     Given a fleet under seed 206
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1                                  | store-2                                  | store-3                                  | seeds                         | router-1-1  | operator         |
       | 2      | kill; disk-loss; move-to store-1b; start |                                          |                                          |                               |             |                  |
@@ -73,11 +73,11 @@
       | 52     |                                          |                                          |                                          |                               |             | send a store-1 1 |
     Then until second 60 every promise is kept
     And every node has the newest manifest
-    And submissions asked from second 53 on are served
+    And submissions sent from second 53 on are served
 
-  Scenario: Disks fill, and the part goes on elsewhere
+  Scenario: Disks fill up, and the part continues on other stores
     Given a fleet under seed 207
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1   | store-2   | operator           |
       | 2      | disk-full |           |                    |
@@ -86,12 +86,12 @@
       | 12     |           |           | send b store-3 2   |
       | 16     | disk-free | disk-free |                    |
     Then until second 30 every promise is kept
-    And "CW1302" on the timeline of store-1
-    And submissions asked from second 24 on are served
+    And "CW1302" is on the timeline of store-1
+    And submissions sent from second 24 on are served
 
   Scenario: Disks stall in the middle of a sync
     Given a fleet under seed 218
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1    | store-2    | operator         |
       | 2      | disk-stall |            |                  |
@@ -101,32 +101,32 @@
       | 16     |            | disk-go-on |                  |
     Then until second 28 every promise is kept
     And every node has the newest manifest
-    And submissions asked from second 22 on are served
+    And submissions sent from second 22 on are served
 
-  Scenario: A damaged segment is a lost disk
+  Scenario: A damaged log segment is treated as a lost disk
     Given a fleet under seed 208
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-2           |
       | 2      | kill; disk-damage |
       | 4      | start             |
     Then until second 20 every promise is kept
-    And "CW1301" on the timeline of store-2
-    And submissions asked from second 15 on are served
+    And "CW1301" is on the timeline of store-2
+    And submissions sent from second 15 on are served
 
   Scenario: Clocks jump by an hour, back and forth
     Given a fleet under seed 209
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | router-1-1                    | store-1                      | runner-split-a-1               |
       | 2      | clock-jump -3600; kill; start | clock-jump 3600; kill; start | clock-jump -3600; kill; start  |
       | 10     | clock-jump 3600; kill; start  | clock-jump -3600; kill; start |                               |
     Then until second 24 every promise is kept
-    And submissions asked from second 18 on are served
+    And submissions sent from second 18 on are served
 
   Scenario: The core splits, and routers are cut off from it
     Given a fleet under seed 210
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1          | router-2-1     | router-3-1     | operator         |
       | 2      | cut-from store-2 |                |                |                  |
@@ -136,11 +136,11 @@
       | 14     | heal-with store-3 |               | heal-with-core |                  |
     Then until second 28 every promise is kept
     And every node has the newest manifest
-    And submissions asked from second 22 on are served
+    And submissions sent from second 22 on are served
 
   Scenario: A region is isolated with its requesters, and returns
     Given a fleet under seed 211
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | split-1 | operator         |
       | 2      | cut     |                  |
@@ -148,11 +148,11 @@
       | 14     | heal    |                  |
     Then until second 32 every promise is kept
     And every node has the newest manifest
-    And submissions asked from second 26 on are served
+    And submissions sent from second 26 on are served
 
   Scenario: Manifests in quick succession, one of them several MiB
     Given a fleet under seed 212
-    And a submission at each requester about every 60 ms
+    And each requester submits about every 60 ms
     When this happens
       | second | operator             |
       | 1.0    | send a store-1 1     |
@@ -161,12 +161,12 @@
       | 2.0    | send big1 store-1 4  |
       | 3.0    | send d router-1-1 5  |
     Then until second 12 every promise is kept
-    And exactly 5 of the manifests sent were taken
+    And exactly 5 of the manifests sent were accepted
     And every node has the newest manifest
 
   Scenario: Runners crash, go dark, leave at short notice and are replaced one by one
     Given a fleet under seed 213
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | runner-zagreb-a-1 | runner-zagreb-a-2 | runner-split-a-1 | runner-split-a-2 | runner-osijek-a-1 |
       | 2      | kill              | go-dark           |                  |                  |                   |
@@ -177,21 +177,21 @@
       | 9      |                   | come-back         |                  | kill             | start             |
       | 11     |                   |                   |                  | start            |                   |
     Then until second 24 every promise is kept
-    And submissions asked from second 17 on are served
+    And submissions sent from second 17 on are served
 
-  Scenario: A crowd comes at once, then it is calm again
+  Scenario: A burst of submissions, then normal load again
     Given a fleet under seed 214
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | requester-1 | requester-2 |
       | 2      | crowd 1500  | crowd 1500  |
     Then until second 30 every promise is kept
-    And verdict declined was told at least 100 times
-    And submissions asked from second 22 on are served
+    And verdict declined was reported at least 100 times
+    And submissions sent from second 22 on are served
 
   Scenario: A requester changes zone and asks again with the same key
     Given a fleet under seed 215
-    And a submission at each requester about every 60 ms
+    And each requester submits about every 60 ms
     When this happens
       | second | requester-1                            | requester-2                             | requester-3                             | router-1-1 | router-1-2 |
       | 2.00   | submit extract office-split-harbour M1 60 |                                      |                                         |            |            |
@@ -203,20 +203,20 @@
     Then until second 24 every promise is kept
     And key M1 ran exactly 1 time
 
-  Scenario: The mix swings between long prompts and long answers while messages are lost
+  Scenario: The load alternates between long prompts and long responses while messages are lost
     Given a fleet under seed 216
     And a network that loses 0.02 of all messages
-    And a submission at each requester about every 60 ms
+    And each requester submits about every 60 ms
     When this happens
       | second | requester-1 | requester-2 | requester-3 |
       | 2      | swing 120   | swing 3     | swing 120   |
       | 8      | swing 3     | swing 120   | swing 3     |
     Then until second 24 every promise is kept
-    And submissions asked from second 18 on are served
+    And submissions sent from second 18 on are served
 
-  Scenario: One last fault at the end, after which service returns
+  Scenario: Service returns after the last of several faults
     Given a fleet under seed 217
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | store-1 | store-2 | zagreb-1 | osijek-1   | runner-split-a-1 |
       | 2      | kill    |         |          |            |                  |
@@ -228,8 +228,8 @@
       | 32     |         |         |          | power-loss |                  |
       | 34     |         |         |          | start      |                  |
     Then until second 54 every promise is kept
-    And service in osijek-1 was back in time after second 34
-    And submissions asked from second 47 on are served
+    And service in osijek-1 resumed within the limit after second 34
+    And submissions sent from second 47 on are served
 
   Scenario: Random schedules of all of these
     Then seeds 1 to 24 of random faults on the maticar fleet keep every promise
@@ -239,6 +239,6 @@
     And seeds 3288 to 3288 of random faults on the brannock fleet keep every promise
     And seeds 1 to 16 of random faults on the brannock fleet keep every promise
 
-  Scenario: Simulated days: crowd, swinging mix, a region lost and back cold, a release, a quiet night
+  Scenario: Simulated days: burst, alternating load, a region lost and back cold, a release, a quiet night
     Then days 1 to 3 on the maticar fleet keep every promise
     And days 1 to 2 on the brannock fleet keep every promise
--- a/test/features/src/test/resources/features/folders.feature
+++ b/test/features/src/test/resources/features/folders.feature
@@ -1,8 +1,8 @@
-Feature: Data folders that are damaged are set aside, and never mixed in
+Feature: Damaged data folders are set aside and their data is never used
 
   Scenario Outline: A folder whose <file> is <how>
-    When a store starts again on a folder whose <file> is <how>
-    Then it is the same store <same>
+    When a store restarts on a folder whose <file> is <how>
+    Then the store keeps its identity: <same>
 
     Examples:
       | file     | how       | same |
@@ -20,5 +20,5 @@
       | p2.log   | end flipped | no |
 
   Scenario: Two stores never share a folder
-    When a store starts again on a folder whose identity is fine
-    Then a second store on that folder is told that it is in use
+    When a store restarts on a folder whose identity is fine
+    Then a second store on that folder fails because the folder is in use
--- a/test/features/src/test/resources/features/moves.feature
+++ b/test/features/src/test/resources/features/moves.feature
@@ -1,32 +1,32 @@
-Feature: Units move in small steps that are watched
+Feature: Units move in small, monitored steps
 
-  Scenario: A cell that fills gives units to one with room, and gets them back after a longer calm
+  Scenario: A full cell gives units to one with free capacity, and gets them back after a longer quiet period
     Given a fleet under seed 301
-    And a submission at each requester about every 22 ms
+    And each requester submits about every 22 ms
     When this happens
       | second | runner-osijek-a-1 | requester-1 | requester-2 | requester-3 |
       | 2      | kill              |             |             |             |
       | 24     | start             |             |             |             |
       | 28     |                   | swing 8     |             |             |
     Then until second 70 every promise is kept
-    And "CW1605" on the timeline of any store
-    And "may go back" on the timeline of any store
+    And "CW1605" is on the timeline of any store
+    And "may go back" is on the timeline of any store
     And no unit moved more than 2 times, and 8 or more moved
     And after second 60 at most 1 submissions in a hundred were declined
 
-  Scenario: With no room anywhere nothing moves, and declines say when to come back
+  Scenario: Without free capacity anywhere no unit moves, and declines carry a retry time
     Given a fleet under seed 302
-    And a submission at each requester about every 6 ms
+    And each requester submits about every 6 ms
     When this happens
       | second | runner-osijek-a-1 |
       | 10     | kill              |
     Then by second 24 no unit has moved
     And until second 24 every promise is kept
-    And verdict declined was told at least 50 times
+    And verdict declined was reported at least 50 times
 
-  Scenario: A step after which problems rise is taken back, and tried again later
+  Scenario: A step that increases problems is reverted and tried again later
     Given a fleet under seed 303
-    And a submission at each requester about every 30 ms
+    And each requester submits about every 30 ms
     When this happens
       | second | operator          | runner-split-a-1 | runner-split-a-2 |
       | 2      | empty split-1     |                  |                  |
@@ -34,14 +34,14 @@
       | 10     | take-back split-1 |                  |                  |
       | 20     |                   | recover          | recover          |
     Then until second 60 every promise is kept
-    And "taken back" on the timeline of any store
-    And "problems rose" on the timeline of any store
+    And "taken back" is on the timeline of any store
+    And "problems rose" is on the timeline of any store
     And at least 5 runs started in split-1 between seconds 48 and 60
     And after second 48 at most 1 submissions in a hundred were declined
 
-  Scenario: The leader dies in the middle of a move, and the next one goes on from the record
+  Scenario: The leader fails in the middle of a move, and the next leader continues from the record
     Given a fleet under seed 304
-    And a submission at each requester about every 30 ms
+    And each requester submits about every 30 ms
     When this happens
       | second | operator              | store-1 | store-2 | store-3 | router-2-1 |
       | 2      | empty split-1 store-3 |         |         |         |            |
@@ -53,11 +53,11 @@
     Then until second 40 every promise is kept
     And no unit moved more than 4 times, and 20 or more moved
     And at least 5 runs started in split-1 between seconds 30 and 40
-    And submissions asked from second 30 on are served
+    And submissions sent from second 30 on are served
 
   Scenario: A quiet cell is emptied, its machines are turned off and on again, and nothing is declined for it
     Given a fleet under seed 305
-    And a submission at each requester about every 60 ms
+    And each requester submits about every 60 ms
     When this happens
       | second | operator                 | runner-split-a-1 | runner-split-a-2 |
       | 2      | empty-cell split-a       |                  |                  |
@@ -66,14 +66,14 @@
       | 24     |                          | start            | start            |
       | 28     | take-back-cell split-a   |                  |                  |
     Then until second 45 every promise is kept
-    And the operator was told "confirmed"
+    And the operator received "confirmed"
     And no run started in split-1 between seconds 8 and 28
     And at least 5 runs started in split-1 between seconds 34 and 45
-    And after second 2 nothing that may run outside split was declined
+    And after second 2 no submission that may run outside split was declined
 
   Scenario: A release across a change of wire version, and back: new commands wait for the last old process
-    Given a fleet of the wire version before under seed 306
-    And a submission at each requester about every 60 ms
+    Given a fleet with the previous wire version under seed 306
+    And each requester submits about every 60 ms
     When this happens
       | second | release | operator          | store-1     | store-2     | store-3     | router-1-1  | router-1-2  | router-2-1  | router-2-2  | router-3-1  | router-3-2  |
       | 1      |         | empty split-1     |             |             |             |             |             |             |             |             |             |
@@ -85,10 +85,10 @@
       | 46     |         |                   |             |             |             |             |             |             | start       | stop-gently |             |
       | 54     |         |                   |             |             |             |             |             |             |             | start       | stop-gently |
       | 61     |         |                   |             |             |             |             |             |             |             |             | start       |
-    Then by second 61 no step record was made
+    Then by second 61 no step record was written
     When this happens
       | second | operator          |
       | 126    | empty split-1     |
     Then until second 140 every promise is kept
-    And "emptied" on the timeline of any store
+    And "emptied" is on the timeline of any store
     And no submission is lost
--- a/test/features/src/test/resources/features/promises.feature
+++ b/test/features/src/test/resources/features/promises.feature
@@ -1,8 +1,8 @@
-Feature: What must never happen
+Feature: Promises that hold under every fault
 
-  Scenario: 1. Run-once work never runs twice, whoever dies or sleeps between claim and run
+  Scenario: 1. Run-once work never runs twice, whichever process fails or freezes between claim and run
     Given a fleet under seed 101
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | requester-1                       | router-1-1 | router-1-2 | runner-zagreb-a-1 | store-1 |
       | 1.000  | submit extract office-zagreb-centre K1 40 |    |            |                   |         |
@@ -15,11 +15,11 @@
       | 7.000  | submit extract office-zagreb-centre K1 40 |    | kill       |                   |         |
       | 9.000  | submit extract office-zagreb-centre K1 40 |    | start      |                   |         |
     Then until second 20 every promise is kept
-    And submissions asked from second 15 on are served
+    And submissions sent from second 15 on are served
 
-  Scenario: 2. Declined work is not run, while slots, runners and leaders run out
+  Scenario: 2. Declined work is not run, even when slots, runners and leaders run out
     Given a fleet under seed 102
-    And a submission at each requester about every 4 ms
+    And each requester submits about every 4 ms
     When this happens
       | second | store-1 | store-2 | runner-split-a-1 | runner-osijek-a-2 |
       | 2      | kill    |         |                  |                   |
@@ -27,11 +27,11 @@
       | 8      | start   |         | start            | come-back         |
       | 10     |         | start   |                  |                   |
     Then until second 18 every promise is kept
-    And verdict declined was told at least 20 times
+    And verdict declined was reported at least 20 times
 
-  Scenario: 3. A stream is whole and in order or visibly cut
+  Scenario: 3. A stream is complete and in order, or visibly truncated
     Given a fleet under seed 103
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | router-1-1 | router-2-1 | runner-zagreb-a-1 | runner-split-a-1 | split-1 |
       | 2.0    | kill       |            | kill              |                  |         |
@@ -39,12 +39,12 @@
       | 4.0    | start      |            | start             |                  | cut     |
       | 9.0    |            | wake       |                   | wake             | heal    |
     Then until second 20 every promise is kept
-    And verdict cut was told at least 1 time
-    And submissions asked from second 17 on are served
+    And verdict cut was reported at least 1 time
+    And submissions sent from second 17 on are served
 
-  Scenario: 4. A leaving runner gets no new work about 3 s after its leave is acknowledged
+  Scenario: 4. A leaving runner gets no new work from about 3 s after its leave is acknowledged
     Given a fleet under seed 104
-    And a submission at each requester about every 20 ms
+    And each requester submits about every 20 ms
     When this happens
       | second | runner-zagreb-a-1 | router-1-2     | store-1 |
       | 2.0    |                   | cut-from-core  |         |
@@ -55,9 +55,9 @@
     And the runner runner-zagreb-a-1 is leaving at every live router
     And no run started in runner-zagreb-a-1 between seconds 9 and 20
 
-  Scenario: 5. An emptied zone gets no new work about 5 s after the confirm, until taken back
+  Scenario: 5. An emptied zone gets no new work from about 5 s after the confirmation until it is taken back
     Given a fleet under seed 105
-    And a submission at each requester about every 30 ms
+    And each requester submits about every 30 ms
     When this happens
       | second | operator          | all   | store-3 |
       | 2      | empty split-1     |       |         |
@@ -66,22 +66,22 @@
       | 22     |                   |       | kill    |
       | 30     | take-back split-1 |       |         |
     Then until second 45 every promise is kept
-    And the operator was told "confirmed"
+    And the operator received "confirmed"
     And no run started in split-1 between seconds 8 and 30
     And at least 5 runs started in split-1 between seconds 36 and 45
 
-  Scenario: 5. A confirm says pending while a router of the zone is cut off and may still send
+  Scenario: 5. A confirmation stays pending while a router of the zone is cut off and may still send
     Given a fleet under seed 115
-    And a submission at each requester about every 30 ms
+    And each requester submits about every 30 ms
     When this happens
       | second | router-2-1    | operator      |
       | 1      | cut-from-core |               |
       | 5      |               | empty split-1 |
-    Then by second 30 the operator was told "pending [router-2-1]" and not "confirmed"
+    Then by second 30 the operator received "pending [router-2-1]" and not "confirmed"
     And until second 30 every promise is kept
-    And the operator was told "confirmed"
+    And the operator received "confirmed"
 
-  Scenario: 6. A confirmed manifest is in force everywhere and no node slips back
+  Scenario: 6. A confirmed manifest is in force everywhere, and no node goes back to an older one
     Given a fleet under seed 106
     When this happens
       | second | operator           | router-1-1 | store-1 | store-2    | router-2-1 |
@@ -95,7 +95,7 @@
     Then until second 25 every promise is kept
     And every node has the newest manifest
 
-  Scenario: 7. Of racing, losing and invalid manifests one at most takes effect
+  Scenario: 7. At most one of several competing, outdated and invalid manifests takes effect
     Given a fleet under seed 107
     When this happens
       | second | operator                                                    |
@@ -104,11 +104,11 @@
       | 4      | send old store-3 1                                          |
       | 5      | send ahead store-3 9                                        |
     Then until second 10 every promise is kept
-    And exactly 1 of the manifests sent were taken
+    And exactly 1 of the manifests sent were accepted
 
-  Scenario Outline: 8. What was accepted outlives <loss>
+  Scenario Outline: 8. Accepted writes survive the loss of <loss>
     Given a fleet under seed 108
-    And a submission at each requester about every 30 ms
+    And each requester submits about every 30 ms
     When this happens
       | second | operator         | <node>  | store-2 | runner-osijek-a-2 |
       | 1      | send m store-2 1 |         |         |                   |
@@ -119,7 +119,7 @@
       | 20     |                  |         | kill    |                   |
     Then until second 28 every promise is kept
     And every node has the newest manifest
-    And the operator was told "confirmed"
+    And the operator received "confirmed"
     And no run started in runner-osijek-a-2 between seconds 6 and 28
     And no run started in split-1 between seconds 9 and 28
 
@@ -132,7 +132,7 @@
 
   Scenario: 9. A transaction never leaves its home regions, even when they are all lost
     Given a fleet under seed 109
-    And a submission at each requester about every 15 ms
+    And each requester submits about every 15 ms
     When this happens
       | second | zagreb-1 | split-1 | operator                                     |
       | 2      | kill     |         |                                              |
@@ -140,13 +140,13 @@
       | 14     | start    | heal    |                                              |
       | 20     |          |         | keep office-split-harbour store-3 split      |
     Then until second 30 every promise is kept
-    And the operator was told "confirmed"
-    And verdict declined was told at least 1 time
+    And the operator received "confirmed"
+    And verdict declined was reported at least 1 time
 
-  Scenario: 10. A runner that comes back cold is fed gently
+  Scenario: 10. A runner that comes back cold gets its load gradually
     Given a fleet under seed 110
     And runners that start cold
-    And a submission at each requester about every 15 ms
+    And each requester submits about every 15 ms
     When this happens
       | second | runner-zagreb-a-1 | split-1 |
       | 2      | kill              |         |
@@ -156,9 +156,9 @@
     Then until second 28 every promise is kept
     And at least 1 runs started in runner-zagreb-a-1 between seconds 8 and 11
 
-  Scenario: 11. Extra tries stay within a fifth of real traffic and an allowance
+  Scenario: 11. Retries stay within a fifth of the regular traffic plus an allowance
     Given a fleet under seed 111
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | runner-zagreb-a-1 | runner-split-a-1 | runner-osijek-a-1 |
       | 1.0    | kill              |                  |                   |
@@ -171,11 +171,11 @@
       | 5.0    | start             | kill             |                   |
       | 6.0    |                   | start            |                   |
     Then until second 15 every promise is kept
-    And submissions asked from second 12 on are served
+    And submissions sent from second 12 on are served
 
   Scenario: 12. Planned restarts of every router and store, one by one, lose no submission
     Given a fleet under seed 112
-    And a submission at each requester about every 40 ms
+    And each requester submits about every 40 ms
     When this happens
       | second | router-1-1  | router-2-1  | router-3-1  | router-1-2  | store-1   | store-2   | store-3   | runner-zagreb-a-1 | operator         |
       | 1      | stop-gently |             |             |             |           |           |           |                   |                  |
@@ -194,11 +194,11 @@
 
   Scenario: 12. Service is back within 12 s after a region returns
     Given a fleet under seed 113
-    And a submission at each requester about every 30 ms
+    And each requester submits about every 30 ms
     When this happens
       | second | osijek-1   |
       | 2      | power-loss |
       | 12     | start      |
     Then until second 30 every promise is kept
-    And service in osijek-1 was back in time after second 12
-    And submissions asked from second 24 on are served
+    And service in osijek-1 resumed within the limit after second 12
+    And submissions sent from second 24 on are served
--- a/test/features/src/test/resources/features/records.feature
+++ b/test/features/src/test/resources/features/records.feature
@@ -1,4 +1,4 @@
-Feature: Stores decline writes for units they do not own, and old table versions
+Feature: Stores decline writes for units that they do not own and for old table versions
 
   Scenario: A unit moves, and the old home's writes are declined
     Given a part that holds service registry with unit 142 at home in zagreb at table version 4
--- a/test/features/src/test/resources/features/streams.feature
+++ b/test/features/src/test/resources/features/streams.feature
@@ -1,7 +1,7 @@
-Feature: When a stream is whole
+Feature: When a stream is complete
 
-  Scenario Outline: The end of a stream in pieces: <pieces>
-    Then the pieces "<pieces>" are done <done> and whole <whole>
+  Scenario Outline: Detecting the end of a stream in pieces: <pieces>
+    Then the stream pieces "<pieces>" are finished: <done>, complete: <whole>
 
     Examples:
       | pieces                                   | done | whole |
