--- a/test/features/src/test/java/craneway/features/RecordSteps.java
+++ b/test/features/src/test/java/craneway/features/RecordSteps.java
@@ -69,7 +69,7 @@
         claim.attempt = logIndex;
         checkVerdict(apply(claim), verdict);
         if (records.rows().claims.size() != claimsBefore + (lastResult.kind == 0 ? 1 : 0))
-            throw new AssertionError("the claim added the wrong number of records");
+            throw new AssertionError("the number of claims is wrong");
     }
 
     @Then("a quota share for unit {int} from {word} at version {long} gets {word}")
