--- a/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
+++ b/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
@@ -24,13 +24,13 @@
         var attemptCount = new AtomicInteger();
         try (var fixture = new ProxyFixture()) {
             ScriptedRunner.Script script = connection -> {
-                var attemptId = connection.runNextRequest();
+                var attemptId = connection.runRequest();
                 receivedDeadlinesMillis.add(Integer.parseInt(connection.header("Deadline")));
                 if (attemptCount.getAndIncrement() == 0) {
                     fixture.advanceClock(FIRST_ATTEMPT_MILLIS * 1_000L);
                     connection.reset();
                 } else {
-                    connection.write(ScriptedRunner.successResponse(attemptId));
+                    connection.write(ScriptedRunner.success(attemptId));
                 }
             };
             try (var firstRunner = new ScriptedRunner(script);
@@ -56,9 +56,9 @@
         var receivedDeadlinesMillis = new CopyOnWriteArrayList<Integer>();
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    var attemptId = connection.runNextRequest();
+                    var attemptId = connection.runRequest();
                     receivedDeadlinesMillis.add(Integer.parseInt(connection.header("Deadline")));
-                    connection.write(ScriptedRunner.successResponse(attemptId));
+                    connection.write(ScriptedRunner.success(attemptId));
                 });
                 var client = fixture.connect()) {
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
@@ -85,7 +85,7 @@
                 var respondsEarly = connection.header("Try").equals("t1");
                 var response = respondsEarly && declines
                         ? ScriptedRunner.response(503, "t1", "Not-Run: 1\r\n", "")
-                        : ScriptedRunner.successResponse(connection.header("Try"));
+                        : ScriptedRunner.success(connection.header("Try"));
                 if (respondsEarly) connection.write(response);
                 if (respondsEarly) firstResponseRead.await();
                 bodies.add(connection.header("Try") + " " + connection.readBody());
--- a/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
@@ -81,7 +81,7 @@
         fixture.post("/once/x", "t0", "");
         sendRequest("t1");
         var response = readResponse();
-        assertEquals("own of t1", response.bodyText());
+        assertEquals("own of t1", response.text());
         assertEquals("close", response.headers().get("Connection"));
         assertNull(response.headers().get("Keep-Alive"));
     }
@@ -92,10 +92,10 @@
         readResponse();
         advanceClockInSteps(12 * MICROS_PER_SECOND);
         sendRequest("t2");
-        assertEquals("own of t2", readResponse().bodyText());
+        assertEquals("own of t2", readResponse().text());
         advanceClockInSteps(12 * MICROS_PER_SECOND);
         sendRequest("t3");
-        assertEquals("own of t3", readResponse().bodyText());
+        assertEquals("own of t3", readResponse().text());
     }
 
     @Test
@@ -151,7 +151,7 @@
         send("mple\r\nTry: t1\r\nContent-Length: 4\r\n\r\n");
         advanceClockInSteps(5 * MICROS_PER_SECOND);
         send("body");
-        assertEquals("own of t1", readResponse().bodyText());
+        assertEquals("own of t1", readResponse().text());
     }
 
     @Test
@@ -160,7 +160,7 @@
         readResponse();
         fixture.advanceClockWhenIdle(60 * MICROS_PER_SECOND);
         sendRequest("t2");
-        assertEquals("own of t2", readResponse().bodyText());
+        assertEquals("own of t2", readResponse().text());
     }
 
     @Test
--- a/test/pass/src/test/java/craneway/pass/ClientConnectionTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionTest.java
@@ -63,7 +63,7 @@
             for (var id : List.of("t1", "t2", "t3"))
                 assertEquals(
                         "own of " + id,
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
         }
         assertEquals(List.of("t1", "t2", "t3"), attemptIds());
     }
@@ -90,7 +90,7 @@
                 send(client, String.valueOf(character));
             assertEquals(
                     "own of t1",
-                    ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                    ProxyFixture.readResponse(client.getInputStream()).text());
         }
         assertEquals("body", new String(runner.receivedRequests.get(0).body(), StandardCharsets.ISO_8859_1));
     }
@@ -104,11 +104,11 @@
             for (var character : raw.toCharArray()) send(client, String.valueOf(character));
             assertEquals(
                     "own of t1",
-                    ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                    ProxyFixture.readResponse(client.getInputStream()).text());
             send(client, request("/once/x", "t2", ""));
             assertEquals(
                     "own of t2",
-                    ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                    ProxyFixture.readResponse(client.getInputStream()).text());
         }
         var forwarded = runner.receivedRequests.get(0);
         assertEquals("abcde", new String(forwarded.body(), StandardCharsets.ISO_8859_1));
@@ -125,7 +125,7 @@
             assertEquals(
                     "own of t1",
                     ResponseParser.readResponseAfterInterim(client.getInputStream())
-                            .bodyText());
+                            .text());
         }
     }
 
@@ -144,7 +144,7 @@
             assertEquals(
                     "own of t1",
                     ResponseParser.readResponseAfterInterim(client.getInputStream())
-                            .bodyText());
+                            .text());
         }
     }
 
@@ -159,7 +159,7 @@
             if (howItEnds.equals("half"))
                 assertFalse(ProxyFixture.readResponse(client.getInputStream()).status() / 100 == 2);
         }
-        assertEquals("own of t2", fixture.post("/once/x", "t2", "").bodyText());
+        assertEquals("own of t2", fixture.post("/once/x", "t2", "").text());
         assertEquals(List.of("t2"), attemptIds());
     }
 
@@ -177,7 +177,7 @@
         }
         responseDue.countDown();
         for (var i = 2; i < 6; i++)
-            assertEquals("own of t" + i, fixture.post("/once/x", "t" + i, "").bodyText());
+            assertEquals("own of t" + i, fixture.post("/once/x", "t" + i, "").text());
         assertEquals(5, runner.receivedRequests.size());
     }
 
@@ -206,7 +206,7 @@
             for (var request : runner.receivedRequests)
                 assertFalse(new String(request.body(), StandardCharsets.ISO_8859_1).contains("hidden"));
         }
-        assertEquals("own of t9", fixture.post("/once/x", "t9", "").bodyText());
+        assertEquals("own of t9", fixture.post("/once/x", "t9", "").text());
     }
 
     @ParameterizedTest
@@ -221,7 +221,7 @@
                 "/once/x;p?q"
             })
     void pathAndQueryAreForwardedUnchanged(String path) throws Exception {
-        assertEquals("own of t1", fixture.post(path, "t1", "").bodyText());
+        assertEquals("own of t1", fixture.post(path, "t1", "").text());
         assertEquals(
                 "POST " + path + " HTTP/1.1", runner.receivedRequests.get(0).requestLine());
     }
@@ -235,7 +235,7 @@
             else
                 assertEquals(
                         "own of t1",
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
         }
         assertEquals(
                 method + " /once/x HTTP/1.1", runner.receivedRequests.get(0).requestLine());
@@ -252,7 +252,7 @@
             send(client, "body");
             assertEquals(
                     "own of t1",
-                    ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                    ProxyFixture.readResponse(client.getInputStream()).text());
         }
         assertFalse(runner.receivedRequests.get(0).headers().containsKey("Expect"));
     }
--- a/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
@@ -52,7 +52,7 @@
         var connectionEnded = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    connection.runNextRequest();
+                    connection.runRequest();
                     requestRan.countDown();
                     connection.awaitPeerClose();
                     connectionEnded.countDown();
@@ -76,7 +76,7 @@
         var connectionEnded = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     clientGone.await();
                     connection.write(ScriptedRunner.chunk("id: 2\ndata: b\n\n"));
@@ -104,10 +104,10 @@
         var responseWritten = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    var attemptId = connection.runNextRequest();
+                    var attemptId = connection.runRequest();
                     requestRan.countDown();
                     responseDue.await();
-                    connection.write(ScriptedRunner.successResponse(attemptId));
+                    connection.write(ScriptedRunner.success(attemptId));
                     responseWritten.countDown();
                 })) {
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
@@ -131,7 +131,7 @@
     void clientThatDisconnectsBeforeRunnerIsAvailableIsNotServed(String path) throws Exception {
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(
-                        connection -> connection.write(ScriptedRunner.successResponse(connection.runNextRequest())))) {
+                        connection -> connection.write(ScriptedRunner.success(connection.runRequest())))) {
             fixture.publishViewWithoutService(false);
             try (var client = fixture.connect()) {
                 send(client, request(path));
@@ -151,10 +151,10 @@
         var responseDue = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    var attemptId = connection.runNextRequest();
+                    var attemptId = connection.runRequest();
                     requestRan.countDown();
                     responseDue.await();
-                    connection.write(ScriptedRunner.successResponse(attemptId));
+                    connection.write(ScriptedRunner.success(attemptId));
                 })) {
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             try (var client = fixture.connect()) {
@@ -166,7 +166,7 @@
                 responseDue.countDown();
                 assertEquals(
                         "body of t1",
-                        ResponseParser.readResponseAfterInterim(in).bodyText());
+                        ResponseParser.readResponseAfterInterim(in).text());
             }
             assertEquals(1, runner.ranAttemptIds.size());
         }
@@ -178,12 +178,12 @@
         var responseDue = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    for (var attemptId = connection.runNextRequest();
+                    for (var attemptId = connection.runRequest();
                             attemptId != null;
-                            attemptId = connection.runNextRequest()) {
+                            attemptId = connection.runRequest()) {
                         requestRan.countDown();
                         responseDue.await();
-                        connection.write(ScriptedRunner.successResponse(attemptId));
+                        connection.write(ScriptedRunner.success(attemptId));
                     }
                 })) {
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
@@ -196,10 +196,10 @@
                 responseDue.countDown();
                 assertEquals(
                         "body of t1",
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
                 assertEquals(
                         "body of t2",
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
             }
         }
     }
--- a/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
@@ -35,7 +35,7 @@
         var firstArrived = new CountDownLatch(1);
         var fault = new PlannedFault("craneway.gateway.proxy.RunnerCall", piece);
         ScriptedRunner.Script script = connection -> {
-            if (connection.runNextRequest() == null) return;
+            if (connection.runRequest() == null) return;
             connection.write(streamHead(chunked) + (chunked ? ScriptedRunner.chunk(FIRST_EVENT) : FIRST_EVENT));
             firstArrived.await();
             connection.write(chunked ? ScriptedRunner.chunk(SECOND_EVENT) : SECOND_EVENT);
@@ -55,10 +55,10 @@
             });
             var response = ProxyFixture.readResponse(planningStream);
             fault.awaitThrown();
-            assertTrue((FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(response.bodyText()), response.bodyText());
+            assertTrue((FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(response.text()), response.text());
             assertFalse(
-                    response.complete() && !response.bodyText().equals(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT),
-                    response.bodyText());
+                    response.complete() && !response.text().equals(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT),
+                    response.text());
         }
     }
 
@@ -70,8 +70,8 @@
     @CsvSource({"/stream/x", "/once/x"})
     void exceptionBeforeResponseYieldsBadGateway(String path) throws Exception {
         ScriptedRunner.Script script = connection -> {
-            if (connection.runNextRequest() == null) return;
-            connection.write(ScriptedRunner.successResponse("t1"));
+            if (connection.runRequest() == null) return;
+            connection.write(ScriptedRunner.success("t1"));
             connection.awaitPeerClose();
         };
         try (var fixture = new ProxyFixture();
--- a/test/pass/src/test/java/craneway/pass/NotRunPromiseTest.java
+++ b/test/pass/src/test/java/craneway/pass/NotRunPromiseTest.java
@@ -37,15 +37,15 @@
             connection.write(ScriptedRunner.response(421, connection.header("Try"), "Not-Run: 1\r\n", ""));
         }),
         RUNS_AND_IS_SILENT(connection -> {
-            connection.runNextRequest();
+            connection.runRequest();
             connection.awaitPeerClose();
         }),
         RUNS_AND_RESETS(connection -> {
-            connection.runNextRequest();
+            connection.runRequest();
             connection.reset();
         }),
         RUNS_AND_RESPONDS_503(connection ->
-                connection.write(ScriptedRunner.response(503, connection.runNextRequest(), "Stamp: s\r\n", "failed")));
+                connection.write(ScriptedRunner.response(503, connection.runRequest(), "Stamp: s\r\n", "failed")));
 
         private final ScriptedRunner.Script script;
 
@@ -119,14 +119,14 @@
         if (NOT_RUN_STATUSES.contains(response.status()))
             assertEquals(0, runCount, "status promises that the request has not run, although it has");
         var hasShortDeadline = sequence.contains(Behaviour.RUNS_AND_IS_SILENT);
-        if (response.status() == 504) assertTrue(hasShortDeadline, response.bodyText());
+        if (response.status() == 504) assertTrue(hasShortDeadline, response.text());
         // on a busy machine the short deadline may pass before any runner has received the request
         if (hasShortDeadline && (runCount == 0 || response.status() == 504)) return;
         assertEquals(
                 sequence.stream().anyMatch(Behaviour::runsRequest),
                 runCount == 1,
-                response.status() + " " + response.bodyText());
-        assertEquals(runCount == 0, response.status() == 503, response.status() + " " + response.bodyText());
+                response.status() + " " + response.text());
+        assertEquals(runCount == 0, response.status() == 503, response.status() + " " + response.text());
         if (response.status() == 503)
             assertTrue(Double.parseDouble(response.headers().get("Retry-After")) > 0);
     }
--- a/test/pass/src/test/java/craneway/pass/ProxyFixture.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyFixture.java
@@ -47,7 +47,7 @@
 
     /** A response as a client received it; {@code complete} says whether its framing ended as announced. */
     record Response(int status, Map<String, String> headers, byte[] body, boolean complete) {
-        String bodyText() {
+        String text() {
             return new String(body, java.nio.charset.StandardCharsets.ISO_8859_1);
         }
     }
--- a/test/pass/src/test/java/craneway/pass/ProxyRequestTest.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyRequestTest.java
@@ -45,7 +45,7 @@
                 assertEquals(200, response.status());
                 assertEquals("abc", response.headers().get("Stamp"));
                 assertEquals("v", response.headers().get("Other"));
-                assertEquals("\u0000\u00ffz", response.bodyText());
+                assertEquals("\u0000\u00ffz", response.text());
             }
             var forwarded = runner.receivedRequests.get(0);
             assertEquals("POST /once/a%20b/%7Ex?q=1%202&z HTTP/1.1", forwarded.requestLine());
@@ -105,7 +105,7 @@
                 var otherRunner = new FakeRunner(resetsFirstRequest)) {
             fixture.putRunner("i1", runner, "a");
             fixture.putRunner("i2", otherRunner, "a");
-            assertEquals("second", fixture.post("/again/x", "t", "body").bodyText());
+            assertEquals("second", fixture.post("/again/x", "t", "body").text());
             assertEquals(2, runner.receivedRequests.size() + otherRunner.receivedRequests.size());
         }
     }
@@ -121,7 +121,7 @@
                 var otherRunner = new FakeRunner(declinesFirstRequest)) {
             fixture.putRunner("i1", runner, "a");
             fixture.putRunner("i2", otherRunner, "a");
-            assertEquals("ran", fixture.post("/once/x", "t", "body").bodyText());
+            assertEquals("ran", fixture.post("/once/x", "t", "body").text());
         }
     }
 
@@ -142,8 +142,8 @@
                 var otherRunner = new FakeRunner(request -> request.respondOk("ran"))) {
             fixture.putRunner("i1", runner, "a");
             fixture.putRunner("i2", otherRunner, "b");
-            assertEquals("ran", fixture.post("/once/x", "t1", "body").bodyText());
-            assertEquals("ran", fixture.post("/once/x", "t2", "body").bodyText());
+            assertEquals("ran", fixture.post("/once/x", "t1", "body").text());
+            assertEquals("ran", fixture.post("/once/x", "t2", "body").text());
             assertEquals(1, runner.receivedRequests.size());
         }
     }
@@ -156,7 +156,7 @@
         try (var otherRunner = new FakeRunner(request -> request.respondOk("ran"))) {
             fixture.putRunner("i1", address, "a", Rows.Runner.UP);
             fixture.putRunner("i2", otherRunner, "b");
-            assertEquals("ran", fixture.post("/once/x", "t", "body").bodyText());
+            assertEquals("ran", fixture.post("/once/x", "t", "body").text());
         }
     }
 
@@ -172,19 +172,19 @@
                 ProxyFixture.sendPost(client, "/once/x", "t1", "", "");
                 assertEquals(
                         "own of t1",
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
                 firstResponded.await();
                 runner.setScript(request ->
                         request.respondRaw("HTTP/1.1 200 OK\r\nTry: t0\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong"));
                 ProxyFixture.sendPost(client, "/once/x", "t2", "", "");
                 var response = ProxyFixture.readResponse(client.getInputStream());
                 assertEquals(502, response.status());
-                assertFalse(response.bodyText().contains("wrong"));
+                assertFalse(response.text().contains("wrong"));
                 runner.setScript(request -> request.respondOk("own of " + request.header("try")));
                 ProxyFixture.sendPost(client, "/once/x", "t3", "", "");
                 assertEquals(
                         "own of t3",
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
             }
         }
     }
@@ -201,7 +201,7 @@
                 ProxyFixture.sendPost(client, "/again/x", "t1", "", "");
                 assertEquals(
                         "own",
-                        ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                        ProxyFixture.readResponse(client.getInputStream()).text());
                 ProxyFixture.sendPost(client, "/again/x", "t2", "", "");
                 var response = ProxyFixture.readResponse(client.getInputStream());
                 assertEquals(200, response.status());
@@ -229,7 +229,7 @@
         })) {
             fixture.putRunner("i1", runner, "a");
             for (var i = 0; i < 5; i++) {
-                assertEquals("one", fixture.post("/once/x", "t" + i, "").bodyText());
+                assertEquals("one", fixture.post("/once/x", "t" + i, "").text());
                 closed.acquire();
             }
         }
@@ -240,7 +240,7 @@
         try (var runner = new FakeRunner(request -> request.respondOk("one"))) {
             fixture.putRunner("i1", runner, "a");
             for (var i = 0; i < 5; i++)
-                assertEquals("one", fixture.post("/once/x", "t" + i, "").bodyText());
+                assertEquals("one", fixture.post("/once/x", "t" + i, "").text());
             assertEquals(1, runner.acceptedConnectionCount());
         }
     }
@@ -290,7 +290,7 @@
             fixture.publishViewWithoutService(true);
             fixture.publishView();
             assertEquals(
-                    "served", ProxyFixture.readResponse(client.getInputStream()).bodyText());
+                    "served", ProxyFixture.readResponse(client.getInputStream()).text());
         }
     }
 
--- a/test/pass/src/test/java/craneway/pass/ProxyServerStopTest.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyServerStopTest.java
@@ -15,7 +15,7 @@
     void slowlyReadResponseCountsAsUnansweredUntilFullySent() throws Exception {
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> connection.write(ScriptedRunner.response(
-                        200, connection.runNextRequest(), "Stamp: s\r\n", "x".repeat(LARGE_BODY_BYTES))));
+                        200, connection.runRequest(), "Stamp: s\r\n", "x".repeat(LARGE_BODY_BYTES))));
                 var client = fixture.connect()) {
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             assertEquals(0, fixture.server.unansweredConnectionCount());
@@ -26,7 +26,7 @@
             assertEquals(1, fixture.server.unansweredConnectionCount());
             var response = ProxyFixture.readResponse(client.getInputStream());
             assertTrue(response.complete());
-            assertEquals(LARGE_BODY_BYTES, response.bodyText().getBytes(StandardCharsets.ISO_8859_1).length);
+            assertEquals(LARGE_BODY_BYTES, response.text().getBytes(StandardCharsets.ISO_8859_1).length);
             while (fixture.server.unansweredConnectionCount() > 0) Thread.yield();
         }
     }
--- a/test/pass/src/test/java/craneway/pass/RandomFaultSequenceTest.java
+++ b/test/pass/src/test/java/craneway/pass/RandomFaultSequenceTest.java
@@ -77,9 +77,9 @@
                 var fault = drawFault(random);
                 if (fault != null) fault.script.play(connection, faultContext(connection));
                 if (fault != null && connection.socket.isClosed()) return;
-                var attemptId = connection.runNextRequest();
+                var attemptId = connection.runRequest();
                 if (attemptId == null) return;
-                connection.write(ScriptedRunner.successResponse(attemptId));
+                connection.write(ScriptedRunner.success(attemptId));
             }
         }
 
@@ -130,12 +130,7 @@
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 var response = ProxyFixture.readResponse(client.getInputStream());
                 return new ClientResult(
-                        attemptId,
-                        route,
-                        response.status(),
-                        response.complete(),
-                        response.bodyText(),
-                        response.headers());
+                        attemptId, route, response.status(), response.complete(), response.text(), response.headers());
             } catch (IOException | RuntimeException e) {
                 return new ClientResult(attemptId, route, 0, false, "", Map.of());
             }
--- a/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
@@ -48,8 +48,8 @@
 
     /** Responds to each request of a connection with a success of its own. */
     private static void serveAll(ScriptedRunner.Connection connection) throws Exception {
-        for (var attemptId = connection.runNextRequest(); attemptId != null; attemptId = connection.runNextRequest())
-            connection.write(ScriptedRunner.successResponse(attemptId));
+        for (var attemptId = connection.runRequest(); attemptId != null; attemptId = connection.runRequest())
+            connection.write(ScriptedRunner.success(attemptId));
     }
 
     /**
@@ -59,7 +59,7 @@
     private ScriptedRunner runnerWithUnexpectedResponse(String unexpected) throws Exception {
         return new ScriptedRunner(connection -> {
             if (connection.index == 0) {
-                connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+                connection.write(ScriptedRunner.success(connection.runRequest()));
                 connection.readHead();
                 connection.write(unexpected);
                 connection.skipBody();
@@ -83,17 +83,17 @@
         try (var runner = runnerWithUnexpectedResponse(unexpected);
                 var otherRunner = new ScriptedRunner(RunnerConnectionReuseTest::serveAll)) {
             putRunner("i1", runner);
-            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).text());
             putRunner("i2", otherRunner);
             var response = request("/once/x", "t2", 4_000);
-            assertEquals(502, response.status(), response.bodyText());
+            assertEquals(502, response.status(), response.text());
             assertNull(response.headers().get("Stamp"));
             assertTrue(runner.ranAttemptIds.stream().filter("t2"::equals).count()
                             + otherRunner.ranAttemptIds.stream()
                                     .filter("t2"::equals)
                                     .count()
                     <= 1);
-            assertEquals("body of t3", request("/again/x", "t3", 4_000).bodyText());
+            assertEquals("body of t3", request("/again/x", "t3", 4_000).text());
         }
     }
 
@@ -109,17 +109,17 @@
         var sendUnexpected = new CountDownLatch(1);
         try (var runner = new ScriptedRunner(connection -> {
             if (connection.index > 0) serveAll(connection);
-            connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+            connection.write(ScriptedRunner.success(connection.runRequest()));
             sendUnexpected.await();
             connection.write(unexpected);
             connection.awaitPeerClose();
             closedByRouter.countDown();
         })) {
             putRunner("i1", runner);
-            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).text());
             sendUnexpected.countDown();
             closedByRouter.await();
-            assertEquals("body of t2", request("/once/x", "t2", 4_000).bodyText());
+            assertEquals("body of t2", request("/once/x", "t2", 4_000).text());
         }
     }
 
@@ -130,7 +130,7 @@
         var connectionEnded = new CountDownLatch(1);
         try (var runner = new ScriptedRunner(connection -> {
             if (connection.index > 0) serveAll(connection);
-            connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+            connection.write(ScriptedRunner.success(connection.runRequest()));
             firstResponseRead.await();
             if (howItEnds.equals("reset")) {
                 connection.reset();
@@ -141,10 +141,10 @@
             connectionEnded.countDown();
         })) {
             putRunner("i1", runner);
-            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).text());
             firstResponseRead.countDown();
             connectionEnded.await();
-            assertEquals("body of t2", request("/again/x", "t2", 4_000).bodyText());
+            assertEquals("body of t2", request("/again/x", "t2", 4_000).text());
         }
     }
 
@@ -155,7 +155,7 @@
     private ScriptedRunner runnerThatDropsIdleConnection() throws Exception {
         return new ScriptedRunner(connection -> {
             if (connection.index > 0) serveAll(connection);
-            connection.write(ScriptedRunner.successResponse(connection.runNextRequest()));
+            connection.write(ScriptedRunner.success(connection.runRequest()));
             connection.socket.getInputStream().readNBytes(1);
             connection.reset();
         });
@@ -165,9 +165,9 @@
     void onceOnlyRequestIsNotSentOnLongIdleConnection() throws Exception {
         try (var runner = runnerThatDropsIdleConnection()) {
             putRunner("i1", runner);
-            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).text());
             fixture.advanceClockWhenIdle(1_000_000);
-            assertEquals("body of t2", request("/once/x", "t2", 4_000).bodyText());
+            assertEquals("body of t2", request("/once/x", "t2", 4_000).text());
             assertEquals(1, runner.ranAttemptIds.stream().filter("t2"::equals).count());
         }
     }
@@ -177,10 +177,10 @@
         try (var runner = runnerThatDropsIdleConnection();
                 var otherRunner = new ScriptedRunner(RunnerConnectionReuseTest::serveAll)) {
             putRunner("i1", runner);
-            assertEquals("body of t1", request("/once/x", "t1", 4_000).bodyText());
+            assertEquals("body of t1", request("/once/x", "t1", 4_000).text());
             putRunner("i2", otherRunner);
             var response = request("/once/x", "t2", 4_000);
-            assertTrue(response.status() == 502 || response.bodyText().equals("body of t2"), response.bodyText());
+            assertTrue(response.status() == 502 || response.text().equals("body of t2"), response.text());
             assertTrue(runner.ranAttemptIds.size() + otherRunner.ranAttemptIds.size() <= 2);
         }
     }
@@ -190,19 +190,17 @@
         try (var runner = runnerThatDropsIdleConnection();
                 var otherRunner = new ScriptedRunner(RunnerConnectionReuseTest::serveAll)) {
             putRunner("i1", runner);
-            assertEquals("body of t1", request("/again/x", "t1", 4_000).bodyText());
+            assertEquals("body of t1", request("/again/x", "t1", 4_000).text());
             putRunner("i2", otherRunner);
             fixture.advanceClockWhenIdle(1_000_000);
-            assertEquals("body of t2", request("/again/x", "t2", 4_000).bodyText());
+            assertEquals("body of t2", request("/again/x", "t2", 4_000).text());
         }
     }
 
     @Test
     void connectionIsNotReusedBeyondRunnersKeepAliveTimeout() throws Exception {
         try (var runner = new ScriptedRunner(connection -> {
-            for (var attemptId = connection.runNextRequest();
-                    attemptId != null;
-                    attemptId = connection.runNextRequest())
+            for (var attemptId = connection.runRequest(); attemptId != null; attemptId = connection.runRequest())
                 connection.write(
                         ScriptedRunner.response(200, attemptId, "Stamp: s\r\nKeep-Alive: timeout=2\r\n", "ok"));
         })) {
@@ -220,9 +218,7 @@
     @Test
     void connectionWithZeroKeepAliveTimeoutIsNotReused() throws Exception {
         try (var runner = new ScriptedRunner(connection -> {
-            for (var attemptId = connection.runNextRequest();
-                    attemptId != null;
-                    attemptId = connection.runNextRequest())
+            for (var attemptId = connection.runRequest(); attemptId != null; attemptId = connection.runRequest())
                 connection.write(
                         ScriptedRunner.response(200, attemptId, "Stamp: s\r\nKeep-Alive: timeout=0\r\n", "ok"));
         })) {
@@ -240,7 +236,7 @@
         closedRunner.close();
         var runners = new ScriptedRunner[1];
         try (var silentRunner = new ScriptedRunner(connection -> {
-            connection.runNextRequest();
+            connection.runRequest();
             runners[0].awaitTestEnd();
         })) {
             runners[0] = silentRunner;
@@ -257,7 +253,7 @@
         var address = closedRunner.address();
         closedRunner.close();
         try (var resettingRunner = new ScriptedRunner(connection -> {
-            connection.runNextRequest();
+            connection.runRequest();
             connection.reset();
         })) {
             fixture.putRunner("i1", address, "a", Rows.Runner.UP);
--- a/test/pass/src/test/java/craneway/pass/RunnerEligibilityTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerEligibilityTest.java
@@ -28,7 +28,7 @@
                 var otherRunner = new FakeRunner(request -> request.respondOk("b"))) {
             fixture.putRunner("i1", runner, "a");
             fixture.putRunner("i2", otherRunner, "b");
-            assertEquals("b", fixture.post("/home/x", "t", "").bodyText());
+            assertEquals("b", fixture.post("/home/x", "t", "").text());
             fixture.putRunner("i2", otherRunner.address(), "b", Rows.Runner.LEAVING);
             assertEquals(503, fixture.post("/home/x", "t2", "").status());
             assertEquals(0, runner.receivedRequests.size());
@@ -41,12 +41,12 @@
                 var otherRunner = new FakeRunner(request -> request.respondOk("b"))) {
             fixture.putRunner("i1", runner, "a");
             fixture.putRunner("i2", otherRunner, "b");
-            assertEquals("a", fixture.post("/once/x", "t", "").bodyText());
+            assertEquals("a", fixture.post("/once/x", "t", "").text());
             fixture.markZone("a", Plan.EMPTIED);
-            assertEquals("b", fixture.post("/once/x", "t", "").bodyText());
+            assertEquals("b", fixture.post("/once/x", "t", "").text());
             fixture.markZone("a", "");
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.LEAVING);
-            assertEquals("b", fixture.post("/once/x", "t", "").bodyText());
+            assertEquals("b", fixture.post("/once/x", "t", "").text());
             assertEquals(1, runner.receivedRequests.size());
         }
     }
--- a/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
@@ -42,8 +42,8 @@
                 faultyConnection = connection;
                 fault.script.play(connection, faultContext());
             }
-            for (var id = connection.runNextRequest(); id != null; id = connection.runNextRequest())
-                connection.write(ScriptedRunner.successResponse(id));
+            for (var id = connection.runRequest(); id != null; id = connection.runRequest())
+                connection.write(ScriptedRunner.success(id));
         }
 
         private RunnerFault.FaultContext faultContext() {
@@ -112,8 +112,7 @@
             checkOutcome(outcome, response);
             if (outcome != Outcome.TIMING_DEPENDENT)
                 assertEquals(
-                        (scene.faultyConnection.hasRunRequest ? 1 : 0)
-                                + (outcome == Outcome.SERVED_BY_SECOND_RUNNER ? 1 : 0),
+                        (scene.faultyConnection.hasRunRequest ? 1 : 0) + (outcome == Outcome.SERVED_BY_SECOND ? 1 : 0),
                         scene.countRuns("t1"));
             if (!response.complete()) return;
             var nextResponse = scene.request("/again/x", "t2", 4_000);
@@ -121,7 +120,7 @@
                     "t2",
                     nextResponse.headers().get("Try"),
                     "the next response on the connection belongs to the next request");
-            assertEquals("body of t2", nextResponse.bodyText());
+            assertEquals("body of t2", nextResponse.text());
         }
     }
 
@@ -130,21 +129,21 @@
         if (NOT_RUN_STATUSES.contains(response.status()))
             assertEquals(0, runCount, "status promises that the request has not run, although it has");
         if (response.status() / 100 == 2 && response.complete()) {
-            assertEquals("body of t1", response.bodyText());
+            assertEquals("body of t1", response.text());
             assertEquals("s-t1", response.headers().get("Stamp"));
             assertEquals("t1", response.headers().get("Try"));
         }
-        if (response.status() / 100 != 2) assertFalse(response.bodyText().contains("whose"));
+        if (response.status() / 100 != 2) assertFalse(response.text().contains("whose"));
     }
 
     private static void checkOutcome(Outcome outcome, ProxyFixture.Response response) {
         switch (outcome) {
-            case SERVED_BY_FIRST_RUNNER, SERVED_BY_SECOND_RUNNER -> {
+            case SERVED_BY_FIRST, SERVED_BY_SECOND -> {
                 assertEquals(200, response.status());
                 assertTrue(response.complete());
             }
             case FAILURE_FORWARDED -> {
-                assertEquals("failed", response.bodyText());
+                assertEquals("failed", response.text());
                 assertEquals("s", response.headers().get("Stamp"));
             }
             case BAD_GATEWAY -> checkRouterResponse(502, response);
@@ -158,7 +157,7 @@
     }
 
     private static void checkRouterResponse(int status, ProxyFixture.Response response) {
-        assertEquals(status, response.status(), response.bodyText());
+        assertEquals(status, response.status(), response.text());
         assertNull(response.headers().get("Stamp"), "a response of the router has no stamp");
     }
 }
--- a/test/pass/src/test/java/craneway/pass/RunnerKilledMidResponseTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerKilledMidResponseTest.java
@@ -22,7 +22,7 @@
             ScriptedRunner.streamResponseHead("t1").replace("Transfer-Encoding: chunked", "Connection: close");
 
     private static final ScriptedRunner.Script RESUMES_STREAM = connection -> {
-        connection.runNextRequest();
+        connection.runRequest();
         connection.write(ScriptedRunner.streamResponseHead("t1") + ScriptedRunner.chunk(REMAINING_EVENT) + "0\r\n\r\n");
         connection.awaitPeerClose();
     };
@@ -35,7 +35,7 @@
             String path, String firstRunnersOutput, int[] secondRunnersRuns) throws Exception {
         var killedRunner = new AtomicReference<ScriptedRunner>();
         ScriptedRunner.Script writesThenDies = connection -> {
-            connection.runNextRequest();
+            connection.runRequest();
             connection.write(firstRunnersOutput);
             killedRunner.get().simulateProcessKill();
         };
@@ -65,7 +65,7 @@
         var secondRunnersRuns = new int[1];
         var response =
                 requestWithRunnerKilledAfter("/resume/x", UNFRAMED_STREAM_HEAD + FIRST_EVENTS, secondRunnersRuns);
-        assertEquals(FIRST_EVENTS + REMAINING_EVENT, response.bodyText());
+        assertEquals(FIRST_EVENTS + REMAINING_EVENT, response.text());
         assertTrue(response.complete());
         assertEquals(1, secondRunnersRuns[0]);
     }
@@ -85,7 +85,7 @@
     @Test
     void responseOfLiveRunnerIsComplete() throws Exception {
         ScriptedRunner.Script respondsAndCloses = connection -> {
-            if (connection.runNextRequest() == null) return;
+            if (connection.runRequest() == null) return;
             connection.write(UNFRAMED_STREAM_HEAD + FIRST_EVENTS);
             connection.close();
         };
@@ -93,7 +93,7 @@
                 var firstRunner = new ScriptedRunner(respondsAndCloses)) {
             fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
             var response = fixture.post("/stream/x", "t1", "");
-            assertEquals(FIRST_EVENTS, response.bodyText());
+            assertEquals(FIRST_EVENTS, response.text());
             assertTrue(response.complete());
         }
     }
--- a/test/pass/src/test/java/craneway/pass/ScriptedRunner.java
+++ b/test/pass/src/test/java/craneway/pass/ScriptedRunner.java
@@ -46,7 +46,7 @@
         }
 
         /** Reads one request and records it as run; returns its attempt id, or null when the connection has ended. */
-        String runNextRequest() throws IOException {
+        String runRequest() throws IOException {
             var line = readHead();
             if (line == null) return null;
             skipBody();
@@ -202,13 +202,13 @@
     }
 
     /** Returns a complete success with a stamp and a body that name the attempt. */
-    static String successResponse(String attemptId) {
+    static String success(String attemptId) {
         return response(200, attemptId, "Stamp: s-" + attemptId + "\r\n", "body of " + attemptId);
     }
 
     /** Returns a success that lacks the last three bytes of its body. */
-    static String truncatedSuccessResponse(String attemptId) {
-        var complete = successResponse(attemptId);
+    static String truncatedSuccess(String attemptId) {
+        var complete = success(attemptId);
         return complete.substring(0, complete.length() - 3);
     }
 
--- a/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
@@ -40,7 +40,7 @@
             connection.awaitPeerClose();
         }),
         SECOND_RESPONSE_WITHIN_STREAM(connection -> {
-            connection.write(ScriptedRunner.successResponse("another"));
+            connection.write(ScriptedRunner.success("another"));
             connection.awaitPeerClose();
         }),
         SILENCE(ScriptedRunner.Connection::awaitPeerClose);
@@ -65,7 +65,7 @@
         NOT_RUN(false, ScriptedRunner.response(503, "t1", "Not-Run: 1\r\n", "")),
         WRONG_ATTEMPT_ID(
                 false, ScriptedRunner.streamResponseHead("another") + ScriptedRunner.chunk(SECOND_EVENT) + LAST_CHUNK),
-        NOT_A_STREAM(false, ScriptedRunner.successResponse("t1")),
+        NOT_A_STREAM(false, ScriptedRunner.success("t1")),
         CONTENT_ENCODING(
                 false,
                 ScriptedRunner.streamResponseHead("t1").replace("Stamp", "Content-Encoding: gzip\r\nStamp")
@@ -105,13 +105,13 @@
         try (var fixture = new ProxyFixture()) {
             ScriptedRunner.Script connectionScript = connection -> {
                 if (connectionCount.getAndIncrement() == 0) {
-                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
                     if (streamBreak == StreamBreak.SILENCE) fixture.advanceClock(700_000);
                     streamBreak.script.play(connection);
                 } else {
-                    connection.runNextRequest();
+                    connection.runRequest();
                     lastEventIds.add(connection.header("Last-Event-Id"));
                     connection.write(secondResponse);
                     connection.awaitPeerClose();
@@ -141,7 +141,7 @@
                 requestWithBrokenStream("/stream/x", streamBreak == StreamBreak.SILENCE ? 300 : 4_000, streamBreak, "");
         assertEquals(200, result.response.status());
         assertFalse(result.response.complete());
-        assertTrue((FIRST_EVENT + SECOND_EVENT).startsWith(result.response.bodyText()), result.response.bodyText());
+        assertTrue((FIRST_EVENT + SECOND_EVENT).startsWith(result.response.text()), result.response.text());
         assertEquals(1, result.runCount);
     }
 
@@ -150,7 +150,7 @@
     void resumableStreamContinuesAfterLastCompleteEvent(StreamBreak streamBreak) throws Exception {
         var result = requestWithBrokenStream("/resume/x", 4_000, streamBreak, ResumeResponse.REMAINING_EVENTS.response);
         assertTrue(result.response.complete());
-        assertEquals(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT, result.response.bodyText());
+        assertEquals(FIRST_EVENT + SECOND_EVENT + THIRD_EVENT, result.response.text());
         assertEquals("s-t1", result.response.headers().get("Stamp"));
         assertEquals(List.of("1"), result.lastEventIds);
         assertEquals(2, result.runCount);
@@ -160,10 +160,9 @@
     @EnumSource
     void secondRunnersResponseIsJoinedOrStreamTruncated(ResumeResponse secondResponse) throws Exception {
         var result = requestWithBrokenStream("/resume/x", 4_000, StreamBreak.RESET, secondResponse.response);
-        assertEquals(secondResponse.accepted, result.response.complete(), result.response.bodyText());
+        assertEquals(secondResponse.accepted, result.response.complete(), result.response.text());
         assertTrue(
-                (FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(result.response.bodyText()),
-                result.response.bodyText());
+                (FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(result.response.text()), result.response.text());
         assertEquals(2, result.runCount);
     }
 }
--- a/test/pass/src/test/java/craneway/pass/StreamForwardingTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamForwardingTest.java
@@ -86,7 +86,7 @@
             fixture.putRunner("i2", otherRunner, "a");
             var response = fixture.post("/resume/x", "t", "");
             assertTrue(response.complete());
-            assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n", response.bodyText());
+            assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n", response.text());
             var firstRequest = runner.receivedRequests.isEmpty()
                     ? otherRunner.receivedRequests.get(0)
                     : runner.receivedRequests.get(0);
@@ -115,7 +115,7 @@
             fixture.putRunner("i2", otherRunner, "a");
             var response = fixture.post("/resume/x", "t", "");
             assertTrue(response.complete());
-            assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", response.bodyText());
+            assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", response.text());
         }
     }
 
@@ -134,7 +134,7 @@
             fixture.putRunner("i2", otherRunner, "b");
             var response = fixture.post("/stream/x", "t", "");
             assertTrue(response.complete());
-            assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", response.bodyText());
+            assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", response.text());
             assertEquals(0, otherRunner.receivedRequests.size());
         }
     }
--- a/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
@@ -141,9 +141,7 @@
     void clientReceivesPrefixOfItsStream(String path, int breaksPerStream, int seed) throws Exception {
         var runsByAttempt = new java.util.concurrent.ConcurrentHashMap<String, AtomicInteger>();
         ScriptedRunner.Script script = connection -> {
-            for (var attemptId = connection.runNextRequest();
-                    attemptId != null;
-                    attemptId = connection.runNextRequest()) {
+            for (var attemptId = connection.runRequest(); attemptId != null; attemptId = connection.runRequest()) {
                 var earlierRuns = runsByAttempt
                         .computeIfAbsent(attemptId, k -> new AtomicInteger())
                         .getAndIncrement();
@@ -179,7 +177,7 @@
         var allEvents = plan.allEvents();
         assertEquals(200, response.status(), plan.attemptId);
         assertTrue(
-                allEvents.startsWith(response.bodyText()),
+                allEvents.startsWith(response.text()),
                 plan.attemptId + " received something other than a prefix of its stream");
         if (response.complete())
             assertEquals(allEvents.length(), new String(response.body(), StandardCharsets.ISO_8859_1).length());
--- a/test/pass/src/test/java/craneway/pass/StreamResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamResumeTest.java
@@ -44,7 +44,7 @@
         var runCount = new AtomicInteger();
         var lastEventIds = new CopyOnWriteArrayList<String>();
         ScriptedRunner.Script script = connection -> {
-            if (connection.runNextRequest() == null) return;
+            if (connection.runRequest() == null) return;
             lastEventIds.add(connection.header("Last-Event-Id"));
             if (runCount.getAndIncrement() == 0) {
                 firstRun.play(connection);
@@ -98,7 +98,7 @@
     @EnumSource
     void unframedStreamOfFailedRunnerIsNotComplete(RunnerFailure failure) throws Exception {
         var result = requestStream("/stream/x", "", failure::play, "");
-        assertFalse(result.response.status() == 200 && result.response.complete(), result.response.bodyText());
+        assertFalse(result.response.status() == 200 && result.response.complete(), result.response.text());
         assertEquals(1, result.lastEventIds.size());
     }
 
@@ -110,7 +110,7 @@
         var remainingEvents =
                 ScriptedRunner.streamResponseHead("t1") + ScriptedRunner.chunk(event(3) + event(4)) + LAST_CHUNK;
         var result = requestStream("/resume/x", "", failure::play, remainingEvents);
-        assertEquals(ALL_EVENTS, result.response.bodyText());
+        assertEquals(ALL_EVENTS, result.response.text());
         assertTrue(result.response.complete());
         assertEquals(List.of("", "2"), result.lastEventIds);
     }
@@ -126,7 +126,7 @@
                     connection.close();
                 },
                 "");
-        assertEquals(ALL_EVENTS, result.response.bodyText());
+        assertEquals(ALL_EVENTS, result.response.text());
         assertTrue(result.response.complete());
     }
 
@@ -159,7 +159,7 @@
                 ScriptedRunner.streamResponseHead("t1") + ScriptedRunner.chunk(remainingEvents.toString()) + LAST_CHUNK;
         var result = requestStream("/resume/x", "", StreamResumeTest::closeAfterTwoEvents, secondResponse);
         assertEquals(joined, result.response.complete());
-        assertEquals(event(1) + event(2) + (joined ? remainingEvents : ""), result.response.bodyText());
+        assertEquals(event(1) + event(2) + (joined ? remainingEvents : ""), result.response.text());
         assertEquals(List.of("", "2"), result.lastEventIds);
     }
 
@@ -176,7 +176,7 @@
                 ScriptedRunner.streamResponseHead("t1")
                         + ScriptedRunner.chunk("data: no id\n\n" + event(2))
                         + LAST_CHUNK);
-        assertEquals(event(1) + "data: no id\n\n", result.response.bodyText());
+        assertEquals(event(1) + "data: no id\n\n", result.response.text());
         assertFalse(result.response.complete());
         assertEquals(List.of(""), result.lastEventIds);
     }
@@ -198,7 +198,7 @@
                         connection.awaitPeerClose();
                     },
                     "");
-            assertTrue(forwardedEvents.toString().startsWith(result.response.bodyText()), result.response.bodyText());
+            assertTrue(forwardedEvents.toString().startsWith(result.response.text()), result.response.text());
             assertEquals(ids.equals(forwardedIds), result.response.complete());
             assertEquals(1, result.lastEventIds.size());
         }
@@ -220,7 +220,7 @@
                 },
                 "");
         assertEquals(continuesStream, result.response.complete());
-        assertEquals(continuesStream ? remainingEvents.toString() : "", result.response.bodyText());
+        assertEquals(continuesStream ? remainingEvents.toString() : "", result.response.text());
     }
 
     @Test
@@ -230,7 +230,7 @@
                 "Last-Event-Id: 2\r\n",
                 ScriptedRunner.Connection::close,
                 ScriptedRunner.streamResponseHead("t1") + ScriptedRunner.chunk(event(3) + event(4)) + LAST_CHUNK);
-        assertEquals(event(3) + event(4), result.response.bodyText());
+        assertEquals(event(3) + event(4), result.response.text());
         assertTrue(result.response.complete());
         assertEquals(List.of("2", "2"), result.lastEventIds);
     }
--- a/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
+++ b/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
@@ -18,10 +18,8 @@
     @Timeout(value = 30, unit = TimeUnit.SECONDS)
     void consecutiveShortRequestsDoNotDelaySweeps() throws Exception {
         ScriptedRunner.Script script = connection -> {
-            for (var attemptId = connection.runNextRequest();
-                    attemptId != null;
-                    attemptId = connection.runNextRequest())
-                connection.write(ScriptedRunner.successResponse(attemptId));
+            for (var attemptId = connection.runRequest(); attemptId != null; attemptId = connection.runRequest())
+                connection.write(ScriptedRunner.success(attemptId));
         };
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(script);
--- a/test/pass/src/test/java/craneway/pass/TruncatedResponseTest.java
+++ b/test/pass/src/test/java/craneway/pass/TruncatedResponseTest.java
@@ -90,7 +90,7 @@
         var firstEventAtClient = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
                     cause.trigger(fixture, connection);
@@ -103,7 +103,7 @@
                     cause == TruncationCause.DEADLINE ? SHORT_DEADLINE_MILLIS : LONG_DEADLINE_MILLIS,
                     firstEventAtClient);
             assertEquals(200, response.status());
-            assertEquals(FIRST_EVENT, response.bodyText());
+            assertEquals(FIRST_EVENT, response.text());
             assertFalse(response.complete());
         }
     }
@@ -115,7 +115,7 @@
         var firstEventAtClient = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                                     .replace("text/event-stream", "text/plain")
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
@@ -128,7 +128,7 @@
                     "/once/x",
                     cause == TruncationCause.DEADLINE ? SHORT_DEADLINE_MILLIS : LONG_DEADLINE_MILLIS,
                     firstEventAtClient);
-            assertEquals(FIRST_EVENT, response.bodyText());
+            assertEquals(FIRST_EVENT, response.text());
             assertFalse(response.complete());
         }
     }
@@ -139,7 +139,7 @@
         var firstEventAtClient = new CountDownLatch(1);
         try (var fixture = new ProxyFixture();
                 var runner = new ScriptedRunner(connection -> {
-                    connection.write(ScriptedRunner.streamResponseHead(connection.runNextRequest())
+                    connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
                     connection.write(ScriptedRunner.chunk(SECOND_EVENT) + LAST_CHUNK);
@@ -147,7 +147,7 @@
                 })) {
             fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             var response = request(fixture, client, "/stream/x", LONG_DEADLINE_MILLIS, firstEventAtClient);
-            assertEquals(FIRST_EVENT + SECOND_EVENT, response.bodyText());
+            assertEquals(FIRST_EVENT + SECOND_EVENT, response.text());
             assertTrue(response.complete());
         }
     }
--- a/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
@@ -51,7 +51,7 @@
         var runCount = new AtomicInteger();
         var expectedVersions = new CopyOnWriteArrayList<String>();
         ScriptedRunner.Script script = connection -> {
-            if (connection.runNextRequest() == null) return;
+            if (connection.runRequest() == null) return;
             expectedVersions.add(connection.header("Expect-Version"));
             if (runCount.getAndIncrement() == 0) {
                 connection.write(
@@ -70,7 +70,7 @@
             fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
             var response = fixture.post("/resume/x", "t1", "");
             var firstEvents = event(1, "") + event(2, versionInSecondEvent);
-            assertEquals(joined ? firstEvents + event(3, "") : firstEvents, response.bodyText());
+            assertEquals(joined ? firstEvents + event(3, "") : firstEvents, response.text());
             assertEquals(joined, response.complete());
             assertEquals(List.of("", expectedOnResume), expectedVersions);
         }
