--- a/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
+++ b/test/pass/src/test/java/craneway/pass/AttemptRequestTest.java
@@ -22,12 +22,12 @@
     void eachAttemptGetsRemainingClientDeadline(String path) throws Exception {
         var receivedDeadlinesMillis = new CopyOnWriteArrayList<Integer>();
         var attemptCount = new AtomicInteger();
-        try (var fixture = new ProxyFixture()) {
+        try (var proxy = new ProxyRig()) {
             ScriptedRunner.Script script = connection -> {
                 var attemptId = connection.runRequest();
                 receivedDeadlinesMillis.add(Integer.parseInt(connection.header("Deadline")));
                 if (attemptCount.getAndIncrement() == 0) {
-                    fixture.advanceClock(FIRST_ATTEMPT_MILLIS * 1_000L);
+                    proxy.advanceClock(FIRST_ATTEMPT_MILLIS * 1_000L);
                     connection.reset();
                 } else {
                     connection.write(ScriptedRunner.success(attemptId));
@@ -35,10 +35,10 @@
             };
             try (var firstRunner = new ScriptedRunner(script);
                     var secondRunner = new ScriptedRunner(script)) {
-                fixture.stopClock();
-                fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-                fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
-                assertEquals(200, fixture.post(path, "t1", "").status());
+                proxy.stopClock();
+                proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+                proxy.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+                assertEquals(200, proxy.post(path, "t1", "").status());
             }
         }
         assertEquals(2, receivedDeadlinesMillis.size());
@@ -54,19 +54,19 @@
     @Test
     void routeDeadlineBoundsLongerClientDeadline() throws Exception {
         var receivedDeadlinesMillis = new CopyOnWriteArrayList<Integer>();
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     var attemptId = connection.runRequest();
                     receivedDeadlinesMillis.add(Integer.parseInt(connection.header("Deadline")));
                     connection.write(ScriptedRunner.success(attemptId));
                 });
-                var client = fixture.connect()) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+                var client = proxy.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             client.getOutputStream()
                     .write(("POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: 60000\r\n"
                                     + "Content-Length: 0\r\n\r\n")
                             .getBytes("ISO-8859-1"));
-            assertEquals(200, ProxyFixture.readResponse(client.getInputStream()).status());
+            assertEquals(200, ProxyRig.read(client.getInputStream()).status());
         }
         assertTrue(receivedDeadlinesMillis.get(0) <= 5_000, receivedDeadlinesMillis.toString());
     }
@@ -92,14 +92,13 @@
                 if (!respondsEarly) connection.write(response);
             }
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(script)) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             var body = "b".repeat(LONG_BODY_CHARS);
-            assertEquals(
-                    declines ? 503 : 200, fixture.post("/once/x", "t1", body).status());
+            assertEquals(declines ? 503 : 200, proxy.post("/once/x", "t1", body).status());
             firstResponseRead.countDown();
-            assertEquals(200, fixture.post("/once/x", "t2", "c").status());
+            assertEquals(200, proxy.post("/once/x", "t2", "c").status());
         }
         var firstBody = "t1 " + "b".repeat(LONG_BODY_CHARS);
         for (var body : bodies) assertTrue(firstBody.startsWith(body) || body.equals("t2 c"), body);
--- a/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionLimitTest.java
@@ -22,24 +22,24 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long CLOCK_STEP_MICROS = 1_400_000;
     private static final int CLOSE_TIMEOUT_MILLIS = 1_300;
-    private ProxyFixture fixture;
+    private ProxyRig proxy;
     private FakeRunner runner;
     private Socket client;
 
     @BeforeEach
-    void openFixture() throws Exception {
-        fixture = new ProxyFixture();
+    void openProxy() throws Exception {
+        proxy = new ProxyRig();
         runner = new FakeRunner(request -> request.respondOk("own of " + request.header("try")));
-        fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-        client = fixture.connect();
-        fixture.stopClock();
+        proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+        client = proxy.connect();
+        proxy.stopClock();
     }
 
     @AfterEach
-    void closeFixture() throws Exception {
+    void closeProxy() throws Exception {
         client.close();
         runner.close();
-        fixture.close();
+        proxy.close();
     }
 
     private void send(String raw) throws IOException {
@@ -50,17 +50,17 @@
         send("POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId + "\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private ProxyFixture.Response readResponse() throws IOException {
-        return ProxyFixture.readResponse(client.getInputStream());
+    private ProxyRig.Response readResponse() throws IOException {
+        return ProxyRig.read(client.getInputStream());
     }
 
     /** Advances the clock in steps that are too short for the router to take for a freeze, with a sweep after each. */
     private void advanceClockInSteps(long micros) {
         for (var remainingMicros = micros; remainingMicros > 0; remainingMicros -= CLOCK_STEP_MICROS) {
-            var sweepsBefore = fixture.server.sweepCount();
-            fixture.advanceClock(CLOCK_STEP_MICROS);
+            var sweepsBefore = proxy.server.sweepCount();
+            proxy.advanceClock(CLOCK_STEP_MICROS);
             var deadlineNanos = System.nanoTime() + 5_000_000_000L;
-            while (fixture.server.sweepCount() == sweepsBefore && System.nanoTime() < deadlineNanos) Thread.yield();
+            while (proxy.server.sweepCount() == sweepsBefore && System.nanoTime() < deadlineNanos) Thread.yield();
         }
     }
 
@@ -77,8 +77,8 @@
 
     @Test
     void drainingRouterSendsConnectionCloseWithoutKeepAlive() throws Exception {
-        fixture.server.startDraining();
-        fixture.post("/once/x", "t0", "");
+        proxy.server.startDraining();
+        proxy.post("/once/x", "t0", "");
         sendRequest("t1");
         var response = readResponse();
         assertEquals("own of t1", response.text());
@@ -110,7 +110,7 @@
     void connectionWithoutAnyRequestIsClosed() throws Exception {
         sendRequest("t1");
         readResponse();
-        try (var other = fixture.connect()) {
+        try (var other = proxy.connect()) {
             advanceClockInSteps(16 * MICROS_PER_SECOND);
             other.setSoTimeout(CLOSE_TIMEOUT_MILLIS);
             assertEquals(-1, other.getInputStream().read());
@@ -125,7 +125,7 @@
             request.writeChunk("id: 1\ndata: a\n\n");
             secondEventDue.await();
             request.writeChunk("id: 2\ndata: b\n\n");
-            request.respondRaw("0\r\n\r\n");
+            request.write("0\r\n\r\n");
         });
         send("POST /stream/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nContent-Length: 0\r\n\r\n");
         runner.awaitRequest();
@@ -136,7 +136,7 @@
 
     @Test
     void connectionWithLateRequestHeadIsClosed() throws Exception {
-        fixture.post("/once/x", "t0", "");
+        proxy.post("/once/x", "t0", "");
         send("POST /once/x HTTP/1.1\r\nHost: h.exa");
         advanceClockInSteps(5 * MICROS_PER_SECOND);
         assertClosed();
@@ -145,7 +145,7 @@
 
     @Test
     void requestHeadCompletedInTimeIsServed() throws Exception {
-        fixture.post("/once/x", "t0", "");
+        proxy.post("/once/x", "t0", "");
         send("POST /once/x HTTP/1.1\r\nHost: h.exa");
         advanceClockInSteps(2 * MICROS_PER_SECOND);
         send("mple\r\nTry: t1\r\nContent-Length: 4\r\n\r\n");
@@ -158,7 +158,7 @@
     void clockJumpBeyondLimitDoesNotCloseConnectionInUse() throws Exception {
         sendRequest("t1");
         readResponse();
-        fixture.advanceClockWhenIdle(60 * MICROS_PER_SECOND);
+        proxy.advanceClockWhenIdle(60 * MICROS_PER_SECOND);
         sendRequest("t2");
         assertEquals("own of t2", readResponse().text());
     }
@@ -171,12 +171,12 @@
             request.writeChunk("id: 1\ndata: a\n\n");
             secondEventDue.await();
             request.writeChunk("id: 2\ndata: b\n\n");
-            request.respondRaw("0\r\n\r\n");
+            request.write("0\r\n\r\n");
         });
         send("POST /stream/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nContent-Length: 0\r\n\r\n");
         runner.awaitRequest();
-        fixture.server.startDraining();
-        fixture.server.stopListening();
+        proxy.server.startDraining();
+        proxy.server.stopListening();
         secondEventDue.countDown();
         assertTrue(readResponse().complete());
     }
--- a/test/pass/src/test/java/craneway/pass/ClientConnectionTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientConnectionTest.java
@@ -23,20 +23,20 @@
  * them.
  */
 class ClientConnectionTest {
-    private ProxyFixture fixture;
+    private ProxyRig proxy;
     private FakeRunner runner;
 
     @BeforeEach
-    void openFixture() throws Exception {
-        fixture = new ProxyFixture();
+    void openProxy() throws Exception {
+        proxy = new ProxyRig();
         runner = new FakeRunner(request -> request.respondOk("own of " + request.header("try")));
-        fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+        proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
     }
 
     @AfterEach
-    void closeFixture() throws Exception {
+    void closeProxy() throws Exception {
         runner.close();
-        fixture.close();
+        proxy.close();
     }
 
     private static void send(Socket client, String raw) throws IOException {
@@ -58,12 +58,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"/once/x", "/again/x", "/stream/x"})
     void pipelinedRequestsGetTheirResponsesInOrder(String path) throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, request(path, "t1", "b1") + request(path, "t2", "") + request(path, "t3", "b3"));
             for (var id : List.of("t1", "t2", "t3"))
                 assertEquals(
-                        "own of " + id,
-                        ProxyFixture.readResponse(client.getInputStream()).text());
+                        "own of " + id, ProxyRig.read(client.getInputStream()).text());
         }
         assertEquals(List.of("t1", "t2", "t3"), attemptIds());
     }
@@ -71,44 +70,38 @@
     @Test
     void pipelinedRequestAfterTruncatedResponseIsNotRun() throws Exception {
         runner.setScript(request -> {
-            request.respondRaw("HTTP/1.1 200 OK\r\nTry: " + request.header("try")
+            request.write("HTTP/1.1 200 OK\r\nTry: " + request.header("try")
                     + "\r\nStamp: s\r\nContent-Length: 50\r\n\r\nshort");
             request.socket().close();
         });
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, request("/once/x", "t1", "") + request("/once/x", "t2", ""));
-            assertFalse(ProxyFixture.readResponse(client.getInputStream()).complete());
+            assertFalse(ProxyRig.read(client.getInputStream()).complete());
         }
         assertEquals(List.of("t1"), attemptIds());
     }
 
     @Test
     void requestSentByteByByteIsOneRequest() throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             client.setTcpNoDelay(true);
             for (var character : request("/once/x?q=1", "t1", "body").toCharArray())
                 send(client, String.valueOf(character));
-            assertEquals(
-                    "own of t1",
-                    ProxyFixture.readResponse(client.getInputStream()).text());
+            assertEquals("own of t1", ProxyRig.read(client.getInputStream()).text());
         }
         assertEquals("body", new String(runner.receivedRequests.get(0).body(), StandardCharsets.ISO_8859_1));
     }
 
     @Test
     void chunkedBodySentByteByByteArrivesComplete() throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             client.setTcpNoDelay(true);
             var raw = "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nLater: x\r\n\r\n";
             for (var character : raw.toCharArray()) send(client, String.valueOf(character));
-            assertEquals(
-                    "own of t1",
-                    ProxyFixture.readResponse(client.getInputStream()).text());
+            assertEquals("own of t1", ProxyRig.read(client.getInputStream()).text());
             send(client, request("/once/x", "t2", ""));
-            assertEquals(
-                    "own of t2",
-                    ProxyFixture.readResponse(client.getInputStream()).text());
+            assertEquals("own of t2", ProxyRig.read(client.getInputStream()).text());
         }
         var forwarded = runner.receivedRequests.get(0);
         assertEquals("abcde", new String(forwarded.body(), StandardCharsets.ISO_8859_1));
@@ -119,13 +112,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"/once/x", "/again/x", "/resume/x"})
     void halfClosedClientGetsItsResponse(String path) throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, request(path, "t1", "body"));
             client.shutdownOutput();
             assertEquals(
                     "own of t1",
-                    ResponseParser.readResponseAfterInterim(client.getInputStream())
-                            .text());
+                    ResponseParser.readAfterInterim(client.getInputStream()).text());
         }
     }
 
@@ -136,30 +128,29 @@
             responseDue.await();
             request.respondOk("own of t1");
         });
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, request("/once/x", "t1", "body"));
             runner.awaitRequest();
             client.shutdownOutput();
             responseDue.countDown();
             assertEquals(
                     "own of t1",
-                    ResponseParser.readResponseAfterInterim(client.getInputStream())
-                            .text());
+                    ResponseParser.readAfterInterim(client.getInputStream()).text());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"30,close", "30,reset", "30,half", "95,close", "95,reset", "95,half"})
     void incompleteRequestIsNotRun(int sentBytes, String howItEnds) throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, request("/once/x", "t1", "body".repeat(10)).substring(0, sentBytes));
             if (howItEnds.equals("reset")) client.setSoLinger(true, 0);
             if (howItEnds.equals("half")) client.shutdownOutput();
             else client.close();
             if (howItEnds.equals("half"))
-                assertFalse(ProxyFixture.readResponse(client.getInputStream()).status() / 100 == 2);
+                assertFalse(ProxyRig.read(client.getInputStream()).status() / 100 == 2);
         }
-        assertEquals("own of t2", fixture.post("/once/x", "t2", "").text());
+        assertEquals("own of t2", proxy.post("/once/x", "t2", "").text());
         assertEquals(List.of("t2"), attemptIds());
     }
 
@@ -170,14 +161,14 @@
             if (request.header("try").equals("t1")) responseDue.await(5, TimeUnit.SECONDS);
             request.respondOk("own of " + request.header("try"));
         });
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, request("/once/x", "t1", ""));
             runner.awaitRequest();
             client.setSoLinger(true, 0);
         }
         responseDue.countDown();
         for (var i = 2; i < 6; i++)
-            assertEquals("own of t" + i, fixture.post("/once/x", "t" + i, "").text());
+            assertEquals("own of t" + i, proxy.post("/once/x", "t" + i, "").text());
         assertEquals(5, runner.receivedRequests.size());
     }
 
@@ -194,11 +185,11 @@
                 "Transfer-Encoding : chunked\r\nContent-Length: 0\r\n\r\n"
             })
     void requestSmugglingIsPrevented(String framing) throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             var hiddenRequest = "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: hidden\r\nContent-Length: 0\r\n\r\n";
             send(client, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\n" + framing + hiddenRequest);
             client.shutdownOutput();
-            var firstResponse = ProxyFixture.readResponse(client.getInputStream());
+            var firstResponse = ProxyRig.read(client.getInputStream());
             var hiddenRuns = attemptIds().stream().filter("hidden"::equals).count();
             assertTrue(
                     firstResponse.status() / 100 == 4 || firstResponse.status() == 0 || hiddenRuns <= 1,
@@ -206,7 +197,7 @@
             for (var request : runner.receivedRequests)
                 assertFalse(new String(request.body(), StandardCharsets.ISO_8859_1).contains("hidden"));
         }
-        assertEquals("own of t9", fixture.post("/once/x", "t9", "").text());
+        assertEquals("own of t9", proxy.post("/once/x", "t9", "").text());
     }
 
     @ParameterizedTest
@@ -221,7 +212,7 @@
                 "/once/x;p?q"
             })
     void pathAndQueryAreForwardedUnchanged(String path) throws Exception {
-        assertEquals("own of t1", fixture.post(path, "t1", "").text());
+        assertEquals("own of t1", proxy.post(path, "t1", "").text());
         assertEquals(
                 "POST " + path + " HTTP/1.1", runner.receivedRequests.get(0).requestLine());
     }
@@ -229,13 +220,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"GET", "HEAD", "PUT", "DELETE", "PATCH", "OPTIONS", "PURGE"})
     void methodIsForwardedUnchanged(String method) throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(client, method + " /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\n\r\n");
             if (method.equals("HEAD")) runner.awaitRequest();
             else
-                assertEquals(
-                        "own of t1",
-                        ProxyFixture.readResponse(client.getInputStream()).text());
+                assertEquals("own of t1", ProxyRig.read(client.getInputStream()).text());
         }
         assertEquals(
                 method + " /once/x HTTP/1.1", runner.receivedRequests.get(0).requestLine());
@@ -243,16 +232,14 @@
 
     @Test
     void clientThatExpectsContinueReceivesIt() throws Exception {
-        try (var client = fixture.connect()) {
+        try (var client = proxy.connect()) {
             send(
                     client,
                     "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
             assertEquals("HTTP/1.1 100 Continue", FakeRunner.readLine(client.getInputStream()));
             assertEquals("", FakeRunner.readLine(client.getInputStream()));
             send(client, "body");
-            assertEquals(
-                    "own of t1",
-                    ProxyFixture.readResponse(client.getInputStream()).text());
+            assertEquals("own of t1", ProxyRig.read(client.getInputStream()).text());
         }
         assertFalse(runner.receivedRequests.get(0).headers().containsKey("Expect"));
     }
--- a/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
+++ b/test/pass/src/test/java/craneway/pass/ClientDisconnectTest.java
@@ -50,15 +50,15 @@
     void disconnectBeforeResponseCancelsRun(String path, String howItEnds) throws Exception {
         var requestRan = new CountDownLatch(1);
         var connectionEnded = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     connection.runRequest();
                     requestRan.countDown();
                     connection.awaitPeerClose();
                     connectionEnded.countDown();
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = proxy.connect()) {
                 send(client, request(path));
                 requestRan.await();
                 disconnect(client, howItEnds);
@@ -74,7 +74,7 @@
         var firstEventAtClient = new CountDownLatch(1);
         var clientGone = new CountDownLatch(1);
         var connectionEnded = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
@@ -83,8 +83,8 @@
                     connection.awaitPeerClose();
                     connectionEnded.countDown();
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = proxy.connect()) {
                 send(client, request(path));
                 var in = new TextLatchInputStream(client.getInputStream(), FIRST_EVENT, firstEventAtClient);
                 while (firstEventAtClient.getCount() > 0) in.read();
@@ -102,7 +102,7 @@
         var requestRan = new CountDownLatch(1);
         var responseDue = new CountDownLatch(1);
         var responseWritten = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     var attemptId = connection.runRequest();
                     requestRan.countDown();
@@ -110,18 +110,18 @@
                     connection.write(ScriptedRunner.success(attemptId));
                     responseWritten.countDown();
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = proxy.connect()) {
                 send(client, request("/once/x"));
                 requestRan.await();
                 disconnect(client, howItEnds);
             }
-            var sweepsBefore = fixture.server.sweepCount();
-            while (fixture.server.sweepCount() < sweepsBefore + 2) Thread.yield();
-            assertEquals(1, fixture.server.openRequestCount());
+            var sweepsBefore = proxy.server.sweepCount();
+            while (proxy.server.sweepCount() < sweepsBefore + 2) Thread.yield();
+            assertEquals(1, proxy.server.openRequestCount());
             responseDue.countDown();
             responseWritten.await();
-            while (fixture.server.openRequestCount() > 0) Thread.yield();
+            while (proxy.server.openRequestCount() > 0) Thread.yield();
             assertEquals(1, runner.ranAttemptIds.size());
         }
     }
@@ -129,18 +129,18 @@
     @ParameterizedTest
     @ValueSource(strings = {"/once/x", "/again/x", "/stream/x"})
     void clientThatDisconnectsBeforeRunnerIsAvailableIsNotServed(String path) throws Exception {
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(
                         connection -> connection.write(ScriptedRunner.success(connection.runRequest())))) {
-            fixture.publishViewWithoutService(false);
-            try (var client = fixture.connect()) {
+            proxy.publishViewWithoutService(false);
+            try (var client = proxy.connect()) {
                 send(client, request(path));
             }
-            var sweepsBefore = fixture.server.sweepCount();
-            while (fixture.server.sweepCount() < sweepsBefore + 1) Thread.yield();
-            while (fixture.server.unansweredConnectionCount() > 0) Thread.yield();
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            assertEquals("t2", fixture.post("/again/x", "t2", "").headers().get("Try"));
+            var sweepsBefore = proxy.server.sweepCount();
+            while (proxy.server.sweepCount() < sweepsBefore + 1) Thread.yield();
+            while (proxy.server.unansweredConnectionCount() > 0) Thread.yield();
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            assertEquals("t2", proxy.post("/again/x", "t2", "").headers().get("Try"));
             assertEquals(java.util.List.of("t2"), runner.ranAttemptIds);
         }
     }
@@ -149,24 +149,22 @@
     void halfClosedClientGetsResponseOfLongRun() throws Exception {
         var requestRan = new CountDownLatch(1);
         var responseDue = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     var attemptId = connection.runRequest();
                     requestRan.countDown();
                     responseDue.await();
                     connection.write(ScriptedRunner.success(attemptId));
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = proxy.connect()) {
                 send(client, request("/again/x"));
                 requestRan.await();
                 client.shutdownOutput();
                 var in = client.getInputStream();
                 assertEquals(PROCESSING_STATUS, ResponseParser.readInterimStatus(in));
                 responseDue.countDown();
-                assertEquals(
-                        "body of t1",
-                        ResponseParser.readResponseAfterInterim(in).text());
+                assertEquals("body of t1", ResponseParser.readAfterInterim(in).text());
             }
             assertEquals(1, runner.ranAttemptIds.size());
         }
@@ -176,7 +174,7 @@
     void clientThatPipelinesDuringRunGetsBothResponses() throws Exception {
         var requestRan = new CountDownLatch(1);
         var responseDue = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     for (var attemptId = connection.runRequest();
                             attemptId != null;
@@ -186,20 +184,18 @@
                         connection.write(ScriptedRunner.success(attemptId));
                     }
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            try (var client = proxy.connect()) {
                 send(client, request("/again/x"));
                 requestRan.await();
                 send(client, request("/again/x").replace("t1", "t2"));
-                var sweepsBefore = fixture.server.sweepCount();
-                while (fixture.server.sweepCount() < sweepsBefore + 2) Thread.yield();
+                var sweepsBefore = proxy.server.sweepCount();
+                while (proxy.server.sweepCount() < sweepsBefore + 2) Thread.yield();
                 responseDue.countDown();
                 assertEquals(
-                        "body of t1",
-                        ProxyFixture.readResponse(client.getInputStream()).text());
+                        "body of t1", ProxyRig.read(client.getInputStream()).text());
                 assertEquals(
-                        "body of t2",
-                        ProxyFixture.readResponse(client.getInputStream()).text());
+                        "body of t2", ProxyRig.read(client.getInputStream()).text());
             }
         }
     }
--- a/test/pass/src/test/java/craneway/pass/FakeRunner.java
+++ b/test/pass/src/test/java/craneway/pass/FakeRunner.java
@@ -26,26 +26,26 @@
         }
 
         /** Writes these bytes to the connection as they are. */
-        void respondRaw(String raw) throws IOException {
+        void write(String raw) throws IOException {
             socket.getOutputStream().write(raw.getBytes("ISO-8859-1"));
             socket.getOutputStream().flush();
         }
 
         /** Responds 200 with this body, the request's attempt id and a stamp. */
         void respondOk(String body) throws IOException {
-            respondRaw("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: s\r\nContent-Length: " + body.length()
+            write("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: s\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
         }
 
         /** Writes the head of a chunked event stream whose stamp names the addressed runner. */
         void startStream() throws IOException {
-            respondRaw("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: " + header("addressee")
+            write("HTTP/1.1 200 OK\r\nTry: " + header("try") + "\r\nStamp: " + header("addressee")
                     + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
 
         /** Writes one chunk with this text. */
         void writeChunk(String data) throws IOException {
-            respondRaw(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
+            write(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
         }
 
         /** Closes the connection with a TCP reset. */
--- a/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/InternalFaultTest.java
@@ -44,16 +44,16 @@
             if (chunked) connection.awaitPeerClose();
             else connection.close();
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(script);
-                var client = fixture.connect()) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            ProxyFixture.sendPost(client, path, "t1", "", "");
+                var client = proxy.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            ProxyRig.sendPost(client, path, "t1", "", "");
             var planningStream = new TextActionInputStream(client.getInputStream(), FIRST_EVENT, () -> {
-                fixture.planClockFault(fault);
+                proxy.planClockFault(fault);
                 firstArrived.countDown();
             });
-            var response = ProxyFixture.readResponse(planningStream);
+            var response = ProxyRig.read(planningStream);
             fault.awaitThrown();
             assertTrue((FIRST_EVENT + SECOND_EVENT + THIRD_EVENT).startsWith(response.text()), response.text());
             assertFalse(
@@ -74,11 +74,11 @@
             connection.write(ScriptedRunner.success("t1"));
             connection.awaitPeerClose();
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(script)) {
-            fixture.planClockFault(new PlannedFault("craneway.gateway.proxy.ResponseReader", 0));
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            assertEquals(502, fixture.post(path, "t1", "").status());
+            proxy.planClockFault(new PlannedFault("craneway.gateway.proxy.ResponseReader", 0));
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            assertEquals(502, proxy.post(path, "t1", "").status());
         }
     }
 }
--- a/test/pass/src/test/java/craneway/pass/NotRunPromiseTest.java
+++ b/test/pass/src/test/java/craneway/pass/NotRunPromiseTest.java
@@ -82,26 +82,26 @@
                 sequence.contains(Behaviour.RUNS_AND_IS_SILENT) ? SHORT_DEADLINE_MILLIS : LONG_DEADLINE_MILLIS;
         var nextListening = new AtomicInteger();
         var runners = new ArrayList<ScriptedRunner>();
-        try (var fixture = new ProxyFixture()) {
+        try (var proxy = new ProxyRig()) {
             for (var i = 0; i < RUNNER_COUNT; i++) {
                 if (sequence.get(i) == Behaviour.REFUSES_THE_CONNECTION) {
                     var address = addressAfterClose(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
-                    fixture.putRunner("i" + i, address, "a", Rows.Runner.UP);
+                    proxy.putRunner("i" + i, address, "a", Rows.Runner.UP);
                 } else {
                     var runner = new ScriptedRunner(connection -> listening
                             .get(nextListening.getAndIncrement())
                             .script
                             .play(connection));
                     runners.add(runner);
-                    fixture.putRunner("i" + i, runner.address(), "a", Rows.Runner.UP);
+                    proxy.putRunner("i" + i, runner.address(), "a", Rows.Runner.UP);
                 }
             }
-            try (var client = fixture.connect()) {
+            try (var client = proxy.connect()) {
                 client.getOutputStream()
                         .write(("POST /thrice/x HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: " + deadlineMillis
                                         + "\r\nContent-Length: 0\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
-                var response = ProxyFixture.readResponse(client.getInputStream());
+                var response = ProxyRig.read(client.getInputStream());
                 checkResponse(
                         sequence,
                         response,
@@ -114,7 +114,7 @@
         }
     }
 
-    private static void checkResponse(List<Behaviour> sequence, ProxyFixture.Response response, int runCount) {
+    private static void checkResponse(List<Behaviour> sequence, ProxyRig.Response response, int runCount) {
         assertTrue(runCount <= 1, "ran " + runCount + " times");
         if (NOT_RUN_STATUSES.contains(response.status()))
             assertEquals(0, runCount, "status promises that the request has not run, although it has");
--- a/test/pass/src/test/java/craneway/pass/ProxyRequestTest.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyRequestTest.java
@@ -15,33 +15,29 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * The rules of the proxy for a single request: what is forwarded, what is retried, and which responses reach the
- * client. Each test causes the runner or client failure that a rule is meant for.
- */
+/** Rules for a single request: what the proxy forwards and retries, and which responses reach the client. */
 class ProxyRequestTest {
-    private static final String NOT_RUN_RESPONSE =
-            "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
-    private ProxyFixture fixture;
+    private static final String NOT_RUN = "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
+    private ProxyRig proxy;
 
     @BeforeEach
-    void openFixture() throws Exception {
-        fixture = new ProxyFixture();
+    void openProxy() throws Exception {
+        proxy = new ProxyRig();
     }
 
     @AfterEach
-    void closeFixture() {
-        fixture.close();
+    void closeProxy() {
+        proxy.close();
     }
 
     @Test
     void forwardsMethodPathQueryBodyAndHeadersUnchanged() throws Exception {
-        try (var runner = new FakeRunner(request -> request.respondRaw(
+        try (var runner = new FakeRunner(request -> request.write(
                 "HTTP/1.1 200 OK\r\nTry: t1\r\nStamp: abc\r\nOther: v\r\nContent-Length: 3\r\n\r\n\u0000\u00ffz"))) {
-            fixture.putRunner("i1", runner, "a");
-            try (var client = fixture.connect()) {
-                ProxyFixture.sendPost(client, "/once/a%20b/%7Ex?q=1%202&z", "t1", "Own: yes\r\n", "b\u0001\u00fedy");
-                var response = ProxyFixture.readResponse(client.getInputStream());
+            proxy.putRunner("i1", runner, "a");
+            try (var client = proxy.connect()) {
+                ProxyRig.sendPost(client, "/once/a%20b/%7Ex?q=1%202&z", "t1", "Own: yes\r\n", "b\u0001\u00fedy");
+                var response = ProxyRig.read(client.getInputStream());
                 assertEquals(200, response.status());
                 assertEquals("abc", response.headers().get("Stamp"));
                 assertEquals("v", response.headers().get("Other"));
@@ -61,14 +57,13 @@
     @Test
     void acceptsChunkedRequestBodies() throws Exception {
         try (var runner = new FakeRunner(request -> request.respondOk("fine"))) {
-            fixture.putRunner("i1", runner, "a");
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner, "a");
+            try (var client = proxy.connect()) {
                 client.getOutputStream()
                         .write(
                                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
                                         .getBytes());
-                assertEquals(
-                        200, ProxyFixture.readResponse(client.getInputStream()).status());
+                assertEquals(200, ProxyRig.read(client.getInputStream()).status());
             }
             assertEquals("abcde", new String(runner.receivedRequests.get(0).body()));
         }
@@ -77,9 +72,9 @@
     @Test
     void respondsNotFoundOnlyWithoutMatchingRoute() throws Exception {
         try (var runner = new FakeRunner(request -> request.respondOk("fine"))) {
-            fixture.putRunner("i1", runner, "a");
-            assertEquals(404, fixture.post("/none/x", "t", "").status());
-            assertEquals(200, fixture.post("/once/x", "t", "").status());
+            proxy.putRunner("i1", runner, "a");
+            assertEquals(404, proxy.post("/none/x", "t", "").status());
+            assertEquals(200, proxy.post("/once/x", "t", "").status());
         }
     }
 
@@ -87,9 +82,9 @@
     void doesNotRetryOnceOnlyRequestThatMayHaveRun() throws Exception {
         try (var runner = new FakeRunner(FakeRunner.Request::resetConnection);
                 var otherRunner = new FakeRunner(FakeRunner.Request::resetConnection)) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "a");
-            assertEquals(502, fixture.post("/once/x", "t", "body").status());
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "a");
+            assertEquals(502, proxy.post("/once/x", "t", "body").status());
             assertEquals(1, runner.receivedRequests.size() + otherRunner.receivedRequests.size());
         }
     }
@@ -103,9 +98,9 @@
         };
         try (var runner = new FakeRunner(resetsFirstRequest);
                 var otherRunner = new FakeRunner(resetsFirstRequest)) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "a");
-            assertEquals("second", fixture.post("/again/x", "t", "body").text());
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "a");
+            assertEquals("second", proxy.post("/again/x", "t", "body").text());
             assertEquals(2, runner.receivedRequests.size() + otherRunner.receivedRequests.size());
         }
     }
@@ -114,22 +109,22 @@
     void retriesOnOtherRunnerAfterNotRunResponse() throws Exception {
         var requestCount = new AtomicInteger();
         FakeRunner.Script declinesFirstRequest = request -> {
-            if (requestCount.getAndIncrement() == 0) request.respondRaw(NOT_RUN_RESPONSE);
+            if (requestCount.getAndIncrement() == 0) request.write(NOT_RUN);
             else request.respondOk("ran");
         };
         try (var runner = new FakeRunner(declinesFirstRequest);
                 var otherRunner = new FakeRunner(declinesFirstRequest)) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "a");
-            assertEquals("ran", fixture.post("/once/x", "t", "body").text());
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "a");
+            assertEquals("ran", proxy.post("/once/x", "t", "body").text());
         }
     }
 
     @Test
     void respondsUnavailableWithRetryAfterWhenNoRunnerRanRequest() throws Exception {
-        try (var runner = new FakeRunner(request -> request.respondRaw(NOT_RUN_RESPONSE))) {
-            fixture.putRunner("i1", runner, "a");
-            var response = fixture.post("/once/x", "t", "body");
+        try (var runner = new FakeRunner(request -> request.write(NOT_RUN))) {
+            proxy.putRunner("i1", runner, "a");
+            var response = proxy.post("/once/x", "t", "body");
             assertEquals(503, response.status());
             assertNotNull(response.headers().get("Retry-After"));
         }
@@ -137,13 +132,13 @@
 
     @Test
     void stopsSendingToAddressThatNowServesAnotherRunner() throws Exception {
-        try (var runner = new FakeRunner(request -> request.respondRaw(
-                        "HTTP/1.1 421 Misdirected Request\r\nRunner: i9\r\nContent-Length: 0\r\n\r\n"));
+        try (var runner = new FakeRunner(request ->
+                        request.write("HTTP/1.1 421 Misdirected Request\r\nRunner: i9\r\nContent-Length: 0\r\n\r\n"));
                 var otherRunner = new FakeRunner(request -> request.respondOk("ran"))) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "b");
-            assertEquals("ran", fixture.post("/once/x", "t1", "body").text());
-            assertEquals("ran", fixture.post("/once/x", "t2", "body").text());
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "b");
+            assertEquals("ran", proxy.post("/once/x", "t1", "body").text());
+            assertEquals("ran", proxy.post("/once/x", "t2", "body").text());
             assertEquals(1, runner.receivedRequests.size());
         }
     }
@@ -154,9 +149,9 @@
         var address = closedRunner.address();
         closedRunner.close();
         try (var otherRunner = new FakeRunner(request -> request.respondOk("ran"))) {
-            fixture.putRunner("i1", address, "a", Rows.Runner.UP);
-            fixture.putRunner("i2", otherRunner, "b");
-            assertEquals("ran", fixture.post("/once/x", "t", "body").text());
+            proxy.putRunner("i1", address, "a", Rows.Runner.UP);
+            proxy.putRunner("i2", otherRunner, "b");
+            assertEquals("ran", proxy.post("/once/x", "t", "body").text());
         }
     }
 
@@ -167,24 +162,20 @@
             request.respondOk("own of " + request.header("try"));
             if (request.header("try").equals("t1")) firstResponded.countDown();
         })) {
-            fixture.putRunner("i1", runner, "a");
-            try (var client = fixture.connect()) {
-                ProxyFixture.sendPost(client, "/once/x", "t1", "", "");
-                assertEquals(
-                        "own of t1",
-                        ProxyFixture.readResponse(client.getInputStream()).text());
+            proxy.putRunner("i1", runner, "a");
+            try (var client = proxy.connect()) {
+                ProxyRig.sendPost(client, "/once/x", "t1", "", "");
+                assertEquals("own of t1", ProxyRig.read(client.getInputStream()).text());
                 firstResponded.await();
                 runner.setScript(request ->
-                        request.respondRaw("HTTP/1.1 200 OK\r\nTry: t0\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong"));
-                ProxyFixture.sendPost(client, "/once/x", "t2", "", "");
-                var response = ProxyFixture.readResponse(client.getInputStream());
+                        request.write("HTTP/1.1 200 OK\r\nTry: t0\r\nStamp: s\r\nContent-Length: 5\r\n\r\nwrong"));
+                ProxyRig.sendPost(client, "/once/x", "t2", "", "");
+                var response = ProxyRig.read(client.getInputStream());
                 assertEquals(502, response.status());
                 assertFalse(response.text().contains("wrong"));
                 runner.setScript(request -> request.respondOk("own of " + request.header("try")));
-                ProxyFixture.sendPost(client, "/once/x", "t3", "", "");
-                assertEquals(
-                        "own of t3",
-                        ProxyFixture.readResponse(client.getInputStream()).text());
+                ProxyRig.sendPost(client, "/once/x", "t3", "", "");
+                assertEquals("own of t3", ProxyRig.read(client.getInputStream()).text());
             }
         }
     }
@@ -192,18 +183,16 @@
     @Test
     void duplicateResponseReachesNoClient() throws Exception {
         var ownResponse = "HTTP/1.1 200 OK\r\nTry: t1\r\nStamp: s\r\nContent-Length: 3\r\n\r\nown";
-        try (var runner = new FakeRunner(request -> request.respondRaw(
+        try (var runner = new FakeRunner(request -> request.write(
                 request.header("try").equals("t1")
                         ? ownResponse + ownResponse
                         : ownResponse.replace("t1", request.header("try"))))) {
-            fixture.putRunner("i1", runner, "a");
-            try (var client = fixture.connect()) {
-                ProxyFixture.sendPost(client, "/again/x", "t1", "", "");
-                assertEquals(
-                        "own",
-                        ProxyFixture.readResponse(client.getInputStream()).text());
-                ProxyFixture.sendPost(client, "/again/x", "t2", "", "");
-                var response = ProxyFixture.readResponse(client.getInputStream());
+            proxy.putRunner("i1", runner, "a");
+            try (var client = proxy.connect()) {
+                ProxyRig.sendPost(client, "/again/x", "t1", "", "");
+                assertEquals("own", ProxyRig.read(client.getInputStream()).text());
+                ProxyRig.sendPost(client, "/again/x", "t2", "", "");
+                var response = ProxyRig.read(client.getInputStream());
                 assertEquals(200, response.status());
                 assertEquals("t2", response.headers().get("Try"));
             }
@@ -212,10 +201,10 @@
 
     @Test
     void rejectsSuccessWithoutStamp() throws Exception {
-        try (var runner = new FakeRunner(
-                request -> request.respondRaw("HTTP/1.1 200 OK\r\nTry: t\r\nContent-Length: 2\r\n\r\nhi"))) {
-            fixture.putRunner("i1", runner, "a");
-            assertEquals(502, fixture.post("/once/x", "t", "").status());
+        try (var runner =
+                new FakeRunner(request -> request.write("HTTP/1.1 200 OK\r\nTry: t\r\nContent-Length: 2\r\n\r\nhi"))) {
+            proxy.putRunner("i1", runner, "a");
+            assertEquals(502, proxy.post("/once/x", "t", "").status());
         }
     }
 
@@ -227,9 +216,9 @@
             request.socket().close();
             closed.release();
         })) {
-            fixture.putRunner("i1", runner, "a");
+            proxy.putRunner("i1", runner, "a");
             for (var i = 0; i < 5; i++) {
-                assertEquals("one", fixture.post("/once/x", "t" + i, "").text());
+                assertEquals("one", proxy.post("/once/x", "t" + i, "").text());
                 closed.acquire();
             }
         }
@@ -238,9 +227,9 @@
     @Test
     void reusesConnectionForConsecutiveRequests() throws Exception {
         try (var runner = new FakeRunner(request -> request.respondOk("one"))) {
-            fixture.putRunner("i1", runner, "a");
+            proxy.putRunner("i1", runner, "a");
             for (var i = 0; i < 5; i++)
-                assertEquals("one", fixture.post("/once/x", "t" + i, "").text());
+                assertEquals("one", proxy.post("/once/x", "t" + i, "").text());
             assertEquals(1, runner.acceptedConnectionCount());
         }
     }
@@ -248,15 +237,14 @@
     @Test
     void respondsGatewayTimeoutAtDeadlineNotBefore() throws Exception {
         try (var runner = new FakeRunner(request -> {})) {
-            fixture.putRunner("i1", runner, "a");
-            try (var client = fixture.connect()) {
+            proxy.putRunner("i1", runner, "a");
+            try (var client = proxy.connect()) {
                 var startNanos = System.nanoTime();
                 client.getOutputStream()
                         .write(
                                 "POST /once/x HTTP/1.1\r\nHost: h.example\r\nTry: t\r\nDeadline: 700\r\nContent-Length: 0\r\n\r\n"
                                         .getBytes());
-                assertEquals(
-                        504, ProxyFixture.readResponse(client.getInputStream()).status());
+                assertEquals(504, ProxyRig.read(client.getInputStream()).status());
                 assertTrue(System.nanoTime() - startNanos >= 690_000_000L);
             }
         }
@@ -268,36 +256,35 @@
             request.startStream();
             while (true) request.writeChunk("id: 1\ndata: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\n\n");
         })) {
-            fixture.putRunner("i1", runner, "a");
-            var client = fixture.connect();
-            ProxyFixture.sendPost(client, "/stream/x", "t", "", "");
+            proxy.putRunner("i1", runner, "a");
+            var client = proxy.connect();
+            ProxyRig.sendPost(client, "/stream/x", "t", "", "");
             assertNotNull(runner.awaitRequest());
             client.getInputStream().read();
             client.close();
             var deadlineNanos = System.nanoTime() + 5_000_000_000L;
-            while (fixture.server.openRequestCount() > 0 && System.nanoTime() < deadlineNanos) Thread.onSpinWait();
-            assertEquals(0, fixture.server.openRequestCount());
+            while (proxy.server.openRequestCount() > 0 && System.nanoTime() < deadlineNanos) Thread.onSpinWait();
+            assertEquals(0, proxy.server.openRequestCount());
         }
     }
 
     @Test
     void requestBeforeFirstManifestIsServedOnceManifestArrives() throws Exception {
         try (var runner = new FakeRunner(request -> request.respondOk("served"));
-                var client = fixture.connect()) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.publishViewWithoutService(false);
-            ProxyFixture.sendPost(client, "/once/x", "t", "", "");
-            fixture.publishViewWithoutService(true);
-            fixture.publishView();
-            assertEquals(
-                    "served", ProxyFixture.readResponse(client.getInputStream()).text());
+                var client = proxy.connect()) {
+            proxy.putRunner("i1", runner, "a");
+            proxy.publishViewWithoutService(false);
+            ProxyRig.sendPost(client, "/once/x", "t", "", "");
+            proxy.publishViewWithoutService(true);
+            proxy.publishView();
+            assertEquals("served", ProxyRig.read(client.getInputStream()).text());
         }
     }
 
     @Test
     void respondsRetryAfterWithoutManifest() throws Exception {
-        fixture.publishViewWithoutService(false);
-        var response = fixture.post("/once/x", "t", "");
+        proxy.publishViewWithoutService(false);
+        var response = proxy.post("/once/x", "t", "");
         assertEquals(503, response.status());
         assertEquals("1.5", response.headers().get("Retry-After"));
     }
@@ -305,8 +292,8 @@
     @Test
     void rejectsTooLargeBody() throws Exception {
         try (var runner = new FakeRunner(request -> request.respondOk("a"))) {
-            fixture.putRunner("i1", runner, "a");
-            assertEquals(413, fixture.post("/once/x", "t", "x".repeat(100_001)).status());
+            proxy.putRunner("i1", runner, "a");
+            assertEquals(413, proxy.post("/once/x", "t", "x".repeat(100_001)).status());
             assertNull(runner.receivedRequests.isEmpty() ? null : runner.receivedRequests.get(0));
         }
     }
--- a/test/pass/src/test/java/craneway/pass/ProxyFixture.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyRig.java
@@ -26,10 +26,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The HTTP proxy of one router, with a client on raw sockets on one side and scripted runners on the other. A test
- * decides which runners and marks the router knows of, and may move its clock.
+ * Test rig: the HTTP proxy of one router, with a client on raw sockets on one side and scripted runners on the other. A
+ * test decides which runners and marks the router knows of, and may move its clock.
  */
-final class ProxyFixture implements AutoCloseable {
+final class ProxyRig implements AutoCloseable {
     static final String MANIFEST =
             """
         {"name":"bed","regions":["ra","rb"],"zones":[{"name":"a","region":"ra"},{"name":"b","region":"rb"}],
@@ -70,7 +70,7 @@
     private volatile long stoppedClockMicros;
     private volatile PlannedFault plannedFault;
 
-    ProxyFixture() throws IOException {
+    ProxyRig() throws IOException {
         serviceRow.name = "s";
         serviceRow.regions.addAll(List.of("ra", "rb"));
         serviceRow.cells.addAll(List.of("a", "b"));
@@ -262,13 +262,13 @@
     Response post(String path, String attemptId, String body) throws IOException {
         try (var client = connect()) {
             sendPost(client, path, attemptId, "", body);
-            return readResponse(client.getInputStream());
+            return read(client.getInputStream());
         }
     }
 
     /** Reads a final response from {@code in}. */
-    static Response readResponse(InputStream in) throws IOException {
-        return ResponseParser.readResponse(in);
+    static Response read(InputStream in) throws IOException {
+        return ResponseParser.read(in);
     }
 
     @Override
--- a/test/pass/src/test/java/craneway/pass/ProxyServerStopTest.java
+++ b/test/pass/src/test/java/craneway/pass/ProxyServerStopTest.java
@@ -13,28 +13,28 @@
 
     @Test
     void slowlyReadResponseCountsAsUnansweredUntilFullySent() throws Exception {
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> connection.write(ScriptedRunner.response(
                         200, connection.runRequest(), "Stamp: s\r\n", "x".repeat(LARGE_BODY_BYTES))));
-                var client = fixture.connect()) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            assertEquals(0, fixture.server.unansweredConnectionCount());
-            fixture.server.startDraining();
-            ProxyFixture.sendPost(client, "/once/x", "t1", "", "");
+                var client = proxy.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            assertEquals(0, proxy.server.unansweredConnectionCount());
+            proxy.server.startDraining();
+            ProxyRig.sendPost(client, "/once/x", "t1", "", "");
             while (runner.ranAttemptIds.isEmpty()) Thread.yield();
-            fixture.server.stopListening();
-            assertEquals(1, fixture.server.unansweredConnectionCount());
-            var response = ProxyFixture.readResponse(client.getInputStream());
+            proxy.server.stopListening();
+            assertEquals(1, proxy.server.unansweredConnectionCount());
+            var response = ProxyRig.read(client.getInputStream());
             assertTrue(response.complete());
             assertEquals(LARGE_BODY_BYTES, response.text().getBytes(StandardCharsets.ISO_8859_1).length);
-            while (fixture.server.unansweredConnectionCount() > 0) Thread.yield();
+            while (proxy.server.unansweredConnectionCount() > 0) Thread.yield();
         }
     }
 
     @Test
     void closingTwiceHasNoFurtherEffect() throws Exception {
-        try (var fixture = new ProxyFixture()) {
-            fixture.server.close();
+        try (var proxy = new ProxyRig()) {
+            proxy.server.close();
         }
     }
 }
--- a/test/pass/src/test/java/craneway/pass/RandomFaultSequenceTest.java
+++ b/test/pass/src/test/java/craneway/pass/RandomFaultSequenceTest.java
@@ -54,10 +54,10 @@
             String bodyText,
             Map<String, String> headers) {}
 
-    /** The fixture, the faulty runners and the client requests of one seed. */
+    /** The router, its faulty runners and the client requests of one seed. */
     private static final class Sequence implements AutoCloseable {
         private final long seed;
-        private final ProxyFixture fixture = new ProxyFixture();
+        private final ProxyRig proxy = new ProxyRig();
         private final List<ScriptedRunner> runners = new ArrayList<>();
         private final Map<String, AtomicInteger> reached = new ConcurrentHashMap<>();
         private final List<ClientResult> results = new ArrayList<>();
@@ -68,7 +68,7 @@
                 var random = new Random(seed * RUNNER_COUNT + i);
                 var runner = new ScriptedRunner(connection -> playFaults(connection, random));
                 runners.add(runner);
-                fixture.putRunner("i" + i, runner.address(), "a", Rows.Runner.UP);
+                proxy.putRunner("i" + i, runner.address(), "a", Rows.Runner.UP);
             }
         }
 
@@ -108,7 +108,7 @@
             var random = new Random(seed);
             Socket client = null;
             for (var i = 0; i < REQUESTS_PER_SEED; i++) {
-                if (client == null) client = fixture.connect();
+                if (client == null) client = proxy.connect();
                 var route = ROUTES.get(random.nextInt(ROUTES.size()));
                 var result = request(client, route, "t" + seed + "-" + i);
                 results.add(result);
@@ -128,7 +128,7 @@
                                         + "\r\nDeadline: " + DEADLINE_MILLIS + "\r\nContent-Length: " + body.length()
                                         + "\r\n\r\n" + body)
                                 .getBytes(StandardCharsets.ISO_8859_1));
-                var response = ProxyFixture.readResponse(client.getInputStream());
+                var response = ProxyRig.read(client.getInputStream());
                 return new ClientResult(
                         attemptId, route, response.status(), response.complete(), response.text(), response.headers());
             } catch (IOException | RuntimeException e) {
@@ -168,7 +168,7 @@
         @Override
         public void close() throws IOException {
             for (var runner : runners) runner.close();
-            fixture.close();
+            proxy.close();
         }
     }
 
--- a/test/pass/src/test/java/craneway/pass/ResponseParser.java
+++ b/test/pass/src/test/java/craneway/pass/ResponseParser.java
@@ -24,24 +24,24 @@
     }
 
     /** Reads a final response; interim responses are not skipped. */
-    static ProxyFixture.Response readResponse(InputStream in) throws IOException {
-        return readResponse(FakeRunner.readLine(in), in);
+    static ProxyRig.Response read(InputStream in) throws IOException {
+        return read(FakeRunner.readLine(in), in);
     }
 
     /**
      * Reads a final response after any number of "102 Processing" responses, which a half-closed client may receive.
      */
-    static ProxyFixture.Response readResponseAfterInterim(InputStream in) throws IOException {
+    static ProxyRig.Response readAfterInterim(InputStream in) throws IOException {
         var line = FakeRunner.readLine(in);
         while (PROCESSING_STATUS_LINE.equals(line)) {
             assertEquals("", FakeRunner.readLine(in), "an interim response consists of its status line only");
             line = FakeRunner.readLine(in);
         }
-        return readResponse(line, in);
+        return read(line, in);
     }
 
-    private static ProxyFixture.Response readResponse(String statusLine, InputStream in) throws IOException {
-        if (statusLine == null) return new ProxyFixture.Response(0, Map.of(), new byte[0], false);
+    private static ProxyRig.Response read(String statusLine, InputStream in) throws IOException {
+        if (statusLine == null) return new ProxyRig.Response(0, Map.of(), new byte[0], false);
         var headers = new TreeMap<String, String>(String.CASE_INSENSITIVE_ORDER);
         for (var field = FakeRunner.readLine(in); field != null && !field.isEmpty(); field = FakeRunner.readLine(in))
             headers.put(
@@ -49,8 +49,7 @@
                     field.substring(field.indexOf(':') + 1).trim());
         var body = new ByteArrayOutputStream();
         var complete = readBody(in, body, headers);
-        return new ProxyFixture.Response(
-                Integer.parseInt(statusLine.split(" ")[1]), headers, body.toByteArray(), complete);
+        return new ProxyRig.Response(Integer.parseInt(statusLine.split(" ")[1]), headers, body.toByteArray(), complete);
     }
 
     /**
--- a/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerConnectionReuseTest.java
@@ -19,31 +19,31 @@
  * the next request nor make a once-only request run twice.
  */
 class RunnerConnectionReuseTest {
-    private ProxyFixture fixture;
+    private ProxyRig proxy;
     private Socket client;
 
     @BeforeEach
-    void openFixture() throws Exception {
-        fixture = new ProxyFixture();
-        client = fixture.connect();
+    void openProxy() throws Exception {
+        proxy = new ProxyRig();
+        client = proxy.connect();
     }
 
     @AfterEach
-    void closeFixture() throws Exception {
+    void closeProxy() throws Exception {
         client.close();
-        fixture.close();
+        proxy.close();
     }
 
-    private ProxyFixture.Response request(String path, String attemptId, int deadlineMillis) throws Exception {
+    private ProxyRig.Response request(String path, String attemptId, int deadlineMillis) throws Exception {
         client.getOutputStream()
                 .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId + "\r\nDeadline: "
                                 + deadlineMillis + "\r\nContent-Length: 4\r\n\r\nbody")
                         .getBytes(StandardCharsets.ISO_8859_1));
-        return ProxyFixture.readResponse(client.getInputStream());
+        return ProxyRig.read(client.getInputStream());
     }
 
     private void putRunner(String id, ScriptedRunner runner) {
-        fixture.putRunner(id, runner.address(), "a", Rows.Runner.UP);
+        proxy.putRunner(id, runner.address(), "a", Rows.Runner.UP);
     }
 
     /** Responds to each request of a connection with a success of its own. */
@@ -166,7 +166,7 @@
         try (var runner = runnerThatDropsIdleConnection()) {
             putRunner("i1", runner);
             assertEquals("body of t1", request("/once/x", "t1", 4_000).text());
-            fixture.advanceClockWhenIdle(1_000_000);
+            proxy.advanceClockWhenIdle(1_000_000);
             assertEquals("body of t2", request("/once/x", "t2", 4_000).text());
             assertEquals(1, runner.ranAttemptIds.stream().filter("t2"::equals).count());
         }
@@ -192,7 +192,7 @@
             putRunner("i1", runner);
             assertEquals("body of t1", request("/again/x", "t1", 4_000).text());
             putRunner("i2", otherRunner);
-            fixture.advanceClockWhenIdle(1_000_000);
+            proxy.advanceClockWhenIdle(1_000_000);
             assertEquals("body of t2", request("/again/x", "t2", 4_000).text());
         }
     }
@@ -206,10 +206,10 @@
         })) {
             putRunner("i1", runner);
             request("/again/x", "t1", 4_000);
-            fixture.advanceClockWhenIdle(1_000_000);
+            proxy.advanceClockWhenIdle(1_000_000);
             request("/again/x", "t2", 4_000);
             assertEquals(1, runner.acceptedConnectionCount.get());
-            fixture.advanceClockWhenIdle(1_900_000);
+            proxy.advanceClockWhenIdle(1_900_000);
             request("/again/x", "t3", 4_000);
             assertEquals(2, runner.acceptedConnectionCount.get());
         }
@@ -240,8 +240,8 @@
             runners[0].awaitTestEnd();
         })) {
             runners[0] = silentRunner;
-            fixture.putRunner("i1", address, "a", Rows.Runner.UP);
-            fixture.putRunner("i2", silentRunner.address(), "b", Rows.Runner.UP);
+            proxy.putRunner("i1", address, "a", Rows.Runner.UP);
+            proxy.putRunner("i2", silentRunner.address(), "b", Rows.Runner.UP);
             assertEquals(504, request("/once/x", "t1", 400).status());
             assertEquals(1, silentRunner.ranAttemptIds.size());
         }
@@ -256,8 +256,8 @@
             connection.runRequest();
             connection.reset();
         })) {
-            fixture.putRunner("i1", address, "a", Rows.Runner.UP);
-            fixture.putRunner("i2", resettingRunner.address(), "b", Rows.Runner.UP);
+            proxy.putRunner("i1", address, "a", Rows.Runner.UP);
+            proxy.putRunner("i2", resettingRunner.address(), "b", Rows.Runner.UP);
             assertEquals(502, request("/again/x", "t1", 1_000).status());
         }
     }
--- a/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerFaultTest.java
@@ -21,7 +21,7 @@
 
     /** A router, two runners and a client connection; the first runner connection performs the fault, once. */
     private static final class Scene implements AutoCloseable {
-        final ProxyFixture fixture = new ProxyFixture();
+        final ProxyRig proxy = new ProxyRig();
         final AtomicInteger acceptedConnections = new AtomicInteger();
         final CountDownLatch headAtClient = new CountDownLatch(1);
         final List<ScriptedRunner> runners = new ArrayList<>();
@@ -32,9 +32,9 @@
             for (var i = 0; i < 2; i++) {
                 var runner = new ScriptedRunner(connection -> playFaultThenServe(fault, connection));
                 runners.add(runner);
-                fixture.putRunner("i" + i, runner.address(), "a", craneway.state.record.Rows.Runner.UP);
+                proxy.putRunner("i" + i, runner.address(), "a", craneway.state.record.Rows.Runner.UP);
             }
-            client = fixture.connect();
+            client = proxy.connect();
         }
 
         private void playFaultThenServe(RunnerFault fault, ScriptedRunner.Connection connection) throws Exception {
@@ -50,7 +50,7 @@
             return new RunnerFault.FaultContext() {
                 @Override
                 public void staySilent() throws InterruptedException {
-                    fixture.advanceClock(700_000);
+                    proxy.advanceClock(700_000);
                     runners.get(0).awaitTestEnd();
                 }
 
@@ -61,14 +61,13 @@
             };
         }
 
-        ProxyFixture.Response request(String path, String attemptId, int deadlineMillis) throws Exception {
+        ProxyRig.Response request(String path, String attemptId, int deadlineMillis) throws Exception {
             var body = "b".repeat(50);
             client.getOutputStream()
                     .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: " + attemptId + "\r\nDeadline: "
                                     + deadlineMillis + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.ISO_8859_1));
-            return ProxyFixture.readResponse(
-                    new TextLatchInputStream(client.getInputStream(), "\r\n\r\n", headAtClient));
+            return ProxyRig.read(new TextLatchInputStream(client.getInputStream(), "\r\n\r\n", headAtClient));
         }
 
         long countRuns(String attemptId) {
@@ -82,7 +81,7 @@
         public void close() throws Exception {
             client.close();
             for (var runner : runners) runner.close();
-            fixture.close();
+            proxy.close();
         }
     }
 
@@ -124,7 +123,7 @@
         }
     }
 
-    private static void checkInvariants(ProxyFixture.Response response, long runCount, boolean runsOnce) {
+    private static void checkInvariants(ProxyRig.Response response, long runCount, boolean runsOnce) {
         if (runsOnce) assertTrue(runCount <= 1, "ran " + runCount + " times");
         if (NOT_RUN_STATUSES.contains(response.status()))
             assertEquals(0, runCount, "status promises that the request has not run, although it has");
@@ -136,7 +135,7 @@
         if (response.status() / 100 != 2) assertFalse(response.text().contains("whose"));
     }
 
-    private static void checkOutcome(Outcome outcome, ProxyFixture.Response response) {
+    private static void checkOutcome(Outcome outcome, ProxyRig.Response response) {
         switch (outcome) {
             case SERVED_BY_FIRST, SERVED_BY_SECOND -> {
                 assertEquals(200, response.status());
@@ -156,7 +155,7 @@
         }
     }
 
-    private static void checkRouterResponse(int status, ProxyFixture.Response response) {
+    private static void checkRouterResponse(int status, ProxyRig.Response response) {
         assertEquals(status, response.status(), response.text());
         assertNull(response.headers().get("Stamp"), "a response of the router has no stamp");
     }
--- a/test/pass/src/test/java/craneway/pass/RunnerKilledMidResponseTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerKilledMidResponseTest.java
@@ -31,7 +31,7 @@
      * Sends a request whose first runner writes {@code firstRunnersOutput} and is killed, while a second runner can
      * resume the stream; stores the number of runs on the second runner in {@code secondRunnersRuns[0]}.
      */
-    private static ProxyFixture.Response requestWithRunnerKilledAfter(
+    private static ProxyRig.Response requestWithRunnerKilledAfter(
             String path, String firstRunnersOutput, int[] secondRunnersRuns) throws Exception {
         var killedRunner = new AtomicReference<ScriptedRunner>();
         ScriptedRunner.Script writesThenDies = connection -> {
@@ -39,13 +39,13 @@
             connection.write(firstRunnersOutput);
             killedRunner.get().simulateProcessKill();
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var firstRunner = new ScriptedRunner(writesThenDies);
                 var secondRunner = new ScriptedRunner(RESUMES_STREAM)) {
             killedRunner.set(firstRunner);
-            fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-            fixture.putRunner("i2", secondRunner.address(), "b", Rows.Runner.UP);
-            var response = fixture.post(path, "t1", "");
+            proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i2", secondRunner.address(), "b", Rows.Runner.UP);
+            var response = proxy.post(path, "t1", "");
             secondRunnersRuns[0] = secondRunner.ranAttemptIds.size();
             return response;
         }
@@ -89,10 +89,10 @@
             connection.write(UNFRAMED_STREAM_HEAD + FIRST_EVENTS);
             connection.close();
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var firstRunner = new ScriptedRunner(respondsAndCloses)) {
-            fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-            var response = fixture.post("/stream/x", "t1", "");
+            proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+            var response = proxy.post("/stream/x", "t1", "");
             assertEquals(FIRST_EVENTS, response.text());
             assertTrue(response.complete());
         }
--- a/test/pass/src/test/java/craneway/pass/RunnerPlacerTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerPlacerTest.java
@@ -68,7 +68,7 @@
             members.add(IntStream.range(0, 20).mapToObj(n -> router("r" + n)).toList());
         pool.applyView(new Membership.CoreView(
                 manifestRow,
-                ManifestReader.read(ProxyFixture.MANIFEST).get(),
+                ManifestReader.read(ProxyRig.MANIFEST).get(),
                 new HashMap<>(Map.of("s", serviceRow)),
                 new long[4],
                 members,
--- a/test/pass/src/test/java/craneway/pass/RunnerPoolUpdateTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerPoolUpdateTest.java
@@ -18,7 +18,7 @@
 
 /** A runner pool is rebuilt when a view brings other runners, marks or routers, and reused when only leases differ. */
 class RunnerPoolUpdateTest {
-    private final Manifest manifest = ManifestReader.read(ProxyFixture.MANIFEST).get();
+    private final Manifest manifest = ManifestReader.read(ProxyRig.MANIFEST).get();
     private final RunnerPool pool = new RunnerPool();
 
     private static Rows.Service service(String... runners) {
--- a/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFaultTest.java
@@ -94,7 +94,7 @@
     }
 
     /** The client's response, the number of runs, and the Last-Event-Id header of each run after the first. */
-    private record StreamResult(ProxyFixture.Response response, long runCount, List<String> lastEventIds) {}
+    private record StreamResult(ProxyRig.Response response, long runCount, List<String> lastEventIds) {}
 
     /** Requests a stream whose first run breaks off after one event; later runs send {@code secondResponse}. */
     private static StreamResult requestWithBrokenStream(
@@ -102,13 +102,13 @@
         var firstEventAtClient = new CountDownLatch(1);
         var connectionCount = new AtomicInteger();
         var lastEventIds = new java.util.concurrent.CopyOnWriteArrayList<String>();
-        try (var fixture = new ProxyFixture()) {
+        try (var proxy = new ProxyRig()) {
             ScriptedRunner.Script connectionScript = connection -> {
                 if (connectionCount.getAndIncrement() == 0) {
                     connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
-                    if (streamBreak == StreamBreak.SILENCE) fixture.advanceClock(700_000);
+                    if (streamBreak == StreamBreak.SILENCE) proxy.advanceClock(700_000);
                     streamBreak.script.play(connection);
                 } else {
                     connection.runRequest();
@@ -119,14 +119,14 @@
             };
             try (var firstRunner = new ScriptedRunner(connectionScript);
                     var secondRunner = new ScriptedRunner(connectionScript);
-                    var client = fixture.connect()) {
-                fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-                fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+                    var client = proxy.connect()) {
+                proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+                proxy.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
                 client.getOutputStream()
                         .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: "
                                         + deadlineMillis + "\r\nContent-Length: 0\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
-                var response = ProxyFixture.readResponse(
+                var response = ProxyRig.read(
                         new TextLatchInputStream(client.getInputStream(), FIRST_EVENT, firstEventAtClient));
                 return new StreamResult(
                         response, firstRunner.ranAttemptIds.size() + secondRunner.ranAttemptIds.size(), lastEventIds);
--- a/test/pass/src/test/java/craneway/pass/StreamForwardingTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamForwardingTest.java
@@ -15,16 +15,16 @@
  * one continues on another runner within the same response.
  */
 class StreamForwardingTest {
-    private ProxyFixture fixture;
+    private ProxyRig proxy;
 
     @BeforeEach
-    void openFixture() throws Exception {
-        fixture = new ProxyFixture();
+    void openProxy() throws Exception {
+        proxy = new ProxyRig();
     }
 
     @AfterEach
-    void closeFixture() {
-        fixture.close();
+    void closeProxy() {
+        proxy.close();
     }
 
     @Test
@@ -35,11 +35,11 @@
             request.writeChunk("id: 1\ndata: a\n\n");
             firstEventRead.await();
             request.writeChunk("id: 2\ndata: b\n\n");
-            request.respondRaw("0\r\n\r\n");
+            request.write("0\r\n\r\n");
         })) {
-            fixture.putRunner("i1", runner, "a");
-            try (var client = fixture.connect()) {
-                ProxyFixture.sendPost(client, "/stream/x", "t", "", "");
+            proxy.putRunner("i1", runner, "a");
+            try (var client = proxy.connect()) {
+                ProxyRig.sendPost(client, "/stream/x", "t", "", "");
                 var in = client.getInputStream();
                 for (var headerLine = FakeRunner.readLine(in);
                         !headerLine.isEmpty();
@@ -61,8 +61,8 @@
             request.writeChunk("id: 1\ndata: a\n\n");
             request.resetConnection();
         })) {
-            fixture.putRunner("i1", runner, "a");
-            assertFalse(fixture.post("/stream/x", "t", "").complete());
+            proxy.putRunner("i1", runner, "a");
+            assertFalse(proxy.post("/stream/x", "t", "").complete());
             assertEquals(1, runner.receivedRequests.size());
         }
     }
@@ -77,14 +77,14 @@
             } else {
                 request.writeChunk("id: 2\ndata: b\n\n");
                 request.writeChunk("id: 3\ndata: c\n\n");
-                request.respondRaw("0\r\n\r\n");
+                request.write("0\r\n\r\n");
             }
         };
         try (var runner = new FakeRunner(script);
                 var otherRunner = new FakeRunner(script)) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "a");
-            var response = fixture.post("/resume/x", "t", "");
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "a");
+            var response = proxy.post("/resume/x", "t", "");
             assertTrue(response.complete());
             assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n", response.text());
             var firstRequest = runner.receivedRequests.isEmpty()
@@ -106,14 +106,14 @@
                 request.writeChunk("id: 1\ndata: a\n\n");
             } else {
                 request.writeChunk("id: 2\ndata: b\n\n");
-                request.respondRaw("0\r\n\r\n");
+                request.write("0\r\n\r\n");
             }
         };
         try (var runner = new FakeRunner(script);
                 var otherRunner = new FakeRunner(script)) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "a");
-            var response = fixture.post("/resume/x", "t", "");
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "a");
+            var response = proxy.post("/resume/x", "t", "");
             assertTrue(response.complete());
             assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", response.text());
         }
@@ -127,12 +127,12 @@
                     request.writeChunk("id: 1\ndata: a\n\n");
                     secondEventDue.await(1_500, java.util.concurrent.TimeUnit.MILLISECONDS);
                     request.writeChunk("id: 2\ndata: b\n\n");
-                    request.respondRaw("0\r\n\r\n");
+                    request.write("0\r\n\r\n");
                 });
                 var otherRunner = new FakeRunner(request -> request.respondOk("never"))) {
-            fixture.putRunner("i1", runner, "a");
-            fixture.putRunner("i2", otherRunner, "b");
-            var response = fixture.post("/stream/x", "t", "");
+            proxy.putRunner("i1", runner, "a");
+            proxy.putRunner("i2", otherRunner, "b");
+            var response = proxy.post("/stream/x", "t", "");
             assertTrue(response.complete());
             assertEquals("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", response.text());
             assertEquals(0, otherRunner.receivedRequests.size());
--- a/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamFuzzTest.java
@@ -111,12 +111,12 @@
         }
     }
 
-    private static ProxyFixture.Response request(ProxyFixture fixture, String path, StreamPlan plan) throws Exception {
+    private static ProxyRig.Response request(ProxyRig proxy, String path, StreamPlan plan) throws Exception {
         try (var client = new Socket()) {
             if (plan.hasSlowClient) client.setReceiveBufferSize(SMALL_RECEIVE_BUFFER_BYTES);
-            fixture.connect(client);
-            ProxyFixture.sendPost(client, path, plan.attemptId, "", "");
-            return ProxyFixture.readResponse(
+            proxy.connect(client);
+            ProxyRig.sendPost(client, path, plan.attemptId, "", "");
+            return ProxyRig.read(
                     plan.hasSlowClient ? new SlowInputStream(client.getInputStream()) : client.getInputStream());
         }
     }
@@ -149,19 +149,19 @@
             }
         };
         var executor = Executors.newFixedThreadPool(THREAD_COUNT);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var firstRunner = new ScriptedRunner(script);
                 var secondRunner = new ScriptedRunner(script);
                 var thirdRunner = new ScriptedRunner(script)) {
-            fixture.stopClock(); // otherwise a runner could count as silent on a busy machine
-            fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-            fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
-            fixture.putRunner("i3", thirdRunner.address(), "a", Rows.Runner.UP);
+            proxy.stopClock(); // otherwise a runner could count as silent on a busy machine
+            proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i3", thirdRunner.address(), "a", Rows.Runner.UP);
             var tasks = new ArrayList<Callable<Void>>();
             for (var i = 0; i < STREAM_COUNT; i++) {
                 var plan = new StreamPlan(seed * 1_000L + i);
                 tasks.add(() -> {
-                    checkResponse(plan, request(fixture, path, plan), breaksPerStream);
+                    checkResponse(plan, request(proxy, path, plan), breaksPerStream);
                     return null;
                 });
             }
@@ -173,7 +173,7 @@
         }
     }
 
-    private static void checkResponse(StreamPlan plan, ProxyFixture.Response response, int breaksPerStream) {
+    private static void checkResponse(StreamPlan plan, ProxyRig.Response response, int breaksPerStream) {
         var allEvents = plan.allEvents();
         assertEquals(200, response.status(), plan.attemptId);
         assertTrue(
--- a/test/pass/src/test/java/craneway/pass/StreamResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/StreamResumeTest.java
@@ -34,7 +34,7 @@
     }
 
     /** The client's response and the Last-Event-Id header of each run. */
-    private record StreamResult(ProxyFixture.Response response, List<String> lastEventIds) {}
+    private record StreamResult(ProxyRig.Response response, List<String> lastEventIds) {}
 
     /**
      * Requests a stream whose first run is scripted by {@code firstRun}; each later run sends {@code secondResponse}.
@@ -53,20 +53,19 @@
                 connection.awaitPeerClose();
             }
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var firstRunner = new ScriptedRunner(script);
                 var secondRunner = new ScriptedRunner(script);
-                var client = fixture.connect()) {
-            fixture.stopClock(); // otherwise a runner could count as silent on a busy machine
-            fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-            fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+                var client = proxy.connect()) {
+            proxy.stopClock(); // otherwise a runner could count as silent on a busy machine
+            proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
             client.getOutputStream()
                     .write(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nTry: t1\r\nDeadline: " + DEADLINE_MILLIS
                                     + "\r\n" + extraHeaders + "Content-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
             return new StreamResult(
-                    ProxyFixture.readResponse(
-                            new TextLatchInputStream(client.getInputStream(), "\r\n\r\n", new CountDownLatch(1))),
+                    ProxyRig.read(new TextLatchInputStream(client.getInputStream(), "\r\n\r\n", new CountDownLatch(1))),
                     lastEventIds);
         }
     }
--- a/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
+++ b/test/pass/src/test/java/craneway/pass/SweepUnderLoadTest.java
@@ -21,15 +21,14 @@
             for (var attemptId = connection.runRequest(); attemptId != null; attemptId = connection.runRequest())
                 connection.write(ScriptedRunner.success(attemptId));
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(script);
-                var client = fixture.connect()) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            var lastSweep = fixture.server.sweepCount() + EXPECTED_SWEEPS;
-            for (var i = 0; fixture.server.sweepCount() < lastSweep; i++) {
-                ProxyFixture.sendPost(client, "/again/x", "t" + i, "", "");
-                assertEquals(
-                        200, ProxyFixture.readResponse(client.getInputStream()).status());
+                var client = proxy.connect()) {
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            var lastSweep = proxy.server.sweepCount() + EXPECTED_SWEEPS;
+            for (var i = 0; proxy.server.sweepCount() < lastSweep; i++) {
+                ProxyRig.sendPost(client, "/again/x", "t" + i, "", "");
+                assertEquals(200, ProxyRig.read(client.getInputStream()).status());
             }
         }
     }
--- a/test/pass/src/test/java/craneway/pass/TruncatedResponseTest.java
+++ b/test/pass/src/test/java/craneway/pass/TruncatedResponseTest.java
@@ -52,13 +52,13 @@
         DEADLINE,
         ROUTER_STOPS;
 
-        private void trigger(ProxyFixture fixture, ScriptedRunner.Connection connection) throws Exception {
+        private void trigger(ProxyRig proxy, ScriptedRunner.Connection connection) throws Exception {
             switch (this) {
                 case RUNNER_RESETS -> connection.reset();
                 case RUNNER_CLOSES -> connection.close();
                 case RUNNER_SENDS_INVALID_CHUNK -> connection.write("no chunk");
                 case DEADLINE -> {}
-                case ROUTER_STOPS -> fixture.server.close();
+                case ROUTER_STOPS -> proxy.server.close();
             }
             connection.awaitPeerClose();
         }
@@ -69,17 +69,17 @@
                 .flatMap(client -> Stream.of(TruncationCause.values()).map(cause -> Arguments.of(client, cause)));
     }
 
-    private static ProxyFixture.Response request(
-            ProxyFixture fixture, ClientKind client, String path, int deadlineMillis, CountDownLatch firstEventAtClient)
+    private static ProxyRig.Response request(
+            ProxyRig proxy, ClientKind client, String path, int deadlineMillis, CountDownLatch firstEventAtClient)
             throws Exception {
-        if (client.routerDraining) fixture.server.startDraining();
-        try (var connection = fixture.connect()) {
+        if (client.routerDraining) proxy.server.startDraining();
+        try (var connection = proxy.connect()) {
             connection
                     .getOutputStream()
                     .write(("POST " + path + " " + client.version + "\r\nHost: h.example\r\nTry: t1\r\nDeadline: "
                                     + deadlineMillis + "\r\n" + client.header + "Content-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            return ProxyFixture.readResponse(
+            return ProxyRig.read(
                     new TextLatchInputStream(connection.getInputStream(), FIRST_EVENT, firstEventAtClient));
         }
     }
@@ -88,16 +88,16 @@
     @MethodSource("clientsAndCauses")
     void streamThatEndsEarlyIsVisiblyTruncated(ClientKind client, TruncationCause cause) throws Exception {
         var firstEventAtClient = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
-                    cause.trigger(fixture, connection);
+                    cause.trigger(proxy, connection);
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             var response = request(
-                    fixture,
+                    proxy,
                     client,
                     "/stream/x",
                     cause == TruncationCause.DEADLINE ? SHORT_DEADLINE_MILLIS : LONG_DEADLINE_MILLIS,
@@ -113,17 +113,17 @@
     void chunkedPlainResponseThatEndsEarlyIsVisiblyTruncated(ClientKind client, TruncationCause cause)
             throws Exception {
         var firstEventAtClient = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                                     .replace("text/event-stream", "text/plain")
                             + ScriptedRunner.chunk(FIRST_EVENT));
                     firstEventAtClient.await();
-                    cause.trigger(fixture, connection);
+                    cause.trigger(proxy, connection);
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
             var response = request(
-                    fixture,
+                    proxy,
                     client,
                     "/once/x",
                     cause == TruncationCause.DEADLINE ? SHORT_DEADLINE_MILLIS : LONG_DEADLINE_MILLIS,
@@ -137,7 +137,7 @@
     @EnumSource
     void streamThatEndsNormallyIsComplete(ClientKind client) throws Exception {
         var firstEventAtClient = new CountDownLatch(1);
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var runner = new ScriptedRunner(connection -> {
                     connection.write(ScriptedRunner.streamResponseHead(connection.runRequest())
                             + ScriptedRunner.chunk(FIRST_EVENT));
@@ -145,8 +145,8 @@
                     connection.write(ScriptedRunner.chunk(SECOND_EVENT) + LAST_CHUNK);
                     connection.awaitPeerClose();
                 })) {
-            fixture.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
-            var response = request(fixture, client, "/stream/x", LONG_DEADLINE_MILLIS, firstEventAtClient);
+            proxy.putRunner("i1", runner.address(), "a", Rows.Runner.UP);
+            var response = request(proxy, client, "/stream/x", LONG_DEADLINE_MILLIS, firstEventAtClient);
             assertEquals(FIRST_EVENT + SECOND_EVENT, response.text());
             assertTrue(response.complete());
         }
--- a/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
@@ -62,13 +62,13 @@
                 connection.awaitPeerClose();
             }
         };
-        try (var fixture = new ProxyFixture();
+        try (var proxy = new ProxyRig();
                 var firstRunner = new ScriptedRunner(script);
                 var secondRunner = new ScriptedRunner(script)) {
-            fixture.stopClock();
-            fixture.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
-            fixture.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
-            var response = fixture.post("/resume/x", "t1", "");
+            proxy.stopClock();
+            proxy.putRunner("i1", firstRunner.address(), "a", Rows.Runner.UP);
+            proxy.putRunner("i2", secondRunner.address(), "a", Rows.Runner.UP);
+            var response = proxy.post("/resume/x", "t1", "");
             var firstEvents = event(1, "") + event(2, versionInSecondEvent);
             assertEquals(joined ? firstEvents + event(3, "") : firstEvents, response.text());
             assertEquals(joined, response.complete());
