--- a/prog/craneway/src/main/java/craneway/command/CommandRunner.java
+++ b/prog/craneway/src/main/java/craneway/command/CommandRunner.java
@@ -24,9 +24,9 @@
     }
 
     private static int report(Exception exception) {
-        if (exception instanceof CommandFailure told) {
+        if (exception instanceof CommandException told) {
             System.err.println(told.getMessage());
-            return told.code();
+            return told.exitCode();
         }
         System.err.println(exception);
         return FAILED;
--- a/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.CommandRunner;
 import craneway.command.OperatorClient;
 import craneway.command.load.LoadCommand;
-import craneway.drill.Checker;
-import craneway.drill.Outage;
+import craneway.drill.JournalChecker;
+import craneway.drill.ZoneOutageChecker;
 import io.undertow.util.Methods;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -63,8 +63,8 @@
     public Integer call() throws IOException {
         fleet = JSON.readTree(Files.readString(folder.resolve("fleet.json")));
         var inZone = runnersIn(zone);
-        if (inZone.isEmpty()) throw new CommandFailure(2, "the fleet has no runner in zone " + zone);
-        if (hold < 6) throw new CommandFailure(2, "--hold-seconds: below 6 nothing is seen of the 5 s promise");
+        if (inZone.isEmpty()) throw new CommandException(2, "the fleet has no runner in zone " + zone);
+        if (hold < 6) throw new CommandException(2, "--hold-seconds: below 6 nothing is seen of the 5 s promise");
         var journal = folder.resolve("journal").resolve("drill-" + System.currentTimeMillis() + ".jsonl");
         var load = CompletableFuture.supplyAsync(() -> CommandRunner.run(
                 new LoadCommand(),
@@ -94,35 +94,35 @@
             confirmed = System.currentTimeMillis();
             pause(hold * 1_000L);
             if (load.isDone())
-                throw new CommandFailure(2, "the load was over before the zone was taken back; ask for more streams");
+                throw new CommandException(2, "the load was over before the zone was taken back; ask for more streams");
             back = System.currentTimeMillis();
             confirm(w, "take-back-zone");
         }
         var code = load.join();
-        return judge(journal, new Outage(inZone, confirmed, back), code);
+        return judge(journal, new ZoneOutageChecker(inZone, confirmed, back), code);
     }
 
-    private int judge(Path journal, Outage o, int loadCode) throws IOException {
-        var c = new Checker();
+    private int judge(Path journal, ZoneOutageChecker o, int loadCode) throws IOException {
+        var c = new JournalChecker();
         for (var r : names("runners")) {
             var f = folder.resolve("journal").resolve(r + ".jsonl");
-            c.runner(f);
-            o.runner(f);
+            c.addRunnerJournal(f);
+            o.addRunnerJournal(f);
         }
-        c.requester(journal);
-        var wrong = new ArrayList<>(c.verdict(true));
-        wrong.addAll(o.verdict());
+        c.addRequesterJournal(journal);
+        var wrong = new ArrayList<>(c.findViolations(true));
+        wrong.addAll(o.findViolations());
         if (loadCode != 0) wrong.add("the load ended with code " + loadCode);
-        var text = new StringBuilder("drill of zone " + zone + "\n" + c.counts() + "\n");
+        var text = new StringBuilder("drill of zone " + zone + "\n" + c.summary() + "\n");
         text.append("last new work after the confirm: ")
-                .append(o.lastAfterConfirm())
+                .append(o.lastStartAfterConfirmMillis())
                 .append(" ms (limit ")
-                .append(Outage.EMPTY_MILLIS)
+                .append(ZoneOutageChecker.EMPTYING_LIMIT_MILLIS)
                 .append(")\n");
         text.append("first work after taking back: ")
-                .append(o.firstAfterReturn())
+                .append(o.firstStartAfterReturnMillis())
                 .append(" ms (limit ")
-                .append(Outage.RETURN_MILLIS)
+                .append(ZoneOutageChecker.RETURN_LIMIT_MILLIS)
                 .append(")\n");
         wrong.forEach(x -> text.append("BROKEN ").append(x).append('\n'));
         text.append(wrong.isEmpty() ? "every promise checked here was kept\n" : wrong.size() + " promises broken\n");
@@ -133,7 +133,7 @@
 
     private void confirm(OperatorClient w, String intent) throws IOException {
         var at = List.of(all("stores", "operator").split(","));
-        var plan = JSON.readTree(w.call(
+        var plan = JSON.readTree(w.request(
                                 at,
                                 Methods.POST,
                                 "/v1/intents",
@@ -145,13 +145,13 @@
                         .text())
                 .get("plan")
                 .asLong();
-        var state = JSON.readTree(w.call(at, Methods.POST, "/v1/plans/" + plan + "/confirm", Map.of(), "")
+        var state = JSON.readTree(w.request(at, Methods.POST, "/v1/plans/" + plan + "/confirm", Map.of(), "")
                         .text())
                 .get("state")
                 .asText();
         for (var until = System.nanoTime() + LIMIT_MILLIS * 1_000_000; state.equals("pending"); ) {
-            if (System.nanoTime() > until) throw new CommandFailure(4, intent + " stayed pending");
-            state = JSON.readTree(w.call(at, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
+            if (System.nanoTime() > until) throw new CommandException(4, intent + " stayed pending");
+            state = JSON.readTree(w.request(at, Methods.GET, "/v1/plans/" + plan + "/watch", Map.of(), "")
                             .text())
                     .get("state")
                     .asText();
@@ -196,7 +196,7 @@
     private static void await(String what, BooleanSupplier is) {
         var until = System.nanoTime() + LIMIT_MILLIS * 1_000_000;
         while (!is.getAsBoolean()) {
-            if (System.nanoTime() > until) throw new CommandFailure(4, "not within " + LIMIT_MILLIS + " ms: " + what);
+            if (System.nanoTime() > until) throw new CommandException(4, "not within " + LIMIT_MILLIS + " ms: " + what);
             LockSupport.parkNanos(50_000_000);
         }
     }
--- a/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/fleet/FleetCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.model.manifest.Manifest;
 import craneway.model.manifest.ManifestReader;
 import java.io.IOException;
@@ -59,16 +59,16 @@
     @Override
     public Integer call() throws IOException {
         var text = Files.readString(manifest);
-        var m = ManifestReader.read(text).getOrElseThrow(p -> new CommandFailure(3, "not valid: " + p.detail()));
+        var m = ManifestReader.read(text).getOrElseThrow(p -> new CommandException(3, "not valid: " + p.detail()));
         var zones = List.copyOf(m.zones().keySet());
         var service = m.services().values().iterator().next();
         if (routers.size() != zones.size())
-            throw new CommandFailure(2, "--routers needs " + zones.size() + " numbers, one for each zone");
+            throw new CommandException(2, "--routers needs " + zones.size() + " numbers, one for each zone");
         if (runners.size() != service.cells().size())
-            throw new CommandFailure(2, "--runners needs " + service.cells().size() + " numbers, one for each cell");
-        if (zones.size() < 3) throw new CommandFailure(2, "a fleet needs three zones for its three stores");
+            throw new CommandException(2, "--runners needs " + service.cells().size() + " numbers, one for each cell");
+        if (zones.size() < 3) throw new CommandException(2, "a fleet needs three zones for its three stores");
         if (Files.exists(folder) && Files.list(folder).findAny().isPresent())
-            throw new CommandFailure(2, folder + " is not empty");
+            throw new CommandException(2, folder + " is not empty");
         for (var d : List.of("startup", "data", "log", "pid", "journal")) Files.createDirectories(folder.resolve(d));
         Files.writeString(folder.resolve("manifest.json"), text);
         for (var i = 0; i < 3; i++) seeds.add(next());
--- a/prog/craneway/src/main/java/craneway/command/load/Choice.java
+++ b/prog/craneway/src/main/java/craneway/command/load/Choice.java
@@ -37,7 +37,7 @@
 
     private boolean ready(String address) {
         try {
-            return BufferedHttpResponse.fetch(web.caller(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
+            return BufferedHttpResponse.fetch(web.httpClient(), address, Methods.GET, "/ready", Map.of(), new byte[0], 500)
                             .status()
                     == 200;
         } catch (IOException e) {
--- a/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadCommand.java
@@ -1,6 +1,6 @@
 package craneway.command.load;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import craneway.http.Addresses;
 import java.io.IOException;
@@ -69,11 +69,11 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        for (var a : to) if (Addresses.isInvalid(a)) throw new CommandFailure(2, "--to " + a + " is not IP:PORT");
+        for (var a : to) if (Addresses.isInvalid(a)) throw new CommandException(2, "--to " + a + " is not IP:PORT");
         if (streams < 1 || atOnce < 1 || tenants < 1 || tokens < 1 || asks < 1)
-            throw new CommandFailure(2, "counts start at 1");
+            throw new CommandException(2, "counts start at 1");
         if (!platform.isEmpty() && platform.size() != to.size())
-            throw new CommandFailure(2, "--platform needs one address for each of --to");
+            throw new CommandException(2, "--platform needs one address for each of --to");
         var mix = Mix.of(work);
         var report = new Report(journal);
         try (var web = new OperatorClient();
@@ -92,7 +92,7 @@
         var all = new ArrayList<Thread>();
         for (var i = 0; i < atOnce; i++) {
             var r = new LoadClient(
-                    web.caller(),
+                    web.httpClient(),
                     choice,
                     service,
                     mix,
--- a/prog/craneway/src/main/java/craneway/command/load/Ratios.java
+++ b/prog/craneway/src/main/java/craneway/command/load/Ratios.java
@@ -15,9 +15,9 @@
         for (var a : operators) {
             String text;
             try {
-                text = web.call(List.of(a), Methods.GET, "/metrics", Map.of(), "")
+                text = web.request(List.of(a), Methods.GET, "/metrics", Map.of(), "")
                         .text();
-            } catch (craneway.command.CommandFailure e) {
+            } catch (craneway.command.CommandException e) {
                 continue;
             }
             taken += value(text, "craneway_transactions_taken_total");
--- a/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
@@ -1,6 +1,6 @@
 package craneway.command.measure;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.sim.Measures;
 import java.util.Arrays;
 import java.util.concurrent.Callable;
@@ -21,10 +21,10 @@
 
     @Override
     public Integer call() {
-        if (!seeds.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, "--seeds " + seeds + " is not FROM-TO");
+        if (!seeds.matches("\\d{1,15}-\\d{1,15}")) throw new CommandException(2, "--seeds " + seeds + " is not FROM-TO");
         var from = Long.parseLong(seeds.split("-")[0]);
         var to = Long.parseLong(seeds.split("-")[1]);
-        if (to < from) throw new CommandFailure(2, "--seeds " + seeds + ": the end is before the start");
+        if (to < from) throw new CommandException(2, "--seeds " + seeds + ": the end is before the start");
         var all = LongStream.rangeClosed(from, to).toArray();
         switch (what) {
             case "owner-killed" -> {
@@ -53,7 +53,7 @@
                                 .parallel()
                                 .mapToDouble(Measures::coldShare)
                                 .toArray());
-            default -> throw new CommandFailure(2, "unknown measurement " + what);
+            default -> throw new CommandException(2, "unknown measurement " + what);
         }
         return 0;
     }
--- a/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/CoreCommand.java
@@ -1,7 +1,7 @@
 package craneway.command.operator;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import io.undertow.util.Methods;
 import java.util.List;
@@ -17,15 +17,15 @@
             description =
                     "Shows what the one store at --at would keep; with --confirm TOKEN it goes on alone as a new generation.")
     int rebuild(
-            @Mixin At at,
+            @Mixin OperatorAddresses at,
             @Option(names = "--confirm", paramLabel = "TOKEN", description = "the token that was shown") String token) {
         if (at.all().size() != 1)
-            throw new CommandFailure(2, "--at must name the operator address of the one store to go on from");
+            throw new CommandException(2, "--at must name the operator address of the one store to go on from");
         JsonNode n;
         try (var w = new OperatorClient()) {
             n = Plans.json((token == null
-                            ? w.call(at.all(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
-                            : w.call(at.all(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
+                            ? w.request(at.all(), Methods.GET, "/v1/core/rebuild", Map.of(), "")
+                            : w.request(at.all(), Methods.POST, "/v1/core/rebuild", Map.of(), token))
                     .text());
         }
         System.out.println(
@@ -43,9 +43,9 @@
     @Command(
             name = "accept-claims",
             description = "Lets run-once work run again after a rebuild, although claims may be lost.")
-    int acceptClaims(@Mixin At at) {
+    int acceptClaims(@Mixin OperatorAddresses at) {
         try (var w = new OperatorClient()) {
-            System.out.println(w.call(at.all(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
+            System.out.println(w.request(at.all(), Methods.POST, "/v1/core/accept-claims", Map.of(), "")
                     .text()
                     .strip());
         }
--- a/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/IntentCommand.java
@@ -19,12 +19,12 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Command(name = "empty-zone")
-    int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At at) {
+    int emptyZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin OperatorAddresses at) {
         return ask(of(Intent.EMPTY_ZONE).put("zone", zone), at);
     }
 
     @Command(name = "take-back-zone")
-    int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin At at) {
+    int takeBackZone(@Parameters(paramLabel = "ZONE") String zone, @Mixin OperatorAddresses at) {
         return ask(of(Intent.TAKE_BACK_ZONE).put("zone", zone), at);
     }
 
@@ -32,7 +32,7 @@
     int emptyCell(
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
-            @Mixin At at) {
+            @Mixin OperatorAddresses at) {
         return ask(of(Intent.EMPTY_CELL).put("service", service).put("cell", cell), at);
     }
 
@@ -40,7 +40,7 @@
     int takeBackCell(
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "CELL") String cell,
-            @Mixin At at) {
+            @Mixin OperatorAddresses at) {
         return ask(of(Intent.TAKE_BACK_CELL).put("service", service).put("cell", cell), at);
     }
 
@@ -48,14 +48,14 @@
     int keepTenant(
             @Parameters(paramLabel = "TENANT") String tenant,
             @Option(names = "--in", required = true, split = ",") List<String> regions,
-            @Mixin At at) {
+            @Mixin OperatorAddresses at) {
         var n = of(Intent.KEEP_TENANT).put("tenant", tenant);
         regions.forEach(n.putArray("regions")::add);
         return ask(n, at);
     }
 
     @Command(name = "release-tenant")
-    int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin At at) {
+    int releaseTenant(@Parameters(paramLabel = "TENANT") String tenant, @Mixin OperatorAddresses at) {
         return ask(of(Intent.RELEASE_TENANT).put("tenant", tenant), at);
     }
 
@@ -63,9 +63,9 @@
         return JSON.createObjectNode().put("intent", intent);
     }
 
-    private static int ask(ObjectNode n, At at) {
+    private static int ask(ObjectNode n, OperatorAddresses at) {
         try (var w = new OperatorClient()) {
-            System.out.println(Plans.text(w.call(at.all(), Methods.POST, "/v1/intents", Map.of(), n.toString())
+            System.out.println(Plans.text(w.request(at.all(), Methods.POST, "/v1/intents", Map.of(), n.toString())
                     .text()));
         }
         return 0;
--- a/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ManifestCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import craneway.http.BufferedHttpResponse;
 import craneway.http.HeaderNames;
@@ -35,7 +35,7 @@
                     "Sends a whole manifest against the version it was written for. Exit code 5 while a node may still act on the older one.")
     int send(
             @Parameters(paramLabel = "FILE") Path file,
-            @Mixin At at,
+            @Mixin OperatorAddresses at,
             @Option(
                             names = "--base",
                             required = true,
@@ -44,7 +44,7 @@
         var text = read(file);
         valid(text);
         try (var w = new OperatorClient()) {
-            return told(w.call(
+            return told(w.request(
                     at.all(),
                     Methods.PUT,
                     "/v1/manifest",
@@ -57,9 +57,9 @@
             name = "watch",
             description =
                     "Waits up to 3 s until a manifest is in force everywhere. Exit code 5 while a node may still act on an older one.")
-    int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin At at) {
+    int watch(@Parameters(paramLabel = "VERSION") long version, @Mixin OperatorAddresses at) {
         try (var w = new OperatorClient()) {
-            return told(w.call(at.all(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
+            return told(w.request(at.all(), Methods.GET, "/v1/manifest/" + version + "/watch", Map.of(), ""));
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Command(name = "show", description = "Prints the manifest in force; its version goes to standard error.")
-    int show(@Mixin At at) {
+    int show(@Mixin OperatorAddresses at) {
         var r = get(at);
         System.err.println("version " + r.headers().getFirst(HeaderNames.MANIFEST_VERSION));
         System.out.print(r.text());
@@ -77,7 +77,7 @@
     }
 
     @Command(name = "diff", description = "Compares a file with the manifest in force. Exit code 1 when they differ.")
-    int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin At at) throws IOException {
+    int diff(@Parameters(paramLabel = "FILE") Path file, @Mixin OperatorAddresses at) throws IOException {
         var mine = new TreeMap<String, String>();
         var theirs = new TreeMap<String, String>();
         var text = read(file);
@@ -104,9 +104,9 @@
         else into.put(at, n.toString());
     }
 
-    private static BufferedHttpResponse get(At at) {
+    private static BufferedHttpResponse get(OperatorAddresses at) {
         try (var w = new OperatorClient()) {
-            return w.call(at.all(), Methods.GET, "/v1/manifest", Map.of(), "");
+            return w.request(at.all(), Methods.GET, "/v1/manifest", Map.of(), "");
         }
     }
 
@@ -114,12 +114,12 @@
         try {
             return Files.readString(file);
         } catch (IOException e) {
-            throw new CommandFailure(2, "cannot read " + file + ": " + e.getMessage());
+            throw new CommandException(2, "cannot read " + file + ": " + e.getMessage());
         }
     }
 
     private static void valid(String text) {
         var m = ManifestReader.read(text);
-        if (m.isLeft()) throw new CommandFailure(3, "not valid: " + m.getLeft().detail());
+        if (m.isLeft()) throw new CommandException(3, "not valid: " + m.getLeft().detail());
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/At.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/OperatorAddresses.java
@@ -1,11 +1,11 @@
 package craneway.command.operator;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.http.Addresses;
 import java.util.List;
 import picocli.CommandLine.Option;
 
-public final class At {
+public final class OperatorAddresses {
     @Option(
             names = "--at",
             required = true,
@@ -15,7 +15,7 @@
 
     List<String> all() {
         for (var a : addresses)
-            if (Addresses.isInvalid(a)) throw new CommandFailure(2, "--at " + a + " is not IP:PORT");
+            if (Addresses.isInvalid(a)) throw new CommandException(2, "--at " + a + " is not IP:PORT");
         return addresses;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/PlanCommand.java
@@ -14,22 +14,22 @@
     static final int PENDING = 5;
 
     @Command(name = "show")
-    int show(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
+    int show(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses at) {
         return call(Methods.GET, plan, "", at);
     }
 
     @Command(name = "confirm", description = "Puts a plan in force. Exit code 5 while a router has not acknowledged.")
-    int confirm(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
+    int confirm(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses at) {
         return call(Methods.POST, plan, "/confirm", at);
     }
 
     @Command(name = "stop")
-    int stop(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
+    int stop(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses at) {
         return call(Methods.POST, plan, "/stop", at);
     }
 
     @Command(name = "watch", description = "Waits up to 3 s for every router's word. Exit code 5 while one is missing.")
-    int watch(@Parameters(paramLabel = "PLAN") long plan, @Mixin At at) {
+    int watch(@Parameters(paramLabel = "PLAN") long plan, @Mixin OperatorAddresses at) {
         return call(Methods.GET, plan, "/watch", at);
     }
 
@@ -37,11 +37,11 @@
             name = "quiet",
             description =
                     "Shows which cells could be emptied now, and for how long the load seen would have fitted into the rest.")
-    int quiet(@Mixin At at) {
+    int quiet(@Mixin OperatorAddresses at) {
         JsonNode n;
         try (var w = new OperatorClient()) {
             n = Plans.json(
-                    w.call(at.all(), Methods.GET, "/v1/quiet", Map.of(), "").text());
+                    w.request(at.all(), Methods.GET, "/v1/quiet", Map.of(), "").text());
         }
         for (var c : n.get("cells")) System.out.println(line(c));
         return 0;
@@ -66,9 +66,9 @@
         return b.toString();
     }
 
-    static int call(HttpString method, long plan, String act, At at) {
+    static int call(HttpString method, long plan, String act, OperatorAddresses at) {
         try (var w = new OperatorClient()) {
-            var text = w.call(at.all(), method, "/v1/plans/" + plan + act, Map.of(), "")
+            var text = w.request(at.all(), method, "/v1/plans/" + plan + act, Map.of(), "")
                     .text();
             System.out.println(Plans.text(text));
             return "pending".equals(Plans.json(text).path("state").asText()) ? PENDING : 0;
--- a/prog/craneway/src/main/java/craneway/command/operator/Plans.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/Plans.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 
 final class Plans {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -14,7 +14,7 @@
         try {
             return JSON.readTree(text);
         } catch (JsonProcessingException e) {
-            throw new CommandFailure(1, "the reply cannot be read: " + e.getOriginalMessage());
+            throw new CommandException(1, "the reply cannot be read: " + e.getOriginalMessage());
         }
     }
 
--- a/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/StatusCommand.java
@@ -14,7 +14,7 @@
         description = "Shows parts, members, tables, runners and marks. Exit code 4 when a part has no owner in reach.")
 public final class StatusCommand implements Callable<Integer> {
     @Mixin
-    At at;
+    OperatorAddresses at;
 
     @Option(names = "--json")
     boolean json;
@@ -23,7 +23,7 @@
     public Integer call() {
         JsonNode n;
         try (var w = new OperatorClient()) {
-            var text = w.call(at.all(), Methods.GET, "/v1/status", Map.of(), "").text();
+            var text = w.request(at.all(), Methods.GET, "/v1/status", Map.of(), "").text();
             n = Plans.json(text);
             System.out.print(json ? text : text(n));
         }
--- a/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/UsageCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.command.OperatorClient;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -31,17 +31,17 @@
             description =
                     "Writes the finished transactions that the named routers remember, with a schema beside the file.")
     int export(
-            @Mixin At at,
+            @Mixin OperatorAddresses at,
             @Option(names = "--out", required = true, paramLabel = "FILE") Path out,
             @Option(names = "--format", defaultValue = "csv", description = "csv") String format,
             @Option(names = "--from", paramLabel = "TIME", description = "as 2026-01-31T00:00:00Z; ended at or after")
                     String from,
             @Option(names = "--to", paramLabel = "TIME", description = "ended before") String to)
             throws IOException {
-        if (!format.equals("csv")) throw new CommandFailure(2, "--format " + format + " is not csv");
+        if (!format.equals("csv")) throw new CommandException(2, "--format " + format + " is not csv");
         var since = time("--from", from, 0);
         var until = time("--to", to, Long.MAX_VALUE);
-        if (until <= since) throw new CommandFailure(2, "--to is not after --from");
+        if (until <= since) throw new CommandException(2, "--to is not after --from");
         var n = 0;
         try (var w = new OperatorClient();
                 var f = Files.newBufferedWriter(out);
@@ -49,7 +49,7 @@
                         f, CSVFormat.DEFAULT.builder().setHeader(COLUMNS).get())) {
             for (var a : at.all()) n += rows(w, a, since, until, p);
         } catch (IOException e) {
-            throw new CommandFailure(2, "cannot write " + out + ": " + e.getMessage());
+            throw new CommandException(2, "cannot write " + out + ": " + e.getMessage());
         }
         Files.writeString(out.resolveSibling(out.getFileName() + ".schema.json"), schema());
         System.out.println(n + " rows");
@@ -61,14 +61,14 @@
         try {
             return Instant.parse(text).toEpochMilli() * 1000;
         } catch (DateTimeParseException e) {
-            throw new CommandFailure(2, option + " " + text + " is no time such as 2026-01-31T00:00:00Z");
+            throw new CommandException(2, option + " " + text + " is no time such as 2026-01-31T00:00:00Z");
         }
     }
 
     private static int rows(OperatorClient w, String at, long since, long until, CSVPrinter p) throws IOException {
         var n = 0;
         for (long after = 0; ; ) {
-            var page = Plans.json(w.call(List.of(at), Methods.GET, "/v1/usage?after=" + after, Map.of(), "")
+            var page = Plans.json(w.request(List.of(at), Methods.GET, "/v1/usage?after=" + after, Map.of(), "")
                     .text());
             if (page.get("rows").isEmpty()) return n;
             for (var r : page.get("rows")) {
--- a/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/operator/ZoneCommand.java
@@ -15,20 +15,20 @@
 public final class ZoneCommand {
     @Command(name = "empty")
     int empty(
-            @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin At at) {
+            @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin OperatorAddresses at) {
         return act(Intent.EMPTY_ZONE, zone, confirm, at);
     }
 
     @Command(name = "take-back")
     int takeBack(
-            @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin At at) {
+            @Parameters(paramLabel = "ZONE") String zone, @Option(names = "--confirm") boolean confirm, @Mixin OperatorAddresses at) {
         return act(Intent.TAKE_BACK_ZONE, zone, confirm, at);
     }
 
-    private static int act(String intent, String zone, boolean confirm, At at) {
+    private static int act(String intent, String zone, boolean confirm, OperatorAddresses at) {
         String plan;
         try (var w = new OperatorClient()) {
-            plan = w.call(
+            plan = w.request(
                             at.all(),
                             Methods.POST,
                             "/v1/intents",
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -1,6 +1,6 @@
 package craneway.command.replay;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.sim.Chaos;
 import craneway.sim.Day;
 import java.util.concurrent.Callable;
@@ -39,7 +39,7 @@
 
     @Override
     public Integer call() {
-        if ((seed == null) == (sweep == null)) throw new CommandFailure(2, "name one seed, or --sweep FROM-TO");
+        if ((seed == null) == (sweep == null)) throw new CommandException(2, "name one seed, or --sweep FROM-TO");
         if (sweep == null) return day ? drawDay() : draw();
         var s = new Sweep(Sweep.shape(shape), day, sweep);
         s.print();
--- a/prog/craneway/src/main/java/craneway/command/replay/Sweep.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/Sweep.java
@@ -1,6 +1,6 @@
 package craneway.command.replay;
 
-import craneway.command.CommandFailure;
+import craneway.command.CommandException;
 import craneway.sim.Chaos;
 import craneway.sim.Day;
 import craneway.sim.Limit;
@@ -23,10 +23,10 @@
     Sweep(Shape shape, boolean day, String range) {
         this.shape = shape;
         this.day = day;
-        if (!range.matches("\\d{1,15}-\\d{1,15}")) throw new CommandFailure(2, range + " is not FROM-TO");
+        if (!range.matches("\\d{1,15}-\\d{1,15}")) throw new CommandException(2, range + " is not FROM-TO");
         var from = Long.parseLong(range.split("-")[0]);
         var to = Long.parseLong(range.split("-")[1]);
-        if (to < from) throw new CommandFailure(2, range + ": the end is before the start");
+        if (to < from) throw new CommandException(2, range + ": the end is before the start");
         var began = System.nanoTime();
         seeds = to - from + 1;
         broken = LongStream.rangeClosed(from, to)
@@ -38,7 +38,7 @@
 
     static Shape shape(String name) {
         var s = Shape.named(name);
-        if (s == null) throw new CommandFailure(2, "--shape " + name + " is none of maticar, brannock, small");
+        if (s == null) throw new CommandException(2, "--shape " + name + " is none of maticar, brannock, small");
         return s;
     }
 
--- a/test/features/src/test/java/craneway/features/InProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/InProcessSteps.java
@@ -127,7 +127,7 @@
         await("store ready", () -> status("store-platform", "/ready") == 200);
         sendManifest(manifest(), 0);
         runner = new StandinRunner(
-                new StandinRunner.Shape(
+                new StandinRunner.Settings(
                         "runner-1", addresses.get("runner"), "registry", "zagreb-a", 2, 20, prefillMillis, 4, 0),
                 List.of(addresses.get("runner-desk")),
                 folder.resolve("runner-1.jsonl"));
@@ -393,7 +393,7 @@
         await(
                 "the router releases the runner",
                 () -> router.router().runnerLoads().requestsInFlight("runner-1") == 0);
-        if (runner.running() != 1) throw new AssertionError("the prefill of the runner has ended");
+        if (runner.requestsInFlight() != 1) throw new AssertionError("the prefill of the runner has ended");
     }
 
     @Then("the run is cancelled before its end")
@@ -401,7 +401,7 @@
         await(
                 "the router releases the runner",
                 () -> router.router().runnerLoads().requestsInFlight("runner-1") == 0);
-        await("the runner stops", () -> runner.running() == 0);
+        await("the runner stops", () -> runner.requestsInFlight() == 0);
         if (Files.readString(folder.resolve("runner-1.jsonl")).contains("\"end\",\"sub\":\"gone1\""))
             throw new AssertionError("it ran to its end");
     }
--- a/test/features/src/test/java/craneway/features/ProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/ProcessSteps.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CranewayMain;
-import craneway.drill.Checker;
-import craneway.standin.Faults;
+import craneway.drill.JournalChecker;
+import craneway.standin.FaultInjector;
 import craneway.standin.Fleet;
 import io.cucumber.datatable.DataTable;
 import io.cucumber.java.After;
@@ -24,7 +24,7 @@
 
     private Fleet fleet;
     private Path journal;
-    private Checker checker;
+    private JournalChecker checker;
     private boolean onlyPlannedFaults = true;
     private int exitCode;
 
@@ -65,14 +65,14 @@
             var startLine = Long.parseLong(row.get("at stream"));
             var fault = row.get("fault");
             onlyPlannedFaults &= !fault.matches("(kill|freeze)-(router|store)|wipe-store|kill-runner");
-            fleet.await("stream " + startLine, () -> load.isDone() || journalLineCount() >= startLine);
+            fleet.awaitCondition("stream " + startLine, () -> load.isDone() || journalLineCount() >= startLine);
             if (load.isDone()) throw new AssertionError("the load was over before " + fault);
-            Faults.bring(fleet, fault);
+            FaultInjector.inject(fleet, fault);
         }
         exitCode = load.get();
-        for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ask(runner);
-        for (var runner : fleet.names("runners")) if (fleet.isRunning(runner)) fleet.ended(runner);
-        checker = fleet.check(journal);
+        for (var runner : fleet.processNames("runners")) if (fleet.isRunning(runner)) fleet.requestStop(runner);
+        for (var runner : fleet.processNames("runners")) if (fleet.isRunning(runner)) fleet.awaitExit(runner);
+        checker = fleet.checkJournals(journal);
     }
 
     private long journalLineCount() {
@@ -85,9 +85,9 @@
 
     @Then("the journals agree and show no broken promise")
     public void checkJournals() {
-        var problems = checker.verdict(onlyPlannedFaults);
+        var problems = checker.findViolations(onlyPlannedFaults);
         if (!problems.isEmpty() || exitCode != 0)
-            throw new AssertionError("load exited with " + exitCode + ", " + problems + " " + checker.counts());
+            throw new AssertionError("load exited with " + exitCode + ", " + problems + " " + checker.summary());
     }
 
     @Then("at least {int} streams were complete")
@@ -140,17 +140,17 @@
 
     @When("zone {word} is drilled with {int} streams while work is sent to one of its runners directly")
     public void drillZoneWithDirectWork(String zone, int streams) throws IOException {
-        var runner = fleet.names("runners").stream()
+        var runner = fleet.processNames("runners").stream()
                 .filter(name ->
-                        fleet.map.get("runners").get(name).get("zone").asText().equals(zone))
+                        fleet.fleetJson.get("runners").get(name).get("zone").asText().equals(zone))
                 .findFirst()
                 .orElseThrow();
-        var address = fleet.map.get("runners").get(runner).get("address").asText();
+        var address = fleet.fleetJson.get("runners").get(runner).get("address").asText();
         var drill = CompletableFuture.supplyAsync(() -> runDrill(zone, streams));
-        fleet.await("zone emptied", () -> fleet.marked("zone:" + zone));
-        fleet.await("the drill's end", () -> {
+        fleet.awaitCondition("zone emptied", () -> fleet.hasMark("zone:" + zone));
+        fleet.awaitCondition("the drill's end", () -> {
             try {
-                fleet.call(
+                fleet.send(
                         address,
                         Methods.POST,
                         "/v1/chat/completions",
@@ -173,8 +173,8 @@
 
     @Then("status shows every part owned and 3 stores in each group")
     public void checkStatus() {
-        fleet.await("every part owned and 3 stores in each group", () -> fleet.names("stores").stream()
-                .allMatch(fleet::votes));
+        fleet.awaitCondition("every part owned and 3 stores in each group", () -> fleet.processNames("stores").stream()
+                .allMatch(fleet::isVoterInEveryGroup));
     }
 
     @After
--- a/test/standin/src/main/java/craneway/standin/CheckCommand.java
+++ b/test/standin/src/main/java/craneway/standin/CheckCommand.java
@@ -1,6 +1,6 @@
 package craneway.standin;
 
-import craneway.drill.Checker;
+import craneway.drill.JournalChecker;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -23,15 +23,15 @@
 
     @Override
     public Integer call() throws Exception {
-        var c = new Checker();
+        var c = new JournalChecker();
         try (var all = Files.list(runners)) {
             for (var p : all.filter(f -> f.getFileName().toString().startsWith("runner-"))
                     .sorted()
-                    .toList()) c.runner(p);
+                    .toList()) c.addRunnerJournal(p);
         }
-        for (var p : requesters) c.requester(p);
-        var wrong = c.verdict(planned);
-        System.out.println(c.counts());
+        for (var p : requesters) c.addRequesterJournal(p);
+        var wrong = c.findViolations(planned);
+        System.out.println(c.summary());
         wrong.forEach(System.out::println);
         System.out.println(wrong.isEmpty() ? "every promise checked here was kept" : wrong.size() + " promises broken");
         return wrong.isEmpty() ? 0 : 1;
--- a/test/standin/src/main/java/craneway/standin/Faults.java
+++ b/test/standin/src/main/java/craneway/standin/FaultInjector.java
@@ -2,13 +2,13 @@
 
 import java.io.IOException;
 
-public final class Faults {
-    private Faults() {}
+public final class FaultInjector {
+    private FaultInjector() {}
 
-    public static void bring(Fleet f, String fault) throws IOException, InterruptedException {
-        var stores = f.names("stores");
-        var routers = f.names("routers");
-        var runners = f.names("runners");
+    public static void inject(Fleet f, String fault) throws IOException, InterruptedException {
+        var stores = f.processNames("stores");
+        var routers = f.processNames("routers");
+        var runners = f.processNames("runners");
         switch (fault) {
             case "kill-runner" -> f.kill(runners.get(0));
             case "restart-runner" -> {
@@ -23,26 +23,26 @@
                 for (var n : stores) if (!f.isRunning(n)) f.start(n);
                 for (var n : routers) if (!f.isRunning(n)) f.start(n);
                 for (var n : runners) if (!f.isRunning(n)) f.start(n);
-                f.await(
+                f.awaitCondition(
                         "all ready",
-                        () -> stores.stream().allMatch(f::ready)
-                                && routers.stream().allMatch(f::ready));
+                        () -> stores.stream().allMatch(f::isReady)
+                                && routers.stream().allMatch(f::isReady));
             }
             case "freeze-router" -> {
-                f.signal(routers.get(2), "STOP");
-                f.await("its lease has lapsed", () -> f.lapsed(routers.get(2)));
-                f.signal(routers.get(2), "CONT");
+                f.sendSignal(routers.get(2), "STOP");
+                f.awaitCondition("its lease has lapsed", () -> f.hasLeaseLapsed(routers.get(2)));
+                f.sendSignal(routers.get(2), "CONT");
             }
             case "freeze-store" -> {
-                f.signal(stores.get(2), "STOP");
-                f.await("its lease has lapsed", () -> f.lapsed(stores.get(2)));
-                f.signal(stores.get(2), "CONT");
+                f.sendSignal(stores.get(2), "STOP");
+                f.awaitCondition("its lease has lapsed", () -> f.hasLeaseLapsed(stores.get(2)));
+                f.sendSignal(stores.get(2), "CONT");
             }
             case "wipe-store" -> {
                 f.kill(stores.get(1));
-                f.wipe(stores.get(1));
+                f.deleteData(stores.get(1));
                 f.start(stores.get(1));
-                f.await("the new store votes", () -> f.votes(stores.get(1)));
+                f.awaitCondition("the new store votes", () -> f.isVoterInEveryGroup(stores.get(1)));
             }
             case "rolling" -> rolling(f);
             default -> throw new IllegalArgumentException("no fault " + fault);
@@ -50,13 +50,13 @@
     }
 
     private static void rolling(Fleet f) throws IOException, InterruptedException {
-        for (var n : f.names("stores")) again(f, n);
-        for (var n : f.names("routers")) again(f, n);
+        for (var n : f.processNames("stores")) again(f, n);
+        for (var n : f.processNames("routers")) again(f, n);
     }
 
     private static void again(Fleet f, String name) throws IOException, InterruptedException {
         f.stop(name);
         f.start(name);
-        f.await(name + " ready", () -> f.ready(name));
+        f.awaitCondition(name + " ready", () -> f.isReady(name));
     }
 }
--- a/test/standin/src/main/java/craneway/standin/Fleet.java
+++ b/test/standin/src/main/java/craneway/standin/Fleet.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import craneway.command.CranewayMain;
-import craneway.drill.Checker;
+import craneway.drill.JournalChecker;
 import craneway.http.AsyncHttpClient;
 import craneway.http.BufferedHttpResponse;
 import craneway.router.RouterMain;
@@ -31,7 +31,7 @@
     private static final long LIMIT_MILLIS = 90_000;
 
     public final Path folder;
-    public final JsonNode map;
+    public final JsonNode fleetJson;
     private final Map<String, Process> running = new TreeMap<>();
     private final XnioWorker worker;
     private final AsyncHttpClient caller;
@@ -52,38 +52,38 @@
                 "--slots",
                 slots);
         if (code != 0) throw new IOException("the fleet could not be laid out, code " + code);
-        map = JSON.readTree(folder.resolve("fleet.json").toFile());
+        fleetJson = JSON.readTree(folder.resolve("fleet.json").toFile());
         worker = Xnio.getInstance().createWorker(OptionMap.EMPTY);
         caller = new AsyncHttpClient(worker);
     }
 
-    public List<String> names(String kind) {
+    public List<String> processNames(String kind) {
         var all = new ArrayList<String>();
-        map.get(kind).fieldNames().forEachRemaining(all::add);
+        fleetJson.get(kind).fieldNames().forEachRemaining(all::add);
         return all;
     }
 
     public String addresses(String kind, String field) {
         return String.join(
                 ",",
-                names(kind).stream()
-                        .map(n -> map.get(kind).get(n).get(field).asText())
+                processNames(kind).stream()
+                        .map(n -> fleetJson.get(kind).get(n).get(field).asText())
                         .toList());
     }
 
-    public String operators() {
+    public String operatorAddresses() {
         return addresses("stores", "operator");
     }
 
     public void startAll() throws IOException {
-        for (var k : List.of("stores", "routers", "runners")) for (var n : names(k)) start(n);
+        for (var k : List.of("stores", "routers", "runners")) for (var n : processNames(k)) start(n);
     }
 
     public void start(String name) throws IOException {
         var startup = folder.resolve("startup").resolve(name + ".json").toString();
-        if (map.get("stores").has(name)) launch(name, StoreMain.class, "--startup", startup);
-        else if (map.get("routers").has(name)) launch(name, RouterMain.class, "--startup", startup);
-        else startRunner(name, map.get("runners").get(name));
+        if (fleetJson.get("stores").has(name)) launch(name, StoreMain.class, "--startup", startup);
+        else if (fleetJson.get("routers").has(name)) launch(name, RouterMain.class, "--startup", startup);
+        else startRunner(name, fleetJson.get("runners").get(name));
     }
 
     private void startRunner(String name, JsonNode r) throws IOException {
@@ -132,16 +132,16 @@
         p.waitFor();
     }
 
-    public void ask(String name) {
+    public void requestStop(String name) {
         running.get(name).destroy();
     }
 
     public int stop(String name) throws InterruptedException {
-        ask(name);
-        return ended(name);
+        requestStop(name);
+        return awaitExit(name);
     }
 
-    public int ended(String name) throws InterruptedException {
+    public int awaitExit(String name) throws InterruptedException {
         var p = running.remove(name);
         if (!p.waitFor(LIMIT_MILLIS, TimeUnit.MILLISECONDS)) {
             p.destroyForcibly();
@@ -150,13 +150,13 @@
         return p.exitValue();
     }
 
-    public void signal(String name, String signal) throws IOException, InterruptedException {
+    public void sendSignal(String name, String signal) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + signal, Long.toString(running.get(name).pid()))
                 .start()
                 .waitFor();
     }
 
-    public void wipe(String store) throws IOException {
+    public void deleteData(String store) throws IOException {
         try (var all = Files.walk(folder.resolve("data").resolve(store))) {
             all.sorted(Comparator.reverseOrder()).map(Path::toFile).forEach(File::delete);
         }
@@ -166,16 +166,16 @@
         return BufferedHttpResponse.fetch(caller, address, Methods.GET, path, Map.of(), new byte[0], 5_000);
     }
 
-    public BufferedHttpResponse call(
+    public BufferedHttpResponse send(
             String address, HttpString method, String path, Map<HttpString, String> headers, String body)
             throws IOException {
         return BufferedHttpResponse.fetch(caller, address, method, path, headers, body.getBytes(), 15_000);
     }
 
-    public boolean ready(String name) {
-        var n = map.get("stores").has(name)
-                ? map.get("stores").get(name)
-                : map.get("routers").get(name);
+    public boolean isReady(String name) {
+        var n = fleetJson.get("stores").has(name)
+                ? fleetJson.get("stores").get(name)
+                : fleetJson.get("routers").get(name);
         try {
             return get(n.get("platform").asText(), "/ready").status() == 200;
         } catch (IOException e) {
@@ -183,9 +183,9 @@
         }
     }
 
-    public JsonNode status() throws IOException {
+    public JsonNode fetchStatus() throws IOException {
         IOException last = null;
-        for (var a : operators().split(",")) {
+        for (var a : operatorAddresses().split(",")) {
             try {
                 var r = get(a, "/v1/status");
                 if (r.status() == 200) return JSON.readTree(r.body());
@@ -196,10 +196,10 @@
         throw last == null ? new IOException("no store replied") : last;
     }
 
-    public long runnersUp() {
+    public long countRunnersUp() {
         try {
             var n = 0L;
-            for (var s : status().get("services"))
+            for (var s : fetchStatus().get("services"))
                 for (var r : s.get("runners")) if (r.get("state").asText().equals("up")) n++;
             return n;
         } catch (IOException e) {
@@ -211,9 +211,9 @@
         return running.containsKey(name);
     }
 
-    public boolean lapsed(String name) {
+    public boolean hasLeaseLapsed(String name) {
         try {
-            for (var m : status().get("members"))
+            for (var m : fetchStatus().get("members"))
                 if (m.get("name").asText().equals(name))
                     return m.get("state").asText().equals("lapsed");
             return true;
@@ -222,17 +222,17 @@
         }
     }
 
-    public boolean marked(String mark) {
+    public boolean hasMark(String mark) {
         try {
-            return status().path("manifest").path("marks").has(mark);
+            return fetchStatus().path("manifest").path("marks").has(mark);
         } catch (IOException e) {
             return false;
         }
     }
 
-    public boolean votes(String store) {
+    public boolean isVoterInEveryGroup(String store) {
         try {
-            var s = status();
+            var s = fetchStatus();
             if (s.get("partsReached").asInt() < s.get("parts").asInt()) return false;
             for (var g : s.get("groups")) {
                 var text = g.get("group").toString();
@@ -246,7 +246,7 @@
         }
     }
 
-    public void await(String what, BooleanSupplier is) {
+    public void awaitCondition(String what, BooleanSupplier is) {
         var until = System.nanoTime() + LIMIT_MILLIS * 1_000_000;
         while (!is.getAsBoolean()) {
             if (System.nanoTime() > until) throw new AssertionError("not within " + LIMIT_MILLIS + " ms: " + what);
@@ -255,21 +255,21 @@
     }
 
     public void awaitServing(long runners) {
-        await("stores ready", () -> names("stores").stream().allMatch(this::ready));
+        awaitCondition("stores ready", () -> processNames("stores").stream().allMatch(this::isReady));
         var sent = CranewayMain.run(
-                "manifest", "send", folder.resolve("manifest.json").toString(), "--base", "0", "--at", operators());
+                "manifest", "send", folder.resolve("manifest.json").toString(), "--base", "0", "--at", operatorAddresses());
         if (sent != 0) throw new AssertionError("manifest not taken, code " + sent);
-        await("routers ready", () -> names("routers").stream().allMatch(this::ready));
-        await("runners up", () -> runnersUp() == runners);
+        awaitCondition("routers ready", () -> processNames("routers").stream().allMatch(this::isReady));
+        awaitCondition("runners up", () -> countRunnersUp() == runners);
     }
 
-    public Checker check(Path... requesters) throws IOException {
-        var c = new Checker();
-        for (var n : names("runners")) {
+    public JournalChecker checkJournals(Path... requesters) throws IOException {
+        var c = new JournalChecker();
+        for (var n : processNames("runners")) {
             var f = folder.resolve("journal").resolve(n + ".jsonl");
-            if (Files.exists(f)) c.runner(f);
+            if (Files.exists(f)) c.addRunnerJournal(f);
         }
-        for (var r : requesters) c.requester(r);
+        for (var r : requesters) c.addRequesterJournal(r);
         return c;
     }
 
--- a/test/standin/src/main/java/craneway/standin/RunnerCommand.java
+++ b/test/standin/src/main/java/craneway/standin/RunnerCommand.java
@@ -45,7 +45,7 @@
     @Override
     public Integer call() throws Exception {
         var r = new StandinRunner(
-                new StandinRunner.Shape(
+                new StandinRunner.Settings(
                         name, listen, service, cell, slots, tokenMillis, prefillMillis, prefixes, warmUpMillis),
                 routers,
                 journal);
@@ -61,8 +61,8 @@
             }
         }));
         asked.await();
-        r.leave();
-        r.drain();
+        r.announceLeave();
+        r.drainAndClose();
         done.countDown();
         return 0;
     }
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -30,26 +30,26 @@
 import org.xnio.XnioWorker;
 
 public final class StandinRunner {
-    public record Shape(
+    public record Settings(
             String name,
-            String listen,
+            String listenAddress,
             String service,
             String cell,
             int slots,
-            int tokenMillis,
+            int millisPerToken,
             int prefillMillis,
-            int prefixes,
+            int prefixCacheSize,
             int warmUpMillis) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Pattern SUB = Pattern.compile("submission=(\\S+) key=(\\S*)");
 
-    private final Shape shape;
+    private final Settings shape;
     private final List<String> routers;
     private final PrintWriter journal;
     private final long incarnation = System.currentTimeMillis();
     private final long born = System.nanoTime();
-    private final AtomicInteger running = new AtomicInteger();
+    private final AtomicInteger requestsInFlight = new AtomicInteger();
     private final Map<String, Boolean> cache;
     private final XnioWorker worker;
     private final AsyncHttpClient caller;
@@ -57,7 +57,7 @@
     private Undertow server;
     private volatile boolean leaving;
 
-    public StandinRunner(Shape shape, List<String> routers, Path journal) throws IOException {
+    public StandinRunner(Settings shape, List<String> routers, Path journal) throws IOException {
         this.shape = shape;
         this.routers = routers;
         this.journal =
@@ -65,7 +65,7 @@
         this.cache = new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Boolean> e) {
-                return size() > shape.prefixes;
+                return size() > shape.prefixCacheSize;
             }
         };
         worker = Xnio.getInstance()
@@ -79,20 +79,20 @@
     }
 
     public void start() {
-        var at = shape.listen.lastIndexOf(':');
+        var at = shape.listenAddress.lastIndexOf(':');
         server = Undertow.builder()
                 .setWorker(worker)
                 .addHttpListener(
-                        Integer.parseInt(shape.listen.substring(at + 1)),
-                        shape.listen.substring(0, at),
+                        Integer.parseInt(shape.listenAddress.substring(at + 1)),
+                        shape.listenAddress.substring(0, at),
                         x -> x.dispatch(() -> serve(x)))
                 .build();
         server.start();
         beats.scheduleWithFixedDelay(this::announce, 0, 500, TimeUnit.MILLISECONDS);
     }
 
-    public int running() {
-        return running.get();
+    public int requestsInFlight() {
+        return requestsInFlight.get();
     }
 
     private boolean cold() {
@@ -105,12 +105,12 @@
             var body = JSON.createObjectNode()
                     .put("service", shape.service)
                     .put("name", shape.name)
-                    .put("address", shape.listen)
+                    .put("address", shape.listenAddress)
                     .put("cell", shape.cell)
                     .put("slots", shape.slots)
                     .put("incarnation", incarnation)
                     .put("cold", cold())
-                    .put("load", running.get())
+                    .put("load", requestsInFlight.get())
                     .toString();
             beats.execute(() -> tell(r, "/v1/announce", body));
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    public boolean leave() {
+    public boolean announceLeave() {
         leaving = true;
         var body = JSON.createObjectNode()
                 .put("service", shape.service)
@@ -146,8 +146,8 @@
         return told;
     }
 
-    public void drain() throws InterruptedException {
-        for (var quiet = 0; quiet < 40; quiet = running.get() == 0 ? quiet + 1 : 0) Thread.sleep(100);
+    public void drainAndClose() throws InterruptedException {
+        for (var quiet = 0; quiet < 40; quiet = requestsInFlight.get() == 0 ? quiet + 1 : 0) Thread.sleep(100);
         close();
     }
 
@@ -166,9 +166,9 @@
 
     private void serve(HttpServerExchange x) {
         x.startBlocking();
-        x.getResponseHeaders().put(new HttpString("craneway-load"), running.get());
-        if (running.incrementAndGet() > shape.slots) {
-            running.decrementAndGet();
+        x.getResponseHeaders().put(new HttpString("craneway-load"), requestsInFlight.get());
+        if (requestsInFlight.incrementAndGet() > shape.slots) {
+            requestsInFlight.decrementAndGet();
             x.setStatusCode(503).endExchange();
             return;
         }
@@ -179,7 +179,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            running.decrementAndGet();
+            requestsInFlight.decrementAndGet();
         }
     }
 
@@ -204,7 +204,7 @@
                             + ",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t" + i + " \"}}]}\n\n")
                     .getBytes(StandardCharsets.UTF_8));
             o.flush();
-            Thread.sleep(shape.tokenMillis);
+            Thread.sleep(shape.millisPerToken);
         }
         o.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
         o.close();
--- a/test/standin/src/main/java/craneway/standin/TrialCommand.java
+++ b/test/standin/src/main/java/craneway/standin/TrialCommand.java
@@ -53,7 +53,7 @@
     public Integer call() throws Exception {
         try (var f = new Fleet(folder, manifest, routers, runners, slots)) {
             f.startAll();
-            f.awaitServing(f.names("runners").size());
+            f.awaitServing(f.processNames("runners").size());
             var journal = folder.resolve("journal").resolve("requesters.jsonl");
             var load = CompletableFuture.supplyAsync(() -> CranewayMain.run(
                     "load",
@@ -75,16 +75,16 @@
                     journal.toString()));
             for (var i = 0; i < faults.size(); i++) {
                 var at = (long) streams * (i + 1) / (faults.size() + 1);
-                f.await("submission " + at, () -> load.isDone() || lines(journal) >= at);
+                f.awaitCondition("submission " + at, () -> load.isDone() || lines(journal) >= at);
                 System.out.println("at submission " + lines(journal) + ": " + faults.get(i));
-                Faults.bring(f, faults.get(i));
+                FaultInjector.inject(f, faults.get(i));
             }
             var code = load.join();
-            for (var r : f.names("runners")) if (f.isRunning(r)) f.ask(r);
-            for (var r : f.names("runners")) if (f.isRunning(r)) f.ended(r);
-            var c = f.check(journal);
-            var wrong = c.verdict(faults.stream().noneMatch(x -> x.matches("(kill|freeze)-(router|store)|wipe-store")));
-            System.out.println(c.counts());
+            for (var r : f.processNames("runners")) if (f.isRunning(r)) f.requestStop(r);
+            for (var r : f.processNames("runners")) if (f.isRunning(r)) f.awaitExit(r);
+            var c = f.checkJournals(journal);
+            var wrong = c.findViolations(faults.stream().noneMatch(x -> x.matches("(kill|freeze)-(router|store)|wipe-store")));
+            System.out.println(c.summary());
             wrong.forEach(System.out::println);
             System.out.println(
                     wrong.isEmpty() ? "every promise checked here was kept" : wrong.size() + " promises broken");
--- a/tool/drill/src/main/java/craneway/drill/Checker.java
+++ b/tool/drill/src/main/java/craneway/drill/JournalChecker.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-public final class Checker {
+public final class JournalChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int ALLOWANCE = 20;
 
@@ -25,7 +25,7 @@
     private int whole;
     private int declined;
 
-    public void runner(Path journal) throws IOException {
+    public void addRunnerJournal(Path journal) throws IOException {
         for (var l : Files.readAllLines(journal)) runnerLine(JSON.readTree(l));
     }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    public void requester(Path journal) throws IOException {
+    public void addRequesterJournal(Path journal) throws IOException {
         for (var l : Files.readAllLines(journal)) requesterLine(JSON.readTree(l));
     }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    public List<String> verdict(boolean planned) {
+    public List<String> findViolations(boolean planned) {
         if (planned) lost.forEach(s -> wrong.add("promise 12: " + s + " lost its connection without a verdict"));
         startsOfKey.forEach((k, n) -> {
             if (n > 1) wrong.add("promise 1: run-once key " + k + " ran " + n + " times");
@@ -86,7 +86,7 @@
         return wrong;
     }
 
-    public String counts() {
+    public String summary() {
         return told + " submissions told, " + whole + " whole, " + declined + " declined, " + lost.size()
                 + " lost their router, " + starts + " runs, " + startsOfKey.size() + " run-once keys run";
     }
--- a/tool/drill/src/main/java/craneway/drill/Outage.java
+++ b/tool/drill/src/main/java/craneway/drill/ZoneOutageChecker.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Set;
 
-public final class Outage {
-    public static final long EMPTY_MILLIS = 5_300, RETURN_MILLIS = 12_000;
+public final class ZoneOutageChecker {
+    public static final long EMPTYING_LIMIT_MILLIS = 5_300, RETURN_LIMIT_MILLIS = 12_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -19,13 +19,13 @@
     private final long takenBack;
     private final List<Long> starts = new ArrayList<>();
 
-    public Outage(Set<String> runners, long confirmed, long takenBack) {
+    public ZoneOutageChecker(Set<String> runners, long confirmed, long takenBack) {
         this.runners = runners;
         this.confirmed = confirmed;
         this.takenBack = takenBack;
     }
 
-    public void runner(Path journal) throws IOException {
+    public void addRunnerJournal(Path journal) throws IOException {
         for (var l : Files.readAllLines(journal)) line(JSON.readTree(l));
     }
 
@@ -35,7 +35,7 @@
             starts.add(n.get("at").asLong());
     }
 
-    public long lastAfterConfirm() {
+    public long lastStartAfterConfirmMillis() {
         return starts.stream()
                 .filter(t -> t > confirmed && t < takenBack)
                 .mapToLong(t -> t - confirmed)
@@ -43,7 +43,7 @@
                 .orElse(0);
     }
 
-    public long firstAfterReturn() {
+    public long firstStartAfterReturnMillis() {
         return starts.stream()
                 .filter(t -> t >= takenBack)
                 .mapToLong(t -> t - takenBack)
@@ -51,12 +51,12 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    public List<String> verdict() {
+    public List<String> findViolations() {
         var wrong = new ArrayList<String>();
-        if (lastAfterConfirm() > EMPTY_MILLIS)
-            wrong.add("promise 5: the emptied zone got new work " + lastAfterConfirm() + " ms after the confirm");
-        if (firstAfterReturn() > RETURN_MILLIS)
-            wrong.add("promise 12: the zone got no work within " + RETURN_MILLIS + " ms after it was taken back");
+        if (lastStartAfterConfirmMillis() > EMPTYING_LIMIT_MILLIS)
+            wrong.add("promise 5: the emptied zone got new work " + lastStartAfterConfirmMillis() + " ms after the confirm");
+        if (firstStartAfterReturnMillis() > RETURN_LIMIT_MILLIS)
+            wrong.add("promise 12: the zone got no work within " + RETURN_LIMIT_MILLIS + " ms after it was taken back");
         return wrong;
     }
 }
