--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -62,7 +62,7 @@
         this.reserve = reserve;
         lock = guard(() -> take(root.resolve(LOCK)));
         if (lock == null)
-            throw new BadStartupException(List.of("data folder " + root + " is in use by another process"));
+            throw new InvalidSettingsException(List.of("data folder " + root + " is in use by another process"));
         directory = new NioDirectory(root);
         refuseNewerFormat(root);
         removeTemporary();
@@ -73,7 +73,7 @@
             SegmentLog.checkFormats(this);
         } catch (UnknownFormatException e) {
             release();
-            throw new BadStartupException(List.of("data folder " + root + ": " + e.getMessage()));
+            throw new InvalidSettingsException(List.of("data folder " + root + ": " + e.getMessage()));
         }
     }
 
--- a/lib/process/src/main/java/craneway/process/Host.java
+++ b/lib/process/src/main/java/craneway/process/NodeRuntime.java
@@ -26,33 +26,33 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-public final class Host implements Port {
+public final class NodeRuntime implements Port {
     private static final int IO_THREADS = 4, TICKS = 5;
     private static final long TICK_MILLIS = 20;
 
     private final EventLog log;
     private final XnioWorker worker;
-    private final AsyncHttpClient caller;
+    private final AsyncHttpClient httpClient;
     private final Transport transport;
     private final List<Undertow> servers = new ArrayList<>();
     private final List<ExecutorService> executors = new CopyOnWriteArrayList<>();
     private volatile boolean closed;
     private final ScheduledExecutorService ticks;
 
-    public Host(EventLog log, int threads, LongSupplier core) {
+    public NodeRuntime(EventLog log, int threads, LongSupplier core) {
         this((c, now) -> new HttpTransport(c, core, now), log, IO_THREADS, threads, TICKS);
     }
 
     /** A host whose messages to other processes go over the given transport, which it closes. */
-    public Host(EventLog log, int threads, Transport transport) {
+    public NodeRuntime(EventLog log, int threads, Transport transport) {
         this(log, IO_THREADS, threads, TICKS, transport);
     }
 
-    public Host(EventLog log, int io, int threads, int ticking, Transport transport) {
+    public NodeRuntime(EventLog log, int io, int threads, int ticking, Transport transport) {
         this((c, now) -> transport, log, io, threads, ticking);
     }
 
-    private Host(
+    private NodeRuntime(
             BiFunction<AsyncHttpClient, LongSupplier, Transport> transports,
             EventLog log,
             int io,
@@ -71,9 +71,9 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        caller = new AsyncHttpClient(worker);
-        transport = transports.apply(caller, this::now);
-        if (transport.ticks()) tick(transport::tick);
+        httpClient = new AsyncHttpClient(worker);
+        transport = transports.apply(httpClient, this::now);
+        if (transport.needsTicks()) schedulePeriodically(transport::tick);
     }
 
     @Override
@@ -95,8 +95,8 @@
         return log;
     }
 
-    public AsyncHttpClient caller() {
-        return caller;
+    public AsyncHttpClient httpClient() {
+        return httpClient;
     }
 
     public XnioWorker worker() {
@@ -117,11 +117,11 @@
         servers.add(u);
     }
 
-    public void tick(Runnable each) {
-        tick(each, TICK_MILLIS);
+    public void schedulePeriodically(Runnable each) {
+        schedulePeriodically(each, TICK_MILLIS);
     }
 
-    public void tick(Runnable each, long millis) {
+    public void schedulePeriodically(Runnable each, long millis) {
         ticks.scheduleWithFixedDelay(
                 () -> {
                     guarded(each);
@@ -132,7 +132,7 @@
     }
 
     /** A thread of its own for work that may wait for a disk. */
-    public Executor singleThread(String name) {
+    public Executor newSerialExecutor(String name) {
         var d = Executors.newSingleThreadExecutor(r -> daemon(r, name));
         executors.add(d);
         return r -> {
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -17,14 +17,14 @@
     private static final long LINGER = 5_000_000, MARGIN = 500_000, TELL = 200_000;
 
     private final NodeSettings node;
-    private final Host host;
+    private final NodeRuntime host;
     private final Router router;
     private final ProxyServer server;
 
     public PlatformRouterProcess(NodeSettings node, ProtocolNames names, EventLog log) {
         this.node = node;
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
-        host = new Host(log, IO, THREADS, TICKS, wire);
+        host = new NodeRuntime(log, IO, THREADS, TICKS, wire);
         var self = Node.ofNewProcess(
                 node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
@@ -33,7 +33,7 @@
         server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::ready, host::send);
         router.setPrefillListener(server::receiveNotice);
         router.setSilenceListener(server::receiveNotice);
-        host.tick(router::tick, TICK);
+        host.schedulePeriodically(router::tick, TICK);
         log.logEvent(
                 Event.STARTED,
                 "router zone " + node.zone() + " requester " + node.clientAddress() + " partner " + node.peerAddress());
@@ -48,12 +48,12 @@
                 && router.directory().self().serving;
     }
 
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return router.membership().isSuperseded();
     }
 
     /** Serves what comes until requesters have heard of the leave, then ends what is open; done within the grace. */
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         var began = host.now();
         host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -35,7 +35,7 @@
             FORGOTTEN = 60_000_000;
 
     private final DiskFolder disk;
-    private final Host host;
+    private final NodeRuntime host;
     private final Store store;
     private final long grace;
 
@@ -44,14 +44,14 @@
         grace = node.tolerances().shutdownGrace();
         disk = new DiskFolder(node.dataDirectory(), RESERVE);
         var wire = new SocketTransport(node.peerAddress(), this::core, () -> System.nanoTime() / 1000, log);
-        host = new Host(log, IO, THREADS, TICKS, wire);
+        host = new NodeRuntime(log, IO, THREADS, TICKS, wire);
         var self = Node.ofNewProcess(
                 node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
                 new Near(node.peerAddress()), disk, self, node.seedAddresses(), rules(node), new SecureRandom());
         wire.start(store.directory()::hasSameOrigin, store::receive);
         var callers = new CallerPresence(host::now, log);
-        host.tick(callers::tick);
+        host.schedulePeriodically(callers::tick);
         host.listen(
                 node.operatorAddress(),
                 new PlatformOperatorHandler(
@@ -68,8 +68,8 @@
                         new RouterAddresses(store, node.regionByZone()),
                         node.tolerances().maxTtl()),
                 SMALL);
-        host.tick(store::tickNode);
-        host.tick(this::tickParts);
+        host.schedulePeriodically(store::tickNode);
+        host.schedulePeriodically(this::tickParts);
         log.logEvent(
                 Event.STARTED,
                 "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.dataDirectory());
@@ -90,7 +90,7 @@
                 settings,
                 Quorum.toleratingLosses(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
-                p -> host.singleThread("part " + p));
+                p -> host.newSerialExecutor("part " + p));
     }
 
     /** Messages of this store to itself need no wire. */
@@ -134,12 +134,12 @@
         return store;
     }
 
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return store.membership().isSuperseded();
     }
 
     /** Hands over what this store leads, stays while it is needed, and ends, within the grace. */
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         host.logEvent(Event.STOPPING, "store");
         var until = host.now() + Math.max(0, grace - MARGIN);
         while (store.continuePlannedLeave() && host.now() < until) Thread.sleep(100);
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -23,26 +23,26 @@
             LAST_REPLIES = 500_000,
             STREAMS = 60_000_000;
 
-    private final Host host;
+    private final NodeRuntime host;
     private final Router router;
     private final OperatorCommands operator;
 
-    public RouterProcess(Startup s, EventLog log) {
-        host = new Host(log, THREADS, () -> core());
+    public RouterProcess(StartupSettings s, EventLog log) {
+        host = new NodeRuntime(log, THREADS, () -> core());
         var self = Node.ofNewProcess(s.name, Node.ROUTER, s.zone, s.peerAddress, new SecureRandom().nextLong());
-        router = new Router(host, self, s.seeds, new SecureRandom());
+        router = new Router(host, self, s.seedAddresses, new SecureRandom());
         operator = new OperatorCommands(host, router.coreClient());
-        var forwarded = new CompletionHandler(router, host.caller(), host::now, log, "/transaction", true);
+        var forwarded = new CompletionHandler(router, host.httpClient(), host::now, log, "/transaction", true);
         var partner = new PeerHandler(this::core, router.directory()::hasSameOrigin, router::receive, log);
         HttpHandler both = x -> (x.getRequestPath().equals("/transaction") ? forwarded : partner).handleRequest(x);
         host.listen(s.peerAddress, both, 80L << 20);
         host.listen(
                 s.clientAddress,
-                new CompletionHandler(router, host.caller(), host::now, log, "/v1/chat/completions", false),
+                new CompletionHandler(router, host.httpClient(), host::now, log, "/v1/chat/completions", false),
                 BODY);
-        host.listen(s.runner, new RunnerHandler(router), ANNOUNCE_BODY);
+        host.listen(s.runnerAddress, new RunnerHandler(router), ANNOUNCE_BODY);
         host.listen(
-                s.operator,
+                s.operatorAddress,
                 new OperatorHandler(
                         s.name,
                         operator,
@@ -54,8 +54,8 @@
                                 System.currentTimeMillis() * 1000 - host.now()),
                         null),
                 MANIFEST_BODY);
-        host.listen(s.platform, new ReadinessHandler(router::isReady), ANNOUNCE_BODY);
-        host.tick(() -> {
+        host.listen(s.readinessAddress, new ReadinessHandler(router::isReady), ANNOUNCE_BODY);
+        host.schedulePeriodically(() -> {
             router.tick();
             operator.tick(host.now());
         });
@@ -71,11 +71,11 @@
         return router;
     }
 
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return router.membership().isSuperseded();
     }
 
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         host.logEvent(Event.STOPPING, router.requestExecutor().openRequests() + " transactions open");
         router.markUnready();
         pause(READINESS);
--- a/lib/process/src/main/java/craneway/process/StopSignal.java
+++ b/lib/process/src/main/java/craneway/process/ShutdownSignal.java
@@ -4,23 +4,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-public final class StopSignal {
+public final class ShutdownSignal {
     private static final int SUPERSEDED = 3;
 
-    private StopSignal() {}
+    private ShutdownSignal() {}
 
-    public interface Stop {
+    public interface ShutdownAction {
         void run() throws InterruptedException;
     }
 
-    /** As {@link #stopped}, but the process ends with what is returned here also when a signal stops it. */
-    public static int ended(Stop stop, BooleanSupplier superseded) throws InterruptedException {
-        var r = stopped(stop, superseded);
+    /** As {@link #awaitAndShutDown}, but the process ends with what is returned here also when a signal stops it. */
+    public static int awaitShutDownAndHalt(ShutdownAction stop, BooleanSupplier superseded) throws InterruptedException {
+        var r = awaitAndShutDown(stop, superseded);
         Runtime.getRuntime().halt(r);
         return r;
     }
 
-    public static int stopped(Stop stop, BooleanSupplier superseded) throws InterruptedException {
+    public static int awaitAndShutDown(ShutdownAction stop, BooleanSupplier superseded) throws InterruptedException {
         var asked = new CountDownLatch(1);
         var done = new CountDownLatch(1);
         Runtime.getRuntime()
--- a/lib/process/src/main/java/craneway/process/Startup.java
+++ b/lib/process/src/main/java/craneway/process/StartupSettings.java
@@ -17,37 +17,37 @@
 import java.util.Map;
 import java.util.stream.StreamSupport;
 
-public final class Startup {
-    public static final String ROUTER = "router", STORE = "store";
+public final class StartupSettings {
+    public static final String ROUTER_KIND = "router", STORE_KIND = "store";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     public final String name;
     public final String zone;
     public final String clientAddress;
-    public final String runner;
-    public final String operator;
-    public final String platform;
+    public final String runnerAddress;
+    public final String operatorAddress;
+    public final String readinessAddress;
     public final String peerAddress;
-    public final List<String> seeds;
-    public final Path data;
-    public final int stores;
+    public final List<String> seedAddresses;
+    public final Path dataDirectory;
+    public final int founderCount;
 
-    private Startup(JsonNode n) {
+    private StartupSettings(JsonNode n) {
         name = n.get("name").asText();
         zone = n.get("zone").asText();
         clientAddress = n.path("requester").asText(null);
-        runner = n.path("runner").asText(null);
-        operator = n.get("operator").asText();
-        platform = n.get("platform").asText();
+        runnerAddress = n.path("runner").asText(null);
+        operatorAddress = n.get("operator").asText();
+        readinessAddress = n.get("platform").asText();
         peerAddress = n.get("partner").asText();
-        seeds = StreamSupport.stream(n.get("seeds").spliterator(), false)
+        seedAddresses = StreamSupport.stream(n.get("seeds").spliterator(), false)
                 .map(JsonNode::asText)
                 .toList();
-        data = n.has("data") ? Path.of(n.get("data").asText()) : null;
-        stores = n.path("stores").asInt(3);
+        dataDirectory = n.has("data") ? Path.of(n.get("data").asText()) : null;
+        founderCount = n.path("stores").asInt(3);
     }
 
-    public static Startup of(Path file, Map<String, String> flags, String kind) {
+    public static StartupSettings load(Path file, Map<String, String> flags, String kind) {
         var wrong = new ArrayList<String>();
         var n = file == null ? JSON.createObjectNode() : read(file, wrong);
         flags.forEach((k, x) -> {
@@ -55,8 +55,8 @@
         });
         if (wrong.isEmpty()) fits(n, kind, wrong);
         if (wrong.isEmpty()) means(n, wrong);
-        if (!wrong.isEmpty()) throw new BadStartupException(wrong);
-        return new Startup(n);
+        if (!wrong.isEmpty()) throw new InvalidSettingsException(wrong);
+        return new StartupSettings(n);
     }
 
     private static ObjectNode read(Path file, List<String> wrong) {
@@ -80,7 +80,7 @@
     }
 
     private static void fits(JsonNode n, String kind, List<String> wrong) {
-        try (var in = Startup.class.getResourceAsStream("/craneway/" + kind + ".schema.json")) {
+        try (var in = StartupSettings.class.getResourceAsStream("/craneway/" + kind + ".schema.json")) {
             var schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                     .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (var e : schema.validate(n))
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -20,32 +20,32 @@
             LAST_REPLIES = 500;
 
     private final DiskFolder disk;
-    private final Host host;
+    private final NodeRuntime host;
     private final Store store;
     private volatile boolean stopping;
 
-    public StoreProcess(Startup s, EventLog log) {
-        disk = new DiskFolder(s.data);
-        host = new Host(log, THREADS, () -> core());
+    public StoreProcess(StartupSettings s, EventLog log) {
+        disk = new DiskFolder(s.dataDirectory);
+        host = new NodeRuntime(log, THREADS, () -> core());
         var self = Node.ofNewProcess(s.name, Node.STORE, s.zone, s.peerAddress, new SecureRandom().nextLong());
-        store = new Store(host, disk, self, s.seeds, s.stores, new SecureRandom());
+        store = new Store(host, disk, self, s.seedAddresses, s.founderCount, new SecureRandom());
         var operator = new OperatorCommands(host, store.coreClient());
         host.listen(
                 s.peerAddress,
                 new PeerHandler(this::core, store.directory()::hasSameOrigin, store::receive, log),
                 80L << 20);
         host.listen(
-                s.operator, new OperatorHandler(s.name, operator, () -> Metrics.of(store), null, store), MANIFEST_BODY);
-        host.listen(s.platform, new ReadinessHandler(this::ready), SMALL);
-        host.tick(() -> {
+                s.operatorAddress, new OperatorHandler(s.name, operator, () -> Metrics.of(store), null, store), MANIFEST_BODY);
+        host.listen(s.readinessAddress, new ReadinessHandler(this::ready), SMALL);
+        host.schedulePeriodically(() -> {
             store.tickNode();
             operator.tick(host.now());
         });
         for (var p = 0; p < Parts.COUNT; p++) {
             var part = p;
-            host.tick(() -> store.tickPart(part));
+            host.schedulePeriodically(() -> store.tickPart(part));
         }
-        log.logEvent(Event.STARTED, "store zone " + s.zone + " partner " + s.peerAddress + " data " + s.data);
+        log.logEvent(Event.STARTED, "store zone " + s.zone + " partner " + s.peerAddress + " data " + s.dataDirectory);
     }
 
     private long core() {
@@ -62,11 +62,11 @@
         return store;
     }
 
-    public boolean superseded() {
+    public boolean isSuperseded() {
         return store.membership().isSuperseded();
     }
 
-    public void stopGently() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         host.logEvent(Event.STOPPING, "store");
         stopping = true;
         Thread.sleep(READINESS / 1000);
--- a/lib/process/src/test/java/craneway/process/DiskFolderTest.java
+++ b/lib/process/src/test/java/craneway/process/DiskFolderTest.java
@@ -179,7 +179,7 @@
         Files.write(root.resolve("p1.log.2.tmp"), OLD);
         var before = contents();
         for (var i = 0; i < 2; i++) {
-            var e = assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
+            var e = assertThrows(InvalidSettingsException.class, () -> new DiskFolder(root, 0));
             assertTrue(e.getMessage().contains("p1.log.1 has the data format 3"), e.getMessage());
         }
         assertEquals(before, contents());
@@ -213,7 +213,7 @@
         again.delete("m");
         again.delete("m");
         assertEquals(List.of("a", "c"), again.fileNames());
-        assertThrows(BadStartupException.class, () -> new DiskFolder(root, 0));
+        assertThrows(InvalidSettingsException.class, () -> new DiskFolder(root, 0));
         again.release();
     }
 
--- a/lib/process/src/test/java/craneway/process/WireCoreTest.java
+++ b/lib/process/src/test/java/craneway/process/WireCoreTest.java
@@ -42,7 +42,7 @@
         final EventLog log;
         final DiskFolder disk;
         final SocketTransport wire;
-        final Host host;
+        final NodeRuntime host;
         final Store store;
         final OperatorCommands operator;
 
@@ -51,14 +51,14 @@
             log = new EventLog(name);
             disk = new DiskFolder(Files.createDirectories(root.resolve(name)));
             wire = new SocketTransport(address, this::core, () -> System.nanoTime() / 1000, log);
-            host = new Host(log, 4, wire);
-            var part = host.singleThread("parts");
+            host = new NodeRuntime(log, 4, wire);
+            var part = host.newSerialExecutor("parts");
             var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> part);
             store = new Store(
                     host, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, rules, new Random());
             operator = new OperatorCommands(host, store.coreClient());
             wire.start(store.directory()::hasSameOrigin, store::receive);
-            host.tick(() -> {
+            host.schedulePeriodically(() -> {
                 store.tick();
                 operator.tick(host.now());
             });
@@ -106,6 +106,6 @@
                 .operator
                 .putManifest(0, text, r -> taken.complete(r.isRight() ? r.get().version() : -1L));
         assertTrue(taken.get(30, TimeUnit.SECONDS) > 0);
-        for (var o : ones) assertTrue(o.wire.counts().datagrams() > 0);
+        for (var o : ones) assertTrue(o.wire.traffic().datagramsSent() > 0);
     }
 }
--- a/lib/transport/src/main/java/craneway/transport/HttpTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/HttpTransport.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public boolean ticks() {
+    public boolean needsTicks() {
         return true;
     }
 
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -50,7 +50,7 @@
     }
 
     /** What has gone out and come in since the start; bytes without the headers of UDP, TCP and IP. */
-    public record Counts(long datagrams, long connections, long sent, long received) {}
+    public record Traffic(long datagramsSent, long connectionsOpened, long bytesSent, long bytesReceived) {}
 
     private final String address;
     private final LongSupplier core;
@@ -114,8 +114,8 @@
         if (waiting.compareAndSet(false, true) && Thread.currentThread() != thread) selector.wakeup();
     }
 
-    public Counts counts() {
-        return new Counts(datagrams, connections, sent, received);
+    public Traffic traffic() {
+        return new Traffic(datagrams, connections, sent, received);
     }
 
     @Override
--- a/lib/transport/src/main/java/craneway/transport/Transport.java
+++ b/lib/transport/src/main/java/craneway/transport/Transport.java
@@ -5,7 +5,7 @@
     void send(String address, Object message);
 
     /** Whether it wants to be ticked. */
-    default boolean ticks() {
+    default boolean needsTicks() {
         return false;
     }
 
--- a/lib/transport/src/test/java/craneway/transport/WireTest.java
+++ b/lib/transport/src/test/java/craneway/transport/WireTest.java
@@ -114,8 +114,8 @@
         var b = new End(5);
         for (var i = 0; i < 4; i++) a.wire.send(b.address, join(i));
         for (var i = 0; i < 4; i++) assertEquals(i, b.next(Join.class).part);
-        assertTrue(a.wire.counts().datagrams() <= 2, a.wire.counts().toString());
-        assertEquals(0, a.wire.counts().connections());
+        assertTrue(a.wire.traffic().datagramsSent() <= 2, a.wire.traffic().toString());
+        assertEquals(0, a.wire.traffic().connectionsOpened());
     }
 
     @Test
@@ -127,7 +127,7 @@
         a.wire.send(b.address, news(2, body));
         assertEquals(body.length, b.next(TopicUpdate.class).body.length);
         assertEquals(2, b.next(TopicUpdate.class).version);
-        assertTrue(a.wire.counts().connections() >= 1);
+        assertTrue(a.wire.traffic().connectionsOpened() >= 1);
     }
 
     @Test
@@ -136,8 +136,8 @@
         var b = new End(5);
         a.wire.send(b.address, news(1, new byte[10_000]));
         assertEquals(10_000, b.next(TopicUpdate.class).body.length);
-        assertEquals(0, a.wire.counts().connections());
-        assertTrue(a.wire.counts().sent() < 300);
+        assertEquals(0, a.wire.traffic().connectionsOpened());
+        assertTrue(a.wire.traffic().bytesSent() < 300);
     }
 
     @Test
@@ -145,7 +145,7 @@
         var a = new End(5);
         a.wire.send(a.address, join(3));
         assertEquals(3, a.next(Join.class).part);
-        assertEquals(0, a.wire.counts().sent());
+        assertEquals(0, a.wire.traffic().bytesSent());
     }
 
     @Test
--- a/prog/router/src/main/java/craneway/router/RouterMain.java
+++ b/prog/router/src/main/java/craneway/router/RouterMain.java
@@ -1,10 +1,10 @@
 package craneway.router;
 
 import craneway.log.EventLog;
-import craneway.process.BadStartupException;
+import craneway.process.InvalidSettingsException;
 import craneway.process.RouterProcess;
-import craneway.process.Startup;
-import craneway.process.StopSignal;
+import craneway.process.StartupSettings;
+import craneway.process.ShutdownSignal;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.concurrent.Callable;
@@ -61,10 +61,10 @@
         flags.put("partner", partner);
         flags.put("seeds", seeds);
         try {
-            var s = Startup.of(startup, flags, Startup.ROUTER);
+            var s = StartupSettings.load(startup, flags, StartupSettings.ROUTER_KIND);
             var p = new RouterProcess(s, new EventLog(s.name));
-            return StopSignal.stopped(p::stopGently, p::superseded);
-        } catch (BadStartupException e) {
+            return ShutdownSignal.awaitAndShutDown(p::shutDownGracefully, p::isSuperseded);
+        } catch (InvalidSettingsException e) {
             System.err.println(e.getMessage());
             return 2;
         }
--- a/prog/store/src/main/java/craneway/store/StoreMain.java
+++ b/prog/store/src/main/java/craneway/store/StoreMain.java
@@ -1,9 +1,9 @@
 package craneway.store;
 
 import craneway.log.EventLog;
-import craneway.process.BadStartupException;
-import craneway.process.Startup;
-import craneway.process.StopSignal;
+import craneway.process.InvalidSettingsException;
+import craneway.process.StartupSettings;
+import craneway.process.ShutdownSignal;
 import craneway.process.StoreProcess;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -61,10 +61,10 @@
         flags.put("data", data);
         flags.put("stores", stores);
         try {
-            var s = Startup.of(startup, flags, Startup.STORE);
+            var s = StartupSettings.load(startup, flags, StartupSettings.STORE_KIND);
             var p = new StoreProcess(s, new EventLog(s.name));
-            return StopSignal.stopped(p::stopGently, p::superseded);
-        } catch (BadStartupException e) {
+            return ShutdownSignal.awaitAndShutDown(p::shutDownGracefully, p::isSuperseded);
+        } catch (InvalidSettingsException e) {
             System.err.println(e.getMessage());
             return 2;
         }
--- a/test/features/src/test/java/craneway/features/InProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/InProcessSteps.java
@@ -6,9 +6,9 @@
 import craneway.http.AsyncHttpClient;
 import craneway.http.BufferedHttpResponse;
 import craneway.log.EventLog;
-import craneway.process.BadStartupException;
+import craneway.process.InvalidSettingsException;
 import craneway.process.RouterProcess;
-import craneway.process.Startup;
+import craneway.process.StartupSettings;
 import craneway.process.StoreProcess;
 import craneway.router.RouterMain;
 import craneway.standin.StandinRunner;
@@ -103,7 +103,7 @@
         var seeds = addresses.get("store") + "," + addresses.get("router") + ",127.0.0.1:9";
         store = startStore(seeds);
         router = new RouterProcess(
-                Startup.of(
+                StartupSettings.load(
                         null,
                         Map.of(
                                 "name",
@@ -122,7 +122,7 @@
                                 addresses.get("runner-desk"),
                                 "seeds",
                                 seeds),
-                        Startup.ROUTER),
+                        StartupSettings.ROUTER_KIND),
                 new EventLog("router-1"));
         await("store ready", () -> status("store-platform", "/ready") == 200);
         sendManifest(manifest(), 0);
@@ -139,7 +139,7 @@
 
     private StoreProcess startStore(String seeds) {
         return new StoreProcess(
-                Startup.of(
+                StartupSettings.load(
                         null,
                         Map.of(
                                 "name",
@@ -158,7 +158,7 @@
                                 folder.resolve("data").toString(),
                                 "stores",
                                 "1"),
-                        Startup.STORE),
+                        StartupSettings.STORE_KIND),
                 new EventLog("store-1"));
     }
 
@@ -235,7 +235,7 @@
         addresses.put("store-platform", findFreeAddress());
         try (var second = startStore(addresses.get("store") + ",127.0.0.1:9,127.0.0.1:8")) {
             throw new AssertionError("two stores share a folder");
-        } catch (BadStartupException e) {
+        } catch (InvalidSettingsException e) {
             if (!e.getMessage().contains("in use")) throw e;
         }
     }
