--- a/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/measure/MeasureCommand.java
@@ -1,7 +1,7 @@
 package craneway.command.measure;
 
 import craneway.command.CommandException;
-import craneway.sim.Measures;
+import craneway.sim.Measurements;
 import java.util.Arrays;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
@@ -30,28 +30,28 @@
             case "owner-killed" -> {
                 var r = Arrays.stream(all)
                         .parallel()
-                        .mapToObj(Measures::ownerKilled)
+                        .mapToObj(Measurements::measureOwnerLoss)
                         .toList();
                 print(
                         "declined",
-                        r.stream().mapToDouble(Measures.Owner::declined).toArray());
+                        r.stream().mapToDouble(Measurements.OwnerLoss::declineCount).toArray());
                 print(
                         "last decline, s",
-                        r.stream().mapToDouble(Measures.Owner::lastDecline).toArray());
+                        r.stream().mapToDouble(Measurements.OwnerLoss::lastDeclineSeconds).toArray());
             }
             case "region-returned" ->
                 print(
                         "first work after the return, s",
                         Arrays.stream(all)
                                 .parallel()
-                                .mapToDouble(Measures::regionReturned)
+                                .mapToDouble(Measurements::measureZoneReturn)
                                 .toArray());
             case "cold-runner" ->
                 print(
                         "share of a cold runner's slots",
                         Arrays.stream(all)
                                 .parallel()
-                                .mapToDouble(Measures::coldShare)
+                                .mapToDouble(Measurements::measureColdExcess)
                                 .toArray());
             default -> throw new CommandException(2, "unknown measurement " + what);
         }
--- a/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ProofCommand.java
@@ -1,7 +1,7 @@
 package craneway.command.replay;
 
 import craneway.sim.Limit;
-import craneway.sim.Shape;
+import craneway.sim.FleetShape;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -24,10 +24,10 @@
     @Override
     public Integer call() {
         var all = List.of(
-                new Sweep(Shape.MATICAR, false, seeds),
-                new Sweep(Shape.BRANNOCK, false, seeds),
-                new Sweep(Shape.MATICAR, true, days),
-                new Sweep(Shape.BRANNOCK, true, days));
+                new Sweep(FleetShape.MATICAR, false, seeds),
+                new Sweep(FleetShape.BRANNOCK, false, seeds),
+                new Sweep(FleetShape.MATICAR, true, days),
+                new Sweep(FleetShape.BRANNOCK, true, days));
         System.out.printf("At commit %s, seeds %s, days %s:%n%n", commit, seeds, days);
         System.out.println(
                 "| | maticar | brannock | maticar days | brannock days | limit |\n|---|---|---|---|---|---|");
@@ -47,7 +47,7 @@
         for (var l : Limit.values())
             if (l != Limit.RETURN)
                 row(
-                        l.words,
+                        l.description,
                         all.stream()
                                 .map(s -> s.worst.containsKey(l) ? String.format("%.3f", s.worst.get(l)) : "none")
                                 .toList(),
--- a/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/ReplayCommand.java
@@ -1,8 +1,8 @@
 package craneway.command.replay;
 
 import craneway.command.CommandException;
-import craneway.sim.Chaos;
-import craneway.sim.Day;
+import craneway.sim.RandomFaultRun;
+import craneway.sim.SimulatedDay;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -48,21 +48,21 @@
 
     private int draw() {
         var sh = Sweep.shape(shape);
-        var faults = Chaos.faults(sh, seed);
-        if (shortest) faults = Chaos.shortest(sh, seed, faults);
-        var r = Chaos.run(sh, seed, faults);
+        var faults = RandomFaultRun.drawFaults(sh, seed);
+        if (shortest) faults = RandomFaultRun.minimize(sh, seed, faults);
+        var r = RandomFaultRun.run(sh, seed, faults);
         System.out.print(r.timeline());
-        faults.forEach(f -> System.out.println("fault " + f.text()));
-        r.wrong().forEach(w -> System.out.println("BROKEN " + w));
-        Sweep.print(r.checks().worst);
-        return r.wrong().isEmpty() ? 0 : 1;
+        faults.forEach(f -> System.out.println("fault " + f.describe()));
+        r.violations().forEach(w -> System.out.println("BROKEN " + w));
+        Sweep.print(r.checks().worstValues);
+        return r.violations().isEmpty() ? 0 : 1;
     }
 
     private int drawDay() {
-        var r = Day.run(Sweep.shape(shape), seed);
+        var r = SimulatedDay.run(Sweep.shape(shape), seed);
         System.out.print(r.timeline());
-        r.wrong().forEach(w -> System.out.println("BROKEN " + w));
-        Sweep.print(r.checks().worst);
-        return r.wrong().isEmpty() ? 0 : 1;
+        r.violations().forEach(w -> System.out.println("BROKEN " + w));
+        Sweep.print(r.checks().worstValues);
+        return r.violations().isEmpty() ? 0 : 1;
     }
 }
--- a/prog/craneway/src/main/java/craneway/command/replay/Sweep.java
+++ b/prog/craneway/src/main/java/craneway/command/replay/Sweep.java
@@ -1,10 +1,10 @@
 package craneway.command.replay;
 
 import craneway.command.CommandException;
-import craneway.sim.Chaos;
-import craneway.sim.Day;
+import craneway.sim.RandomFaultRun;
+import craneway.sim.SimulatedDay;
 import craneway.sim.Limit;
-import craneway.sim.Shape;
+import craneway.sim.FleetShape;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -17,10 +17,10 @@
     final long seeds;
     final long broken;
     final double perHour;
-    private final Shape shape;
+    private final FleetShape shape;
     private final boolean day;
 
-    Sweep(Shape shape, boolean day, String range) {
+    Sweep(FleetShape shape, boolean day, String range) {
         this.shape = shape;
         this.day = day;
         if (!range.matches("\\d{1,15}-\\d{1,15}")) throw new CommandException(2, range + " is not FROM-TO");
@@ -36,30 +36,30 @@
         perHour = seeds / ((System.nanoTime() - began) / 3.6e12);
     }
 
-    static Shape shape(String name) {
-        var s = Shape.named(name);
+    static FleetShape shape(String name) {
+        var s = FleetShape.byName(name);
         if (s == null) throw new CommandException(2, "--shape " + name + " is none of maticar, brannock, small");
         return s;
     }
 
     private boolean day(long seed) {
-        var r = Day.run(shape, seed);
-        return broke("day " + seed, r.wrong(), r.checks().worst, r.submissions(), List.of());
+        var r = SimulatedDay.run(shape, seed);
+        return broke("day " + seed, r.violations(), r.checks().worstValues, r.submissions(), List.of());
     }
 
     private boolean faults(long seed) {
-        var r = Chaos.run(shape, seed, Chaos.faults(shape, seed));
-        var least = r.wrong().isEmpty() ? r.faults() : Chaos.shortest(shape, seed, r.faults());
-        return broke("seed " + seed, r.wrong(), r.checks().worst, r.submissions(), least);
+        var r = RandomFaultRun.run(shape, seed, RandomFaultRun.drawFaults(shape, seed));
+        var least = r.violations().isEmpty() ? r.faults() : RandomFaultRun.minimize(shape, seed, r.faults());
+        return broke("seed " + seed, r.violations(), r.checks().worstValues, r.submissions(), least);
     }
 
     private synchronized boolean broke(
-            String what, List<String> wrong, Map<Limit, Double> seen, int asked, List<Chaos.Fault> least) {
+            String what, List<String> wrong, Map<Limit, Double> seen, int asked, List<RandomFaultRun.Fault> least) {
         seen.forEach((k, v) -> worst.merge(k, v, Math::max));
         submissions.addAndGet(asked);
         if (wrong.isEmpty()) return false;
         System.out.println(what + " of shape " + shape.name() + ": " + wrong.subList(0, Math.min(3, wrong.size())));
-        least.forEach(f -> System.out.println("  shortest schedule: " + f.text()));
+        least.forEach(f -> System.out.println("  shortest schedule: " + f.describe()));
         return true;
     }
 
@@ -71,6 +71,6 @@
     }
 
     static void print(Map<Limit, Double> worst) {
-        worst.forEach((k, v) -> System.out.printf("worst %-10s %8.3f  limit %-5s %s%n", k, v, k.value, k.words));
+        worst.forEach((k, v) -> System.out.printf("worst %-10s %8.3f  limit %-5s %s%n", k, v, k.value, k.description));
     }
 }
--- a/test/features/src/test/java/craneway/features/CheckerSteps.java
+++ b/test/features/src/test/java/craneway/features/CheckerSteps.java
@@ -1,9 +1,9 @@
 package craneway.features;
 
-import craneway.sim.Checks;
+import craneway.sim.PromiseChecker;
 import craneway.sim.Journal;
 import craneway.sim.Scenario;
-import craneway.sim.Shape;
+import craneway.sim.FleetShape;
 import craneway.sim.StoreMachine;
 import io.cucumber.java.en.Given;
 import io.cucumber.java.en.Then;
@@ -30,59 +30,59 @@
         for (var i = 0; i < 20; i++) {
             addRun("s" + i, i % 4 == 0 ? "k" + i : "", "runner-a", "zagreb-1", (i + 2) * MICROS_PER_SECOND);
             addReply("s" + i, "whole", (i + 2) * MICROS_PER_SECOND);
-            journal.submittedAt.add((i + 2) * MICROS_PER_SECOND);
+            journal.submissionTimes.add((i + 2) * MICROS_PER_SECOND);
         }
-        journal.submissions = 20;
-        journal.sent.add(new Journal.Sent(
+        journal.submissionCount = 20;
+        journal.sentManifests.add(new Journal.SentManifest(
                 FIRST_MANIFEST, 0, MICROS_PER_SECOND, MICROS_PER_SECOND, true, 1, new long[] {MICROS_PER_SECOND}));
         for (var node : List.of("router-1", "store-1")) {
-            journal.seen.add(new Journal.Seen(MICROS_PER_SECOND, node, 1, 1, FIRST_MANIFEST));
-            journal.ends.add(new Journal.End(node, 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
+            journal.seenManifests.add(new Journal.SeenManifest(MICROS_PER_SECOND, node, 1, 1, FIRST_MANIFEST));
+            journal.finalStates.add(new Journal.FinalState(node, 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
         }
     }
 
     private Journal.Run addRun(String submission, String key, String runner, String zone, long startMicros) {
         var run = new Journal.Run();
-        run.sub = submission;
-        run.key = key;
+        run.submissionId = submission;
+        run.idempotencyKey = key;
         run.runner = runner;
         run.service = "registry";
         run.zone = zone;
         run.cell = zone.replace("-1", "-a");
         run.tenant = "office-zagreb-centre";
-        run.manifest = 1;
-        run.table = 7;
-        run.at = startMicros;
+        run.manifestVersion = 1;
+        run.tableVersion = 7;
+        run.startedAt = startMicros;
         run.endedAt = startMicros + MICROS_PER_SECOND;
-        run.whole = true;
+        run.complete = true;
         run.slots = 8;
-        run.running = 1;
+        run.concurrentRuns = 1;
         journal.runs.add(run);
         return run;
     }
 
     private Journal.Reply addReply(String submission, String verdict, long askedMicros) {
         var reply = new Journal.Reply();
-        reply.sub = submission;
-        reply.asked = submission;
+        reply.submissionId = submission;
+        reply.workKey = submission;
         reply.verdict = verdict;
-        reply.askedAt = askedMicros;
-        reply.at = askedMicros + MICROS_PER_SECOND;
+        reply.submittedAt = askedMicros;
+        reply.receivedAt = askedMicros + MICROS_PER_SECOND;
         reply.tenant = "office-zagreb-centre";
         reply.deadlineMillis = 20_000;
-        reply.retryAfter = MICROS_PER_SECOND;
+        reply.retryAfterMicros = MICROS_PER_SECOND;
         journal.replies.add(reply);
         return reply;
     }
 
     private void acceptSecondManifest(long version, long acceptedMicros) {
-        journal.sent.add(new Journal.Sent(
+        journal.sentManifests.add(new Journal.SentManifest(
                 SECOND_MANIFEST, version - 1, acceptedMicros, acceptedMicros, true, version, new long[] {acceptedMicros
                 }));
         for (var node : List.of("router-1", "store-1"))
-            journal.seen.add(new Journal.Seen(acceptedMicros, node, 1, version, SECOND_MANIFEST));
-        journal.ends.replaceAll(
-                end -> new Journal.End(end.node(), version, SECOND_MANIFEST, end.marks(), end.tables()));
+            journal.seenManifests.add(new Journal.SeenManifest(acceptedMicros, node, 1, version, SECOND_MANIFEST));
+        journal.finalStates.replaceAll(
+                end -> new Journal.FinalState(end.node(), version, SECOND_MANIFEST, end.marks(), end.tableVersions()));
     }
 
     private void addColdRun(int slots, int running, double secondsSinceStart) {
@@ -92,10 +92,10 @@
                 "runner-a",
                 "zagreb-1",
                 30 * MICROS_PER_SECOND + (long) (secondsSinceStart * MICROS_PER_SECOND));
-        run.cold = true;
-        run.bornAt = 30 * MICROS_PER_SECOND;
+        run.runnerCold = true;
+        run.runnerStartedAt = 30 * MICROS_PER_SECOND;
         run.slots = slots;
-        run.running = running;
+        run.concurrentRuns = running;
     }
 
     @When("{string} is planted")
@@ -110,64 +110,64 @@
                 addRun("x", "", "runner-a", "zagreb-1", 33_400_000);
             }
             case "work in a zone 5.3 s after its confirm" -> {
-                journal.emptied.add(new Journal.Emptied(
+                journal.emptiedAreas.add(new Journal.EmptiedArea(
                         "zagreb-1", "", 30 * MICROS_PER_SECOND, new long[] {60 * MICROS_PER_SECOND}));
                 addRun("x", "", "runner-a", "zagreb-1", 35_300_000);
             }
             case "work in a cell 5.3 s after its confirm" -> {
-                journal.emptied.add(new Journal.Emptied(
+                journal.emptiedAreas.add(new Journal.EmptiedArea(
                         "", "zagreb-a", 30 * MICROS_PER_SECOND, new long[] {60 * MICROS_PER_SECOND}));
                 addRun("x", "", "runner-a", "zagreb-1", 35_300_000);
             }
             case "a node that slipped back" -> {
                 acceptSecondManifest(2, 8 * MICROS_PER_SECOND);
-                journal.seen.add(new Journal.Seen(9 * MICROS_PER_SECOND, "router-1", 1, 1, FIRST_MANIFEST));
+                journal.seenManifests.add(new Journal.SeenManifest(9 * MICROS_PER_SECOND, "router-1", 1, 1, FIRST_MANIFEST));
             }
             case "a node that restarted with an older manifest" -> {
                 acceptSecondManifest(2, 8 * MICROS_PER_SECOND);
-                journal.seen.add(new Journal.Seen(9 * MICROS_PER_SECOND, "router-1", 2, 1, FIRST_MANIFEST));
+                journal.seenManifests.add(new Journal.SeenManifest(9 * MICROS_PER_SECOND, "router-1", 2, 1, FIRST_MANIFEST));
             }
             case "work by the old manifest 3.4 s after the new one was everywhere" -> {
                 acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
                 addRun("x", "", "runner-a", "zagreb-1", 27_400_000);
             }
             case "such work by a node that was frozen and just woke" -> {
-                journal.troubles.add(
-                        new Journal.Down("router-1", 20 * MICROS_PER_SECOND, new long[] {27 * MICROS_PER_SECOND}));
+                journal.outages.add(
+                        new Journal.Outage("router-1", 20 * MICROS_PER_SECOND, new long[] {27 * MICROS_PER_SECOND}));
                 acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
                 addRun("x", "", "runner-a", "zagreb-1", 27_400_000);
             }
             case "a node that got a manifest 3.4 s late, soon followed by another" -> {
-                journal.sent.add(new Journal.Sent(
+                journal.sentManifests.add(new Journal.SentManifest(
                         SECOND_MANIFEST, 1, 24 * MICROS_PER_SECOND, 24 * MICROS_PER_SECOND, true, 2, new long[] {
                             Long.MAX_VALUE
                         }));
                 acceptSecondManifest(3, 27_400_000);
             }
             case "a declined manifest in force" -> {
-                journal.sent.add(new Journal.Sent(
+                journal.sentManifests.add(new Journal.SentManifest(
                         "bad", 1, 10 * MICROS_PER_SECOND, 10 * MICROS_PER_SECOND, false, 0, new long[] {Long.MAX_VALUE
                         }));
-                journal.seen.add(new Journal.Seen(11 * MICROS_PER_SECOND, "router-1", 1, 2, "bad"));
+                journal.seenManifests.add(new Journal.SeenManifest(11 * MICROS_PER_SECOND, "router-1", 1, 2, "bad"));
             }
             case "work by a manifest that nobody was told is taken" ->
-                addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).manifest = 2;
+                addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).manifestVersion = 2;
             case "a node that ends without the newest manifest" -> {
                 acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
-                journal.ends.add(new Journal.End("router-2", 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
+                journal.finalStates.add(new Journal.FinalState("router-2", 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
             }
             case "two manifests taken as one version" ->
-                journal.sent.add(new Journal.Sent(
+                journal.sentManifests.add(new Journal.SentManifest(
                         SECOND_MANIFEST, 0, 10 * MICROS_PER_SECOND, 10 * MICROS_PER_SECOND, true, 1, new long[] {
                             10 * MICROS_PER_SECOND
                         }));
             case "a confirmed mark that is gone" ->
-                journal.emptied.add(
-                        new Journal.Emptied("split-1", "", 30 * MICROS_PER_SECOND, new long[] {Long.MAX_VALUE}));
+                journal.emptiedAreas.add(
+                        new Journal.EmptiedArea("split-1", "", 30 * MICROS_PER_SECOND, new long[] {Long.MAX_VALUE}));
             case "a kept tenant that is released by itself" ->
-                journal.kept.add(new Journal.Kept("office-zagreb-centre", List.of("zagreb"), 30 * MICROS_PER_SECOND));
+                journal.keptTenants.add(new Journal.KeptTenant("office-zagreb-centre", List.of("zagreb"), 30 * MICROS_PER_SECOND));
             case "a table step that is lost" ->
-                addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).table = 8;
+                addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).tableVersion = 8;
             case "a quota that is given out anew" -> {
                 for (var i = 0; i < 5; i++)
                     addRun("q" + i, "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND + i).tenant = "metered";
@@ -175,10 +175,10 @@
             case "work run outside its home regions" -> addRun("x", "", "runner-b", "split-1", 30 * MICROS_PER_SECOND);
             case "work run outside the regions it asked for" -> {
                 addRun("x", "", "runner-b", "split-1", 30 * MICROS_PER_SECOND).tenant = "t";
-                addReply("x", "whole", 30 * MICROS_PER_SECOND).regions = "zagreb,osijek";
+                addReply("x", "whole", 30 * MICROS_PER_SECOND).allowedRegions = "zagreb,osijek";
             }
             case "work of a kept tenant elsewhere" -> {
-                journal.kept.add(new Journal.Kept("t", List.of("zagreb"), 30 * MICROS_PER_SECOND));
+                journal.keptTenants.add(new Journal.KeptTenant("t", List.of("zagreb"), 30 * MICROS_PER_SECOND));
                 addRun("x", "", "runner-b", "split-1", 35_300_000).tenant = "t";
             }
             case "a second stream on a cold runner of 2 slots after 2.4 s" -> addColdRun(2, 2, 2.4);
@@ -198,19 +198,19 @@
                 addReply("gone", "lost", 3 * MICROS_PER_SECOND);
             case "a submission that was declined and never served" ->
                 addReply("gone", "declined", 3 * MICROS_PER_SECOND);
-            case "a submission without a verdict" -> journal.submissions++;
+            case "a submission without a verdict" -> journal.submissionCount++;
             case "a decline after 0.51 of the deadline" ->
-                addReply("late", "declined", 3 * MICROS_PER_SECOND).at = 13_200_000;
+                addReply("late", "declined", 3 * MICROS_PER_SECOND).receivedAt = 13_200_000;
             default -> throw new IllegalArgumentException(fault);
         }
     }
 
     private List<String> brokenPromises() {
-        journal.service = "registry";
-        var checks = new Checks(
+        journal.serviceName = "registry";
+        var checks = new PromiseChecker(
                 journal, Map.of("zagreb-1", "zagreb", "split-1", "split"), Map.of("registry", 5 * MICROS_PER_SECOND));
-        var problems = new ArrayList<>(checks.all());
-        problems.addAll(checks.lost());
+        var problems = new ArrayList<>(checks.checkAll());
+        problems.addAll(checks.findLost());
         return problems;
     }
 
@@ -229,28 +229,28 @@
 
     @Given("a fleet whose disks lie about sync under seed {long}")
     public void fleetWithLyingDisks(long seed) {
-        lyingDiskFleet = Shape.SMALL.scenario(seed);
-        lyingDiskFleet.world.all(StoreMachine.class).forEach(store -> store.disk.liesAboutSync(true));
+        lyingDiskFleet = FleetShape.SMALL.createScenario(seed);
+        lyingDiskFleet.world.machinesOfType(StoreMachine.class).forEach(store -> store.disk.setIgnoresSync(true));
     }
 
     @When("all stores lose power at once after manifest 2 was taken")
     public void losePowerAfterManifest() {
-        lyingDiskFleet.act("operator", "send v store-1 1");
-        lyingDiskFleet.runTo(4);
-        for (var i = 1; i <= 3; i++) lyingDiskFleet.act("store-" + i, "power-loss");
-        lyingDiskFleet.runTo(5);
-        for (var i = 1; i <= 3; i++) lyingDiskFleet.act("store-" + i, "start");
+        lyingDiskFleet.perform("operator", "send v store-1 1");
+        lyingDiskFleet.runUntilSecond(4);
+        for (var i = 1; i <= 3; i++) lyingDiskFleet.perform("store-" + i, "power-loss");
+        lyingDiskFleet.runUntilSecond(5);
+        for (var i = 1; i <= 3; i++) lyingDiskFleet.perform("store-" + i, "start");
         for (var machine : List.copyOf(lyingDiskFleet.world.machines.keySet()))
-            if (machine.startsWith("router")) lyingDiskFleet.act(machine, "kill");
-        lyingDiskFleet.runTo(6);
+            if (machine.startsWith("router")) lyingDiskFleet.perform(machine, "kill");
+        lyingDiskFleet.runUntilSecond(6);
         for (var machine : List.copyOf(lyingDiskFleet.world.machines.keySet()))
-            if (machine.startsWith("router")) lyingDiskFleet.act(machine, "start");
-        lyingDiskFleet.runTo(40);
+            if (machine.startsWith("router")) lyingDiskFleet.perform(machine, "start");
+        lyingDiskFleet.runUntilSecond(40);
     }
 
     @Then("the checkers find a broken promise")
     public void checkersFindBrokenPromise() {
-        var problems = lyingDiskFleet.checks().all();
+        var problems = lyingDiskFleet.createChecker().checkAll();
         if (problems.isEmpty()) throw new AssertionError("nothing was found");
     }
 }
--- a/test/features/src/test/java/craneway/features/SimulationSteps.java
+++ b/test/features/src/test/java/craneway/features/SimulationSteps.java
@@ -1,14 +1,14 @@
 package craneway.features;
 
 import craneway.model.problem.ProblemKind;
-import craneway.sim.Chaos;
-import craneway.sim.Checks;
+import craneway.sim.RandomFaultRun;
+import craneway.sim.PromiseChecker;
 import craneway.sim.ClientMachine;
-import craneway.sim.Day;
+import craneway.sim.SimulatedDay;
 import craneway.sim.Limit;
 import craneway.sim.RouterMachine;
 import craneway.sim.Scenario;
-import craneway.sim.Shape;
+import craneway.sim.FleetShape;
 import craneway.sim.StoreMachine;
 import craneway.state.message.Node;
 import io.cucumber.datatable.DataTable;
@@ -27,26 +27,26 @@
     private record ScheduledAction(double second, String node, String command) {}
 
     private Scenario scenario;
-    private Checks checks;
+    private PromiseChecker checks;
 
     @Given("a fleet under seed {long}")
     public void createFleet(long seed) {
-        scenario = Shape.SMALL.scenario(seed);
+        scenario = FleetShape.SMALL.createScenario(seed);
     }
 
     @Given("runners that start cold")
     public void startRunnersCold() {
-        scenario.world.warmStart = false;
+        scenario.world.runnersStartWarm = false;
     }
 
     @Given("a network that loses {double} of all messages")
     public void loseMessages(double lossRate) {
-        scenario.world.net.dropped(lossRate);
+        scenario.world.net.setDropShare(lossRate);
     }
 
     @Given("each requester submits about every {long} ms")
     public void startTraffic(long pauseMillis) {
-        scenario.traffic(pauseMillis * 1000);
+        scenario.startTraffic(pauseMillis * 1000);
     }
 
     @When("this happens")
@@ -61,32 +61,32 @@
                         actions.add(
                                 new ScheduledAction(Double.parseDouble(row.get(0)), nodes.get(column), action.trim()));
         for (var action : actions) {
-            scenario.runTo(action.second);
+            scenario.runUntilSecond(action.second);
             perform(action);
         }
     }
 
     private void perform(ScheduledAction action) {
-        if (action.node.equals("seeds")) scenario.world.seeds(List.of(action.command.split(" ")));
+        if (action.node.equals("seeds")) scenario.world.seedAddresses(List.of(action.command.split(" ")));
         else if (action.node.startsWith("requester") && action.command.startsWith("submit"))
             submit(action.node, action.command.split(" "));
-        else if (action.node.equals("release")) scenario.world.wire = Integer.parseInt(action.command);
+        else if (action.node.equals("release")) scenario.world.wireVersion = Integer.parseInt(action.command);
         else if (action.command.startsWith("crowd"))
             submitBurst(action.node, Integer.parseInt(action.command.split(" ")[1]));
         else if (action.command.startsWith("swing"))
-            scenario.swing(Integer.parseInt(action.command.split(" ")[1]));
-        else scenario.act(action.node, action.command);
+            scenario.setTokenSpread(Integer.parseInt(action.command.split(" ")[1]));
+        else scenario.perform(action.node, action.command);
     }
 
     private void submitBurst(String node, int count) {
-        for (var i = 0; i < count; i++) ((ClientMachine) scenario.world.machine(node)).submit(scenario.work());
+        for (var i = 0; i < count; i++) ((ClientMachine) scenario.world.machine(node)).submit(scenario.drawWork());
     }
 
     private void submit(String node, String[] words) {
         ((ClientMachine) scenario.world.machine(node))
                 .submit(
                         new ClientMachine.Work(
-                                scenario.world.service,
+                                scenario.world.serviceName,
                                 words[2],
                                 words[1],
                                 words[1].equals("extract"),
@@ -99,86 +99,86 @@
 
     @Then("until second {double} every promise is kept")
     public void checkPromisesUntil(double second) {
-        scenario.runTo(second);
-        scenario.quiet();
-        scenario.runOn(30);
-        checks = scenario.checks();
-        var broken = checks.all();
+        scenario.runUntilSecond(second);
+        scenario.stopTraffic();
+        scenario.runForSeconds(30);
+        checks = scenario.createChecker();
+        var broken = checks.checkAll();
         if (!broken.isEmpty())
-            throw new AssertionError(String.join("\n", broken) + "\n" + scenario.world.timeline.draw());
+            throw new AssertionError(String.join("\n", broken) + "\n" + scenario.world.timeline.render());
     }
 
     @Then("submissions sent from second {double} on are served")
     public void checkServedFrom(double second) {
-        var fromMicros = scenario.start + (long) (second * 1e6);
+        var fromMicros = scenario.startTime + (long) (second * 1e6);
         var sentCount = scenario.world.journal.replies.stream()
-                .filter(reply -> reply.askedAt >= fromMicros)
+                .filter(reply -> reply.submittedAt >= fromMicros)
                 .count();
         check(sentCount > 10, "only " + sentCount + " submissions were sent");
-        var unserved = scenario.checks().unserved(fromMicros);
+        var unserved = scenario.createChecker().findUnserved(fromMicros);
         check(
                 unserved.isEmpty(),
                 unserved.size() + " of " + sentCount + " were not served: " + unserved + " "
-                        + scenario.world.journal.summary(fromMicros));
+                        + scenario.world.journal.countReplies(fromMicros));
     }
 
     @Then("no submission is lost")
     public void checkNoneLost() {
-        var lost = checks.lost();
+        var lost = checks.findLost();
         check(
                 lost.isEmpty(),
-                lost.size() + " of " + scenario.world.journal.submissions + ", first "
-                        + (lost.isEmpty() ? "" : lost.get(0)) + " " + scenario.world.journal.summary(0));
+                lost.size() + " of " + scenario.world.journal.submissionCount + ", first "
+                        + (lost.isEmpty() ? "" : lost.get(0)) + " " + scenario.world.journal.countReplies(0));
     }
 
     @Then("the operator received {string}")
     public void checkOperatorReceived(String text) {
-        check(scenario.answers.stream().anyMatch(answer -> answer.startsWith(text)), "received " + scenario.answers);
+        check(scenario.operatorAnswers.stream().anyMatch(answer -> answer.startsWith(text)), "received " + scenario.operatorAnswers);
     }
 
     @Then("by second {double} the operator received {string} and not {string}")
     public void checkOperatorReceivedBy(double second, String text, String unwanted) {
-        scenario.runTo(second);
+        scenario.runUntilSecond(second);
         checkOperatorReceived(text);
         check(
-                scenario.answers.stream().noneMatch(answer -> answer.startsWith(unwanted)),
-                "received " + scenario.answers);
+                scenario.operatorAnswers.stream().noneMatch(answer -> answer.startsWith(unwanted)),
+                "received " + scenario.operatorAnswers);
     }
 
     @Then("{string} is on the timeline of {word}")
     public void checkTimeline(String text, String node) {
         check(
-                scenario.world.timeline.has(node, text),
-                node + " never showed " + text + "\n" + scenario.world.timeline.draw());
+                scenario.world.timeline.contains(node, text),
+                node + " never showed " + text + "\n" + scenario.world.timeline.render());
     }
 
     @Then("{string} is on the timeline of any store")
     public void checkTimelineOfAnyStore(String text) {
-        var found = scenario.world.all(StoreMachine.class).stream()
-                .anyMatch(store -> scenario.world.timeline.has(store.name, text));
-        check(found, "no store's timeline shows " + text + "\n" + scenario.world.timeline.draw());
+        var found = scenario.world.machinesOfType(StoreMachine.class).stream()
+                .anyMatch(store -> scenario.world.timeline.contains(store.name, text));
+        check(found, "no store's timeline shows " + text + "\n" + scenario.world.timeline.render());
     }
 
     @Then("{string} is on no timeline")
     public void checkOnNoTimeline(String text) {
         check(
                 scenario.world.machines.keySet().stream()
-                        .noneMatch(machine -> scenario.world.timeline.has(machine, text)),
+                        .noneMatch(machine -> scenario.world.timeline.contains(machine, text)),
                 text + " is on a timeline");
     }
 
     @Then("by second {double} no step record was written")
     public void checkNoStepRecords(double second) {
-        scenario.runTo(second);
-        for (var store : scenario.world.all(StoreMachine.class))
-            check(!scenario.world.timeline.has(store.name, "CW1601"), store.name + " wrote a step record");
-        check(!scenario.world.journal.moves.isEmpty(), "no unit moved");
+        scenario.runUntilSecond(second);
+        for (var store : scenario.world.machinesOfType(StoreMachine.class))
+            check(!scenario.world.timeline.contains(store.name, "CW1601"), store.name + " wrote a step record");
+        check(!scenario.world.journal.moveCounts.isEmpty(), "no unit moved");
     }
 
     @Then("exactly {int} of the manifests sent were accepted")
     public void checkAcceptedManifests(int expected) {
-        var accepted = scenario.world.journal.sent.stream()
-                        .filter(manifest -> manifest.taken())
+        var accepted = scenario.world.journal.sentManifests.stream()
+                        .filter(manifest -> manifest.accepted())
                         .count()
                 - 1;
         check(accepted == expected, accepted + " were accepted");
@@ -187,11 +187,11 @@
     @Then("every node has the newest manifest")
     public void checkNewestManifestEverywhere() {
         var version = scenario.world.manifestVersion();
-        for (var machine : scenario.world.all(RouterMachine.class))
+        for (var machine : scenario.world.machinesOfType(RouterMachine.class))
             check(
                     machine.router.membership().view().manifestRow().version == version,
                     machine.name + " does not have " + version);
-        for (var machine : scenario.world.all(StoreMachine.class))
+        for (var machine : scenario.world.machinesOfType(StoreMachine.class))
             check(
                     machine.store.membership().view().manifestRow().version == version,
                     machine.name + " does not have " + version);
@@ -200,7 +200,7 @@
     @Then("key {word} ran exactly {int} time(s)")
     public void checkRunsOfKey(String key, int expected) {
         var count = scenario.world.journal.runs.stream()
-                .filter(run -> run.key.equals(key))
+                .filter(run -> run.idempotencyKey.equals(key))
                 .count();
         check(count == expected, "ran " + count + " times");
     }
@@ -220,27 +220,27 @@
     private long countRuns(String zoneOrRunner, double fromSecond, double toSecond) {
         return scenario.world.journal.runs.stream()
                 .filter(run -> (run.zone.equals(zoneOrRunner) || run.runner.equals(zoneOrRunner))
-                        && run.at >= scenario.start + (long) (fromSecond * 1e6)
-                        && run.at < scenario.start + (long) (toSecond * 1e6))
+                        && run.startedAt >= scenario.startTime + (long) (fromSecond * 1e6)
+                        && run.startedAt < scenario.startTime + (long) (toSecond * 1e6))
                 .count();
     }
 
     @Then("submission {word} was first declined as {word} within {int} ms with a retry time, and served in the end")
     public void checkDeclinedThenServed(String key, String kind, int maxDelayMillis) {
         var replies = scenario.world.journal.replies.stream()
-                .filter(reply -> reply.asked.equals(key))
-                .sorted(Comparator.comparingLong(reply -> reply.askedAt))
+                .filter(reply -> reply.workKey.equals(key))
+                .sorted(Comparator.comparingLong(reply -> reply.submittedAt))
                 .toList();
         check(!replies.isEmpty(), key + " never received a reply");
         var first = replies.get(0);
         check(
                 first.verdict.equals("declined")
-                        && ProblemKind.of(first.code).name().equals(kind)
-                        && first.retryAfter > 0,
-                key + " received " + first.verdict + " " + first.code);
+                        && ProblemKind.of(first.problemCode).name().equals(kind)
+                        && first.retryAfterMicros > 0,
+                key + " received " + first.verdict + " " + first.problemCode);
         check(
-                first.at - first.askedAt <= maxDelayMillis * 1000L,
-                key + " received its verdict after " + (first.at - first.askedAt) / 1000 + " ms");
+                first.receivedAt - first.submittedAt <= maxDelayMillis * 1000L,
+                key + " received its verdict after " + (first.receivedAt - first.submittedAt) / 1000 + " ms");
         check(
                 replies.get(replies.size() - 1).verdict.equals("whole"),
                 key + " ended as " + replies.get(replies.size() - 1).verdict);
@@ -248,42 +248,42 @@
 
     @Then("by second {double} no unit has moved")
     public void checkNoUnitMoved(double second) {
-        scenario.runTo(second);
-        check(scenario.world.journal.moves.isEmpty(), "moved: " + scenario.world.journal.moves);
+        scenario.runUntilSecond(second);
+        check(scenario.world.journal.moveCounts.isEmpty(), "moved: " + scenario.world.journal.moveCounts);
     }
 
     @Then("no unit moved more than {int} times, and {int} or more moved")
     public void checkUnitMoves(int maxMovesPerUnit, int minMovedUnits) {
-        var mostMoves = scenario.world.journal.moves.values().stream()
+        var mostMoves = scenario.world.journal.moveCounts.values().stream()
                 .mapToInt(moves -> moves)
                 .max()
                 .orElse(0);
         check(
                 mostMoves <= maxMovesPerUnit,
-                "a unit moved " + mostMoves + " times: " + scenario.world.journal.moves
-                        + scenario.world.timeline.draw());
+                "a unit moved " + mostMoves + " times: " + scenario.world.journal.moveCounts
+                        + scenario.world.timeline.render());
         check(
-                scenario.world.journal.moves.size() >= minMovedUnits,
-                scenario.world.journal.moves.size() + " units moved\n" + scenario.world.timeline.draw());
+                scenario.world.journal.moveCounts.size() >= minMovedUnits,
+                scenario.world.journal.moveCounts.size() + " units moved\n" + scenario.world.timeline.render());
     }
 
     @Then("after second {double} no submission that may run outside {word} was declined")
     public void checkNoneDeclinedOutside(double second, String region) {
         var declined = scenario.world.journal.replies.stream()
-                .filter(reply -> reply.askedAt >= scenario.start + (long) (second * 1e6)
+                .filter(reply -> reply.submittedAt >= scenario.startTime + (long) (second * 1e6)
                         && reply.verdict.equals("declined")
-                        && !reply.regions.equals(region))
+                        && !reply.allowedRegions.equals(region))
                 .toList();
         check(
                 declined.isEmpty(),
                 declined.size() + " were, first "
-                        + (declined.isEmpty() ? "" : declined.get(0).sub + " " + declined.get(0).code));
+                        + (declined.isEmpty() ? "" : declined.get(0).submissionId + " " + declined.get(0).problemCode));
     }
 
     @Then("after second {double} at most {int} submissions in a hundred were declined")
     public void checkFewDeclined(double second, int maxPercent) {
         var replies = scenario.world.journal.replies.stream()
-                .filter(reply -> reply.askedAt >= scenario.start + (long) (second * 1e6))
+                .filter(reply -> reply.submittedAt >= scenario.startTime + (long) (second * 1e6))
                 .toList();
         var declined = replies.stream()
                 .filter(reply -> reply.verdict.equals("declined"))
@@ -291,8 +291,8 @@
         check(
                 replies.size() > 10 && declined * 100 <= maxPercent * replies.size(),
                 declined + " of " + replies.size() + " were declined "
-                        + scenario.world.journal.summary(scenario.start + (long) (second * 1e6)) + "\n"
-                        + scenario.world.timeline.draw());
+                        + scenario.world.journal.countReplies(scenario.startTime + (long) (second * 1e6)) + "\n"
+                        + scenario.world.timeline.render());
     }
 
     @Then("verdict {word} was reported at least {int} time(s)")
@@ -305,10 +305,10 @@
 
     @Then("service in {word} resumed within the limit after second {double}")
     public void checkServiceResumed(String zone, double second) {
-        var fromMicros = scenario.start + (long) (second * 1e6);
+        var fromMicros = scenario.startTime + (long) (second * 1e6);
         var firstRun = scenario.world.journal.runs.stream()
-                .filter(run -> run.zone.equals(zone) && run.at >= fromMicros && run.whole)
-                .mapToLong(run -> run.at)
+                .filter(run -> run.zone.equals(zone) && run.startedAt >= fromMicros && run.complete)
+                .mapToLong(run -> run.startedAt)
                 .min();
         check(
                 firstRun.isPresent() && firstRun.getAsLong() - fromMicros <= Limit.RETURN.micros(),
@@ -317,12 +317,12 @@
 
     @Then("the runner {word} is {word} at every live router")
     public void checkRunnerState(String runner, String state) {
-        for (var machine : scenario.world.all(RouterMachine.class)) {
+        for (var machine : scenario.world.machinesOfType(RouterMachine.class)) {
             var row = machine.router
                     .membership()
                     .view()
                     .services()
-                    .get(scenario.world.service)
+                    .get(scenario.world.serviceName)
                     .runners
                     .get(runner);
             check(
@@ -333,35 +333,35 @@
 
     @Given("a fleet with the previous wire version under seed {long}")
     public void createFleetOfPreviousVersion(long seed) {
-        scenario = Shape.SMALL.scenario(seed, Node.WIRE_VERSION - 1);
+        scenario = FleetShape.SMALL.createScenario(seed, Node.WIRE_VERSION - 1);
     }
 
     @Then("seeds {long} to {long} of random faults on the {word} fleet keep every promise")
     public void runRandomFaults(long firstSeed, long lastSeed, String shape) {
-        var fleetShape = Shape.named(shape);
+        var fleetShape = FleetShape.byName(shape);
         var failed = LongStream.rangeClosed(firstSeed, lastSeed)
                 .parallel()
-                .mapToObj(seed -> Chaos.run(fleetShape, seed, Chaos.faults(fleetShape, seed)))
-                .filter(result -> !result.wrong().isEmpty())
+                .mapToObj(seed -> RandomFaultRun.run(fleetShape, seed, RandomFaultRun.drawFaults(fleetShape, seed)))
+                .filter(result -> !result.violations().isEmpty())
                 .findFirst();
         if (failed.isEmpty()) return;
         var shortestSchedule =
-                Chaos.shortest(fleetShape, failed.get().seed(), failed.get().faults());
+                RandomFaultRun.minimize(fleetShape, failed.get().seed(), failed.get().faults());
         throw new AssertionError("seed " + failed.get().seed() + ": "
-                + failed.get().wrong() + "\nshortest schedule: " + shortestSchedule + "\n"
-                + Chaos.run(fleetShape, failed.get().seed(), shortestSchedule).timeline());
+                + failed.get().violations() + "\nshortest schedule: " + shortestSchedule + "\n"
+                + RandomFaultRun.run(fleetShape, failed.get().seed(), shortestSchedule).timeline());
     }
 
     @Then("days {long} to {long} on the {word} fleet keep every promise")
     public void runDays(long firstSeed, long lastSeed, String shape) {
         var failed = LongStream.rangeClosed(firstSeed, lastSeed)
                 .parallel()
-                .mapToObj(seed -> Day.run(Shape.named(shape), seed))
-                .filter(result -> !result.wrong().isEmpty())
+                .mapToObj(seed -> SimulatedDay.run(FleetShape.byName(shape), seed))
+                .filter(result -> !result.violations().isEmpty())
                 .findFirst();
         if (failed.isPresent())
             throw new AssertionError("day " + failed.get().seed() + ": "
-                    + failed.get().wrong() + "\n" + failed.get().timeline());
+                    + failed.get().violations() + "\n" + failed.get().timeline());
     }
 
     private void check(boolean condition, String message) {
--- a/test/sim/src/main/java/craneway/sim/AttemptBudget.java
+++ b/test/sim/src/main/java/craneway/sim/AttemptBudget.java
@@ -9,48 +9,48 @@
 
     private final Journal j;
     private final Map<String, Long> warmUp;
-    private final Checks out;
+    private final PromiseChecker out;
 
-    AttemptBudget(Journal j, Map<String, Long> warmUp, Checks out) {
+    AttemptBudget(Journal j, Map<String, Long> warmUp, PromiseChecker out) {
         this.j = j;
         this.warmUp = warmUp;
         this.out = out;
     }
 
     void check() {
-        for (var r : j.runs) if (r.cold) cold(r);
+        for (var r : j.runs) if (r.runnerCold) cold(r);
         tries();
     }
 
     private void cold(Journal.Run r) {
         var ramp = warmUp.getOrDefault(r.service, 5_000_000L);
-        var permitted = Math.max(1, r.slots * (r.at - r.bornAt) / ramp);
-        out.worst(Limit.COLD, r.running - permitted);
-        if (r.running > permitted)
-            out.wrong("promise 10: cold " + r.runner + " had " + r.running + " of " + r.slots + " slots in use "
-                    + (r.at - r.bornAt) / 1000 + " ms after its start; its ramp permits " + permitted);
+        var permitted = Math.max(1, r.slots * (r.startedAt - r.runnerStartedAt) / ramp);
+        out.worstValues(Limit.COLD, r.concurrentRuns - permitted);
+        if (r.concurrentRuns > permitted)
+            out.wrong("promise 10: cold " + r.runner + " had " + r.concurrentRuns + " of " + r.slots + " slots in use "
+                    + (r.startedAt - r.runnerStartedAt) / 1000 + " ms after its start; its ramp permits " + permitted);
     }
 
     private void tries() {
         var runs = new HashMap<Long, Integer>();
         var seen = new HashMap<String, Integer>();
-        for (var r : j.runs) if (seen.merge(r.sub, 1, Integer::sum) > 1) runs.merge(r.at, 1, Integer::sum);
+        for (var r : j.runs) if (seen.merge(r.submissionId, 1, Integer::sum) > 1) runs.merge(r.startedAt, 1, Integer::sum);
         extra("runs", runs);
         var forwards = new HashMap<Long, Integer>();
         seen.clear();
-        for (var f : j.forwards) if (seen.merge(f.sub(), 1, Integer::sum) > 1) forwards.merge(f.at(), 1, Integer::sum);
+        for (var f : j.forwards) if (seen.merge(f.submissionId(), 1, Integer::sum) > 1) forwards.merge(f.forwardedAt(), 1, Integer::sum);
         extra("forwards", forwards);
     }
 
     private void extra(String what, Map<Long, Integer> at) {
         var all = sum(at.values());
-        budget(what, all, j.submissions, "the whole run");
+        budget(what, all, j.submissionCount, "the whole run");
         for (var from : at.keySet()) {
             var n = at.entrySet().stream()
                     .filter(e -> e.getKey() >= from && e.getKey() < from + WINDOW)
                     .mapToInt(Map.Entry::getValue)
                     .sum();
-            var real = j.submittedAt.stream()
+            var real = j.submissionTimes.stream()
                     .filter(s -> s >= from && s < from + WINDOW)
                     .count();
             budget(what, n, real, "the 10 s from " + from / 1e6 + " s");
@@ -63,8 +63,8 @@
 
     private void budget(String what, int extra, long real, String when) {
         var past = extra - Limit.TRIES.value * real;
-        out.worst(Limit.ALLOWANCE, Math.max(0, past));
-        if (real > 0) out.worst(Limit.TRIES, extra / (double) real);
+        out.worstValues(Limit.ALLOWANCE, Math.max(0, past));
+        if (real > 0) out.worstValues(Limit.TRIES, extra / (double) real);
         if (past > Limit.ALLOWANCE.value)
             out.wrong("promise 11: " + extra + " extra " + what + " for " + real + " submissions in " + when);
     }
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -10,7 +10,7 @@
     private static final int ASKS = 6;
 
     public record Work(
-            String service, String tenant, String work, boolean once, String regions, int tokens, int deadlineMillis) {}
+            String service, String tenant, String workClass, boolean runOnce, String allowedRegions, int tokens, int deadlineMillis) {}
 
     private int count;
     private int keys;
@@ -34,43 +34,43 @@
     public void submit(Work w, String key, int askNo) {
         var all = world.readyRouters(zone);
         if (all.isEmpty()) {
-            mineAfter(500_000, () -> {
+            scheduleAfter(500_000, () -> {
                 if (askNo < ASKS) submit(w, key, askNo + 1);
             });
             return;
         }
         var to = all.get(world.sim.random.nextInt(all.size()));
         var told = new Journal.Reply();
-        told.askedAt = now();
-        told.sub = name + "-" + count++;
-        told.key = w.once ? key : "";
+        told.submittedAt = now();
+        told.submissionId = name + "-" + count++;
+        told.idempotencyKey = w.runOnce ? key : "";
         told.tenant = w.tenant;
         told.zone = zone;
-        told.regions = w.regions;
+        told.allowedRegions = w.allowedRegions;
         told.tokens = w.tokens;
         told.deadlineMillis = w.deadlineMillis;
-        told.asked = key;
+        told.workKey = key;
         told.router = to.name;
-        world.journal.submissions++;
-        world.journal.submittedAt.add(now());
+        world.journal.submissionCount++;
+        world.journal.submissionTimes.add(now());
         var h = new HashMap<String, String>();
         h.put(HttpExchange.TENANT_HEADER, w.tenant);
-        h.put(HttpExchange.WORK_HEADER, w.work);
+        h.put(HttpExchange.WORK_HEADER, w.workClass);
         h.put(HttpExchange.DEADLINE_MS_HEADER, Integer.toString(w.deadlineMillis));
-        if (w.once) h.put(HttpExchange.KEY_HEADER, key);
-        if (!w.regions.isEmpty()) h.put(HttpExchange.REGIONS_HEADER, w.regions);
-        var body = w.service + " " + told.sub + " " + (w.once ? key : "-") + " " + w.tokens;
-        world.open(this, to.address, HttpExchange.RUNNER_PATH, h, body.getBytes(), new ReplySink(told, w, key, askNo));
+        if (w.runOnce) h.put(HttpExchange.KEY_HEADER, key);
+        if (!w.allowedRegions.isEmpty()) h.put(HttpExchange.REGIONS_HEADER, w.allowedRegions);
+        var body = w.service + " " + told.submissionId + " " + (w.runOnce ? key : "-") + " " + w.tokens;
+        world.openRequest(this, to.address, HttpExchange.RUNNER_PATH, h, body.getBytes(), new ReplySink(told, w, key, askNo));
     }
 
     private void over(Journal.Reply t, Work w, String key, int askNo) {
-        t.at = now();
+        t.receivedAt = now();
         world.journal.replies.add(t);
-        var again = t.verdict.equals("declined") && t.retryAfter > 0
+        var again = t.verdict.equals("declined") && t.retryAfterMicros > 0
                 || t.verdict.equals("refused")
                 || t.verdict.equals("lost")
                 || t.verdict.equals("cut");
-        if (again && askNo < ASKS) mineAfter(Math.max(200_000, t.retryAfter), () -> submit(w, key, askNo + 1));
+        if (again && askNo < ASKS) scheduleAfter(Math.max(200_000, t.retryAfterMicros), () -> submit(w, key, askNo + 1));
     }
 
     private final class ReplySink implements HttpExchange.ResponseListener {
@@ -113,9 +113,9 @@
         @Override
         public void onEnd() {
             if (code != 200) {
-                told.code = Integer.parseInt(headers.get(HttpExchange.PROBLEM_HEADER));
-                told.retryAfter = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS_HEADER));
-                say(ProblemKind.of(told.code).workOutcome().name().toLowerCase());
+                told.problemCode = Integer.parseInt(headers.get(HttpExchange.PROBLEM_HEADER));
+                told.retryAfterMicros = Long.parseLong(headers.get(HttpExchange.RETRY_MICROS_HEADER));
+                say(ProblemKind.of(told.problemCode).workOutcome().name().toLowerCase());
                 return;
             }
             say(complete() ? "whole" : "false-end");
--- a/test/sim/src/main/java/craneway/sim/Limit.java
+++ b/test/sim/src/main/java/craneway/sim/Limit.java
@@ -11,11 +11,11 @@
     WAIT("share of the deadline before a decline", 0.5),
     RETURN("s, service after a region comes back", 12);
 
-    public final String words;
+    public final String description;
     public final double value;
 
     Limit(String words, double value) {
-        this.words = words;
+        this.description = words;
         this.value = value;
     }
 
--- a/test/sim/src/main/java/craneway/sim/Machine.java
+++ b/test/sim/src/main/java/craneway/sim/Machine.java
@@ -12,9 +12,9 @@
     public String address;
     protected final World world;
     private final Deque<Runnable> held = new ArrayDeque<>();
-    private boolean up;
-    private boolean frozen;
-    private int life;
+    private boolean isRunning;
+    private boolean isFrozen;
+    private int processNumber;
     /** Rises with each start and each stop, so that a pending restart knows that it was overtaken. */
     private int starts;
 
@@ -25,16 +25,16 @@
         this.address = address;
     }
 
-    public boolean up() {
-        return up;
+    public boolean isRunning() {
+        return isRunning;
     }
 
-    public boolean frozen() {
-        return frozen;
+    public boolean isFrozen() {
+        return isFrozen;
     }
 
-    public int life() {
-        return life;
+    public int processNumber() {
+        return processNumber;
     }
 
     public long now() {
@@ -43,19 +43,19 @@
 
     /** Starts the process; one that ends at its start, since it cannot write to its disk, is started again by the platform. */
     public void start() {
-        if (up) return;
+        if (isRunning) return;
         var mine = ++starts;
-        up = true;
-        frozen = false;
-        life++;
+        isRunning = true;
+        isFrozen = false;
+        processNumber++;
         try {
             boot();
         } catch (DiskException e) {
-            up = false;
-            world.sim.after(RESTART_PAUSE, () -> startAgain(mine));
+            isRunning = false;
+            world.sim.scheduleAfter(RESTART_PAUSE, () -> startAgain(mine));
             return;
         }
-        beat(life);
+        beat(processNumber);
     }
 
     private void startAgain(int of) {
@@ -63,55 +63,55 @@
     }
 
     private void beat(int of) {
-        if (!up || life != of) return;
-        run(this::tick);
-        world.sim.after(World.TICK, () -> beat(of));
+        if (!isRunning || processNumber != of) return;
+        runOrDefer(this::tick);
+        world.sim.scheduleAfter(World.TICK, () -> beat(of));
     }
 
     public void crash() {
         starts++;
-        if (!up) return;
-        up = false;
-        frozen = false;
+        if (!isRunning) return;
+        isRunning = false;
+        isFrozen = false;
         thaw();
         held.clear();
-        life++;
-        died();
+        processNumber++;
+        processEnded();
     }
 
     public void freeze() {
-        if (!up || frozen) return;
-        frozen = true;
-        world.journal.frozen.add(new Journal.Down(name, now(), new long[] {Long.MAX_VALUE}));
+        if (!isRunning || isFrozen) return;
+        isFrozen = true;
+        world.journal.freezes.add(new Journal.Outage(name, now(), new long[] {Long.MAX_VALUE}));
     }
 
     private void thaw() {
-        for (var d : world.journal.frozen) if (d.node().equals(name)) d.until()[0] = Math.min(d.until()[0], now());
+        for (var d : world.journal.freezes) if (d.node().equals(name)) d.endedAt()[0] = Math.min(d.endedAt()[0], now());
     }
 
-    public void wake() {
-        if (!frozen) return;
-        frozen = false;
+    public void resume() {
+        if (!isFrozen) return;
+        isFrozen = false;
         thaw();
-        while (!frozen && !held.isEmpty()) held.poll().run();
+        while (!isFrozen && !held.isEmpty()) held.poll().run();
     }
 
-    public void run(Runnable what) {
-        if (frozen) held.add(what);
+    public void runOrDefer(Runnable what) {
+        if (isFrozen) held.add(what);
         else what.run();
     }
 
-    public void mine(Runnable what) {
-        var of = life;
-        world.sim.after(0, () -> {
-            if (up && life == of) run(what);
+    public void schedule(Runnable what) {
+        var of = processNumber;
+        world.sim.scheduleAfter(0, () -> {
+            if (isRunning && processNumber == of) runOrDefer(what);
         });
     }
 
-    public void mineAfter(long micros, Runnable what) {
-        var of = life;
-        world.sim.after(micros, () -> {
-            if (up && life == of) run(what);
+    public void scheduleAfter(long micros, Runnable what) {
+        var of = processNumber;
+        world.sim.scheduleAfter(micros, () -> {
+            if (isRunning && processNumber == of) runOrDefer(what);
         });
     }
 
@@ -119,7 +119,7 @@
 
     protected abstract void tick();
 
-    protected void died() {
-        world.broke(this);
+    protected void processEnded() {
+        world.breakConnections(this);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/NodePort.java
+++ b/test/sim/src/main/java/craneway/sim/NodePort.java
@@ -17,7 +17,7 @@
 
     NodePort(Machine of) {
         this.of = of;
-        this.life = of.life();
+        this.life = of.processNumber();
     }
 
     @Override
@@ -27,17 +27,17 @@
 
     @Override
     public void send(String address, Object message) {
-        if (of.life() != life) return;
+        if (of.processNumber() != life) return;
         var b = Codec.encodeTagged(message);
         var core = ((Receiver) of).core();
         of.world.net.send(of, address, () -> {
-            if (of.world.net.at(address) instanceof Receiver r
+            if (of.world.net.machineAt(address) instanceof Receiver r
                     && (message instanceof Hello || core == 0 || r.core() == 0 || r.core() == core)) r.receive(b);
         });
     }
 
     @Override
     public void logEvent(Event e, String detail) {
-        of.world.timeline.note(of.now(), of.name, "CW" + e.code() + " " + detail);
+        of.world.timeline.add(of.now(), of.name, "CW" + e.code() + " " + detail);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Chaos.java
+++ b/test/sim/src/main/java/craneway/sim/RandomFaultRun.java
@@ -4,26 +4,26 @@
 import java.util.List;
 import java.util.Random;
 
-public final class Chaos {
-    public record Fault(double at, String node, String what) {
-        public String text() {
-            return String.format("%.2f %s %s", at, node, what);
+public final class RandomFaultRun {
+    public record Fault(double second, String target, String action) {
+        public String describe() {
+            return String.format("%.2f %s %s", second, target, action);
         }
     }
 
     public record Result(
-            long seed, List<Fault> faults, List<String> wrong, Checks checks, String timeline, int submissions) {}
+            long seed, List<Fault> faults, List<String> violations, PromiseChecker checks, String timeline, int submissions) {}
 
     private static final double END = 40, REPAIR = 18;
 
-    private Chaos() {}
+    private RandomFaultRun() {}
 
-    public static List<Fault> faults(Shape shape, long seed) {
+    public static List<Fault> drawFaults(FleetShape shape, long seed) {
         var r = new Random(seed * 7919 + shape.name().hashCode());
         var all = new ArrayList<Fault>();
         var n = 2 + r.nextInt(6);
         for (var i = 0; i < n; i++) add(shape, all, r, 1 + r.nextDouble() * (END - 6));
-        all.sort((a, b) -> Double.compare(a.at, b.at));
+        all.sort((a, b) -> Double.compare(a.second, b.second));
         var kept = repaired(all);
         last(shape, kept, r);
         return kept;
@@ -33,34 +33,34 @@
         var since = Double.NEGATIVE_INFINITY;
         for (var i = 0; i < all.size(); i++) {
             var f = all.get(i);
-            if (!f.what.equals("disk-loss")) continue;
-            if (f.at < since + REPAIR) all.set(i, new Fault(f.at, f.node, "power-loss"));
-            else since = f.at + 10;
+            if (!f.action.equals("disk-loss")) continue;
+            if (f.second < since + REPAIR) all.set(i, new Fault(f.second, f.target, "power-loss"));
+            else since = f.second + 10;
         }
         return all;
     }
 
-    private static void last(Shape shape, List<Fault> all, Random r) {
+    private static void last(FleetShape shape, List<Fault> all, Random r) {
         var z = r.nextInt(3);
         switch (r.nextInt(4)) {
             case 0 -> {
-                var whole = all.stream().noneMatch(f -> f.what.equals("disk-loss") && f.at > END + 4 - REPAIR - 10);
+                var whole = all.stream().noneMatch(f -> f.action.equals("disk-loss") && f.second > END + 4 - REPAIR - 10);
                 if (whole) all.add(new Fault(END + 4, "store-" + (1 + z), "kill"));
             }
             case 1 -> all.add(new Fault(END + 4, "router-" + (1 + z) + "-1", "kill"));
-            case 2 -> all.add(new Fault(END + 4, shape.runner(0, 1), "kill"));
+            case 2 -> all.add(new Fault(END + 4, shape.runnerName(0, 1), "kill"));
             default -> {}
         }
     }
 
-    private static void add(Shape shape, List<Fault> all, Random r, double at) {
+    private static void add(FleetShape shape, List<Fault> all, Random r, double at) {
         var until = Math.min(END - 1, at + 0.5 + r.nextDouble() * 10);
         var z = r.nextInt(3);
-        var zone = shape.zones().get(z);
-        var other = shape.zones().get((z + 1) % 3);
+        var zone = shape.zoneNames().get(z);
+        var other = shape.zoneNames().get((z + 1) % 3);
         var store = "store-" + (z + 1);
-        var router = "router-" + (z + 1) + "-" + (1 + r.nextInt(shape.routers()[z]));
-        var runner = shape.runner(z, r.nextInt(2));
+        var router = "router-" + (z + 1) + "-" + (1 + r.nextInt(shape.routersPerZone()[z]));
+        var runner = shape.runnerName(z, r.nextInt(2));
         var node = List.of(store, router, runner).get(r.nextInt(3));
         switch (r.nextInt(22)) {
             case 0 -> pair(all, at, node, "kill", until, "start");
@@ -115,55 +115,55 @@
         for (var i = 3; i < x.length; i += 2) all.add(new Fault((Double) x[i], node, (String) x[i + 1]));
     }
 
-    public static Result run(Shape shape, long seed, List<Fault> faults) {
-        var s = shape.scenario(seed);
-        s.world.warmStart = false;
-        s.traffic(120_000);
+    public static Result run(FleetShape shape, long seed, List<Fault> faults) {
+        var s = shape.createScenario(seed);
+        s.world.runnersStartWarm = false;
+        s.startTraffic(120_000);
         for (var f : faults) {
-            if (f.at >= END) continue;
-            s.runTo(f.at);
-            s.act(f.node, f.what);
+            if (f.second >= END) continue;
+            s.runUntilSecond(f.second);
+            s.perform(f.target, f.action);
         }
-        s.runTo(END);
+        s.runUntilSecond(END);
         heal(s);
         for (var f : faults) {
-            if (f.at < END) continue;
-            s.runTo(f.at);
-            s.act(f.node, f.what);
+            if (f.second < END) continue;
+            s.runUntilSecond(f.second);
+            s.perform(f.target, f.action);
         }
         var from = END + 17;
-        s.runTo(from + 10);
-        s.quiet();
-        s.runTo(from + 50);
-        var c = s.checks();
-        var wrong = new ArrayList<>(c.all());
-        wrong.addAll(c.unserved(s.start + (long) (from * 1e6)));
-        return new Result(seed, faults, wrong, c, s.world.timeline.draw(), s.world.journal.submissions);
+        s.runUntilSecond(from + 10);
+        s.stopTraffic();
+        s.runUntilSecond(from + 50);
+        var c = s.createChecker();
+        var wrong = new ArrayList<>(c.checkAll());
+        wrong.addAll(c.findUnserved(s.startTime + (long) (from * 1e6)));
+        return new Result(seed, faults, wrong, c, s.world.timeline.render(), s.world.journal.submissionCount);
     }
 
     private static void heal(Scenario s) {
         s.world.net.heal();
         for (var m : s.world.machines.values()) {
             if (m instanceof StoreMachine d) {
-                d.disk.full(false);
-                d.stall(false);
+                d.disk.setFull(false);
+                d.setDiskStalled(false);
             }
-            if (m instanceof RunnerMachine r) r.dark(false);
-            m.wake();
-            if (!m.up()) m.start();
+            if (m instanceof RunnerMachine r) r.setSilent(false);
+            m.resume();
+            if (!m.isRunning()) m.start();
         }
-        s.calmAll();
-        s.world.timeline.note(s.world.sim.now(), "all", "* healed");
+        s.endAllOutages();
+        s.world.timeline.add(s.world.sim.now(), "all", "* healed");
     }
 
-    public static List<Fault> shortest(Shape shape, long seed, List<Fault> faults) {
+    public static List<Fault> minimize(FleetShape shape, long seed, List<Fault> faults) {
         var best = faults;
         for (var smaller = true; smaller; ) {
             smaller = false;
             for (var i = 0; i < best.size() && !smaller; i++) {
                 var tried = new ArrayList<>(best);
                 tried.remove(i);
-                if (run(shape, seed, tried).wrong.isEmpty()) continue;
+                if (run(shape, seed, tried).violations.isEmpty()) continue;
                 best = tried;
                 smaller = true;
             }
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -29,36 +29,36 @@
         var port = new NodePort(this);
         leaving = false;
         router =
-                new Router(port, world.node(this, Node.ROUTER), world.seeds(), new Random(world.sim.random.nextLong()));
+                new Router(port, world.newIdentity(this, Node.ROUTER), world.seedAddresses(), new Random(world.sim.random.nextLong()));
         operator = new OperatorCommands(port, router.coreClient());
     }
 
     @Override
     protected void tick() {
         if (router.membership().isSuperseded()) {
-            mine(this::crash);
+            schedule(this::crash);
             return;
         }
         router.tick();
         operator.tick(now());
-        world.sees(this, router.membership().view());
+        world.recordManifest(this, router.membership().view());
         if (leaving && router.requestExecutor().openRequests() == 0)
-            mine(() -> {
+            schedule(() -> {
                 router.membership().leave(now());
-                mineAfter(100_000, this::crash);
+                scheduleAfter(100_000, this::crash);
             });
     }
 
-    public void stopGently() {
+    public void stopGracefully() {
         router.markUnready();
-        mineAfter(2_200_000, () -> {
+        scheduleAfter(2_200_000, () -> {
             router.requestExecutor().stopAccepting();
             leaving = true;
         });
     }
 
-    public boolean ready() {
-        return up() && !frozen() && router.isReady();
+    public boolean isReady() {
+        return isRunning() && !isFrozen() && router.isReady();
     }
 
     @Override
@@ -111,13 +111,13 @@
 
         @Override
         public void runLater(Runnable step) {
-            mine(step);
+            schedule(step);
         }
 
         @Override
         public OutgoingCall openCall(
                 String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
-            return world.open(RouterMachine.this, address, path, headers, body, sink);
+            return world.openRequest(RouterMachine.this, address, path, headers, body, sink);
         }
 
         @Override
@@ -138,7 +138,7 @@
 
         @Override
         public void sendProblem(Problem p) {
-            if (!sub.isEmpty()) world.journal.saidAt.put(sub, now());
+            if (!sub.isEmpty()) world.journal.verdictSentAt.put(sub, now());
             var h = new HashMap<String, String>();
             h.put(HttpExchange.PROBLEM_HEADER, Integer.toString(p.kind().code()));
             h.put(HttpExchange.RETRY_MICROS_HEADER, Long.toString(p.retryAfterMicros()));
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -17,7 +17,7 @@
     private long born;
     private long due;
     private boolean leaving;
-    private boolean dark;
+    private boolean setSilent;
     private boolean ailing;
 
     RunnerMachine(World w, String name, String zone, String address, String service, String cell, int slots) {
@@ -31,11 +31,11 @@
         return incarnation;
     }
 
-    public void dark(boolean is) {
-        dark = is;
+    public void setSilent(boolean is) {
+        setSilent = is;
     }
 
-    public void ail(boolean is) {
+    public void setFailing(boolean is) {
         ailing = is;
     }
 
@@ -45,18 +45,18 @@
         born = now();
         due = now();
         leaving = false;
-        dark = false;
+        setSilent = false;
         ailing = false;
         running.clear();
     }
 
     private boolean cold() {
-        return now() - born < WARM_UP && !world.warmStart;
+        return now() - born < WARM_UP && !world.runnersStartWarm;
     }
 
     @Override
     protected void tick() {
-        if (leaving || dark || now() < due) return;
+        if (leaving || setSilent || now() < due) return;
         due = now() + ANNOUNCE;
         var a = new Announcement(service, name, address, cell, slots, incarnation, cold(), running.size());
         for (var r : world.routersIn(zone)) world.net.send(this, r.address, () -> r.router.announceRunner(a, v -> {}));
@@ -81,11 +81,11 @@
                         world.net.send(r, address, () -> {
                             if (acked[0] || incarnation != mine) return;
                             acked[0] = true;
-                            world.timeline.note(now(), name, "leave acknowledged");
+                            world.timeline.add(now(), name, "leave acknowledged");
                             world.journal.leaves.add(new Journal.Leave(name, mine, now()));
                         });
                 }));
-        mineAfter(1_000_000, () -> {
+        scheduleAfter(1_000_000, () -> {
             if (!acked[0] && incarnation == mine) askToLeave(turn + 1);
         });
     }
@@ -100,31 +100,31 @@
         }
         var p = new String(body).split(" ");
         var r = new Journal.Run();
-        r.at = now();
+        r.startedAt = now();
         r.runner = name;
         r.incarnation = incarnation;
         r.zone = zone;
         r.cell = cell;
         r.service = service;
-        r.sub = p[1];
-        r.key = p[2].equals("-") ? "" : p[2];
+        r.submissionId = p[1];
+        r.idempotencyKey = p[2].equals("-") ? "" : p[2];
         r.tenant = h.get(HttpExchange.TENANT_HEADER);
         r.tokens = Integer.parseInt(p[3]);
-        r.cold = cold();
-        r.bornAt = born;
-        r.regions = h.getOrDefault(HttpExchange.REGIONS_HEADER, "");
-        r.manifest = Long.parseLong(h.get(HttpExchange.MANIFEST_VERSION_HEADER));
-        r.table = Long.parseLong(h.get(HttpExchange.TABLE_VERSION_HEADER));
+        r.runnerCold = cold();
+        r.runnerStartedAt = born;
+        r.allowedRegions = h.getOrDefault(HttpExchange.REGIONS_HEADER, "");
+        r.manifestVersion = Long.parseLong(h.get(HttpExchange.MANIFEST_VERSION_HEADER));
+        r.tableVersion = Long.parseLong(h.get(HttpExchange.TABLE_VERSION_HEADER));
         r.slots = slots;
         running.add(r);
-        r.running = running.size();
+        r.concurrentRuns = running.size();
         world.journal.runs.add(r);
         var over = new boolean[1];
         s.onCancel(() -> {
             over[0] = true;
             running.remove(r);
         });
-        mineAfter(PREFILL, () -> {
+        scheduleAfter(PREFILL, () -> {
             if (over[0]) return;
             if (ailing) {
                 over[0] = true;
@@ -141,13 +141,13 @@
         if (over[0]) return;
         if (i < r.tokens) {
             s.chunk(("data: " + i + "\n\n").getBytes());
-            mineAfter(TOKEN, () -> token(s, r, i + 1, over));
+            scheduleAfter(TOKEN, () -> token(s, r, i + 1, over));
             return;
         }
         s.chunk("data: [DONE]\n\n".getBytes());
         s.end();
         r.endedAt = now();
-        r.whole = true;
+        r.complete = true;
         running.remove(r);
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -10,34 +10,34 @@
     private static final long SECOND = 1_000_000;
 
     public final World world;
-    public final List<String> answers = new ArrayList<>();
-    public final long start;
+    public final List<String> operatorAnswers = new ArrayList<>();
+    public final long startTime;
     private final Random random;
     private long pause = 40_000;
-    private boolean traffic;
-    private int swing = 20;
+    private boolean startTraffic;
+    private int setTokenSpread = 20;
 
     public Scenario(long seed, String manifest, int[] routers, int slots, int wire) {
         world = new World(seed, manifest, routers, slots);
-        world.wire = wire;
+        world.wireVersion = wire;
         random = new Random(seed ^ 0x5eed);
-        world.found();
-        start = world.sim.now();
+        world.bootstrap();
+        startTime = world.sim.now();
     }
 
-    public void traffic(long pauseMicros) {
+    public void startTraffic(long pauseMicros) {
         pause = pauseMicros;
-        if (traffic) return;
-        traffic = true;
-        for (var r : world.all(ClientMachine.class)) next(r);
+        if (startTraffic) return;
+        startTraffic = true;
+        for (var r : world.machinesOfType(ClientMachine.class)) next(r);
     }
 
-    public void swing(int tokens) {
-        swing = tokens;
+    public void setTokenSpread(int tokens) {
+        setTokenSpread = tokens;
     }
 
-    public void quiet() {
-        traffic = false;
+    public void stopTraffic() {
+        startTraffic = false;
     }
 
     private record Once(ClientMachine.Work work, String key) {}
@@ -45,20 +45,20 @@
     private final List<Once> asked = new ArrayList<>();
 
     private void next(ClientMachine r) {
-        if (!traffic) return;
+        if (!startTraffic) return;
         if (!asked.isEmpty() && random.nextInt(20) == 0) {
             var o = asked.get(random.nextInt(asked.size()));
             r.submit(o.work, o.key, 1);
         } else {
-            var w = work();
+            var w = drawWork();
             var key = r.submit(w);
-            if (w.once()) asked.add(new Once(w, key));
+            if (w.runOnce()) asked.add(new Once(w, key));
             if (asked.size() > 30) asked.remove(0);
         }
-        world.sim.after((long) (pause * (0.5 + random.nextDouble())), () -> next(r));
+        world.sim.scheduleAfter((long) (pause * (0.5 + random.nextDouble())), () -> next(r));
     }
 
-    public ClientMachine.Work work() {
+    public ClientMachine.Work drawWork() {
         var n = random.nextInt(10);
         var named = List.copyOf(world.manifest.tenants().keySet());
         var tenant =
@@ -74,20 +74,20 @@
         var k = random.nextInt(10);
         var w = kinds.get(k < 5 ? 0 : k < 8 ? 1 % kinds.size() : 2 % kinds.size());
         return new ClientMachine.Work(
-                service.name(), tenant, w.name(), w.runOnce(), regions, 3 + random.nextInt(Math.max(1, swing)), 20_000);
+                service.name(), tenant, w.name(), w.runOnce(), regions, 3 + random.nextInt(Math.max(1, setTokenSpread)), 20_000);
     }
 
-    public void runTo(double seconds) {
-        world.sim.runUntil(start + (long) (seconds * SECOND));
+    public void runUntilSecond(double seconds) {
+        world.sim.runUntil(startTime + (long) (seconds * SECOND));
     }
 
-    public void runOn(double seconds) {
+    public void runForSeconds(double seconds) {
         world.sim.runUntil(world.sim.now() + (long) (seconds * SECOND));
     }
 
-    public void act(String node, String what) {
+    public void perform(String node, String what) {
         var w = world;
-        w.timeline.note(w.sim.now(), node, "* " + what);
+        w.timeline.add(w.sim.now(), node, "* " + what);
         var p = what.split(" ");
         if (node.equals("operator")) operate(p);
         else if (node.equals("net")) network(p);
@@ -103,13 +103,13 @@
     private void operate(String[] p) {
         var at = p.length > 2 ? p[2] : "store-1";
         switch (p[0]) {
-            case "empty" -> world.emptyZone(p[1], at, answers::add);
-            case "take-back" -> world.takeBack(p[1], at, answers::add);
-            case "empty-cell" -> world.emptyCell(p[1], at, answers::add);
-            case "take-back-cell" -> world.takeBackCell(p[1], at, answers::add);
-            case "keep" -> world.keep(p[1], List.of(p[3].split(",")), at, answers::add);
-            case "accept-claims" -> world.acceptClaims(p[1], answers::add);
-            case "send" -> world.send(variant(p[1]), Long.parseLong(p[3]), at);
+            case "empty" -> world.emptyZone(p[1], at, operatorAnswers::add);
+            case "take-back" -> world.takeBackZone(p[1], at, operatorAnswers::add);
+            case "empty-cell" -> world.emptyCell(p[1], at, operatorAnswers::add);
+            case "take-back-cell" -> world.takeBackCell(p[1], at, operatorAnswers::add);
+            case "keep" -> world.keepTenant(p[1], List.of(p[3].split(",")), at, operatorAnswers::add);
+            case "accept-claims" -> world.acceptClaims(p[1], operatorAnswers::add);
+            case "send" -> world.sendManifest(manifestVariant(p[1]), Long.parseLong(p[3]), at);
             default -> throw new IllegalArgumentException("an operator does not " + p[0]);
         }
     }
@@ -117,14 +117,14 @@
     private void network(String[] p) {
         var share = Double.parseDouble(p[1]);
         switch (p[0]) {
-            case "drop" -> world.net.dropped(share);
-            case "double" -> world.net.doubled(share);
-            case "delay" -> world.net.delayed(share);
+            case "drop" -> world.net.setDropShare(share);
+            case "double" -> world.net.setDuplicateShare(share);
+            case "delay" -> world.net.setDelayShare(share);
             default -> throw new IllegalArgumentException("a network does not " + p[0]);
         }
     }
 
-    public String variant(String mark) {
+    public String manifestVariant(String mark) {
         if (mark.equals("invalid"))
             return world.manifestText
                     .replace("\"regions\": [", "\"regions\": [\"nowhere\", ")
@@ -172,21 +172,21 @@
         }
     }
 
-    private final Map<String, Journal.Down> troubles = new HashMap<>();
+    private final Map<String, Journal.Outage> troubles = new HashMap<>();
 
     private void trouble(String node) {
         if (troubles.containsKey(node)) return;
-        var d = new Journal.Down(node, world.sim.now(), new long[] {Long.MAX_VALUE});
+        var d = new Journal.Outage(node, world.sim.now(), new long[] {Long.MAX_VALUE});
         troubles.put(node, d);
-        world.journal.troubles.add(d);
+        world.journal.outages.add(d);
     }
 
     private void calm(String node) {
         var d = troubles.remove(node);
-        if (d != null) d.until()[0] = world.sim.now();
+        if (d != null) d.endedAt()[0] = world.sim.now();
     }
 
-    void calmAll() {
+    void endAllOutages() {
         List.copyOf(troubles.keySet()).forEach(this::calm);
     }
 
@@ -205,7 +205,7 @@
                 m.freeze();
             }
             case "wake" -> {
-                m.wake();
+                m.resume();
                 calm(m.name);
             }
             case "power-loss" -> {
@@ -216,24 +216,24 @@
             case "disk-loss" -> {
                 trouble(m.name);
                 m.crash();
-                ((StoreMachine) m).disk.loseAll();
+                ((StoreMachine) m).disk.wipe();
             }
             case "disk-damage" -> damage((StoreMachine) m);
-            case "disk-full" -> ((StoreMachine) m).disk.full(true);
-            case "disk-free" -> ((StoreMachine) m).disk.full(false);
+            case "disk-full" -> ((StoreMachine) m).disk.setFull(true);
+            case "disk-free" -> ((StoreMachine) m).disk.setFull(false);
             case "disk-stall" -> {
                 trouble(m.name);
-                ((StoreMachine) m).stall(true);
+                ((StoreMachine) m).setDiskStalled(true);
             }
             case "disk-go-on" -> {
-                ((StoreMachine) m).stall(false);
+                ((StoreMachine) m).setDiskStalled(false);
                 calm(m.name);
             }
-            case "slow" -> ((StoreMachine) m).slow(Long.parseLong(p[1]));
-            case "clock-jump" -> world.wallJumps.put(m.name, Long.parseLong(p[1]) * SECOND);
+            case "slow" -> ((StoreMachine) m).setDiskDelay(Long.parseLong(p[1]));
+            case "clock-jump" -> world.wallClockOffsets.put(m.name, Long.parseLong(p[1]) * SECOND);
             case "move-to" -> {
                 m.address = p[1];
-                world.net.join(m);
+                world.net.register(m);
             }
             case "cut-from" -> {
                 var o = world.machine(p[1]);
@@ -246,48 +246,48 @@
                 calm(m.name);
             }
             case "cut-from-core" -> {
-                for (var s : world.all(StoreMachine.class)) {
+                for (var s : world.machinesOfType(StoreMachine.class)) {
                     world.net.cut(m, s);
                     world.net.cut(s, m);
                 }
                 trouble(m.name);
             }
             case "heal-with-core" -> {
-                for (var s : world.all(StoreMachine.class)) world.net.heal(m, s);
+                for (var s : world.machinesOfType(StoreMachine.class)) world.net.heal(m, s);
                 calm(m.name);
             }
             case "stop-gently" -> {
                 trouble(m.name);
-                ((RouterMachine) m).stopGently();
+                ((RouterMachine) m).stopGracefully();
             }
-            case "rebuild" -> world.rebuild((StoreMachine) m, answers::add);
+            case "rebuild" -> world.rebuildCore((StoreMachine) m, operatorAnswers::add);
             case "hand-over" -> ((StoreMachine) m).store.transferLeadership();
             case "leave" -> ((RunnerMachine) m).leave();
-            case "go-dark" -> ((RunnerMachine) m).dark(true);
-            case "ail" -> ((RunnerMachine) m).ail(true);
-            case "recover" -> ((RunnerMachine) m).ail(false);
-            case "come-back" -> ((RunnerMachine) m).dark(false);
+            case "go-dark" -> ((RunnerMachine) m).setSilent(true);
+            case "ail" -> ((RunnerMachine) m).setFailing(true);
+            case "recover" -> ((RunnerMachine) m).setFailing(false);
+            case "come-back" -> ((RunnerMachine) m).setSilent(false);
             default -> throw new IllegalArgumentException("a machine does not " + p[0]);
         }
     }
 
     private void damage(StoreMachine s) {
-        for (var n : s.disk.fileNames()) if (n.matches("p\\d\\.log\\.\\d+")) s.disk.damage(n, 40);
+        for (var n : s.disk.fileNames()) if (n.matches("p\\d\\.log\\.\\d+")) s.disk.corruptByte(n, 40);
     }
 
-    public Checks checks() {
-        world.ends();
+    public PromiseChecker createChecker() {
+        world.recordFinalStates();
         var zr = new HashMap<String, String>();
         world.manifest.zones().values().forEach(z -> zr.put(z.name(), z.region()));
         var warmUp = new HashMap<String, Long>();
         world.manifest.services().values().forEach(s -> warmUp.put(s.name(), s.warmUpTime()));
-        return new Checks(world.journal, zr, warmUp);
+        return new PromiseChecker(world.journal, zr, warmUp);
     }
 
-    public long wholeSince(double seconds) {
-        var from = start + (long) (seconds * SECOND);
+    public long countCompleteSince(double seconds) {
+        var from = startTime + (long) (seconds * SECOND);
         return world.journal.replies.stream()
-                .filter(t -> t.verdict.equals("whole") && t.askedAt >= from)
+                .filter(t -> t.verdict.equals("whole") && t.submittedAt >= from)
                 .count();
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Disk.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedDisk.java
@@ -14,7 +14,7 @@
  * A simulated disk. In a loss of power each write since its file's sync is kept, lost or torn by itself, and each removed
  * name may come back; some losses of power take all of them.
  */
-public final class Disk implements Folder {
+public final class SimulatedDisk implements Folder {
     private static final int LOSES_ALL = 4;
 
     private static final class Pages {
@@ -38,21 +38,21 @@
 
     private final Map<String, Pages> files = new TreeMap<>();
     private final Map<String, Pages> removed = new TreeMap<>();
-    private boolean full;
-    private boolean liesAboutSync;
+    private boolean setFull;
+    private boolean setIgnoresSync;
 
     /** Whether the disk refuses every write. */
-    public void full(boolean is) {
-        full = is;
+    public void setFull(boolean is) {
+        setFull = is;
     }
 
     /** Whether a sync does nothing and says that it did. */
-    public void liesAboutSync(boolean lies) {
-        liesAboutSync = lies;
+    public void setIgnoresSync(boolean lies) {
+        setIgnoresSync = lies;
     }
 
     /** Empties the disk. */
-    public void loseAll() {
+    public void wipe() {
         files.clear();
         removed.clear();
     }
@@ -102,7 +102,7 @@
     }
 
     /** Changes one byte of a file. */
-    public void damage(String name, int at) {
+    public void corruptByte(String name, int at) {
         var p = files.get(name);
         var all = p.bytes.toByteArray();
         all[Math.min(at, all.length - 1)] ^= 0x7f;
@@ -110,7 +110,7 @@
     }
 
     private void refuseIfFull() {
-        if (full) throw new DiskException(true, "the disk is full");
+        if (setFull) throw new DiskException(true, "the disk is full");
     }
 
     @Override
@@ -135,7 +135,7 @@
     @Override
     public void sync(String name) {
         var p = files.get(name);
-        if (p != null && !liesAboutSync) p.sync();
+        if (p != null && !setIgnoresSync) p.sync();
     }
 
     @Override
--- a/test/sim/src/main/java/craneway/sim/Sim.java
+++ b/test/sim/src/main/java/craneway/sim/Simulation.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-public final class Sim {
+public final class Simulation {
     private record Due(long at, long no, Runnable what) {}
 
     public final Random random;
@@ -12,7 +12,7 @@
     private long now = 1_000_000;
     private long count;
 
-    public Sim(long seed) {
+    public Simulation(long seed) {
         random = new Random(seed);
     }
 
@@ -20,12 +20,12 @@
         return now;
     }
 
-    public void at(long when, Runnable what) {
+    public void scheduleAt(long when, Runnable what) {
         due.add(new Due(Math.max(when, now), count++, what));
     }
 
-    public void after(long micros, Runnable what) {
-        at(now + micros, what);
+    public void scheduleAfter(long micros, Runnable what) {
+        scheduleAt(now + micros, what);
     }
 
     public void runUntil(long end) {
--- a/test/sim/src/main/java/craneway/sim/StoreMachine.java
+++ b/test/sim/src/main/java/craneway/sim/StoreMachine.java
@@ -13,10 +13,10 @@
 import java.util.Random;
 
 public final class StoreMachine extends Machine implements NodePort.Receiver {
-    public final Disk disk = new Disk();
+    public final SimulatedDisk disk = new SimulatedDisk();
     private final Deque<Object> held = new ArrayDeque<>();
     private boolean stalled;
-    private long slow;
+    private long setDiskDelay;
     public Store store;
     public OperatorCommands operator;
 
@@ -32,18 +32,18 @@
         store = new Store(
                 port,
                 disk,
-                world.node(this, Node.STORE),
-                world.seeds(),
-                world.stores(),
+                world.newIdentity(this, Node.STORE),
+                world.seedAddresses(),
+                world.coreStoreCount(),
                 new Random(world.sim.random.nextLong()));
         operator = new OperatorCommands(port, store.coreClient());
     }
 
-    public void slow(long micros) {
-        slow = micros;
+    public void setDiskDelay(long micros) {
+        setDiskDelay = micros;
     }
 
-    public void stall(boolean is) {
+    public void setDiskStalled(boolean is) {
         stalled = is;
         while (!stalled && !held.isEmpty()) store.receive(held.poll());
     }
@@ -53,7 +53,7 @@
         if (stalled) store.tickNode();
         else store.tick();
         operator.tick(now());
-        world.sees(this, store.membership().view());
+        world.recordManifest(this, store.membership().view());
     }
 
     @Override
@@ -68,7 +68,7 @@
                 || m instanceof CommandRequest
                 || m instanceof Renewal
                 || m instanceof Subscription;
-        if (ofPart && slow > 0 && !stalled) mineAfter(slow, () -> take(m));
+        if (ofPart && setDiskDelay > 0 && !stalled) scheduleAfter(setDiskDelay, () -> take(m));
         else if (ofPart) take(m);
         else store.receive(m);
     }
--- a/test/sim/src/main/java/craneway/sim/Stream.java
+++ b/test/sim/src/main/java/craneway/sim/Stream.java
@@ -34,24 +34,24 @@
     }
 
     void connect(String path, Map<String, String> headers, byte[] body) {
-        var l = world.net.latency(from, to);
+        var l = world.net.drawLatency(from, to);
         sub = new String(body).split(" ")[1];
-        if (!world.net.open(from, to) || !world.net.open(to, from)) {
-            world.journal.blocked.merge(sub, CONNECT, Long::sum);
-            world.sim.after(CONNECT, () -> toCaller(sink::onRefused, true));
-        } else if (!to.up()) world.sim.after(l, () -> toCaller(sink::onRefused, true));
-        else world.sim.after(2 * l, () -> arrive(path, headers, body));
+        if (!world.net.isReachable(from, to) || !world.net.isReachable(to, from)) {
+            world.journal.blockedMicros.merge(sub, CONNECT, Long::sum);
+            world.sim.scheduleAfter(CONNECT, () -> toCaller(sink::onRefused, true));
+        } else if (!to.isRunning()) world.sim.scheduleAfter(l, () -> toCaller(sink::onRefused, true));
+        else world.sim.scheduleAfter(2 * l, () -> arrive(path, headers, body));
     }
 
     private void arrive(String path, Map<String, String> headers, byte[] body) {
         if (over) return;
-        if (!to.up()) {
+        if (!to.isRunning()) {
             toCaller(sink::onBroken, true);
             return;
         }
         accepted = true;
         world.streams.add(this);
-        to.run(() -> {
+        to.runOrDefer(() -> {
             if (!over) ((Server) to).serve(this, path, headers, body);
         });
     }
@@ -82,21 +82,21 @@
 
     private void back(Runnable what, boolean last) {
         if (over) return;
-        lastAt = Math.max(lastAt + 1, world.sim.now() + world.net.latency(from, to));
+        lastAt = Math.max(lastAt + 1, world.sim.now() + world.net.drawLatency(from, to));
         pending.add(new Frame(lastAt, what, last));
-        if (pending.size() == 1) world.sim.at(lastAt, this::pump);
+        if (pending.size() == 1) world.sim.scheduleAt(lastAt, this::pump);
     }
 
     private void pump() {
         if (over || pending.isEmpty()) return;
-        if (!world.net.open(to, from) || !world.net.open(from, to)) {
-            world.journal.blocked.merge(sub, AGAIN, Long::sum);
-            world.sim.after(AGAIN, this::pump);
+        if (!world.net.isReachable(to, from) || !world.net.isReachable(from, to)) {
+            world.journal.blockedMicros.merge(sub, AGAIN, Long::sum);
+            world.sim.scheduleAfter(AGAIN, this::pump);
             return;
         }
         var f = pending.poll();
         toCaller(f.what, f.last);
-        if (!pending.isEmpty()) world.sim.at(pending.peek().at, this::pump);
+        if (!pending.isEmpty()) world.sim.scheduleAt(pending.peek().at, this::pump);
     }
 
     private void toCaller(Runnable what, boolean last) {
@@ -105,7 +105,7 @@
             over = true;
             world.streams.remove(this);
         }
-        if (from.up()) from.run(what);
+        if (from.isRunning()) from.runOrDefer(what);
     }
 
     void machineDied(Machine m) {
@@ -113,13 +113,13 @@
         if (m == from) {
             over = true;
             world.streams.remove(this);
-            if (to.up() && world.net.open(from, to)) to.run(onCancel);
+            if (to.isRunning() && world.net.isReachable(from, to)) to.runOrDefer(onCancel);
         } else if (m == to) {
             over = true;
             world.streams.remove(this);
-            if (world.net.open(to, from))
-                world.sim.after(world.net.latency(from, to), () -> {
-                    if (from.up()) from.run(sink::onBroken);
+            if (world.net.isReachable(to, from))
+                world.sim.scheduleAfter(world.net.drawLatency(from, to), () -> {
+                    if (from.isRunning()) from.runOrDefer(sink::onBroken);
                 });
         }
     }
@@ -132,8 +132,8 @@
         if (over) return;
         over = true;
         world.streams.remove(this);
-        world.sim.after(world.net.latency(from, to), () -> {
-            if (to.up()) to.run(onCancel);
+        world.sim.scheduleAfter(world.net.drawLatency(from, to), () -> {
+            if (to.isRunning()) to.runOrDefer(onCancel);
         });
     }
 }
--- a/test/sim/src/main/java/craneway/sim/Timeline.java
+++ b/test/sim/src/main/java/craneway/sim/Timeline.java
@@ -9,15 +9,15 @@
 
     private final List<Line> lines = new ArrayList<>();
 
-    public void note(long at, String node, String text) {
+    public void add(long at, String node, String text) {
         lines.add(new Line(at, node, text));
     }
 
-    public boolean has(String node, String text) {
+    public boolean contains(String node, String text) {
         return lines.stream().anyMatch(l -> l.node.equals(node) && l.text.contains(text));
     }
 
-    public String draw() {
+    public String render() {
         var nodes = new ArrayList<>(new TreeSet<>(lines.stream().map(Line::node).toList()));
         var b = new StringBuilder(String.format("%10s", "seconds"));
         for (var n : nodes) b.append(String.format(" | %-" + width(n) + "s", n));
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -24,33 +24,33 @@
 public final class World {
     static final long TICK = 50_000;
 
-    public final Sim sim;
-    public final Net net;
+    public final Simulation sim;
+    public final SimulatedNetwork net;
     public final Timeline timeline = new Timeline();
     public final Journal journal = new Journal();
     public final Map<String, Machine> machines = new TreeMap<>();
     /** Machines of an older release, whose lives come from a clock that is this far off. */
-    public final Map<String, Long> wallJumps = new HashMap<>();
+    public final Map<String, Long> wallClockOffsets = new HashMap<>();
 
-    public final String service;
+    public final String serviceName;
     public final Manifest manifest;
     public final String manifestText;
-    public boolean warmStart = true;
-    public int wire = Node.WIRE_VERSION;
+    public boolean runnersStartWarm = true;
+    public int wireVersion = Node.WIRE_VERSION;
     final Set<Stream> streams = new LinkedHashSet<>();
     private final Map<String, String> lastSeen = new HashMap<>();
     private final Map<String, Long> takenBackAt = new HashMap<>();
-    private final Map<String, Journal.Emptied> open = new HashMap<>();
-    private List<String> seeds = List.of("store-1", "store-2", "store-3");
+    private final Map<String, Journal.EmptiedArea> openRequest = new HashMap<>();
+    private List<String> seedAddresses = List.of("store-1", "store-2", "store-3");
     private long manifestVersion;
 
     public World(long seed, String manifestText, int[] routers, int slots) {
         this.manifestText = manifestText;
-        sim = new Sim(seed);
-        net = new Net(sim);
+        sim = new Simulation(seed);
+        net = new SimulatedNetwork(sim);
         manifest = ManifestReader.read(manifestText).get();
         var s = manifest.services().values().iterator().next();
-        service = journal.service = s.name();
+        serviceName = journal.serviceName = s.name();
         var n = 0;
         for (var z : manifest.zones().keySet()) {
             add(new StoreMachine(this, "store-" + ++n, z, "store-" + n));
@@ -68,31 +68,31 @@
 
     private void add(Machine m) {
         machines.put(m.name, m);
-        net.join(m);
+        net.register(m);
     }
 
-    List<String> seeds() {
-        return seeds;
+    List<String> seedAddresses() {
+        return seedAddresses;
     }
 
-    public void seeds(List<String> all) {
-        seeds = all;
+    public void seedAddresses(List<String> all) {
+        seedAddresses = all;
     }
 
-    int stores() {
+    int coreStoreCount() {
         return 3;
     }
 
-    Node node(Machine m, String kind) {
-        var n = wallJumps.containsKey(m.name)
-                ? new Node(m.name, kind, m.zone, m.address, wall(m))
-                : Node.ofNewProcess(m.name, kind, m.zone, m.address, Hash.of(Hash.of(m.name), m.life()));
-        n.wireVersion = wire;
+    Node newIdentity(Machine m, String kind) {
+        var n = wallClockOffsets.containsKey(m.name)
+                ? new Node(m.name, kind, m.zone, m.address, wallClockMicros(m))
+                : Node.ofNewProcess(m.name, kind, m.zone, m.address, Hash.of(Hash.of(m.name), m.processNumber()));
+        n.wireVersion = wireVersion;
         return n;
     }
 
-    long wall(Machine m) {
-        return 1_000_000_000_000L + sim.now() + wallJumps.getOrDefault(m.name, 0L);
+    long wallClockMicros(Machine m) {
+        return 1_000_000_000_000L + sim.now() + wallClockOffsets.getOrDefault(m.name, 0L);
     }
 
     public Machine machine(String name) {
@@ -101,47 +101,47 @@
         return m;
     }
 
-    public <T extends Machine> List<T> all(Class<T> type) {
+    public <T extends Machine> List<T> machinesOfType(Class<T> type) {
         var l = new ArrayList<T>();
         for (var m : machines.values()) if (type.isInstance(m)) l.add(type.cast(m));
         return l;
     }
 
     public List<RouterMachine> routersIn(String zone) {
-        return all(RouterMachine.class).stream()
-                .filter(r -> r.zone.equals(zone) && r.up())
+        return machinesOfType(RouterMachine.class).stream()
+                .filter(r -> r.zone.equals(zone) && r.isRunning())
                 .toList();
     }
 
     List<RouterMachine> readyRouters(String zone) {
-        var near = routersIn(zone).stream().filter(RouterMachine::ready).toList();
+        var near = routersIn(zone).stream().filter(RouterMachine::isReady).toList();
         return near.isEmpty()
-                ? all(RouterMachine.class).stream().filter(RouterMachine::ready).toList()
+                ? machinesOfType(RouterMachine.class).stream().filter(RouterMachine::isReady).toList()
                 : near;
     }
 
-    HttpExchange.OutgoingCall open(
+    HttpExchange.OutgoingCall openRequest(
             Machine from,
             String address,
             String path,
             Map<String, String> headers,
             byte[] body,
             HttpExchange.ResponseListener sink) {
-        var s = new Stream(this, from, net.at(address), sink);
+        var s = new Stream(this, from, net.machineAt(address), sink);
         s.connect(path, headers, body);
         return s;
     }
 
-    void broke(Machine m) {
+    void breakConnections(Machine m) {
         for (var s : List.copyOf(streams)) s.machineDied(m);
     }
 
-    void sees(Machine m, Membership.CoreView v) {
+    void recordManifest(Machine m, Membership.CoreView v) {
         if (v.manifest() == null) return;
         if (m.name.equals("router-1-1")) v.services().values().forEach(this::moved);
-        var key = m.life() + "/" + v.manifestRow().version;
+        var key = m.processNumber() + "/" + v.manifestRow().version;
         if (key.equals(lastSeen.put(m.name, key))) return;
-        journal.seen.add(new Journal.Seen(sim.now(), m.name, m.life(), v.manifestRow().version, v.manifestRow().text));
+        journal.seenManifests.add(new Journal.SeenManifest(sim.now(), m.name, m.processNumber(), v.manifestRow().version, v.manifestRow().text));
     }
 
     private final Map<String, int[]> homes = new HashMap<>();
@@ -150,10 +150,10 @@
         var had = homes.put(s.name, s.homeCells);
         if (had == null || had == s.homeCells) return;
         for (var u = 0; u < had.length; u++)
-            if (had[u] >= 0 && had[u] != s.homeCells[u]) journal.moves.merge(s.name + " " + u, 1, Integer::sum);
+            if (had[u] >= 0 && had[u] != s.homeCells[u]) journal.moveCounts.merge(s.name + " " + u, 1, Integer::sum);
     }
 
-    void rebuild(StoreMachine m, Consumer<String> then) {
+    void rebuildCore(StoreMachine m, Consumer<String> then) {
         var text = m.store.membership().view().manifestRow().text;
         var version = m.store.membership().view().manifestRow().version;
         var done = m.store.rebuild().flatMap(r -> m.store.rebuild(r.confirmationToken()));
@@ -164,7 +164,7 @@
             return;
         }
         manifestVersion = version + 1_000;
-        journal.sent.add(new Journal.Sent(
+        journal.sentManifests.add(new Journal.SentManifest(
                 text, version, sim.now(), sim.now() + 30_000_000, true, manifestVersion, new long[] {Long.MAX_VALUE}));
         told(then, "rebuilt as generation " + done.get().generation());
     }
@@ -183,12 +183,12 @@
         machines.values().forEach(Machine::start);
     }
 
-    public void found() {
+    public void bootstrap() {
         startAll();
         sim.runUntil(sim.now() + 6_000_000);
-        send(manifestText, 0, "store-1");
+        sendManifest(manifestText, 0, "store-1");
         sim.runUntil(sim.now() + 8_000_000);
-        journal.moves.clear();
+        journal.moveCounts.clear();
     }
 
     private OperatorCommands operator(String at) {
@@ -196,13 +196,13 @@
         return m instanceof StoreMachine s ? s.operator : ((RouterMachine) m).operator;
     }
 
-    public void send(String text, long base, String at) {
+    public void sendManifest(String text, long base, String at) {
         var sentAt = sim.now();
-        journal.unsure.add(text);
+        journal.undecidedManifests.add(text);
         operator(at).putManifest(base, text, r -> {
             var taken = r.isRight();
             if (taken) manifestVersion = Math.max(manifestVersion, r.get().version());
-            timeline.note(
+            timeline.add(
                     sim.now(),
                     "operator",
                     taken
@@ -210,9 +210,9 @@
                             : "declined: " + r.getLeft().kind() + " "
                                     + r.getLeft().detail());
             if (!taken && r.getLeft().kind() == ProblemKind.UNCERTAIN) return;
-            journal.unsure.remove(text);
+            journal.undecidedManifests.remove(text);
             var everywhere = new long[] {taken && r.get().routersStillActing().isEmpty() ? sim.now() : Long.MAX_VALUE};
-            journal.sent.add(new Journal.Sent(
+            journal.sentManifests.add(new Journal.SentManifest(
                     text, base, sentAt, sim.now(), taken, taken ? r.get().version() : 0, everywhere));
             if (taken && everywhere[0] == Long.MAX_VALUE)
                 watchOn(at, (o, then) -> o.watchManifest(r.get().version(), then), () -> everywhere[0] = sim.now());
@@ -224,8 +224,8 @@
     }
 
     private void watchOn(String at, Watch w, Runnable everywhere) {
-        sim.after(500_000, () -> {
-            if (!machine(at).up() || machine(at).frozen()) watchOn(at, w, everywhere);
+        sim.scheduleAfter(500_000, () -> {
+            if (!machine(at).isRunning() || machine(at).isFrozen()) watchOn(at, w, everywhere);
             else
                 w.on(operator(at), r -> {
                     if (r.isRight() && r.get().routersStillActing().isEmpty()) everywhere.run();
@@ -238,7 +238,7 @@
         return manifestVersion;
     }
 
-    public void intent(Intent i, String at, Consumer<String> then) {
+    public void submitIntent(Intent i, String at, Consumer<String> then) {
         operator(at).createPlan(i, p -> {
             if (p.isLeft())
                 told(then, "declined " + p.getLeft().kind() + ": " + p.getLeft().detail());
@@ -259,18 +259,18 @@
     }
 
     public void emptyCell(String cell, String at, Consumer<String> then) {
-        empty(new Intent(Intent.EMPTY_CELL, null, service, cell, null, null), "", cell, at, then);
+        empty(new Intent(Intent.EMPTY_CELL, null, serviceName, cell, null, null), "", cell, at, then);
     }
 
-    public void keep(String tenant, List<String> regions, String at, Consumer<String> then) {
-        intent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), at, s -> {
-            if (s.equals("confirmed")) journal.kept.add(new Journal.Kept(tenant, regions, sim.now()));
+    public void keepTenant(String tenant, List<String> regions, String at, Consumer<String> then) {
+        submitIntent(new Intent(Intent.KEEP_TENANT, null, null, null, tenant, regions), at, s -> {
+            if (s.equals("confirmed")) journal.keptTenants.add(new Journal.KeptTenant(tenant, regions, sim.now()));
             then.accept(s);
         });
     }
 
     private void told(Consumer<String> then, String s) {
-        timeline.note(sim.now(), "operator", s);
+        timeline.add(sim.now(), "operator", s);
         then.accept(s);
     }
 
@@ -280,46 +280,46 @@
 
     private void empty(Intent i, String zone, String cell, String at, Consumer<String> then) {
         var asked = sim.now();
-        journal.maybeEmptied.put(zone + cell, Long.MAX_VALUE);
-        intent(i, at, s -> {
+        journal.possiblyEmptiedUntil.put(zone + cell, Long.MAX_VALUE);
+        submitIntent(i, at, s -> {
             if (s.equals("confirmed") && takenBackAt.getOrDefault(zone + cell, 0L) < asked) {
-                var e = new Journal.Emptied(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
-                journal.emptied.add(e);
-                open.put(zone + cell, e);
+                var e = new Journal.EmptiedArea(zone, cell, sim.now(), new long[] {Long.MAX_VALUE});
+                journal.emptiedAreas.add(e);
+                openRequest.put(zone + cell, e);
             }
             then.accept(s);
         });
     }
 
-    public void takeBack(String zone, String at, Consumer<String> then) {
-        takeBack(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, at, then);
+    public void takeBackZone(String zone, String at, Consumer<String> then) {
+        takeBackZone(new Intent(Intent.TAKE_BACK_ZONE, zone, null, null, null, null), zone, at, then);
     }
 
     public void takeBackCell(String cell, String at, Consumer<String> then) {
-        takeBack(new Intent(Intent.TAKE_BACK_CELL, null, service, cell, null, null), cell, at, then);
+        takeBackZone(new Intent(Intent.TAKE_BACK_CELL, null, serviceName, cell, null, null), cell, at, then);
     }
 
-    private void takeBack(Intent i, String what, String at, Consumer<String> then) {
+    private void takeBackZone(Intent i, String what, String at, Consumer<String> then) {
         takenBackAt.put(what, sim.now());
-        var e = open.remove(what);
-        if (e != null) e.takenBack()[0] = sim.now();
-        intent(i, at, s -> {
-            if (s.equals("confirmed") || s.startsWith("pending")) journal.maybeEmptied.put(what, sim.now());
+        var e = openRequest.remove(what);
+        if (e != null) e.takenBackAt()[0] = sim.now();
+        submitIntent(i, at, s -> {
+            if (s.equals("confirmed") || s.startsWith("pending")) journal.possiblyEmptiedUntil.put(what, sim.now());
             then.accept(s);
         });
     }
 
-    void ends() {
-        journal.ends.clear();
+    void recordFinalStates() {
+        journal.finalStates.clear();
         for (var m : machines.values()) {
-            if (!m.up() || m.frozen()) continue;
+            if (!m.isRunning() || m.isFrozen()) continue;
             var v = m instanceof StoreMachine s
                     ? s.store.membership().view()
                     : m instanceof RouterMachine r ? r.router.membership().view() : null;
             if (v == null) continue;
             var tables = new HashMap<String, Long>();
             v.services().forEach((k, s) -> tables.put(k, s.tableVersion));
-            journal.ends.add(new Journal.End(
+            journal.finalStates.add(new Journal.FinalState(
                     m.name, v.manifestRow().version, v.manifestRow().text, Map.copyOf(v.manifestRow().marks), tables));
         }
     }
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -38,7 +38,7 @@
         final String kind;
         final String zone;
         String address;
-        Disk disk = new Disk();
+        SimulatedDisk disk = new SimulatedDisk();
         /** Where it is not 0: a process of an older release, whose lives come from a clock that is this far off. */
         long wall;
 
@@ -87,7 +87,7 @@
             else router = new Router(this, self, seeds, pace, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
             var mine = life;
-            sim.after((long) (sim.random.nextDouble() * TICK), () -> tick(mine));
+            sim.scheduleAfter((long) (sim.random.nextDouble() * TICK), () -> tick(mine));
         }
 
         private void work(Runnable r) {
@@ -107,7 +107,7 @@
             if (frozen || !tickHeld) return;
             tickHeld = false;
             var mine = life;
-            sim.after(TICK, () -> tick(mine));
+            sim.scheduleAfter(TICK, () -> tick(mine));
         }
 
         /** Does something in the process: at once, once it is free where it is slowed, on waking where it is frozen. */
@@ -122,7 +122,7 @@
             }
             busyUntil = Math.max(busyUntil, sim.now()) + cost;
             var mine = life;
-            sim.at(busyUntil, () -> {
+            sim.scheduleAt(busyUntil, () -> {
                 if (!up || life != mine) return;
                 if (frozen) waiting.add(what);
                 else what.run();
@@ -146,7 +146,7 @@
 
         void loseDisk() {
             crash();
-            disk = new Disk();
+            disk = new SimulatedDisk();
         }
 
         private void tick(int mine) {
@@ -157,7 +157,7 @@
             }
             act(() -> {
                 timed(this::tickOnce);
-                sim.after(TICK, () -> tick(mine));
+                sim.scheduleAfter(TICK, () -> tick(mine));
             });
         }
 
@@ -204,7 +204,7 @@
             }
             Runnable arrival = () -> arrive(to, b, mine, message instanceof Hello);
             if (hold.test(this, to, message)) held.add(arrival);
-            else sim.after(delay, arrival);
+            else sim.scheduleAfter(delay, arrival);
         }
 
         private void arrive(String to, byte[] b, long core, boolean hello) {
@@ -232,7 +232,7 @@
         boolean test(Member from, String to, Object message);
     }
 
-    final Sim sim = new Sim(17);
+    final Simulation sim = new Simulation(17);
     final List<Runnable> held = new ArrayList<>();
     Hold hold = (from, to, message) -> false;
     final Map<String, Member> members = new TreeMap<>();
--- a/test/sim/src/test/java/craneway/sim/ControlCost.java
+++ b/test/sim/src/test/java/craneway/sim/ControlCost.java
@@ -124,12 +124,12 @@
     private static void back(Cluster c) {
         c.members.values().forEach(Cluster.Member::losePower);
         c.run(1.4);
-        c.members.values().forEach(m -> c.sim.after((long) (c.sim.random.nextDouble() * 160_000), m::start));
+        c.members.values().forEach(m -> c.sim.scheduleAfter((long) (c.sim.random.nextDouble() * 160_000), m::start));
         c.run(0.16);
     }
 
     private static void full(Cluster c, Cluster.Member o) {
-        o.disk.full(true);
+        o.disk.setFull(true);
         c.routers(1);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/CoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreTest.java
@@ -66,7 +66,7 @@
     private static void lights(Cluster c, boolean on) {
         for (var m : c.members.values()) {
             if (!on) m.losePower();
-            else c.sim.after((long) (c.sim.random.nextDouble() * 160_000), m::start);
+            else c.sim.scheduleAfter((long) (c.sim.random.nextDouble() * 160_000), m::start);
         }
     }
 
@@ -151,7 +151,7 @@
     void anOwnerWhoseDiskIsFullIsReplacedAndDoesNotComeBackWhileItIs() {
         var c = three();
         var o = c.owner(0);
-        o.disk.full(true);
+        o.disk.setFull(true);
         c.add("r1", Node.ROUTER, "z1");
         under(2.0, c.until(() -> c.ownedBut(o), 6), c);
         for (var i = 0; i < 100; i++) {
--- a/test/sim/src/test/java/craneway/sim/CurrentTest.java
+++ b/test/sim/src/test/java/craneway/sim/CurrentTest.java
@@ -83,7 +83,7 @@
         for (var i = 0; i < 20; i++) {
             c.members.values().forEach(Cluster.Member::losePower);
             c.run(1.4);
-            for (var m : c.members.values()) c.sim.after((long) (c.sim.random.nextDouble() * 160_000), m::start);
+            for (var m : c.members.values()) c.sim.scheduleAfter((long) (c.sim.random.nextDouble() * 160_000), m::start);
             c.run(0.16);
             under(0.8, c.until(() -> c.allCurrent(version), 8));
             c.run(5);
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -56,13 +56,13 @@
                 var id = m.storeId();
                 if (power) m.losePower();
                 else m.crash();
-                m.disk.full(true);
+                m.disk.setFull(true);
                 m.start();
                 c.add("r1", Node.ROUTER, "z1");
                 c.run(5);
                 assertTrue(c.owned(), () -> name + ": " + String.join("\n", c.notes));
                 assertTrue(c.notes.stream().anyMatch(n -> n.contains(" " + name + " " + Event.DISK_WRITE_FAILED)));
-                m.disk.full(false);
+                m.disk.setFull(false);
                 c.run(3);
                 assertEquals(id, m.storeId());
                 assertTrue(level(c, m), () -> name + ": " + String.join("\n", c.notes));
@@ -118,7 +118,7 @@
         }
     }
 
-    private static Folder crashing(Disk disk, int at) {
+    private static Folder crashing(SimulatedDisk disk, int at) {
         var step = new int[1];
         return (Folder)
                 Proxy.newProxyInstance(Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, (p, m, a) -> {
@@ -135,11 +135,11 @@
     @Test
     void aDamagedFolderIsSetAsideWholeThoughTheProcessEndsInTheMiddleOfIt() {
         for (var step = 0; ; step++) {
-            var disk = new Disk();
+            var disk = new SimulatedDisk();
             var first = store(disk);
             run(first);
             var id = first.directory().self().storeId;
-            disk.damage("p2.log.1", 60);
+            disk.corruptByte("p2.log.1", 60);
             var kept = new HashMap<String, byte[]>();
             for (var n : List.of("identity", "core", "p2.log.1")) kept.put("lost." + n, disk.read(n));
             var ended = starts(crashing(disk, step));
@@ -152,10 +152,10 @@
 
     @Test
     void aSecondDamagedFolderDoesNotTakeTheFilesOfTheFirst() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         for (var i = 0; i < 2; i++) {
             run(store(disk));
-            disk.damage("p2.log.1", 60);
+            disk.corruptByte("p2.log.1", 60);
             var damaged = disk.read("p2.log.1");
             store(disk);
             assertArrayEquals(damaged, disk.read(i == 0 ? "lost.p2.log.1" : "lost.2.p2.log.1"));
--- a/test/sim/src/test/java/craneway/sim/EmptyFullDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/EmptyFullDiskTest.java
@@ -11,17 +11,17 @@
 
     @Test
     void aStoreThatCannotWriteItsIdentityStartsOnceThereIsSpace() {
-        var faults = Chaos.faults(Shape.MATICAR, SEED);
-        assertEquals(List.of(), Chaos.run(Shape.MATICAR, SEED, faults).wrong());
+        var faults = RandomFaultRun.drawFaults(FleetShape.MATICAR, SEED);
+        assertEquals(List.of(), RandomFaultRun.run(FleetShape.MATICAR, SEED, faults).violations());
     }
 
     @Test
     void itBreaksNoPromiseMeanwhile() {
         var faults = List.of(
-                new Chaos.Fault(2, "store-1", "disk-loss"),
-                new Chaos.Fault(2.1, "store-1", "disk-full"),
-                new Chaos.Fault(3, "store-1", "start"),
-                new Chaos.Fault(12, "store-1", "disk-free"));
-        assertEquals(List.of(), Chaos.run(Shape.MATICAR, 1, faults).wrong());
+                new RandomFaultRun.Fault(2, "store-1", "disk-loss"),
+                new RandomFaultRun.Fault(2.1, "store-1", "disk-full"),
+                new RandomFaultRun.Fault(3, "store-1", "start"),
+                new RandomFaultRun.Fault(12, "store-1", "disk-free"));
+        assertEquals(List.of(), RandomFaultRun.run(FleetShape.MATICAR, 1, faults).violations());
     }
 }
--- a/test/sim/src/test/java/craneway/sim/FrozenDeskTest.java
+++ b/test/sim/src/test/java/craneway/sim/FrozenDeskTest.java
@@ -41,7 +41,7 @@
 
         private void tick() {
             if (!frozen) guard.tick(at.now());
-            c.sim.after(TICK, this::tick);
+            c.sim.scheduleAfter(TICK, this::tick);
         }
 
         Call order(boolean emptied) {
--- a/test/sim/src/test/java/craneway/sim/GroupTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupTest.java
@@ -44,7 +44,7 @@
     }
 
     private final class One implements GroupListener {
-        final Disk disk = new Disk();
+        final SimulatedDisk disk = new SimulatedDisk();
         final Counter counter = new Counter();
         final Group group;
         int sent;
@@ -182,7 +182,7 @@
     void anOwnerThatCannotHandOverGoesOnOwning() {
         var owner = elect(3);
         var to = ones.stream().filter(o -> o != owner).findFirst().get();
-        to.disk.full(true);
+        to.disk.setFull(true);
         propose(owner, 10);
         var term = owner.group.term();
         assertTrue(owner.group.transferLeadership(ones.indexOf(to) + 1, now));
@@ -199,7 +199,7 @@
         owner.group.propose(new byte[10], now);
         owner.group.tick(now);
         assertEquals(0, owner.counter.applied);
-        ones.stream().filter(o -> o != owner).forEach(o -> o.disk.full(true));
+        ones.stream().filter(o -> o != owner).forEach(o -> o.disk.setFull(true));
         owner.group.syncAndSend(now);
         deliver();
         run(300_000);
@@ -208,7 +208,7 @@
 
     @Test
     void anOlderSegmentThatComesBackAfterPowerLossIsPassedOver() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.saveTermAndVote(1, 1);
         for (var i = 1; i <= 5; i++) log.append(new LogEntry(i, 1, LogEntry.COMMAND, new byte[20]));
@@ -234,11 +234,11 @@
 
     @Test
     void aSyncedEntryThatIsDamagedIsALostDisk() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         var log = new SegmentLog(disk, "p0.", 1);
         log.append(new LogEntry(1, 1, LogEntry.COMMAND, new byte[20]));
         log.sync();
-        disk.damage(
+        disk.corruptByte(
                 disk.fileNames().stream()
                         .filter(n -> n.contains("log."))
                         .findFirst()
--- a/test/sim/src/test/java/craneway/sim/HungDiskTest.java
+++ b/test/sim/src/test/java/craneway/sim/HungDiskTest.java
@@ -47,7 +47,7 @@
     };
 
     private Folder folder() {
-        var disk = new Disk();
+        var disk = new SimulatedDisk();
         return (Folder)
                 Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Folder.class}, (p, m, a) -> {
                     if (hangs.get()
--- a/test/sim/src/test/java/craneway/sim/Meter.java
+++ b/test/sim/src/test/java/craneway/sim/Meter.java
@@ -13,7 +13,7 @@
     private static final long LINGER = 2_000;
     private static final int HEAD = 14, MOST = 1_200, DEFLATE_FROM = 300;
 
-    private final Sim sim;
+    private final Simulation sim;
     private final Map<String, List<byte[]>> open = new HashMap<>();
     final Map<String, Long> byKind = new TreeMap<>();
     long messages;
@@ -21,7 +21,7 @@
     long frames;
     long framed;
 
-    Meter(Sim sim) {
+    Meter(Simulation sim) {
         this.sim = sim;
     }
 
@@ -34,7 +34,7 @@
         var batch = open.get(lane);
         if (batch == null) {
             open.put(lane, batch = new ArrayList<>());
-            sim.after(LINGER, () -> close(open.remove(lane)));
+            sim.scheduleAfter(LINGER, () -> close(open.remove(lane)));
         }
         batch.add(b);
     }
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -89,7 +89,7 @@
         c.cut.add(leader.name + ">" + away.name);
         c.cut.add(away.name + ">" + leader.name);
         var version = order(c);
-        c.sim.after(3 * Cluster.SECOND, c.cut::clear);
+        c.sim.scheduleAfter(3 * Cluster.SECOND, c.cut::clear);
         var took = stop(c, leaver);
         leaver.loseDisk();
         leader.loseDisk();
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -31,14 +31,14 @@
     private static final double BYTES_PER_MICRO = (64 << 10) / (2.0 * WAY);
     private static final int SEEDS = 5;
 
-    private final Sim sim;
+    private final Simulation sim;
     private final long sync;
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Long> free = new HashMap<>();
     private long version;
 
     private RejoinCost(long seed, long sync) {
-        sim = new Sim(seed);
+        sim = new Simulation(seed);
         this.sync = sync;
         for (var i = 1; i <= 3; i++) new Member("s" + i, "z" + i).start();
         until(() -> leader() != null, 20);
@@ -48,7 +48,7 @@
     private final class Member implements Port {
         final String name;
         final String zone;
-        Disk disk = new Disk();
+        SimulatedDisk disk = new SimulatedDisk();
         Store store;
         boolean up;
         int life;
@@ -73,7 +73,7 @@
         /** What a part does counts once its disk has synced. */
         private void afterSync(Runnable work) {
             var mine = life;
-            sim.after(sync, () -> {
+            sim.scheduleAfter(sync, () -> {
                 if (up && life == mine) work.run();
             });
         }
@@ -81,7 +81,7 @@
         private void tick(int mine) {
             if (!up || life != mine) return;
             store.tick();
-            sim.after(TICK, () -> tick(mine));
+            sim.scheduleAfter(TICK, () -> tick(mine));
         }
 
         @Override
@@ -96,16 +96,16 @@
             var b = Codec.encodeTagged(message);
             var length = deflated(b);
             if (to.equals(name)) {
-                sim.after(0, () -> peer.arrive(b));
+                sim.scheduleAfter(0, () -> peer.arrive(b));
             } else if (length < DATAGRAM) {
-                sim.after(WAY, () -> peer.arrive(b));
+                sim.scheduleAfter(WAY, () -> peer.arrive(b));
             } else {
                 largeBytes += length;
                 var lane = name + ">" + to;
                 var begins = Math.max(sim.now(), free.getOrDefault(lane, 0L));
                 var ends = begins + 2 * WAY + (long) (length / BYTES_PER_MICRO);
                 free.put(lane, ends);
-                sim.at(ends + WAY, () -> peer.arrive(b));
+                sim.scheduleAt(ends + WAY, () -> peer.arrive(b));
             }
         }
 
@@ -230,7 +230,7 @@
             c.run(3 + seed * 0.037);
             var back = c.follower();
             back.up = false;
-            back.disk = new Disk();
+            back.disk = new SimulatedDisk();
             c.run(0.7);
             c.members.values().forEach(m -> m.largeBytes = 0);
             back.start();
@@ -249,7 +249,7 @@
         var back = c.follower();
         back.up = false;
         for (var i = 400; i < 1_000; i++) c.change(400, i);
-        if (lost) back.disk = new Disk();
+        if (lost) back.disk = new SimulatedDisk();
         c.members.values().forEach(m -> m.largeBytes = 0);
         var heap = heap();
         back.start();
--- a/test/sim/src/test/java/craneway/sim/SlowPaths.java
+++ b/test/sim/src/test/java/craneway/sim/SlowPaths.java
@@ -57,7 +57,7 @@
 
     final class Peer implements GroupListener {
         final long id;
-        final Disk disk;
+        final SimulatedDisk disk;
         Heap heap = new Heap();
         Group group;
         boolean up;
@@ -66,7 +66,7 @@
 
         final List<String> notes = new ArrayList<>();
 
-        Peer(long id, Disk disk) {
+        Peer(long id, SimulatedDisk disk) {
             this.id = id;
             this.disk = disk;
         }
@@ -103,7 +103,7 @@
         }
     }
 
-    final Sim sim;
+    final Simulation sim;
     final Random random;
     final Members members;
     final Map<Long, Peer> peers = new TreeMap<>();
@@ -118,7 +118,7 @@
     long largeBytes;
 
     SlowPaths(long seed, int voters) {
-        sim = new Sim(seed);
+        sim = new Simulation(seed);
         random = new Random(seed);
         var ids = new long[voters];
         var zones = new String[voters];
@@ -131,7 +131,7 @@
     }
 
     Peer start(long id) {
-        var p = peers.computeIfAbsent(id, k -> new Peer(k, new Disk()));
+        var p = peers.computeIfAbsent(id, k -> new Peer(k, new SimulatedDisk()));
         p.start();
         return p;
     }
@@ -142,7 +142,7 @@
             p.group.tick(sim.now());
             p.group.syncAndSend(sim.now());
         }
-        sim.after(TICK, this::tick);
+        sim.scheduleAfter(TICK, this::tick);
     }
 
     private void path(PartMessage m) {
@@ -159,7 +159,7 @@
     private void carry(long from, long to, byte[] b) {
         var extra = late > 0 ? (long) (random.nextDouble() * late) : 0;
         if (b.length < DATAGRAM) {
-            sim.after(WAY + extra, () -> arrive(to, b));
+            sim.scheduleAfter(WAY + extra, () -> arrive(to, b));
             return;
         }
         largeBytes += b.length;
@@ -168,7 +168,7 @@
         var ends = begins + CONNECT + (long) (b.length / BYTES_PER_MICRO);
         var cutAt = outageEvery == 0 ? Long.MAX_VALUE : (begins / outageEvery + 1) * outageEvery;
         free.put(lane, Math.min(ends, cutAt));
-        if (ends < cutAt) sim.at(ends + WAY + extra, () -> arrive(to, b));
+        if (ends < cutAt) sim.scheduleAt(ends + WAY + extra, () -> arrive(to, b));
     }
 
     private void arrive(long to, byte[] b) {
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -108,7 +108,7 @@
     @Test
     void aReceiverOfAnEarlierVersionGetsTheSnapshotWhole() {
         var paths = snapshotTaken(4);
-        paths.peers.put(3L, paths.new Peer(3, new Disk()));
+        paths.peers.put(3L, paths.new Peer(3, new SimulatedDisk()));
         paths.peers.get(3L).earlierVersion = true;
         var third = paths.start(3);
         caughtUp(paths, third, 60);
--- a/test/sim/src/test/java/craneway/sim/SteadyOperator.java
+++ b/test/sim/src/test/java/craneway/sim/SteadyOperator.java
@@ -44,8 +44,8 @@
         this.cluster = cluster;
         this.text = text;
         acknowledgedAt = cluster.sim.now();
-        cluster.sim.after(PACE, this::orders);
-        cluster.sim.after(READ, this::reads);
+        cluster.sim.scheduleAfter(PACE, this::orders);
+        cluster.sim.scheduleAfter(READ, this::reads);
     }
 
     void stop() {
@@ -89,7 +89,7 @@
         var now = cluster.sim.now();
         var to = any();
         if (to != null && (!open || now - callAt > SILENCE)) order(to, now);
-        cluster.sim.after(PACE, this::orders);
+        cluster.sim.scheduleAfter(PACE, this::orders);
     }
 
     private void order(Cluster.Member to, long now) {
@@ -129,7 +129,7 @@
         if (stopped) return;
         var to = any();
         if (to != null) read(to);
-        cluster.sim.after(READ, this::reads);
+        cluster.sim.scheduleAfter(READ, this::reads);
     }
 
     /** Reads back at this store; an answer must hold all that was acknowledged before it was asked. */
--- a/test/sim/src/test/java/craneway/sim/TroubledMember.java
+++ b/test/sim/src/test/java/craneway/sim/TroubledMember.java
@@ -41,7 +41,7 @@
         this.member = member;
         this.others = others;
         this.text = text;
-        cluster.sim.after(PACE, this::calls);
+        cluster.sim.scheduleAfter(PACE, this::calls);
     }
 
     void stop() {
@@ -74,7 +74,7 @@
         if (stopped) return;
         var number = calls++;
         member.act(() -> call(number));
-        cluster.sim.after(PACE, this::calls);
+        cluster.sim.scheduleAfter(PACE, this::calls);
     }
 
     private void call(long number) {
--- a/test/sim/src/test/java/craneway/sim/TroubledMemberTest.java
+++ b/test/sim/src/test/java/craneway/sim/TroubledMemberTest.java
@@ -74,7 +74,7 @@
             case FROZEN -> m.freeze(on);
             case FROZEN_AND_CUT -> {
                 if (on) cut(c, m, t);
-                else c.sim.after(NET_BACK, c.cut::clear);
+                else c.sim.scheduleAfter(NET_BACK, c.cut::clear);
                 m.freeze(on);
             }
             case SLOWED -> m.cost = on ? COST : 0;
--- a/test/sim/src/test/java/craneway/sim/TwoEvents.java
+++ b/test/sim/src/test/java/craneway/sim/TwoEvents.java
@@ -147,7 +147,7 @@
             }
             case PLANNED_REPLACE -> {
                 replaced(m, 0);
-                cluster.sim.after(1_000_000, () -> terminate(m, cluster.sim.now()));
+                cluster.sim.scheduleAfter(1_000_000, () -> terminate(m, cluster.sim.now()));
                 returns(1_000_000 + HAND_OVER + LAST_REPLIES);
             }
             case CUT -> cut(m);
@@ -161,12 +161,12 @@
     private void back(Cluster.Member m, Runnable down) {
         if (removed.contains(m)) return;
         if (!m.up) {
-            cluster.sim.after(BACK, () -> back(m, down));
+            cluster.sim.scheduleAfter(BACK, () -> back(m, down));
             returns(2 * BACK);
             return;
         }
         down.run();
-        cluster.sim.after(BACK, () -> {
+        cluster.sim.scheduleAfter(BACK, () -> {
             if (!m.up && !removed.contains(m)) {
                 m.start();
                 follow();
@@ -178,13 +178,13 @@
     private void seeds(Cluster.Member m) {
         var others = core.stream().filter(x -> x != m).toList();
         back(m, m::crash);
-        cluster.sim.after(
+        cluster.sim.scheduleAfter(
                 BACK - 1, () -> cluster.seeds = List.of(others.get(added % others.size()).address, "nowhere"));
     }
 
     private void replaced(Cluster.Member m, long in) {
         var place = core.indexOf(m);
-        cluster.sim.after(in, () -> {
+        cluster.sim.scheduleAfter(in, () -> {
             follow();
             var by = cluster.add("n" + ++added, Node.STORE, m.zone);
             core.set(place, by);
@@ -203,11 +203,11 @@
         removed.add(m);
         if (!m.up) return;
         if (m.store.transferLeadership() && cluster.sim.now() < since + HAND_OVER) {
-            cluster.sim.after(100_000, () -> terminate(m, since));
+            cluster.sim.scheduleAfter(100_000, () -> terminate(m, since));
             return;
         }
         m.store.membership().leave(cluster.sim.now());
-        cluster.sim.after(LAST_REPLIES, m::crash);
+        cluster.sim.scheduleAfter(LAST_REPLIES, m::crash);
     }
 
     private void cut(Cluster.Member m) {
@@ -216,7 +216,7 @@
             cluster.cut.add(x.name + ">" + m.name);
         }
         cluster.cut.remove(m.name + ">" + m.name);
-        cluster.sim.after(CUT, () -> cluster.cut.removeIf(k -> k.startsWith(m.name + ">") || k.endsWith(">" + m.name)));
+        cluster.sim.scheduleAfter(CUT, () -> cluster.cut.removeIf(k -> k.startsWith(m.name + ">") || k.endsWith(">" + m.name)));
         returns(CUT);
     }
 }
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredOffice.java
@@ -1,7 +1,7 @@
 package craneway.sim.history;
 
 import craneway.model.unit.Parts;
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.state.record.Rows;
 import java.util.HashMap;
 import java.util.Map;
@@ -91,12 +91,12 @@
     }
 
     /** Passes a zone's order on a second time, seconds later. */
-    static Office copiesZoneOrders(Sim[] sim) {
+    static Office copiesZoneOrders(Simulation[] sim) {
         return new Office() {
             @Override
             void take(StoreNode at, Request q, Consumer<Answer> then) {
                 super.take(at, q, then);
-                if (q.marks()) sim[0].after(COPY, () -> at.run(() -> super.take(at, q, a -> {})));
+                if (q.marks()) sim[0].scheduleAfter(COPY, () -> at.run(() -> super.take(at, q, a -> {})));
             }
         };
     }
--- a/test/sim/src/test/java/craneway/sim/history/DoctoredStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/DoctoredStoreTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
@@ -49,7 +49,7 @@
     @Test
     void aLateCopyOfAZoneOrder() {
         for (var seed = 1; seed <= MOST_SEEDS; seed++) {
-            var sim = new Sim[1];
+            var sim = new Simulation[1];
             var t = new Trial(seed, Trial.stores(seed), SECONDS, DoctoredOffice.copiesZoneOrders(sim));
             sim[0] = t.fleet.sim;
             if (t.play().contains("explains z")) return;
--- a/test/sim/src/test/java/craneway/sim/history/Faults.java
+++ b/test/sim/src/test/java/craneway/sim/history/Faults.java
@@ -34,7 +34,7 @@
     }
 
     void begin() {
-        fleet.sim.after(LEAST + span(MOST_GAP), () -> {
+        fleet.sim.scheduleAfter(LEAST + span(MOST_GAP), () -> {
             if (fleet.sim.now() >= stop) return;
             count++;
             draw();
@@ -63,7 +63,7 @@
     /** Some faults strike the moment after an acknowledgement. */
     void acknowledged() {
         if (fleet.sim.now() >= stop || random.nextDouble() >= AFTER_ACKNOWLEDGED) return;
-        fleet.sim.after(span(AT_ONCE), () -> {
+        fleet.sim.scheduleAfter(span(AT_ONCE), () -> {
             count++;
             var dice = random.nextInt(4);
             if (dice == 0) end(fleet.nodes(), StoreNode::losePower);
@@ -102,7 +102,7 @@
     private void repair(StoreNode n, long after, Runnable how) {
         var over = fleet.sim.now() + after;
         trouble.merge(n.name, over, Math::max);
-        fleet.sim.at(over, how);
+        fleet.sim.scheduleAt(over, how);
     }
 
     private boolean counts(StoreNode n) {
@@ -128,8 +128,8 @@
         fleet.note(n.name, "REPLACED by " + by.name);
         n.store().transferLeadership();
         var stops = span(STOPS);
-        fleet.sim.after(stops, n::leave);
-        fleet.sim.after(stops + LEAVES, n::loseDisk);
+        fleet.sim.scheduleAfter(stops, n::leave);
+        fleet.sim.scheduleAfter(stops + LEAVES, n::loseDisk);
         repair(by, random.nextBoolean() ? 0 : span(MOST_SPAN), () -> by.start(false));
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/Fleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/Fleet.java
@@ -6,7 +6,7 @@
 import craneway.model.event.Event;
 import craneway.model.unit.Parts;
 import craneway.model.unit.TimingProfile;
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -24,7 +24,7 @@
     private static final int SEEDS = 3;
     private static final int MOST_NOTES = 40_000;
 
-    final Sim sim;
+    final Simulation sim;
     final StoreNet net;
     final List<String> notes = new ArrayList<>();
     private final Map<String, StoreNode> nodes = new TreeMap<>();
@@ -34,7 +34,7 @@
     private int named;
 
     Fleet(long seed, int stores) {
-        sim = new Sim(seed);
+        sim = new Simulation(seed);
         net = new StoreNet(this);
         losses = stores > SEEDS ? 2 : 1;
         named = stores;
--- a/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorCall.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.sim.history.Office.Answer;
 import craneway.sim.history.Office.Request;
 import java.util.List;
@@ -29,7 +29,7 @@
         void over(long from, Answer answer);
     }
 
-    private final Sim sim;
+    private final Simulation sim;
     private final OperatorNet net;
     private final Supplier<List<String>> list;
     private final Request request;
@@ -42,7 +42,7 @@
     private String last = "";
 
     OperatorCall(
-            Sim sim, OperatorNet net, Supplier<List<String>> list, Request request, long patience, Listener listener) {
+            Simulation sim, OperatorNet net, Supplier<List<String>> list, Request request, long patience, Listener listener) {
         this.sim = sim;
         this.net = net;
         this.list = list;
@@ -59,7 +59,7 @@
         net.call(net.node(last), request, a -> {
             if (number == tries) ended(sent, a);
         });
-        sim.after(SILENCE, () -> {
+        sim.scheduleAfter(SILENCE, () -> {
             if (number == tries) ended(sent, null);
         });
     }
@@ -81,7 +81,7 @@
         var next = sim.now() + pause;
         pause = Math.min(LONGEST_PAUSE, pause * 2);
         if (next > until) listener.over(from, null);
-        else sim.at(next, this::begin);
+        else sim.scheduleAt(next, this::begin);
     }
 
     private boolean refused(Answer a) {
--- a/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorClient.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.sim.history.Office.Answer;
 import craneway.sim.history.Office.Request;
 import craneway.sim.history.Operation.Outcome;
@@ -21,7 +21,7 @@
     private static final int STEPS = 3;
 
     private final String name;
-    private final Sim sim;
+    private final Simulation sim;
     private final Random random;
     private final OperatorNet net;
     private final Supplier<List<String>> list;
@@ -35,7 +35,7 @@
     /** Hears of each acknowledged order of its own through {@code acknowledged}. */
     OperatorClient(
             String name,
-            Sim sim,
+            Simulation sim,
             OperatorNet net,
             Supplier<List<String>> list,
             List<Operation> history,
@@ -53,7 +53,7 @@
 
     /** One order after the other until the end. */
     void work() {
-        sim.after((long) (random.nextDouble() * THINK), () -> {
+        sim.scheduleAfter((long) (random.nextDouble() * THINK), () -> {
             if (sim.now() < stop) next();
         });
     }
--- a/test/sim/src/test/java/craneway/sim/history/OperatorNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorNet.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.sim.history.Office.Answer;
 import craneway.sim.history.Office.Request;
 import java.util.function.Consumer;
@@ -17,7 +17,7 @@
     private static final long LATE_MOST = 5_000_000;
 
     private final Fleet fleet;
-    private final Sim sim;
+    private final Simulation sim;
     private final Office office;
     double lostCalls;
     double lostAnswers;
@@ -39,14 +39,14 @@
         var sent = sim.now();
         if (sim.random.nextDouble() < lostCalls) return;
         var late = sim.random.nextDouble() < lateCalls ? (long) (sim.random.nextDouble() * LATE_MOST) : 0;
-        sim.after(way() + late, () -> {
+        sim.scheduleAfter(way() + late, () -> {
             if (to.up() && to.life() == life) read(to, q, sent, then);
             else if (to.lit()) then.accept(Answer.BROKEN);
         });
     }
 
     private void read(StoreNode at, Request q, long sent, Consumer<Answer> then) {
-        Runnable reset = () -> sim.after(way(), () -> then.accept(Answer.BROKEN));
+        Runnable reset = () -> sim.scheduleAfter(way(), () -> then.accept(Answer.BROKEN));
         at.atReset(reset);
         at.run(() -> {
             if (sim.now() - sent > latestRead) return;
@@ -58,7 +58,7 @@
 
     private void answer(StoreNode at, Answer a, Runnable reset, Consumer<Answer> then) {
         at.answered(reset);
-        if (sim.random.nextDouble() >= lostAnswers) sim.after(way(), () -> then.accept(a));
+        if (sim.random.nextDouble() >= lostAnswers) sim.scheduleAfter(way(), () -> then.accept(a));
     }
 
     private long way() {
--- a/test/sim/src/test/java/craneway/sim/history/SlowCallTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/SlowCallTest.java
@@ -31,7 +31,7 @@
         var apart = fleet.nodes().stream().filter(n -> n != leader).findFirst().orElseThrow();
         order(apart, false);
         var sent = fleet.sim.now();
-        fleet.sim.after(ON_ITS_WAY, () -> {
+        fleet.sim.scheduleAfter(ON_ITS_WAY, () -> {
             fleet.nodes().forEach(n -> fleet.net.cut(apart.name, n.name));
             net.call(apart, Request.mark("z1", true), a -> {});
         });
--- a/test/sim/src/test/java/craneway/sim/history/StoreNet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNet.java
@@ -1,6 +1,6 @@
 package craneway.sim.history;
 
-import craneway.sim.Sim;
+import craneway.sim.Simulation;
 import craneway.state.message.Codec;
 import craneway.state.message.Messages.Hello;
 import java.util.HashSet;
@@ -21,7 +21,7 @@
     private static final long CUT_MOST = 10_000_000;
 
     private final Fleet fleet;
-    private final Sim sim;
+    private final Simulation sim;
     private final Set<String> cuts = new HashSet<>();
     double lost;
     double doubled;
@@ -59,7 +59,7 @@
         var core = message instanceof Hello ? 0 : from.core();
         var life = to.life();
         if (to == from) {
-            sim.after(SELF, () -> arrive(to, life, core, b));
+            sim.scheduleAfter(SELF, () -> arrive(to, life, core, b));
             return;
         }
         if (sim.random.nextDouble() < lost) return;
@@ -80,13 +80,13 @@
     }
 
     private void travel(StoreNode from, StoreNode to, long span, long until, Runnable then) {
-        if (open(from.name, to.name)) sim.after(span, then);
+        if (open(from.name, to.name)) sim.scheduleAfter(span, then);
         else if (sim.now() < until && sim.random.nextDouble() < heldByCut) again(from, to, span, until, then);
     }
 
     private void again(StoreNode from, StoreNode to, long span, long until, Runnable then) {
-        sim.after(CUT_TRY, () -> {
-            if (open(from.name, to.name)) sim.after(span, then);
+        sim.scheduleAfter(CUT_TRY, () -> {
+            if (open(from.name, to.name)) sim.scheduleAfter(span, then);
             else if (sim.now() < until) again(from, to, span, until, then);
         });
     }
--- a/test/sim/src/test/java/craneway/sim/history/StoreNode.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreNode.java
@@ -5,7 +5,7 @@
 import craneway.control.operator.PlatformCommands;
 import craneway.control.store.Store;
 import craneway.model.event.Event;
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.message.Codec;
 import craneway.state.message.Node;
 import java.util.ArrayDeque;
@@ -24,7 +24,7 @@
     private final Deque<Runnable> held = new ArrayDeque<>();
     private final Deque<Runnable> waitingForDisk = new ArrayDeque<>();
     private final List<Runnable> resets = new ArrayList<>();
-    private Disk disk = new Disk();
+    private SimulatedDisk disk = new SimulatedDisk();
     private Store store;
     private PlatformCommands passing;
     private PauseGuard guard;
@@ -55,7 +55,7 @@
         store = new Store(this, disk, self, fleet.seeds(first), rules, new Random(fleet.sim.random.nextLong()));
         passing = new PlatformCommands(store.coreClient());
         guard = new PauseGuard(now());
-        fleet.sim.after((long) (fleet.sim.random.nextDouble() * TICK), () -> beat(mine));
+        fleet.sim.scheduleAfter((long) (fleet.sim.random.nextDouble() * TICK), () -> beat(mine));
     }
 
     private void disk(Runnable r) {
@@ -69,7 +69,7 @@
             guard.tick(now());
             store.tick();
         });
-        fleet.sim.after(TICK, () -> beat(mine));
+        fleet.sim.scheduleAfter(TICK, () -> beat(mine));
     }
 
     /** Now, or once the machine is thawed; never, if it ends before. */
@@ -84,7 +84,7 @@
         var mine = life;
         if (slow == 0) run(() -> store.receive(Codec.decodeTagged(b)));
         else
-            fleet.sim.after((long) (slow * fleet.sim.random.nextDouble()), () -> {
+            fleet.sim.scheduleAfter((long) (slow * fleet.sim.random.nextDouble()), () -> {
                 if (life == mine) run(() -> store.receive(Codec.decodeTagged(b)));
             });
     }
@@ -109,7 +109,7 @@
     void loseDisk() {
         lit = false;
         kill();
-        disk = new Disk();
+        disk = new SimulatedDisk();
     }
 
     /** Tells the others that it goes. */
--- a/test/sim/src/test/java/craneway/sim/history/Trial.java
+++ b/test/sim/src/test/java/craneway/sim/history/Trial.java
@@ -104,7 +104,7 @@
     private void keepList() {
         lists.add(fleet.nodes().stream().filter(StoreNode::lit).map(n -> n.name).toList());
         if (lists.size() > LIST_LAG) lists.poll();
-        fleet.sim.after(LIST, this::keepList);
+        fleet.sim.scheduleAfter(LIST, this::keepList);
     }
 
     private List<String> list() {
--- a/test/sim/src/test/java/craneway/sim/model/LogView.java
+++ b/test/sim/src/test/java/craneway/sim/model/LogView.java
@@ -1,6 +1,6 @@
 package craneway.sim.model;
 
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.disk.SegmentLog;
 import craneway.state.part.LogEntry;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 
 /** What a disk holds of one log, read by the production class from a copy. */
 record LogView(long term, long vote, long first, long imageTerm, List<LogEntry> entries) {
-    static LogView of(Disk copy) {
+    static LogView of(SimulatedDisk copy) {
         var log = new SegmentLog(copy, "p" + World.PART + ".", Long.hashCode(World.CORE));
         var all = new ArrayList<LogEntry>();
         for (var i = log.firstIndex(); i <= log.lastIndex(); i++) all.add(log.entryAt(i));
--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -1,7 +1,7 @@
 package craneway.sim.model;
 
 import craneway.model.event.Event;
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.disk.DiskLostException;
 import craneway.state.part.Group;
 import craneway.state.part.GroupListener;
@@ -15,7 +15,7 @@
     private final int slot;
     private Members first;
     private long id;
-    private ProbedDisk disk = new ProbedDisk(new Disk());
+    private ProbedDisk disk = new ProbedDisk(new SimulatedDisk());
     private Chain chain;
     private Group group;
     private boolean frozen;
@@ -100,7 +100,7 @@
 
     void loseDisk(long newId) {
         stop();
-        disk = new ProbedDisk(new Disk());
+        disk = new ProbedDisk(new SimulatedDisk());
         id = newId;
         members = new Members();
         first = new Members();
--- a/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
+++ b/test/sim/src/test/java/craneway/sim/model/ProbedDisk.java
@@ -1,6 +1,6 @@
 package craneway.sim.model;
 
-import craneway.sim.Disk;
+import craneway.sim.SimulatedDisk;
 import craneway.state.disk.Folder;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Method;
@@ -11,14 +11,14 @@
 
 /** A simulated disk that knows what of each file was synced, and how often it was written. */
 final class ProbedDisk {
-    private final Disk disk;
+    private final SimulatedDisk disk;
     private final Folder folder;
     private final Map<String, Integer> length = new HashMap<>();
     private final Map<String, Integer> synced = new HashMap<>();
     private boolean lies;
     private int writes;
 
-    ProbedDisk(Disk disk) {
+    ProbedDisk(SimulatedDisk disk) {
         this.disk = disk;
         for (var n : disk.fileNames()) whole(n, disk.read(n).length);
         folder = (Folder)
@@ -34,7 +34,7 @@
     }
 
     void full(boolean is) {
-        disk.full(is);
+        disk.setFull(is);
     }
 
     /** From now on a sync says that it was done and does nothing. */
@@ -43,15 +43,15 @@
     }
 
     /** What the files hold now, also where it was not synced. */
-    Disk copy() {
-        var copy = new Disk();
+    SimulatedDisk copy() {
+        var copy = new SimulatedDisk();
         for (var n : disk.fileNames()) copy.replace(n, disk.read(n));
         return copy;
     }
 
     /** Only what was synced. */
-    Disk syncedCopy() {
-        var copy = new Disk();
+    SimulatedDisk syncedCopy() {
+        var copy = new SimulatedDisk();
         for (var n : disk.fileNames())
             if (synced.containsKey(n)) copy.replace(n, Arrays.copyOf(disk.read(n), synced.get(n)));
         return copy;
