--- a/test/features/src/test/java/craneway/features/CheckerSteps.java
+++ b/test/features/src/test/java/craneway/features/CheckerSteps.java
@@ -1,9 +1,9 @@
 package craneway.features;
 
-import craneway.sim.PromiseChecker;
+import craneway.sim.FleetShape;
 import craneway.sim.Journal;
+import craneway.sim.PromiseChecker;
 import craneway.sim.Scenario;
-import craneway.sim.FleetShape;
 import craneway.sim.StoreMachine;
 import io.cucumber.java.en.Given;
 import io.cucumber.java.en.Then;
@@ -121,11 +121,13 @@
             }
             case "a node that slipped back" -> {
                 acceptSecondManifest(2, 8 * MICROS_PER_SECOND);
-                journal.seenManifests.add(new Journal.SeenManifest(9 * MICROS_PER_SECOND, "router-1", 1, 1, FIRST_MANIFEST));
+                journal.seenManifests.add(
+                        new Journal.SeenManifest(9 * MICROS_PER_SECOND, "router-1", 1, 1, FIRST_MANIFEST));
             }
             case "a node that restarted with an older manifest" -> {
                 acceptSecondManifest(2, 8 * MICROS_PER_SECOND);
-                journal.seenManifests.add(new Journal.SeenManifest(9 * MICROS_PER_SECOND, "router-1", 2, 1, FIRST_MANIFEST));
+                journal.seenManifests.add(
+                        new Journal.SeenManifest(9 * MICROS_PER_SECOND, "router-1", 2, 1, FIRST_MANIFEST));
             }
             case "work by the old manifest 3.4 s after the new one was everywhere" -> {
                 acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
@@ -154,7 +156,8 @@
                 addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).manifestVersion = 2;
             case "a node that ends without the newest manifest" -> {
                 acceptSecondManifest(2, 24 * MICROS_PER_SECOND);
-                journal.finalStates.add(new Journal.FinalState("router-2", 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
+                journal.finalStates.add(
+                        new Journal.FinalState("router-2", 1, FIRST_MANIFEST, Map.of(), Map.of("registry", 7L)));
             }
             case "two manifests taken as one version" ->
                 journal.sentManifests.add(new Journal.SentManifest(
@@ -165,7 +168,8 @@
                 journal.emptiedAreas.add(
                         new Journal.EmptiedArea("split-1", "", 30 * MICROS_PER_SECOND, new long[] {Long.MAX_VALUE}));
             case "a kept tenant that is released by itself" ->
-                journal.keptTenants.add(new Journal.KeptTenant("office-zagreb-centre", List.of("zagreb"), 30 * MICROS_PER_SECOND));
+                journal.keptTenants.add(
+                        new Journal.KeptTenant("office-zagreb-centre", List.of("zagreb"), 30 * MICROS_PER_SECOND));
             case "a table step that is lost" ->
                 addRun("x", "", "runner-a", "zagreb-1", 30 * MICROS_PER_SECOND).tableVersion = 8;
             case "a quota that is given out anew" -> {
--- a/test/features/src/test/java/craneway/features/ProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/ProcessSteps.java
@@ -141,8 +141,12 @@
     @When("zone {word} is drilled with {int} streams while work is sent to one of its runners directly")
     public void drillZoneWithDirectWork(String zone, int streams) throws IOException {
         var runner = fleet.processNames("runners").stream()
-                .filter(name ->
-                        fleet.fleetJson.get("runners").get(name).get("zone").asText().equals(zone))
+                .filter(name -> fleet.fleetJson
+                        .get("runners")
+                        .get(name)
+                        .get("zone")
+                        .asText()
+                        .equals(zone))
                 .findFirst()
                 .orElseThrow();
         var address = fleet.fleetJson.get("runners").get(runner).get("address").asText();
--- a/test/features/src/test/java/craneway/features/SimulationSteps.java
+++ b/test/features/src/test/java/craneway/features/SimulationSteps.java
@@ -1,14 +1,14 @@
 package craneway.features;
 
 import craneway.model.problem.ProblemKind;
-import craneway.sim.RandomFaultRun;
-import craneway.sim.PromiseChecker;
 import craneway.sim.ClientMachine;
-import craneway.sim.SimulatedDay;
+import craneway.sim.FleetShape;
 import craneway.sim.Limit;
+import craneway.sim.PromiseChecker;
+import craneway.sim.RandomFaultRun;
 import craneway.sim.RouterMachine;
 import craneway.sim.Scenario;
-import craneway.sim.FleetShape;
+import craneway.sim.SimulatedDay;
 import craneway.sim.StoreMachine;
 import craneway.state.message.Node;
 import io.cucumber.datatable.DataTable;
@@ -133,7 +133,9 @@
 
     @Then("the operator received {string}")
     public void checkOperatorReceived(String text) {
-        check(scenario.operatorAnswers.stream().anyMatch(answer -> answer.startsWith(text)), "received " + scenario.operatorAnswers);
+        check(
+                scenario.operatorAnswers.stream().anyMatch(answer -> answer.startsWith(text)),
+                "received " + scenario.operatorAnswers);
     }
 
     @Then("by second {double} the operator received {string} and not {string}")
@@ -345,11 +347,12 @@
                 .filter(result -> !result.violations().isEmpty())
                 .findFirst();
         if (failed.isEmpty()) return;
-        var shortestSchedule =
-                RandomFaultRun.minimize(fleetShape, failed.get().seed(), failed.get().faults());
+        var shortestSchedule = RandomFaultRun.minimize(
+                fleetShape, failed.get().seed(), failed.get().faults());
         throw new AssertionError("seed " + failed.get().seed() + ": "
                 + failed.get().violations() + "\nshortest schedule: " + shortestSchedule + "\n"
-                + RandomFaultRun.run(fleetShape, failed.get().seed(), shortestSchedule).timeline());
+                + RandomFaultRun.run(fleetShape, failed.get().seed(), shortestSchedule)
+                        .timeline());
     }
 
     @Then("days {long} to {long} on the {word} fleet keep every promise")
