--- a/test/features/src/test/java/craneway/features/CheckerSteps.java
+++ b/test/features/src/test/java/craneway/features/CheckerSteps.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Steps that plant faults in a journal of simulated submissions, to prove that the checkers find them. */
+/** Steps that insert faults into a journal of simulated submissions, to prove that the checkers find them. */
 public final class CheckerSteps {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
--- a/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
+++ b/test/pass/src/test/java/craneway/pass/WeightVersionResumeTest.java
@@ -24,7 +24,7 @@
 
     /**
      * The first run breaks off after two events, the second of which may name another version; the second run names a
-     * version of its own. {@code expectedOnResume} is the version that the second run is asked for.
+     * version of its own. {@code expectedOnResume} is the version that the request for the second run names.
      */
     @ParameterizedTest
     @CsvSource(
--- a/test/sim/src/main/java/craneway/sim/ClientMachine.java
+++ b/test/sim/src/main/java/craneway/sim/ClientMachine.java
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Submits work to a random ready router, near ones first.
+     * Submits work to a random ready router, nearby ones first.
      *
      * @param key the idempotency key
      * @param submissionNumber the number of this submission of the work, from 1
--- a/test/sim/src/main/java/craneway/sim/FleetShape.java
+++ b/test/sim/src/main/java/craneway/sim/FleetShape.java
@@ -46,8 +46,8 @@
     }
 
     /** Bootstraps a fleet of this shape whose nodes speak the given wire version. */
-    public Scenario createScenario(long seed, int wire) {
-        var scenario = new Scenario(seed, manifest, routersPerZone, slotsPerRunner, wire);
+    public Scenario createScenario(long seed, int wireVersion) {
+        var scenario = new Scenario(seed, manifest, routersPerZone, slotsPerRunner, wireVersion);
         for (var store : scenario.world.machinesOfType(StoreMachine.class)) store.setDiskDelay(diskDelayMicros);
         return scenario;
     }
--- a/test/sim/src/main/java/craneway/sim/Journal.java
+++ b/test/sim/src/main/java/craneway/sim/Journal.java
@@ -78,7 +78,7 @@
         }
     }
 
-    /** A manifest that an operator sent, the answer, and when it was in force on every router. */
+    /** A manifest that an operator sent, the response, and when it was in force on every router. */
     public record SentManifest(
             String text,
             long baseVersion,
@@ -88,7 +88,7 @@
             long version,
             long[] inForceEverywhereAt) {}
 
-    /** A confirmed order that keeps a tenant's work in the given regions. */
+    /** A confirmed plan that keeps a tenant's work in the given regions. */
     public record KeptTenant(String tenant, List<String> regions, long confirmedAt) {}
 
     /** A submission that one router forwarded to another, and when. */
@@ -105,7 +105,7 @@
     /** The first time that a process of a node had a manifest version in force. */
     public record SeenManifest(long firstSeenAt, String node, int processNumber, long version, String text) {}
 
-    /** A period in which a node was frozen or in trouble; the end is filled in later. */
+    /** A period in which a node was frozen or hindered; the end is filled in later. */
     public record Outage(String node, long startedAt, long[] endedAt) {}
 
     public final List<Run> runs = new ArrayList<>();
--- a/test/sim/src/main/java/craneway/sim/Limit.java
+++ b/test/sim/src/main/java/craneway/sim/Limit.java
@@ -18,8 +18,8 @@
     /** The limit in the unit that the description names. */
     public final double value;
 
-    Limit(String words, double value) {
-        this.description = words;
+    Limit(String description, double value) {
+        this.description = description;
         this.value = value;
     }
 
--- a/test/sim/src/main/java/craneway/sim/ManifestChecker.java
+++ b/test/sim/src/main/java/craneway/sim/ManifestChecker.java
@@ -66,14 +66,14 @@
 
     private void checkReached(Journal.SentManifest manifest, String node, long reachedAt) {
         var latest = manifest.answeredAt() + Limit.REACH.micros();
-        if (wasInTrouble(node, manifest.answeredAt(), latest)) return;
+        if (hadOutage(node, manifest.answeredAt(), latest)) return;
         if (reachedAt != Long.MAX_VALUE) checks.recordWorst(Limit.REACH, (reachedAt - manifest.answeredAt()) / 1e6);
         if (reachedAt > latest)
             checks.addViolation("promise 6: manifest " + manifest.version() + " was not in force on " + node + " after "
                     + Limit.REACH.value + " s");
     }
 
-    private boolean wasInTrouble(String node, long from, long until) {
+    private boolean hadOutage(String node, long from, long until) {
         for (var outage : journal.outages)
             if (outage.node().equals(node)
                     && outage.startedAt() <= until
@@ -121,13 +121,13 @@
         for (var run : journal.runs) newestVersion.merge(run.service, run.tableVersion, Math::max);
         for (var end : journal.finalStates)
             newestVersion.forEach((service, version) -> {
-                if (!isStillInTrouble(end.node()) && end.tableVersions().getOrDefault(service, 0L) < version)
+                if (!isInOpenOutage(end.node()) && end.tableVersions().getOrDefault(service, 0L) < version)
                     checks.addViolation("promise 8: " + end.node() + " ends with table version "
                             + end.tableVersions().get(service) + " of " + service + "; work was decided on " + version);
             });
     }
 
-    private boolean isStillInTrouble(String node) {
+    private boolean isInOpenOutage(String node) {
         for (var outage : journal.outages)
             if (outage.node().equals(node) && outage.endedAt()[0] == Long.MAX_VALUE) return true;
         return false;
@@ -142,7 +142,7 @@
         for (var area : journal.emptiedAreas)
             if (area.takenBackAt()[0] == Long.MAX_VALUE) marks.put(area.markKey(journal.serviceName), "emptied");
         for (var kept : journal.keptTenants) marks.put("tenant:" + kept.tenant(), String.join(",", kept.regions()));
-        for (var end : journal.finalStates) if (!isStillInTrouble(end.node())) checkFinalState(end, newest, marks);
+        for (var end : journal.finalStates) if (!isInOpenOutage(end.node())) checkFinalState(end, newest, marks);
     }
 
     private void checkFinalState(Journal.FinalState end, Journal.SentManifest newest, Map<String, String> marks) {
--- a/test/sim/src/main/java/craneway/sim/Measurements.java
+++ b/test/sim/src/main/java/craneway/sim/Measurements.java
@@ -4,7 +4,7 @@
 
 /** Measurements for the documentation, each on the small fleet with one kind of fault. */
 public final class Measurements {
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private Measurements() {}
 
@@ -22,7 +22,7 @@
         scenario.perform(ownerOf(scenario), "kill");
         scenario.runUntilSecond(15);
         finish(scenario);
-        var killedAt = scenario.startTime + 5 * SECOND_MICROS;
+        var killedAt = scenario.startTime + 5 * MICROS_PER_SECOND;
         var declines = scenario.world.journal.replies.stream()
                 .filter(reply -> reply.submittedAt >= killedAt && reply.verdict.equals("declined"))
                 .toList();
@@ -55,7 +55,7 @@
         scenario.perform("osijek-1", "start");
         scenario.runUntilSecond(30);
         finish(scenario);
-        var returnedAt = scenario.startTime + 12 * SECOND_MICROS;
+        var returnedAt = scenario.startTime + 12 * MICROS_PER_SECOND;
         return scenario.world.journal.runs.stream()
                         .filter(run -> run.zone.equals("osijek-1") && run.startedAt >= returnedAt && run.complete)
                         .mapToLong(run -> run.startedAt - returnedAt)
--- a/test/sim/src/main/java/craneway/sim/PlacementChecker.java
+++ b/test/sim/src/main/java/craneway/sim/PlacementChecker.java
@@ -16,7 +16,7 @@
  */
 final class PlacementChecker {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long MINUTE_MICROS = 60_000_000;
+    private static final long MICROS_PER_MINUTE = 60_000_000;
 
     private final Journal journal;
     private final Map<String, String> zoneRegion;
@@ -147,7 +147,7 @@
             submissionsRun
                     .computeIfAbsent(run.service + " " + run.tenant, serviceAndTenant -> new HashSet<>())
                     .add(run.submissionId);
-        var minutes = (lastRunAt - firstRunAt) / MINUTE_MICROS + 2;
+        var minutes = (lastRunAt - firstRunAt) / MICROS_PER_MINUTE + 2;
         submissionsRun.forEach((serviceAndTenant, submissions) -> {
             var quotaPerMinute =
                     highestQuota.getOrDefault(serviceAndTenant.substring(serviceAndTenant.indexOf(' ') + 1), 0);
--- a/test/sim/src/main/java/craneway/sim/PromiseChecker.java
+++ b/test/sim/src/main/java/craneway/sim/PromiseChecker.java
@@ -184,7 +184,7 @@
         return new PlacementChecker(journal, zoneRegion, this).allEmptied(reply);
     }
 
-    /** Whether the client got the complete stream, or was told that the work had already run. */
+    /** Whether the client got the complete stream, or a response saying that the work had already run. */
     static boolean wasServed(Journal.Reply reply) {
         return reply.verdict.equals("whole") || reply.verdict.equals("recorded");
     }
--- a/test/sim/src/main/java/craneway/sim/RouterMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RouterMachine.java
@@ -109,11 +109,11 @@
     /** Passes what the request relay produces to the caller's stream. */
     private final class ClientExchange implements HttpExchange {
         private final SimulatedStream stream;
-        private final String sub;
+        private final String submissionId;
 
-        ClientExchange(SimulatedStream stream, String sub) {
+        ClientExchange(SimulatedStream stream, String submissionId) {
             this.stream = stream;
-            this.sub = sub;
+            this.submissionId = submissionId;
         }
 
         @Override
@@ -145,7 +145,7 @@
 
         @Override
         public void sendProblem(Problem problem) {
-            if (!sub.isEmpty()) world.journal.verdictSentAt.put(sub, now());
+            if (!submissionId.isEmpty()) world.journal.verdictSentAt.put(submissionId, now());
             var headers = new HashMap<String, String>();
             headers.put(
                     HttpExchange.PROBLEM_HEADER, Integer.toString(problem.kind().code()));
--- a/test/sim/src/main/java/craneway/sim/RunnerMachine.java
+++ b/test/sim/src/main/java/craneway/sim/RunnerMachine.java
@@ -73,7 +73,7 @@
             world.net.send(this, router.address, () -> router.router.announceRunner(announcement, reply -> {}));
     }
 
-    /** Stops announcing and tells the routers that the runner leaves. */
+    /** Stops announcing and sends the routers a leave. */
     public void leave() {
         leaving = true;
         sendLeave(0);
--- a/test/sim/src/main/java/craneway/sim/Scenario.java
+++ b/test/sim/src/main/java/craneway/sim/Scenario.java
@@ -10,11 +10,11 @@
  * Drives a simulated fleet: bootstraps it, generates traffic and performs the actions of operators and faults by name.
  */
 public final class Scenario {
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     public final World world;
 
-    /** What the operators' commands were answered, in order. */
+    /** The responses to the operators' commands, in order. */
     public final List<String> operatorAnswers = new ArrayList<>();
 
     /** When the bootstrapped fleet was ready, in microseconds of simulated time. */
@@ -34,11 +34,11 @@
      *
      * @param routers the number of routers in each zone
      * @param slots the number of slots of each runner
-     * @param wire the wire version that the nodes speak
+     * @param wireVersion the wire version that the nodes speak
      */
-    public Scenario(long seed, String manifest, int[] routers, int slots, int wire) {
+    public Scenario(long seed, String manifest, int[] routers, int slots, int wireVersion) {
         world = new World(seed, manifest, routers, slots);
-        world.wireVersion = wire;
+        world.wireVersion = wireVersion;
         random = new Random(seed ^ 0x5eed);
         world.bootstrap();
         startTime = world.sim.now();
@@ -112,12 +112,12 @@
 
     /** Runs the simulation up to the given second after {@link #startTime}. */
     public void runUntilSecond(double seconds) {
-        world.sim.runUntil(startTime + (long) (seconds * SECOND_MICROS));
+        world.sim.runUntil(startTime + (long) (seconds * MICROS_PER_SECOND));
     }
 
     /** Runs the simulation for the given number of seconds. */
     public void runForSeconds(double seconds) {
-        world.sim.runUntil(world.sim.now() + (long) (seconds * SECOND_MICROS));
+        world.sim.runUntil(world.sim.now() + (long) (seconds * MICROS_PER_SECOND));
     }
 
     /**
@@ -284,7 +284,7 @@
                 endOutage(machine.name);
             }
             case "slow" -> ((StoreMachine) machine).setDiskDelay(Long.parseLong(words[1]));
-            case "clock-jump" -> world.wallClockOffsets.put(machine.name, Long.parseLong(words[1]) * SECOND_MICROS);
+            case "clock-jump" -> world.wallClockOffsets.put(machine.name, Long.parseLong(words[1]) * MICROS_PER_SECOND);
             case "move-to" -> {
                 machine.address = words[1];
                 world.net.register(machine);
@@ -343,7 +343,7 @@
 
     /** Counts complete replies to submissions sent at or after the given second. */
     public long countCompleteSince(double seconds) {
-        var from = startTime + (long) (seconds * SECOND_MICROS);
+        var from = startTime + (long) (seconds * MICROS_PER_SECOND);
         return world.journal.replies.stream()
                 .filter(reply -> reply.verdict.equals("whole") && reply.submittedAt >= from)
                 .count();
--- a/test/sim/src/main/java/craneway/sim/SimulatedDay.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedDay.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * Runs a simulated day: a crowd in the morning, shifting loads, a lost zone, a rolling release and a quiet night with
+ * Runs a simulated day: a load peak in the morning, shifting loads, a lost zone, a rolling release and a quiet night with
  * maintenance.
  */
 public final class SimulatedDay {
--- a/test/sim/src/main/java/craneway/sim/SimulatedDisk.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedDisk.java
@@ -17,7 +17,7 @@
  */
 public final class SimulatedDisk implements Folder {
     /** One loss of power in this many discards everything that was not synced. */
-    private static final int TOTAL_LOSS_ONE_IN = 4;
+    private static final int POWER_LOSSES_PER_TOTAL_LOSS = 4;
 
     /** One file: its content as the process sees it, and what a loss of power may do to it. */
     private static final class SimulatedFile {
@@ -70,7 +70,7 @@
 
     /** Simulates a loss of power: each unsynced write is kept, lost or torn, drawn from {@code random}. */
     public void losePower(Random random) {
-        var losesAll = random.nextInt(TOTAL_LOSS_ONE_IN) == 0;
+        var losesAll = random.nextInt(POWER_LOSSES_PER_TOTAL_LOSS) == 0;
         deleted.forEach((name, file) -> {
             if (losesAll || random.nextBoolean()) files.putIfAbsent(name, file);
         });
--- a/test/sim/src/main/java/craneway/sim/SimulatedNetwork.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedNetwork.java
@@ -69,9 +69,9 @@
     }
 
     /** Restores both directions between two machines. */
-    public void heal(Machine a, Machine b) {
-        cutLinks.remove(a.name + ">" + b.name);
-        cutLinks.remove(b.name + ">" + a.name);
+    public void heal(Machine first, Machine second) {
+        cutLinks.remove(first.name + ">" + second.name);
+        cutLinks.remove(second.name + ">" + first.name);
     }
 
     /** Whether messages pass from one machine to the other. */
--- a/test/sim/src/main/java/craneway/sim/World.java
+++ b/test/sim/src/main/java/craneway/sim/World.java
@@ -50,7 +50,7 @@
     /** Whether runners are warm from their start on. */
     public boolean runnersStartWarm = true;
 
-    /** The wire version that nodes speak which start from now on. */
+    /** The wire version of nodes started from now on. */
     public int wireVersion = Node.WIRE_VERSION;
 
     final Set<SimulatedStream> streams = new LinkedHashSet<>();
@@ -104,12 +104,12 @@
         return seedAddresses;
     }
 
-    /** Sets the addresses that processes are given which start from now on. */
+    /** Sets the addresses that are given to processes started from now on. */
     public void seedAddresses(List<String> addresses) {
         seedAddresses = addresses;
     }
 
-    /** The number of stores that found the core. */
+    /** The number of stores that bootstrap the core. */
     int coreStoreCount() {
         return 3;
     }
@@ -253,7 +253,7 @@
         return machine instanceof StoreMachine store ? store.operator : ((RouterMachine) machine).operator;
     }
 
-    /** Sends a manifest on the given base version at a store or router and records the answer. */
+    /** Sends a manifest on the given base version at a store or router and records the response. */
     public void sendManifest(String text, long base, String nodeName) {
         var sentAt = sim.now();
         journal.undecidedManifests.add(text);
@@ -294,7 +294,7 @@
         void start(OperatorCommands commands, Consumer<Either<Problem, OperatorCommands.RolloutResult>> callback);
     }
 
-    /** Watches a rollout every 0.5 s until no router acts on older state; waits while the asked node is down. */
+    /** Watches a rollout every 0.5 s until no router acts on older state; waits while that node is down. */
     private void awaitRollout(String nodeName, RolloutWatch watch, Runnable completed) {
         sim.scheduleAfter(500_000, () -> {
             if (!machine(nodeName).isRunning() || machine(nodeName).isFrozen())
@@ -307,12 +307,12 @@
         });
     }
 
-    /** The newest version that an operator was told is accepted. */
+    /** The newest version that was acknowledged to an operator as accepted. */
     public long manifestVersion() {
         return manifestVersion;
     }
 
-    /** Creates a plan from an intent and confirms it; {@code callback} gets each answer. */
+    /** Creates a plan from an intent and confirms it; {@code callback} gets each response. */
     public void submitIntent(Intent intent, String nodeName, Consumer<String> callback) {
         operator(nodeName).createPlan(intent, plan -> {
             if (plan.isLeft())
@@ -353,7 +353,7 @@
         });
     }
 
-    /** Notes an answer to the operator on the timeline and passes it on. */
+    /** Records a response to the operator on the timeline and passes it to the callback. */
     private void report(Consumer<String> callback, String answer) {
         timeline.add(sim.now(), "operator", answer);
         callback.accept(answer);
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Founding, failover, restarts and membership changes of a core of three or six stores. Checks how soon every part has
+ * Bootstrap, failover, restarts and membership changes of a core of three or six stores. Checks how soon every part has
  * a leader and its voters again, that acknowledged configurations survive, and that nodes whose clock went back are not
  * shut out.
  */
@@ -409,7 +409,7 @@
     }
 
     @Test
-    void aClockThatWentBackBeforeTheFoundingDoesNotDelayIt() {
+    void aClockThatWentBackBeforeTheBootstrapDoesNotDelayIt() {
         var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         cluster.addMember("s1", Node.STORE, "z1");
         cluster.addMember("s2", Node.STORE, "z2");
--- a/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
@@ -40,8 +40,8 @@
         }
 
         @Override
-        public void restoreSnapshot(byte[] image) {
-            applied = image == null ? 0 : image.length;
+        public void restoreSnapshot(byte[] snapshot) {
+            applied = snapshot == null ? 0 : snapshot.length;
         }
     }
 
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -103,16 +103,21 @@
             if (i % 3 == 0) leader.crash();
             else if (i % 3 == 1) leader.setDiskHung(true);
             else cluster.members.keySet().forEach(m -> blockPaths(leader.name, m));
-            for (var t = 0; t < 70; t++) {
+            for (var check = 0; check < 70; check++) {
                 cluster.runFor(0.02);
-                for (var r : routers())
-                    assertEquals(version, r.router.membership().view().manifestRow().version);
-                for (var r : routers())
-                    assertNotNull(r.router.membership().view().manifest());
-                for (var r : routers())
+                for (var router : routers())
+                    assertEquals(version, router.router.membership().view().manifestRow().version);
+                for (var router : routers())
+                    assertNotNull(router.router.membership().view().manifest());
+                for (var router : routers())
                     assertEquals(
-                            r.router.membership().view().manifest().services().keySet(),
-                            r.router.membership().view().services().keySet());
+                            router.router
+                                    .membership()
+                                    .view()
+                                    .manifest()
+                                    .services()
+                                    .keySet(),
+                            router.router.membership().view().services().keySet());
             }
             var previousVersion = version;
             var other = cluster.members.values().stream()
@@ -122,7 +127,7 @@
             other.operator.putManifest(
                     previousVersion,
                     manifestText.replaceFirst("\"claimRetentionMs\": \\d+", "\"claimRetentionMs\": " + (3_700_000 + i)),
-                    r -> version = r.isRight() ? r.get().version() : -1);
+                    result -> version = result.isRight() ? result.get().version() : -1);
             cluster.runUntil(() -> version != previousVersion, 5);
             assertTrue(version > previousVersion, this::eventLog);
             assertBelow(0.5, cluster.runUntil(() -> cluster.allRoutersCurrent(version), 5));
@@ -138,14 +143,14 @@
         var manifest = cluster.member("r1").router.membership().view().manifest();
         var service = manifest.services().values().iterator().next();
         for (var i = 0; i < 6; i++) {
-            for (var t = 0; t < 6; t++) {
+            for (var round = 0; round < 6; round++) {
                 announceRunner(service.name(), service.cells().get(0).name());
                 cluster.runFor(1.2);
             }
             var leader = cluster.leaderOf(0);
             leader.crash();
             cluster.runFor(1.2);
-            for (var t = 0; t < 3; t++) {
+            for (var round = 0; round < 3; round++) {
                 announceRunner(service.name(), service.cells().get(0).name());
                 cluster.runFor(1.2);
             }
@@ -157,7 +162,7 @@
     private void announceRunner(String service, String cell) {
         cluster.member("r1")
                 .router
-                .announceRunner(new Announcement(service, "run-1", "10.0.0.1:80", cell, 4, 1, false, 0), x -> {});
+                .announceRunner(new Announcement(service, "run-1", "10.0.0.1:80", cell, 4, 1, false, 0), result -> {});
     }
 
     private void blockPaths(String first, String second) {
--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -34,7 +34,7 @@
     private static final int MEASURED_SECONDS = 20;
     private static final int ROUTER_COUNT = 9;
     private static final int CHANGE_COUNT = 5;
-    private static final int REPETITIONS = 3;
+    private static final int REPETITION_COUNT = 3;
     private static final String SERVICE = "model";
     private static final String CELL_PREFIX = "a";
     private static final int[] NODE_COUNTS = {10, 30, 100, 200, 390};
@@ -159,11 +159,11 @@
                 "bytes sent in all for one router that starts again");
         var cost = new double[NODE_COUNTS.length][5];
         for (var i = 0; i < NODE_COUNTS.length; i++) {
-            var routerCpuPercent = new double[REPETITIONS];
-            var leaderCpuPercent = new double[REPETITIONS];
-            var restartBytes = new double[REPETITIONS];
+            var routerCpuPercent = new double[REPETITION_COUNT];
+            var leaderCpuPercent = new double[REPETITION_COUNT];
+            var restartBytes = new double[REPETITION_COUNT];
             double routerMessages = 0, routerBytes = 0, leaderMessages = 0, leaderBytes = 0;
-            for (var repetition = 0; repetition < REPETITIONS; repetition++) {
+            for (var repetition = 0; repetition < REPETITION_COUNT; repetition++) {
                 var cluster = startCluster(NODE_COUNTS[i] - 3, manifestText(6, 0, 1), 17 + repetition);
                 cluster.resetCounters();
                 cluster.runFor(MEASURED_SECONDS);
@@ -556,14 +556,14 @@
         }
         for (var number = 0; number < runners; number++)
             service.runners.put("runner-" + number, runnerRow(runnerPut(number, 128)));
-        var noNodes = new ArrayList<List<Node>>();
-        for (var number = 0; number < Parts.COUNT; number++) noNodes.add(List.of());
+        var emptyNodeLists = new ArrayList<List<Node>>();
+        for (var number = 0; number < Parts.COUNT; number++) emptyNodeLists.add(List.of());
         return new CoreView(
                 new Rows.Manifest(),
                 ManifestReader.readValidated(manifestText(6, 0, 1)).get(),
                 Map.of(SERVICE, service),
                 new long[Parts.COUNT],
-                noNodes,
+                emptyNodeLists,
                 0,
                 new long[Parts.COUNT]);
     }
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -54,9 +54,9 @@
         }
 
         @Override
-        public void restoreSnapshot(byte[] image) {
+        public void restoreSnapshot(byte[] snapshot) {
             bytes.reset();
-            if (image != null) bytes.writeBytes(image);
+            if (snapshot != null) bytes.writeBytes(snapshot);
         }
     }
 
--- a/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
+++ b/test/sim/src/test/java/craneway/sim/SnapshotTransferTest.java
@@ -18,10 +18,10 @@
  * releases.
  */
 class SnapshotTransferTest {
-    private static final int COMMANDS = 60;
+    private static final int COMMAND_COUNT = 60;
     private static final int COMMAND_BYTES = 100_000;
     private static final long SNAPSHOT_BYTES = 4_100_000;
-    private static final long TOTAL_BYTES = COMMANDS * COMMAND_BYTES;
+    private static final long TOTAL_BYTES = COMMAND_COUNT * COMMAND_BYTES;
 
     /**
      * A group of three voters of which two run and have replaced their log by a snapshot of about 4 MB; the third has
@@ -31,7 +31,7 @@
         var network = new SlowNetwork(seed, 3);
         network.start(1);
         network.start(2);
-        network.proposeRandomCommands(COMMANDS, COMMAND_BYTES);
+        network.proposeRandomCommands(COMMAND_COUNT, COMMAND_BYTES);
         assertTrue(network.leader().countEvents(Event.SNAPSHOT_TAKEN) > 0);
         network.connectionBytes = 0;
         return network;
--- a/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/DelayedCallTest.java
@@ -14,7 +14,7 @@
  * gives up one second after it sent the call.
  */
 class DelayedCallTest {
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long CALL_DELAY_MICROS = 400_000;
     private static final long POLL_INTERVAL_MICROS = 5_000;
 
@@ -26,7 +26,7 @@
     void aZoneCommandThatReachesItsStoreLateDoesNotUndoALaterOne() {
         net.maxReadDelayMicros = Long.MAX_VALUE;
         fleet.net.heldShare = 1;
-        fleet.run(10 * SECOND_MICROS);
+        fleet.run(10 * MICROS_PER_SECOND);
         var leader = fleet.leader();
         var isolated = fleet.nodes().stream()
                 .filter(node -> node != leader)
@@ -38,14 +38,14 @@
             fleet.nodes().forEach(node -> fleet.net.cut(isolated.name, node.name));
             net.call(isolated, Request.markZone("z1", true), answer -> {});
         });
-        fleet.run(SECOND_MICROS);
+        fleet.run(MICROS_PER_SECOND);
         history.add(Operation.markZone("operator", "z1", true, sentAt, fleet.sim.now(), Outcome.UNCLEAR));
         markZone(leader, false);
         fleet.net.heal();
-        fleet.run(4 * SECOND_MICROS);
+        fleet.run(4 * MICROS_PER_SECOND);
         var nodeNames = List.of(leader.name);
-        new OperatorClient("reader", fleet.sim, net, () -> nodeNames, history, 0, () -> {}).read(SECOND_MICROS);
-        fleet.run(SECOND_MICROS);
+        new OperatorClient("reader", fleet.sim, net, () -> nodeNames, history, 0, () -> {}).read(MICROS_PER_SECOND);
+        fleet.run(MICROS_PER_SECOND);
         assertEquals("", HistoryChecker.check(history));
     }
 
@@ -53,7 +53,7 @@
         var sentAt = fleet.sim.now();
         var acknowledged = new ArrayList<Boolean>();
         net.call(node, Request.markZone("z1", emptied), answer -> acknowledged.add(answer.isOk()));
-        while (acknowledged.isEmpty() && fleet.sim.now() < sentAt + SECOND_MICROS) fleet.run(POLL_INTERVAL_MICROS);
+        while (acknowledged.isEmpty() && fleet.sim.now() < sentAt + MICROS_PER_SECOND) fleet.run(POLL_INTERVAL_MICROS);
         assertTrue(acknowledged.equals(List.of(true)));
         history.add(Operation.markZone("operator", "z1", emptied, sentAt, fleet.sim.now(), Outcome.ACKNOWLEDGED));
     }
--- a/test/sim/src/test/java/craneway/sim/history/FaultyStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/FaultyStoreTest.java
@@ -11,10 +11,10 @@
     private static final int MAX_SEEDS = 4;
     private static final int RUN_SECONDS = 60;
 
-    private static void assertDetected(Supplier<OperatorEndpoint> faultyOffice, String subject) {
+    private static void assertDetected(Supplier<OperatorEndpoint> faultyEndpoint, String subject) {
         var violations = new StringBuilder();
         for (var seed = 1; seed <= MAX_SEEDS; seed++) {
-            var violation = new HistoryRun(seed, HistoryRun.storeCount(seed), RUN_SECONDS, faultyOffice.get()).play();
+            var violation = new HistoryRun(seed, HistoryRun.storeCount(seed), RUN_SECONDS, faultyEndpoint.get()).play();
             if (violation.contains("explains " + subject)) return;
             violations.append(violation);
         }
--- a/test/sim/src/test/java/craneway/sim/history/HistoryRun.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryRun.java
@@ -11,10 +11,10 @@
  * repaired, and the newest state is read back at every store.
  */
 final class HistoryRun {
-    private static final long SECOND_MICROS = 1_000_000;
-    private static final long BOOTSTRAP_MICROS = 8 * SECOND_MICROS;
-    private static final long RECOVERY_MICROS = 8 * SECOND_MICROS;
-    private static final long READ_BACK_MICROS = 12 * SECOND_MICROS;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long BOOTSTRAP_MICROS = 8 * MICROS_PER_SECOND;
+    private static final long RECOVERY_MICROS = 8 * MICROS_PER_SECOND;
+    private static final long READ_BACK_MICROS = 12 * MICROS_PER_SECOND;
     private static final long LIST_INTERVAL_MICROS = 500_000;
     private static final int LIST_LAG_INTERVALS = 6;
     private static final int MAX_CONCURRENT_CALLS = 8;
@@ -36,7 +36,7 @@
         this.seed = seed;
         fleet = new StoreFleet(seed, stores);
         net = new OperatorNetwork(fleet, endpoint);
-        endTime = fleet.sim.now() + BOOTSTRAP_MICROS + seconds * SECOND_MICROS;
+        endTime = fleet.sim.now() + BOOTSTRAP_MICROS + seconds * MICROS_PER_SECOND;
         faultInjector = new FaultInjector(fleet, endTime);
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/HistorySweep.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistorySweep.java
@@ -6,7 +6,7 @@
 
 /** Runs any number of seeds: {@code HistorySweep FROM COUNT [SECONDS [late]]}. */
 final class HistorySweep {
-    private static final int DEFAULT_SECONDS = 60;
+    private static final int DEFAULT_RUN_SECONDS = 60;
 
     private HistorySweep() {}
 
@@ -14,7 +14,7 @@
     public static void main(String[] args) {
         var from = Long.parseLong(args[0]);
         var count = Long.parseLong(args[1]);
-        var seconds = args.length > 2 ? Integer.parseInt(args[2]) : DEFAULT_SECONDS;
+        var seconds = args.length > 2 ? Integer.parseInt(args[2]) : DEFAULT_RUN_SECONDS;
         var countByEvent = new EnumMap<Event, Integer>(Event.class);
         var totals = new long[5];
         for (var seed = from; seed < from + count; seed++) {
--- a/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/HistoryTest.java
@@ -16,7 +16,7 @@
 class HistoryTest {
     private static final int RUN_SECONDS = 60;
     private static final int DEFAULT_SEEDS = 20;
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     @Test
     void historiesUnderFaultsAreLinearizable() {
@@ -50,7 +50,7 @@
     private static String checkDelayedCommand(boolean emptied) {
         var fleet = new StoreFleet(1, 3);
         fleet.net.heldShare = 1;
-        fleet.run(10 * SECOND_MICROS);
+        fleet.run(10 * MICROS_PER_SECOND);
         var leader = fleet.leader();
         var isolated = fleet.nodes().stream()
                 .filter(node -> node != leader)
@@ -60,10 +60,10 @@
         markZone(fleet, leader, !emptied, true, history);
         fleet.nodes().forEach(node -> fleet.net.cut(isolated.name, node.name));
         markZone(fleet, isolated, emptied, true, history);
-        fleet.run(SECOND_MICROS / 2);
+        fleet.run(MICROS_PER_SECOND / 2);
         markZone(fleet, leader, !emptied, true, history);
         fleet.net.heal();
-        fleet.run(3 * SECOND_MICROS);
+        fleet.run(3 * MICROS_PER_SECOND);
         read(fleet, leader, history);
         assertEquals(List.of(Outcome.ACKNOWLEDGED, Outcome.UNCLEAR, Outcome.ACKNOWLEDGED), outcomes(history));
         return HistoryChecker.check(history);
@@ -82,7 +82,7 @@
 
     private static String checkFrozenStore(boolean guarded) {
         var fleet = new StoreFleet(1, 3);
-        fleet.run(10 * SECOND_MICROS);
+        fleet.run(10 * MICROS_PER_SECOND);
         var leader = fleet.leader();
         var frozen = fleet.nodes().stream()
                 .filter(node -> node != leader)
@@ -91,10 +91,10 @@
         var history = new ArrayList<Operation>();
         frozen.freeze();
         markZone(fleet, frozen, true, guarded, history);
-        fleet.run(SECOND_MICROS);
+        fleet.run(MICROS_PER_SECOND);
         markZone(fleet, leader, false, guarded, history);
         frozen.thaw();
-        fleet.run(3 * SECOND_MICROS);
+        fleet.run(3 * MICROS_PER_SECOND);
         read(fleet, leader, history);
         assertEquals(List.of(Outcome.UNCLEAR, Outcome.ACKNOWLEDGED), outcomes(history));
         return HistoryChecker.check(history);
@@ -103,8 +103,8 @@
     private static void read(StoreFleet fleet, StoreNode node, List<Operation> history) {
         var net = new OperatorNetwork(fleet, new OperatorEndpoint());
         new OperatorClient("reader", fleet.sim, net, () -> List.of(node.name), history, 0, () -> {})
-                .read(3 * SECOND_MICROS);
-        fleet.run(5 * SECOND_MICROS);
+                .read(3 * MICROS_PER_SECOND);
+        fleet.run(5 * MICROS_PER_SECOND);
     }
 
     private static void markZone(
@@ -117,7 +117,7 @@
         net.call(node, Request.markZone("z1", emptied), answer -> {
             if (answer.isOk()) outcome.add(Outcome.ACKNOWLEDGED);
         });
-        fleet.run(SECOND_MICROS);
+        fleet.run(MICROS_PER_SECOND);
         if (outcome.isEmpty()) outcome.add(Outcome.UNCLEAR);
         history.add(Operation.markZone("operator", "z1", emptied, sentAt, fleet.sim.now(), outcome.get(0)));
     }
--- a/test/sim/src/test/java/craneway/sim/history/LinearizabilityCheckerTest.java
+++ b/test/sim/src/test/java/craneway/sim/history/LinearizabilityCheckerTest.java
@@ -12,7 +12,7 @@
 
 /** Compares the search with one that tries every order on short random histories, and runs it on long ones. */
 class LinearizabilityCheckerTest {
-    private static final int CASES = 20_000;
+    private static final int CASE_COUNT = 20_000;
     private static final int MAX_OPERATIONS = 6;
     private static final int LONG_HISTORY_LENGTH = 400;
 
@@ -20,27 +20,29 @@
     void agreesWithTryingEveryOrderOfConfigurations() {
         var random = new Random(1);
         var linearizable = 0;
-        for (var i = 0; i < CASES; i++) {
+        for (var i = 0; i < CASE_COUNT; i++) {
             var history = randomHistory(random, LinearizabilityCheckerTest::configuration);
             var holds = LinearizabilityChecker.isLinearizable(
                     new ConfigurationModel(), new ConfigurationModel().initial(), history);
             assertEquals(someOrderHolds(new ConfigurationModel(), history), holds, () -> HistoryTimeline.of(history));
             if (holds) linearizable++;
         }
-        assertTrue(linearizable > CASES / 20 && linearizable < CASES * 19 / 20, "linearizable: " + linearizable);
+        assertTrue(
+                linearizable > CASE_COUNT / 20 && linearizable < CASE_COUNT * 19 / 20, "linearizable: " + linearizable);
     }
 
     @Test
     void agreesWithTryingEveryOrderOfAZone() {
         var random = new Random(2);
         var linearizable = 0;
-        for (var i = 0; i < CASES; i++) {
+        for (var i = 0; i < CASE_COUNT; i++) {
             var history = randomHistory(random, LinearizabilityCheckerTest::zone);
             var holds = LinearizabilityChecker.isLinearizable(new ZoneModel(), Operation.OPEN, history);
             assertEquals(someOrderHolds(new ZoneModel(), history), holds, () -> HistoryTimeline.of(history));
             if (holds) linearizable++;
         }
-        assertTrue(linearizable > CASES / 20 && linearizable < CASES * 19 / 20, "linearizable: " + linearizable);
+        assertTrue(
+                linearizable > CASE_COUNT / 20 && linearizable < CASE_COUNT * 19 / 20, "linearizable: " + linearizable);
     }
 
     @Test
--- a/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
@@ -7,7 +7,8 @@
 
 /**
  * Handles a call to a store's operator interface once it has been read, as {@code
- * craneway.api.operator.PlatformOperatorHandler} does without HTTP, with the production class {@link PlatformCommands}.
+ * craneway.api.operator.PlatformOperatorHandler} does without HTTP, with the production class {@link
+ * craneway.control.operator.PlatformCommands}.
  * Its status codes are those of that handler.
  */
 class OperatorEndpoint {
--- a/test/sim/src/test/java/craneway/sim/history/StoreFleet.java
+++ b/test/sim/src/test/java/craneway/sim/history/StoreFleet.java
@@ -21,7 +21,7 @@
             Map.of("z1", "a", "z2", "b", "z3", "c", "z4", "a", "z5", "b", "z6", "c");
     private static final long DARK_AFTER_MICROS = 3_000_000;
     private static final long FORGOTTEN_AFTER_MICROS = 60_000_000;
-    private static final int CORE_STORES = 3;
+    private static final int CORE_STORE_COUNT = 3;
     private static final int MAX_NOTES = 40_000;
 
     final Simulation sim;
@@ -36,7 +36,7 @@
     StoreFleet(long seed, int stores) {
         sim = new Simulation(seed);
         net = new StoreNetwork(this);
-        toleratedLosses = stores > CORE_STORES ? 2 : 1;
+        toleratedLosses = stores > CORE_STORE_COUNT ? 2 : 1;
         createdStores = stores;
         for (var i = 1; i <= stores; i++) nodes.put("s" + i, new StoreNode(this, "s" + i, "z" + i));
         nodes.values().forEach(node -> node.start(true));
@@ -54,7 +54,7 @@
     List<String> seedAddresses(boolean first) {
         return first
                 ? List.of("s1", "s2", "s3")
-                : nodes.keySet().stream().limit(CORE_STORES).toList();
+                : nodes.keySet().stream().limit(CORE_STORE_COUNT).toList();
     }
 
     /**
@@ -71,7 +71,7 @@
 
     /** The options of a store, whose disk work runs on the given executor. */
     StoreOptions storeOptions(boolean first, Executor disk) {
-        var settings = new CoreSettings(CORE_STORES, true, first, DARK_AFTER_MICROS, FORGOTTEN_AFTER_MICROS);
+        var settings = new CoreSettings(CORE_STORE_COUNT, true, first, DARK_AFTER_MICROS, FORGOTTEN_AFTER_MICROS);
         return new StoreOptions(
                 settings, Quorum.toleratingLosses(toleratedLosses, REGIONS), TimingProfile.LOW_TRAFFIC, part -> disk);
     }
--- a/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
+++ b/test/sim/src/test/java/craneway/sim/model/MembershipManager.java
@@ -98,7 +98,7 @@
                 .orElse(null);
     }
 
-    /** The voter from which the leader has not heard for the longest time. */
+    /** The voter whose last message to the leader is the oldest. */
     private static long leastRecentlyHeard(Peer leader, Members members) {
         var leastRecent = 0L;
         for (var voter : members.voters) {
--- a/test/sim/src/test/java/craneway/sim/model/Network.java
+++ b/test/sim/src/test/java/craneway/sim/model/Network.java
@@ -8,7 +8,7 @@
  * each message.
  */
 final class Network {
-    private static final int THOUSAND = 1_000;
+    private static final int DRAW_OUTCOMES = 1_000;
     private static final long USUAL_DELAY_SPREAD_MICROS = 4_000;
     private static final long MAX_LATE_DELAY_MICROS = 900_000;
 
@@ -25,7 +25,7 @@
         var hash = Hash.of(seed, label.hashCode());
         var soon = now + 200 + Hash.bucket(Hash.of(hash, 1), (int) USUAL_DELAY_SPREAD_MICROS);
         var late = now + Hash.bucket(Hash.of(hash, 2), (int) MAX_LATE_DELAY_MICROS);
-        var draw = Hash.bucket(Hash.of(hash, 3), THOUSAND);
+        var draw = Hash.bucket(Hash.of(hash, 3), DRAW_OUTCOMES);
         if (draw < faultsPerThousand) return List.of();
         if (draw < 2 * faultsPerThousand) return List.of(late);
         return draw < 3 * faultsPerThousand ? List.of(soon, late) : List.of(soon);
--- a/test/sim/src/test/java/craneway/sim/model/Peer.java
+++ b/test/sim/src/test/java/craneway/sim/model/Peer.java
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void onLeadershipChanged(boolean owns, long term) {}
+    public void onLeadershipChanged(boolean isLeader, long term) {}
 
     @Override
     public void logEvent(Event e, String detail) {}
--- a/test/sim/src/test/java/craneway/sim/model/RandomHistory.java
+++ b/test/sim/src/test/java/craneway/sim/model/RandomHistory.java
@@ -30,7 +30,7 @@
     private static final int LARGE_ENTRY_BYTES = 900_000;
 
     /** Number of equally likely outcomes when a fault may be drawn; most of them are a plain round. */
-    private static final int FAULT_DRAWS = 120;
+    private static final int FAULT_DRAW_OUTCOMES = 120;
 
     /** Duration of each round after the last choice. */
     private static final int REST_ROUND_MILLIS = 20;
@@ -86,7 +86,7 @@
 
     /** Draws a fault or its repair, or, in most cases, a plain round. */
     private static Choice drawFault(Random random, int slot, int other, int leader) {
-        return switch (random.nextInt(FAULT_DRAWS)) {
+        return switch (random.nextInt(FAULT_DRAW_OUTCOMES)) {
             case 0, 1, 2, 3 -> Choice.of(Choice.Kind.CUT, slot, other);
             case 4, 5, 6 -> Choice.of(Choice.Kind.HEAL, 0);
             case 7, 8, 9 -> Choice.of(Choice.Kind.FREEZE, slot);
--- a/test/sim/src/test/java/craneway/sim/model/StartStates.java
+++ b/test/sim/src/test/java/craneway/sim/model/StartStates.java
@@ -12,7 +12,7 @@
 
 /** The states from which the exhaustive explorations start. */
 final class StartStates {
-    /** Returns the same value each time, so that the state does not depend on how often was drawn before. */
+    /** Returns the same value each time, so that the state does not depend on the number of earlier draws. */
     private static final class ConstantRandom extends Random {
         private final double value;
 
--- a/test/sim/src/test/java/craneway/sim/model/StateHash.java
+++ b/test/sim/src/test/java/craneway/sim/model/StateHash.java
@@ -28,7 +28,7 @@
             List.of(Random.class, GroupListener.class, Folder.class, StateMachine.class);
 
     /**
-     * The random number that each log segment draws to tell its records from older ones; the behavior does not depend
+     * The random number by which each log segment distinguishes its records from older ones; the behavior does not depend
      * on it.
      */
     private static final String IGNORED_FIELD = "nonce";
--- a/test/sim/src/test/java/craneway/sim/model/World.java
+++ b/test/sim/src/test/java/craneway/sim/model/World.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.IntFunction;
 
-/** Members of one consensus group on simulated disks, clock and network; every change to it is a {@link Placement}. */
+/** Members of one consensus group on simulated disks, clock and network; every change to it is a {@link Choice}. */
 final class World {
     static final int PART = 0;
     static final long CORE_ID = 9;
--- a/test/standin/src/main/java/craneway/standin/StandinRunner.java
+++ b/test/standin/src/main/java/craneway/standin/StandinRunner.java
@@ -38,9 +38,9 @@
      * The address, capacity and speed of a runner.
      *
      * @param slots number of requests that run at once; further ones get status 503
-     * @param tokenMillis time for each token
+     * @param millisPerToken time for each token
      * @param prefillMillis time before the first token if the prompt is not in the prefix cache
-     * @param prefixes number of prompts in the prefix cache
+     * @param prefixCacheSize number of prompts in the prefix cache
      * @param warmUpMillis time after the start during which the runner is cold
      */
     public record Settings(
