--- a/test/features/src/test/java/craneway/features/InProcessSteps.java
+++ b/test/features/src/test/java/craneway/features/InProcessSteps.java
@@ -528,7 +528,9 @@
     }
 
     @Then("the export holds {int} whole rows of {int} token and {int} quota_spent rows of tenant {word} in {word}")
-    public void checkUsageExport(int whole, int tokens, int spent, String tenant, String region) throws IOException {
+    public void checkUsageExport(
+            int completeRowCount, int tokenCount, int quotaSpentRowCount, String tenant, String region)
+            throws IOException {
         var rowCounts = new HashMap<String, Integer>();
         try (var reader = Files.newBufferedReader(Path.of("target", "usage.csv"));
                 var rows = CSVFormat.DEFAULT
@@ -543,8 +545,9 @@
                         && Long.parseLong(row.get("endedAt")) >= Long.parseLong(row.get("takenAt")))
                     rowCounts.merge(row.get("verdict") + " " + row.get("tokens"), 1, Integer::sum);
         }
-        if (rowCounts.getOrDefault("whole " + tokens, 0) != whole
-                || rowCounts.getOrDefault("quota_spent 0", 0) != spent) throw new AssertionError(rowCounts.toString());
+        if (rowCounts.getOrDefault("whole " + tokenCount, 0) != completeRowCount
+                || rowCounts.getOrDefault("quota_spent 0", 0) != quotaSpentRowCount)
+            throw new AssertionError(rowCounts.toString());
     }
 
     @After
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -96,7 +96,7 @@
                         disk,
                         self,
                         seedAddresses,
-                        new StoreOptions(founderCount, quorum, timingProfile, p -> this::runPartWork),
+                        new StoreOptions(founderCount, quorum, timingProfile, part -> this::runPartWork),
                         random);
             else router = new Router(this, self, seedAddresses, timingProfile, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
@@ -351,7 +351,8 @@
 
     /** Whether every part has a leader and none of them is this member. */
     boolean allPartsLedByOtherThan(Member excluded) {
-        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) == null || leaderOf(p) == excluded) return false;
+        for (var part = 0; part < Parts.COUNT; part++)
+            if (leaderOf(part) == null || leaderOf(part) == excluded) return false;
         return true;
     }
 
@@ -360,7 +361,7 @@
     }
 
     boolean allPartsLedBy(Member member) {
-        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) != member) return false;
+        for (var part = 0; part < Parts.COUNT; part++) if (leaderOf(part) != member) return false;
         return true;
     }
 
@@ -369,7 +370,7 @@
         var view = member.router.membership().view();
         if (!member.running || !member.router.membership().isCurrent() || view.manifestRow().version != version)
             return false;
-        for (var p = 0; p < Parts.COUNT; p++) if (!view.hasLease(p, member.now())) return false;
+        for (var part = 0; part < Parts.COUNT; part++) if (!view.hasLease(part, member.now())) return false;
         return view.services().size() == view.manifest().services().size();
     }
 
@@ -395,9 +396,9 @@
 
     /** Whether a store is one of this many voters of every part. */
     boolean isVoterOfAllParts(Member member, int voterCount) {
-        for (var p = 0; p < Parts.COUNT; p++) {
-            if (leaderOf(p) == null) return false;
-            var groupMembers = leaderOf(p).store.replicas()[p].group().members();
+        for (var part = 0; part < Parts.COUNT; part++) {
+            if (leaderOf(part) == null) return false;
+            var groupMembers = leaderOf(part).store.replicas()[part].group().members();
             if (!groupMembers.isVoter(member.storeId()) || groupMembers.voters.length != voterCount) return false;
         }
         return true;
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -55,7 +55,8 @@
     @Test
     void allPartsAreLedByOneStore() {
         var cluster = threeStores();
-        for (var p = 1; p < Parts.COUNT; p++) assertEquals(cluster.leaderOf(0).name, cluster.leaderOf(p).name);
+        for (var part = 1; part < Parts.COUNT; part++)
+            assertEquals(cluster.leaderOf(0).name, cluster.leaderOf(part).name);
     }
 
     @Test
@@ -237,8 +238,8 @@
     @Test
     void fiveOfSixStoresVoteSpreadOverRegions() {
         var cluster = sixStores();
-        for (var p = 0; p < Parts.COUNT; p++) {
-            var voters = cluster.voterNames(p);
+        for (var part = 0; part < Parts.COUNT; part++) {
+            var voters = cluster.voterNames(part);
             assertEquals(5, voters.size(), () -> String.join("\n", cluster.eventLog));
             var votersPerRegion = new int[3];
             for (var voter : voters) votersPerRegion[cluster.member(voter).zone.charAt(1) % 3]++;
@@ -358,10 +359,10 @@
     }
 
     private static boolean allPartsHaveFiveVoters(Cluster cluster) {
-        for (var p = 0; p < Parts.COUNT; p++)
-            if (cluster.leaderOf(p) == null
-                    || cluster.voterNames(p).size() != 5
-                    || cluster.voterNames(p).contains("?")) return false;
+        for (var part = 0; part < Parts.COUNT; part++)
+            if (cluster.leaderOf(part) == null
+                    || cluster.voterNames(part).size() != 5
+                    || cluster.voterNames(part).contains("?")) return false;
         return true;
     }
 
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -46,11 +46,11 @@
     }
 
     private static boolean isCaughtUp(Cluster cluster, Cluster.Member member) {
-        for (var p = 0; p < Parts.COUNT; p++) {
-            var leader = cluster.leaderOf(p);
+        for (var part = 0; part < Parts.COUNT; part++) {
+            var leader = cluster.leaderOf(part);
             if (leader == null || member.store.replicas().length == 0) return false;
-            var lastIndex = leader.store.replicas()[p].group().lastIndex();
-            if (member.store.replicas()[p].group().appliedIndex() < lastIndex) return false;
+            var lastIndex = leader.store.replicas()[part].group().lastIndex();
+            if (member.store.replicas()[part].group().appliedIndex() < lastIndex) return false;
         }
         return true;
     }
@@ -116,7 +116,7 @@
                 folder,
                 self,
                 List.of(),
-                new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> Runnable::run),
+                new StoreOptions(1, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, part -> Runnable::run),
                 new Random(now));
     }
 
--- a/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
+++ b/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
@@ -50,9 +50,10 @@
     }
 
     private static boolean isVoterOfAnyPart(Cluster cluster, Cluster.Member member) {
-        for (var p = 0; p < Parts.COUNT; p++) {
-            var leader = cluster.leaderOf(p);
-            if (leader != null && leader.store.replicas()[p].group().members().isVoter(member.storeId())) return true;
+        for (var part = 0; part < Parts.COUNT; part++) {
+            var leader = cluster.leaderOf(part);
+            if (leader != null
+                    && leader.store.replicas()[part].group().members().isVoter(member.storeId())) return true;
         }
         return false;
     }
--- a/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
@@ -49,7 +49,7 @@
 
     private static boolean holdsAllLeases(Cluster.Member member, Cluster cluster) {
         var view = membership(member).view();
-        for (var p = 0; p < Parts.COUNT; p++) if (!view.hasLease(p, cluster.sim.now())) return false;
+        for (var part = 0; part < Parts.COUNT; part++) if (!view.hasLease(part, cluster.sim.now())) return false;
         return true;
     }
 
@@ -134,9 +134,9 @@
         var renewals = new Renewals();
         renewals.from = from;
         renewals.sentAt = now;
-        for (var p = 0; p < Parts.COUNT; p++) {
+        for (var part = 0; part < Parts.COUNT; part++) {
             var renewal = new Renewal();
-            renewal.part = p;
+            renewal.part = part;
             renewals.parts.add(renewal);
         }
         return renewals;
@@ -181,7 +181,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, -20_000})
-    void aRestartedStoreIsHeardAtOnce(long clockOffsetMillis) {
+    void theLeaderKnowsARestartedStoreAtOnce(long clockOffsetMillis) {
         var cluster = threeStoresThreeRouters(TimingProfile.LOW_TRAFFIC);
         var leader = cluster.leaderOf(0);
         var member = cluster.members.values().stream()
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -69,7 +69,7 @@
             running = true;
             startCount++;
             var self = new Node(name, Node.STORE, zone, name, 1_000_000_000L + sim.now());
-            var options = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> this::afterSync);
+            var options = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, part -> this::afterSync);
             var random = new Random(sim.random.nextLong());
             store = new Store(this, disk, self, List.of("s1", "s2", "s3"), options, random);
             tick(startCount);
@@ -122,10 +122,10 @@
         public void logEvent(Event e, String detail) {}
 
         boolean isVoterOfAllParts() {
-            for (var p = 0; p < Parts.COUNT; p++) {
-                var leader = leader(p);
+            for (var part = 0; part < Parts.COUNT; part++) {
+                var leader = leader(part);
                 if (leader == null || store.replicas().length == 0) return false;
-                var members = leader.store.replicas()[p].group().members();
+                var members = leader.store.replicas()[part].group().members();
                 if (!members.isVoter(store.directory().self().storeId) || members.voters.length != 3) return false;
             }
             return true;
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -150,9 +150,9 @@
     }
 
     private boolean isSettled() {
-        for (var p = 0; p < Parts.COUNT; p++) {
-            if (cluster.leaderOf(p) == null) return false;
-            var voters = cluster.voterNames(p);
+        for (var part = 0; part < Parts.COUNT; part++) {
+            if (cluster.leaderOf(part) == null) return false;
+            var voters = cluster.voterNames(part);
             if (voters.size() != cluster.quorum.voterCount() || voters.contains("?")) return false;
             for (var voter : voters) if (!currentStores.contains(cluster.member(voter))) return false;
         }
--- a/test/sim/src/test/java/craneway/sim/model/InjectedFaultsTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/InjectedFaultsTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void membersThatSayYesToEveryCandidate() {
+    void membersThatGrantEveryVote() {
         assertDetected(Invariant.ONE_LEADER_A_TERM, InjectedFaults.grantsEveryVote());
     }
 
--- a/test/sim/src/test/java/craneway/sim/model/RegressionTracesTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/RegressionTracesTest.java
@@ -23,7 +23,7 @@
      * new leader.
      */
     @Test
-    void aLeaderThatLetAnotherThroughIsNotFreshAgainByLateAcknowledgements() {
+    void aLeaderThatAllowedAnElectionDoesNotRegainItsLeaseByLateAcknowledgements() {
         var start = StartStates.followersRestarted();
         var world = start.world().get();
         start.choices().forEach(world::apply);
@@ -43,10 +43,10 @@
     }
 
     /**
-     * A group of one store votes for itself at the tick. On a full disk the exception reached the caller of the tick.
+     * A group of one store votes for itself at the tick. On a full disk the exception was thrown to the caller of the tick.
      */
     @Test
-    void aGroupOfOneOnAFullDiskKeepsItsProblemToItself() {
+    void aTickOfAGroupOfOneOnAFullDiskThrowsNothing() {
         var world = StartStates.createWorld(1, 1, InjectedFault.NONE, EnumSet.allOf(Invariant.class));
         world.apply(Choice.of(Choice.Kind.FULL, 1, 1));
         world.apply(Choice.of(Choice.Kind.ADVANCE, 2_000));
@@ -65,7 +65,7 @@
      * by themselves, while the old leader, whose vote was not needed any more, still held its lease.
      */
     @Test
-    void aLeaderDoesNotTakeItselfOutOfTheGroup() {
+    void aLeaderDoesNotRemoveItselfFromTheGroup() {
         var world = StartStates.threeVoters();
         StartStates.electLeader(StartStates.threeVoters()).forEach(world::apply);
         world.apply(Choice.of(Choice.Kind.ADVANCE, 100));
@@ -86,12 +86,12 @@
     @Test
     void theSameHistoryLeadsToTheSameState() {
         var start = StartStates.learnerPromoting();
-        var one = start.world().get();
-        var other = start.world().get();
+        var first = start.world().get();
+        var second = start.world().get();
         for (var choice : start.choices()) {
-            one.apply(choice);
-            other.apply(choice);
-            assertEquals(StateHash.of(one), StateHash.of(other), choice::toString);
+            first.apply(choice);
+            second.apply(choice);
+            assertEquals(StateHash.of(first), StateHash.of(second), choice::toString);
         }
     }
 }
