--- a/test/pass/src/test/java/craneway/pass/RunnerPlacerTest.java
+++ b/test/pass/src/test/java/craneway/pass/RunnerPlacerTest.java
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void suspectedRunnerIsAvoidedUntilHeardAgain() {
+    void suspectedRunnerIsAvoidedUntilHeardFromAgain() {
         var placer = placerAt("r1", "a", "ra");
         var prompt = Prompt.parse("bb:60,c:5", "65,9");
         var first = selectRunner(placer, "once", prompt).runner();
--- a/test/sim/src/main/java/craneway/sim/Journal.java
+++ b/test/sim/src/main/java/craneway/sim/Journal.java
@@ -12,9 +12,9 @@
  */
 public final class Journal {
     /**
-     * One execution of a submission on a runner. {@link Run#manifestVersion} and {@link Run#tableVersion} are the versions by which a
-     * router chose the runner; {@link Run#concurrentRuns} counts the runner's concurrent runs including this one; {@link
-     * Run#endedAt} is -1 unless the run ended normally.
+     * One execution of a submission on a runner. {@link Run#manifestVersion} and {@link Run#tableVersion} are the
+     * versions by which a router chose the runner; {@link Run#concurrentRuns} counts the runner's concurrent runs
+     * including this one; {@link Run#endedAt} is -1 unless the run ended normally.
      */
     public static final class Run {
         public long startedAt;
--- a/test/sim/src/main/java/craneway/sim/SimulatedDay.java
+++ b/test/sim/src/main/java/craneway/sim/SimulatedDay.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Runs a simulated day: a load peak in the morning, shifting loads, a lost zone, a rolling release and a quiet night with
- * maintenance.
+ * Runs a simulated day: a load peak in the morning, shifting loads, a lost zone, a rolling release and a night of low
+ * load with maintenance.
  */
 public final class SimulatedDay {
     /** The outcome of a day: broken promises, the worst values measured and the timeline. */
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -305,7 +305,7 @@
         var named = members.get(address);
         if (named != null && named.running && named.address.equals(address)) return named;
         return members.values().stream()
-                .filter(m -> m.running && m.address.equals(address))
+                .filter(member -> member.running && member.address.equals(address))
                 .findFirst()
                 .orElse(null);
     }
@@ -338,13 +338,14 @@
     /** The running member with a leader lease for a part, the one of the highest term if there are several, or null. */
     Member leaderOf(int part) {
         Member leader = null;
-        for (var m : members.values()) {
-            if (!m.running || m.diskHung || m.store == null || m.store.replicas().length == 0) continue;
-            var group = m.store.replicas()[part].group();
-            if (group.hasLease(m.now())
+        for (var member : members.values()) {
+            if (!member.running || member.diskHung || member.store == null || member.store.replicas().length == 0)
+                continue;
+            var group = member.store.replicas()[part].group();
+            if (group.hasLease(member.now())
                     && (leader == null
                             || group.term()
-                                    > leader.store.replicas()[part].group().term())) leader = m;
+                                    > leader.store.replicas()[part].group().term())) leader = member;
         }
         return leader;
     }
@@ -375,7 +376,7 @@
     }
 
     boolean allRoutersCurrent(long version) {
-        return members.values().stream().allMatch(m -> m.router == null || isRouterCurrent(m, version));
+        return members.values().stream().allMatch(member -> member.router == null || isRouterCurrent(member, version));
     }
 
     /** The names of the voters of a part; "?" stands for a store that no member has the id of. */
@@ -388,8 +389,8 @@
 
     private String nameOf(long storeId) {
         return members.values().stream()
-                .filter(m -> m.store != null && m.storeId() == storeId)
-                .map(m -> m.name)
+                .filter(member -> member.store != null && member.storeId() == storeId)
+                .map(member -> member.name)
                 .findFirst()
                 .orElse("?");
     }
--- a/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
+++ b/test/sim/src/test/java/craneway/sim/ContinuousOperator.java
@@ -80,7 +80,7 @@
 
     private Cluster.Member nextRunningStore() {
         var runningStores = cluster.members.values().stream()
-                .filter(m -> m.running && !m.diskHung && m.store != null && m != avoidedStore)
+                .filter(member -> member.running && !member.diskHung && member.store != null && member != avoidedStore)
                 .toList();
         return runningStores.isEmpty()
                 ? null
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -75,9 +75,9 @@
 
     /** Cuts the power of all members, or starts them all within 160 ms. */
     private static void switchPower(Cluster cluster, boolean on) {
-        for (var m : cluster.members.values()) {
-            if (!on) m.losePower();
-            else cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), m::start);
+        for (var member : cluster.members.values()) {
+            if (!on) member.losePower();
+            else cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), member::start);
         }
     }
 
@@ -117,7 +117,7 @@
             cluster.runFor(seed * 0.037);
             switchPower(cluster, false);
             cluster.runFor(0.7);
-            for (var m : cluster.members.values()) if (!m.name.equals("s" + (1 + seed % 3))) m.start();
+            for (var member : cluster.members.values()) if (!member.name.equals("s" + (1 + seed % 3))) member.start();
             assertBelow(1.2, cluster.runUntil(cluster::allPartsHaveLeaders, 5), cluster);
         }
     }
@@ -152,7 +152,7 @@
         assertBelow(1.6, cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5), cluster);
         cluster.runFor(4);
         var follower = cluster.members.values().stream()
-                .filter(m -> m != leader)
+                .filter(member -> member != leader)
                 .findFirst()
                 .get();
         assertTrue(follower.store.directory().wasHeardRecently(leader.name, cluster.sim.now()));
@@ -263,14 +263,14 @@
         for (var region : Set.of("a", "b", "c")) {
             var cluster = sixStores();
             cluster.members.values().stream()
-                    .filter(m -> REGION_BY_ZONE.get(m.zone).equals(region))
+                    .filter(member -> REGION_BY_ZONE.get(member.zone).equals(region))
                     .forEach(Cluster.Member::crash);
             assertBelow(
                     2,
                     cluster.runUntil(
                             () -> cluster.allPartsHaveLeaders()
                                     && cluster.members.values().stream()
-                                            .noneMatch(m -> !m.running && cluster.leaderOf(0) == m),
+                                            .noneMatch(member -> !member.running && cluster.leaderOf(0) == member),
                             10),
                     cluster);
             cluster.runFor(8);
--- a/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
+++ b/test/sim/src/test/java/craneway/sim/ImpairedStoreTest.java
@@ -67,7 +67,7 @@
         if (role == Role.LEADER) return leader;
         var voters = cluster.voterNames(0);
         return cluster.members.values().stream()
-                .filter(m -> m != leader && voters.contains(m.name) == (role == Role.FOLLOWER))
+                .filter(member -> member != leader && voters.contains(member.name) == (role == Role.FOLLOWER))
                 .findFirst()
                 .orElseThrow();
     }
--- a/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
+++ b/test/sim/src/test/java/craneway/sim/LeaderDiscoveryTest.java
@@ -27,7 +27,7 @@
         cluster.runFor(8);
         var leader = cluster.leaderOf(KNOWN_PART);
         var follower = cluster.members.values().stream()
-                .filter(m -> m != leader)
+                .filter(member -> member != leader)
                 .findFirst()
                 .orElseThrow();
         var client = follower.store.coreClient();
--- a/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
+++ b/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
@@ -20,7 +20,7 @@
         cluster.runFor(5);
         var leader = cluster.leaderOf(0);
         var learner = cluster.members.values().stream()
-                .filter(m -> m != leader)
+                .filter(member -> member != leader)
                 .findFirst()
                 .orElseThrow();
         learner.loseDisk();
--- a/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
@@ -87,7 +87,7 @@
         assertTrue(cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8, () -> String.join("\n", cluster.eventLog));
         cluster.runFor(5);
         var followers = cluster.members.values().stream()
-                .filter(m -> m != cluster.leaderOf(Parts.MANIFEST_PART))
+                .filter(member -> member != cluster.leaderOf(Parts.MANIFEST_PART))
                 .toList();
         pausedEndpoint = new OperatorEndpoint(followers.get(0));
         otherEndpoint = new OperatorEndpoint(followers.get(1));
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -53,7 +53,7 @@
 
     private static Cluster.Member memberExcept(Cluster cluster, Cluster.Member... excluded) {
         return cluster.members.values().stream()
-                .filter(m -> !java.util.List.of(excluded).contains(m))
+                .filter(member -> !java.util.List.of(excluded).contains(member))
                 .findFirst()
                 .orElseThrow();
     }
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -175,7 +175,7 @@
 
     private Member follower() {
         return members.values().stream()
-                .filter(m -> m.running && m != leader())
+                .filter(member -> member.running && member != leader())
                 .findFirst()
                 .orElseThrow();
     }
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -58,7 +58,9 @@
     }
 
     private List<Cluster.Member> routers() {
-        return cluster.members.values().stream().filter(m -> m.router != null).toList();
+        return cluster.members.values().stream()
+                .filter(member -> member.router != null)
+                .toList();
     }
 
     private void assertBelow(double maxSeconds, double seconds) {
@@ -102,7 +104,7 @@
             var leader = cluster.leaderOf(0);
             if (i % 3 == 0) leader.crash();
             else if (i % 3 == 1) leader.setDiskHung(true);
-            else cluster.members.keySet().forEach(m -> blockPaths(leader.name, m));
+            else cluster.members.keySet().forEach(member -> blockPaths(leader.name, member));
             for (var check = 0; check < 70; check++) {
                 cluster.runFor(0.02);
                 for (var router : routers())
@@ -121,7 +123,7 @@
             }
             var previousVersion = version;
             var other = cluster.members.values().stream()
-                    .filter(m -> m.store != null && m != leader)
+                    .filter(member -> member.store != null && member != leader)
                     .findFirst()
                     .get();
             other.operator.putManifest(
--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -128,7 +128,9 @@
     }
 
     private static List<Cluster.Member> routersOf(Cluster cluster) {
-        return cluster.members.values().stream().filter(m -> m.router != null).toList();
+        return cluster.members.values().stream()
+                .filter(member -> member.router != null)
+                .toList();
     }
 
     private static double mean(List<Cluster.Member> members, ToLongFunction<Cluster.Member> quantity) {
@@ -169,9 +171,9 @@
                 cluster.runFor(MEASURED_SECONDS);
                 var routers = routersOf(cluster);
                 var leader = cluster.leaderOf(0);
-                routerMessages = mean(routers, m -> m.sentMessages) / MEASURED_SECONDS;
-                routerBytes = mean(routers, m -> m.sentBytes + m.receivedBytes) / MEASURED_SECONDS;
-                routerCpuPercent[repetition] = mean(routers, m -> m.cpuNanos) / MEASURED_SECONDS / 1e7;
+                routerMessages = mean(routers, member -> member.sentMessages) / MEASURED_SECONDS;
+                routerBytes = mean(routers, member -> member.sentBytes + member.receivedBytes) / MEASURED_SECONDS;
+                routerCpuPercent[repetition] = mean(routers, member -> member.cpuNanos) / MEASURED_SECONDS / 1e7;
                 leaderMessages = (double) leader.receivedMessages / MEASURED_SECONDS;
                 leaderBytes = (double) (leader.sentBytes + leader.receivedBytes) / MEASURED_SECONDS;
                 leaderCpuPercent[repetition] = leader.cpuNanos / 1e7 / MEASURED_SECONDS;
@@ -269,7 +271,7 @@
             sendHeartbeats(cluster, count, 3, () -> {});
             var leader = cluster.leaderOf(Parts.partOf(SERVICE));
             var otherStores = cluster.members.values().stream()
-                    .filter(m -> m.store != null && m != leader)
+                    .filter(member -> member.store != null && member != leader)
                     .toList();
             var knownRunners = cluster.member("r1")
                     .router
@@ -287,10 +289,10 @@
             cluster.resetCounters();
             sendHeartbeats(cluster, count, 5, () -> {});
             var leaderPercent = leader.cpuNanos / 5e7;
-            var otherStorePercent = mean(otherStores, m -> m.cpuNanos) / 5e7;
+            var otherStorePercent = mean(otherStores, member -> member.cpuNanos) / 5e7;
             var bytesPerHeartbeat = (double) cluster.meter.bytes / 5 / count;
-            var routerPercent = mean(routersOf(cluster), m -> m.cpuNanos) / 5e7;
-            var idleBytes = mean(routersOf(cluster), m -> m.receivedBytes);
+            var routerPercent = mean(routersOf(cluster), member -> member.cpuNanos) / 5e7;
+            var idleBytes = mean(routersOf(cluster), member -> member.receivedBytes);
             var changes = new int[1];
             cluster.resetCounters();
             sendHeartbeats(cluster, count, CHANGE_COUNT, () -> {
@@ -298,7 +300,7 @@
                 announceRunner(cluster, count, 100 + changes[0]);
             });
             var updatedRouters = routersOf(cluster).stream()
-                    .filter(m -> knownSlots(m, "runner-" + count) == 100 + changes[0])
+                    .filter(member -> knownSlots(member, "runner-" + count) == 100 + changes[0])
                     .count();
             var rowBytes = Codec.encode(leader.store
                             .replicas()[Parts.partOf(SERVICE)]
@@ -307,9 +309,9 @@
                             .services
                             .get(SERVICE))
                     .length;
-            var bytesPerChange = (mean(routersOf(cluster), m -> m.receivedBytes) - idleBytes) / CHANGE_COUNT;
+            var bytesPerChange = (mean(routersOf(cluster), member -> member.receivedBytes) - idleBytes) / CHANGE_COUNT;
             var routerMillisPerChange =
-                    (mean(routersOf(cluster), m -> m.cpuNanos) / 1e6 - routerPercent * 50) / CHANGE_COUNT;
+                    (mean(routersOf(cluster), member -> member.cpuNanos) / 1e6 - routerPercent * 50) / CHANGE_COUNT;
             var leaderMillisPerChange = (leader.cpuNanos / 1e6 - leaderPercent * 50) / CHANGE_COUNT;
             if (sizeIndex < 0) continue;
             cost[sizeIndex] = new double[] {
@@ -374,9 +376,9 @@
             var cluster = startCluster(ROUTER_COUNT, manifestText, 17);
             cluster.resetCounters();
             cluster.runFor(CHANGE_COUNT * 2);
-            var idleBytes = mean(routersOf(cluster), m -> m.receivedBytes);
+            var idleBytes = mean(routersOf(cluster), member -> member.receivedBytes);
             var idleBytesOfAll = cluster.meter.bytes;
-            var routerIdleNanos = mean(routersOf(cluster), m -> m.cpuNanos);
+            var routerIdleNanos = mean(routersOf(cluster), member -> member.cpuNanos);
             var leaderIdleNanos = cluster.leaderOf(0).cpuNanos;
             cluster.resetCounters();
             var updateSeconds = new double[CHANGE_COUNT];
@@ -395,8 +397,8 @@
             if (sizeIndex < 0) continue;
             cost[sizeIndex] = new double[] {
                 manifestText.length(),
-                (mean(routersOf(cluster), m -> m.receivedBytes) - idleBytes) / CHANGE_COUNT,
-                (mean(routersOf(cluster), m -> m.cpuNanos) - routerIdleNanos) / 1e6 / CHANGE_COUNT,
+                (mean(routersOf(cluster), member -> member.receivedBytes) - idleBytes) / CHANGE_COUNT,
+                (mean(routersOf(cluster), member -> member.cpuNanos) - routerIdleNanos) / 1e6 / CHANGE_COUNT,
                 (cluster.leaderOf(0).cpuNanos - leaderIdleNanos) / 1e6 / CHANGE_COUNT
             };
             printRow(
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -129,7 +129,7 @@
     double duplicationRate;
 
     long maxExtraDelayMicros;
-    Predicate<PartMessage> dropFilter = m -> false;
+    Predicate<PartMessage> dropFilter = member -> false;
     /** The bytes sent over connections so far. */
     long connectionBytes;
 
--- a/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
+++ b/test/sim/src/test/java/craneway/sim/ThreeStoreTestBase.java
@@ -34,7 +34,9 @@
         assertTrue(cluster.runUntil(cluster::allPartsHaveLeaders, 10) < 8, this::eventLog);
         cluster.runFor(5);
         leader = cluster.leaderOf(Parts.MANIFEST_PART);
-        var others = cluster.members.values().stream().filter(m -> m != leader).toList();
+        var others = cluster.members.values().stream()
+                .filter(member -> member != leader)
+                .toList();
         first = others.get(0);
         second = others.get(1);
     }
@@ -52,7 +54,9 @@
         }
         assertEquals(wanted, cluster.leaderOf(Parts.MANIFEST_PART), this::eventLog);
         leader = wanted;
-        var others = cluster.members.values().stream().filter(m -> m != leader).toList();
+        var others = cluster.members.values().stream()
+                .filter(member -> member != leader)
+                .toList();
         first = others.get(0);
         second = others.get(1);
     }
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -233,9 +233,9 @@
     /** Sets the seed addresses of stores that start from now on to those of the running stores. */
     private void updateSeedAddresses() {
         cluster.seedAddresses = currentStores.stream()
-                .filter(m -> m.running)
+                .filter(member -> member.running)
                 .limit(3)
-                .map(m -> m.address)
+                .map(member -> member.address)
                 .toList();
     }
 
--- a/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
+++ b/test/sim/src/test/java/craneway/sim/history/OperatorEndpoint.java
@@ -6,10 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Handles a call to a store's operator interface once it has been read, as {@code
- * craneway.api.operator.PlatformOperatorHandler} does without HTTP, with the production class {@link
- * craneway.control.operator.PlatformCommands}.
- * Its status codes are those of that handler.
+ * Handles a call to a store's operator interface once it has been read. It does without HTTP what {@code
+ * craneway.api.operator.PlatformOperatorHandler} does, by means of the production class {@link
+ * craneway.control.operator.PlatformCommands}. Its status codes are those of that handler.
  */
 class OperatorEndpoint {
     private static final String MANIFEST =
--- a/test/sim/src/test/java/craneway/sim/model/FaultExplorer.java
+++ b/test/sim/src/test/java/craneway/sim/model/FaultExplorer.java
@@ -98,7 +98,7 @@
         else incomplete = true;
     }
 
-    /** Whether the network delivers the message without an explicit choice: it is not postponed, and its receiver runs. */
+    /** Whether the network delivers the message by itself: it is not postponed, and its receiver runs. */
     private static boolean isDeliverable(World world, InFlightMessage message) {
         return !world.postponedLabels().contains(message.label())
                 && world.peer(message.to()).isRunning();
--- a/test/sim/src/test/java/craneway/sim/model/InjectedFaultsTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/InjectedFaultsTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void membersThatVoteForAStaleLogMakeHistoriesPart() {
+    void membersThatVoteForAStaleLogMakeAppliedEntriesDiverge() {
         assertDetected(Invariant.SAME_APPLIED_EVERYWHERE, InjectedFaults.votesForStaleLogs());
     }
 
--- a/test/sim/src/test/java/craneway/sim/model/RegressionTracesTest.java
+++ b/test/sim/src/test/java/craneway/sim/model/RegressionTracesTest.java
@@ -43,7 +43,7 @@
     }
 
     /**
-     * A group of one store votes for itself at the tick. On a full disk the exception was thrown to the caller of the tick.
+     * A group of one store votes for itself at the tick. When its disk was full, the tick threw an exception.
      */
     @Test
     void aTickOfAGroupOfOneOnAFullDiskThrowsNothing() {
--- a/test/sim/src/test/java/craneway/sim/model/StateHash.java
+++ b/test/sim/src/test/java/craneway/sim/model/StateHash.java
@@ -28,8 +28,8 @@
             List.of(Random.class, GroupListener.class, Folder.class, StateMachine.class);
 
     /**
-     * The random number by which each log segment distinguishes its records from older ones; the behavior does not depend
-     * on it.
+     * The random number by which each log segment distinguishes its records from older ones; the behavior does not
+     * depend on it.
      */
     private static final String IGNORED_FIELD = "nonce";
 
