--- a/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
@@ -76,7 +76,7 @@
     }
 
     private long now = 1_000_000;
-    private Predicate<PartMessage> dropFilter = member -> false;
+    private Predicate<PartMessage> dropFilter = message -> false;
     private final List<PartMessage> inFlightMessages = new ArrayList<>();
     private final List<Replica> replicas = new ArrayList<>();
 
--- a/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
+++ b/test/sim/src/test/java/craneway/sim/RouterViewFreshnessTest.java
@@ -104,7 +104,7 @@
             var leader = cluster.leaderOf(0);
             if (i % 3 == 0) leader.crash();
             else if (i % 3 == 1) leader.setDiskHung(true);
-            else cluster.members.keySet().forEach(member -> blockPaths(leader.name, member));
+            else cluster.members.keySet().forEach(name -> blockPaths(leader.name, name));
             for (var check = 0; check < 70; check++) {
                 cluster.runFor(0.02);
                 for (var router : routers())
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -129,7 +129,7 @@
     double duplicationRate;
 
     long maxExtraDelayMicros;
-    Predicate<PartMessage> dropFilter = member -> false;
+    Predicate<PartMessage> dropFilter = message -> false;
     /** The bytes sent over connections so far. */
     long connectionBytes;
 
