--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -96,7 +96,7 @@
                         disk,
                         self,
                         seedAddresses,
-                        new StoreOptions(founderCount, quorum, timingProfile, p -> this::runPartWork),
+                        new StoreOptions(founderCount, quorum, timingProfile, part -> this::runPartWork),
                         random);
             else router = new Router(this, self, seedAddresses, timingProfile, random);
             operator = new OperatorCommands(this, store == null ? router.coreClient() : store.coreClient());
@@ -305,7 +305,7 @@
         var named = members.get(address);
         if (named != null && named.running && named.address.equals(address)) return named;
         return members.values().stream()
-                .filter(m -> m.running && m.address.equals(address))
+                .filter(member -> member.running && member.address.equals(address))
                 .findFirst()
                 .orElse(null);
     }
@@ -338,20 +338,22 @@
     /** The running member with a leader lease for a part, the one of the highest term if there are several, or null. */
     Member leaderOf(int part) {
         Member leader = null;
-        for (var m : members.values()) {
-            if (!m.running || m.diskHung || m.store == null || m.store.replicas().length == 0) continue;
-            var group = m.store.replicas()[part].group();
-            if (group.hasLease(m.now())
+        for (var member : members.values()) {
+            if (!member.running || member.diskHung || member.store == null || member.store.replicas().length == 0)
+                continue;
+            var group = member.store.replicas()[part].group();
+            if (group.hasLease(member.now())
                     && (leader == null
                             || group.term()
-                                    > leader.store.replicas()[part].group().term())) leader = m;
+                                    > leader.store.replicas()[part].group().term())) leader = member;
         }
         return leader;
     }
 
     /** Whether every part has a leader and none of them is this member. */
     boolean allPartsLedByOtherThan(Member excluded) {
-        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) == null || leaderOf(p) == excluded) return false;
+        for (var part = 0; part < Parts.COUNT; part++)
+            if (leaderOf(part) == null || leaderOf(part) == excluded) return false;
         return true;
     }
 
@@ -360,7 +362,7 @@
     }
 
     boolean allPartsLedBy(Member member) {
-        for (var p = 0; p < Parts.COUNT; p++) if (leaderOf(p) != member) return false;
+        for (var part = 0; part < Parts.COUNT; part++) if (leaderOf(part) != member) return false;
         return true;
     }
 
@@ -369,12 +371,12 @@
         var view = member.router.membership().view();
         if (!member.running || !member.router.membership().isCurrent() || view.manifestRow().version != version)
             return false;
-        for (var p = 0; p < Parts.COUNT; p++) if (!view.hasLease(p, member.now())) return false;
+        for (var part = 0; part < Parts.COUNT; part++) if (!view.hasLease(part, member.now())) return false;
         return view.services().size() == view.manifest().services().size();
     }
 
     boolean allRoutersCurrent(long version) {
-        return members.values().stream().allMatch(m -> m.router == null || isRouterCurrent(m, version));
+        return members.values().stream().allMatch(member -> member.router == null || isRouterCurrent(member, version));
     }
 
     /** The names of the voters of a part; "?" stands for a store that no member has the id of. */
@@ -387,17 +389,17 @@
 
     private String nameOf(long storeId) {
         return members.values().stream()
-                .filter(m -> m.store != null && m.storeId() == storeId)
-                .map(m -> m.name)
+                .filter(member -> member.store != null && member.storeId() == storeId)
+                .map(member -> member.name)
                 .findFirst()
                 .orElse("?");
     }
 
     /** Whether a store is one of this many voters of every part. */
     boolean isVoterOfAllParts(Member member, int voterCount) {
-        for (var p = 0; p < Parts.COUNT; p++) {
-            if (leaderOf(p) == null) return false;
-            var groupMembers = leaderOf(p).store.replicas()[p].group().members();
+        for (var part = 0; part < Parts.COUNT; part++) {
+            if (leaderOf(part) == null) return false;
+            var groupMembers = leaderOf(part).store.replicas()[part].group().members();
             if (!groupMembers.isVoter(member.storeId()) || groupMembers.voters.length != voterCount) return false;
         }
         return true;
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Founding, failover, restarts and membership changes of a core of three or six stores. Checks how soon every part has
+ * Bootstrap, failover, restarts and membership changes of a core of three or six stores. Checks how soon every part has
  * a leader and its voters again, that acknowledged configurations survive, and that nodes whose clock went back are not
  * shut out.
  */
@@ -55,7 +55,8 @@
     @Test
     void allPartsAreLedByOneStore() {
         var cluster = threeStores();
-        for (var p = 1; p < Parts.COUNT; p++) assertEquals(cluster.leaderOf(0).name, cluster.leaderOf(p).name);
+        for (var part = 1; part < Parts.COUNT; part++)
+            assertEquals(cluster.leaderOf(0).name, cluster.leaderOf(part).name);
     }
 
     @Test
@@ -74,9 +75,9 @@
 
     /** Cuts the power of all members, or starts them all within 160 ms. */
     private static void switchPower(Cluster cluster, boolean on) {
-        for (var m : cluster.members.values()) {
-            if (!on) m.losePower();
-            else cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), m::start);
+        for (var member : cluster.members.values()) {
+            if (!on) member.losePower();
+            else cluster.sim.scheduleAfter((long) (cluster.sim.random.nextDouble() * 160_000), member::start);
         }
     }
 
@@ -116,7 +117,7 @@
             cluster.runFor(seed * 0.037);
             switchPower(cluster, false);
             cluster.runFor(0.7);
-            for (var m : cluster.members.values()) if (!m.name.equals("s" + (1 + seed % 3))) m.start();
+            for (var member : cluster.members.values()) if (!member.name.equals("s" + (1 + seed % 3))) member.start();
             assertBelow(1.2, cluster.runUntil(cluster::allPartsHaveLeaders, 5), cluster);
         }
     }
@@ -151,7 +152,7 @@
         assertBelow(1.6, cluster.runUntil(() -> cluster.allPartsLedByOtherThan(leader), 5), cluster);
         cluster.runFor(4);
         var follower = cluster.members.values().stream()
-                .filter(m -> m != leader)
+                .filter(member -> member != leader)
                 .findFirst()
                 .get();
         assertTrue(follower.store.directory().wasHeardRecently(leader.name, cluster.sim.now()));
@@ -237,8 +238,8 @@
     @Test
     void fiveOfSixStoresVoteSpreadOverRegions() {
         var cluster = sixStores();
-        for (var p = 0; p < Parts.COUNT; p++) {
-            var voters = cluster.voterNames(p);
+        for (var part = 0; part < Parts.COUNT; part++) {
+            var voters = cluster.voterNames(part);
             assertEquals(5, voters.size(), () -> String.join("\n", cluster.eventLog));
             var votersPerRegion = new int[3];
             for (var voter : voters) votersPerRegion[cluster.member(voter).zone.charAt(1) % 3]++;
@@ -262,14 +263,14 @@
         for (var region : Set.of("a", "b", "c")) {
             var cluster = sixStores();
             cluster.members.values().stream()
-                    .filter(m -> REGION_BY_ZONE.get(m.zone).equals(region))
+                    .filter(member -> REGION_BY_ZONE.get(member.zone).equals(region))
                     .forEach(Cluster.Member::crash);
             assertBelow(
                     2,
                     cluster.runUntil(
                             () -> cluster.allPartsHaveLeaders()
                                     && cluster.members.values().stream()
-                                            .noneMatch(m -> !m.running && cluster.leaderOf(0) == m),
+                                            .noneMatch(member -> !member.running && cluster.leaderOf(0) == member),
                             10),
                     cluster);
             cluster.runFor(8);
@@ -358,10 +359,10 @@
     }
 
     private static boolean allPartsHaveFiveVoters(Cluster cluster) {
-        for (var p = 0; p < Parts.COUNT; p++)
-            if (cluster.leaderOf(p) == null
-                    || cluster.voterNames(p).size() != 5
-                    || cluster.voterNames(p).contains("?")) return false;
+        for (var part = 0; part < Parts.COUNT; part++)
+            if (cluster.leaderOf(part) == null
+                    || cluster.voterNames(part).size() != 5
+                    || cluster.voterNames(part).contains("?")) return false;
         return true;
     }
 
@@ -409,7 +410,7 @@
     }
 
     @Test
-    void aClockThatWentBackBeforeTheFoundingDoesNotDelayIt() {
+    void aClockThatWentBackBeforeTheBootstrapDoesNotDelayIt() {
         var cluster = new Cluster(TimingProfile.LOW_TRAFFIC, Quorum.THREE_VOTERS);
         cluster.addMember("s1", Node.STORE, "z1");
         cluster.addMember("s2", Node.STORE, "z2");
--- a/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
+++ b/test/sim/src/test/java/craneway/sim/GroupReplicationTest.java
@@ -40,8 +40,8 @@
         }
 
         @Override
-        public void restoreSnapshot(byte[] image) {
-            applied = image == null ? 0 : image.length;
+        public void restoreSnapshot(byte[] snapshot) {
+            applied = snapshot == null ? 0 : snapshot.length;
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     private long now = 1_000_000;
-    private Predicate<PartMessage> dropFilter = m -> false;
+    private Predicate<PartMessage> dropFilter = message -> false;
     private final List<PartMessage> inFlightMessages = new ArrayList<>();
     private final List<Replica> replicas = new ArrayList<>();
 
--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -34,7 +34,7 @@
     private static final int MEASURED_SECONDS = 20;
     private static final int ROUTER_COUNT = 9;
     private static final int CHANGE_COUNT = 5;
-    private static final int REPETITIONS = 3;
+    private static final int REPETITION_COUNT = 3;
     private static final String SERVICE = "model";
     private static final String CELL_PREFIX = "a";
     private static final int[] NODE_COUNTS = {10, 30, 100, 200, 390};
@@ -128,7 +128,9 @@
     }
 
     private static List<Cluster.Member> routersOf(Cluster cluster) {
-        return cluster.members.values().stream().filter(m -> m.router != null).toList();
+        return cluster.members.values().stream()
+                .filter(member -> member.router != null)
+                .toList();
     }
 
     private static double mean(List<Cluster.Member> members, ToLongFunction<Cluster.Member> quantity) {
@@ -159,19 +161,19 @@
                 "bytes sent in all for one router that starts again");
         var cost = new double[NODE_COUNTS.length][5];
         for (var i = 0; i < NODE_COUNTS.length; i++) {
-            var routerCpuPercent = new double[REPETITIONS];
-            var leaderCpuPercent = new double[REPETITIONS];
-            var restartBytes = new double[REPETITIONS];
+            var routerCpuPercent = new double[REPETITION_COUNT];
+            var leaderCpuPercent = new double[REPETITION_COUNT];
+            var restartBytes = new double[REPETITION_COUNT];
             double routerMessages = 0, routerBytes = 0, leaderMessages = 0, leaderBytes = 0;
-            for (var repetition = 0; repetition < REPETITIONS; repetition++) {
+            for (var repetition = 0; repetition < REPETITION_COUNT; repetition++) {
                 var cluster = startCluster(NODE_COUNTS[i] - 3, manifestText(6, 0, 1), 17 + repetition);
                 cluster.resetCounters();
                 cluster.runFor(MEASURED_SECONDS);
                 var routers = routersOf(cluster);
                 var leader = cluster.leaderOf(0);
-                routerMessages = mean(routers, m -> m.sentMessages) / MEASURED_SECONDS;
-                routerBytes = mean(routers, m -> m.sentBytes + m.receivedBytes) / MEASURED_SECONDS;
-                routerCpuPercent[repetition] = mean(routers, m -> m.cpuNanos) / MEASURED_SECONDS / 1e7;
+                routerMessages = mean(routers, member -> member.sentMessages) / MEASURED_SECONDS;
+                routerBytes = mean(routers, member -> member.sentBytes + member.receivedBytes) / MEASURED_SECONDS;
+                routerCpuPercent[repetition] = mean(routers, member -> member.cpuNanos) / MEASURED_SECONDS / 1e7;
                 leaderMessages = (double) leader.receivedMessages / MEASURED_SECONDS;
                 leaderBytes = (double) (leader.sentBytes + leader.receivedBytes) / MEASURED_SECONDS;
                 leaderCpuPercent[repetition] = leader.cpuNanos / 1e7 / MEASURED_SECONDS;
@@ -269,7 +271,7 @@
             sendHeartbeats(cluster, count, 3, () -> {});
             var leader = cluster.leaderOf(Parts.partOf(SERVICE));
             var otherStores = cluster.members.values().stream()
-                    .filter(m -> m.store != null && m != leader)
+                    .filter(member -> member.store != null && member != leader)
                     .toList();
             var knownRunners = cluster.member("r1")
                     .router
@@ -287,10 +289,10 @@
             cluster.resetCounters();
             sendHeartbeats(cluster, count, 5, () -> {});
             var leaderPercent = leader.cpuNanos / 5e7;
-            var otherStorePercent = mean(otherStores, m -> m.cpuNanos) / 5e7;
+            var otherStorePercent = mean(otherStores, member -> member.cpuNanos) / 5e7;
             var bytesPerHeartbeat = (double) cluster.meter.bytes / 5 / count;
-            var routerPercent = mean(routersOf(cluster), m -> m.cpuNanos) / 5e7;
-            var idleBytes = mean(routersOf(cluster), m -> m.receivedBytes);
+            var routerPercent = mean(routersOf(cluster), member -> member.cpuNanos) / 5e7;
+            var idleBytes = mean(routersOf(cluster), member -> member.receivedBytes);
             var changes = new int[1];
             cluster.resetCounters();
             sendHeartbeats(cluster, count, CHANGE_COUNT, () -> {
@@ -298,7 +300,7 @@
                 announceRunner(cluster, count, 100 + changes[0]);
             });
             var updatedRouters = routersOf(cluster).stream()
-                    .filter(m -> knownSlots(m, "runner-" + count) == 100 + changes[0])
+                    .filter(member -> knownSlots(member, "runner-" + count) == 100 + changes[0])
                     .count();
             var rowBytes = Codec.encode(leader.store
                             .replicas()[Parts.partOf(SERVICE)]
@@ -307,9 +309,9 @@
                             .services
                             .get(SERVICE))
                     .length;
-            var bytesPerChange = (mean(routersOf(cluster), m -> m.receivedBytes) - idleBytes) / CHANGE_COUNT;
+            var bytesPerChange = (mean(routersOf(cluster), member -> member.receivedBytes) - idleBytes) / CHANGE_COUNT;
             var routerMillisPerChange =
-                    (mean(routersOf(cluster), m -> m.cpuNanos) / 1e6 - routerPercent * 50) / CHANGE_COUNT;
+                    (mean(routersOf(cluster), member -> member.cpuNanos) / 1e6 - routerPercent * 50) / CHANGE_COUNT;
             var leaderMillisPerChange = (leader.cpuNanos / 1e6 - leaderPercent * 50) / CHANGE_COUNT;
             if (sizeIndex < 0) continue;
             cost[sizeIndex] = new double[] {
@@ -374,9 +376,9 @@
             var cluster = startCluster(ROUTER_COUNT, manifestText, 17);
             cluster.resetCounters();
             cluster.runFor(CHANGE_COUNT * 2);
-            var idleBytes = mean(routersOf(cluster), m -> m.receivedBytes);
+            var idleBytes = mean(routersOf(cluster), member -> member.receivedBytes);
             var idleBytesOfAll = cluster.meter.bytes;
-            var routerIdleNanos = mean(routersOf(cluster), m -> m.cpuNanos);
+            var routerIdleNanos = mean(routersOf(cluster), member -> member.cpuNanos);
             var leaderIdleNanos = cluster.leaderOf(0).cpuNanos;
             cluster.resetCounters();
             var updateSeconds = new double[CHANGE_COUNT];
@@ -395,8 +397,8 @@
             if (sizeIndex < 0) continue;
             cost[sizeIndex] = new double[] {
                 manifestText.length(),
-                (mean(routersOf(cluster), m -> m.receivedBytes) - idleBytes) / CHANGE_COUNT,
-                (mean(routersOf(cluster), m -> m.cpuNanos) - routerIdleNanos) / 1e6 / CHANGE_COUNT,
+                (mean(routersOf(cluster), member -> member.receivedBytes) - idleBytes) / CHANGE_COUNT,
+                (mean(routersOf(cluster), member -> member.cpuNanos) - routerIdleNanos) / 1e6 / CHANGE_COUNT,
                 (cluster.leaderOf(0).cpuNanos - leaderIdleNanos) / 1e6 / CHANGE_COUNT
             };
             printRow(
@@ -556,14 +558,14 @@
         }
         for (var number = 0; number < runners; number++)
             service.runners.put("runner-" + number, runnerRow(runnerPut(number, 128)));
-        var noNodes = new ArrayList<List<Node>>();
-        for (var number = 0; number < Parts.COUNT; number++) noNodes.add(List.of());
+        var emptyNodeLists = new ArrayList<List<Node>>();
+        for (var number = 0; number < Parts.COUNT; number++) emptyNodeLists.add(List.of());
         return new CoreView(
                 new Rows.Manifest(),
                 ManifestReader.readValidated(manifestText(6, 0, 1)).get(),
                 Map.of(SERVICE, service),
                 new long[Parts.COUNT],
-                noNodes,
+                emptyNodeLists,
                 0,
                 new long[Parts.COUNT]);
     }
--- a/test/sim/src/test/java/craneway/sim/SlowNetwork.java
+++ b/test/sim/src/test/java/craneway/sim/SlowNetwork.java
@@ -54,9 +54,9 @@
         }
 
         @Override
-        public void restoreSnapshot(byte[] image) {
+        public void restoreSnapshot(byte[] snapshot) {
             bytes.reset();
-            if (image != null) bytes.writeBytes(image);
+            if (snapshot != null) bytes.writeBytes(snapshot);
         }
     }
 
@@ -129,7 +129,7 @@
     double duplicationRate;
 
     long maxExtraDelayMicros;
-    Predicate<PartMessage> dropFilter = m -> false;
+    Predicate<PartMessage> dropFilter = message -> false;
     /** The bytes sent over connections so far. */
     long connectionBytes;
 
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -150,9 +150,9 @@
     }
 
     private boolean isSettled() {
-        for (var p = 0; p < Parts.COUNT; p++) {
-            if (cluster.leaderOf(p) == null) return false;
-            var voters = cluster.voterNames(p);
+        for (var part = 0; part < Parts.COUNT; part++) {
+            if (cluster.leaderOf(part) == null) return false;
+            var voters = cluster.voterNames(part);
             if (voters.size() != cluster.quorum.voterCount() || voters.contains("?")) return false;
             for (var voter : voters) if (!currentStores.contains(cluster.member(voter))) return false;
         }
@@ -233,9 +233,9 @@
     /** Sets the seed addresses of stores that start from now on to those of the running stores. */
     private void updateSeedAddresses() {
         cluster.seedAddresses = currentStores.stream()
-                .filter(m -> m.running)
+                .filter(member -> member.running)
                 .limit(3)
-                .map(m -> m.address)
+                .map(member -> member.address)
                 .toList();
     }
 
