--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -46,7 +46,7 @@
         boolean clockOnly;
 
         /** Whether the store cannot read clock requests, so that the command is sent without a bound. */
-        boolean sendUnbound;
+        boolean sendWithoutDeadline;
 
         long nextSendAt;
         long deadline;
@@ -62,7 +62,7 @@
 
     private final Port port;
     private final NodeDirectory directory;
-    private final long life;
+    private final long sessionId;
     private final TreeMap<Long, PendingRequest> pendingById = new TreeMap<>();
     private final Map<Integer, Node> leaderByPart = new HashMap<>();
     private final Map<Integer, LeaderClock> clockByPart = new HashMap<>();
@@ -71,11 +71,11 @@
     /**
      * Creates a client. The life identifies this process: it must be 64 random bits that no other process ever used.
      */
-    public CoreClient(Port port, NodeDirectory directory, long life) {
+    public CoreClient(Port port, NodeDirectory directory, long sessionId) {
         this.port = port;
         this.directory = directory;
-        this.life = life == 0 ? 1 : life;
-        this.nextId = life >>> 8;
+        this.sessionId = sessionId == 0 ? 1 : sessionId;
+        this.nextId = sessionId >>> 8;
     }
 
     /** The store believed to lead the part; null if it is unknown. */
@@ -134,7 +134,7 @@
         request.id = pending.id;
         request.part = pending.part;
         request.from = directory.self();
-        request.sessionId = life;
+        request.sessionId = sessionId;
         request.lowestPending = pendingById.firstKey();
         request.body = pending.body;
         pending.clockOnly = false;
@@ -143,7 +143,7 @@
         if (clock != null && clock.isFresh(now)) {
             request.leaderTerm = clock.term();
             request.leaderDeadline = clock.leaderTimeAt(pending.deadline);
-        } else if (store.supportsIdentifiedCommands && !pending.sendUnbound) {
+        } else if (store.supportsIdentifiedCommands && !pending.sendWithoutDeadline) {
             pending.clockOnly = true;
             request.body = CLOCK_REQUEST_BODY;
         }
@@ -160,7 +160,7 @@
      * Takes a result. Results for an earlier process at this address and for requests no longer pending are dropped.
      */
     public void receive(CommandResult result) {
-        if (result.sessionId != 0 && result.sessionId != life) {
+        if (result.sessionId != 0 && result.sessionId != sessionId) {
             port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(result.sessionId) + " request " + result.id);
             return;
         }
@@ -182,7 +182,7 @@
                 return;
             }
             if (pending.clockOnly && result.kind == ProblemKind.BAD_MESSAGE.code()) {
-                pending.sendUnbound = true;
+                pending.sendWithoutDeadline = true;
                 send(pending);
                 return;
             }
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/LifeClaim.java
@@ -34,7 +34,7 @@
      */
     boolean handleRefusal(RenewalReply refusal) {
         var self = directory.self();
-        if (refusal.incarnation < self.incarnation || namesThisLife(refusal, self)) return false;
+        if (refusal.incarnation < self.incarnation || namesThisSession(refusal, self)) return false;
         var isSameAddress =
                 refusal.recordedMember != null && refusal.recordedMember.peerAddress.equals(self.peerAddress);
         if (!isSameAddress && grantedIncarnations[refusal.part] == self.incarnation) {
@@ -49,7 +49,7 @@
      * Whether the incarnation that the refusal names is that of this process: then it answers a late message of an
      * earlier process.
      */
-    private static boolean namesThisLife(RenewalReply refusal, Node self) {
+    private static boolean namesThisSession(RenewalReply refusal, Node self) {
         return refusal.incarnation == self.incarnation
                 && (refusal.recordedMember == null || !refusal.recordedMember.isOtherSession(self));
     }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -36,13 +36,13 @@
     /**
      * What the rest of the process sees of the core. Arrays and lists are indexed by part and must not be changed.
      *
-     * @param topic the content of the manifest topic
+     * @param manifestRow the content of the manifest topic
      * @param manifest the manifest in force; null before the first
      * @param services the services by name
-     * @param leases the end of the lease at each part
-     * @param members the members that the leader of each part reported last
-     * @param grace how long this process may act after a lease has lapsed; the smallest over all parts
-     * @param heldSince since when the lease at each part has been held
+     * @param leaseEnds the end of the lease at each part
+     * @param membersByPart the members that the leader of each part reported last
+     * @param graceMicros how long this process may act after a lease has lapsed; the smallest over all parts
+     * @param heldSinceByPart since when the lease at each part has been held
      */
     public record CoreView(
             Rows.Manifest manifestRow,
@@ -277,12 +277,12 @@
     }
 
     /** Takes a new version of a topic, and accepts a lease that waited for it. */
-    public synchronized void receive(TopicUpdate news, long now) {
-        if (!topics.accept(news)) return;
-        if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
+    public synchronized void receive(TopicUpdate update, long now) {
+        if (!topics.accept(update)) return;
+        if (update.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
         publishView();
-        partLeases[Parts.partOf(news.topic)].nextRenewalAt = now;
-        acceptOffer(Parts.partOf(news.topic), now);
+        partLeases[Parts.partOf(update.topic)].nextRenewalAt = now;
+        acceptOffer(Parts.partOf(update.topic), now);
         if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
         topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
     }
--- a/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -196,7 +196,7 @@
     public void learnNode(Node node, long now) {
         if (node == null) return;
         if (node.name.equals(self.name)) {
-            outrankEarlierLife(node);
+            outrankEarlierSession(node);
             return;
         }
         var entry = knownByName.computeIfAbsent(node.name, name -> new KnownNode());
@@ -219,7 +219,7 @@
      * Raises the incarnation above that of a node with this name at this address: it must be an earlier process that
      * has ended, since this process holds the address now.
      */
-    private void outrankEarlierLife(Node node) {
+    private void outrankEarlierSession(Node node) {
         var outranksThis = node.incarnation > self.incarnation
                 || node.incarnation == self.incarnation && node.isOtherSession(self);
         if (outranksThis && node.peerAddress.equals(self.peerAddress)) raiseIncarnation(node.incarnation);
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -53,7 +53,7 @@
     private final IntFunction<List<Node>> membersOfPart;
     private final Map<String, Topic> topics = new TreeMap<>();
     private final Map<String, Rows.Service> services = new TreeMap<>();
-    private final Map<String, TopicUpdate> newsBeforeManifest = new HashMap<>();
+    private final Map<String, TopicUpdate> updatesBeforeManifest = new HashMap<>();
     private Map<String, Rows.Service> servicesSnapshot;
     private Rows.Manifest manifestTopic = new Rows.Manifest();
     private Manifest manifest;
@@ -181,34 +181,34 @@
         if (topic == null || request.from == null) return;
         topic.subscribedAtByAddress.put(request.from.peerAddress, now);
         if (topic.body != null && topic.version > request.knownVersion)
-            port.send(request.from.peerAddress, newsOf(request.topic, topic));
+            port.send(request.from.peerAddress, updateOf(request.topic, topic));
     }
 
     /** A message with the content of a topic. */
-    private static TopicUpdate newsOf(String name, Topic topic) {
-        var news = new TopicUpdate();
-        news.topic = name;
-        news.version = topic.version;
-        news.body = topic.body;
-        return news;
+    private static TopicUpdate updateOf(String name, Topic topic) {
+        var update = new TopicUpdate();
+        update.topic = name;
+        update.version = topic.version;
+        update.body = topic.body;
+        return update;
     }
 
     /**
      * Takes news that are newer than what this process has and passes them on to its subscribers. Returns whether
      * they were newer.
      */
-    boolean accept(TopicUpdate news) {
-        var topic = topics.get(news.topic);
+    boolean accept(TopicUpdate update) {
+        var topic = topics.get(update.topic);
         if (topic == null && timing.lowTraffic() && manifest == null)
-            newsBeforeManifest.merge(news.topic, news, (a, b) -> a.version < b.version ? b : a);
-        if (topic == null || news.version <= topic.version) return false;
-        if (news.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.decode(Rows.Manifest.class, news.body));
-        else acceptService(Codec.decode(Rows.Service.class, news.body));
-        topic.version = news.version;
-        topic.newestVersion = Math.max(topic.newestVersion, news.version);
-        topic.body = news.body;
+            updatesBeforeManifest.merge(update.topic, update, (a, b) -> a.version < b.version ? b : a);
+        if (topic == null || update.version <= topic.version) return false;
+        if (update.topic.equals(Parts.MANIFEST_TOPIC)) acceptManifest(Codec.decode(Rows.Manifest.class, update.body));
+        else acceptService(Codec.decode(Rows.Service.class, update.body));
+        topic.version = update.version;
+        topic.newestVersion = Math.max(topic.newestVersion, update.version);
+        topic.body = update.body;
         if (topic.version >= topic.newestVersion) topic.behindSince = 0;
-        topic.subscribedAtByAddress.keySet().forEach(a -> port.send(a, newsOf(news.topic, topic)));
+        topic.subscribedAtByAddress.keySet().forEach(a -> port.send(a, updateOf(update.topic, topic)));
         return true;
     }
 
@@ -217,9 +217,9 @@
      * manifest is there.
      */
     List<TopicUpdate> takeDeferredNews() {
-        if (manifest == null || newsBeforeManifest.isEmpty()) return List.of();
-        var deferred = List.copyOf(newsBeforeManifest.values());
-        newsBeforeManifest.clear();
+        if (manifest == null || updatesBeforeManifest.isEmpty()) return List.of();
+        var deferred = List.copyOf(updatesBeforeManifest.values());
+        updatesBeforeManifest.clear();
         return deferred;
     }
 
--- a/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -39,8 +39,8 @@
      * How far a change has reached the members.
      *
      * @param version the number of the manifest, or the id of the plan
-     * @param missing members that have not confirmed the change
-     * @param able those of them that are routers and may still act on the old state
+     * @param unconfirmedMembers members that have not confirmed the change
+     * @param routersStillActing those of them that are routers and may still act on the old state
      */
     public record RolloutResult(long version, List<String> unconfirmedMembers, List<String> routersStillActing) {}
 
--- a/lib/control/src/main/java/craneway/control/plan/SignalHistory.java
+++ b/lib/control/src/main/java/craneway/control/plan/SignalHistory.java
@@ -17,7 +17,7 @@
      *
      * @param runs requests that ran
      * @param problems requests that failed
-     * @param firstMicros the sum of the times to first token of the runs, in microseconds
+     * @param firstTokenMicrosSum the sum of the times to first token of the runs, in microseconds
      */
     public record CellTotals(long runs, long problems, long firstTokenMicrosSum) {
         /** The share of requests that failed; 0 if there were none. */
--- a/lib/control/src/main/java/craneway/control/plan/UnitMover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -34,7 +34,7 @@
 
     /** Wanted homes with the inputs they were computed from. */
     private record WantedHomes(
-            long newsVersion, int heldCellCount, BitSet closedCells, BitSet healthyCells, int[] homes) {}
+            long topicVersion, int heldCellCount, BitSet closedCells, BitSet healthyCells, int[] homes) {}
 
     /** Forgets everything, for a new leader. */
     public void reset() {
@@ -149,7 +149,7 @@
     private int[] cachedWantedHomes(Rows.Service service, BitSet closedCells, BitSet healthyCells) {
         var cached = wantedHomesByService.get(service.name);
         if (cached == null
-                || cached.newsVersion != service.topicVersion
+                || cached.topicVersion != service.topicVersion
                 || cached.heldCellCount != service.heldBackUntilAge.size()
                 || !cached.closedCells.equals(closedCells)
                 || !cached.healthyCells.equals(healthyCells)) {
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -30,26 +30,26 @@
     static final long MAX_WAIT_MICROS = 60_000_000;
 
     /** The processes that were sent the clock are remembered up to this number, the most recently used ones. */
-    private static final int MAX_KNOWN_LIVES = 1_024;
+    private static final int MAX_KNOWN_SESSIONS = 1_024;
 
-    private final Map<Long, Boolean> livesKnowingClock = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Long, Boolean> sessionsKnowingClock = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > MAX_KNOWN_LIVES;
+            return size() > MAX_KNOWN_SESSIONS;
         }
     };
 
-    private final Map<String, Long> latestBoundByZone = new HashMap<>();
+    private final Map<String, Long> latestDeadlineByZone = new HashMap<>();
 
     /** Forgets which processes know the clock, and all bounds; for each new term. */
     void reset() {
-        livesKnowingClock.clear();
-        latestBoundByZone.clear();
+        sessionsKnowingClock.clear();
+        latestDeadlineByZone.clear();
     }
 
     /** Records that the leader sends its clock to this process. */
-    void recordClockSent(long life) {
-        livesKnowingClock.put(life, true);
+    void recordClockSent(long sessionId) {
+        sessionsKnowingClock.put(sessionId, true);
     }
 
     /** Checks the term and the bound of a command from a process that names its life. */
@@ -57,7 +57,7 @@
         if (request.leaderTerm != term
                 || now > request.leaderDeadline
                 || request.leaderDeadline > now + MAX_WAIT_MICROS) return Admission.LATE;
-        return livesKnowingClock.get(request.sessionId) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
+        return sessionsKnowingClock.get(request.sessionId) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
     }
 
     /**
@@ -65,9 +65,9 @@
      * wait equally long, so an order with an earlier bound was sent earlier and was delayed on its way, and its
      * caller may have had the later order acknowledged meanwhile.
      */
-    boolean isOvertaken(String zone, long bound) {
-        if (bound < latestBoundByZone.getOrDefault(zone, bound)) return true;
-        latestBoundByZone.put(zone, bound);
+    boolean isOvertaken(String zone, long deadline) {
+        if (deadline < latestDeadlineByZone.getOrDefault(zone, deadline)) return true;
+        latestDeadlineByZone.put(zone, deadline);
         return false;
     }
 
@@ -78,11 +78,11 @@
     static Object withIdentity(CommandRequest request, Object command, byte[] body) {
         if (request.sessionId == 0 || command instanceof Commands.ClaimTake || command instanceof Commands.ClaimFinish)
             return command;
-        var fenced = new Commands.IdentifiedCommand();
-        fenced.sessionId = request.sessionId;
-        fenced.sequence = request.id;
-        fenced.lowestPending = request.lowestPending;
-        fenced.body = body;
-        return fenced;
+        var identified = new Commands.IdentifiedCommand();
+        identified.sessionId = request.sessionId;
+        identified.sequence = request.id;
+        identified.lowestPending = request.lowestPending;
+        identified.body = body;
+        return identified;
     }
 }
--- a/lib/control/src/main/java/craneway/control/store/CoreSettings.java
+++ b/lib/control/src/main/java/craneway/control/store/CoreSettings.java
@@ -3,12 +3,12 @@
 /**
  * How a store founds its core and how long it remembers runners. Times are microseconds.
  *
- * @param founders how many empty stores found a core
+ * @param founderCount how many empty stores found a core
  * @param seedsOnly whether only the seeds named at the first start may found the core, and only stores started at
  *     that time
  * @param firstStart whether this is the first start of the system
- * @param dark how long a runner may be silent before it is marked as dark
- * @param forgotten how long after its end a runner that left or went dark is forgotten; 0 for never
+ * @param darkAfterMicros how long a runner may be silent before it is marked as dark
+ * @param forgetAfterMicros how long after its end a runner that left or went dark is forgotten; 0 for never
  */
 public record CoreSettings(
         int founderCount, boolean seedsOnly, boolean firstStart, long darkAfterMicros, long forgetAfterMicros) {
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -195,7 +195,7 @@
                 for (var event = eventQueue.poll(); event != null; event = eventQueue.poll()) event.run();
                 if (closed) return;
                 group.syncAndSend(port.now());
-                publishNews(port.now());
+                publishUpdates(port.now());
             } finally {
                 lock.unlock();
             }
@@ -408,10 +408,10 @@
             reply(request, earlierResult);
             return;
         }
-        var zoneOrder = body instanceof Commands.ZoneMark mark ? mark : null;
+        var zoneMark = body instanceof Commands.ZoneMark mark ? mark : null;
         if (admission == CommandFence.Admission.ADMITTED
-                && zoneOrder != null
-                && commandFence.isOvertaken(zoneOrder.zone, request.leaderDeadline))
+                && zoneMark != null
+                && commandFence.isOvertaken(zoneMark.zone, request.leaderDeadline))
             admission = CommandFence.Admission.LATE;
         if (admission == CommandFence.Admission.ADMITTED) dispatch(request, body, now);
         else {
@@ -695,7 +695,7 @@
                             && now - publishedAtByTopic.getOrDefault(topic, leaderSince)
                                     < STALE_TOPIC_PUSH_DELAY_MICROS) continue;
             if (pushedAtByTarget.putIfAbsent(renewal.from.peerAddress + " " + topic, now) == null)
-                port.send(renewal.from.peerAddress, buildNews(topic));
+                port.send(renewal.from.peerAddress, buildUpdate(topic));
         }
     }
 
@@ -738,15 +738,15 @@
     }
 
     /** A message with the current version and content of a topic. */
-    private TopicUpdate buildNews(String topic) {
-        var news = new TopicUpdate();
-        news.topic = topic;
-        news.version = topicVersion(topic);
-        news.body = Codec.encode(
+    private TopicUpdate buildUpdate(String topic) {
+        var update = new TopicUpdate();
+        update.topic = topic;
+        update.version = topicVersion(topic);
+        update.body = Codec.encode(
                 topic.equals(Parts.MANIFEST_TOPIC)
                         ? records.rows().manifest.copyForPublication()
                         : records.rows().services.get(topic));
-        return news;
+        return update;
     }
 
     /** Adds or renews a subscription, and sends the topic if the subscriber has an older version. */
@@ -756,11 +756,11 @@
                 .computeIfAbsent(subscription.topic, topic -> new HashMap<>())
                 .put(subscription.from.peerAddress, now);
         if (topicVersion(subscription.topic) > subscription.knownVersion)
-            port.send(subscription.from.peerAddress, buildNews(subscription.topic));
+            port.send(subscription.from.peerAddress, buildUpdate(subscription.topic));
     }
 
     /** Sends every topic that changed since the last call to its subscribers. */
-    private void publishNews(long now) {
+    private void publishUpdates(long now) {
         if (!group.hasLease(now)) return;
         for (var topic : topicNames()) {
             var version = topicVersion(topic);
@@ -770,8 +770,8 @@
             var subscribers = subscribersByTopic.getOrDefault(topic, Map.of());
             subscribers.values().removeIf(renewedAt -> now - renewedAt > SUBSCRIPTION_TTL_MICROS);
             if (subscribers.isEmpty()) continue;
-            var news = buildNews(topic);
-            subscribers.keySet().forEach(address -> port.send(address, news));
+            var update = buildUpdate(topic);
+            subscribers.keySet().forEach(address -> port.send(address, update));
         }
     }
 
--- a/lib/control/src/main/java/craneway/control/store/Quorum.java
+++ b/lib/control/src/main/java/craneway/control/store/Quorum.java
@@ -9,8 +9,8 @@
 /**
  * How many stores vote in each part, and how evenly they are spread over regions.
  *
- * @param voters the number of voters in each group
- * @param regions the region of each zone, by zone; a zone without an entry counts as a region of its own
+ * @param voterCount the number of voters in each group
+ * @param regionByZone the region of each zone, by zone; a zone without an entry counts as a region of its own
  */
 public record Quorum(int voterCount, Map<String, String> regionByZone) {
     /** Makes the spread over regions count before the spread over zones, whose sum of squares is far smaller. */
--- a/lib/control/src/main/java/craneway/control/store/RebuildProposal.java
+++ b/lib/control/src/main/java/craneway/control/store/RebuildProposal.java
@@ -9,7 +9,7 @@
 /**
  * A proposal to rebuild the core from one store's data, as shown to the operator who confirms it.
  *
- * @param token identifies the state that was shown; to be sent back to confirm the rebuild
+ * @param confirmationToken identifies the state that was shown; to be sent back to confirm the rebuild
  * @param generation the generation that the rebuilt core will have
  * @param kept what this store holds, one line for each part
  * @param mayBeLost what may be lost
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -507,7 +507,7 @@
         var now = port.now();
         if (message instanceof Hello hello) directory.receive(hello, now);
         else if (message instanceof RenewalReply reply) membership.receive(reply, now);
-        else if (message instanceof TopicUpdate news) membership.receive(news, now);
+        else if (message instanceof TopicUpdate update) membership.receive(update, now);
         else if (message instanceof CommandResult result) coreClient.receive(result);
         else if (message instanceof PartMessage partMessage)
             withReplica(partMessage.part, replica -> replica.receive(partMessage));
--- a/lib/control/src/main/java/craneway/control/store/StoreOptions.java
+++ b/lib/control/src/main/java/craneway/control/store/StoreOptions.java
@@ -10,7 +10,7 @@
  * @param settings how the core is founded and how long runners are remembered
  * @param quorum how many stores vote and how they are spread
  * @param timing the intervals of heartbeats, elections, renewals and the like
- * @param executors the executor on which each part works; with a thread of its own, a part whose disk hangs
+ * @param executorByPart the executor on which each part works; with a thread of its own, a part whose disk hangs
  *     delays no other
  */
 public record StoreOptions(
--- a/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
+++ b/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
@@ -22,7 +22,7 @@
  * copy takes effect after the caller has given up.
  */
 class CoreClientTest {
-    private static final long LIFE = 0x1234_5678_9abc_def0L;
+    private static final long SESSION_ID = 0x1234_5678_9abc_def0L;
     private static final long TIMEOUT_MICROS = 800_000;
 
     private final List<CommandRequest> sent = new ArrayList<>();
@@ -51,11 +51,11 @@
     @BeforeEach
     void createClient() {
         var self = new Node("s1", Node.STORE, "z1", "s1", 1);
-        coreClient = coreClient(LIFE, self);
+        coreClient = coreClient(SESSION_ID, self);
     }
 
-    private CoreClient coreClient(long life, Node self) {
-        var client = new CoreClient(port, new NodeDirectory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), life);
+    private CoreClient coreClient(long sessionId, Node self) {
+        var client = new CoreClient(port, new NodeDirectory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), sessionId);
         client.leader(0, new Node("s2", Node.STORE, "z2", "s2", 1));
         return client;
     }
@@ -106,8 +106,8 @@
         learnLeaderClock(3, 9_000_000);
         now += 1_000_000;
         sendZoneOrder();
-        var bound = lastSent().leaderDeadline;
-        assertEquals(9_000_000 + 1_000_000 + TIMEOUT_MICROS, bound);
+        var leaderDeadline = lastSent().leaderDeadline;
+        assertEquals(9_000_000 + 1_000_000 + TIMEOUT_MICROS, leaderDeadline);
         now += 400_000;
         coreClient.tick(now);
         now += 10_000;
@@ -117,8 +117,8 @@
         assertTrue(sent.size() >= 3);
         for (var copy : sent) {
             assertEquals(sent.get(0).id, copy.id);
-            assertEquals(LIFE, copy.sessionId);
-            assertEquals(bound, copy.leaderDeadline);
+            assertEquals(SESSION_ID, copy.sessionId);
+            assertEquals(leaderDeadline, copy.leaderDeadline);
         }
     }
 
@@ -195,11 +195,11 @@
         learnLeaderClock(3, 9_000_000);
         sendZoneOrder();
         var result = resultFor(lastSent(), 0, 3, 9_000_000);
-        result.sessionId = LIFE + 1;
+        result.sessionId = SESSION_ID + 1;
         coreClient.receive(result);
         assertTrue(results.isEmpty());
         assertEquals(List.of(Event.STALE_REPLY), events);
-        result.sessionId = LIFE;
+        result.sessionId = SESSION_ID;
         coreClient.receive(result);
         assertEquals(1, results.size());
     }
@@ -244,7 +244,7 @@
     void differentProcessesStartAtDifferentIds() {
         sendZoneOrder();
         var firstId = lastSent().id;
-        coreClient = coreClient(~LIFE, new Node("s1", Node.STORE, "z1", "s1", 2));
+        coreClient = coreClient(~SESSION_ID, new Node("s1", Node.STORE, "z1", "s1", 2));
         sendZoneOrder();
         assertNotEquals(firstId, lastSent().id);
     }
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -16,7 +16,7 @@
 
 /** Checks that a command that arrives late, or was overtaken by a newer one, is declined on the leader. */
 class CommandFenceTest {
-    private static final long LIFE = 77;
+    private static final long SESSION_ID = 77;
     private static final long TERM = 5;
     private static final long NOW_MICROS = -3_000_000;
 
@@ -24,43 +24,43 @@
 
     @BeforeEach
     void sendClock() {
-        fence.recordClockSent(LIFE);
+        fence.recordClockSent(SESSION_ID);
     }
 
-    private static CommandRequest command(long life, long term, long bound) {
+    private static CommandRequest command(long sessionId, long term, long deadline) {
         var request = new CommandRequest();
         request.id = 12;
         request.lowestPending = 11;
-        request.sessionId = life;
+        request.sessionId = sessionId;
         request.leaderTerm = term;
-        request.leaderDeadline = bound;
+        request.leaderDeadline = deadline;
         return request;
     }
 
     @Test
     void admitsACommandWithinItsBound() {
-        assertEquals(ADMITTED, fence.check(command(LIFE, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
-        assertEquals(ADMITTED, fence.check(command(LIFE, TERM, NOW_MICROS), TERM, NOW_MICROS));
+        assertEquals(ADMITTED, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(ADMITTED, fence.check(command(SESSION_ID, TERM, NOW_MICROS), TERM, NOW_MICROS));
     }
 
     @Test
     void declinesACommandAfterItsBound() {
-        assertEquals(LATE, fence.check(command(LIFE, TERM, NOW_MICROS - 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(SESSION_ID, TERM, NOW_MICROS - 1), TERM, NOW_MICROS));
     }
 
     @Test
     void declinesABoundByAnotherLeadersClock() {
-        assertEquals(LATE, fence.check(command(LIFE, TERM - 1, NOW_MICROS + 1), TERM, NOW_MICROS));
-        assertEquals(LATE, fence.check(command(LIFE, TERM + 1, NOW_MICROS + 1), TERM, NOW_MICROS));
-        assertEquals(LATE, fence.check(command(LIFE, 0, 0), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(SESSION_ID, TERM - 1, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(SESSION_ID, TERM + 1, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(SESSION_ID, 0, 0), TERM, NOW_MICROS));
     }
 
     @Test
     void declinesABoundFartherAheadThanAnyClientWaits() {
         assertEquals(
                 LATE,
-                fence.check(command(LIFE, TERM, NOW_MICROS + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW_MICROS));
-        assertEquals(LATE, fence.check(command(LIFE, TERM, Long.MAX_VALUE), TERM, NOW_MICROS));
+                fence.check(command(SESSION_ID, TERM, NOW_MICROS + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(LATE, fence.check(command(SESSION_ID, TERM, Long.MAX_VALUE), TERM, NOW_MICROS));
     }
 
     @Test
@@ -76,32 +76,32 @@
 
     @Test
     void aProcessThatWasNotSentTheClockIsUnknown() {
-        assertEquals(UNKNOWN_LIFE, fence.check(command(LIFE + 1, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(UNKNOWN_LIFE, fence.check(command(SESSION_ID + 1, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
         fence.reset();
-        assertEquals(UNKNOWN_LIFE, fence.check(command(LIFE, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
-        fence.recordClockSent(LIFE);
-        assertEquals(ADMITTED, fence.check(command(LIFE, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(UNKNOWN_LIFE, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        fence.recordClockSent(SESSION_ID);
+        assertEquals(ADMITTED, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
     }
 
     @Test
     void remembersABoundedNumberOfProcesses() {
         for (var i = 0; i < 2_000; i++) fence.recordClockSent(1_000 + i);
-        assertEquals(UNKNOWN_LIFE, fence.check(command(LIFE, TERM, NOW_MICROS), TERM, NOW_MICROS));
+        assertEquals(UNKNOWN_LIFE, fence.check(command(SESSION_ID, TERM, NOW_MICROS), TERM, NOW_MICROS));
         assertEquals(ADMITTED, fence.check(command(2_999, TERM, NOW_MICROS), TERM, NOW_MICROS));
     }
 
     @Test
     void wrapsACommandWithItsIdentityUnlessItHasItsOwn() {
         var body = new byte[] {1, 2, 3};
-        var fenced = assertInstanceOf(
+        var identified = assertInstanceOf(
                 Commands.IdentifiedCommand.class,
-                CommandFence.withIdentity(command(LIFE, TERM, NOW_MICROS), new Commands.ZoneMark(), body));
-        assertEquals(LIFE, fenced.sessionId);
-        assertEquals(12, fenced.sequence);
-        assertEquals(11, fenced.lowestPending);
-        assertSame(body, fenced.body);
+                CommandFence.withIdentity(command(SESSION_ID, TERM, NOW_MICROS), new Commands.ZoneMark(), body));
+        assertEquals(SESSION_ID, identified.sessionId);
+        assertEquals(12, identified.sequence);
+        assertEquals(11, identified.lowestPending);
+        assertSame(body, identified.body);
         var claim = new Commands.ClaimTake();
-        assertSame(claim, CommandFence.withIdentity(command(LIFE, TERM, NOW_MICROS), claim, body));
+        assertSame(claim, CommandFence.withIdentity(command(SESSION_ID, TERM, NOW_MICROS), claim, body));
         var unidentified = new Commands.ZoneMark();
         assertSame(unidentified, CommandFence.withIdentity(command(0, 0, 0), unidentified, body));
     }
--- a/lib/data/src/main/java/craneway/data/request/UsageLog.java
+++ b/lib/data/src/main/java/craneway/data/request/UsageLog.java
@@ -31,7 +31,7 @@
     private final Deque<Row> rows = new ArrayDeque<>();
     private long rowCount;
 
-    synchronized void add(RequestState state, String region, String verdict, long now) {
+    synchronized void add(RequestState state, String region, String outcome, long now) {
         rows.add(new Row(
                 ++rowCount,
                 state.request.tenant(),
@@ -40,7 +40,7 @@
                 region,
                 state.lastRunnerName,
                 state.streamedTokens,
-                verdict,
+                outcome,
                 state.acceptedAt,
                 state.firstDataAt,
                 now));
--- a/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
+++ b/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
@@ -32,7 +32,7 @@
  */
 public final class AsyncHttpClient {
     /**
-     * Receives the response to one call. Exactly one of {@link #refused}, {@link #end} and {@link #broken} ends the
+     * Receives the response to one call. Exactly one of {@link #onConnectFailure}, {@link #onEnd} and {@link #onFailure} ends the
      * call; if the call is cancelled, none of them is called.
      */
     public interface ResponseListener {
@@ -42,7 +42,7 @@
         /** Called once with the status code and headers of the response. */
         void onHeaders(int code, HeaderMap headers);
 
-        /** Called with each piece of the body; {@link OutgoingCall#chunkConsumed} must be called once the piece is consumed. */
+        /** Called with each piece of the body; {@link Call#chunkConsumed} must be called once the piece is consumed. */
         void onChunk(byte[] bytes);
 
         /** Called when the response is complete. */
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Sends a request on a persistent connection, which stays open after a complete response; {@link OutgoingCall#connection}
+     * Sends a request on a persistent connection, which stays open after a complete response; {@link Call#connection}
      * returns it for the next request.
      *
      * @param kept the connection of an earlier call; if it is null or closed, a new connection is made
--- a/lib/model/src/main/java/craneway/model/node/NodeSettings.java
+++ b/lib/model/src/main/java/craneway/model/node/NodeSettings.java
@@ -40,8 +40,8 @@
         long runnerHeartbeatInterval,
         Tolerances tolerances) {
     /**
-     * The limits and tolerances that the platform sets for a node. Times are microseconds. Only {@link #grace},
-     * {@link #retryRatio}, {@link #retryWindow}, {@link #retrySlack} and {@link #mostTtl} are used so far.
+     * The limits and tolerances that the platform sets for a node. Times are microseconds. Only {@link #shutdownGrace},
+     * {@link #retryRatio}, {@link #retryWindow}, {@link #retrySlack} and {@link #maxTtl} are used so far.
      *
      * @param contactTimeout limit on the time without contact to the core
      * @param drainTimeout limit on the time to drain a node
--- a/lib/model/src/main/java/craneway/model/problem/ProblemKind.java
+++ b/lib/model/src/main/java/craneway/model/problem/ProblemKind.java
@@ -61,10 +61,10 @@
     private final WorkOutcome workOutcome;
     private final String text;
 
-    ProblemKind(int code, int status, WorkOutcome bearing, String text) {
+    ProblemKind(int code, int status, WorkOutcome workOutcome, String text) {
         this.code = code;
         this.status = status;
-        this.workOutcome = bearing;
+        this.workOutcome = workOutcome;
         this.text = text;
     }
 
--- a/lib/process/src/main/java/craneway/process/StartupSettings.java
+++ b/lib/process/src/main/java/craneway/process/StartupSettings.java
@@ -81,7 +81,7 @@
      * @param file the startup file, or null if all settings come from options
      * @param flags the command line options by settings key; a non-null value overrides the file
      * @param kind {@link #ROUTER_KIND} or {@link #STORE_KIND}
-     * @throws BadStartupException if the settings are invalid
+     * @throws InvalidSettingsException if the settings are invalid
      */
     public static StartupSettings load(Path file, Map<String, String> flags, String kind) {
         var faults = new ArrayList<String>();
--- a/lib/state/src/main/java/craneway/state/message/Messages.java
+++ b/lib/state/src/main/java/craneway/state/message/Messages.java
@@ -131,7 +131,7 @@
         public long sessionId;
         /** The lowest id of this session whose result the sender still waits for. */
         public long lowestPending;
-        /** The term of the leader by whose clock {@link #bound} is given; 0 if the sender knows no clock yet. */
+        /** The term of the leader by whose clock {@link #leaderDeadline} is given; 0 if the sender knows no clock yet. */
         public long leaderTerm;
         /** The deadline after which the command must not take effect, by the steady clock of that leader. */
         public long leaderDeadline;
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -114,7 +114,7 @@
             return PlacementTable.NOWHERE;
         }
 
-        /** Returns the weight of a cell, multiplied by the slots of its runners if {@link #bySlots} is set. */
+        /** Returns the weight of a cell, multiplied by the slots of its runners if {@link #weighedBySlots} is set. */
         public int weightOf(int cell) {
             if (!weighedBySlots) return weights.get(cell);
             var slots = 0;
@@ -125,7 +125,7 @@
 
         /**
          * Returns how many region sets in use compete for the cell: the given set and all its proper subsets that
-         * include the cell's region. Returns 1 unless {@link #bySlots} is set.
+         * include the cell's region. Returns 1 unless {@link #weighedBySlots} is set.
          */
         public int countRegionSetsSharing(int cell, int set) {
             if (!weighedBySlots) return 1;
@@ -306,7 +306,7 @@
 
     /**
      * The applied commands of one session, which is one run of a client process. Results below {@link
-     * #floor} are no longer kept.
+     * #lowestSequence} are no longer kept.
      */
     public static final class Session {
         /** The lowest sequence number that is still accepted. */
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -81,10 +81,10 @@
     /**
      * Traffic since the start; bytes do not include the headers of UDP, TCP and IP.
      *
-     * @param datagrams datagrams sent
-     * @param connections connections opened by this process
-     * @param sent bytes sent
-     * @param received bytes received
+     * @param datagramsSent datagrams sent
+     * @param connectionsOpened connections opened by this process
+     * @param bytesSent bytes sent
+     * @param bytesReceived bytes received
      */
     public record Traffic(long datagramsSent, long connectionsOpened, long bytesSent, long bytesReceived) {}
 
--- a/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
+++ b/lib/transport/src/test/java/craneway/transport/SocketTransportTest.java
@@ -85,12 +85,12 @@
         return join;
     }
 
-    private static TopicUpdate news(long version, byte[] body) {
-        var news = new TopicUpdate();
-        news.topic = "t";
-        news.version = version;
-        news.body = body;
-        return news;
+    private static TopicUpdate update(long version, byte[] body) {
+        var update = new TopicUpdate();
+        update.topic = "t";
+        update.version = version;
+        update.body = body;
+        return update;
     }
 
     private static byte[] randomBytes(int length) {
@@ -126,8 +126,8 @@
         var sender = new Endpoint(5);
         var receiver = new Endpoint(5);
         var body = randomBytes(3_000_000);
-        sender.transport.send(receiver.address, news(1, body));
-        sender.transport.send(receiver.address, news(2, body));
+        sender.transport.send(receiver.address, update(1, body));
+        sender.transport.send(receiver.address, update(2, body));
         assertEquals(body.length, receiver.nextMessage(TopicUpdate.class).body.length);
         assertEquals(2, receiver.nextMessage(TopicUpdate.class).version);
         assertTrue(sender.transport.traffic().connectionsOpened() >= 1);
@@ -137,7 +137,7 @@
     void aMessageThatCompressesWellIsSentAsADatagram() throws Exception {
         var sender = new Endpoint(5);
         var receiver = new Endpoint(5);
-        sender.transport.send(receiver.address, news(1, new byte[10_000]));
+        sender.transport.send(receiver.address, update(1, new byte[10_000]));
         assertEquals(10_000, receiver.nextMessage(TopicUpdate.class).body.length);
         assertEquals(0, sender.transport.traffic().connectionsOpened());
         assertTrue(sender.transport.traffic().bytesSent() < 300);
@@ -207,8 +207,8 @@
     void aLargeMessageToAnUnreachableAddressDoesNotDelayOthers() throws Exception {
         var sender = new Endpoint(5);
         var receiver = new Endpoint(5);
-        sender.transport.send(freeAddress(), news(1, randomBytes(20_000)));
-        sender.transport.send(receiver.address, news(2, randomBytes(20_000)));
+        sender.transport.send(freeAddress(), update(1, randomBytes(20_000)));
+        sender.transport.send(receiver.address, update(2, randomBytes(20_000)));
         sender.transport.send(receiver.address, join(1));
         var messages =
                 List.of(receiver.received.poll(10, TimeUnit.SECONDS), receiver.received.poll(10, TimeUnit.SECONDS));
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -45,7 +45,7 @@
      * effect.
      *
      * @param addresses operator addresses as IP:PORT
-     * @throws CommandFailure with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
+     * @throws CommandException with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
      *     and 1 if no address responds
      */
     public BufferedHttpResponse request(
