--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -17,11 +17,12 @@
 
 /**
  * Sends queries and commands to the leader of a part and repeats them until a result arrives. All copies of a request
- * carry one identity, the life of this process and a rising id, so that a command is applied once. Commands also
- * carry a bound by the leader's clock, so that a copy that arrives after the caller's deadline has no effect.
+ * carry one identity, the session id of this process and an increasing request id, so that a command is applied once.
+ * Commands also carry a deadline on the leader's clock, so that a copy that arrives after the caller's deadline has no
+ * effect.
  *
- * <p>Safe for several threads. Results are delivered on the thread that calls {@link #receive} or {@link #tick}.
- * Times are microseconds.
+ * <p>Safe for several threads. Results are delivered on the thread that calls {@link #receive} or {@link #tick}. Times
+ * are microseconds.
  */
 public final class CoreClient {
     /**
@@ -39,19 +40,22 @@
         long id;
         int part;
         byte[] body;
-        /** Commands change the state and carry a bound; queries do not. */
+        /** Commands change the state and carry a deadline on the leader's clock; queries do not. */
         boolean isCommand;
 
         /** Whether the last copy only asked for the leader's clock. */
         boolean clockOnly;
 
-        /** Whether the store cannot read clock requests, so that the command is sent without a bound. */
+        /**
+         * Whether the store cannot read clock requests, so that the command is sent without a deadline on the leader's
+         * clock.
+         */
         boolean sendWithoutDeadline;
 
         long nextSendAt;
         long deadline;
         int storeTurn;
-        /** How many copies were declined as late or unknown. */
+        /** The number of copies that were declined as late or as coming from an unknown session. */
         int declines;
 
         /** Whether any copy was sent; if not, the request surely had no effect. */
@@ -69,7 +73,8 @@
     private long nextId;
 
     /**
-     * Creates a client. The life identifies this process: it must be 64 random bits that no other process ever used.
+     * Creates a client. The session id identifies this process: it must be 64 random bits that no other process ever
+     * used.
      */
     public CoreClient(Port port, NodeDirectory directory, long sessionId) {
         this.port = port;
@@ -157,7 +162,7 @@
     }
 
     /**
-     * Takes a result. Results for an earlier process at this address and for requests no longer pending are dropped.
+     * Handles a result. Results for an earlier process at this address and for requests no longer pending are dropped.
      */
     public void receive(CommandResult result) {
         if (result.sessionId != 0 && result.sessionId != sessionId) {
@@ -191,7 +196,7 @@
         pending.onResult.accept(result);
     }
 
-    /** Records the leader that a store named, and resends at once if that is news. */
+    /** Records the leader that a store named, and resends at once if it differs from the leader known so far. */
     private void redirect(PendingRequest pending, Node namedLeader) {
         var previous = leaderByPart.get(pending.part);
         leader(pending.part, namedLeader);
@@ -203,8 +208,8 @@
     }
 
     /**
-     * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock by which
-     * the next copy is bound.
+     * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock, by which
+     * the deadline of the next copy is set.
      */
     private void resendRebound(PendingRequest pending) {
         var now = port.now();
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Starts over with a newer generation of the core: drops leases, versions and leaders, but keeps the contents of
-     * topics.
+     * Resets the leases for a newer generation of the core: drops leases, versions and leaders, but keeps the contents
+     * of topics.
      */
     public synchronized void followCore() {
         for (var lease : partLeases) lease.reset();
@@ -194,7 +194,7 @@
         if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
-    /** Takes the replies to the renewals that were sent in one message. */
+    /** Handles the replies to the renewals that were sent in one message. */
     public synchronized void receive(RenewalReplies replies, long now) {
         for (var reply : replies.parts) {
             reply.sentAt = replies.sentAt;
@@ -210,7 +210,7 @@
         sendDueRenewals(now);
     }
 
-    /** Takes the reply of a part to a renewal. */
+    /** Handles the reply of a part to a renewal. */
     public synchronized void receive(RenewalReply reply, long now) {
         if (reply.part < 0 || reply.part >= partLeases.length) return;
         var lease = partLeases[reply.part];
@@ -242,7 +242,9 @@
         acceptOffer(reply.part, now);
     }
 
-    /** Handles the reply of a store that does not lead: renews soon at the leader that it names, if that is news. */
+    /**
+     * Handles the reply of a store that does not lead: renews soon at the leader that it names, if it is not yet known.
+     */
     private void handleNotLeader(RenewalReply reply, PartLease lease, long now) {
         lease.unansweredRenewals =
                 Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
@@ -271,12 +273,12 @@
         publishView();
     }
 
-    /** Takes a subscription of another router. */
+    /** Handles a subscription of another router. */
     public synchronized void receive(Subscription subscription, long now) {
         topics.addSubscriber(subscription, now);
     }
 
-    /** Takes a new version of a topic, and accepts a lease that waited for it. */
+    /** Handles a new version of a topic, and accepts a lease that waited for it. */
     public synchronized void receive(TopicUpdate update, long now) {
         if (!topics.accept(update)) return;
         if (update.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
--- a/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -15,14 +15,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The nodes that this process knows, how it finds them, and what it tells them about itself. Processes greet seeds
- * and known stores at intervals; greetings carry the sender, the nodes it has heard lately and the record of its
- * core.
+ * The nodes that this process knows, how it finds them, and what it tells them about itself. Processes greet seeds and
+ * known stores at intervals; greetings carry the sender, the nodes it has heard recently and the record of its core.
  *
  * <p>Safe for several threads: fields are volatile or concurrent, and changes to {@link #self()} are synchronized.
  */
 public final class NodeDirectory {
-    /** A node counts as heard recently, in microseconds, if a greeting of it arrived within this time. */
+    /** A node counts as heard recently if its last greeting arrived within this time, in microseconds. */
     public static final long RECENTLY_HEARD_MICROS = 3_000_000;
 
     /** A node is forgotten after this many microseconds without a greeting. */
@@ -96,15 +95,12 @@
         self = self.with(graceMicros);
     }
 
-    /** Sets the digest of the empty stores that this store sees; greetings carry it until a core is founded. */
+    /** Sets the digest of the empty stores that this store sees; greetings carry it until a core is bootstrapped. */
     public void setEmptyStoresDigest(long digest) {
         emptyStoresDigest = digest;
     }
 
-    /**
-     * The record of the core that this process belongs to or has been told about by a greeting; null if there is
-     * none.
-     */
+    /** The record of the core that this process belongs to or has learned of from a greeting; null if there is none. */
     public Founding founding() {
         return founding;
     }
@@ -225,7 +221,7 @@
         if (outranksThis && node.peerAddress.equals(self.peerAddress)) raiseIncarnation(node.incarnation);
     }
 
-    /** Greets other nodes and forgets silent ones, if it is time. */
+    /** Greets other nodes and forgets silent ones, if the next round is due. */
     public void tick(long now) {
         if (now < nextGreetingAt) return;
         if (knownByName
@@ -343,7 +339,7 @@
     }
 
     /**
-     * Takes a greeting and replies if the sender wants it. A greeting from another core is ignored, unless it shows
+     * Handles a greeting and replies if the sender wants it. A greeting from another core is ignored, unless it shows
      * that one side is an older generation.
      */
     public void receive(Hello hello, long now) {
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -194,8 +194,8 @@
     }
 
     /**
-     * Takes news that are newer than what this process has and passes them on to its subscribers. Returns whether
-     * they were newer.
+     * Accepts an update that is newer than what this process has and passes it on to its subscribers. Returns whether
+     * it was newer.
      */
     boolean accept(TopicUpdate update) {
         var topic = topics.get(update.topic);
@@ -213,8 +213,8 @@
     }
 
     /**
-     * Returns and removes the news of services that arrived before the manifest that names them; empty until the
-     * manifest is there.
+     * Returns and removes the updates of services that arrived before the manifest that names them; empty until the
+     * manifest has arrived.
      */
     List<TopicUpdate> takeDeferredNews() {
         if (manifest == null || updatesBeforeManifest.isEmpty()) return List.of();
--- a/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Reports how far a version of the manifest topic has come, once {@code doneWhen} accepts the state or the time
-     * is over.
+     * Reports how far a version of the manifest topic has come, once {@code doneWhen} accepts the state or the timeout
+     * has passed.
      */
     private void awaitRollout(
             long topicVersion,
@@ -291,8 +291,8 @@
     }
 
     /**
-     * Accepts at all parts that claims may have been lost in a rebuild, so that run-once work is taken again. Returns
-     * the number of parts.
+     * Accepts at all parts that claims may have been lost in a rebuild, so that run-once work is accepted again.
+     * Returns the number of parts.
      */
     public void acceptClaims(Consumer<Either<Problem, Integer>> onResult) {
         var outstanding = new int[] {Parts.COUNT};
--- a/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
@@ -17,7 +17,7 @@
     /** For how many microseconds after a pause no order is admitted. */
     public static final long SETTLE_MICROS = 500_000;
 
-    /** What the guard remembers of a connection; one for each. */
+    /** The state that the guard keeps for one connection. */
     public static final class Connection {
         private static final long NEVER = Long.MIN_VALUE;
         private long lastUsedAt = NEVER;
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -15,11 +15,11 @@
 import java.util.function.Consumer;
 
 /**
- * The commands of a platform that manages the processes from outside. Every call gets a result within 0.8 s, a
- * problem if the core does not answer.
+ * The commands of a platform that manages the processes from outside. Every call gets a result within 0.8 s, a problem
+ * if the core does not answer.
  *
- * <p>A change is bound by {@code callerWaitingSince}, the time by the monotonic clock when its caller was last known
- * to wait, in microseconds: it has no effect later than 0.8 s after that.
+ * <p>The deadline of a change follows from {@code callerWaitingSince}, the time by the monotonic clock when its caller
+ * was last known to wait, in microseconds: it has no effect later than 0.8 s after that.
  */
 public final class PlatformCommands {
     /** How long to wait for the core. */
@@ -44,7 +44,7 @@
 
     /**
      * Puts a manifest in force. Its text must have been validated. RACE_LOST and BAD_MANIFEST are final; any other
-     * problem leaves open whether it was taken.
+     * problem leaves open whether it was accepted.
      *
      * @param number the number that the platform gives the manifest; 0 for the next one
      * @param source the text as the platform sent it, if that differs from {@code text}
@@ -64,7 +64,7 @@
         submitChange(Parts.MANIFEST_PART, command, callerWaitingSince, onResult);
     }
 
-    /** Marks a zone as emptied, or takes the mark back. */
+    /** Marks a zone as emptied, or removes the mark. */
     public void markZone(
             String zone, boolean emptied, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         var command = new Commands.ZoneMark();
--- a/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -17,13 +17,13 @@
  * slots, smoothed over time.
  */
 public final class PressureRelief {
-    /** From this utilization on a cell is full. */
+    /** A cell with this utilization or more is full. */
     public static final double FULL_UTILIZATION = 0.8;
 
-    /** Up to this utilization a cell is calm. */
+    /** A cell with this utilization or less is calm. */
     public static final double CALM_UTILIZATION = 0.6;
 
-    /** Up to this utilization a cell takes displaced units. */
+    /** A cell accepts displaced units up to this utilization. */
     public static final double MAX_TARGET_UTILIZATION = 0.6;
 
     /** Units are displaced from a cell that has been full for this many microseconds. */
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -25,7 +25,7 @@
     /** A mean time to first token up to this is never a reason to take a step back. */
     private static final long SLOW_FIRST_TOKEN_MICROS = 1_000_000;
 
-    /** With fewer runs or problems than this nothing is concluded. */
+    /** A comparison needs at least this many runs or problems. */
     private static final int MIN_SAMPLES = 5;
 
     /** When a step was first watched, and the state of its new home before. */
@@ -38,7 +38,7 @@
         watchedSteps.clear();
     }
 
-    /** The verdict on the first step of a service that can be decided: kept or taken back. Null if there is none. */
+    /** The command that keeps or takes back the first step of a service that can be decided; null if there is none. */
     public StepMark nextVerdict(Rows.Service service, SignalHistory signals, BitSet openCells, long now) {
         for (var step : service.steps) {
             if (step.state != Rows.Step.RAISED) continue;
@@ -99,7 +99,7 @@
         return null;
     }
 
-    /** The verdict on a step as a command. */
+    /** The command that keeps a step or takes it back. */
     private static StepMark newStepMark(Rows.Service service, Rows.Step step, String degradation, int[] units) {
         var mark = new StepMark();
         mark.service = service.name;
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -7,13 +7,14 @@
 import java.util.Map;
 
 /**
- * Decides, on the leader of a part, whether a command may be proposed. A command names a term and a bound: the time,
- * by the steady clock of that term's leader, until which its sender waits. A command that arrives after its bound, or
- * whose bound refers to the clock of another leader, has no effect.
+ * Decides, on the leader of a part, whether a command may be proposed. A command names a term and a deadline: the time,
+ * by the steady clock of that term's leader, until which its sender waits. A command that arrives after its deadline,
+ * or whose deadline refers to the clock of another leader, has no effect.
  *
  * <p>An entry is appended when it is proposed, and an entry of a deposed leader is never committed after one of its
- * successor. So no command takes effect after something that was acknowledged later than its bound. One fence for
- * each part; it does no I/O. A "life" is the random identity of one run of a process.
+ * successor. So no command takes effect after something that was acknowledged later than its deadline. There is one
+ * fence for each part; it does no I/O. A session is one run of a process and has a random id; "life" stands for session
+ * in the names of problems.
  */
 final class CommandFence {
     /**
@@ -26,7 +27,7 @@
         UNKNOWN_LIFE
     }
 
-    /** No sender waits longer; a bound farther ahead is invalid. */
+    /** No sender waits longer; a deadline farther ahead is invalid. */
     static final long MAX_WAIT_MICROS = 60_000_000;
 
     /** The processes that were sent the clock are remembered up to this number, the most recently used ones. */
@@ -41,7 +42,7 @@
 
     private final Map<String, Long> latestDeadlineByZone = new HashMap<>();
 
-    /** Forgets which processes know the clock, and all bounds; for each new term. */
+    /** Forgets which processes know the clock, and all deadlines; called at the start of each term. */
     void reset() {
         sessionsKnowingClock.clear();
         latestDeadlineByZone.clear();
@@ -52,7 +53,7 @@
         sessionsKnowingClock.put(sessionId, true);
     }
 
-    /** Checks the term and the bound of a command from a process that names its life. */
+    /** Checks the term and the deadline of a command from a process that states its session id. */
     Admission check(CommandRequest request, long term, long now) {
         if (request.leaderTerm != term
                 || now > request.leaderDeadline
@@ -61,9 +62,9 @@
     }
 
     /**
-     * Whether an order for the zone with a later bound was admitted before; if not, records this bound. All callers
-     * wait equally long, so an order with an earlier bound was sent earlier and was delayed on its way, and its
-     * caller may have had the later order acknowledged meanwhile.
+     * Whether an order for the zone with a later deadline was admitted before; if not, records this deadline. All
+     * callers wait equally long, so an order with an earlier deadline was sent earlier and was delayed on its way, and
+     * its caller may have had the later order acknowledged meanwhile.
      */
     boolean isOvertaken(String zone, long deadline) {
         if (deadline < latestDeadlineByZone.getOrDefault(zone, deadline)) return true;
--- a/lib/control/src/main/java/craneway/control/store/CoreSettings.java
+++ b/lib/control/src/main/java/craneway/control/store/CoreSettings.java
@@ -1,10 +1,10 @@
 package craneway.control.store;
 
 /**
- * How a store founds its core and how long it remembers runners. Times are microseconds.
+ * How a store bootstraps its core and how long it remembers runners. Times are microseconds.
  *
- * @param founderCount how many empty stores found a core
- * @param seedsOnly whether only the seeds named at the first start may found the core, and only stores started at
+ * @param founderCount how many empty stores bootstrap a core together
+ * @param seedsOnly whether only the seeds named at the first start may bootstrap the core, and only stores started at
  *     that time
  * @param firstStart whether this is the first start of the system
  * @param darkAfterMicros how long a runner may be silent before it is marked as dark
--- a/lib/control/src/main/java/craneway/control/store/LeaseTable.java
+++ b/lib/control/src/main/java/craneway/control/store/LeaseTable.java
@@ -13,11 +13,11 @@
  */
 final class LeaseTable {
     /**
-     * A member counts as lapsed this long after its last renewal: the length of a lease and 300 ms for the way of the
-     * messages.
+     * A member counts as lapsed this long after its last renewal: the length of a lease and 300 ms for the transit of
+     * the messages.
      */
     private static final long LAPSE_AFTER_MICROS = Membership.LEASE_MICROS + 300_000;
-    /** A lapsed member is removed this long, and its grace, after its last renewal. */
+    /** A lapsed member is removed this long after its last renewal, plus its grace. */
     private static final long FORGET_AFTER_MICROS = 60_000_000;
 
     /** The lease of one member name. */
--- a/lib/control/src/main/java/craneway/control/store/LoadHistory.java
+++ b/lib/control/src/main/java/craneway/control/store/LoadHistory.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * The highest load of each service in each of the last two hours' minutes, as the leader of its part has seen it. Not
+ * The highest load of each service in each minute of the last two hours, as the leader of its part has seen it. Not
  * safe for several threads.
  */
 final class LoadHistory {
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -210,8 +210,8 @@
     }
 
     /**
-     * The voter to transfer leadership to when this store stops: one heard lately that does not stop itself, if
-     * possible one that has caught up; 0 if there is none.
+     * The voter to transfer leadership to when this store stops: one heard recently that is not about to stop itself,
+     * if possible one that has caught up; 0 if there is none.
      */
     public long selectSuccessor(Members members, long now) {
         var reachable = Arrays.stream(members.voters)
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -47,13 +47,13 @@
 
 /**
  * One store's replica of a part: the replicated log ({@link Group}) with its state ({@link Records}), and what the
- * part's leader does beside it. The leader grants leases to members, publishes news of the part's topics, marks
+ * part's leader does beside it. The leader grants leases to members, publishes updates of the part's topics, marks
  * silent runners as dark, moves units between cells, and adjusts the group's members.
  *
- * <p>All input arrives as events that run one at a time, on the part's executor and under its lock. After each batch
- * of events the log is synced and pending messages are sent, so that nothing is sent before what it depends on is on
- * disk. What only the leader keeps in memory (leases, subscriptions, loads) is cleared whenever leadership changes.
- * Times are microseconds of the process's monotonic clock.
+ * <p>All input arrives as events that run one at a time, on the part's executor and under its lock. After each batch of
+ * events the log is synced and pending messages are sent, so that nothing is sent before what it depends on is on disk.
+ * What only the leader keeps in memory (leases, subscriptions, loads) is cleared whenever leadership changes. Times are
+ * microseconds of the process's monotonic clock.
  */
 public final class PartReplica implements GroupListener {
     /** How long a subscription to a topic lasts unless it is renewed. */
@@ -116,7 +116,7 @@
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
     private final LeaseTable memberLeases = new LeaseTable();
-    /** By service and runner, "service/runner", as the next two. */
+    /** The key of this map and the next two is "service/runner". */
     private final Map<String, Long> runnerHeardAt = new HashMap<>();
 
     private final Map<String, Long> lastSequenceByRunner = new HashMap<>();
@@ -430,7 +430,7 @@
 
     /**
      * Declines a command without effect. The reply carries the leader's clock, so that the sender may send it again,
-     * with a new bound, before its deadline.
+     * with a new deadline on this clock, before the sender's own deadline has passed.
      */
     private void declineCommand(CommandRequest request, ProblemKind kind) {
         commandFence.recordClockSent(request.sessionId);
@@ -515,8 +515,9 @@
     }
 
     /**
-     * Takes a runner's heartbeat. Only a heartbeat that changes the runner's row is written to the log; the others
-     * just update its load and when it was heard. Heartbeats that arrive out of order are acknowledged and ignored.
+     * Handles a runner's heartbeat. Only a heartbeat that changes the runner's row is written to the log; the others
+     * just update its load and the time of its last heartbeat. Heartbeats that arrive out of order are acknowledged and
+     * ignored.
      */
     private void putRunner(CommandRequest request, Commands.RunnerPut command, long now) {
         var service = records.rows().services.get(command.service);
@@ -805,7 +806,7 @@
         return !openProposalKeys.add(key);
     }
 
-    /** Proposes to mark runners as dark that have not been heard for too long. */
+    /** Proposes to mark runners as dark whose last heartbeat is too old. */
     private void scanRunners(long now) {
         for (var service : records.rows().services.values())
             for (var runner : service.runners.values()) {
@@ -823,7 +824,7 @@
             }
     }
 
-    /** Takes a request to join or leave, or the leader's answer to a request to leave. */
+    /** Handles a request to join or leave, or the leader's answer to a request to leave. */
     private void handleJoin(Join request, long now) {
         if (request.isReply) plannedLeave.recordAnswer(request.mayStop, now);
         else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
@@ -963,9 +964,8 @@
     }
 
     /**
-     * The next command for a service: a verdict on a step under watch, a step to the wanted homes, or a displacement
-     * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table
-     * steps.
+     * The next command for a service: the decision on a step under watch, a step to the wanted homes, or a displacement
+     * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table steps.
      */
     private Object nextStepCommand(Rows.Service service, Membership.CoreView view, long now) {
         var openCells = unitMover.openCells(service, view.manifestRow().marks, now);
@@ -1011,8 +1011,8 @@
     }
 
     /**
-     * Whether the voter in the zone of a cell holds the log up to an index; true as well if there is no voter or it
-     * is silent.
+     * Whether the voter in the zone of a cell holds the log up to an index; also true if there is no voter or it is
+     * silent.
      */
     private boolean isZoneStoreSynced(Rows.Service service, int cell, long index, long now) {
         var storeId = voterInZone(group.members(), service.zones.get(cell));
--- a/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
+++ b/lib/control/src/main/java/craneway/control/store/PlannedLeave.java
@@ -6,7 +6,7 @@
  * time. Safe for several threads. Times are microseconds.
  */
 final class PlannedLeave {
-    /** How long to wait for each: to hand over leadership, for a leader, and for its answer. */
+    /** The timeout of each wait: to hand over leadership, for a leader, and for its answer. */
     private static final long WAIT_TIMEOUT_MICROS = 2_000_000;
 
     private long askingSince;
@@ -25,7 +25,7 @@
      *
      * @param stoppingSince when the stop began
      * @param isLeader whether this store leads the part
-     * @param leaderHeard whether a leader of the part has been heard lately
+     * @param leaderHeard whether a leader of the part has been heard recently
      */
     synchronized boolean isNeeded(long stoppingSince, boolean isLeader, boolean leaderHeard, long now) {
         if (isLeader || !leaderHeard) askingSince = now;
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Adds the reply of a part, without what the message as a whole already says, and sends if nothing else is to be
-     * waited for.
+     * Adds the reply of a part, without what the message as a whole already says, and sends if no other reply is
+     * outstanding.
      */
     synchronized void add(RenewalReply reply) {
         if (reply.incarnation == request.from.incarnation) reply.incarnation = 0;
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -43,11 +43,12 @@
 import java.util.function.Consumer;
 
 /**
- * A store process: it founds a core together with other empty stores or joins an existing one, holds a replica of
+ * A store process: it bootstraps a core together with other empty stores or joins an existing one, holds a replica of
  * each part, and takes part in the core as a node with leases of its own.
  *
  * <p>The owner calls {@link #tick}, or {@link #tickNode} and {@link #tickPart} from several threads, every few
- * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link StoreOptions}.
+ * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link
+ * StoreOptions}.
  */
 public final class Store {
     /** Holds the id of this store, drawn at random when its folder was empty. */
@@ -62,7 +63,7 @@
     /** Holds the last incarnation used by a process on this folder. */
     private static final String INCARNATION_FILE = "life";
 
-    /** Holds the addresses of the seeds at the first start, if only those may found the core. */
+    /** Holds the addresses of the seeds at the first start, if only those may bootstrap the core. */
     private static final String FOUNDERS_FILE = "founders";
 
     /** Files of a damaged or replaced folder are kept under names with this prefix. */
@@ -71,7 +72,7 @@
     /** How often requests to join or leave are repeated; half of it with the low-traffic profile. */
     private static final long JOIN_INTERVAL_MICROS = 500_000;
 
-    /** How often a store that cannot found a core yet logs what it waits for. */
+    /** How often a store that cannot bootstrap a core yet logs what it waits for. */
     private static final long WAITING_LOG_INTERVAL_MICROS = 5_000_000;
 
     /** How often the known stores and the incarnation are saved if they changed. */
@@ -103,7 +104,7 @@
     private volatile long leavingSince;
     private volatile long savedIncarnation;
 
-    /** Opens a store with default rules that founds a core with {@code founderCount} empty stores. */
+    /** Opens a store with default options that bootstraps a core with {@code founderCount} empty stores. */
     public Store(Port port, Folder folder, Node self, List<String> seeds, int founderCount, Random random) {
         this(port, folder, self, seeds, StoreOptions.of(founderCount), random);
     }
@@ -133,8 +134,8 @@
     }
 
     /**
-     * The addresses that may found the core; empty if any store may, or if this store was not started at the first
-     * start.
+     * The addresses of the stores that may bootstrap the core; empty if any store may, or if this store was not started
+     * at the first start.
      */
     private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
@@ -144,7 +145,7 @@
         return bytes == null ? Set.of() : Set.of(new String(bytes).split("\n"));
     }
 
-    /** Whether a store may be among those that found the core. */
+    /** Whether a store may be among those that bootstrap the core. */
     private boolean mayFound(Node node) {
         return !settings.seedsOnly()
                 || (founderAddresses.isEmpty()
@@ -298,7 +299,7 @@
     }
 
     /**
-     * Does the periodic work of the node: greetings, founding, leases, retries of commands, requests to join, and
+     * Does the periodic work of the node: greetings, bootstrap, leases, retries of commands, requests to join, and
      * saving.
      */
     public void tickNode() {
@@ -336,7 +337,7 @@
     }
 
     /**
-     * Proposes to rebuild the core from this store alone. Refused if a leader was heard lately or a majority of a
+     * Proposes to rebuild the core from this store alone. Refused if a leader was heard recently or a majority of a
      * part can be reached.
      */
     public Either<Problem, RebuildProposal> rebuild() {
@@ -435,9 +436,9 @@
     }
 
     /**
-     * Founds a core once the expected number of empty stores see each other: every store greets with a digest of the
-     * empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as one is heard
-     * of.
+     * Bootstraps a core once the expected number of empty stores see each other: every store greets with a digest of
+     * the empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as a greeting
+     * reveals one.
      */
     private void tryFoundCore(long now) {
         var recentlyHeard = directory.knownNodes().stream()
@@ -478,7 +479,7 @@
                         + " that see each other");
     }
 
-    /** A non-zero hash over the ids of stores in their order; it becomes the id of the core they found. */
+    /** A non-zero hash over the ids of stores in their order; it becomes the id of the core that they bootstrap. */
     private static long digestOf(List<Node> stores) {
         var hash = 1L;
         for (var store : stores) hash = Hash.of(hash, store.storeId);
@@ -502,7 +503,7 @@
         startReplicas(founding);
     }
 
-    /** Takes a message from another process and passes it on. */
+    /** Passes a message from another process to the component that handles it. */
     public void receive(Object message) {
         var now = port.now();
         if (message instanceof Hello hello) directory.receive(hello, now);
--- a/lib/control/src/main/java/craneway/control/store/StoreOptions.java
+++ b/lib/control/src/main/java/craneway/control/store/StoreOptions.java
@@ -7,11 +7,11 @@
 /**
  * The options of a store process.
  *
- * @param settings how the core is founded and how long runners are remembered
+ * @param settings how the core is bootstrapped and how long runners are remembered
  * @param quorum how many stores vote and how they are spread
  * @param timing the intervals of heartbeats, elections, renewals and the like
- * @param executorByPart the executor on which each part works; with a thread of its own, a part whose disk hangs
- *     delays no other
+ * @param executorByPart the executor on which each part works; with a thread of its own, a part whose disk hangs delays
+ *     no other
  */
 public record StoreOptions(
         CoreSettings settings, Quorum quorum, TimingProfile timing, IntFunction<Executor> executorByPart) {
--- a/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
+++ b/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that the client sends each request with one identity and with a bound by the clock of the leader, so that no
- * copy takes effect after the caller has given up.
+ * Checks that the client sends each request with one identity and with a deadline on the clock of the leader, so that
+ * no copy takes effect after the caller has given up.
  */
 class CoreClientTest {
     private static final long SESSION_ID = 0x1234_5678_9abc_def0L;
@@ -55,7 +55,8 @@
     }
 
     private CoreClient coreClient(long sessionId, Node self) {
-        var client = new CoreClient(port, new NodeDirectory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), sessionId);
+        var client =
+                new CoreClient(port, new NodeDirectory(port, self, List.of(), TimingProfile.LOW_TRAFFIC), sessionId);
         client.leader(0, new Node("s2", Node.STORE, "z2", "s2", 1));
         return client;
     }
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -59,7 +59,8 @@
     void declinesABoundFartherAheadThanAnyClientWaits() {
         assertEquals(
                 LATE,
-                fence.check(command(SESSION_ID, TERM, NOW_MICROS + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW_MICROS));
+                fence.check(
+                        command(SESSION_ID, TERM, NOW_MICROS + CommandFence.MAX_WAIT_MICROS + 1), TERM, NOW_MICROS));
         assertEquals(LATE, fence.check(command(SESSION_ID, TERM, Long.MAX_VALUE), TERM, NOW_MICROS));
     }
 
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -58,7 +58,7 @@
     /** How long the end of a claim is repeated to the core; the request does not wait for it. */
     private static final long FINISH_TIMEOUT_MICROS = 60_000_000;
 
-    /** Pause before a request is decided anew after another router declined it with {@link ProblemKind#NOT_HOME}. */
+    /** Pause before a request is decided again after another router declined it with {@link ProblemKind#NOT_HOME}. */
     private static final long NOT_HOME_RECHECK_MICROS = 100_000;
 
     /** After this time without progress, it is checked whether the runner or router that has a request is lost. */
@@ -163,7 +163,7 @@
         else if (decision instanceof Decision.Decline decline) end(state, decline.problem());
     }
 
-    /** Sends the request to a runner, or first takes quota and a claim; the decision is then made anew. */
+    /** Sends the request to a runner, or first takes quota and a claim; the decision is then made again. */
     private void dispatch(RequestState state, Decision.Serve decision) {
         state.unit = decision.unit();
         state.runOnce = decision.runOnce();
@@ -433,7 +433,7 @@
     }
 
     /**
-     * With NOT_HOME, the routers have different placement tables: waits for the other's version, then decides anew.
+     * With NOT_HOME, the routers have different placement tables: waits for the other's version, then decides again.
      */
     private void handleRouterDecline(RequestState state, Problem problem) {
         if (problem.kind() == ProblemKind.NOT_HOME) {
@@ -474,8 +474,8 @@
     }
 
     /**
-     * Confirms, right before a request is sent, that the attempt is still current and the runner may still serve
-     * it. If the runner may not, decides anew and returns false.
+     * Confirms, right before a request is sent, that the attempt is still current and the runner may still serve it. If
+     * the runner may not, decides again and returns false.
      */
     public boolean confirmDispatch(long id, int attempt) {
         var state = findCurrent(id, attempt);
@@ -653,7 +653,7 @@
     }
 
     /**
-     * Decides anew on each request in the service's buffer, in order; those that cannot go on yet return to the
+     * Decides again on each request in the service's buffer, in order; those that cannot go on yet return to the
      * buffer.
      */
     private void resumeBuffered(String service) {
--- a/lib/data/src/main/java/craneway/data/runner/RunnerLoads.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerLoads.java
@@ -38,9 +38,7 @@
         return loadsByRunner.computeIfAbsent(runner, k -> new LoadState());
     }
 
-    /**
-     * Records that the core lists this runner; a new incarnation starts warm-up anew and ends ejection and leave.
-     */
+    /** Records that the core lists this runner; a new incarnation restarts warm-up and ends ejection and leave. */
     public void registerIncarnation(Rows.Runner runner, long now) {
         var load = loadOf(runner.name);
         synchronized (load) {
--- a/lib/data/src/main/java/craneway/data/runner/RunnerSelector.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerSelector.java
@@ -17,7 +17,7 @@
     private final String routerName;
     private final RunnerLoads loads;
 
-    /** Creates the chooser of the router with this name. */
+    /** Creates the selector of the router with this name. */
     public RunnerSelector(String routerName, RunnerLoads loads) {
         this.routerName = routerName;
         this.loads = loads;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/AttemptHistory.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/AttemptHistory.java
@@ -42,7 +42,10 @@
         outcomes.set(last, outcome);
     }
 
-    /** The number of attempts that reached a runner or may have; only these count against a route's tries. */
+    /**
+     * The number of attempts that reached a runner or may have; only these count against the attempts that a route
+     * allows.
+     */
     int sentCount() {
         var count = 0;
         for (var outcome : outcomes) if (outcome != Outcome.NEVER_SENT) count++;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -88,7 +88,9 @@
         else sendTo(selected, now);
     }
 
-    /** Takes one retry from the route's tries and from the retry budget; returns false if none is left. */
+    /**
+     * Takes one retry from the attempts that the route allows and from the retry budget; returns false if none is left.
+     */
     private boolean acquireRetry(long now) {
         return attempts.sentCount() < route.maxAttempts()
                 && context.retryBudget()
@@ -174,7 +176,10 @@
         if (awaitingResponse ? route.isRepeatable() : response.isResumable()) failOver(now);
     }
 
-    /** Moves the request to another runner, if a try, a runner that is not suspected and retry budget are available. */
+    /**
+     * Moves the request to another runner, if an attempt, a runner that is not suspected and retry budget are
+     * available.
+     */
     private void failOver(long now) {
         if (attempts.sentCount() >= route.maxAttempts()) return;
         var selected = context.placer().selectRunner(route, request.service, request.prompt, triedRunnerIds, now);
--- a/lib/state/src/main/java/craneway/state/message/Messages.java
+++ b/lib/state/src/main/java/craneway/state/message/Messages.java
@@ -15,7 +15,7 @@
         public Node from;
         /** Whether the receiver should greet back. */
         public boolean wantsReply;
-        /** A digest of the empty stores that the sender sees; stores found a core once their digests agree. */
+        /** A digest of the empty stores that the sender sees; stores bootstrap a core once their digests agree. */
         public long foundersDigest;
 
         public Founding founding;
