--- a/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/PlatformOperatorHandler.java
@@ -28,7 +28,7 @@
     private final PlatformCommands commands;
     private final Set<String> zones;
     private final Executor configurationExecutor;
-    private final CallerPresence callers;
+    private final CallerPresence callerPresence;
 
     /**
      * Creates the handler.
@@ -41,12 +41,12 @@
             PlatformCommands commands,
             Set<String> zones,
             Executor configurationExecutor,
-            CallerPresence callers) {
+            CallerPresence callerPresence) {
         this.formats = formats;
         this.commands = commands;
         this.zones = zones;
         this.configurationExecutor = configurationExecutor;
-        this.callers = callers;
+        this.callerPresence = callerPresence;
     }
 
     @Override
@@ -104,7 +104,7 @@
                     configuration.get().version(),
                     configuration.get().manifest(),
                     configuration.get().source(),
-                    callers.now(),
+                    callerPresence.now(),
                     result -> complete(exchange, result, ""));
     }
 
@@ -145,7 +145,7 @@
         else
             commands.reportRunnerHeartbeat(
                     toCommand(heartbeat.get()),
-                    callers.now(),
+                    callerPresence.now(),
                     result -> complete(exchange, result, formats.heartbeatResponse()));
     }
 
@@ -155,10 +155,10 @@
      * same request to another node since, and then the reverse one.
      */
     private void ifCallerWaits(HttpServerExchange exchange, LongConsumer action) {
-        var startedAt = callers.now();
+        var startedAt = callerPresence.now();
         Exchanges.dispatch(exchange, () -> {
-            var now = callers.now();
-            if (callers.mayBeWaiting(exchange, startedAt, now)) action.accept(startedAt);
+            var now = callerPresence.now();
+            if (callerPresence.mayBeWaiting(exchange, startedAt, now)) action.accept(startedAt);
             else sendProblem(exchange, Problem.of(ProblemKind.STALE_CALL));
         });
     }
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Like {@link #request}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If it
-     * has passed, nothing is sent and the next tick reports the failure.
+     * Like {@link #request}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If
+     * it has passed, nothing is sent and the next tick reports the failure.
      */
     public void requestUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
         var pending = new PendingRequest();
--- a/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
+++ b/lib/control/src/main/java/craneway/control/node/LeaseRenewer.java
@@ -60,7 +60,7 @@
         signalSource = source;
     }
 
-    /** Lets every further renewal say that this process leaves. */
+    /** Makes every further renewal state that this process leaves. */
     void leave() {
         isLeaving = true;
     }
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -174,7 +174,7 @@
         publishView();
     }
 
-    /** Notices lapsed leases, sends due renewals and renews subscriptions. */
+    /** Detects lapsed leases, sends due renewals and renews subscriptions. */
     public synchronized void tick(long now) {
         if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
--- a/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
+++ b/lib/control/src/main/java/craneway/control/node/NodeDirectory.java
@@ -200,7 +200,7 @@
         if (entry.learnedAt == 0) entry.learnedAt = now;
     }
 
-    /** Lets the next tick greet. */
+    /** Schedules greetings for the next tick. */
     public void greetAtNextTick() {
         nextGreetingAt = 0;
     }
--- a/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
+++ b/lib/control/src/main/java/craneway/control/operator/DrainEstimate.java
@@ -13,8 +13,8 @@
  * @param load the current load of the cell
  * @param slots the slots of the cell
  * @param remainingSlots the slots of the other open cells of the service
- * @param minutesThatFit for how many of the last minutes without a gap the load of the service would have fitted into 80
- *     % of those slots; 0 if the cell cannot be emptied
+ * @param minutesThatFit for how many of the last minutes without a gap the load of the service would have fitted into
+ *     80 % of those slots; 0 if the cell cannot be emptied
  * @param concerns why it cannot be emptied, or else the warnings of the plan that would empty it
  */
 public record DrainEstimate(
--- a/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
@@ -1,20 +1,20 @@
 package craneway.control.operator;
 
 /**
- * Decides whether the caller of an order that was just read can still be waiting for it. A process that stood still
+ * Decides whether the caller of a request that was just read can still be waiting for it. A process that stood still
  * (frozen, starved of CPU, or in a long pause of the virtual machine) then finds in its sockets what callers sent
- * meanwhile. After a second without an answer they have sent the order to another node, and perhaps its reverse
- * since.
+ * meanwhile. After a second without an answer they have sent the request to another node, and since then perhaps one
+ * that reverses it.
  *
- * <p>A pause shows as a gap between ticks of the steady clock. For a while after a gap no order is admitted, so that
- * everything that waited in sockets and in the queue of new connections is read first; after that, the first order on
+ * <p>A pause shows as a gap between ticks of the steady clock. For a while after a gap no request is admitted, so that
+ * everything that waited in sockets and in the queue of new connections is read first; after that, the first request on
  * each connection that was used before the gap is refused as well. A refusal costs the caller a call to another node.
  * No I/O; safe for several threads. Times are microseconds.
  */
 public final class PauseGuard {
     /** Ticks that are farther apart than this many microseconds show a pause; callers wait for longer than that. */
     public static final long MAX_TICK_GAP_MICROS = 400_000;
-    /** For how many microseconds after a pause no order is admitted. */
+    /** For how many microseconds after a pause no request is admitted. */
     public static final long SETTLE_MICROS = 500_000;
 
     /** The state that the guard keeps for one connection. */
@@ -32,14 +32,14 @@
         resumedAt = now - SETTLE_MICROS;
     }
 
-    /** Notices a pause. To be called about every 20 ms by a thread that never blocks. */
+    /** Detects a pause. Must be called about every 20 ms by a thread that never blocks. */
     public synchronized void tick(long now) {
         if (now - lastTickAt > MAX_TICK_GAP_MICROS) resumedAt = now;
         lastTickAt = Math.max(lastTickAt, now);
     }
 
     /**
-     * Whether an order may be passed on.
+     * Whether a request may be passed on.
      *
      * @param connection the connection it came over
      * @param readStartedAt when reading it began
--- a/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * The open cell with the lowest utilization that has room and is not held back; {@link PlacementTable#NOWHERE} if there is
-     * none.
+     * The open cell with the lowest utilization that has room and is not held back; {@link PlacementTable#NOWHERE} if
+     * there is none.
      */
     private static int leastUtilizedCell(Rows.Service service, double[] utilization, BitSet openCells, int excluded) {
         var bestCell = PlacementTable.NOWHERE;
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -39,15 +39,15 @@
     }
 
     /** The command that keeps or takes back the first step of a service that can be decided; null if there is none. */
-    public StepMark nextVerdict(Rows.Service service, SignalHistory signals, BitSet openCells, long now) {
+    public StepMark nextVerdict(Rows.Service service, SignalHistory signalHistory, BitSet openCells, long now) {
         for (var step : service.steps) {
             if (step.state != Rows.Step.RAISED) continue;
-            var watched = watchedStep(service, step, signals, now);
+            var watched = watchedStep(service, step, signalHistory, now);
             var units = returnableUnits(step, openCells);
             var degradation = units.length > 0
                     ? describeDegradation(
                             watched.baseline,
-                            signals.totalsSince(service.name, service.cells.get(step.toCell), watched.since, now))
+                            signalHistory.totalsSince(service.name, service.cells.get(step.toCell), watched.since, now))
                     : null;
             if (degradation == null && now - watched.since < WATCH_MICROS) continue;
             watchedSteps.remove(service.name + "/" + step.id);
@@ -60,11 +60,11 @@
      * Starts to watch a step. Steps to the same cell that are watched at the same time share the earliest baseline,
      * which none of them has affected.
      */
-    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, SignalHistory signals, long now) {
+    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, SignalHistory signalHistory, long now) {
         var existing = watchedSteps.get(service.name + "/" + step.id);
         if (existing != null) return existing;
-        var baseline =
-                signals.totalsSince(service.name, service.cells.get(step.toCell), now - BASELINE_WINDOW_MICROS, now);
+        var baseline = signalHistory.totalsSince(
+                service.name, service.cells.get(step.toCell), now - BASELINE_WINDOW_MICROS, now);
         for (var other : service.steps) {
             var watched = watchedSteps.get(service.name + "/" + other.id);
             if (watched == null || other.toCell != step.toCell) continue;
--- a/lib/control/src/main/java/craneway/control/plan/UnitMover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -59,14 +59,14 @@
             Rows.Service service,
             Manifest.Service manifestService,
             Map<String, String> marks,
-            StoreSyncCheck storeReady,
+            StoreSyncCheck storeSyncCheck,
             long now) {
         if (manifestService == null) return null;
         var healthyCells = healthyCells(service, now);
         var closedCells = closedCells(service, marks);
         var wantedHomes = cachedWantedHomes(service, closedCells, healthyCells);
         for (var step : service.steps)
-            if (step.state == Rows.Step.ASKED) return resolveAskedStep(service, step, wantedHomes, storeReady, now);
+            if (step.state == Rows.Step.ASKED) return resolveAskedStep(service, step, wantedHomes, storeSyncCheck, now);
         var units = new ArrayList<Integer>();
         var allUnassigned = true;
         for (var unit = Units.SLICE_COUNT; unit < wantedHomes.length; unit++) {
@@ -93,10 +93,10 @@
      * changed or no confirmation came in time; null while it waits.
      */
     private StepMark resolveAskedStep(
-            Rows.Service service, Rows.Step step, int[] wantedHomes, StoreSyncCheck storeReady, long now) {
+            Rows.Service service, Rows.Step step, int[] wantedHomes, StoreSyncCheck storeSyncCheck, long now) {
         var askedAt = askedAtByStep.computeIfAbsent(service.name + "/" + step.id, key -> now);
         var isStillWanted = Arrays.stream(step.units).allMatch(unit -> wantedHomes[unit] == step.toCell);
-        var isConfirmed = isStillWanted && storeReady.isSynced(step.toCell, step.askedAtIndex);
+        var isConfirmed = isStillWanted && storeSyncCheck.isSynced(step.toCell, step.askedAtIndex);
         if (!isConfirmed && isStillWanted && now - askedAt < CONFIRM_TIMEOUT_MICROS) return null;
         askedAtByStep.remove(service.name + "/" + step.id);
         var mark = new StepMark();
@@ -114,27 +114,28 @@
      */
     private static StepAsk newStepAsk(
             Rows.Service service, List<Integer> units, int[] wantedHomes, BitSet closedCells, BitSet healthyCells) {
-        var ask = new StepAsk();
-        ask.service = service.name;
-        ask.tableVersion = service.tableVersion;
-        ask.units = units.stream().mapToInt(unit -> unit).toArray();
-        ask.toCell = wantedHomes[units.get(0)];
+        var stepAsk = new StepAsk();
+        stepAsk.service = service.name;
+        stepAsk.tableVersion = service.tableVersion;
+        stepAsk.units = units.stream().mapToInt(unit -> unit).toArray();
+        stepAsk.toCell = wantedHomes[units.get(0)];
         var currentHome = service.homeCells[units.get(0)];
-        ask.cause = service.displacedCellOf(units.get(0)) == ask.toCell
+        stepAsk.cause = service.displacedCellOf(units.get(0)) == stepAsk.toCell
                 ? "pressure"
                 : currentHome != PlacementTable.NOWHERE && closedCells.get(currentHome)
                         ? "emptied"
                         : currentHome != PlacementTable.NOWHERE && !healthyCells.get(currentHome) ? "lost" : "home";
-        return ask;
+        return stepAsk;
     }
 
     /** The same move as a plain table step, for members that cannot read step commands. */
-    public static TableStep toTableStep(StepAsk ask) {
+    public static TableStep toTableStep(StepAsk stepAsk) {
         var tableStep = new TableStep();
-        tableStep.service = ask.service;
-        tableStep.tableVersion = ask.tableVersion;
-        tableStep.units = ask.units;
-        tableStep.cells = Arrays.stream(ask.units).map(unit -> ask.toCell).toArray();
+        tableStep.service = stepAsk.service;
+        tableStep.tableVersion = stepAsk.tableVersion;
+        tableStep.units = stepAsk.units;
+        tableStep.cells =
+                Arrays.stream(stepAsk.units).map(unit -> stepAsk.toCell).toArray();
         return tableStep;
     }
 
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Whether an order for the zone with a later deadline was admitted before; if not, records this deadline. All
-     * callers wait equally long, so an order with an earlier deadline was sent earlier and was delayed on its way, and
-     * its caller may have had the later order acknowledged meanwhile.
+     * Whether a command for the zone with a later deadline was admitted before; if not, records this deadline. All
+     * callers wait equally long, so a command with an earlier deadline was sent earlier and was delayed in transit, and
+     * its caller may have had the later command acknowledged meanwhile.
      */
     boolean isOvertaken(String zone, long deadline) {
         if (deadline < latestDeadlineByZone.getOrDefault(zone, deadline)) return true;
--- a/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
+++ b/lib/control/src/main/java/craneway/control/store/MembershipChanges.java
@@ -48,11 +48,11 @@
     private final Map<Long, Long> leavingUntilByStore = new TreeMap<>();
 
     /** Creates the changes for a leader with this store id. */
-    public MembershipChanges(long selfId, Quorum quorum, TimingProfile timing, StoreStatus knowledge) {
+    public MembershipChanges(long selfId, Quorum quorum, TimingProfile timing, StoreStatus storeStatus) {
         this.selfId = selfId;
         this.quorum = quorum;
         this.timing = timing;
-        this.storeStatus = knowledge;
+        this.storeStatus = storeStatus;
     }
 
     /**
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -140,7 +140,7 @@
     private long nextRunnerScanAt;
 
     /**
-     * Opens the replica from its folder; {@code initialMembers} are empty unless this store founded or rebuilt the
+     * Opens the replica from its folder; {@code initialMembers} are empty unless this store bootstrapped or rebuilt the
      * core.
      */
     public PartReplica(
@@ -151,12 +151,12 @@
             Port port,
             NodeDirectory directory,
             Membership membership,
-            StoreOptions rules,
+            StoreOptions options,
             Random random) {
-        quorum = rules.quorum();
-        timing = rules.timing();
-        executor = rules.executorByPart().apply(part);
-        settings = rules.settings();
+        quorum = options.quorum();
+        timing = options.timing();
+        executor = options.executorByPart().apply(part);
+        settings = options.settings();
         this.part = part;
         this.port = port;
         this.directory = directory;
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -54,7 +54,7 @@
     /** Holds the id of this store, drawn at random when its folder was empty. */
     private static final String IDENTITY_FILE = "identity";
 
-    /** Holds the core's founding record; its absence means that this store belongs to no core yet. */
+    /** Holds the core's {@link Founding} record; its absence means that this store belongs to no core yet. */
     private static final String CORE_FILE = "core";
 
     /** Holds the addresses of all stores known, which are contacted like seeds after a restart. */
@@ -86,7 +86,7 @@
 
     private final Port port;
     private final Folder folder;
-    private final StoreOptions rules;
+    private final StoreOptions options;
     private final Executor saveExecutor;
     private final CoreSettings settings;
     private final List<String> seeds;
@@ -116,19 +116,19 @@
      * @param seeds addresses of stores to contact first
      * @param random also the source of the ids of this store and of its client
      */
-    public Store(Port port, Folder folder, Node self, List<String> seeds, StoreOptions rules, Random random) {
+    public Store(Port port, Folder folder, Node self, List<String> seeds, StoreOptions options, Random random) {
         this.port = port;
         this.folder = folder;
-        this.rules = rules;
-        saveExecutor = rules.executorByPart().apply(Parts.MANIFEST_PART);
-        settings = rules.settings();
+        this.options = options;
+        saveExecutor = options.executorByPart().apply(Parts.MANIFEST_PART);
+        settings = options.settings();
         this.seeds = seeds;
         this.random = random;
         self.storeId = loadOrCreateIdentity();
         if (self.sessionId != 0) self.incarnation = self.incarnationAbove(loadLastIncarnation());
-        directory = new NodeDirectory(port, self, withKnownStores(seeds), rules.timing());
+        directory = new NodeDirectory(port, self, withKnownStores(seeds), options.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
-        membership = new Membership(port, directory, coreClient, rules.timing());
+        membership = new Membership(port, directory, coreClient, options.timing());
         reopenCore();
         founderAddresses = loadFounders();
     }
@@ -282,7 +282,7 @@
                     port,
                     directory,
                     membership,
-                    rules,
+                    options,
                     new Random(random.nextLong()));
         replicas = started;
     }
@@ -396,7 +396,7 @@
      * leave.
      */
     private void sendJoinRequests(long now) {
-        nextJoinAt = now + (rules.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
+        nextJoinAt = now + (options.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
         for (var replica : replicas) {
             var leaving = leavingSince != 0;
             if (!leaving && !replica.shouldJoin(now)) continue;
--- a/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that a process that stood still refuses the orders that piled up meanwhile: their callers have given up, and
- * may have had the reverse order acknowledged elsewhere.
+ * Checks that a process that stood still refuses the requests that piled up meanwhile: their callers have given up, and
+ * may have had a request that reverses them acknowledged elsewhere.
  */
 class PauseGuardTest {
     private static final long START_MICROS = -7_000_000;
--- a/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPlacer.java
@@ -234,26 +234,26 @@
      * Returns whether a request should wait a short time before it is sent, because its large prefill on top of the
      * runner's backlog would delay the streams running there.
      */
-    public boolean shouldWait(Placement choice, long now) {
-        return choice.prefillTokens() > LARGE_PREFILL_TOKENS
-                && choice.runner().prefillBacklog(now) > MIN_BACKLOG_TO_WAIT_TOKENS
-                && choice.runner().prefillBacklog(now) + choice.prefillTokens() > BACKLOG_LIMIT_TOKENS;
+    public boolean shouldWait(Placement placement, long now) {
+        return placement.prefillTokens() > LARGE_PREFILL_TOKENS
+                && placement.runner().prefillBacklog(now) > MIN_BACKLOG_TO_WAIT_TOKENS
+                && placement.runner().prefillBacklog(now) + placement.prefillTokens() > BACKLOG_LIMIT_TOKENS;
     }
 
     /** Records that a request is sent to the chosen runner. */
-    public void recordStart(Placement choice, Prompt prompt, long now) {
-        choice.runner().recordStart(prompt, now);
-        if (choice.prefillTokens() >= LARGE_PREFILL_TOKENS)
-            pool.recordPrefill(choice.runner(), choice.prefillTokens(), now);
-        else choice.runner().recordPrefill(choice.prefillTokens(), now);
-        choice.runner().recordProbe(now);
-        if (choice.runner().isCold(now))
-            coldLimiter.recordDispatch(choice.runner().id(), now);
+    public void recordStart(Placement placement, Prompt prompt, long now) {
+        placement.runner().recordStart(prompt, now);
+        if (placement.prefillTokens() >= LARGE_PREFILL_TOKENS)
+            pool.recordPrefill(placement.runner(), placement.prefillTokens(), now);
+        else placement.runner().recordPrefill(placement.prefillTokens(), now);
+        placement.runner().recordProbe(now);
+        if (placement.runner().isCold(now))
+            coldLimiter.recordDispatch(placement.runner().id(), now);
     }
 
     /** Records that a request recorded by {@link RunnerPlacer#recordStart} no longer runs on its runner. */
-    public void recordEnd(Placement choice, Prompt prompt) {
-        choice.runner().recordEnd(prompt);
+    public void recordEnd(Placement placement, Prompt prompt) {
+        placement.runner().recordEnd(prompt);
     }
 
     /** Returns the names of the routers that are serving. */
--- a/lib/data/src/main/java/craneway/data/request/HttpExchange.java
+++ b/lib/data/src/main/java/craneway/data/request/HttpExchange.java
@@ -81,7 +81,8 @@
     void runLater(Runnable task);
 
     /** Opens a POST call to a runner or another router. */
-    OutgoingCall openCall(String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink);
+    OutgoingCall openCall(
+            String address, String path, Map<String, String> headers, byte[] body, ResponseListener listener);
 
     /** Starts the streamed response to the client. */
     void startResponse();
--- a/lib/data/src/main/java/craneway/data/request/RequestDecider.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestDecider.java
@@ -34,13 +34,13 @@
 public final class RequestDecider {
     private final String zone;
     private final RunnerLoads loads;
-    private final RunnerSelector chooser;
+    private final RunnerSelector selector;
 
     /** Creates the decider of the router with this name in this zone. */
     public RequestDecider(String routerName, String zone, RunnerLoads loads) {
         this.zone = zone;
         this.loads = loads;
-        this.chooser = new RunnerSelector(routerName, loads);
+        this.selector = new RunnerSelector(routerName, loads);
     }
 
     /**
@@ -183,7 +183,7 @@
             return mayGetRunner(view, serviceState, homeCell, unit, excluded)
                     ? new Decision.Buffer(Problem.of(ProblemKind.NO_RUNNER))
                     : decline(ProblemKind.NO_RUNNER);
-        var selected = chooser.selectRunner(
+        var selected = selector.selectRunner(
                 candidates,
                 Hash.of(request.prefixHash(), Hash.of(request.service())),
                 service.warmUpTime(),
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -40,7 +40,7 @@
     private final Membership membership;
     private final RunnerLoads runnerLoads = new RunnerLoads();
     private final RequestExecutor requestExecutor;
-    private volatile Consumer<PrefillNotice> readingListener = message -> {};
+    private volatile Consumer<PrefillNotice> prefillListener = message -> {};
     private volatile Consumer<SilenceNotice> silenceListener = message -> {};
 
     /** Creates a router with the standard timing. */
@@ -90,7 +90,7 @@
 
     /** Sets the listener for messages of other routers that they gave a runner a prompt to prefill. */
     public void setPrefillListener(Consumer<PrefillNotice> listener) {
-        readingListener = listener;
+        prefillListener = listener;
     }
 
     /** Sets the listener for messages of other routers that they find a runner silent. */
@@ -133,10 +133,10 @@
         if (message instanceof Hello hello) receiveHello(hello, now);
         else if (message instanceof RenewalReplies replies) membership.receive(replies, now);
         else if (message instanceof RenewalReply reply) membership.receive(reply, now);
-        else if (message instanceof Subscription subscribe) membership.receive(subscribe, now);
-        else if (message instanceof TopicUpdate news) membership.receive(news, now);
+        else if (message instanceof Subscription subscription) membership.receive(subscription, now);
+        else if (message instanceof TopicUpdate update) membership.receive(update, now);
         else if (message instanceof CommandResult result) coreClient.receive(result);
-        else if (message instanceof PrefillNotice reading) readingListener.accept(reading);
+        else if (message instanceof PrefillNotice prefill) prefillListener.accept(prefill);
         else if (message instanceof SilenceNotice silence) silenceListener.accept(silence);
         else
             port.logEvent(
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -37,8 +37,10 @@
 
     /** Returns and removes the signals of the services in this part. */
     public synchronized List<CellSignal> drain(int part) {
-        var taken = new ArrayList<CellSignal>();
-        signalsByServiceAndCell.values().removeIf(signal -> Parts.partOf(signal.service) == part && taken.add(signal));
-        return taken;
+        var drained = new ArrayList<CellSignal>();
+        signalsByServiceAndCell
+                .values()
+                .removeIf(signal -> Parts.partOf(signal.service) == part && drained.add(signal));
+        return drained;
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/IncomingRequest.java
@@ -52,13 +52,13 @@
      *
      * @param streamToContinue the stream that the runner must continue, null if it must start a new response
      */
-    RequestHead headFor(RunnerPlacer.Placement choice, long now, StreamRelay streamToContinue) {
+    RequestHead headFor(RunnerPlacer.Placement placement, long now, StreamRelay streamToContinue) {
         var query = exchange.getQueryString();
         var target = query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
         var method = exchange.getRequestMethod();
         var headers = new HeaderMap();
         ForwardedHeaders.copy(exchange.getRequestHeaders(), headers);
-        headers.put(names.addressee(), choice.runner().id());
+        headers.put(names.addressee(), placement.runner().id());
         headers.put(names.deadlineMs(), Long.toString(Math.max(1, (deadlineAt - now) / 1000)));
         headers.put(names.urgency(), Integer.toString(route.urgency()));
         if (body.length > 0 || method.equals(Methods.POST) || method.equals(Methods.PUT))
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -85,8 +85,8 @@
         clientConnections = new ClientConnections(clock);
         placer = new RunnerPlacer(
                 pool, new ColdRunnerLimiter(nodeSettings.name()), nodeSettings.zone(), nodeSettings.region());
-        var bounds = nodeSettings.tolerances();
-        retryBudget = new RetryBudget(bounds.retryWindow(), bounds.retryRatio(), bounds.retrySlack());
+        var tolerances = nodeSettings.tolerances();
+        retryBudget = new RetryBudget(tolerances.retryWindow(), tolerances.retryRatio(), tolerances.retrySlack());
     }
 
     /** Ends all open requests so that no incomplete response looks complete. */
@@ -213,14 +213,15 @@
     }
 
     /** Tells the routers that use the selected runner which tokens it has to prefill, unless they are few. */
-    void announceReading(RunnerPlacer.Placement choice, Prompt prompt) {
-        if (choice.prefillTokens() < MIN_ANNOUNCED_TOKENS) return;
+    void announceReading(RunnerPlacer.Placement placement, Prompt prompt) {
+        if (placement.prefillTokens() < MIN_ANNOUNCED_TOKENS) return;
         var message = new PrefillNotice();
-        message.runner = choice.runner().id();
-        message.prefillTokens = choice.prefillTokens();
+        message.runner = placement.runner().id();
+        message.prefillTokens = placement.prefillTokens();
         message.sharedPartIds = prompt.sharedPartIds();
         message.sharedPartTokens = prompt.sharedPartTokens();
-        for (var address : pool.peerRouterAddresses(nodeSettings.name(), choice.runner().region, nodeSettings.region()))
+        for (var address :
+                pool.peerRouterAddresses(nodeSettings.name(), placement.runner().region, nodeSettings.region()))
             peerSender.accept(address, message);
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -33,7 +33,7 @@
     private final ResponseTiming timing = new ResponseTiming();
     private final Set<String> triedRunnerIds = new HashSet<>();
     private ExchangeState state = ExchangeState.SELECTING_RUNNER;
-    private RunnerPlacer.Placement choice;
+    private RunnerPlacer.Placement placement;
     private RunnerCall call;
     private long sentAt;
     private String choiceDescription = "";
@@ -112,8 +112,8 @@
     }
 
     /**
-     * How long the request may wait for a runner, in microseconds: a quarter of its route's target but at least 0.1 s, and
-     * longer while this router does not know the runners of the service yet.
+     * How long the request may wait for a runner, in microseconds: a quarter of its route's target but at least 0.1 s,
+     * and longer while this router does not know the runners of the service yet.
      */
     private long maxSelectionWait() {
         return context.pool().hasService(request.service)
@@ -122,7 +122,7 @@
     }
 
     private void sendTo(RunnerPlacer.Placement selected, long now) {
-        choice = selected;
+        placement = selected;
         attempts.start();
         triedRunnerIds.add(selected.runner().id());
         state = ExchangeState.AWAITING_RESPONSE;
@@ -140,21 +140,21 @@
     }
 
     private void releaseRunner() {
-        if (choice == null) return;
-        context.placer().recordEnd(choice, request.prompt);
-        choice = null;
+        if (placement == null) return;
+        context.placer().recordEnd(placement, request.prompt);
+        placement = null;
     }
 
     private void recordDataReceived() {
         var now = context.now();
         timing.recordData(now);
-        choice.runner().recordHeard(now);
+        placement.runner().recordHeard(now);
     }
 
     /** Checks whether the client is still connected and whether the runner still responds. */
     void check(long now) {
         if (disconnectDetector.checkDisconnected()) handleClientDisconnect();
-        else if (choice != null) checkRunnerSilence(now);
+        else if (placement != null) checkRunnerSilence(now);
     }
 
     /**
@@ -162,17 +162,17 @@
      * without its client, since its effect may be half done.
      */
     private void handleClientDisconnect() {
-        if (route.kind() != Route.Kind.ONCE || choice == null) abandon();
+        if (route.kind() != Route.Kind.ONCE || placement == null) abandon();
     }
 
     /** If the runner is silent, a request that may be repeated fails over to another one; any other keeps waiting. */
     private void checkRunnerSilence(long now) {
         var awaitingResponse = state == ExchangeState.AWAITING_RESPONSE;
         var silent = awaitingResponse
-                ? RunnerSilenceDetector.isSilentBeforeResponse(choice, sentAt, now)
-                : RunnerSilenceDetector.isSilentDuringResponse(choice, timing.lastDataAt(), now);
+                ? RunnerSilenceDetector.isSilentBeforeResponse(placement, sentAt, now)
+                : RunnerSilenceDetector.isSilentDuringResponse(placement, timing.lastDataAt(), now);
         if (!silent) return;
-        context.reportSilent(choice.runner());
+        context.reportSilent(placement.runner());
         if (awaitingResponse ? route.isRepeatable() : response.isResumable()) failOver(now);
     }
 
@@ -280,20 +280,20 @@
 
     /** Handles the callbacks of one attempt; ignores them once the request has finished or moved to another runner. */
     private final class ResponseListener implements RunnerCall.Listener {
-        private final RunnerPlacer.Placement attemptChoice;
+        private final RunnerPlacer.Placement attemptPlacement;
 
-        ResponseListener(RunnerPlacer.Placement attemptChoice) {
-            this.attemptChoice = attemptChoice;
+        ResponseListener(RunnerPlacer.Placement attemptPlacement) {
+            this.attemptPlacement = attemptPlacement;
         }
 
         private boolean isStale() {
-            return state == ExchangeState.FINISHED || choice != attemptChoice;
+            return state == ExchangeState.FINISHED || placement != attemptPlacement;
         }
 
         @Override
         public void onNotSent(String cause) {
             if (isStale()) return;
-            attemptChoice.runner().markSuspected(context.now());
+            attemptPlacement.runner().markSuspected(context.now());
             attempts.markNeverSent();
             handleNotRun();
         }
@@ -307,11 +307,11 @@
                 handleUnusableResponse();
                 return;
             }
-            choice.runner().recordHeard(context.now());
-            context.recordLoad(choice.runner(), headers.getFirst(names.runnerLoad()));
+            placement.runner().recordHeard(context.now());
+            context.recordLoad(placement.runner(), headers.getFirst(names.runnerLoad()));
             if (outcome == ResponseOutcome.NOT_RUN) {
                 if (status == ResponseOutcome.MISDIRECTED_STATUS && !response.expectsWeightVersion())
-                    context.markReplaced(choice.runner());
+                    context.markReplaced(placement.runner());
                 call.cancel();
                 attempts.markRejected();
                 handleNotRun();
@@ -365,7 +365,7 @@
             else if (!response.mayEnd()) onBroken("connection closed within an event");
             else
                 context.runnerConnections()
-                        .probe(attemptChoice.runner().address(), CONNECT_TIMEOUT_MICROS, this::handleProbeResult);
+                        .probe(attemptPlacement.runner().address(), CONNECT_TIMEOUT_MICROS, this::handleProbeResult);
         }
 
         /** A closed connection counts as the end of the response only if its runner is still alive. */
@@ -385,7 +385,7 @@
         @Override
         public void onBroken(String cause) {
             if (isStale()) return;
-            context.recordBreak(attemptChoice.runner(), cause);
+            context.recordBreak(attemptPlacement.runner(), cause);
             handleBroken(cause);
         }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerNoticeQueue.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerNoticeQueue.java
@@ -17,7 +17,7 @@
         void handle(T notice, long receivedAt);
     }
 
-    private record Notice(PrefillNotice reading, SilenceNotice silence, long receivedAt) {}
+    private record Notice(PrefillNotice prefill, SilenceNotice silence, long receivedAt) {}
 
     /** A router that cannot keep up drops the newest notices, since each is only a hint. */
     private static final int MAX_QUEUED_NOTICES = 4_096;
@@ -31,8 +31,8 @@
     }
 
     /** Adds a notice that a runner was given tokens to prefill. */
-    void add(PrefillNotice reading) {
-        add(new Notice(reading, null, clock.getAsLong()));
+    void add(PrefillNotice prefill) {
+        add(new Notice(prefill, null, clock.getAsLong()));
     }
 
     /** Adds a notice that a runner is silent. */
@@ -46,10 +46,10 @@
     }
 
     /** Removes all queued notices and passes them to the handlers in the order of their arrival. */
-    void drain(Handler<PrefillNotice> readingHandler, Handler<SilenceNotice> silenceHandler) {
+    void drain(Handler<PrefillNotice> prefillHandler, Handler<SilenceNotice> silenceHandler) {
         for (var notice = queue.poll(); notice != null; notice = queue.poll()) {
             size.decrementAndGet();
-            if (notice.reading != null) readingHandler.handle(notice.reading, notice.receivedAt);
+            if (notice.prefill != null) prefillHandler.handle(notice.prefill, notice.receivedAt);
             else silenceHandler.handle(notice.silence, notice.receivedAt);
         }
     }
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerSilenceDetector.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RunnerSilenceDetector.java
@@ -16,15 +16,15 @@
      * Whether a runner that has not started to respond has been silent for too long. A runner that has sent data for
      * another request since this one was sent is not silent.
      */
-    static boolean isSilentBeforeResponse(RunnerPlacer.Placement choice, long sentAt, long now) {
-        var maxSilence = FIRST_RESPONSE_MARGIN_MICROS + 2 * choice.costMicros();
-        var lastHeardAt = choice.runner().lastHeardAt();
+    static boolean isSilentBeforeResponse(RunnerPlacer.Placement placement, long sentAt, long now) {
+        var maxSilence = FIRST_RESPONSE_MARGIN_MICROS + 2 * placement.costMicros();
+        var lastHeardAt = placement.runner().lastHeardAt();
         return now - sentAt >= maxSilence && now - lastHeardAt >= maxSilence && lastHeardAt <= sentAt;
     }
 
     /** Whether a runner that has started to respond has been silent for too long, on this request and all others. */
-    static boolean isSilentDuringResponse(RunnerPlacer.Placement choice, long lastDataAt, long now) {
+    static boolean isSilentDuringResponse(RunnerPlacer.Placement placement, long lastDataAt, long now) {
         return now - lastDataAt >= MAX_RESPONSE_GAP_MICROS
-                && now - choice.runner().lastHeardAt() >= MAX_RESPONSE_GAP_MICROS;
+                && now - placement.runner().lastHeardAt() >= MAX_RESPONSE_GAP_MICROS;
     }
 }
--- a/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/request/UndertowExchange.java
@@ -79,7 +79,7 @@
 
     @Override
     public OutgoingCall openCall(
-            String address, String path, Map<String, String> headers, byte[] body, ResponseListener sink) {
+            String address, String path, Map<String, String> headers, byte[] body, ResponseListener listener) {
         var callHeaders = new HashMap<HttpString, String>();
         headers.forEach((name, value) -> callHeaders.put(new HttpString(name), value));
         var call = caller.open(
@@ -92,27 +92,27 @@
                 new AsyncHttpClient.ResponseListener() {
                     @Override
                     public void onConnectFailure(String cause) {
-                        sink.onRefused();
+                        listener.onRefused();
                     }
 
                     @Override
                     public void onHeaders(int code, HeaderMap responseHeaders) {
-                        sink.onStatus(code, toLowerCaseMap(responseHeaders));
+                        listener.onStatus(code, toLowerCaseMap(responseHeaders));
                     }
 
                     @Override
                     public void onChunk(byte[] bytes) {
-                        sink.onChunk(bytes);
+                        listener.onChunk(bytes);
                     }
 
                     @Override
                     public void onEnd() {
-                        sink.onEnd();
+                        listener.onEnd();
                     }
 
                     @Override
                     public void onFailure(String cause) {
-                        sink.onBroken();
+                        listener.onBroken();
                     }
                 });
         return new OutgoingCall() {
--- a/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
+++ b/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
@@ -32,8 +32,8 @@
  */
 public final class AsyncHttpClient {
     /**
-     * Receives the response to one call. Exactly one of {@link #onConnectFailure}, {@link #onEnd} and {@link #onFailure} ends the
-     * call; if the call is cancelled, none of them is called.
+     * Receives the response to one call. Exactly one of {@link #onConnectFailure}, {@link #onEnd} and {@link
+     * #onFailure} ends the call; if the call is cancelled, none of them is called.
      */
     public interface ResponseListener {
         /** Called if no connection was made, so that the request was certainly not sent. */
@@ -52,7 +52,10 @@
         void onFailure(String cause);
     }
 
-    /** Reading from the connection stops when this many chunks are passed on to a {@link ResponseListener} and not consumed. */
+    /**
+     * Reading from the connection stops when this many chunks are passed on to a {@link ResponseListener} and not
+     * consumed.
+     */
     private static final int MAX_UNCONSUMED_CHUNKS = 32;
 
     private final XnioWorker worker;
--- a/lib/http/src/test/java/craneway/http/CallerPresenceTest.java
+++ b/lib/http/src/test/java/craneway/http/CallerPresenceTest.java
@@ -31,7 +31,8 @@
 class CallerPresenceTest {
     private final AtomicLong now = new AtomicLong(5_000_000);
     private final List<Event> loggedEvents = new CopyOnWriteArrayList<>();
-    private final CallerPresence callers = new CallerPresence(now::get, (event, detail) -> loggedEvents.add(event));
+    private final CallerPresence callerPresence =
+            new CallerPresence(now::get, (event, detail) -> loggedEvents.add(event));
     private final LinkedBlockingQueue<String> decisions = new LinkedBlockingQueue<>();
     private final CountDownLatch unfrozen = new CountDownLatch(1);
     private final CountDownLatch frozen = new CountDownLatch(1);
@@ -61,9 +62,9 @@
             unfrozen.await();
             return;
         }
-        var startedAt = callers.now();
+        var startedAt = callerPresence.now();
         Exchanges.dispatch(exchange, () -> {
-            var isWaiting = callers.mayBeWaiting(exchange, startedAt, callers.now());
+            var isWaiting = callerPresence.mayBeWaiting(exchange, startedAt, callerPresence.now());
             decisions.add(exchange.getRequestPath() + " " + isWaiting);
             exchange.setStatusCode(isWaiting ? 200 : 503).endExchange();
         });
@@ -150,7 +151,7 @@
             assertEquals("/late false", nextDecision());
             for (var i = 0; i < 40; i++) {
                 now.addAndGet(20_000);
-                callers.tick();
+                callerPresence.tick();
             }
             send(socket, "/again");
             assertEquals(200, readStatus(socket));
--- a/lib/process/src/main/java/craneway/process/DiskFolder.java
+++ b/lib/process/src/main/java/craneway/process/DiskFolder.java
@@ -65,8 +65,8 @@
      * Opens a data directory.
      *
      * @param reserveBytes the free disk space below which appends fail
-     * @throws InvalidSettingsException if another process uses the directory, or its log segments have a newer format than
-     *     this version knows; the directory is left unchanged
+     * @throws InvalidSettingsException if another process uses the directory, or its log segments have a newer format
+     *     than this version knows; the directory is left unchanged
      */
     public DiskFolder(Path root, long reserveBytes) {
         this.reserveBytes = reserveBytes;
--- a/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformRouterProcess.java
@@ -31,7 +31,7 @@
     private static final long NOT_READY_PERIOD_MICROS = 200_000;
 
     private final NodeSettings node;
-    private final NodeRuntime host;
+    private final NodeRuntime runtime;
     private final Router router;
     private final ProxyServer server;
 
@@ -44,16 +44,17 @@
         this.node = node;
         var socketTransport =
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
-        host = new NodeRuntime(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
+        runtime = new NodeRuntime(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self = Node.ofNewProcess(
                 node.name(), Node.ROUTER, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         self.clientAddress = node.clientAddress();
-        router = new Router(host, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
+        router = new Router(runtime, self, node.seedAddresses(), TimingProfile.LOW_TRAFFIC, new SecureRandom());
         socketTransport.start(router.directory()::hasSameOrigin, router::receive);
-        server = new ProxyServer(host::now, router.membership()::view, node, names, log, this::isReady, host::send);
+        server = new ProxyServer(
+                runtime::now, router.membership()::view, node, names, log, this::isReady, runtime::send);
         router.setPrefillListener(server::receiveNotice);
         router.setSilenceListener(server::receiveNotice);
-        host.schedulePeriodically(router::tick, TICK_INTERVAL_MILLIS);
+        runtime.schedulePeriodically(router::tick, TICK_INTERVAL_MILLIS);
         log.logEvent(
                 Event.STARTED,
                 "router zone " + node.zone() + " requester " + node.clientAddress() + " partner " + node.peerAddress());
@@ -78,20 +79,20 @@
      * until clients have learned of the leave, then stops listening and waits for the open requests.
      */
     public void shutDownGracefully() throws InterruptedException {
-        var startedAt = host.now();
-        host.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
+        var startedAt = runtime.now();
+        runtime.logEvent(Event.STOPPING, server.openRequestCount() + " requests open");
         server.startDraining();
         router.markUnready();
         pause(NOT_READY_PERIOD_MICROS);
-        router.membership().leave(host.now());
+        router.membership().leave(runtime.now());
         var servingUntil = startedAt
                 + Math.min(MAX_SERVING_PERIOD_MICROS, node.tolerances().shutdownGrace() * 6 / 10);
-        while (host.now() < servingUntil) pause(20_000);
+        while (runtime.now() < servingUntil) pause(20_000);
         server.stopListening();
         var deadline = startedAt + node.tolerances().shutdownGrace() - GRACE_MARGIN_MICROS;
-        while (server.unansweredConnectionCount() > 0 && host.now() < deadline) pause(20_000);
+        while (server.unansweredConnectionCount() > 0 && runtime.now() < deadline) pause(20_000);
         close();
-        host.logEvent(Event.STOPPED, "router");
+        runtime.logEvent(Event.STOPPED, "router");
     }
 
     private static void pause(long micros) throws InterruptedException {
@@ -102,6 +103,6 @@
     @Override
     public void close() {
         server.close();
-        host.close();
+        runtime.close();
     }
 }
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -48,7 +48,7 @@
     private static final long FORGET_RUNNER_AFTER_MICROS = 60_000_000;
 
     private final DiskFolder disk;
-    private final NodeRuntime host;
+    private final NodeRuntime runtime;
     private final Store store;
     private final long shutdownGrace;
 
@@ -63,7 +63,7 @@
         disk = new DiskFolder(node.dataDirectory(), DISK_RESERVE_BYTES);
         var socketTransport =
                 new SocketTransport(node.peerAddress(), this::coreId, () -> System.nanoTime() / 1000, log);
-        host = new NodeRuntime(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
+        runtime = new NodeRuntime(log, IO_THREADS, WORKER_THREADS, TICK_THREADS, socketTransport);
         var self = Node.ofNewProcess(
                 node.name(), Node.STORE, node.zone(), node.peerAddress(), new SecureRandom().nextLong());
         store = new Store(
@@ -74,26 +74,26 @@
                 storeOptions(node),
                 new SecureRandom());
         socketTransport.start(store.directory()::hasSameOrigin, store::receive);
-        var callers = new CallerPresence(host::now, log);
-        host.schedulePeriodically(callers::tick);
-        host.listen(
+        var callerPresence = new CallerPresence(runtime::now, log);
+        runtime.schedulePeriodically(callerPresence::tick);
+        runtime.listen(
                 node.operatorAddress(),
                 new PlatformOperatorHandler(
                         dialect,
                         new PlatformCommands(store.coreClient()),
                         node.regionByZone().keySet(),
-                        host.worker(),
-                        callers),
+                        runtime.worker(),
+                        callerPresence),
                 MAX_CONFIGURATION_BODY_BYTES);
-        host.listen(
+        runtime.listen(
                 node.directoryAddress(),
                 new RouterAddressHandler(
                         dialect,
                         new RouterAddresses(store, node.regionByZone()),
                         node.tolerances().maxTtl()),
                 MAX_LOOKUP_BODY_BYTES);
-        host.schedulePeriodically(store::tickNode);
-        host.schedulePeriodically(this::tickParts);
+        runtime.schedulePeriodically(store::tickNode);
+        runtime.schedulePeriodically(this::tickParts);
         log.logEvent(
                 Event.STARTED,
                 "store zone " + node.zone() + " partner " + node.peerAddress() + " data " + node.dataDirectory());
@@ -116,7 +116,7 @@
                 settings,
                 Quorum.toleratingLosses(node.toleratedMachineLosses(), node.regionByZone()),
                 TimingProfile.LOW_TRAFFIC,
-                part -> host.newSerialExecutor("part " + part));
+                part -> runtime.newSerialExecutor("part " + part));
     }
 
     /** The runtime's port, except that messages of the store to itself bypass the transport. */
@@ -129,22 +129,22 @@
 
         @Override
         public long now() {
-            return host.now();
+            return runtime.now();
         }
 
         @Override
         public void send(String address, Object message) {
             if (!address.equals(ownAddress)) {
-                host.send(address, message);
+                runtime.send(address, message);
                 return;
             }
             var encoded = Codec.encodeTagged(message);
-            host.worker().execute(() -> store.receive(Codec.decodeTagged(encoded)));
+            runtime.worker().execute(() -> store.receive(Codec.decodeTagged(encoded)));
         }
 
         @Override
         public void logEvent(Event event, String detail) {
-            host.logEvent(event, detail);
+            runtime.logEvent(event, detail);
         }
     }
 
@@ -171,19 +171,19 @@
      * longer needs this store, leaves the core, and closes.
      */
     public void shutDownGracefully() throws InterruptedException {
-        host.logEvent(Event.STOPPING, "store");
-        var deadline = host.now() + Math.max(0, shutdownGrace - GRACE_MARGIN_MICROS);
-        while (store.continuePlannedLeave() && host.now() < deadline) Thread.sleep(100);
-        store.membership().leave(host.now());
+        runtime.logEvent(Event.STOPPING, "store");
+        var deadline = runtime.now() + Math.max(0, shutdownGrace - GRACE_MARGIN_MICROS);
+        while (store.continuePlannedLeave() && runtime.now() < deadline) Thread.sleep(100);
+        store.membership().leave(runtime.now());
         Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
-        host.logEvent(Event.STOPPED, "store");
+        runtime.logEvent(Event.STOPPED, "store");
     }
 
     /** Closes the process at once, without a graceful shutdown, and releases the data directory. */
     @Override
     public void close() {
-        host.close();
+        runtime.close();
         disk.release();
     }
 }
--- a/lib/process/src/main/java/craneway/process/ProcessMetrics.java
+++ b/lib/process/src/main/java/craneway/process/ProcessMetrics.java
@@ -12,29 +12,33 @@
 
     /** Returns the current metrics of a router. */
     static String render(Router router) {
-        var counts = router.requestExecutor().counters();
-        var verdictCounts = new TreeMap<String, Long>();
-        counts.problemCounts().forEach((verdict, count) -> verdictCounts.put(verdict.toLowerCase(), count));
+        var counters = router.requestExecutor().counters();
+        var problemCounts = new TreeMap<String, Long>();
+        counters.problemCounts().forEach((kind, count) -> problemCounts.put(kind.toLowerCase(), count));
         var tableVersions = new TreeMap<String, Long>();
         router.membership().view().services().values().forEach(s -> tableVersions.put(s.name, s.tableVersion));
         return new PrometheusText()
-                .addCounter("transactions_taken", "transactions taken, forwarded ones included", counts.accepted.get())
                 .addCounter(
-                        "transactions_forwarded_in", "of these, forwarded by another router", counts.forwardedIn.get())
+                        "transactions_taken", "transactions taken, forwarded ones included", counters.accepted.get())
+                .addCounter(
+                        "transactions_forwarded_in",
+                        "of these, forwarded by another router",
+                        counters.forwardedIn.get())
                 .addCounter(
                         "transactions_forwarded_out",
                         "transactions forwarded to a router of the home region",
-                        counts.forwardedOut.get())
-                .addCounter("transactions_buffered", "times a transaction waited in the buffer", counts.buffered.get())
-                .addCounter("runner_dispatches", "streams asked of runners", counts.dispatched.get())
-                .addCounter("extra_tries", "tries beyond the first", counts.retries.get())
-                .addCounter("streams_whole", "streams passed on to their end", counts.completedStreams.get())
-                .addCounter("streams_cut", "streams visibly cut", counts.cutStreams.get())
+                        counters.forwardedOut.get())
+                .addCounter(
+                        "transactions_buffered", "times a transaction waited in the buffer", counters.buffered.get())
+                .addCounter("runner_dispatches", "streams asked of runners", counters.dispatched.get())
+                .addCounter("extra_tries", "tries beyond the first", counters.retries.get())
+                .addCounter("streams_whole", "streams passed on to their end", counters.completedStreams.get())
+                .addCounter("streams_cut", "streams visibly cut", counters.cutStreams.get())
                 .addGauge(
                         "transactions_open",
                         "transactions in this router now",
                         router.requestExecutor().openRequests())
-                .addCounters("verdicts", "verdicts told, by kind", "kind", verdictCounts)
+                .addCounters("verdicts", "verdicts told, by kind", "kind", problemCounts)
                 .addGauge(
                         "manifest_version",
                         MANIFEST_VERSION_HELP,
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -35,29 +35,30 @@
     /** How long a router that is shutting down waits for open response streams to end. */
     private static final long STREAM_DRAIN_TIMEOUT_MICROS = 60_000_000;
 
-    private final NodeRuntime host;
+    private final NodeRuntime runtime;
     private final Router router;
     private final OperatorCommands operator;
 
     /** Starts the router and all its servers. */
     public RouterProcess(StartupSettings settings, EventLog log) {
-        host = new NodeRuntime(log, WORKER_THREADS, () -> coreId());
+        runtime = new NodeRuntime(log, WORKER_THREADS, () -> coreId());
         var self = Node.ofNewProcess(
                 settings.name, Node.ROUTER, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
-        router = new Router(host, self, settings.seedAddresses, new SecureRandom());
-        operator = new OperatorCommands(host, router.coreClient());
-        var forwardedRequests = new CompletionHandler(router, host.httpClient(), host::now, log, "/transaction", true);
+        router = new Router(runtime, self, settings.seedAddresses, new SecureRandom());
+        operator = new OperatorCommands(runtime, router.coreClient());
+        var forwardedRequests =
+                new CompletionHandler(router, runtime.httpClient(), runtime::now, log, "/transaction", true);
         var peerMessages = new PeerHandler(this::coreId, router.directory()::hasSameOrigin, router::receive, log);
         HttpHandler peerEndpoint =
                 exchange -> (exchange.getRequestPath().equals("/transaction") ? forwardedRequests : peerMessages)
                         .handleRequest(exchange);
-        host.listen(settings.peerAddress, peerEndpoint, 80L << 20);
-        host.listen(
+        runtime.listen(settings.peerAddress, peerEndpoint, 80L << 20);
+        runtime.listen(
                 settings.clientAddress,
-                new CompletionHandler(router, host.httpClient(), host::now, log, "/v1/chat/completions", false),
+                new CompletionHandler(router, runtime.httpClient(), runtime::now, log, "/v1/chat/completions", false),
                 MAX_REQUEST_BODY_BYTES);
-        host.listen(settings.runnerAddress, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
-        host.listen(
+        runtime.listen(settings.runnerAddress, new RunnerHandler(router), MAX_ANNOUNCEMENT_BODY_BYTES);
+        runtime.listen(
                 settings.operatorAddress,
                 new OperatorHandler(
                         settings.name,
@@ -67,13 +68,13 @@
                                 settings.name,
                                 router.requestExecutor().usageLog(),
                                 after,
-                                System.currentTimeMillis() * 1000 - host.now()),
+                                System.currentTimeMillis() * 1000 - runtime.now()),
                         null),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(settings.readinessAddress, new ReadinessHandler(router::isReady), MAX_ANNOUNCEMENT_BODY_BYTES);
-        host.schedulePeriodically(() -> {
+        runtime.listen(settings.readinessAddress, new ReadinessHandler(router::isReady), MAX_ANNOUNCEMENT_BODY_BYTES);
+        runtime.schedulePeriodically(() -> {
             router.tick();
-            operator.tick(host.now());
+            operator.tick(runtime.now());
         });
         log.logEvent(
                 Event.STARTED,
@@ -100,17 +101,17 @@
      * core, and closes. Takes at most about 63 s.
      */
     public void shutDownGracefully() throws InterruptedException {
-        host.logEvent(Event.STOPPING, router.requestExecutor().openRequests() + " transactions open");
+        runtime.logEvent(Event.STOPPING, router.requestExecutor().openRequests() + " transactions open");
         router.markUnready();
         pause(NOT_READY_PERIOD_MICROS);
         router.requestExecutor().stopAccepting();
-        var deadline = host.now() + STREAM_DRAIN_TIMEOUT_MICROS;
-        while (router.requestExecutor().openRequests() > 0 && host.now() < deadline) pause(20_000);
-        router.membership().leave(host.now());
-        host.stopListening();
+        var deadline = runtime.now() + STREAM_DRAIN_TIMEOUT_MICROS;
+        while (router.requestExecutor().openRequests() > 0 && runtime.now() < deadline) pause(20_000);
+        router.membership().leave(runtime.now());
+        runtime.stopListening();
         pause(LAST_RESPONSES_PERIOD_MICROS);
         close();
-        host.logEvent(Event.STOPPED, "router");
+        runtime.logEvent(Event.STOPPED, "router");
     }
 
     private static void pause(long micros) throws InterruptedException {
@@ -120,6 +121,6 @@
     /** Closes the process at once, without a graceful shutdown. */
     @Override
     public void close() {
-        host.close();
+        runtime.close();
     }
 }
--- a/lib/process/src/main/java/craneway/process/ShutdownSignal.java
+++ b/lib/process/src/main/java/craneway/process/ShutdownSignal.java
@@ -21,12 +21,12 @@
     }
 
     /**
-     * Does the same as {@link #awaitAndShutDown}, then ends the process with the returned code. Without this, a process that a
-     * signal stopped would end with the JVM's exit code for that signal.
+     * Does the same as {@link #awaitAndShutDown}, then ends the process with the returned code. Without this, a process
+     * that a signal stopped would end with the JVM's exit code for that signal.
      */
-    public static int awaitShutDownAndHalt(ShutdownAction stop, BooleanSupplier superseded)
+    public static int awaitShutDownAndHalt(ShutdownAction shutdownAction, BooleanSupplier superseded)
             throws InterruptedException {
-        var exitCode = awaitAndShutDown(stop, superseded);
+        var exitCode = awaitAndShutDown(shutdownAction, superseded);
         Runtime.getRuntime().halt(exitCode);
         return exitCode;
     }
@@ -40,7 +40,8 @@
      * @param superseded whether a newer process with the same name has replaced this one; polled every 500 ms
      * @return the exit code of the process: 0 after a graceful shutdown, 3 if superseded
      */
-    public static int awaitAndShutDown(ShutdownAction stop, BooleanSupplier superseded) throws InterruptedException {
+    public static int awaitAndShutDown(ShutdownAction shutdownAction, BooleanSupplier superseded)
+            throws InterruptedException {
         var stopRequested = new CountDownLatch(1);
         var stopCompleted = new CountDownLatch(1);
         Runtime.getRuntime()
@@ -60,7 +61,7 @@
                 stopCompleted.countDown();
                 return SUPERSEDED_EXIT_CODE;
             }
-        stop.run();
+        shutdownAction.run();
         stopCompleted.countDown();
         return 0;
     }
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -30,34 +30,34 @@
     private static final long LAST_RESPONSES_PERIOD_MILLIS = 500;
 
     private final DiskFolder disk;
-    private final NodeRuntime host;
+    private final NodeRuntime runtime;
     private final Store store;
     private volatile boolean stopping;
 
     /** Starts the store and all its servers. */
     public StoreProcess(StartupSettings settings, EventLog log) {
         disk = new DiskFolder(settings.dataDirectory);
-        host = new NodeRuntime(log, WORKER_THREADS, () -> coreId());
+        runtime = new NodeRuntime(log, WORKER_THREADS, () -> coreId());
         var self = Node.ofNewProcess(
                 settings.name, Node.STORE, settings.zone, settings.peerAddress, new SecureRandom().nextLong());
-        store = new Store(host, disk, self, settings.seedAddresses, settings.founderCount, new SecureRandom());
-        var operator = new OperatorCommands(host, store.coreClient());
-        host.listen(
+        store = new Store(runtime, disk, self, settings.seedAddresses, settings.founderCount, new SecureRandom());
+        var operator = new OperatorCommands(runtime, store.coreClient());
+        runtime.listen(
                 settings.peerAddress,
                 new PeerHandler(this::coreId, store.directory()::hasSameOrigin, store::receive, log),
                 80L << 20);
-        host.listen(
+        runtime.listen(
                 settings.operatorAddress,
                 new OperatorHandler(settings.name, operator, () -> ProcessMetrics.render(store), null, store),
                 MAX_MANIFEST_BODY_BYTES);
-        host.listen(settings.readinessAddress, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
-        host.schedulePeriodically(() -> {
+        runtime.listen(settings.readinessAddress, new ReadinessHandler(this::isReady), MAX_READINESS_BODY_BYTES);
+        runtime.schedulePeriodically(() -> {
             store.tickNode();
-            operator.tick(host.now());
+            operator.tick(runtime.now());
         });
         for (var p = 0; p < Parts.COUNT; p++) {
             var part = p;
-            host.schedulePeriodically(() -> store.tickPart(part));
+            runtime.schedulePeriodically(() -> store.tickPart(part));
         }
         log.logEvent(
                 Event.STARTED,
@@ -71,7 +71,7 @@
     private boolean isReady() {
         return !stopping
                 && store.replicas().length > 0
-                && store.membership().view().hasLease(0, host.now());
+                && store.membership().view().hasLease(0, runtime.now());
     }
 
     /** Returns the store that this process runs. */
@@ -89,22 +89,22 @@
      * or a timeout of 8 s has passed, leaves the core, and closes.
      */
     public void shutDownGracefully() throws InterruptedException {
-        host.logEvent(Event.STOPPING, "store");
+        runtime.logEvent(Event.STOPPING, "store");
         stopping = true;
         Thread.sleep(NOT_READY_PERIOD_MICROS / 1000);
-        var deadline = host.now() + LEAVE_TIMEOUT_MICROS;
-        while (store.continuePlannedLeave() && host.now() < deadline) Thread.sleep(100);
-        store.membership().leave(host.now());
-        host.stopListening();
+        var deadline = runtime.now() + LEAVE_TIMEOUT_MICROS;
+        while (store.continuePlannedLeave() && runtime.now() < deadline) Thread.sleep(100);
+        store.membership().leave(runtime.now());
+        runtime.stopListening();
         Thread.sleep(LAST_RESPONSES_PERIOD_MILLIS);
         close();
-        host.logEvent(Event.STOPPED, "store");
+        runtime.logEvent(Event.STOPPED, "store");
     }
 
     /** Closes the process at once, without a graceful shutdown, and releases the data directory. */
     @Override
     public void close() {
-        host.close();
+        runtime.close();
         disk.release();
     }
 }
--- a/lib/process/src/test/java/craneway/process/StoreClusterTest.java
+++ b/lib/process/src/test/java/craneway/process/StoreClusterTest.java
@@ -43,7 +43,7 @@
         final EventLog log;
         final DiskFolder disk;
         final SocketTransport transport;
-        final NodeRuntime host;
+        final NodeRuntime runtime;
         final Store store;
         final OperatorCommands operator;
 
@@ -52,16 +52,16 @@
             log = new EventLog(name);
             disk = new DiskFolder(Files.createDirectories(root.resolve(name)));
             transport = new SocketTransport(address, this::coreId, () -> System.nanoTime() / 1000, log);
-            host = new NodeRuntime(log, 4, transport);
-            var partExecutor = host.newSerialExecutor("parts");
-            var rules = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> partExecutor);
+            runtime = new NodeRuntime(log, 4, transport);
+            var partExecutor = runtime.newSerialExecutor("parts");
+            var options = new StoreOptions(3, Quorum.THREE_VOTERS, TimingProfile.LOW_TRAFFIC, p -> partExecutor);
             store = new Store(
-                    host, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, rules, new Random());
-            operator = new OperatorCommands(host, store.coreClient());
+                    runtime, disk, new Node(name, Node.STORE, "z-" + name, address, 1), seeds, options, new Random());
+            operator = new OperatorCommands(runtime, store.coreClient());
             transport.start(store.directory()::hasSameOrigin, store::receive);
-            host.schedulePeriodically(() -> {
+            runtime.schedulePeriodically(() -> {
                 store.tick();
-                operator.tick(host.now());
+                operator.tick(runtime.now());
             });
         }
 
@@ -92,7 +92,7 @@
 
     @AfterEach
     void close() {
-        stores.forEach(node -> node.host.close());
+        stores.forEach(node -> node.runtime.close());
         stores.forEach(node -> node.disk.release());
     }
 
--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -192,8 +192,8 @@
         /** The units to displace. */
         public int[] units;
         /**
-         * The cell number that each unit in {@link #units} is displaced to; {@link craneway.model.unit.PlacementTable#NOWHERE}
-         * clears it.
+         * The cell number that each unit in {@link #units} is displaced to; {@link
+         * craneway.model.unit.PlacementTable#NOWHERE} clears it.
          */
         public int[] cells;
     }
--- a/lib/state/src/main/java/craneway/state/message/Messages.java
+++ b/lib/state/src/main/java/craneway/state/message/Messages.java
@@ -131,7 +131,9 @@
         public long sessionId;
         /** The lowest id of this session whose result the sender still waits for. */
         public long lowestPending;
-        /** The term of the leader by whose clock {@link #leaderDeadline} is given; 0 if the sender knows no clock yet. */
+        /**
+         * The term of the leader by whose clock {@link #leaderDeadline} is given; 0 if the sender knows no clock yet.
+         */
         public long leaderTerm;
         /** The deadline after which the command must not take effect, by the steady clock of that leader. */
         public long leaderDeadline;
@@ -191,7 +193,7 @@
         public boolean mayStop;
     }
 
-    /** The identity of a core: its id and the stores that founded it. */
+    /** The identity of a core: its id and its founders, the stores that bootstrapped it. */
     public static final class Founding {
         public long coreId;
         public long[] storeIds = {};
--- a/lib/state/src/main/java/craneway/state/record/Rows.java
+++ b/lib/state/src/main/java/craneway/state/record/Rows.java
@@ -11,8 +11,8 @@
 
 /**
  * The rows of a part's replicated state. The order and types of the fields are the snapshot format; names are not
- * stored. "Age" is the part's own time in microseconds, which advances by {@link craneway.state.message.Commands.AgeAdvance}
- * commands only.
+ * stored. "Age" is the part's own time in microseconds, which advances by {@link
+ * craneway.state.message.Commands.AgeAdvance} commands only.
  */
 public final class Rows {
     private Rows() {}
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -14,7 +14,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link CommandException}.
+ * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link
+ * CommandException}.
  */
 public final class OperatorClient implements AutoCloseable {
     private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
--- a/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
+++ b/prog/craneway/src/main/java/craneway/command/drill/DrillCommand.java
@@ -108,25 +108,25 @@
     }
 
     /** Checks the journals, writes and prints the report and returns the exit code. */
-    private int checkAndReport(Path journal, ZoneOutageChecker outage, int loadExitCode) throws IOException {
+    private int checkAndReport(Path journal, ZoneOutageChecker outageChecker, int loadExitCode) throws IOException {
         var checker = new JournalChecker();
         for (var runner : nodeNames("runners")) {
             var runnerJournal = folder.resolve("journal").resolve(runner + ".jsonl");
             checker.addRunnerJournal(runnerJournal);
-            outage.addRunnerJournal(runnerJournal);
+            outageChecker.addRunnerJournal(runnerJournal);
         }
         checker.addRequesterJournal(journal);
         var violations = new ArrayList<>(checker.findViolations(true));
-        violations.addAll(outage.findViolations());
+        violations.addAll(outageChecker.findViolations());
         if (loadExitCode != 0) violations.add("the load ended with code " + loadExitCode);
         var text = new StringBuilder("drill of zone " + zone + "\n" + checker.summary() + "\n");
         text.append("last new work after the confirm: ")
-                .append(outage.lastStartAfterConfirmMillis())
+                .append(outageChecker.lastStartAfterConfirmMillis())
                 .append(" ms (limit ")
                 .append(ZoneOutageChecker.EMPTYING_LIMIT_MILLIS)
                 .append(")\n");
         text.append("first work after taking back: ")
-                .append(outage.firstStartAfterReturnMillis())
+                .append(outageChecker.firstStartAfterReturnMillis())
                 .append(" ms (limit ")
                 .append(ZoneOutageChecker.RETURN_LIMIT_MILLIS)
                 .append(")\n");
--- a/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
+++ b/prog/craneway/src/main/java/craneway/command/load/LoadClient.java
@@ -195,8 +195,8 @@
     }
 
     /**
-     * Judges a response that has ended. A complete stream has its end marker and a clean end of the connection; if only
-     * one of the two is there, the stream counts as a false end.
+     * Classifies a response that has ended. A complete stream has its end marker and a clean end of the connection; if
+     * only one of the two is there, the stream counts as a false end.
      */
     private static SubmissionRecord recordOfEndedResponse(
             String submissionId,
--- a/prog/craneway/src/main/java/craneway/command/load/ResponseStreamParser.java
+++ b/prog/craneway/src/main/java/craneway/command/load/ResponseStreamParser.java
@@ -18,7 +18,7 @@
     private boolean doneMarkerSeen;
     private String prefixCacheResult = "";
 
-    /** Takes the next bytes of the response; an unfinished line is kept until its rest arrives. */
+    /** Parses the next bytes of the response; an unfinished line is kept until its rest arrives. */
     void feed(byte[] bytes) {
         for (var next : bytes) {
             if (next != '\n') lineBuffer.write(next);
--- a/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
+++ b/prog/craneway/src/main/java/craneway/command/load/RouterMetrics.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Prints the ratio of extra tries to requests between this reading and a later one. A forwarded request is counted
-     * by two routers, so forwards are subtracted.
+     * Prints the ratio of additional attempts to requests between this reading and a later one. A forwarded request is
+     * counted by two routers, so forwards are subtracted.
      */
     void printExtraTriesUntil(PrintStream out, RouterMetrics later) {
         var requestCount = later.requestsAccepted - later.requestsForwardedIn - requestsAccepted + requestsForwardedIn;
