--- a/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
+++ b/lib/api/src/main/java/craneway/api/operator/OperatorHandler.java
@@ -59,7 +59,7 @@
         var planPath = PLAN_PATH.matcher(path);
         switch (exchange.getRequestMethod() + " " + path) {
             case "GET /v1/status" -> sendStatus(exchange);
-            case "GET /v1/quiet" -> sendQuietCells(exchange);
+            case "GET /v1/quiet" -> sendDrainEstimates(exchange);
             case "GET /v1/manifest" -> sendManifest(exchange);
             case "PUT /v1/manifest" -> withBody(exchange, body -> putManifest(exchange, body));
             case "POST /v1/intents" -> withBody(exchange, body -> planIntent(exchange, body));
@@ -150,23 +150,23 @@
                 JsonResponses.sendJson(exchange, StatusJson.of(node, parts).toPrettyString()));
     }
 
-    private void sendQuietCells(HttpServerExchange exchange) {
+    private void sendDrainEstimates(HttpServerExchange exchange) {
         exchange.dispatch();
-        operator.estimateDrains(result -> reply(exchange, result, OperatorHandler::quietCells));
+        operator.estimateDrains(result -> reply(exchange, result, OperatorHandler::drainEstimates));
     }
 
-    private static ObjectNode quietCells(List<DrainEstimate> quietCells) {
+    private static ObjectNode drainEstimates(List<DrainEstimate> drainEstimates) {
         var json = JsonResponses.JSON.createObjectNode();
         var cells = json.putArray("cells");
-        for (var quiet : quietCells) {
+        for (var estimate : drainEstimates) {
             var cell = cells.addObject()
-                    .put("service", quiet.service())
-                    .put("cell", quiet.cell())
-                    .put("load", quiet.load())
-                    .put("slots", quiet.slots())
-                    .put("slotsLeft", quiet.remainingSlots())
-                    .put("minutesItWouldHaveFitted", quiet.minutesThatFit());
-            quiet.concerns().forEach(cell.putArray("because")::add);
+                    .put("service", estimate.service())
+                    .put("cell", estimate.cell())
+                    .put("load", estimate.load())
+                    .put("slots", estimate.slots())
+                    .put("slotsLeft", estimate.remainingSlots())
+                    .put("minutesItWouldHaveFitted", estimate.minutesThatFit());
+            estimate.concerns().forEach(cell.putArray("because")::add);
         }
         return json;
     }
--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -58,7 +58,7 @@
         /** The number of copies that were declined as late or as coming from an unknown session. */
         int declines;
 
-        /** Whether any copy was sent; if not, the request surely had no effect. */
+        /** Whether any copy was sent; if not, the request certainly had no effect. */
         boolean sent;
 
         Consumer<CommandResult> onResult;
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, at the latest about
+     * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, no later than about
      * {@code timeoutMicros} from now.
      */
     public void request(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
@@ -183,7 +183,7 @@
                 return;
             }
             if (result.kind == ProblemKind.LATE_COMMAND.code() || result.kind == ProblemKind.UNKNOWN_LIFE.code()) {
-                resendRebound(pending);
+                resendWithNewDeadline(pending);
                 return;
             }
             if (pending.clockOnly && result.kind == ProblemKind.BAD_MESSAGE.code()) {
@@ -211,7 +211,7 @@
      * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock, by which
      * the deadline of the next copy is set.
      */
-    private void resendRebound(PendingRequest pending) {
+    private void resendWithNewDeadline(PendingRequest pending) {
         var now = port.now();
         if (now >= pending.deadline) return;
         if (pending.declines++ < MAX_IMMEDIATE_RESENDS) send(pending);
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Marks a runner as leaving in whichever service it belongs to. A runner that no part knows counts as gone
-     * already.
+     * Marks a runner as leaving. The command goes to every part that may hold the runner's service. A runner that no
+     * part knows counts as gone already.
      */
     public void markRunnerLeaving(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
         var outstanding = new AtomicInteger(Parts.COUNT - 1);
--- a/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -134,7 +134,7 @@
                 if (service.homeCells[unit] == cell
                         && service.displacedCellOf(unit) == PlacementTable.NOWHERE
                         && isAllowed(service, unit, target)) units.add(unit);
-            if (!units.isEmpty()) return newDisplace(service, units, target);
+            if (!units.isEmpty()) return newUnitDisplacement(service, units, target);
         }
         return null;
     }
@@ -169,11 +169,11 @@
                     && home != PlacementTable.NOWHERE
                     && hasLasted(calmSinceByCell, service, home, CALM_HOLD_MICROS, now)) units.add(unit);
         }
-        return units.isEmpty() ? null : newDisplace(service, units, PlacementTable.NOWHERE);
+        return units.isEmpty() ? null : newUnitDisplacement(service, units, PlacementTable.NOWHERE);
     }
 
     /** A command that displaces units to a cell, or ends their displacement. */
-    private static UnitDisplacement newDisplace(Rows.Service service, List<Integer> units, int target) {
+    private static UnitDisplacement newUnitDisplacement(Rows.Service service, List<Integer> units, int target) {
         var command = new UnitDisplacement();
         command.service = service.name;
         command.tableVersion = service.tableVersion;
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -26,7 +26,7 @@
     private static final long SLOW_FIRST_TOKEN_MICROS = 1_000_000;
 
     /** A comparison needs at least this many runs or problems. */
-    private static final int MIN_SAMPLES = 5;
+    private static final int MIN_SAMPLE_COUNT = 5;
 
     /** When a step was first watched, and the state of its new home before. */
     private record WatchedStep(long since, SignalHistory.CellTotals baseline) {}
@@ -86,11 +86,11 @@
 
     /** Describes how a cell got worse; null if it did not. */
     private static String describeDegradation(SignalHistory.CellTotals baseline, SignalHistory.CellTotals current) {
-        if (current.problems() >= MIN_SAMPLES && current.problemShare() > 0.1 + 2 * baseline.problemShare())
+        if (current.problems() >= MIN_SAMPLE_COUNT && current.problemShare() > 0.1 + 2 * baseline.problemShare())
             return String.format(
                     "problems rose from %.2f to %.2f of its work", baseline.problemShare(), current.problemShare());
-        if (current.runs() >= MIN_SAMPLES
-                && baseline.runs() >= MIN_SAMPLES
+        if (current.runs() >= MIN_SAMPLE_COUNT
+                && baseline.runs() >= MIN_SAMPLE_COUNT
                 && current.meanFirstTokenMicros() > SLOW_FIRST_TOKEN_MICROS
                 && current.meanFirstTokenMicros() > 3 * baseline.meanFirstTokenMicros())
             return String.format(
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -473,12 +473,14 @@
      */
     private void proposeCommand(CommandRequest request, Object command, Consumer<CommandResult> onResult) {
         propose(
-                allMembersReadFencedCommands() ? CommandFence.withIdentity(request, command, request.body) : command,
+                allMembersReadIdentifiedCommands()
+                        ? CommandFence.withIdentity(request, command, request.body)
+                        : command,
                 onResult);
     }
 
     /** Whether all members, and so all replicas, can read commands that carry the identity of their sender. */
-    private boolean allMembersReadFencedCommands() {
+    private boolean allMembersReadIdentifiedCommands() {
         var members = records.rows().members.values();
         return !members.isEmpty() && members.stream().allMatch(member -> member.node.supportsIdentifiedCommands);
     }
@@ -616,7 +618,7 @@
      */
     private void handleRenewal(Renewal renewal, long now, Consumer<RenewalReply> onReply) {
         if (!group.hasLease(now)) {
-            var reply = newRenewReply(renewal, ProblemKind.NOT_OWNER.code());
+            var reply = newRenewalReply(renewal, ProblemKind.NOT_OWNER.code());
             reply.leader = otherLeader();
             onReply.accept(reply);
             return;
@@ -626,7 +628,7 @@
         if (member != null) directory.recordReplacement(member.node, renewal.from);
         var outranking = findOutrankingNode(renewal.from, member);
         if (outranking != null) {
-            var reply = newRenewReply(renewal, ProblemKind.STALE_MEMBER.code());
+            var reply = newRenewalReply(renewal, ProblemKind.STALE_MEMBER.code());
             reply.incarnation = outranking.incarnation;
             reply.recordedMember = outranking;
             onReply.accept(reply);
@@ -672,7 +674,7 @@
         propose(command);
     }
 
-    private RenewalReply newRenewReply(Renewal renewal, int kind) {
+    private RenewalReply newRenewalReply(Renewal renewal, int kind) {
         var reply = new RenewalReply();
         reply.part = part;
         reply.kind = kind;
@@ -706,7 +708,7 @@
         for (var signal : renewal.signals)
             signalHistory.add(
                     signal.service, signal.cell, signal.startedAnswers, signal.failures, signal.firstTokenMicros, now);
-        var reply = newRenewReply(renewal, 0);
+        var reply = newRenewalReply(renewal, 0);
         reply.leader = directory.self();
         reply.graceMicros = renewal.from.graceMicros;
         reply.membersVersion = records.rows().membersVersion;
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -146,7 +146,7 @@
     }
 
     /** Whether a store may be among those that bootstrap the core. */
-    private boolean mayFound(Node node) {
+    private boolean mayBootstrap(Node node) {
         return !settings.seedsOnly()
                 || (founderAddresses.isEmpty()
                         ? seeds.contains(node.peerAddress)
@@ -306,7 +306,7 @@
         var now = port.now();
         if (directory.newerFounding() != null) followNewerCore(directory.newerFounding());
         directory.tick(now);
-        if (directory.self().coreId == 0) tryFoundCore(now);
+        if (directory.self().coreId == 0) tryBootstrapCore(now);
         membership.tick(now);
         coreClient.tick(now);
         replyBatches.removeIf(batch -> batch.flushIfOverdue(now));
@@ -440,7 +440,7 @@
      * the empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as a greeting
      * reveals one.
      */
-    private void tryFoundCore(long now) {
+    private void tryBootstrapCore(long now) {
         var recentlyHeard = directory.knownNodes().stream()
                 .filter(known -> now - known.lastHeardAt < NodeDirectory.RECENTLY_HEARD_MICROS)
                 .toList();
@@ -451,25 +451,25 @@
         }
         if (recentlyHeard.stream().anyMatch(known -> known.node.coreId != 0)) return;
         var emptyStores = new ArrayList<Node>();
-        if (!mayFound(directory.self())) return;
+        if (!mayBootstrap(directory.self())) return;
         emptyStores.add(directory.self());
         recentlyHeard.stream()
                 .map(known -> known.node)
-                .filter(node -> node.kind.equals(Node.STORE) && mayFound(node))
+                .filter(node -> node.kind.equals(Node.STORE) && mayBootstrap(node))
                 .forEach(emptyStores::add);
         emptyStores.sort(Comparator.comparingLong(node -> node.storeId));
         var digest = digestOf(emptyStores);
         directory.setEmptyStoresDigest(digest);
         var allAgree = recentlyHeard.stream()
-                .filter(known -> known.node.kind.equals(Node.STORE) && mayFound(known.node))
+                .filter(known -> known.node.kind.equals(Node.STORE) && mayBootstrap(known.node))
                 .allMatch(known -> known.emptyStoresDigest == digest);
         var mayFoundCore = !settings.seedsOnly() || !founderAddresses.isEmpty();
         if (mayFoundCore && emptyStores.size() == settings.founderCount() && allAgree)
             adoptCore(newFounding(emptyStores, digest));
-        else if (now >= nextWaitingLogAt) logWaitingToFound(emptyStores, now);
+        else if (now >= nextWaitingLogAt) logWaitingToBootstrap(emptyStores, now);
     }
 
-    private void logWaitingToFound(List<Node> emptyStores, long now) {
+    private void logWaitingToBootstrap(List<Node> emptyStores, long now) {
         nextWaitingLogAt = now + WAITING_LOG_INTERVAL_MICROS;
         port.logEvent(
                 Event.WAITING_TO_BOOTSTRAP,
--- a/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -18,13 +18,13 @@
     private long now = START_MICROS;
 
     /** Lets time pass with regular ticks. */
-    private void tickFor(long micros) {
-        for (var until = now + micros; now < until; guard.tick(now)) now += TICK_MICROS;
+    private void tickFor(long elapsedMicros) {
+        for (var endMicros = now + elapsedMicros; now < endMicros; guard.tick(now)) now += TICK_MICROS;
     }
 
     /** Lets time pass without a tick. */
-    private void standStill(long micros) {
-        now += micros;
+    private void standStill(long elapsedMicros) {
+        now += elapsedMicros;
     }
 
     private boolean admitsNow(PauseGuard.Connection fromConnection) {
--- a/lib/data/src/main/java/craneway/data/placement/Prompt.java
+++ b/lib/data/src/main/java/craneway/data/placement/Prompt.java
@@ -13,13 +13,13 @@
  * {@link Prompt#outputTokens} the number of tokens that the client states for the response.
  */
 public record Prompt(long[] partIds, int[] partTokens, int promptTokens, int outputTokens) {
-    private static final int MAX_PARTS = 64;
+    private static final int MAX_PROMPT_PARTS = 64;
 
     /** From this number of tokens on, a prompt counts as long. */
     private static final int LONG_PROMPT_TOKENS = 4_000;
 
     /** Larger token counts of a part or a prompt are reduced to this value. */
-    private static final int MAX_TOKENS = 100_000_000;
+    private static final int MAX_PROMPT_TOKENS = 100_000_000;
 
     /**
      * Parses the headers of a request; malformed input is read as if it were missing.
@@ -37,8 +37,8 @@
             outputTokens = comma < 0 ? 0 : parseTokens(tokenCounts.substring(comma + 1));
         }
         if (parts == null || parts.isBlank()) return new Prompt(new long[0], new int[0], inputTokens, outputTokens);
-        var items = parts.split(",", MAX_PARTS + 1);
-        if (items.length > MAX_PARTS) return new Prompt(new long[0], new int[0], inputTokens, outputTokens);
+        var items = parts.split(",", MAX_PROMPT_PARTS + 1);
+        if (items.length > MAX_PROMPT_PARTS) return new Prompt(new long[0], new int[0], inputTokens, outputTokens);
         var idHashes = new long[items.length];
         var sizes = new int[items.length];
         var totalTokens = 0;
@@ -54,7 +54,7 @@
 
     private static int parseTokens(String text) {
         try {
-            return Math.max(0, Math.min(MAX_TOKENS, Integer.parseInt(text.trim())));
+            return Math.max(0, Math.min(MAX_PROMPT_TOKENS, Integer.parseInt(text.trim())));
         } catch (NumberFormatException e) {
             return 0;
         }
--- a/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
+++ b/lib/data/src/main/java/craneway/data/placement/RetryBudget.java
@@ -12,7 +12,7 @@
     /**
      * Share of the computed budget that a router uses, so that all routers together stay below the fleet's limit.
      */
-    private static final double SAFETY_FACTOR = 0.75;
+    private static final double BUDGET_SAFETY_FACTOR = 0.75;
 
     private final long windowMicros;
     private final double retryRatio;
@@ -49,7 +49,7 @@
         removeExpired(requestTimes, now);
         removeExpired(retryTimes, now);
         if (retryTimes.size() + 1
-                > SAFETY_FACTOR * (retryRatio * requestTimes.size() + fleetRetrySlack / Math.max(1, routers)))
+                > BUDGET_SAFETY_FACTOR * (retryRatio * requestTimes.size() + fleetRetrySlack / Math.max(1, routers)))
             return false;
         retryTimes.add(now);
         return true;
--- a/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerPool.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Records that this or another router gave a runner a prompt of which this many tokens have to be prefilled.
+     * Records that this or another router sent a runner a prompt and that this many of its tokens have to be prefilled.
      */
     public void recordPrefill(RunnerView runner, int tokens, long now) {
         runner.recordPrefill(tokens, now);
--- a/lib/data/src/main/java/craneway/data/placement/RunnerView.java
+++ b/lib/data/src/main/java/craneway/data/placement/RunnerView.java
@@ -19,7 +19,7 @@
      * How long a runner stays suspected after it was last found silent, and the least time between two probes of
      * it.
      */
-    private static final long SUSPECT_MICROS = 2_500_000;
+    private static final long SUSPECT_DURATION_MICROS = 2_500_000;
 
     /** Rate at which a runner is assumed to work off its prefill backlog: 22 tokens per millisecond. */
     private static final double PREFILL_TOKENS_PER_MICRO = 0.022;
@@ -157,7 +157,8 @@
     }
 
     /**
-     * Records that this or another router sent the runner a prompt of which this many tokens have to be prefilled.
+     * Records that this or another router sent the runner a prompt and that this many of its tokens have to be
+     * prefilled.
      */
     public void recordPrefill(int tokens, long now) {
         backlogTokens = prefillBacklog(now) + tokens;
@@ -227,7 +228,7 @@
     /** Records that the runner was found silent or refused a connection; it is then suspected to have failed. */
     public void markSuspected(long now) {
         if (suspectedSince == Long.MIN_VALUE) suspectedSince = now;
-        suspectedUntil = now + SUSPECT_MICROS;
+        suspectedUntil = now + SUSPECT_DURATION_MICROS;
     }
 
     /** Returns whether the runner is suspected to have failed. */
@@ -245,7 +246,7 @@
      * a single request at a time as a probe, at intervals.
      */
     boolean mayProbe(long now) {
-        return suspectedSince == Long.MIN_VALUE || now - lastProbeAt > SUSPECT_MICROS;
+        return suspectedSince == Long.MIN_VALUE || now - lastProbeAt > SUSPECT_DURATION_MICROS;
     }
 
     /**
--- a/lib/data/src/main/java/craneway/data/router/Router.java
+++ b/lib/data/src/main/java/craneway/data/router/Router.java
@@ -103,7 +103,7 @@
         return directory.self().serving && membership.isUsable(port.now());
     }
 
-    /** Makes this router tell the others that it no longer serves, for good. */
+    /** Makes this router announce that it no longer serves; this cannot be undone. */
     public void markUnready() {
         membership.stopServing();
     }
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -24,10 +24,10 @@
     }
 
     /** Records that a runner of the cell sent its first data this many microseconds after the request was sent. */
-    public synchronized void recordFirstData(String service, String cell, long micros) {
+    public synchronized void recordFirstData(String service, String cell, long delayMicros) {
         var signal = signalOf(service, cell);
         signal.startedAnswers++;
-        signal.firstTokenMicros += micros;
+        signal.firstTokenMicros += delayMicros;
     }
 
     /** Records that a runner of the cell could not be reached or broke off a request. */
--- a/lib/data/src/main/java/craneway/data/runner/RunnerLoads.java
+++ b/lib/data/src/main/java/craneway/data/runner/RunnerLoads.java
@@ -17,7 +17,7 @@
     private static final long REPORT_VALID_MICROS = 1_500_000;
 
     /** How long a runner gets no requests after a failure; it must also announce itself again. */
-    private static final long EJECTION_MICROS = 1_000_000;
+    private static final long EJECTION_DURATION_MICROS = 1_000_000;
 
     private static final class LoadState {
         long incarnation = Long.MIN_VALUE;
@@ -85,7 +85,7 @@
         var load = loadOf(runner);
         synchronized (load) {
             load.ejectedAt = now;
-            load.ejectedUntil = now + EJECTION_MICROS;
+            load.ejectedUntil = now + EJECTION_DURATION_MICROS;
         }
     }
 
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -169,7 +169,7 @@
     /** Applies the newest view and the queued notices to the runners' state; called before a runner is selected. */
     void refreshRunners() {
         pool.applyView(currentView.get());
-        notices.drain(this::applyReading, this::applySilence);
+        notices.drain(this::applyPrefill, this::applySilence);
     }
 
     /** The queue of what other routers report; any thread may add to it. */
@@ -225,7 +225,7 @@
             peerSender.accept(address, message);
     }
 
-    private void applyReading(PrefillNotice message, long receivedAt) {
+    private void applyPrefill(PrefillNotice message, long receivedAt) {
         var runner = pool.findRunner(message.runner);
         if (runner == null || message.prefillTokens <= 0) return;
         pool.recordPrefill(runner, message.prefillTokens, receivedAt);
--- a/lib/gateway/src/test/java/craneway/gateway/proxy/RunnerNoticeQueueTest.java
+++ b/lib/gateway/src/test/java/craneway/gateway/proxy/RunnerNoticeQueueTest.java
@@ -20,16 +20,16 @@
 
     private void drain() {
         queue.drain(
-                (reading, receivedAt) ->
-                        drained.add(reading.runner + " " + reading.prefillTokens + " at " + receivedAt),
+                (prefill, receivedAt) ->
+                        drained.add(prefill.runner + " " + prefill.prefillTokens + " at " + receivedAt),
                 (silence, receivedAt) -> drained.add(silence.runner + " silent at " + receivedAt));
     }
 
-    private void addReading(String runner, int tokens) {
-        var reading = new PrefillNotice();
-        reading.runner = runner;
-        reading.prefillTokens = tokens;
-        queue.add(reading);
+    private void addPrefill(String runner, int tokens) {
+        var prefill = new PrefillNotice();
+        prefill.runner = runner;
+        prefill.prefillTokens = tokens;
+        queue.add(prefill);
     }
 
     private void addSilence(String runner) {
@@ -40,7 +40,7 @@
 
     @Test
     void drainsEachNoticeOnceInOrderWithItsArrivalTime() {
-        addReading("i1", 5);
+        addPrefill("i1", 5);
         now.set(7);
         addSilence("i2");
         now.set(9);
@@ -51,11 +51,11 @@
 
     @Test
     void dropsNoticesBeyondTheBoundAndAcceptsNewOnesAfterDraining() {
-        for (var i = 0; i < ADDED_NOTICES; i++) addReading("i", i);
+        for (var i = 0; i < ADDED_NOTICES; i++) addPrefill("i", i);
         drain();
         assertEquals(MAX_QUEUED_NOTICES, drained.size());
         drained.clear();
-        addReading("i", 1);
+        addPrefill("i", 1);
         drain();
         assertEquals(1, drained.size());
     }
--- a/lib/model/src/main/java/craneway/model/manifest/Routes.java
+++ b/lib/model/src/main/java/craneway/model/manifest/Routes.java
@@ -17,7 +17,7 @@
     private final Map<String, Collection<String>> regionSetsByService = new ConcurrentHashMap<>();
     private final int count;
 
-    /** Creates the lookup for routes of which no two have the same host and prefix. */
+    /** Creates the lookup for these routes. No two of them may have the same host and prefix. */
     public Routes(Collection<Route> routes) {
         for (var r : routes)
             prefixesByHost
--- a/lib/process/src/main/java/craneway/process/RouterProcess.java
+++ b/lib/process/src/main/java/craneway/process/RouterProcess.java
@@ -114,8 +114,8 @@
         runtime.logEvent(Event.STOPPED, "router");
     }
 
-    private static void pause(long micros) throws InterruptedException {
-        Thread.sleep(micros / 1000);
+    private static void pause(long durationMicros) throws InterruptedException {
+        Thread.sleep(durationMicros / 1000);
     }
 
     /** Closes the process at once, without a graceful shutdown. */
--- a/lib/process/src/main/java/craneway/process/ShutdownSignal.java
+++ b/lib/process/src/main/java/craneway/process/ShutdownSignal.java
@@ -36,7 +36,7 @@
      * which a shutdown hook keeps the JVM alive for at most 70 s. The longest graceful shutdown, that of
      * {@link RouterProcess}, takes about 63 s. A superseded process skips the graceful shutdown.
      *
-     * @param stop the graceful shutdown
+     * @param shutdownAction the graceful shutdown
      * @param superseded whether a newer process with the same name has replaced this one; polled every 500 ms
      * @return the exit code of the process: 0 after a graceful shutdown, 3 if superseded
      */
--- a/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
+++ b/lib/state/src/test/java/craneway/state/disk/SegmentLogCost.java
@@ -9,7 +9,7 @@
 
 /** Measures the bytes and the processor time of an append with its sync, on a folder that costs nothing itself. */
 public final class SegmentLogCost {
-    private static final int ROUNDS = 9;
+    private static final int ROUND_COUNT = 9;
     private static final int APPENDS_PER_ROUND = 100_000;
     private static final int BODY_BYTES = 100;
 
@@ -60,10 +60,10 @@
     /** Prints the median over the rounds. */
     public static void main(String[] args) {
         var nanos = new ArrayList<Long>();
-        for (var round = 0; round < ROUNDS; round++) nanos.add(measureRound());
+        for (var round = 0; round < ROUND_COUNT; round++) nanos.add(measureRound());
         Collections.sort(nanos);
-        System.out.println("nanoseconds per append and sync: median " + nanos.get(ROUNDS / 2) + ", minimum "
-                + nanos.get(0) + ", maximum " + nanos.get(ROUNDS - 1));
+        System.out.println("nanoseconds per append and sync: median " + nanos.get(ROUND_COUNT / 2) + ", minimum "
+                + nanos.get(0) + ", maximum " + nanos.get(ROUND_COUNT - 1));
     }
 
     private static long measureRound() {
--- a/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
+++ b/lib/state/src/test/java/craneway/state/part/SnapshotReceiverTest.java
@@ -64,9 +64,9 @@
         var damaged = encoded.piece(0);
         damaged.bytes[50_000] ^= 1;
         accept(TERM, damaged);
-        var whole = accept(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
-        assertNotNull(whole.refusal());
-        assertNull(whole.snapshot());
+        var completed = accept(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES));
+        assertNotNull(completed.refusal());
+        assertNull(completed.snapshot());
         assertEquals(0, receiver.bufferCapacity());
         accept(TERM, encoded.piece(0));
         assertNotNull(accept(TERM, encoded.piece(EncodedSnapshot.PIECE_BYTES)).snapshot());
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -344,7 +344,7 @@
             return message;
         }
 
-        /** Takes as many messages off the queue as surely fit into one datagram; empty once the queue is. */
+        /** Removes and returns as many messages as certainly fit into one datagram; none if the queue is empty. */
         private synchronized List<byte[]> takeDatagram() {
             var batch = new ArrayList<byte[]>();
             var datagramBytes = Frame.HEADER_BYTES;
