--- a/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
+++ b/lib/control/src/test/java/craneway/control/node/CoreClientTest.java
@@ -61,7 +61,7 @@
         return client;
     }
 
-    private void sendZoneOrder() {
+    private void sendZoneMark() {
         coreClient.request(0, new Commands.ZoneMark(), TIMEOUT_MICROS, results::add);
     }
 
@@ -82,7 +82,7 @@
 
     /** Lets the client read the leader's clock from the answer to one command. */
     private void learnLeaderClock(long term, long clock) {
-        sendZoneOrder();
+        sendZoneMark();
         coreClient.receive(resultFor(lastSent(), 0, term, clock));
         results.clear();
         sent.clear();
@@ -90,7 +90,7 @@
 
     @Test
     void sendsACommandOnceItKnowsTheLeadersClock() {
-        sendZoneOrder();
+        sendZoneMark();
         assertEquals(0, lastSent().body.length);
         assertEquals(0, lastSent().leaderTerm);
         now += 70_000;
@@ -103,10 +103,10 @@
     }
 
     @Test
-    void allCopiesOfARequestCarryTheSameIdentityAndBound() {
+    void allCopiesOfARequestCarryTheSameIdentityAndDeadline() {
         learnLeaderClock(3, 9_000_000);
         now += 1_000_000;
-        sendZoneOrder();
+        sendZoneMark();
         var leaderDeadline = lastSent().leaderDeadline;
         assertEquals(9_000_000 + 1_000_000 + TIMEOUT_MICROS, leaderDeadline);
         now += 400_000;
@@ -124,15 +124,15 @@
     }
 
     @Test
-    void aLaterClockReadingNeverMovesTheBoundPastTheTimeout() {
+    void aLaterClockReadingNeverMovesTheDeadlinePastTheTimeout() {
         learnLeaderClock(3, 9_000_000);
         for (var delay : new long[] {0, 5_000, 300_000, 20_000}) {
-            sendZoneOrder();
+            sendZoneMark();
             var requestedAt = now;
             var clockReading = 9_000_000 + now - 50_000_000;
             now += delay;
             coreClient.receive(resultFor(lastSent(), 0, 3, clockReading));
-            sendZoneOrder();
+            sendZoneMark();
             assertTrue(
                     lastSent().leaderDeadline <= 9_000_000 + now + TIMEOUT_MICROS - 50_000_000, "after " + requestedAt);
             coreClient.receive(resultFor(lastSent(), 0, 0, 0));
@@ -143,7 +143,7 @@
     void requestsANewClockReadingWhenTheLastOneIsTooOld() {
         learnLeaderClock(3, 9_000_000);
         now += LeaderClock.FRESH_FOR_MICROS;
-        sendZoneOrder();
+        sendZoneMark();
         assertEquals(0, lastSent().body.length);
     }
 
@@ -152,7 +152,7 @@
         learnLeaderClock(3, 9_000_000);
         for (var round = 1; round <= 10; round++) {
             now += LeaderClock.FRESH_FOR_MICROS / 4;
-            sendZoneOrder();
+            sendZoneMark();
             assertTrue(lastSent().body.length > 0, "order " + round);
             coreClient.receive(
                     resultFor(lastSent(), 0, 3, 9_000_000 + round * LeaderClock.FRESH_FOR_MICROS / 4 - 70_000));
@@ -160,18 +160,18 @@
     }
 
     @Test
-    void sendsAQueryAtOnceAndWithoutABound() {
+    void sendsAQueryAtOnceAndWithoutADeadline() {
         coreClient.request(0, new Queries.ManifestGet(), TIMEOUT_MICROS, results::add);
         assertTrue(lastSent().body.length > 0);
         assertEquals(0, lastSent().leaderTerm);
     }
 
     @Test
-    void sendsAnUnboundCommandAtOnceToALeaderThatCannotTellItsClock() {
+    void sendsACommandWithoutDeadlineAtOnceToALeaderThatCannotReportItsClock() {
         var oldLeader = new Node("s2", Node.STORE, "z2", "s2", 1);
         oldLeader.supportsIdentifiedCommands = false;
         coreClient.leader(0, oldLeader);
-        sendZoneOrder();
+        sendZoneMark();
         assertTrue(lastSent().body.length > 0);
         assertEquals(0, lastSent().leaderDeadline);
         var result = new CommandResult();
@@ -182,7 +182,7 @@
 
     @Test
     void sendsTheCommandToALeaderThatCannotReadAClockRequest() {
-        sendZoneOrder();
+        sendZoneMark();
         var result = new CommandResult();
         result.id = lastSent().id;
         result.kind = ProblemKind.BAD_MESSAGE.code();
@@ -194,7 +194,7 @@
     @Test
     void dropsAResultMeantForAnEarlierProcessAtTheAddress() {
         learnLeaderClock(3, 9_000_000);
-        sendZoneOrder();
+        sendZoneMark();
         var result = resultFor(lastSent(), 0, 3, 9_000_000);
         result.sessionId = SESSION_ID + 1;
         coreClient.receive(result);
@@ -208,7 +208,7 @@
     @Test
     void deliversADuplicateResultOnce() {
         learnLeaderClock(3, 9_000_000);
-        sendZoneOrder();
+        sendZoneMark();
         var result = resultFor(lastSent(), 0, 3, 9_000_000);
         coreClient.receive(result);
         coreClient.receive(result);
@@ -218,21 +218,21 @@
     @Test
     void idsRiseAndEachRequestCarriesTheLowestPendingOne() {
         learnLeaderClock(3, 9_000_000);
-        sendZoneOrder();
+        sendZoneMark();
         var first = lastSent();
-        sendZoneOrder();
+        sendZoneMark();
         var second = lastSent();
         assertEquals(first.id + 1, second.id);
         assertEquals(first.id, second.lowestPending);
         coreClient.receive(resultFor(first, 0, 3, 9_000_000));
-        sendZoneOrder();
+        sendZoneMark();
         assertEquals(second.id, lastSent().lowestPending);
     }
 
     @Test
     void limitsImmediateResendsAfterLateReplies() {
         learnLeaderClock(3, 9_000_000);
-        sendZoneOrder();
+        sendZoneMark();
         for (var i = 0; i < 100; i++)
             coreClient.receive(resultFor(lastSent(), ProblemKind.LATE_COMMAND.code(), 3, 9_000_000 + i));
         assertTrue(sent.size() <= 3, "copies " + sent.size());
@@ -243,10 +243,10 @@
 
     @Test
     void differentProcessesStartAtDifferentIds() {
-        sendZoneOrder();
+        sendZoneMark();
         var firstId = lastSent().id;
         coreClient = coreClient(~SESSION_ID, new Node("s1", Node.STORE, "z1", "s1", 2));
-        sendZoneOrder();
+        sendZoneMark();
         assertNotEquals(firstId, lastSent().id);
     }
 }
--- a/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aRunningProcessAdmitsEveryOrder() {
+    void aRunningProcessAdmitsEveryRequest() {
         assertTrue(admitsNow(connection));
         tickFor(3_000_000);
         assertTrue(admitsNow(connection));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void refusesOrdersReadBeforeTheFirstTickAfterAPause() {
+    void refusesRequestsReadBeforeTheFirstTickAfterAPause() {
         tickFor(1_000_000);
         standStill(1_000_000);
         assertFalse(admitsNow(new PauseGuard.Connection()));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void refusesOrdersReadSoonAfterTheFirstTickAfterAPause() {
+    void refusesRequestsReadSoonAfterTheFirstTickAfterAPause() {
         tickFor(1_000_000);
         standStill(1_000_000);
         guard.tick(now);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void refusesOnlyTheFirstOrderOnAConnectionUsedBeforeAPause() {
+    void refusesOnlyTheFirstRequestOnAConnectionUsedBeforeAPause() {
         assertTrue(admitsNow(connection));
         standStill(3_000_000);
         tickFor(10_000_000);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void refusesAnOrderWhoseBodyWasReadAcrossAPause() {
+    void refusesARequestWhoseBodyWasReadAcrossAPause() {
         tickFor(1_000_000);
         var readStartedAt = now;
         standStill(2_000_000);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void admitsAnOrderWhoseBodyArrivesSlowlyWithoutAPause() {
+    void admitsARequestWhoseBodyArrivesSlowlyWithoutAPause() {
         var readStartedAt = now;
         tickFor(5_000_000);
         assertTrue(guard.admits(connection, readStartedAt, now));
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -38,25 +38,25 @@
     }
 
     @Test
-    void admitsACommandWithinItsBound() {
+    void admitsACommandWithinItsDeadline() {
         assertEquals(ADMITTED, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
         assertEquals(ADMITTED, fence.check(command(SESSION_ID, TERM, NOW_MICROS), TERM, NOW_MICROS));
     }
 
     @Test
-    void declinesACommandAfterItsBound() {
+    void declinesACommandAfterItsDeadline() {
         assertEquals(LATE, fence.check(command(SESSION_ID, TERM, NOW_MICROS - 1), TERM, NOW_MICROS));
     }
 
     @Test
-    void declinesABoundByAnotherLeadersClock() {
+    void declinesADeadlineOnAnotherLeadersClock() {
         assertEquals(LATE, fence.check(command(SESSION_ID, TERM - 1, NOW_MICROS + 1), TERM, NOW_MICROS));
         assertEquals(LATE, fence.check(command(SESSION_ID, TERM + 1, NOW_MICROS + 1), TERM, NOW_MICROS));
         assertEquals(LATE, fence.check(command(SESSION_ID, 0, 0), TERM, NOW_MICROS));
     }
 
     @Test
-    void declinesABoundFartherAheadThanAnyClientWaits() {
+    void declinesADeadlineFartherAheadThanAnyClientWaits() {
         assertEquals(
                 LATE,
                 fence.check(
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aZoneOrderIsOvertakenByAnAdmittedOneWithALaterBound() {
+    void aZoneMarkIsOvertakenByAnAdmittedOneWithALaterDeadline() {
         assertFalse(fence.isOvertaken("z1", NOW_MICROS + 500));
         assertFalse(fence.isOvertaken("z1", NOW_MICROS + 500));
         assertTrue(fence.isOvertaken("z1", NOW_MICROS + 499));
--- a/lib/state/src/test/java/craneway/state/record/CommandSessionsTest.java
+++ b/lib/state/src/test/java/craneway/state/record/CommandSessionsTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void sequenceBelowFloorHasNoEffect() {
+    void sequenceBelowLowestAcceptedHasNoEffect() {
         apply(SESSION_ID, 10, 10, zoneMark(false));
         var late = apply(SESSION_ID, 9, 9, zoneMark(true));
         assertEquals(ProblemKind.LATE_COMMAND.code(), late.kind);
