--- a/lib/control/src/main/java/craneway/control/node/CoreClient.java
+++ b/lib/control/src/main/java/craneway/control/node/CoreClient.java
@@ -17,11 +17,12 @@
 
 /**
  * Sends queries and commands to the leader of a part and repeats them until a result arrives. All copies of a request
- * carry one identity, the life of this process and a rising id, so that a command is applied once. Commands also
- * carry a bound by the leader's clock, so that a copy that arrives after the caller's deadline has no effect.
+ * carry one identity, the session id of this process and an increasing request id, so that a command is applied once.
+ * Commands also carry a deadline on the leader's clock, so that a copy that arrives after the caller's deadline has no
+ * effect.
  *
- * <p>Safe for several threads. Results are delivered on the thread that calls {@link #receive} or {@link #tick}.
- * Times are microseconds.
+ * <p>Safe for several threads. Results are delivered on the thread that calls {@link #receive} or {@link #tick}. Times
+ * are microseconds.
  */
 public final class CoreClient {
     /**
@@ -39,22 +40,25 @@
         long id;
         int part;
         byte[] body;
-        /** Commands change the state and carry a bound; queries do not. */
+        /** Commands change the state and carry a deadline on the leader's clock; queries do not. */
         boolean isCommand;
 
         /** Whether the last copy only asked for the leader's clock. */
         boolean clockOnly;
 
-        /** Whether the store cannot read clock requests, so that the command is sent without a bound. */
-        boolean sendUnbound;
+        /**
+         * Whether the store cannot read clock requests, so that the command is sent without a deadline on the leader's
+         * clock.
+         */
+        boolean sendWithoutDeadline;
 
         long nextSendAt;
         long deadline;
         int storeTurn;
-        /** How many copies were declined as late or unknown. */
+        /** The number of copies that were declined as late or as coming from an unknown session. */
         int declines;
 
-        /** Whether any copy was sent; if not, the request surely had no effect. */
+        /** Whether any copy was sent; if not, the request certainly had no effect. */
         boolean sent;
 
         Consumer<CommandResult> onResult;
@@ -62,20 +66,21 @@
 
     private final Port port;
     private final NodeDirectory directory;
-    private final long life;
+    private final long sessionId;
     private final TreeMap<Long, PendingRequest> pendingById = new TreeMap<>();
     private final Map<Integer, Node> leaderByPart = new HashMap<>();
     private final Map<Integer, LeaderClock> clockByPart = new HashMap<>();
     private long nextId;
 
     /**
-     * Creates a client. The life identifies this process: it must be 64 random bits that no other process ever used.
+     * Creates a client. The session id identifies this process: it must be 64 random bits that no other process ever
+     * used.
      */
-    public CoreClient(Port port, NodeDirectory directory, long life) {
+    public CoreClient(Port port, NodeDirectory directory, long sessionId) {
         this.port = port;
         this.directory = directory;
-        this.life = life == 0 ? 1 : life;
-        this.nextId = life >>> 8;
+        this.sessionId = sessionId == 0 ? 1 : sessionId;
+        this.nextId = sessionId >>> 8;
     }
 
     /** The store believed to lead the part; null if it is unknown. */
@@ -90,7 +95,7 @@
     }
 
     /**
-     * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, at the latest about
+     * Sends a query or command to the leader of a part; {@code onResult} gets exactly one result, no later than about
      * {@code timeoutMicros} from now.
      */
     public void request(int part, Object body, long timeoutMicros, Consumer<CommandResult> onResult) {
@@ -98,8 +103,8 @@
     }
 
     /**
-     * Like {@link #request}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If it
-     * has passed, nothing is sent and the next tick reports the failure.
+     * Like {@link #request}, for a caller that waits until {@code deadline} by the monotonic clock of this process. If
+     * it has passed, nothing is sent and the next tick reports the failure.
      */
     public void requestUntil(int part, Object body, long deadline, Consumer<CommandResult> onResult) {
         var pending = new PendingRequest();
@@ -134,7 +139,7 @@
         request.id = pending.id;
         request.part = pending.part;
         request.from = directory.self();
-        request.sessionId = life;
+        request.sessionId = sessionId;
         request.lowestPending = pendingById.firstKey();
         request.body = pending.body;
         pending.clockOnly = false;
@@ -143,7 +148,7 @@
         if (clock != null && clock.isFresh(now)) {
             request.leaderTerm = clock.term();
             request.leaderDeadline = clock.leaderTimeAt(pending.deadline);
-        } else if (store.supportsIdentifiedCommands && !pending.sendUnbound) {
+        } else if (store.supportsIdentifiedCommands && !pending.sendWithoutDeadline) {
             pending.clockOnly = true;
             request.body = CLOCK_REQUEST_BODY;
         }
@@ -157,10 +162,10 @@
     }
 
     /**
-     * Takes a result. Results for an earlier process at this address and for requests no longer pending are dropped.
+     * Handles a result. Results for an earlier process at this address and for requests no longer pending are dropped.
      */
     public void receive(CommandResult result) {
-        if (result.sessionId != 0 && result.sessionId != life) {
+        if (result.sessionId != 0 && result.sessionId != sessionId) {
             port.logEvent(Event.STALE_REPLY, "life " + Long.toHexString(result.sessionId) + " request " + result.id);
             return;
         }
@@ -178,11 +183,11 @@
                 return;
             }
             if (result.kind == ProblemKind.LATE_COMMAND.code() || result.kind == ProblemKind.UNKNOWN_LIFE.code()) {
-                resendRebound(pending);
+                resendWithNewDeadline(pending);
                 return;
             }
             if (pending.clockOnly && result.kind == ProblemKind.BAD_MESSAGE.code()) {
-                pending.sendUnbound = true;
+                pending.sendWithoutDeadline = true;
                 send(pending);
                 return;
             }
@@ -191,7 +196,7 @@
         pending.onResult.accept(result);
     }
 
-    /** Records the leader that a store named, and resends at once if that is news. */
+    /** Records the leader that a store named, and resends at once if it differs from the leader known so far. */
     private void redirect(PendingRequest pending, Node namedLeader) {
         var previous = leaderByPart.get(pending.part);
         leader(pending.part, namedLeader);
@@ -203,10 +208,10 @@
     }
 
     /**
-     * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock by which
-     * the next copy is bound.
+     * Sends a declined copy again. It had no effect, and its answer brought a reading of the leader's clock, by which
+     * the deadline of the next copy is set.
      */
-    private void resendRebound(PendingRequest pending) {
+    private void resendWithNewDeadline(PendingRequest pending) {
         var now = port.now();
         if (now >= pending.deadline) return;
         if (pending.declines++ < MAX_IMMEDIATE_RESENDS) send(pending);
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -36,13 +36,13 @@
     /**
      * What the rest of the process sees of the core. Arrays and lists are indexed by part and must not be changed.
      *
-     * @param topic the content of the manifest topic
+     * @param manifestRow the content of the manifest topic
      * @param manifest the manifest in force; null before the first
      * @param services the services by name
-     * @param leases the end of the lease at each part
-     * @param members the members that the leader of each part reported last
-     * @param grace how long this process may act after a lease has lapsed; the smallest over all parts
-     * @param heldSince since when the lease at each part has been held
+     * @param leaseEnds the end of the lease at each part
+     * @param membersByPart the members that the leader of each part reported last
+     * @param graceMicros how long this process may act after a lease has lapsed; the smallest over all parts
+     * @param heldSinceByPart since when the lease at each part has been held
      */
     public record CoreView(
             Rows.Manifest manifestRow,
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Starts over with a newer generation of the core: drops leases, versions and leaders, but keeps the contents of
-     * topics.
+     * Resets the leases for a newer generation of the core: drops leases, versions and leaders, but keeps the contents
+     * of topics.
      */
     public synchronized void followCore() {
         for (var lease : partLeases) lease.reset();
@@ -174,7 +174,7 @@
         publishView();
     }
 
-    /** Notices lapsed leases, sends due renewals and renews subscriptions. */
+    /** Detects lapsed leases, sends due renewals and renews subscriptions. */
     public synchronized void tick(long now) {
         if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
@@ -194,7 +194,7 @@
         if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
-    /** Takes the replies to the renewals that were sent in one message. */
+    /** Handles the replies to the renewals that were sent in one message. */
     public synchronized void receive(RenewalReplies replies, long now) {
         for (var reply : replies.parts) {
             reply.sentAt = replies.sentAt;
@@ -210,7 +210,7 @@
         sendDueRenewals(now);
     }
 
-    /** Takes the reply of a part to a renewal. */
+    /** Handles the reply of a part to a renewal. */
     public synchronized void receive(RenewalReply reply, long now) {
         if (reply.part < 0 || reply.part >= partLeases.length) return;
         var lease = partLeases[reply.part];
@@ -242,7 +242,9 @@
         acceptOffer(reply.part, now);
     }
 
-    /** Handles the reply of a store that does not lead: renews soon at the leader that it names, if that is news. */
+    /**
+     * Handles the reply of a store that does not lead: renews soon at the leader that it names, if it is not yet known.
+     */
     private void handleNotLeader(RenewalReply reply, PartLease lease, long now) {
         lease.unansweredRenewals =
                 Math.min(lease.unansweredRenewals, timing.lowTraffic() ? LeaseRenewer.MAX_UNANSWERED_RENEWALS : 0);
@@ -271,18 +273,18 @@
         publishView();
     }
 
-    /** Takes a subscription of another router. */
+    /** Handles a subscription of another router. */
     public synchronized void receive(Subscription subscription, long now) {
         topics.addSubscriber(subscription, now);
     }
 
-    /** Takes a new version of a topic, and accepts a lease that waited for it. */
-    public synchronized void receive(TopicUpdate news, long now) {
-        if (!topics.accept(news)) return;
-        if (news.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
+    /** Handles a new version of a topic, and accepts a lease that waited for it. */
+    public synchronized void receive(TopicUpdate update, long now) {
+        if (!topics.accept(update)) return;
+        if (update.topic.equals(Parts.MANIFEST_TOPIC)) renewPartsWithUnknownTopics();
         publishView();
-        partLeases[Parts.partOf(news.topic)].nextRenewalAt = now;
-        acceptOffer(Parts.partOf(news.topic), now);
+        partLeases[Parts.partOf(update.topic)].nextRenewalAt = now;
+        acceptOffer(Parts.partOf(update.topic), now);
         if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
         topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
     }
--- a/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -39,8 +39,8 @@
      * How far a change has reached the members.
      *
      * @param version the number of the manifest, or the id of the plan
-     * @param missing members that have not confirmed the change
-     * @param able those of them that are routers and may still act on the old state
+     * @param unconfirmedMembers members that have not confirmed the change
+     * @param routersStillActing those of them that are routers and may still act on the old state
      */
     public record RolloutResult(long version, List<String> unconfirmedMembers, List<String> routersStillActing) {}
 
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Reports how far a version of the manifest topic has come, once {@code doneWhen} accepts the state or the time
-     * is over.
+     * Reports how far a version of the manifest topic has come, once {@code doneWhen} accepts the state or the timeout
+     * has passed.
      */
     private void awaitRollout(
             long topicVersion,
@@ -291,8 +291,8 @@
     }
 
     /**
-     * Accepts at all parts that claims may have been lost in a rebuild, so that run-once work is taken again. Returns
-     * the number of parts.
+     * Accepts at all parts that claims may have been lost in a rebuild, so that run-once work is accepted again.
+     * Returns the number of parts.
      */
     public void acceptClaims(Consumer<Either<Problem, Integer>> onResult) {
         var outstanding = new int[] {Parts.COUNT};
--- a/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
+++ b/lib/control/src/main/java/craneway/control/plan/PressureRelief.java
@@ -17,13 +17,13 @@
  * slots, smoothed over time.
  */
 public final class PressureRelief {
-    /** From this utilization on a cell is full. */
+    /** A cell with this utilization or more is full. */
     public static final double FULL_UTILIZATION = 0.8;
 
-    /** Up to this utilization a cell is calm. */
+    /** A cell with this utilization or less is calm. */
     public static final double CALM_UTILIZATION = 0.6;
 
-    /** Up to this utilization a cell takes displaced units. */
+    /** A cell accepts displaced units up to this utilization. */
     public static final double MAX_TARGET_UTILIZATION = 0.6;
 
     /** Units are displaced from a cell that has been full for this many microseconds. */
@@ -134,14 +134,14 @@
                 if (service.homeCells[unit] == cell
                         && service.displacedCellOf(unit) == PlacementTable.NOWHERE
                         && isAllowed(service, unit, target)) units.add(unit);
-            if (!units.isEmpty()) return newDisplace(service, units, target);
+            if (!units.isEmpty()) return newUnitDisplacement(service, units, target);
         }
         return null;
     }
 
     /**
-     * The open cell with the lowest utilization that has room and is not held back; {@link PlacementTable#NOWHERE} if there is
-     * none.
+     * The open cell with the lowest utilization that has room and is not held back; {@link PlacementTable#NOWHERE} if
+     * there is none.
      */
     private static int leastUtilizedCell(Rows.Service service, double[] utilization, BitSet openCells, int excluded) {
         var bestCell = PlacementTable.NOWHERE;
@@ -169,11 +169,11 @@
                     && home != PlacementTable.NOWHERE
                     && hasLasted(calmSinceByCell, service, home, CALM_HOLD_MICROS, now)) units.add(unit);
         }
-        return units.isEmpty() ? null : newDisplace(service, units, PlacementTable.NOWHERE);
+        return units.isEmpty() ? null : newUnitDisplacement(service, units, PlacementTable.NOWHERE);
     }
 
     /** A command that displaces units to a cell, or ends their displacement. */
-    private static UnitDisplacement newDisplace(Rows.Service service, List<Integer> units, int target) {
+    private static UnitDisplacement newUnitDisplacement(Rows.Service service, List<Integer> units, int target) {
         var command = new UnitDisplacement();
         command.service = service.name;
         command.tableVersion = service.tableVersion;
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -25,8 +25,8 @@
     /** A mean time to first token up to this is never a reason to take a step back. */
     private static final long SLOW_FIRST_TOKEN_MICROS = 1_000_000;
 
-    /** With fewer runs or problems than this nothing is concluded. */
-    private static final int MIN_SAMPLES = 5;
+    /** A comparison needs at least this many runs or problems. */
+    private static final int MIN_SAMPLE_COUNT = 5;
 
     /** When a step was first watched, and the state of its new home before. */
     private record WatchedStep(long since, SignalHistory.CellTotals baseline) {}
@@ -38,16 +38,16 @@
         watchedSteps.clear();
     }
 
-    /** The verdict on the first step of a service that can be decided: kept or taken back. Null if there is none. */
-    public StepMark nextVerdict(Rows.Service service, SignalHistory signals, BitSet openCells, long now) {
+    /** The command that keeps or takes back the first step of a service that can be decided; null if there is none. */
+    public StepMark nextVerdict(Rows.Service service, SignalHistory signalHistory, BitSet openCells, long now) {
         for (var step : service.steps) {
             if (step.state != Rows.Step.RAISED) continue;
-            var watched = watchedStep(service, step, signals, now);
+            var watched = watchedStep(service, step, signalHistory, now);
             var units = returnableUnits(step, openCells);
             var degradation = units.length > 0
                     ? describeDegradation(
                             watched.baseline,
-                            signals.totalsSince(service.name, service.cells.get(step.toCell), watched.since, now))
+                            signalHistory.totalsSince(service.name, service.cells.get(step.toCell), watched.since, now))
                     : null;
             if (degradation == null && now - watched.since < WATCH_MICROS) continue;
             watchedSteps.remove(service.name + "/" + step.id);
@@ -60,11 +60,11 @@
      * Starts to watch a step. Steps to the same cell that are watched at the same time share the earliest baseline,
      * which none of them has affected.
      */
-    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, SignalHistory signals, long now) {
+    private WatchedStep watchedStep(Rows.Service service, Rows.Step step, SignalHistory signalHistory, long now) {
         var existing = watchedSteps.get(service.name + "/" + step.id);
         if (existing != null) return existing;
-        var baseline =
-                signals.totalsSince(service.name, service.cells.get(step.toCell), now - BASELINE_WINDOW_MICROS, now);
+        var baseline = signalHistory.totalsSince(
+                service.name, service.cells.get(step.toCell), now - BASELINE_WINDOW_MICROS, now);
         for (var other : service.steps) {
             var watched = watchedSteps.get(service.name + "/" + other.id);
             if (watched == null || other.toCell != step.toCell) continue;
@@ -86,11 +86,11 @@
 
     /** Describes how a cell got worse; null if it did not. */
     private static String describeDegradation(SignalHistory.CellTotals baseline, SignalHistory.CellTotals current) {
-        if (current.problems() >= MIN_SAMPLES && current.problemShare() > 0.1 + 2 * baseline.problemShare())
+        if (current.problems() >= MIN_SAMPLE_COUNT && current.problemShare() > 0.1 + 2 * baseline.problemShare())
             return String.format(
                     "problems rose from %.2f to %.2f of its work", baseline.problemShare(), current.problemShare());
-        if (current.runs() >= MIN_SAMPLES
-                && baseline.runs() >= MIN_SAMPLES
+        if (current.runs() >= MIN_SAMPLE_COUNT
+                && baseline.runs() >= MIN_SAMPLE_COUNT
                 && current.meanFirstTokenMicros() > SLOW_FIRST_TOKEN_MICROS
                 && current.meanFirstTokenMicros() > 3 * baseline.meanFirstTokenMicros())
             return String.format(
@@ -99,7 +99,7 @@
         return null;
     }
 
-    /** The verdict on a step as a command. */
+    /** The command that keeps a step or takes it back. */
     private static StepMark newStepMark(Rows.Service service, Rows.Step step, String degradation, int[] units) {
         var mark = new StepMark();
         mark.service = service.name;
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -47,13 +47,13 @@
 
 /**
  * One store's replica of a part: the replicated log ({@link Group}) with its state ({@link Records}), and what the
- * part's leader does beside it. The leader grants leases to members, publishes news of the part's topics, marks
+ * part's leader does beside it. The leader grants leases to members, publishes updates of the part's topics, marks
  * silent runners as dark, moves units between cells, and adjusts the group's members.
  *
- * <p>All input arrives as events that run one at a time, on the part's executor and under its lock. After each batch
- * of events the log is synced and pending messages are sent, so that nothing is sent before what it depends on is on
- * disk. What only the leader keeps in memory (leases, subscriptions, loads) is cleared whenever leadership changes.
- * Times are microseconds of the process's monotonic clock.
+ * <p>All input arrives as events that run one at a time, on the part's executor and under its lock. After each batch of
+ * events the log is synced and pending messages are sent, so that nothing is sent before what it depends on is on disk.
+ * What only the leader keeps in memory (leases, subscriptions, loads) is cleared whenever leadership changes. Times are
+ * microseconds of the process's monotonic clock.
  */
 public final class PartReplica implements GroupListener {
     /** How long a subscription to a topic lasts unless it is renewed. */
@@ -116,7 +116,7 @@
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
     private final LeaseTable memberLeases = new LeaseTable();
-    /** By service and runner, "service/runner", as the next two. */
+    /** The key of this map and the next two is "service/runner". */
     private final Map<String, Long> runnerHeardAt = new HashMap<>();
 
     private final Map<String, Long> lastSequenceByRunner = new HashMap<>();
@@ -140,7 +140,7 @@
     private long nextRunnerScanAt;
 
     /**
-     * Opens the replica from its folder; {@code initialMembers} are empty unless this store founded or rebuilt the
+     * Opens the replica from its folder; {@code initialMembers} are empty unless this store bootstrapped or rebuilt the
      * core.
      */
     public PartReplica(
@@ -151,12 +151,12 @@
             Port port,
             NodeDirectory directory,
             Membership membership,
-            StoreOptions rules,
+            StoreOptions options,
             Random random) {
-        quorum = rules.quorum();
-        timing = rules.timing();
-        executor = rules.executorByPart().apply(part);
-        settings = rules.settings();
+        quorum = options.quorum();
+        timing = options.timing();
+        executor = options.executorByPart().apply(part);
+        settings = options.settings();
         this.part = part;
         this.port = port;
         this.directory = directory;
@@ -195,7 +195,7 @@
                 for (var event = eventQueue.poll(); event != null; event = eventQueue.poll()) event.run();
                 if (closed) return;
                 group.syncAndSend(port.now());
-                publishNews(port.now());
+                publishUpdates(port.now());
             } finally {
                 lock.unlock();
             }
@@ -408,10 +408,10 @@
             reply(request, earlierResult);
             return;
         }
-        var zoneOrder = body instanceof Commands.ZoneMark mark ? mark : null;
+        var zoneMark = body instanceof Commands.ZoneMark mark ? mark : null;
         if (admission == CommandFence.Admission.ADMITTED
-                && zoneOrder != null
-                && commandFence.isOvertaken(zoneOrder.zone, request.leaderDeadline))
+                && zoneMark != null
+                && commandFence.isOvertaken(zoneMark.zone, request.leaderDeadline))
             admission = CommandFence.Admission.LATE;
         if (admission == CommandFence.Admission.ADMITTED) dispatch(request, body, now);
         else {
@@ -430,7 +430,7 @@
 
     /**
      * Declines a command without effect. The reply carries the leader's clock, so that the sender may send it again,
-     * with a new bound, before its deadline.
+     * with a new deadline on this clock, before the sender's own deadline has passed.
      */
     private void declineCommand(CommandRequest request, ProblemKind kind) {
         commandFence.recordClockSent(request.sessionId);
@@ -473,12 +473,14 @@
      */
     private void proposeCommand(CommandRequest request, Object command, Consumer<CommandResult> onResult) {
         propose(
-                allMembersReadFencedCommands() ? CommandFence.withIdentity(request, command, request.body) : command,
+                allMembersReadIdentifiedCommands()
+                        ? CommandFence.withIdentity(request, command, request.body)
+                        : command,
                 onResult);
     }
 
     /** Whether all members, and so all replicas, can read commands that carry the identity of their sender. */
-    private boolean allMembersReadFencedCommands() {
+    private boolean allMembersReadIdentifiedCommands() {
         var members = records.rows().members.values();
         return !members.isEmpty() && members.stream().allMatch(member -> member.node.supportsIdentifiedCommands);
     }
@@ -515,8 +517,9 @@
     }
 
     /**
-     * Takes a runner's heartbeat. Only a heartbeat that changes the runner's row is written to the log; the others
-     * just update its load and when it was heard. Heartbeats that arrive out of order are acknowledged and ignored.
+     * Handles a runner's heartbeat. Only a heartbeat that changes the runner's row is written to the log; the others
+     * just update its load and the time of its last heartbeat. Heartbeats that arrive out of order are acknowledged and
+     * ignored.
      */
     private void putRunner(CommandRequest request, Commands.RunnerPut command, long now) {
         var service = records.rows().services.get(command.service);
@@ -615,7 +618,7 @@
      */
     private void handleRenewal(Renewal renewal, long now, Consumer<RenewalReply> onReply) {
         if (!group.hasLease(now)) {
-            var reply = newRenewReply(renewal, ProblemKind.NOT_OWNER.code());
+            var reply = newRenewalReply(renewal, ProblemKind.NOT_OWNER.code());
             reply.leader = otherLeader();
             onReply.accept(reply);
             return;
@@ -625,7 +628,7 @@
         if (member != null) directory.recordReplacement(member.node, renewal.from);
         var outranking = findOutrankingNode(renewal.from, member);
         if (outranking != null) {
-            var reply = newRenewReply(renewal, ProblemKind.STALE_MEMBER.code());
+            var reply = newRenewalReply(renewal, ProblemKind.STALE_MEMBER.code());
             reply.incarnation = outranking.incarnation;
             reply.recordedMember = outranking;
             onReply.accept(reply);
@@ -671,7 +674,7 @@
         propose(command);
     }
 
-    private RenewalReply newRenewReply(Renewal renewal, int kind) {
+    private RenewalReply newRenewalReply(Renewal renewal, int kind) {
         var reply = new RenewalReply();
         reply.part = part;
         reply.kind = kind;
@@ -695,7 +698,7 @@
                             && now - publishedAtByTopic.getOrDefault(topic, leaderSince)
                                     < STALE_TOPIC_PUSH_DELAY_MICROS) continue;
             if (pushedAtByTarget.putIfAbsent(renewal.from.peerAddress + " " + topic, now) == null)
-                port.send(renewal.from.peerAddress, buildNews(topic));
+                port.send(renewal.from.peerAddress, buildUpdate(topic));
         }
     }
 
@@ -705,7 +708,7 @@
         for (var signal : renewal.signals)
             signalHistory.add(
                     signal.service, signal.cell, signal.startedAnswers, signal.failures, signal.firstTokenMicros, now);
-        var reply = newRenewReply(renewal, 0);
+        var reply = newRenewalReply(renewal, 0);
         reply.leader = directory.self();
         reply.graceMicros = renewal.from.graceMicros;
         reply.membersVersion = records.rows().membersVersion;
@@ -738,15 +741,15 @@
     }
 
     /** A message with the current version and content of a topic. */
-    private TopicUpdate buildNews(String topic) {
-        var news = new TopicUpdate();
-        news.topic = topic;
-        news.version = topicVersion(topic);
-        news.body = Codec.encode(
+    private TopicUpdate buildUpdate(String topic) {
+        var update = new TopicUpdate();
+        update.topic = topic;
+        update.version = topicVersion(topic);
+        update.body = Codec.encode(
                 topic.equals(Parts.MANIFEST_TOPIC)
                         ? records.rows().manifest.copyForPublication()
                         : records.rows().services.get(topic));
-        return news;
+        return update;
     }
 
     /** Adds or renews a subscription, and sends the topic if the subscriber has an older version. */
@@ -756,11 +759,11 @@
                 .computeIfAbsent(subscription.topic, topic -> new HashMap<>())
                 .put(subscription.from.peerAddress, now);
         if (topicVersion(subscription.topic) > subscription.knownVersion)
-            port.send(subscription.from.peerAddress, buildNews(subscription.topic));
+            port.send(subscription.from.peerAddress, buildUpdate(subscription.topic));
     }
 
     /** Sends every topic that changed since the last call to its subscribers. */
-    private void publishNews(long now) {
+    private void publishUpdates(long now) {
         if (!group.hasLease(now)) return;
         for (var topic : topicNames()) {
             var version = topicVersion(topic);
@@ -770,8 +773,8 @@
             var subscribers = subscribersByTopic.getOrDefault(topic, Map.of());
             subscribers.values().removeIf(renewedAt -> now - renewedAt > SUBSCRIPTION_TTL_MICROS);
             if (subscribers.isEmpty()) continue;
-            var news = buildNews(topic);
-            subscribers.keySet().forEach(address -> port.send(address, news));
+            var update = buildUpdate(topic);
+            subscribers.keySet().forEach(address -> port.send(address, update));
         }
     }
 
@@ -805,7 +808,7 @@
         return !openProposalKeys.add(key);
     }
 
-    /** Proposes to mark runners as dark that have not been heard for too long. */
+    /** Proposes to mark runners as dark whose last heartbeat is too old. */
     private void scanRunners(long now) {
         for (var service : records.rows().services.values())
             for (var runner : service.runners.values()) {
@@ -823,7 +826,7 @@
             }
     }
 
-    /** Takes a request to join or leave, or the leader's answer to a request to leave. */
+    /** Handles a request to join or leave, or the leader's answer to a request to leave. */
     private void handleJoin(Join request, long now) {
         if (request.isReply) plannedLeave.recordAnswer(request.mayStop, now);
         else if (group.hasLease(now) && request.leaving) handleLeaveRequest(request, now);
@@ -963,9 +966,8 @@
     }
 
     /**
-     * The next command for a service: a verdict on a step under watch, a step to the wanted homes, or a displacement
-     * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table
-     * steps.
+     * The next command for a service: the decision on a step under watch, a step to the wanted homes, or a displacement
+     * of units from a full cell. Null if nothing is due. Members that cannot read step commands get plain table steps.
      */
     private Object nextStepCommand(Rows.Service service, Membership.CoreView view, long now) {
         var openCells = unitMover.openCells(service, view.manifestRow().marks, now);
@@ -1011,8 +1013,8 @@
     }
 
     /**
-     * Whether the voter in the zone of a cell holds the log up to an index; true as well if there is no voter or it
-     * is silent.
+     * Whether the voter in the zone of a cell holds the log up to an index; also true if there is no voter or it is
+     * silent.
      */
     private boolean isZoneStoreSynced(Rows.Service service, int cell, long index, long now) {
         var storeId = voterInZone(group.members(), service.zones.get(cell));
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -43,17 +43,18 @@
 import java.util.function.Consumer;
 
 /**
- * A store process: it founds a core together with other empty stores or joins an existing one, holds a replica of
+ * A store process: it bootstraps a core together with other empty stores or joins an existing one, holds a replica of
  * each part, and takes part in the core as a node with leases of its own.
  *
  * <p>The owner calls {@link #tick}, or {@link #tickNode} and {@link #tickPart} from several threads, every few
- * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link StoreOptions}.
+ * milliseconds, and passes every message to {@link #receive}. Replicas run on the executors of the {@link
+ * StoreOptions}.
  */
 public final class Store {
     /** Holds the id of this store, drawn at random when its folder was empty. */
     private static final String IDENTITY_FILE = "identity";
 
-    /** Holds the core's founding record; its absence means that this store belongs to no core yet. */
+    /** Holds the core's {@link Founding} record; its absence means that this store belongs to no core yet. */
     private static final String CORE_FILE = "core";
 
     /** Holds the addresses of all stores known, which are contacted like seeds after a restart. */
@@ -62,7 +63,7 @@
     /** Holds the last incarnation used by a process on this folder. */
     private static final String INCARNATION_FILE = "life";
 
-    /** Holds the addresses of the seeds at the first start, if only those may found the core. */
+    /** Holds the addresses of the seeds at the first start, if only those may bootstrap the core. */
     private static final String FOUNDERS_FILE = "founders";
 
     /** Files of a damaged or replaced folder are kept under names with this prefix. */
@@ -71,7 +72,7 @@
     /** How often requests to join or leave are repeated; half of it with the low-traffic profile. */
     private static final long JOIN_INTERVAL_MICROS = 500_000;
 
-    /** How often a store that cannot found a core yet logs what it waits for. */
+    /** How often a store that cannot bootstrap a core yet logs what it waits for. */
     private static final long WAITING_LOG_INTERVAL_MICROS = 5_000_000;
 
     /** How often the known stores and the incarnation are saved if they changed. */
@@ -85,7 +86,7 @@
 
     private final Port port;
     private final Folder folder;
-    private final StoreOptions rules;
+    private final StoreOptions options;
     private final Executor saveExecutor;
     private final CoreSettings settings;
     private final List<String> seeds;
@@ -103,7 +104,7 @@
     private volatile long leavingSince;
     private volatile long savedIncarnation;
 
-    /** Opens a store with default rules that founds a core with {@code founderCount} empty stores. */
+    /** Opens a store with default options that bootstraps a core with {@code founderCount} empty stores. */
     public Store(Port port, Folder folder, Node self, List<String> seeds, int founderCount, Random random) {
         this(port, folder, self, seeds, StoreOptions.of(founderCount), random);
     }
@@ -115,26 +116,26 @@
      * @param seeds addresses of stores to contact first
      * @param random also the source of the ids of this store and of its client
      */
-    public Store(Port port, Folder folder, Node self, List<String> seeds, StoreOptions rules, Random random) {
+    public Store(Port port, Folder folder, Node self, List<String> seeds, StoreOptions options, Random random) {
         this.port = port;
         this.folder = folder;
-        this.rules = rules;
-        saveExecutor = rules.executorByPart().apply(Parts.MANIFEST_PART);
-        settings = rules.settings();
+        this.options = options;
+        saveExecutor = options.executorByPart().apply(Parts.MANIFEST_PART);
+        settings = options.settings();
         this.seeds = seeds;
         this.random = random;
         self.storeId = loadOrCreateIdentity();
         if (self.sessionId != 0) self.incarnation = self.incarnationAbove(loadLastIncarnation());
-        directory = new NodeDirectory(port, self, withKnownStores(seeds), rules.timing());
+        directory = new NodeDirectory(port, self, withKnownStores(seeds), options.timing());
         coreClient = new CoreClient(port, directory, random.nextLong());
-        membership = new Membership(port, directory, coreClient, rules.timing());
+        membership = new Membership(port, directory, coreClient, options.timing());
         reopenCore();
         founderAddresses = loadFounders();
     }
 
     /**
-     * The addresses that may found the core; empty if any store may, or if this store was not started at the first
-     * start.
+     * The addresses of the stores that may bootstrap the core; empty if any store may, or if this store was not started
+     * at the first start.
      */
     private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
@@ -144,8 +145,8 @@
         return bytes == null ? Set.of() : Set.of(new String(bytes).split("\n"));
     }
 
-    /** Whether a store may be among those that found the core. */
-    private boolean mayFound(Node node) {
+    /** Whether a store may be among those that bootstrap the core. */
+    private boolean mayBootstrap(Node node) {
         return !settings.seedsOnly()
                 || (founderAddresses.isEmpty()
                         ? seeds.contains(node.peerAddress)
@@ -281,7 +282,7 @@
                     port,
                     directory,
                     membership,
-                    rules,
+                    options,
                     new Random(random.nextLong()));
         replicas = started;
     }
@@ -298,14 +299,14 @@
     }
 
     /**
-     * Does the periodic work of the node: greetings, founding, leases, retries of commands, requests to join, and
+     * Does the periodic work of the node: greetings, bootstrap, leases, retries of commands, requests to join, and
      * saving.
      */
     public void tickNode() {
         var now = port.now();
         if (directory.newerFounding() != null) followNewerCore(directory.newerFounding());
         directory.tick(now);
-        if (directory.self().coreId == 0) tryFoundCore(now);
+        if (directory.self().coreId == 0) tryBootstrapCore(now);
         membership.tick(now);
         coreClient.tick(now);
         replyBatches.removeIf(batch -> batch.flushIfOverdue(now));
@@ -336,7 +337,7 @@
     }
 
     /**
-     * Proposes to rebuild the core from this store alone. Refused if a leader was heard lately or a majority of a
+     * Proposes to rebuild the core from this store alone. Refused if a leader was heard recently or a majority of a
      * part can be reached.
      */
     public Either<Problem, RebuildProposal> rebuild() {
@@ -395,7 +396,7 @@
      * leave.
      */
     private void sendJoinRequests(long now) {
-        nextJoinAt = now + (rules.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
+        nextJoinAt = now + (options.timing().lowTraffic() ? JOIN_INTERVAL_MICROS / 2 : JOIN_INTERVAL_MICROS);
         for (var replica : replicas) {
             var leaving = leavingSince != 0;
             if (!leaving && !replica.shouldJoin(now)) continue;
@@ -435,11 +436,11 @@
     }
 
     /**
-     * Founds a core once the expected number of empty stores see each other: every store greets with a digest of the
-     * empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as one is heard
-     * of.
+     * Bootstraps a core once the expected number of empty stores see each other: every store greets with a digest of
+     * the empty stores it sees, and all of them must report the same one. Adopts an existing core as soon as a greeting
+     * reveals one.
      */
-    private void tryFoundCore(long now) {
+    private void tryBootstrapCore(long now) {
         var recentlyHeard = directory.knownNodes().stream()
                 .filter(known -> now - known.lastHeardAt < NodeDirectory.RECENTLY_HEARD_MICROS)
                 .toList();
@@ -450,25 +451,25 @@
         }
         if (recentlyHeard.stream().anyMatch(known -> known.node.coreId != 0)) return;
         var emptyStores = new ArrayList<Node>();
-        if (!mayFound(directory.self())) return;
+        if (!mayBootstrap(directory.self())) return;
         emptyStores.add(directory.self());
         recentlyHeard.stream()
                 .map(known -> known.node)
-                .filter(node -> node.kind.equals(Node.STORE) && mayFound(node))
+                .filter(node -> node.kind.equals(Node.STORE) && mayBootstrap(node))
                 .forEach(emptyStores::add);
         emptyStores.sort(Comparator.comparingLong(node -> node.storeId));
         var digest = digestOf(emptyStores);
         directory.setEmptyStoresDigest(digest);
         var allAgree = recentlyHeard.stream()
-                .filter(known -> known.node.kind.equals(Node.STORE) && mayFound(known.node))
+                .filter(known -> known.node.kind.equals(Node.STORE) && mayBootstrap(known.node))
                 .allMatch(known -> known.emptyStoresDigest == digest);
         var mayFoundCore = !settings.seedsOnly() || !founderAddresses.isEmpty();
         if (mayFoundCore && emptyStores.size() == settings.founderCount() && allAgree)
             adoptCore(newFounding(emptyStores, digest));
-        else if (now >= nextWaitingLogAt) logWaitingToFound(emptyStores, now);
+        else if (now >= nextWaitingLogAt) logWaitingToBootstrap(emptyStores, now);
     }
 
-    private void logWaitingToFound(List<Node> emptyStores, long now) {
+    private void logWaitingToBootstrap(List<Node> emptyStores, long now) {
         nextWaitingLogAt = now + WAITING_LOG_INTERVAL_MICROS;
         port.logEvent(
                 Event.WAITING_TO_BOOTSTRAP,
@@ -478,7 +479,7 @@
                         + " that see each other");
     }
 
-    /** A non-zero hash over the ids of stores in their order; it becomes the id of the core they found. */
+    /** A non-zero hash over the ids of stores in their order; it becomes the id of the core that they bootstrap. */
     private static long digestOf(List<Node> stores) {
         var hash = 1L;
         for (var store : stores) hash = Hash.of(hash, store.storeId);
@@ -502,12 +503,12 @@
         startReplicas(founding);
     }
 
-    /** Takes a message from another process and passes it on. */
+    /** Passes a message from another process to the component that handles it. */
     public void receive(Object message) {
         var now = port.now();
         if (message instanceof Hello hello) directory.receive(hello, now);
         else if (message instanceof RenewalReply reply) membership.receive(reply, now);
-        else if (message instanceof TopicUpdate news) membership.receive(news, now);
+        else if (message instanceof TopicUpdate update) membership.receive(update, now);
         else if (message instanceof CommandResult result) coreClient.receive(result);
         else if (message instanceof PartMessage partMessage)
             withReplica(partMessage.part, replica -> replica.receive(partMessage));
--- a/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that a process that stood still refuses the orders that piled up meanwhile: their callers have given up, and
- * may have had the reverse order acknowledged elsewhere.
+ * Checks that a process that stood still refuses the requests that piled up meanwhile: their callers have given up, and
+ * may have had a request that reverses them acknowledged elsewhere.
  */
 class PauseGuardTest {
     private static final long START_MICROS = -7_000_000;
@@ -18,13 +18,13 @@
     private long now = START_MICROS;
 
     /** Lets time pass with regular ticks. */
-    private void tickFor(long micros) {
-        for (var until = now + micros; now < until; guard.tick(now)) now += TICK_MICROS;
+    private void tickFor(long elapsedMicros) {
+        for (var endMicros = now + elapsedMicros; now < endMicros; guard.tick(now)) now += TICK_MICROS;
     }
 
     /** Lets time pass without a tick. */
-    private void standStill(long micros) {
-        now += micros;
+    private void standStill(long elapsedMicros) {
+        now += elapsedMicros;
     }
 
     private boolean admitsNow(PauseGuard.Connection fromConnection) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aRunningProcessAdmitsEveryOrder() {
+    void aRunningProcessAdmitsEveryRequest() {
         assertTrue(admitsNow(connection));
         tickFor(3_000_000);
         assertTrue(admitsNow(connection));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void refusesOrdersReadBeforeTheFirstTickAfterAPause() {
+    void refusesRequestsReadBeforeTheFirstTickAfterAPause() {
         tickFor(1_000_000);
         standStill(1_000_000);
         assertFalse(admitsNow(new PauseGuard.Connection()));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void refusesOrdersReadSoonAfterTheFirstTickAfterAPause() {
+    void refusesRequestsReadSoonAfterTheFirstTickAfterAPause() {
         tickFor(1_000_000);
         standStill(1_000_000);
         guard.tick(now);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void refusesOnlyTheFirstOrderOnAConnectionUsedBeforeAPause() {
+    void refusesOnlyTheFirstRequestOnAConnectionUsedBeforeAPause() {
         assertTrue(admitsNow(connection));
         standStill(3_000_000);
         tickFor(10_000_000);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void refusesAnOrderWhoseBodyWasReadAcrossAPause() {
+    void refusesARequestWhoseBodyWasReadAcrossAPause() {
         tickFor(1_000_000);
         var readStartedAt = now;
         standStill(2_000_000);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void admitsAnOrderWhoseBodyArrivesSlowlyWithoutAPause() {
+    void admitsARequestWhoseBodyArrivesSlowlyWithoutAPause() {
         var readStartedAt = now;
         tickFor(5_000_000);
         assertTrue(guard.admits(connection, readStartedAt, now));
--- a/lib/data/src/main/java/craneway/data/runner/CellSignals.java
+++ b/lib/data/src/main/java/craneway/data/runner/CellSignals.java
@@ -24,10 +24,10 @@
     }
 
     /** Records that a runner of the cell sent its first data this many microseconds after the request was sent. */
-    public synchronized void recordFirstData(String service, String cell, long micros) {
+    public synchronized void recordFirstData(String service, String cell, long delayMicros) {
         var signal = signalOf(service, cell);
         signal.startedAnswers++;
-        signal.firstTokenMicros += micros;
+        signal.firstTokenMicros += delayMicros;
     }
 
     /** Records that a runner of the cell could not be reached or broke off a request. */
@@ -37,8 +37,10 @@
 
     /** Returns and removes the signals of the services in this part. */
     public synchronized List<CellSignal> drain(int part) {
-        var taken = new ArrayList<CellSignal>();
-        signalsByServiceAndCell.values().removeIf(signal -> Parts.partOf(signal.service) == part && taken.add(signal));
-        return taken;
+        var drained = new ArrayList<CellSignal>();
+        signalsByServiceAndCell
+                .values()
+                .removeIf(signal -> Parts.partOf(signal.service) == part && drained.add(signal));
+        return drained;
     }
 }
--- a/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
+++ b/lib/http/src/main/java/craneway/http/AsyncHttpClient.java
@@ -32,8 +32,8 @@
  */
 public final class AsyncHttpClient {
     /**
-     * Receives the response to one call. Exactly one of {@link #refused}, {@link #end} and {@link #broken} ends the
-     * call; if the call is cancelled, none of them is called.
+     * Receives the response to one call. Exactly one of {@link #onConnectFailure}, {@link #onEnd} and {@link
+     * #onFailure} ends the call; if the call is cancelled, none of them is called.
      */
     public interface ResponseListener {
         /** Called if no connection was made, so that the request was certainly not sent. */
@@ -42,7 +42,7 @@
         /** Called once with the status code and headers of the response. */
         void onHeaders(int code, HeaderMap headers);
 
-        /** Called with each piece of the body; {@link OutgoingCall#chunkConsumed} must be called once the piece is consumed. */
+        /** Called with each piece of the body; {@link Call#chunkConsumed} must be called once the piece is consumed. */
         void onChunk(byte[] bytes);
 
         /** Called when the response is complete. */
@@ -52,7 +52,10 @@
         void onFailure(String cause);
     }
 
-    /** Reading from the connection stops when this many chunks are passed on to a {@link ResponseListener} and not consumed. */
+    /**
+     * Reading from the connection stops when this many chunks are passed on to a {@link ResponseListener} and not
+     * consumed.
+     */
     private static final int MAX_UNCONSUMED_CHUNKS = 32;
 
     private final XnioWorker worker;
@@ -78,7 +81,7 @@
     }
 
     /**
-     * Sends a request on a persistent connection, which stays open after a complete response; {@link OutgoingCall#connection}
+     * Sends a request on a persistent connection, which stays open after a complete response; {@link Call#connection}
      * returns it for the next request.
      *
      * @param kept the connection of an earlier call; if it is null or closed, a new connection is made
--- a/lib/transport/src/main/java/craneway/transport/SocketTransport.java
+++ b/lib/transport/src/main/java/craneway/transport/SocketTransport.java
@@ -81,10 +81,10 @@
     /**
      * Traffic since the start; bytes do not include the headers of UDP, TCP and IP.
      *
-     * @param datagrams datagrams sent
-     * @param connections connections opened by this process
-     * @param sent bytes sent
-     * @param received bytes received
+     * @param datagramsSent datagrams sent
+     * @param connectionsOpened connections opened by this process
+     * @param bytesSent bytes sent
+     * @param bytesReceived bytes received
      */
     public record Traffic(long datagramsSent, long connectionsOpened, long bytesSent, long bytesReceived) {}
 
@@ -344,7 +344,7 @@
             return message;
         }
 
-        /** Takes as many messages off the queue as surely fit into one datagram; empty once the queue is. */
+        /** Removes and returns as many messages as certainly fit into one datagram; none if the queue is empty. */
         private synchronized List<byte[]> takeDatagram() {
             var batch = new ArrayList<byte[]>();
             var datagramBytes = Frame.HEADER_BYTES;
--- a/prog/craneway/src/main/java/craneway/command/OperatorClient.java
+++ b/prog/craneway/src/main/java/craneway/command/OperatorClient.java
@@ -14,7 +14,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link CommandException}.
+ * Sends HTTP requests to the operator addresses of routers and stores. Error responses become a {@link
+ * CommandException}.
  */
 public final class OperatorClient implements AutoCloseable {
     private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
@@ -45,7 +46,7 @@
      * effect.
      *
      * @param addresses operator addresses as IP:PORT
-     * @throws CommandFailure with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
+     * @throws CommandException with exit code 4 if the response has status 503, 3 if it has another status from 400 on,
      *     and 1 if no address responds
      */
     public BufferedHttpResponse request(
