--- a/lib/api/src/main/java/craneway/api/operator/StatusJson.java
+++ b/lib/api/src/main/java/craneway/api/operator/StatusJson.java
@@ -18,7 +18,7 @@
         var root = JsonResponses.JSON.createObjectNode();
         root.put("node", node);
         root.put("partsReached", parts.size());
-        root.put("parts", Parts.COUNT);
+        root.put("parts", Parts.PART_COUNT);
         var members = new TreeMap<String, ObjectNode>();
         var groups = root.putArray("groups");
         for (var part : parts) {
--- a/lib/control/src/main/java/craneway/control/node/LifeClaim.java
+++ b/lib/control/src/main/java/craneway/control/node/IncarnationClaim.java
@@ -9,12 +9,12 @@
  * above the known one as long as the part has not granted the current one yet, or if the known process had this
  * process's address and so must have ended. Otherwise a later process elsewhere has taken its place.
  */
-final class LifeClaim {
+final class IncarnationClaim {
     private final NodeDirectory directory;
-    private final long[] grantedIncarnations = new long[Parts.COUNT];
+    private final long[] grantedIncarnations = new long[Parts.PART_COUNT];
     private boolean superseded;
 
-    LifeClaim(NodeDirectory directory) {
+    IncarnationClaim(NodeDirectory directory) {
         this.directory = directory;
     }
 
--- a/lib/control/src/main/java/craneway/control/node/Membership.java
+++ b/lib/control/src/main/java/craneway/control/node/Membership.java
@@ -72,10 +72,10 @@
     private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final TimingProfile timing;
-    private final PartLease[] partLeases = new PartLease[Parts.COUNT];
+    private final PartLease[] partLeases = new PartLease[Parts.PART_COUNT];
     private final TopicTable topics;
     private final LeaseRenewer renewer;
-    private final LifeClaim lifeClaim;
+    private final IncarnationClaim incarnationClaim;
     private boolean isLeaving;
     private boolean markedUnready;
     private volatile CoreView view;
@@ -91,7 +91,7 @@
         this.port = port;
         this.directory = directory;
         this.coreClient = coreClient;
-        lifeClaim = new LifeClaim(directory);
+        incarnationClaim = new IncarnationClaim(directory);
         for (var part = 0; part < partLeases.length; part++) partLeases[part] = new PartLease();
         topics = new TopicTable(port, directory, coreClient, timing, part -> partLeases[part].members);
         renewer = new LeaseRenewer(port, directory, coreClient, timing, partLeases, topics);
@@ -126,7 +126,7 @@
 
     /** Whether another process has taken over the name of this one, which must stop. */
     public synchronized boolean isSuperseded() {
-        return lifeClaim.isSuperseded();
+        return incarnationClaim.isSuperseded();
     }
 
     /** Whether all leases are held and all topics are current. */
@@ -176,7 +176,7 @@
 
     /** Detects lapsed leases, sends due renewals and renews subscriptions. */
     public synchronized void tick(long now) {
-        if (lifeClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
+        if (incarnationClaim.isSuperseded() || isLeaving || directory.self().coreId == 0) return;
         updateServing();
         for (var part = 0; part < partLeases.length; part++) {
             var lease = partLeases[part];
@@ -191,7 +191,7 @@
 
     /** Sends due renewals, if this process belongs to a core and has not been superseded. */
     private void sendDueRenewals(long now) {
-        if (!lifeClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
+        if (!incarnationClaim.isSuperseded() && directory.self().coreId != 0) renewer.sendDue(now);
     }
 
     /** Handles the replies to the renewals that were sent in one message. */
@@ -220,11 +220,12 @@
         }
         lease.unansweredRenewals = 0;
         if (reply.kind == ProblemKind.STALE_MEMBER.code()) {
-            if (!isLeaving && lifeClaim.handleRefusal(reply)) for (var other : partLeases) other.nextRenewalAt = now;
+            if (!isLeaving && incarnationClaim.handleRefusal(reply))
+                for (var other : partLeases) other.nextRenewalAt = now;
             return;
         }
         if (reply.kind != 0 || reply.incarnation != directory.self().incarnation) return;
-        lifeClaim.recordGrant(reply.part);
+        incarnationClaim.recordGrant(reply.part);
         if (reply.leader != null) coreClient.leader(reply.part, reply.leader);
         for (var i = 0; i < reply.topics.size(); i++)
             topics.recordAdvertisedVersion(reply.topics.get(i), reply.versions.get(i), now);
@@ -286,7 +287,7 @@
         partLeases[Parts.partOf(update.topic)].nextRenewalAt = now;
         acceptOffer(Parts.partOf(update.topic), now);
         if (!timing.lowTraffic() && !isLeaving) sendDueRenewals(now);
-        topics.takeDeferredNews().forEach(deferred -> receive(deferred, now));
+        topics.takeDeferredUpdates().forEach(deferred -> receive(deferred, now));
     }
 
     /** Renews at once at the parts that hold services which the manifest names and this process does not know yet. */
--- a/lib/control/src/main/java/craneway/control/node/TopicTable.java
+++ b/lib/control/src/main/java/craneway/control/node/TopicTable.java
@@ -216,7 +216,7 @@
      * Returns and removes the updates of services that arrived before the manifest that names them; empty until the
      * manifest has arrived.
      */
-    List<TopicUpdate> takeDeferredNews() {
+    List<TopicUpdate> takeDeferredUpdates() {
         if (manifest == null || updatesBeforeManifest.isEmpty()) return List.of();
         var deferred = List.copyOf(updatesBeforeManifest.values());
         updatesBeforeManifest.clear();
--- a/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/OperatorCommands.java
@@ -167,9 +167,9 @@
 
     /** Reads the status of all parts; parts that do not answer are left out. */
     public void readStatus(Consumer<List<PartStatus>> onResult) {
-        var statusByPart = new PartStatus[Parts.COUNT];
-        var outstanding = new int[] {Parts.COUNT};
-        for (var index = 0; index < Parts.COUNT; index++) {
+        var statusByPart = new PartStatus[Parts.PART_COUNT];
+        var outstanding = new int[] {Parts.PART_COUNT};
+        for (var index = 0; index < Parts.PART_COUNT; index++) {
             var part = index;
             coreClient.request(index, new Queries.Status(), REQUEST_TIMEOUT_MICROS, result -> {
                 synchronized (statusByPart) {
@@ -191,10 +191,10 @@
     /** Plans what an intent would change, and stores the plan for confirmation. Fails if a part does not answer. */
     public void createPlan(Intent intent, Consumer<Either<Problem, Plan>> onResult) {
         readStatus(parts -> {
-            if (parts.size() < Parts.COUNT) {
+            if (parts.size() < Parts.PART_COUNT) {
                 onResult.accept(Either.left(Problem.of(
                         ProblemKind.NO_OWNER,
-                        "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+                        "only " + parts.size() + " of " + Parts.PART_COUNT + " parts can be reached")));
                 return;
             }
             var plan = IntentPlanner.createPlan(intent, parts.get(Parts.MANIFEST_PART).manifest, parts);
@@ -206,10 +206,10 @@
     /** Estimates for each cell whether it could be emptied. Fails if a part does not answer. */
     public void estimateDrains(Consumer<Either<Problem, List<DrainEstimate>>> onResult) {
         readStatus(parts -> {
-            if (parts.size() < Parts.COUNT)
+            if (parts.size() < Parts.PART_COUNT)
                 onResult.accept(Either.left(Problem.of(
                         ProblemKind.NO_OWNER,
-                        "only " + parts.size() + " of " + Parts.COUNT + " parts can be reached")));
+                        "only " + parts.size() + " of " + Parts.PART_COUNT + " parts can be reached")));
             else onResult.accept(Either.right(DrainEstimate.of(parts.get(Parts.MANIFEST_PART).manifest, parts)));
         });
     }
@@ -295,15 +295,16 @@
      * Returns the number of parts.
      */
     public void acceptClaims(Consumer<Either<Problem, Integer>> onResult) {
-        var outstanding = new int[] {Parts.COUNT};
+        var outstanding = new int[] {Parts.PART_COUNT};
         var failure = new CommandResult[1];
-        for (var part = 0; part < Parts.COUNT; part++)
+        for (var part = 0; part < Parts.PART_COUNT; part++)
             coreClient.request(part, new Commands.ClaimsAccepted(), REQUEST_TIMEOUT_MICROS, result -> {
                 synchronized (outstanding) {
                     if (result.kind != 0) failure[0] = result;
                     if (--outstanding[0] > 0) return;
                 }
-                onResult.accept(failure[0] == null ? Either.right(Parts.COUNT) : Either.left(toProblem(failure[0])));
+                onResult.accept(
+                        failure[0] == null ? Either.right(Parts.PART_COUNT) : Either.left(toProblem(failure[0])));
             });
     }
 
--- a/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
+++ b/lib/control/src/main/java/craneway/control/operator/PauseGuard.java
@@ -15,7 +15,7 @@
     /** Ticks that are farther apart than this many microseconds show a pause; callers wait for longer than that. */
     public static final long MAX_TICK_GAP_MICROS = 400_000;
     /** For how many microseconds after a pause no request is admitted. */
-    public static final long SETTLE_MICROS = 500_000;
+    public static final long SETTLE_TIME_MICROS = 500_000;
 
     /** The state that the guard keeps for one connection. */
     public static final class Connection {
@@ -29,7 +29,7 @@
     /** Creates the guard of a process that starts now, which no caller can have waited for. */
     public PauseGuard(long now) {
         lastTickAt = now;
-        resumedAt = now - SETTLE_MICROS;
+        resumedAt = now - SETTLE_TIME_MICROS;
     }
 
     /** Detects a pause. Must be called about every 20 ms by a thread that never blocks. */
@@ -51,6 +51,6 @@
         connection.lastUsedAt = now;
         var readAcrossPause = now - readStartedAt > MAX_TICK_GAP_MICROS && resumedAt >= readStartedAt;
         var usedBeforePause = previousUse != Connection.NEVER && previousUse < resumedAt;
-        return now - resumedAt >= SETTLE_MICROS && !readAcrossPause && !usedBeforePause;
+        return now - resumedAt >= SETTLE_TIME_MICROS && !readAcrossPause && !usedBeforePause;
     }
 }
--- a/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
+++ b/lib/control/src/main/java/craneway/control/operator/PlatformCommands.java
@@ -95,9 +95,9 @@
      * part knows counts as gone already.
      */
     public void markRunnerLeaving(String runner, long callerWaitingSince, Consumer<Either<Problem, Void>> onResult) {
-        var outstanding = new AtomicInteger(Parts.COUNT - 1);
+        var outstanding = new AtomicInteger(Parts.PART_COUNT - 1);
         var failure = new AtomicReference<Problem>();
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             if (part == Parts.MANIFEST_PART) continue;
             var command = new Commands.RunnerLeft();
             command.runner = runner;
--- a/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
+++ b/lib/control/src/main/java/craneway/control/plan/StepWatcher.java
@@ -14,10 +14,10 @@
  */
 public final class StepWatcher {
     /** How long a step is watched, in microseconds, before it is kept. */
-    public static final long WATCH_MICROS = 2_000_000;
+    public static final long WATCH_DURATION_MICROS = 2_000_000;
 
     /** How long a cell is held after a step to it was taken back, in microseconds. */
-    public static final long HOLD_MICROS = 30_000_000;
+    public static final long HOLD_DURATION_MICROS = 30_000_000;
 
     /** The time before a step over which the state of the new home is measured for comparison. */
     private static final long BASELINE_WINDOW_MICROS = 3_000_000;
@@ -39,7 +39,7 @@
     }
 
     /** The command that keeps or takes back the first step of a service that can be decided; null if there is none. */
-    public StepMark nextVerdict(Rows.Service service, SignalHistory signalHistory, BitSet openCells, long now) {
+    public StepMark nextDecision(Rows.Service service, SignalHistory signalHistory, BitSet openCells, long now) {
         for (var step : service.steps) {
             if (step.state != Rows.Step.RAISED) continue;
             var watched = watchedStep(service, step, signalHistory, now);
@@ -49,7 +49,7 @@
                             watched.baseline,
                             signalHistory.totalsSince(service.name, service.cells.get(step.toCell), watched.since, now))
                     : null;
-            if (degradation == null && now - watched.since < WATCH_MICROS) continue;
+            if (degradation == null && now - watched.since < WATCH_DURATION_MICROS) continue;
             watchedSteps.remove(service.name + "/" + step.id);
             return newStepMark(service, step, degradation, units);
         }
@@ -106,7 +106,7 @@
         mark.id = step.id;
         mark.state = degradation == null ? Rows.Step.KEPT : Rows.Step.TAKEN_BACK;
         mark.cause = degradation == null ? "" : service.cells.get(step.toCell) + ": " + degradation;
-        mark.holdBackMicros = HOLD_MICROS;
+        mark.holdBackMicros = HOLD_DURATION_MICROS;
         mark.units = units;
         return mark;
     }
--- a/lib/control/src/main/java/craneway/control/plan/UnitMover.java
+++ b/lib/control/src/main/java/craneway/control/plan/UnitMover.java
@@ -3,8 +3,8 @@
 import craneway.model.manifest.Manifest;
 import craneway.model.unit.PlacementTable;
 import craneway.model.unit.Units;
-import craneway.state.message.Commands.StepAsk;
 import craneway.state.message.Commands.StepMark;
+import craneway.state.message.Commands.StepRequest;
 import craneway.state.message.Commands.TableStep;
 import craneway.state.message.Plan;
 import craneway.state.record.Rows;
@@ -51,7 +51,7 @@
     }
 
     /**
-     * The next command for a service: a {@code StepMark} for a step that has been asked for, a {@code StepAsk} or a
+     * The next command for a service: a {@code StepMark} for a step that has been asked for, a {@code StepRequest} or a
      * {@code TableStep}. Null if no unit has to move, the pause between steps is not over, or the service is not in
      * the manifest.
      */
@@ -85,7 +85,7 @@
         nextStepAtByService.put(service.name, now + stepPause(service, wantedHomes[batch.get(0)], manifestService));
         return wantedHomes[batch.get(0)] == PlacementTable.NOWHERE
                 ? newTableStep(service, batch, wantedHomes)
-                : newStepAsk(service, batch, wantedHomes, closedCells, healthyCells);
+                : newStepRequest(service, batch, wantedHomes, closedCells, healthyCells);
     }
 
     /**
@@ -112,9 +112,9 @@
      * A request for a step, with the reason for the move: pressure, an emptied home, a lost home, or the return to
      * the regular home.
      */
-    private static StepAsk newStepAsk(
+    private static StepRequest newStepRequest(
             Rows.Service service, List<Integer> units, int[] wantedHomes, BitSet closedCells, BitSet healthyCells) {
-        var stepAsk = new StepAsk();
+        var stepAsk = new StepRequest();
         stepAsk.service = service.name;
         stepAsk.tableVersion = service.tableVersion;
         stepAsk.units = units.stream().mapToInt(unit -> unit).toArray();
@@ -129,7 +129,7 @@
     }
 
     /** The same move as a plain table step, for members that cannot read step commands. */
-    public static TableStep toTableStep(StepAsk stepAsk) {
+    public static TableStep toTableStep(StepRequest stepAsk) {
         var tableStep = new TableStep();
         tableStep.service = stepAsk.service;
         tableStep.tableVersion = stepAsk.tableVersion;
--- a/lib/control/src/main/java/craneway/control/store/CommandFence.java
+++ b/lib/control/src/main/java/craneway/control/store/CommandFence.java
@@ -24,7 +24,7 @@
     enum Admission {
         ADMITTED,
         LATE,
-        UNKNOWN_LIFE
+        UNKNOWN_SESSION
     }
 
     /** No sender waits longer; a deadline farther ahead is invalid. */
@@ -58,7 +58,7 @@
         if (request.leaderTerm != term
                 || now > request.leaderDeadline
                 || request.leaderDeadline > now + MAX_WAIT_MICROS) return Admission.LATE;
-        return sessionsKnowingClock.get(request.sessionId) == null ? Admission.UNKNOWN_LIFE : Admission.ADMITTED;
+        return sessionsKnowingClock.get(request.sessionId) == null ? Admission.UNKNOWN_SESSION : Admission.ADMITTED;
     }
 
     /**
--- a/lib/control/src/main/java/craneway/control/store/CoreSettings.java
+++ b/lib/control/src/main/java/craneway/control/store/CoreSettings.java
@@ -11,7 +11,7 @@
  * @param forgetAfterMicros how long after its end a runner that left or went dark is forgotten; 0 for never
  */
 public record CoreSettings(
-        int founderCount, boolean seedsOnly, boolean firstStart, long darkAfterMicros, long forgetAfterMicros) {
+        int founderCount, boolean seedsOnly, boolean mayBootstrap, long darkAfterMicros, long forgetAfterMicros) {
     private static final long DEFAULT_DARK_AFTER_MICROS = 3_000_000;
 
     /** Default settings: any store may be a founder, and runners are never forgotten. */
--- a/lib/control/src/main/java/craneway/control/store/PartReplica.java
+++ b/lib/control/src/main/java/craneway/control/store/PartReplica.java
@@ -971,7 +971,7 @@
      */
     private Object nextStepCommand(Rows.Service service, Membership.CoreView view, long now) {
         var openCells = unitMover.openCells(service, view.manifestRow().marks, now);
-        var stepMark = stepWatcher.nextVerdict(service, signalHistory, openCells, now);
+        var stepMark = stepWatcher.nextDecision(service, signalHistory, openCells, now);
         if (stepMark != null) return stepMark;
         var step = unitMover.nextStep(
                 service,
@@ -980,7 +980,7 @@
                 (cell, index) -> isZoneStoreSynced(service, cell, index, now),
                 now);
         if (lowestWireVersion() < Node.STEPS_WIRE_VERSION)
-            return step instanceof Commands.StepAsk stepAsk ? UnitMover.toTableStep(stepAsk) : step;
+            return step instanceof Commands.StepRequest stepAsk ? UnitMover.toTableStep(stepAsk) : step;
         return step != null ? step : pressureRelief.nextDisplacement(service, loadByRunner, openCells, now);
     }
 
--- a/lib/control/src/main/java/craneway/control/store/RenewReplyBatch.java
+++ b/lib/control/src/main/java/craneway/control/store/RenewalReplyBatch.java
@@ -12,7 +12,7 @@
  * Collects the replies to the renewals that came in one message and sends them in one message. If a part is slow, the
  * replies collected so far are sent after a timeout, and the later ones on their own. Safe for several threads.
  */
-final class RenewReplyBatch {
+final class RenewalReplyBatch {
     /** How long the first replies wait for the others. */
     private static final long COLLECT_TIMEOUT_MICROS = 15_000;
 
@@ -24,7 +24,7 @@
     private int outstandingReplies;
     private boolean timedOut;
 
-    RenewReplyBatch(Port port, Node self, Renewals request) {
+    RenewalReplyBatch(Port port, Node self, Renewals request) {
         this.port = port;
         this.self = self;
         this.request = request;
--- a/lib/control/src/main/java/craneway/control/store/Store.java
+++ b/lib/control/src/main/java/craneway/control/store/Store.java
@@ -95,7 +95,7 @@
     private final NodeDirectory directory;
     private final CoreClient coreClient;
     private final Membership membership;
-    private final Queue<RenewReplyBatch> replyBatches = new ConcurrentLinkedQueue<>();
+    private final Queue<RenewalReplyBatch> replyBatches = new ConcurrentLinkedQueue<>();
     private volatile PartReplica[] replicas = {};
     private long nextJoinAt;
     private long nextWaitingLogAt;
@@ -140,7 +140,7 @@
     private Set<String> loadFounders() {
         if (!settings.seedsOnly()) return Set.of();
         var bytes = folder.read(FOUNDERS_FILE);
-        if (bytes == null && settings.firstStart())
+        if (bytes == null && settings.mayBootstrap())
             folder.replace(FOUNDERS_FILE, bytes = String.join("\n", seeds).getBytes());
         return bytes == null ? Set.of() : Set.of(new String(bytes).split("\n"));
     }
@@ -272,7 +272,7 @@
         directory.founding(founding, founding.coreId);
         var initialMembers = founding.hasStore(selfId) ? Members.of(founding.storeIds, founding.zones) : new Members();
         initialMembers.coreGeneration = founding.hasStore(selfId) ? founding.generation : 0;
-        var started = new PartReplica[Parts.COUNT];
+        var started = new PartReplica[Parts.PART_COUNT];
         for (var part = 0; part < started.length; part++)
             started[part] = new PartReplica(
                     part,
@@ -290,7 +290,7 @@
     /** Does the periodic work of the node and of all parts. */
     public void tick() {
         tickNode();
-        for (var part = 0; part < Parts.COUNT; part++) tickPart(part);
+        for (var part = 0; part < Parts.PART_COUNT; part++) tickPart(part);
     }
 
     /** Does the periodic work of one part. */
@@ -532,7 +532,7 @@
     /** Passes the renewals of one message to the replicas and collects their replies for one message. */
     private void handleRenewals(Renewals renewals, long now) {
         if (renewals.from == null) return;
-        var batch = new RenewReplyBatch(port, directory.self(), renewals);
+        var batch = new RenewalReplyBatch(port, directory.self(), renewals);
         replyBatches.add(batch);
         for (var renewal : renewals.parts) {
             renewal.from = renewals.from;
--- a/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
+++ b/lib/control/src/test/java/craneway/control/operator/PauseGuardTest.java
@@ -53,7 +53,7 @@
         standStill(1_000_000);
         guard.tick(now);
         assertFalse(admitsNow(connection));
-        tickFor(PauseGuard.SETTLE_MICROS - 2 * TICK_MICROS);
+        tickFor(PauseGuard.SETTLE_TIME_MICROS - 2 * TICK_MICROS);
         assertFalse(admitsNow(new PauseGuard.Connection()));
     }
 
@@ -61,7 +61,7 @@
     void admitsNewConnectionsOnceThePauseHasSettled() {
         tickFor(1_000_000);
         standStill(20_000_000);
-        tickFor(PauseGuard.SETTLE_MICROS + 2 * TICK_MICROS);
+        tickFor(PauseGuard.SETTLE_TIME_MICROS + 2 * TICK_MICROS);
         assertTrue(admitsNow(new PauseGuard.Connection()));
     }
 
@@ -80,7 +80,7 @@
         tickFor(1_000_000);
         var readStartedAt = now;
         standStill(2_000_000);
-        tickFor(PauseGuard.SETTLE_MICROS + 2 * TICK_MICROS);
+        tickFor(PauseGuard.SETTLE_TIME_MICROS + 2 * TICK_MICROS);
         assertFalse(guard.admits(new PauseGuard.Connection(), readStartedAt, now));
     }
 
--- a/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
+++ b/lib/control/src/test/java/craneway/control/store/CommandFenceTest.java
@@ -2,7 +2,7 @@
 
 import static craneway.control.store.CommandFence.Admission.ADMITTED;
 import static craneway.control.store.CommandFence.Admission.LATE;
-import static craneway.control.store.CommandFence.Admission.UNKNOWN_LIFE;
+import static craneway.control.store.CommandFence.Admission.UNKNOWN_SESSION;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -77,9 +77,9 @@
 
     @Test
     void aProcessThatWasNotSentTheClockIsUnknown() {
-        assertEquals(UNKNOWN_LIFE, fence.check(command(SESSION_ID + 1, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(UNKNOWN_SESSION, fence.check(command(SESSION_ID + 1, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
         fence.reset();
-        assertEquals(UNKNOWN_LIFE, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
+        assertEquals(UNKNOWN_SESSION, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
         fence.recordClockSent(SESSION_ID);
         assertEquals(ADMITTED, fence.check(command(SESSION_ID, TERM, NOW_MICROS + 1), TERM, NOW_MICROS));
     }
@@ -87,7 +87,7 @@
     @Test
     void remembersABoundedNumberOfProcesses() {
         for (var i = 0; i < 2_000; i++) fence.recordClockSent(1_000 + i);
-        assertEquals(UNKNOWN_LIFE, fence.check(command(SESSION_ID, TERM, NOW_MICROS), TERM, NOW_MICROS));
+        assertEquals(UNKNOWN_SESSION, fence.check(command(SESSION_ID, TERM, NOW_MICROS), TERM, NOW_MICROS));
         assertEquals(ADMITTED, fence.check(command(2_999, TERM, NOW_MICROS), TERM, NOW_MICROS));
     }
 
--- a/lib/data/src/main/java/craneway/data/request/RequestDecider.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestDecider.java
@@ -157,7 +157,7 @@
                 closedSince.getOrDefault("zone:" + serviceState.zones.get(cell), Long.MIN_VALUE),
                 closedSince.getOrDefault(
                         "cell:" + serviceState.name + "/" + serviceState.cells.get(cell), Long.MIN_VALUE));
-        return now >= closedAt + RequestExecutor.DRAIN_MICROS;
+        return now >= closedAt + RequestExecutor.DRAIN_DURATION_MICROS;
     }
 
     private Decision serveFromCell(
--- a/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
+++ b/lib/data/src/main/java/craneway/data/request/RequestExecutor.java
@@ -36,7 +36,7 @@
  */
 public final class RequestExecutor {
     /** How long a cell goes on serving requests after this router first saw the mark that closes it. */
-    public static final long DRAIN_MICROS = 1_500_000;
+    public static final long DRAIN_DURATION_MICROS = 1_500_000;
 
     /** A router takes a tenth of a tenant's quota per minute from the core at a time. */
     private static final int QUOTA_GRANT_DIVISOR = 10;
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/ProxyContext.java
@@ -213,7 +213,7 @@
     }
 
     /** Tells the routers that use the selected runner which tokens it has to prefill, unless they are few. */
-    void announceReading(RunnerPlacer.Placement placement, Prompt prompt) {
+    void announcePrefill(RunnerPlacer.Placement placement, Prompt prompt) {
         if (placement.prefillTokens() < MIN_ANNOUNCED_TOKENS) return;
         var message = new PrefillNotice();
         message.runner = placement.runner().id();
--- a/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
+++ b/lib/gateway/src/main/java/craneway/gateway/proxy/RequestExchange.java
@@ -128,7 +128,7 @@
         state = ExchangeState.AWAITING_RESPONSE;
         sentAt = now;
         context.placer().recordStart(selected, request.prompt, now);
-        context.announceReading(selected, request.prompt);
+        context.announcePrefill(selected, request.prompt);
         choiceDescription = selected.describe();
         call = new RunnerCall(
                 context.runnerConnections(),
--- a/lib/model/src/main/java/craneway/model/unit/Parts.java
+++ b/lib/model/src/main/java/craneway/model/unit/Parts.java
@@ -3,7 +3,7 @@
 /** The fixed number of parts (shards) of the control state, and the mapping from topics to parts. */
 public final class Parts {
     /** The number of parts. */
-    public static final int COUNT = 4;
+    public static final int PART_COUNT = 4;
     /** The index of the part that holds the manifest; the services are distributed over the other parts. */
     public static final int MANIFEST_PART = 0;
     /** The topic of the manifest; every other topic is the name of a service. */
@@ -13,6 +13,6 @@
 
     /** Returns the part of a topic: the name of a service, or {@link #MANIFEST_TOPIC}. */
     public static int partOf(String topic) {
-        return topic.equals(MANIFEST_TOPIC) ? MANIFEST_PART : 1 + Hash.bucket(Hash.of(topic), COUNT - 1);
+        return topic.equals(MANIFEST_TOPIC) ? MANIFEST_PART : 1 + Hash.bucket(Hash.of(topic), PART_COUNT - 1);
     }
 }
--- a/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/PlatformStoreProcess.java
@@ -149,7 +149,7 @@
     }
 
     private void tickParts() {
-        for (var part = 0; part < Parts.COUNT; part++) store.tickPart(part);
+        for (var part = 0; part < Parts.PART_COUNT; part++) store.tickPart(part);
     }
 
     private long coreId() {
--- a/lib/process/src/main/java/craneway/process/StoreProcess.java
+++ b/lib/process/src/main/java/craneway/process/StoreProcess.java
@@ -55,7 +55,7 @@
             store.tickNode();
             operator.tick(runtime.now());
         });
-        for (var p = 0; p < Parts.COUNT; p++) {
+        for (var p = 0; p < Parts.PART_COUNT; p++) {
             var part = p;
             runtime.schedulePeriodically(() -> store.tickPart(part));
         }
--- a/lib/process/src/test/java/craneway/process/StoreClusterTest.java
+++ b/lib/process/src/test/java/craneway/process/StoreClusterTest.java
@@ -100,7 +100,7 @@
     void threeStoresBootstrapACoreAndAcceptAManifestOverSockets() throws Exception {
         var seeds = List.of(freeAddress(), freeAddress(), freeAddress());
         for (var address : seeds) stores.add(new StoreNode("s" + (stores.size() + 1), address, seeds));
-        for (var part = 0; part < Parts.COUNT; part++)
+        for (var part = 0; part < Parts.PART_COUNT; part++)
             assertEquals(0, stores.get(part % 3).status(part).kind);
         var manifest = Files.readString(Path.of("../../docs/examples/maticar.json"));
         var version = new CompletableFuture<Long>();
--- a/lib/state/src/main/java/craneway/state/message/Commands.java
+++ b/lib/state/src/main/java/craneway/state/message/Commands.java
@@ -161,7 +161,7 @@
     public static final class ClaimsAccepted {}
 
     /** Asks to move some units to another cell. */
-    public static final class StepAsk {
+    public static final class StepRequest {
         public String service;
         public long tableVersion;
         /** The units to move. */
--- a/lib/state/src/main/java/craneway/state/message/MessageTags.java
+++ b/lib/state/src/main/java/craneway/state/message/MessageTags.java
@@ -37,7 +37,7 @@
         Queries.ManifestGet.class,
         Queries.RolloutGet.class,
         Queries.PlanGet.class,
-        Commands.StepAsk.class,
+        Commands.StepRequest.class,
         Commands.StepMark.class,
         Commands.UnitDisplacement.class,
         Commands.Rebuilt.class,
--- a/lib/state/src/main/java/craneway/state/record/Records.java
+++ b/lib/state/src/main/java/craneway/state/record/Records.java
@@ -37,7 +37,7 @@
         register(Commands.ClaimFinish.class, ClaimCommands::finishClaim);
         register(Commands.AgeAdvance.class, ClaimCommands::advanceAge);
         register(Commands.TableStep.class, ServiceCommands::applyTableStep);
-        register(Commands.StepAsk.class, StepCommands::askStep);
+        register(Commands.StepRequest.class, StepCommands::askStep);
         register(Commands.StepMark.class, StepCommands::markStep);
         register(Commands.UnitDisplacement.class, StepCommands::displaceUnits);
         register(Commands.Rebuilt.class, (r, c) -> onRebuilt(r));
--- a/lib/state/src/main/java/craneway/state/record/StepCommands.java
+++ b/lib/state/src/main/java/craneway/state/record/StepCommands.java
@@ -14,7 +14,7 @@
     private StepCommands() {}
 
     /** Records a step that awaits confirmation. Only one step of a service may await it at a time. */
-    static CommandResult askStep(Rows.PartState rows, Commands.StepAsk command) {
+    static CommandResult askStep(Rows.PartState rows, Commands.StepRequest command) {
         var service = rows.services.get(command.service);
         if (service == null || service.tableVersion != command.tableVersion)
             return Records.failure(ProblemKind.STALE_TABLE, "table moved on");
--- a/test/sim/src/test/java/craneway/sim/Cluster.java
+++ b/test/sim/src/test/java/craneway/sim/Cluster.java
@@ -352,7 +352,7 @@
 
     /** Whether every part has a leader and none of them is this member. */
     boolean allPartsLedByOtherThan(Member excluded) {
-        for (var part = 0; part < Parts.COUNT; part++)
+        for (var part = 0; part < Parts.PART_COUNT; part++)
             if (leaderOf(part) == null || leaderOf(part) == excluded) return false;
         return true;
     }
@@ -362,7 +362,7 @@
     }
 
     boolean allPartsLedBy(Member member) {
-        for (var part = 0; part < Parts.COUNT; part++) if (leaderOf(part) != member) return false;
+        for (var part = 0; part < Parts.PART_COUNT; part++) if (leaderOf(part) != member) return false;
         return true;
     }
 
@@ -371,7 +371,7 @@
         var view = member.router.membership().view();
         if (!member.running || !member.router.membership().isCurrent() || view.manifestRow().version != version)
             return false;
-        for (var part = 0; part < Parts.COUNT; part++) if (!view.hasLease(part, member.now())) return false;
+        for (var part = 0; part < Parts.PART_COUNT; part++) if (!view.hasLease(part, member.now())) return false;
         return view.services().size() == view.manifest().services().size();
     }
 
@@ -397,7 +397,7 @@
 
     /** Whether a store is one of this many voters of every part. */
     boolean isVoterOfAllParts(Member member, int voterCount) {
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             if (leaderOf(part) == null) return false;
             var groupMembers = leaderOf(part).store.replicas()[part].group().members();
             if (!groupMembers.isVoter(member.storeId()) || groupMembers.voters.length != voterCount) return false;
--- a/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
+++ b/test/sim/src/test/java/craneway/sim/CoreFailoverTest.java
@@ -55,7 +55,7 @@
     @Test
     void allPartsAreLedByOneStore() {
         var cluster = threeStores();
-        for (var part = 1; part < Parts.COUNT; part++)
+        for (var part = 1; part < Parts.PART_COUNT; part++)
             assertEquals(cluster.leaderOf(0).name, cluster.leaderOf(part).name);
     }
 
@@ -97,7 +97,7 @@
             cluster.runFor(6);
             assertTrue(cluster.allPartsLedBy(leader), () -> String.join("\n", cluster.eventLog));
             assertEquals(
-                    Parts.COUNT,
+                    Parts.PART_COUNT,
                     cluster.eventLog.stream()
                             .filter(event -> event.contains(" LEADER ") && secondsSince(event, cluster) < 6.8)
                             .count(),
@@ -238,7 +238,7 @@
     @Test
     void fiveOfSixStoresVoteSpreadOverRegions() {
         var cluster = sixStores();
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             var voters = cluster.voterNames(part);
             assertEquals(5, voters.size(), () -> String.join("\n", cluster.eventLog));
             var votersPerRegion = new int[3];
@@ -359,7 +359,7 @@
     }
 
     private static boolean allPartsHaveFiveVoters(Cluster cluster) {
-        for (var part = 0; part < Parts.COUNT; part++)
+        for (var part = 0; part < Parts.PART_COUNT; part++)
             if (cluster.leaderOf(part) == null
                     || cluster.voterNames(part).size() != 5
                     || cluster.voterNames(part).contains("?")) return false;
--- a/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
+++ b/test/sim/src/test/java/craneway/sim/DiskFaultTest.java
@@ -46,7 +46,7 @@
     }
 
     private static boolean isCaughtUp(Cluster cluster, Cluster.Member member) {
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             var leader = cluster.leaderOf(part);
             if (leader == null || member.store.replicas().length == 0) return false;
             var lastIndex = leader.store.replicas()[part].group().lastIndex();
--- a/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
+++ b/test/sim/src/test/java/craneway/sim/LearnerPromotionTest.java
@@ -50,7 +50,7 @@
     }
 
     private static boolean isVoterOfAnyPart(Cluster cluster, Cluster.Member member) {
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             var leader = cluster.leaderOf(part);
             if (leader != null
                     && leader.store.replicas()[part].group().members().isVoter(member.storeId())) return true;
--- a/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
+++ b/test/sim/src/test/java/craneway/sim/PausedNodeCommandTest.java
@@ -158,7 +158,7 @@
         pausedEndpoint.paused = true;
         cluster.runFor(5);
         pausedEndpoint.resume();
-        cluster.runFor((PauseGuard.SETTLE_MICROS + 2 * TICK_MICROS) / 1e6);
+        cluster.runFor((PauseGuard.SETTLE_TIME_MICROS + 2 * TICK_MICROS) / 1e6);
         assertMarkAcknowledged(pausedEndpoint, true);
         assertTrue(isZoneEmptied());
     }
--- a/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
+++ b/test/sim/src/test/java/craneway/sim/PlannedLeaveTest.java
@@ -77,7 +77,7 @@
             cluster.runFor(1.5);
             var leaveSeconds = stopGracefully(cluster, leaver);
             assertTrue(leaveSeconds < 5, () -> leaveSeconds + " s\n" + String.join("\n", cluster.eventLog));
-            for (var part = 0; part < Parts.COUNT; part++) {
+            for (var part = 0; part < Parts.PART_COUNT; part++) {
                 var reportedPart = part;
                 var voters = cluster.voterNames(part);
                 assertTrue(
--- a/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
+++ b/test/sim/src/test/java/craneway/sim/ProcessIncarnationTest.java
@@ -49,7 +49,7 @@
 
     private static boolean holdsAllLeases(Cluster.Member member, Cluster cluster) {
         var view = membership(member).view();
-        for (var part = 0; part < Parts.COUNT; part++) if (!view.hasLease(part, cluster.sim.now())) return false;
+        for (var part = 0; part < Parts.PART_COUNT; part++) if (!view.hasLease(part, cluster.sim.now())) return false;
         return true;
     }
 
@@ -134,7 +134,7 @@
         var renewals = new Renewals();
         renewals.from = from;
         renewals.sentAt = now;
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             var renewal = new Renewal();
             renewal.part = part;
             renewals.parts.add(renewal);
--- a/test/sim/src/test/java/craneway/sim/RejoinCost.java
+++ b/test/sim/src/test/java/craneway/sim/RejoinCost.java
@@ -122,7 +122,7 @@
         public void logEvent(Event e, String detail) {}
 
         boolean isVoterOfAllParts() {
-            for (var part = 0; part < Parts.COUNT; part++) {
+            for (var part = 0; part < Parts.PART_COUNT; part++) {
                 var leader = leader(part);
                 if (leader == null || store.replicas().length == 0) return false;
                 var members = leader.store.replicas()[part].group().members();
--- a/test/sim/src/test/java/craneway/sim/ScalingCost.java
+++ b/test/sim/src/test/java/craneway/sim/ScalingCost.java
@@ -559,15 +559,15 @@
         for (var number = 0; number < runners; number++)
             service.runners.put("runner-" + number, runnerRow(runnerPut(number, 128)));
         var emptyNodeLists = new ArrayList<List<Node>>();
-        for (var number = 0; number < Parts.COUNT; number++) emptyNodeLists.add(List.of());
+        for (var number = 0; number < Parts.PART_COUNT; number++) emptyNodeLists.add(List.of());
         return new CoreView(
                 new Rows.Manifest(),
                 ManifestReader.readValidated(manifestText(6, 0, 1)).get(),
                 Map.of(SERVICE, service),
-                new long[Parts.COUNT],
+                new long[Parts.PART_COUNT],
                 emptyNodeLists,
                 0,
-                new long[Parts.COUNT]);
+                new long[Parts.PART_COUNT]);
     }
 
     private static Rows.Runner runnerRow(Commands.RunnerPut put) {
--- a/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
+++ b/test/sim/src/test/java/craneway/sim/TwoFaultsRun.java
@@ -150,7 +150,7 @@
     }
 
     private boolean isSettled() {
-        for (var part = 0; part < Parts.COUNT; part++) {
+        for (var part = 0; part < Parts.PART_COUNT; part++) {
             if (cluster.leaderOf(part) == null) return false;
             var voters = cluster.voterNames(part);
             if (voters.size() != cluster.quorum.voterCount() || voters.contains("?")) return false;
